--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 	@exec .venv/bin/elderlock up --limiters $(LIMITERS) --traffic $(TRAFFIC)
 
 test: .venv/ready
-	.venv/bin/ruff check . && .venv/bin/mypy && .venv/bin/python -m pytest
+	.venv/bin/ruff format --check . && .venv/bin/ruff check . && .venv/bin/mypy && .venv/bin/python -m pytest
 
 bench: .venv/ready
 	.venv/bin/python benchmarks/fleet_drain.py
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -383,7 +383,9 @@
     "quota": lambda seed: Tier(Size(3, 24, load=0.6, plans=PLANS, peers=True, customers=60), seed).play(9000.0),
     "trouble": lambda seed: _troubled(Size(3, 24, load=0.5), seed),
     "many": lambda seed: _troubled(Size(8, 64, load=0.6, routing=Routing(subset=24)), seed),
-    "unreachable": _unreachable, "spoilt": _spoilt, "cold": _cold,
+    "unreachable": _unreachable,
+    "spoilt": _spoilt,
+    "cold": _cold,
     "thin": lambda seed: Tier(Size(3, 3, load=0.9, work=150.0), seed).play(15_000.0),
     "pressed": lambda seed: _troubled(Size(3, 12, load=0.9, plans=PLANS, peers=True, customers=200), seed),
 }
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -108,6 +108,7 @@
 
 async def served(ground: Ground, seconds: float) -> float:
     """Share of what limiters took that they served, over so many seconds."""
+
     async def counts() -> tuple[int, int]:
         states = [limiter.state for shown in (await ground.shown()).values() for limiter in shown.limiters]
         kept = [state.counts for state in states if state is not None]
--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -84,9 +84,7 @@
         return self._typed(name, lambda value: {"0": False, "1": True}[value], False)
 
     def data(self, name: str) -> bytes:
-        return self._typed(
-            name, lambda value: b"" if value == "-" else base64.b64decode(value, validate=True), None
-        )
+        return self._typed(name, lambda value: b"" if value == "-" else base64.b64decode(value, validate=True), None)
 
     def choice(self, name: str, table: dict[str, T]) -> T:
         return self._typed(name, lambda value: table[value], None)
@@ -143,9 +141,7 @@
 EVENTS: dict[str, Callable[[Fields], api.Event]] = {
     "inbound": request_of,
     "settled": ended_of,
-    "established": lambda f: api.StreamStarted(
-        f.text("ref"), f.whole("shot"), f.text("server"), f.number("spent")
-    ),
+    "established": lambda f: api.StreamStarted(f.text("ref"), f.whole("shot"), f.text("server"), f.number("spent")),
     "timed_out_client": lambda f: api.ClientGone(f.text("ref")),
     "check_result": lambda f: api.ProbeEnded(f.text("server"), f.outcome(), f.number("spent")),
     "mail": lambda f: api.PeerMessage(f.whole("author"), f.data("payload")),
--- a/elderlock/authz/door.py
+++ b/elderlock/authz/door.py
@@ -94,9 +94,7 @@
     async def Check(self, request: auth.CheckRequest, context: Any) -> auth.CheckResponse:  # noqa: N802
         door, attributes = self._door, request.attributes
         http = attributes.request.http
-        asked = Asked(
-            attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context)
-        )
+        asked = Asked(attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context))
         try:
             command = door.terms.command(asked)
         except Unreadable as error:
@@ -164,8 +162,8 @@
         entries["units"] = str(units)
         # a rate limit question has no id of its own: one is made, so that nothing can collide with it
         own = f"rls-{self._door.next_number()}"
-        entries["request"] = f"{entries['request']}.{number}" if "request" in entries and number else entries.get(
-            "request", own
+        entries["request"] = (
+            f"{entries['request']}.{number}" if "request" in entries and number else entries.get("request", own)
         )
         return self._door.terms.command(Asked(entries, {}, "", subjects, within))
 
@@ -320,5 +318,3 @@
         if verdict.kind == "duplicate":
             await context.abort(grpc.StatusCode.ALREADY_EXISTS, "another request of this id is open")
         await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "no decision in time; nothing was taken")
-
-
--- a/elderlock/authz/mapping.py
+++ b/elderlock/authz/mapping.py
@@ -129,4 +129,3 @@
     if not least <= number <= most:
         raise Unreadable(f"the {what} is out of range: between {least:g} and {most:g}")
     return number
-
--- a/elderlock/authz/questions.py
+++ b/elderlock/authz/questions.py
@@ -34,9 +34,7 @@
             entry.name = self._gateway.asked(
                 command,
                 refused=lambda line: self._decided(id, refusal_of(line)),
-                permitted=lambda box, endpoint, life: self._decided(
-                    id, Verdict("permitted", 0.0, box, endpoint, life)
-                ),
+                permitted=lambda box, endpoint, life: self._decided(id, Verdict("permitted", 0.0, box, endpoint, life)),
                 over=lambda: self._permissions.over(id),
             )
         return number
--- a/elderlock/authz/router.py
+++ b/elderlock/authz/router.py
@@ -83,9 +83,7 @@
 class RoutingDoor:
     """`usable` names the limiters that are neither drained nor silent, as the agent knows."""
 
-    def __init__(
-        self, raw: Any, folder: Path, usable: Callable[[Iterable[str]], set[str]], rng: random.Random
-    ) -> None:
+    def __init__(self, raw: Any, folder: Path, usable: Callable[[Iterable[str]], set[str]], rng: random.Random) -> None:
         """Raises `AuthzError`."""
         try:
             self._file = msgspec.convert(raw, RoutingFile)
@@ -222,9 +220,7 @@
     async def Check(self, request: auth.CheckRequest, context: Any) -> auth.CheckResponse:  # noqa: N802
         attributes = request.attributes
         http = attributes.request.http
-        asked = Asked(
-            attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context)
-        )
+        asked = Asked(attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context))
         try:
             command = self._terms.command(asked)
         except Unreadable as error:
--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -27,8 +27,17 @@
 
 
 # whose lack means which extra
-EXTRAS = {"hiredis": "standins", "grpc": "grpc", "envoy": "grpc", "hdrh": "load", "pygal": "load", "numpy": "sim",
-          "scipy": "sim", "rich": "sim", "tomli_w": "sim"}
+EXTRAS = {
+    "hiredis": "standins",
+    "grpc": "grpc",
+    "envoy": "grpc",
+    "hdrh": "load",
+    "pygal": "load",
+    "numpy": "sim",
+    "scipy": "sim",
+    "rich": "sim",
+    "tomli_w": "sim",
+}
 
 LOAD_EPILOG = """exit codes:
   0  done, and all thresholds kept
@@ -72,9 +81,7 @@
     def grouped(command: argparse.ArgumentParser) -> None:
         command.add_argument("--group", type=Path, metavar="FILE", help="the group file")
         command.add_argument("--token-file", type=Path, metavar="FILE", help="in place of the group file's")
-        command.add_argument(
-            "--deadline", type=_seconds, default=1.0, metavar="S", help="for each agent to answer (1)"
-        )
+        command.add_argument("--deadline", type=_seconds, default=1.0, metavar="S", help="for each agent to answer (1)")
 
     def tried(command: argparse.ArgumentParser) -> None:
         command.add_argument(
@@ -111,9 +118,7 @@
         grouped(command)
         tried(command)
         command.add_argument("--reason", default="", help="kept with the record, for the others")
-        command.add_argument(
-            "--expect", type=int, metavar="GEN", help="only if the record is still of this generation"
-        )
+        command.add_argument("--expect", type=int, metavar="GEN", help="only if the record is still of this generation")
         command.add_argument("--no-wait", action="store_true", help="do not wait for work that is out")
 
     for name, help in (
--- a/elderlock/cli/sim.py
+++ b/elderlock/cli/sim.py
@@ -197,9 +197,7 @@
         def told(so_far: Systematic) -> None:
             moved(so_far.tried, f"steps failed, {len(so_far.broken)} with something broken")
 
-        made = systematic(
-            _scenario(options), options.seed, options.workers, options.each, options.lasts, told
-        )
+        made = systematic(_scenario(options), options.seed, options.workers, options.each, options.lasts, told)
     print(
         f"{made.steps} steps of input and output; {made.failed} failures of one tried, "
         f"{len(made.broken)} with something broken"
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -189,8 +189,7 @@
         told = f"told by {heard.via}" if heard.via else "heard by an agent that answers"
         lines.append(f"  {heard.standing}, last word {age(heard.age_ms)} ago ({told}):")
         lines += [
-            f"  {b.name}: {b.phase}, {b.link}, {b.open} open{', drained' if b.drained else ''}"
-            for b in heard.limiters
+            f"  {b.name}: {b.phase}, {b.link}, {b.open} open{', drained' if b.drained else ''}" for b in heard.limiters
         ]
     return lines
 
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -175,4 +175,3 @@
             else:
                 print(f"{name:<20} (too large for one machine: {made.limiters} limiters, {made.boxes} boxes)")
     return DONE
-
--- a/elderlock/control/caller.py
+++ b/elderlock/control/caller.py
@@ -26,9 +26,7 @@
 class Caller(asyncio.Protocol, Generic[M]):
     """One connection. `heard` gets every message, also one whose asker has given up waiting."""
 
-    def __init__(
-        self, decode: Callable[[bytes], M], longest: int, heard: Callable[[M], None] | None = None
-    ) -> None:
+    def __init__(self, decode: Callable[[bytes], M], longest: int, heard: Callable[[M], None] | None = None) -> None:
         self._decode, self._heard = decode, heard
         self._framer = Framer(longest)
         self._transport: asyncio.Transport | None = None
--- a/elderlock/control/desk.py
+++ b/elderlock/control/desk.py
@@ -88,9 +88,7 @@
             self.owner, self.owner_epoch, self._heard = hello.agent, hello.epoch, now
         visitor.agent, visitor.epoch, visitor.greeted = hello.agent, hello.epoch, True
         face = self._face
-        return m.Welcome(
-            m.VERSION, face.name, face.build, face.pid, face.started_at, self.owner, self.owner_epoch
-        )
+        return m.Welcome(m.VERSION, face.name, face.build, face.pid, face.started_at, self.owner, self.owner_epoch)
 
     def _owns(self, visitor: Visitor) -> bool:
         return visitor.epoch > 0 and (visitor.agent, visitor.epoch) == (self.owner, self.owner_epoch)
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -184,9 +184,7 @@
         found = QUEUE.search(report.rpartition(b" ")[2])
         return (int(found[1]), at) if found is not None else (-1, at)
 
-    def _why(
-        self, entry: api.ServerEntry, server: Server | None, record: Record | None, now: float
-    ) -> str:
+    def _why(self, entry: api.ServerEntry, server: Server | None, record: Record | None, now: float) -> str:
         """Why no new work goes there, or less than its share; empty where nothing is held against it."""
         if record is not None:
             return f"drained by {record.by}"
--- a/elderlock/fleet/agent.py
+++ b/elderlock/fleet/agent.py
@@ -218,9 +218,7 @@
         news = [record for record in records if self.records.weigh(record) is Offer.TAKEN]
         if not news:
             return
-        line = f.AuditLine(
-            unix_ms(), via, "agent", f"learnt {_targets(news)}", max(r.generation for r in news), ""
-        )
+        line = f.AuditLine(unix_ms(), via, "agent", f"learnt {_targets(news)}", max(r.generation for r in news), "")
         try:
             # whoever made it has told all; who hears of it at second hand tells with its next word, or each record
             # would cost a group as many words as it has pairs
--- a/elderlock/fleet/api.py
+++ b/elderlock/fleet/api.py
@@ -122,9 +122,7 @@
             case _:
                 return f.Refused("bad-message", "hello comes once")
 
-    async def _agreed(
-        self, who: Identity, message: f.Ask | f.Prepare | f.Accept | f.Recall | f.Standing
-    ) -> f.Message:
+    async def _agreed(self, who: Identity, message: f.Ask | f.Prepare | f.Accept | f.Recall | f.Standing) -> f.Message:
         keeper = self._agent.keeper
         if keeper is None:
             return f.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
--- a/elderlock/fleet/charge.py
+++ b/elderlock/fleet/charge.py
@@ -94,9 +94,7 @@
     def want(self, wanted: bool) -> None:
         """Raises `StoreError`, and then nothing is done."""
         process = self.process
-        self._store.set_limiter(
-            self.name, wanted, process.pid if process else 0, process.born if process else 0
-        )
+        self._store.set_limiter(self.name, wanted, process.pid if process else 0, process.born if process else 0)
         self._do(self.supervisor.want(wanted, self._now()))
 
     def to_run(self, version: str, generation: int) -> bool:
--- a/elderlock/fleet/client.py
+++ b/elderlock/fleet/client.py
@@ -123,4 +123,3 @@
     if isinstance(error, ssl.SSLError):
         return f"tls: {error.reason or error}"
     return str(error) or type(error).__name__
-
--- a/elderlock/fleet/conductor.py
+++ b/elderlock/fleet/conductor.py
@@ -490,9 +490,7 @@
                 self._beats[plan.id] = (sign, now)
             elif now - seen[1] > 1000.0 * (TAKE_OVER_AFTER + TAKE_OVER_APART * self._rank):
                 self._beats[plan.id] = (sign, now)
-                made = await self._keeper.change(
-                    partial(steps.lead, id=plan.id, who=self._owner.name, after=plan.term)
-                )
+                made = await self._keeper.change(partial(steps.lead, id=plan.id, who=self._owner.name, after=plan.term))
                 if made.chosen:
                     log.info("takes over a plan", agent=self._owner.name, plan=plan.id, leader=plan.leader)
         alive = {(plan.id, plan.term) for plan in self._keeper.ledger.under_way()}
--- a/elderlock/fleet/exchange.py
+++ b/elderlock/fleet/exchange.py
@@ -105,9 +105,7 @@
 
     def heard(self, exchange: f.Exchange) -> None:
         now = now_ms()
-        self.membership.heard(
-            exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now
-        )
+        self.membership.heard(exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now)
         self.membership.relayed(exchange.heard, exchange.agent, now)
         self._agent.renewal.heard(exchange.agent, exchange.itself)
         if self._agent.keeper is not None and exchange.ledger:
--- a/elderlock/fleet/intents.py
+++ b/elderlock/fleet/intents.py
@@ -24,9 +24,7 @@
         return Decision("stale", held, f"you acted on {seen}, but it is {words(held)} since")
     if intend.generation <= generation:
         return Decision("refused", held, f"generation {intend.generation} is not above {generation}")
-    record = Record(
-        wish.kind, wish.target, wish.drained, intend.generation, intend.origin, by, now, intend.reason
-    )
+    record = Record(wish.kind, wish.target, wish.drained, intend.generation, intend.origin, by, now, intend.reason)
     return Decision("made", record)
 
 
--- a/elderlock/fleet/keeper.py
+++ b/elderlock/fleet/keeper.py
@@ -71,9 +71,7 @@
 class Keeper:
     """Invariant: `ledger` is one that was chosen, and its version never goes back."""
 
-    def __init__(
-        self, owner: Owner, budget: Budget, voters: Sequence[str], rng: random.Random, rank: int = 0
-    ) -> None:
+    def __init__(self, owner: Owner, budget: Budget, voters: Sequence[str], rng: random.Random, rank: int = 0) -> None:
         """`rank`: how many agents stand before this one. Raises `StoreError`."""
         self._rank = rank
         self._owner, self.budget, self.voters, self._rng = owner, budget, tuple(voters), rng
@@ -422,5 +420,3 @@
         else:
             answers.append(each)
     return answers
-
-
--- a/elderlock/fleet/membership.py
+++ b/elderlock/fleet/membership.py
@@ -33,9 +33,7 @@
         self._own = own
         self._members = {name: _Member() for name in others if name != own}
 
-    def heard(
-        self, name: str, incarnation: int, sequence: int, limiters: tuple[LimiterBrief, ...], now: float
-    ) -> None:
+    def heard(self, name: str, incarnation: int, sequence: int, limiters: tuple[LimiterBrief, ...], now: float) -> None:
         """It spoke itself. A stranger, who is in no group file, is not kept."""
         if (member := self._members.get(name)) is not None:
             member.direct_at = now
--- a/elderlock/fleet/messages.py
+++ b/elderlock/fleet/messages.py
@@ -421,12 +421,40 @@
 
 
 ToAgent = (
-    Hello | Show | Intend | Progress | Order | Exchange | Audit | Lend | Ask | Prepare | Accept | Recall | Standing
-    | Begin | Steer | Plans
+    Hello
+    | Show
+    | Intend
+    | Progress
+    | Order
+    | Exchange
+    | Audit
+    | Lend
+    | Ask
+    | Prepare
+    | Accept
+    | Recall
+    | Standing
+    | Begin
+    | Steer
+    | Plans
 )
 FromAgent = (
-    Welcome | Refused | Shown | Intended | Progressed | Ordered | Exchange | Audited | Lent | Granted | Voted | Recalled
-    | Stood | Begun | Steered | Planned
+    Welcome
+    | Refused
+    | Shown
+    | Intended
+    | Progressed
+    | Ordered
+    | Exchange
+    | Audited
+    | Lent
+    | Granted
+    | Voted
+    | Recalled
+    | Stood
+    | Begun
+    | Steered
+    | Planned
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/elderlock/fleet/operate.py
+++ b/elderlock/fleet/operate.py
@@ -27,9 +27,7 @@
 AGAIN_EVERY = 0.2  # s between looks at how far it came
 
 
-async def see(
-    group: Group, accounts: int = 20, within: float = SEE_WITHIN, fresh_within: float = FRESH_WITHIN
-) -> Seen:
+async def see(group: Group, accounts: int = 20, within: float = SEE_WITHIN, fresh_within: float = FRESH_WITHIN) -> Seen:
     """`within` s for each agent; `fresh_within` ms that an agent waits for its limiters, whose last word
     from up to two seconds ago it shows else."""
     return seen_of(await group.ask_all(lambda id: f.Show(id, accounts, fresh_within), f.Shown, within))
--- a/elderlock/fleet/operate_plans.py
+++ b/elderlock/fleet/operate_plans.py
@@ -172,7 +172,15 @@
 ) -> Callable[[int], f.Message]:  # fmt: skip
     def make(id: int) -> f.Message:
         return f.Begin(
-            id, origin, kind, version, tuple(targets), tuple(tuple(w) for w in waves), terms, reason, dry  # type: ignore[arg-type]
+            id,
+            origin,
+            kind,
+            version,
+            tuple(targets),
+            tuple(tuple(w) for w in waves),
+            terms,
+            reason,
+            dry,  # type: ignore[arg-type]
         )
 
     return make
--- a/elderlock/fleet/peers.py
+++ b/elderlock/fleet/peers.py
@@ -33,9 +33,7 @@
 class Peer:
     """The way to one other agent."""
 
-    def __init__(
-        self, agent: Speaker, name: str, at: tuple[str, int], token: str, tls: ssl.SSLContext | None
-    ) -> None:
+    def __init__(self, agent: Speaker, name: str, at: tuple[str, int], token: str, tls: ssl.SSLContext | None) -> None:
         self._agent, self.name, self._at, self._token, self._tls = agent, name, at, token, tls
         self.met = asyncio.Event()  # it has told us its records
         self._news = asyncio.Event()
--- a/elderlock/fleet/plan.py
+++ b/elderlock/fleet/plan.py
@@ -87,8 +87,7 @@
         )
     if going and queue > MOST_QUEUE:
         unsafe.append(
-            f"{sum(reported)} requests wait: {queue:.1f} for each unit of weight left, "
-            f"{MOST_QUEUE:.0f} is the most"
+            f"{sum(reported)} requests wait: {queue:.1f} for each unit of weight left, " f"{MOST_QUEUE:.0f} is the most"
         )
     return Plan(
         _steps(going, before), unknown, before / full if full else 0.0, after / full if full else 0.0,
--- a/elderlock/fleet/report.py
+++ b/elderlock/fleet/report.py
@@ -88,9 +88,7 @@
     def joined(self) -> list[Record]:
         """Records of others that say the same as was wanted: one record, and whose it is."""
         mine = [r for r in self.records.values() if r.origin == self.origin]
-        return [
-            r for key, r in self.records.items() if r.drained == self.wanted[key] and r not in mine
-        ]
+        return [r for key, r in self.records.items() if r.drained == self.wanted[key] and r not in mine]
 
     def rows(self) -> list[Row]:
         rows = [
@@ -106,9 +104,7 @@
     def _missing(self, agent: str, missing: Missing | Refusal) -> list[Row]:
         """An agent that does not answer now. What its limiters told through it before still holds: a
         limiter that had put a record in force does not lose it while its agent is away."""
-        before: dict[tuple[str, Key], f.Reach] = {
-            (r.limiter, (r.kind, r.target)): r for r in self.reach.get(agent, ())
-        }
+        before: dict[tuple[str, Key], f.Reach] = {(r.limiter, (r.kind, r.target)): r for r in self.reach.get(agent, ())}
         reason = why(missing)
         rows = []
         for key in self.wanted:
--- a/elderlock/fleet/store.py
+++ b/elderlock/fleet/store.py
@@ -59,9 +59,7 @@
                 raise StoreError(f"{path}: {error}") from None
 
     def _open(self) -> sqlite3.Connection:
-        db = sqlite3.connect(
-            self._path, timeout=BUSY_WITHIN, isolation_level=None, factory=self._factory
-        )
+        db = sqlite3.connect(self._path, timeout=BUSY_WITHIN, isolation_level=None, factory=self._factory)
         try:
             if db.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
                 raise sqlite3.DatabaseError("the file is damaged")
@@ -194,9 +192,7 @@
         return (bool(rows[0][0]), int(str(rows[0][1])), int(str(rows[0][2]))) if rows else None
 
     def set_limiter(self, name: str, wanted: bool, pid: int, born: int) -> None:
-        self._write(
-            ("INSERT OR REPLACE INTO limiters VALUES (?, ?, ?, ?)", (name, int(wanted), pid, born))
-        )
+        self._write(("INSERT OR REPLACE INTO limiters VALUES (?, ?, ?, ?)", (name, int(wanted), pid, born)))
 
     def version(self, name: str) -> tuple[str, int, str]:
         """Which version the limiter is to run, by which generation, and which one its process was started on; empty for
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -230,4 +230,3 @@
         self.evidence.age_out(self.core.now)
         for told in [told for told, at in self._told.items() if at <= self.core.now - TOLD_EVERY]:
             del self._told[told]
-
--- a/elderlock/load/compare.py
+++ b/elderlock/load/compare.py
@@ -65,9 +65,7 @@
 def _noise(before: Sequence[float], after: Sequence[float]) -> float | None:
     if min(len(before), len(after)) < LEAST_BLOCKS:
         return None
-    return ERRORS * math.sqrt(
-        statistics.variance(before) / len(before) + statistics.variance(after) / len(after)
-    )
+    return ERRORS * math.sqrt(statistics.variance(before) / len(before) + statistics.variance(after) / len(after))
 
 
 def compared(before: Report, after: Report) -> tuple[list[Difference], list[str]]:
@@ -96,9 +94,7 @@
         )  # fmt: skip
     for name in sorted(before.outcomes.keys() | after.outcomes.keys()):
         shares = [run.outcomes.get(name, 0) / max(1, run.ledger["scheduled"]) for run in (before, after)]
-        samples = [
-            [outcomes.get(name, 0) / sum(outcomes.values()) for _, outcomes in g if outcomes] for g in groups
-        ]
+        samples = [[outcomes.get(name, 0) / sum(outcomes.values()) for _, outcomes in g if outcomes] for g in groups]
         found.append(Difference(f"share {name}", shares[0], shares[1], _noise(*samples)))
     return found, warnings
 
--- a/elderlock/load/figures.py
+++ b/elderlock/load/figures.py
@@ -268,9 +268,7 @@
         if ledger["offered"] != ended + open_now:
             wrong.append(f"{ledger['offered']} offered, {ended} ended and {open_now} open")
         if ledger["sent"] - open_sent != ledger["answered"] + ledger["unanswered"]:
-            wrong.append(
-                f"{ledger['sent']} sent, {ledger['answered']} answered and {ledger['unanswered']} unanswered"
-            )
+            wrong.append(f"{ledger['sent']} sent, {ledger['answered']} answered and {ledger['unanswered']} unanswered")
         if self.late.total() != ledger["offered"]:
             wrong.append(f"{ledger['offered']} offered and {self.late.total()} figures of lateness")
         return wrong
--- a/elderlock/load/shapes.py
+++ b/elderlock/load/shapes.py
@@ -82,11 +82,7 @@
     """Up to `peak` in a line and down again, with its top at `start + at`."""
     top, half = start + at, lasts / 2.0
     marks = [(start, rate), (top - half, rate), (top, peak), (top + half, rate), (end, rate)]
-    return [
-        Piece(since, until, before, after)
-        for (since, before), (until, after) in pairwise(marks)
-        if until > since
-    ]
+    return [Piece(since, until, before, after) for (since, before), (until, after) in pairwise(marks) if until > since]
 
 
 def unit_poisson(rng: random.Random) -> Iterator[float]:
--- a/elderlock/load/trace.py
+++ b/elderlock/load/trace.py
@@ -102,8 +102,9 @@
             known, form = version == VERSION, "csv" if line[:1] == b"#" else "json"
             columns, last = [], None
             if not known:
-                yield number, TraceError(
-                    number, "version", f"a part of version {version} begins; {VERSION} is read here"
+                yield (
+                    number,
+                    TraceError(number, "version", f"a part of version {version} begins; {VERSION} is read here"),
                 )
             continue
         if not form:
--- a/elderlock/net/clients.py
+++ b/elderlock/net/clients.py
@@ -392,9 +392,7 @@
 
     async def listen(self, host: str, port: int) -> int:
         """Listens there and returns the port, which the kernel may have chosen."""
-        self._server = await self.loop.create_server(
-            lambda: ClientConnection(self), host, port, backlog=1024
-        )
+        self._server = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=1024)
         self._look()
         bound: int = self._server.sockets[0].getsockname()[1]
         return bound
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -302,11 +302,7 @@
         if outcome is Outcome.OK and value is not None and not request.answered:
             self._end(request, b"$%d\r\n%b\r\n" % (len(value), value))
         took = self.now() - attempt.started
-        self._happened(
-            api.AttemptEnded(
-                request.name, attempt.number, attempt.server, outcome, took, request.answered
-            )
-        )
+        self._happened(api.AttemptEnded(request.name, attempt.number, attempt.server, outcome, took, request.answered))
         self._forget_if_over(request)
 
     def _end(self, request: Request, answer: bytes | None) -> None:
@@ -401,7 +397,5 @@
         if request is None or request.answered:
             return  # answered for the module, which had failed on an event
         request.out += 1
-        attempt = self.servers.send(
-            name, len(request.attempts), server, timeout, request.command.encode
-        )
+        attempt = self.servers.send(name, len(request.attempts), server, timeout, request.command.encode)
         request.attempts.append(attempt)
--- a/elderlock/net/resp.py
+++ b/elderlock/net/resp.py
@@ -117,7 +117,6 @@
             self._items.append(item)
         return [item for item in self._whole() if item is not None]
 
-
     def _plain(self) -> list[bytes] | None:
         """A whole command of four strings that hold no line end, as nearly all are, in one match; None is for
         whatever else came, which is read item by item and judged there."""
--- a/elderlock/net/servers.py
+++ b/elderlock/net/servers.py
@@ -35,9 +35,7 @@
     __slots__ = ("_ended", "connection", "encode", "expires", "number", "over", "pool", "request", "sent",
                  "server", "started", "timer")  # fmt: skip
 
-    def __init__(
-        self, request: str, number: int, server: str, encode: Callable[[float], bytes], ended: Ended
-    ) -> None:
+    def __init__(self, request: str, number: int, server: str, encode: Callable[[float], bytes], ended: Ended) -> None:
         self.request, self.number, self.server = request, number, server
         self.encode, self._ended = encode, ended
         self.started = self.expires = 0.0
@@ -289,9 +287,7 @@
         pool.closed = True
         pool.drop_idle()
 
-    def send(
-        self, request: str, number: int, server: str, timeout: float, encode: Callable[[float], bytes]
-    ) -> Attempt:
+    def send(self, request: str, number: int, server: str, timeout: float, encode: Callable[[float], bytes]) -> Attempt:
         """Starts an attempt; its time-out runs from now, a dial included."""
         attempt = Attempt(request, number, server, encode, self._ended)
         attempt.started = self.now()
--- a/elderlock/quota/book.py
+++ b/elderlock/quota/book.py
@@ -71,9 +71,7 @@
         if number is None:
             self._next += 1
             number = self._numbers[key] = self._next
-            self.ledgers[number] = Ledger(
-                key, store, self.terms, self.health.generation, self.health.changed_at, now
-            )
+            self.ledgers[number] = Ledger(key, store, self.terms, self.health.generation, self.health.changed_at, now)
         ledger = self.ledgers[number]
         if ledger.store != store:  # a change of plan: what is drawn of the old one is nobody's
             fresh = Ledger(key, store, self.terms, self.health.generation, now, now)
--- a/elderlock/quota/ledger.py
+++ b/elderlock/quota/ledger.py
@@ -46,9 +46,7 @@
     never given back; what was let in without a call is owed until a call that tells of it was answered, or its
     customer has rested (`Book.tick`). One call is out at a time."""
 
-    def __init__(
-        self, key: str, store: Store, terms: Terms, generation: int, returned_at: float, now: float
-    ) -> None:
+    def __init__(self, key: str, store: Store, terms: Terms, generation: int, returned_at: float, now: float) -> None:
         self.key, self.store, self.terms = key, store, terms
         self.generation = generation
         self.window = -1
--- a/elderlock/rollout/inventory.py
+++ b/elderlock/rollout/inventory.py
@@ -55,5 +55,3 @@
     """In the order of their numbers: n2 before n10."""
     found = re.fullmatch(r"(.*?)(\d+)", known.name)
     return (found[1], int(found[2]), "") if found else (known.name, -1, known.name)
-
-
--- a/elderlock/rollout/plans.py
+++ b/elderlock/rollout/plans.py
@@ -135,9 +135,7 @@
     id: str, version: str, waves: Iterable[Iterable[str]], before: dict[str, str], by: str, reason: str, at: float,
     terms: Terms, kind: Literal["release", "agents"] = "release",
 ) -> Plan:  # fmt: skip
-    units = tuple(
-        Unit(name, number, before.get(name, "")) for number, wave in enumerate(waves) for name in wave
-    )
+    units = tuple(Unit(name, number, before.get(name, "")) for number, wave in enumerate(waves) for name in wave)
     return Plan(id, kind, version, by, reason, at, units, terms)
 
 
--- a/elderlock/rollout/register.py
+++ b/elderlock/rollout/register.py
@@ -65,9 +65,7 @@
     READ = "read"  # the register through the others first: its votes are lost
 
 
-def joining(
-    voters: int, remembers: bool, promised: Ballot, answers: Sequence[tuple[Ballot, bool]]
-) -> tuple[Join, str]:
+def joining(voters: int, remembers: bool, promised: Ballot, answers: Sequence[tuple[Ballot, bool]]) -> tuple[Join, str]:
     """Whether one of so many voters may vote after its start, and why not yet. `answers` of others: the greatest ballot
     that they saw it promise, and whether they never accepted anything."""
     others, needed = voters - 1, voters // 2
--- a/elderlock/rollout/verdict.py
+++ b/elderlock/rollout/verdict.py
@@ -44,9 +44,7 @@
         served, refused, failed = (a - b for a, b in zip(self[:3], before[:3], strict=True))
         if min(served, refused, failed) < 0:
             return None
-        return Figures(
-            served, refused, failed, self.log_sum - before.log_sum, self.log_squares - before.log_squares
-        )
+        return Figures(served, refused, failed, self.log_sum - before.log_sum, self.log_squares - before.log_squares)
 
     def plus(self, other: Figures) -> Figures:
         return Figures(
--- a/elderlock/sim/compare.py
+++ b/elderlock/sim/compare.py
@@ -81,9 +81,7 @@
                 low, high = bounds if bounds is not None else (None, None)
                 mean = _mean(list(values.values()))
                 lines.append(
-                    Line(
-                        scenario.name, setting.name, figure, mean, _mean(differences), low, high, len(paired)
-                    )
+                    Line(scenario.name, setting.name, figure, mean, _mean(differences), low, high, len(paired))
                 )
     return lines
 
--- a/elderlock/sim/facts.py
+++ b/elderlock/sim/facts.py
@@ -64,4 +64,4 @@
     if s.peers:
         on = {"evidence": s.shared, "ceilings": s.shared_ceilings and not s.counter}
         text += "[shared]\n" + "".join(f"{name} = true\n" for name, wanted in on.items() if wanted)
-    return text + ("[quota]\nstore = \"tally\"\n" if s.counter else "")
+    return text + ('[quota]\nstore = "tally"\n' if s.counter else "")
--- a/elderlock/sim/figures.py
+++ b/elderlock/sim/figures.py
@@ -170,4 +170,3 @@
             self.over / self.spent if self.spent > 0 else 0.0, jain(shares),
             min(worst, self._worst) if self.offered else 0.0, self.refused_with_room / offered, dict(self.more),
         )  # fmt: skip
-
--- a/elderlock/sim/models/counters.py
+++ b/elderlock/sim/models/counters.py
@@ -77,9 +77,7 @@
         self.totals[name] = total + amount, ends
         self._back(caller, token, Outcome.OK, float(f"{total + amount:.7g}"), state, self._free[part] - now)
 
-    def _back(
-        self, caller: Caller, token: int, outcome: Outcome, total: float, state: list[bool], wait: float
-    ) -> None:
+    def _back(self, caller: Caller, token: int, outcome: Outcome, total: float, state: list[bool], wait: float) -> None:
         if self._ways.cut(self.place, caller.machine):
             return
         way = self._ways.delay(self.place, caller.machine) + wait + self.late
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -621,5 +621,3 @@
 
 def play(case: Case, seed: int, log: bool = False) -> Played:
     return ReleaseWorld(case, seed, log).played()
-
-
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -41,10 +41,25 @@
     "limiter": frozenset(
         {"kill", "term", "pause", "clock", "cut", "cut-to", "cut-from", "op-drain", "op-undrain", "power"}
     ),
-    "agent": frozenset({
-        "kill", "term", "pause", "clock", "cut", "disk-full", "disk-error", "disk-slow", "disk-lies", "power",
-        "old-state", "no-state", "kill-write", "kill-sync", "kill-rename",
-    }),
+    "agent": frozenset(
+        {
+            "kill",
+            "term",
+            "pause",
+            "clock",
+            "cut",
+            "disk-full",
+            "disk-error",
+            "disk-slow",
+            "disk-lies",
+            "power",
+            "old-state",
+            "no-state",
+            "kill-write",
+            "kill-sync",
+            "kill-rename",
+        }
+    ),
     "floor": frozenset({"cut", "cut-to", "cut-from", "loss", "late", "restart", "silent", "power"}),
     "house": frozenset({"power"}),
     "way": frozenset({"cut", "late", "loss", "duplicate", "reorder", "trickle", "reset", "half-close"}),
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -532,5 +532,3 @@
 
 def play(scenario: Scenario, seed: int, **more: Any) -> Result:
     return ShellWorld(scenario, seed, **more).play()
-
-
--- a/elderlock/sim/virtual/loop.py
+++ b/elderlock/sim/virtual/loop.py
@@ -114,9 +114,7 @@
 
     # Whatever is scheduled belongs to the process that scheduled it
 
-    def call_soon(
-        self, callback: Callable[..., Any], *args: Any, context: Context | None = None
-    ) -> asyncio.Handle:
+    def call_soon(self, callback: Callable[..., Any], *args: Any, context: Context | None = None) -> asyncio.Handle:
         if self.over:
             return asyncio.Handle(callback, args, self, context)
         process = CURRENT.get() if context is None else context.get(CURRENT)
@@ -242,7 +240,6 @@
         self.set_exception_handler(lambda loop, context: None)
 
 
-
 def _innermost(task: asyncio.Task[Any]) -> str:
     """The line of ours that a task waits at, whatever of asyncio's stands between."""
     at: str = "not begun"
--- a/elderlock/sim/virtual/system.py
+++ b/elderlock/sim/virtual/system.py
@@ -123,5 +123,3 @@
         for module, name, was in before:
             setattr(module, name, was)
         random.setstate(kept)
-
-
--- a/elderlock/standins/counters.py
+++ b/elderlock/standins/counters.py
@@ -173,9 +173,7 @@
         part.free_at = max(part.free_at, self.now) + self._each
         self.after(part.free_at - self.now, self._add, number, book, token, part, name, amount, life)
 
-    def _add(
-        self, number: int, book: Book, token: int, part: Part, name: str, amount: float, life: float
-    ) -> None:
+    def _add(self, number: int, book: Book, token: int, part: Part, name: str, amount: float, life: float) -> None:
         if self.down:
             return
         self.served_calls += 1
--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -85,9 +85,7 @@
         self.port = 0
 
     async def start(self) -> Target:
-        self.server = await self._loop.create_server(
-            lambda: _Peer(self), "127.0.0.1", self.port, backlog=4096
-        )
+        self.server = await self._loop.create_server(lambda: _Peer(self), "127.0.0.1", self.port, backlog=4096)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -67,8 +67,15 @@
     ]  # fmt: skip
     raw["plans"] = [
         {"name": "shop", "price": 0.8, "quota-rate": 30.0, "burst": 60.0},
-        {"name": "enterprise", "price": 1.8, "quota-rate": 20.0, "burst": 40.0, "hard-rate": 22.0,
-         "never-over-depth": 44.0, "hard-slack": 8.0},
+        {
+            "name": "enterprise",
+            "price": 1.8,
+            "quota-rate": 20.0,
+            "burst": 40.0,
+            "hard-rate": 22.0,
+            "never-over-depth": 44.0,
+            "hard-slack": 8.0,
+        },
         {"name": "few", "price": 1.2, "quota-rate": 2.0, "burst": 5.0, "parallel": 3},
         {"name": "over", "price": 0.5, "quota-rate": 10.0, "burst": 15.0, "beyond-earns": 0.4, "beyond-costs": 0.1},
     ]
--- a/elderlock/standins/troubles.py
+++ b/elderlock/standins/troubles.py
@@ -152,4 +152,3 @@
                 else:
                     await box.fail(Fault.NONE)
         return f"{target} mended"
-
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -118,9 +118,7 @@
         self.loop = asyncio.get_running_loop()
         self.ways = Ways()
         self.relays = Relays(self.ways)
-        self.limiter_places = [
-            Place.of(f"n{n}", f"m{n}", floor_name(n % s.floors)) for n in range(s.limiters)
-        ]
+        self.limiter_places = [Place.of(f"n{n}", f"m{n}", floor_name(n % s.floors)) for n in range(s.limiters)]
         self.agent_places = [Place.of(f"agent-{a}", *self._machine(a)) for a in range(s.agents)]
         self.clients_place, self.tool_place = Place.of("clients"), Place.of("tool")
         self.discovery_place, self.counter_place = Place.of("discovery"), Place.of("counter", floor_name(0))
@@ -553,9 +551,7 @@
         """Clients begin with the scenario's schedule, now."""
         asked = arrivals(self.scenario, self.seed)
         addresses = [_address(relay.endpoint) for relay in self._fronts]
-        self.clients = Clients(
-            self.scenario, addresses, asked, random.Random(f"clients/{self.seed}"), self.finished
-        )
+        self.clients = Clients(self.scenario, addresses, asked, random.Random(f"clients/{self.seed}"), self.finished)
         self.zero = self.at()
         self.clients.start()
         return self.clients
--- a/elderlock/trial/relay.py
+++ b/elderlock/trial/relay.py
@@ -469,4 +469,3 @@
 
 def _is(place: Place, name: str) -> bool:
     return name == "*" or name in place.names
-
--- a/elderlock/trial/run.py
+++ b/elderlock/trial/run.py
@@ -141,9 +141,7 @@
     for agent in range(s.agents):  # for restarts from an old state
         disk.copy_home(ground.home(agent), ground.folder / "old" / ground.agent_names[agent])
     clients = ground.ask()
-    timers = [
-        ground.loop.call_later(fault.at_s, faults.begin, number, fault) for number, fault in enumerate(s.fault)
-    ]
+    timers = [ground.loop.call_later(fault.at_s, faults.begin, number, fault) for number, fault in enumerate(s.fault)]
     sampling = ground.loop.create_task(_sampled(ground, looks))
     try:
         await asyncio.sleep(s.lasts_s)
@@ -168,9 +166,7 @@
     wall = time.monotonic()
     ground = Ground(scenario, folder, mark, seed, flaw)
     ended, why = "finished", ""
-    ground.loop.set_exception_handler(
-        lambda loop, context: ground.failed.append(_said(context))
-    )
+    ground.loop.set_exception_handler(lambda loop, context: ground.failed.append(_said(context)))
     faults = TrialFaults(ground)
     agreed = faults.agreed
     try:
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -52,7 +52,9 @@
 
 
 @asynccontextmanager
-async def doors(behave: Callable[[list[bytes]], Awaitable[bytes | None]] | None = None, **file: Any) -> AsyncIterator[Doors]:
+async def doors(
+    behave: Callable[[list[bytes]], Awaitable[bytes | None]] | None = None, **file: Any
+) -> AsyncIterator[Doors]:
     server = await Server(behave).start()
     limiter = await Limiter.start(server)
     door = Door(AuthzFile("127.0.0.1:0", **{"askers": (Asker(("*",)),), **file}), Path("/"), limiter.gateway)
@@ -283,7 +285,9 @@
     async def test() -> None:
         async with doors() as here:
             with pytest.raises(grpc.aio.AioRpcError) as raised:
-                await here.asking.auth.Check(here.asking.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10)
+                await here.asking.auth.Check(
+                    here.asking.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
+                )
             assert raised.value.code() in (grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.UNAVAILABLE)
             big = here.asking.question("q2")
             big.attributes.request.http.headers["x"] = "x" * (1 << 17)
@@ -371,7 +375,9 @@
 def test_a_field_that_we_do_not_know_is_passed_over_and_an_empty_question_denied() -> None:
     async def test() -> None:
         async with doors() as here:
-            call = here.asking.channel.unary_unary(f"/{CHECK}/Check", response_deserializer=auth.CheckResponse.FromString)
+            call = here.asking.channel.unary_unary(
+                f"/{CHECK}/Check", response_deserializer=auth.CheckResponse.FromString
+            )
             unknown = b"\xfa\x3e\x05hello"  # field 1007, five bytes
             answer = await call(here.asking.question("q1").SerializeToString() + unknown, timeout=10)
             assert answer.HasField("ok_response")
@@ -434,7 +440,9 @@
 def test_several_descriptors_are_permitted_together_or_not_at_all() -> None:
     async def test() -> None:
         async with doors() as here:
-            ok = rls.RateLimitRequest(domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER)], hits_addend=3)
+            ok = rls.RateLimitRequest(
+                domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER)], hits_addend=3
+            )
             answer = await here.asking.rls.ShouldRateLimit(ok, timeout=10)
             assert answer.overall_code == rls.RateLimitResponse.OK and len(answer.statuses) == 2
             stores = sorted(round(a.store) for a in here.limiter.gateway.limiter.quotas.accounts.values())
@@ -523,5 +531,3 @@
                         f"{root}/{name}.proto"]) == 0  # fmt: skip
     for suffix in ("_pb2.py", "_pb2_grpc.py"):
         assert (tmp_path / (name + suffix)).read_text() == (root / (name + suffix)).read_text()
-
-
--- a/tests/authz/test_program.py
+++ b/tests/authz/test_program.py
@@ -44,7 +44,11 @@
         assert program.process is not None
         _, error = await program.process.communicate()
         assert program.process.returncode == 2
-        assert error.decode().splitlines()[-1].endswith("off loopback the door needs [authz.tls] with a ca for its callers")
+        assert (
+            error.decode()
+            .splitlines()[-1]
+            .endswith("off loopback the door needs [authz.tls] with a ca for its callers")
+        )
         await world.close()
 
     run(test(), within=60.0)
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -74,7 +74,9 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(list(NAMES)), st.sampled_from(list(Fate)), st.floats(0.0, 300.0)), max_size=80))
+@given(
+    st.lists(st.tuples(st.sampled_from(list(NAMES)), st.sampled_from(list(Fate)), st.floats(0.0, 300.0)), max_size=80)
+)
 def test_never_more_than_the_cap_are_out_and_what_is_out_is_counted(events: list[tuple[str, Fate, float]]) -> None:
     made, now = router(), 0.0
     for name, fate, wait in events:
@@ -85,7 +87,11 @@
     assert all(member.open == 0 for member in made._members.values())
 
 
-@given(st.lists(st.sampled_from([f for f in Fate if f is not Fate.ANSWERED]), min_size=1, max_size=6), st.booleans(), st.floats(-10.0, 900.0))
+@given(
+    st.lists(st.sampled_from([f for f in Fate if f is not Fate.ANSWERED]), min_size=1, max_size=6),
+    st.booleans(),
+    st.floats(-10.0, 900.0),
+)
 def test_a_try_of_unknown_fate_is_never_asked_elsewhere(fates: list[Fate], fetchable: bool, left: float) -> None:
     step = after(fates, fetchable, left)
     if step is Next.ELSEWHERE:
@@ -274,7 +280,9 @@
         text += f'[[authz.door.askers]]\naccounts = ["{ACCOUNT}"]\n'
         for number in range(2):
             text += f'[[authz.limiter]]\nname = "n{number}"\nnumber = {number}\naddress = "{doors[number]}"\n'
-            text = text.replace(f'config = "n{number}.json"\ndir', f'config = "n{number}.json"\nauthz = "authz-{number}.toml"\ndir')
+            text = text.replace(
+                f'config = "n{number}.json"\ndir', f'config = "n{number}.json"\nauthz = "authz-{number}.toml"\ndir'
+            )
             (tmp_path / f"authz-{number}.toml").write_text(
                 f'[authz]\nlisten = "{doors[number]}"\n[[authz.askers]]\naccounts = ["*"]\n'
             )
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -91,9 +91,7 @@
         assert process.returncode == Exit.PART
         assert len(seen["agents"]) == 60 and set(seen["missing"]) == {"mute", "gone"}
         assert seen["missing"]["gone"]["why"] == "nothing listens there"
-        table = await spawn(
-            *COMMAND, "show", "--group", str(group), cwd=ROOT, stdout=asyncio.subprocess.PIPE
-        )
+        table = await spawn(*COMMAND, "show", "--group", str(group), cwd=ROOT, stdout=asyncio.subprocess.PIPE)
         out, _ = await table.communicate()
         assert b"\x1b" not in out  # no colour into a pipe
         assert b"agent gone does not answer: nothing listens there" in out
--- a/tests/control/test_overlay.py
+++ b/tests/control/test_overlay.py
@@ -73,9 +73,7 @@
 
 def test_a_new_box_at_the_address_of_a_drained_one_is_not_drained() -> None:
     overlay = Overlay(["s-old"])
-    assert overlay.listed(TargetList(1, True, (target("s-old"),))).targets[0].entry.state is (
-        ServerState.DRAINING
-    )
+    assert overlay.listed(TargetList(1, True, (target("s-old"),))).targets[0].entry.state is (ServerState.DRAINING)
     listed = overlay.listed(TargetList(2, True, (target("s-new", started=5.0),)))
     assert listed.targets[0].entry.state is ServerState.RUNNING
 
@@ -90,9 +88,7 @@
     assert [t.entry.state for t in changes.targets] == [ServerState.RUNNING]
 
 
-records = st.builds(
-    record, st.sampled_from(UIDS), st.integers(1, 5), st.sampled_from(["a", "b", "c"]), st.booleans()
-)
+records = st.builds(record, st.sampled_from(UIDS), st.integers(1, 5), st.sampled_from(["a", "b", "c"]), st.booleans())
 
 
 def consistent(them: list[Record]) -> list[Record]:
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -259,9 +259,7 @@
     async def test() -> None:
         async with fleet(tmp_path, agents=2, limiters=2) as group:
             for _ in range(5):
-                one, two = await asyncio.gather(
-                    group.command(who=OPERATORS[0]), group.command(who=OPERATORS[1])
-                )
+                one, two = await asyncio.gather(group.command(who=OPERATORS[0]), group.command(who=OPERATORS[1]))
                 assert one.exit is Exit.DONE and two.exit is Exit.DONE
                 a, b = group.agents.values()
                 await until(lambda a=a, b=b: a.records.digest() == b.records.digest())  # type: ignore[misc]
@@ -282,9 +280,7 @@
         async with fleet(tmp_path) as group:
             group.limiters["n0"].left_in_work["s-1"] = 3  # so that the drain waits for work that is out
             under_way = asyncio.Event()
-            drain = asyncio.create_task(
-                group.command(told=lambda title, account: under_way.set(), give_up_after=None)
-            )
+            drain = asyncio.create_task(group.command(told=lambda title, account: under_way.set(), give_up_after=None))
             await under_way.wait()
             undrain = await group.command(drained=False, who=OPERATORS[1])
             assert undrain.exit is Exit.DONE
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -84,11 +84,20 @@
 
 
 RATE, BURST, SLACK, SPLIT = 30.0, 30.0, 3.0, 3
-CEILED = {"name": "team", "quota-rate": 1e5, "burst": 1e5, "hard-rate": RATE, "never-over-depth": BURST, "hard-slack": SLACK}
+CEILED = {
+    "name": "team",
+    "quota-rate": 1e5,
+    "burst": 1e5,
+    "hard-rate": RATE,
+    "never-over-depth": BURST,
+    "hard-slack": SLACK,
+}
 
 
 @pytest.mark.parametrize("evidence", ["false", "true"])
-def test_of_three_processes_the_one_that_is_asked_gets_the_others_parts_of_a_ceiling(evidence: str, tmp_path: Path) -> None:
+def test_of_three_processes_the_one_that_is_asked_gets_the_others_parts_of_a_ceiling(
+    evidence: str, tmp_path: Path
+) -> None:
     """Asked without a pause till it has sent on far more than its even part can have filled meanwhile; all the while no more
     than the whole ceiling allows."""
 
@@ -114,7 +123,9 @@
     run(test(), within=90.0)
 
 
-@pytest.mark.parametrize("data", [b"", b"\x5e", b"\x5e\x01" + bytes(300), b"\x5e\x09" + bytes(13), b"\x5e\x01" + bytes(13)])
+@pytest.mark.parametrize(
+    "data", [b"", b"\x5e", b"\x5e\x01" + bytes(300), b"\x5e\x09" + bytes(13), b"\x5e\x01" + bytes(13)]
+)
 def test_noise_in_the_place_of_evidence_changes_nothing(data: bytes) -> None:
     """From a peer's own address: a stranger's datagrams are not taken at all."""
     settings = settings_of({**facts(peers=True), "peers-total": PROCESSES})
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -63,5 +63,7 @@
 def test_a_version_that_knows_no_gossip_takes_it_for_nothing_of_its_own() -> None:
     assert peerwords.read(good()) is None
     for number in range(1000):  # nor is any message of quotas taken for gossip
-        data = peerwords.single(number % 256, random.Random(number).getrandbits(32), peerwords.ASK, 1, 8.0, 20.0, number)
+        data = peerwords.single(
+            number % 256, random.Random(number).getrandbits(32), peerwords.ASK, 1, 8.0, 20.0, number
+        )
         assert not wire.is_gossip(data)
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -43,9 +43,7 @@
 
 
 async def call(*words: str, **environ: str) -> tuple[int, str, str]:
-    process = await spawn(
-        *COMMAND, *words, cwd=ROOT, env={**os.environ, **environ}, stdout=-1, stderr=-1
-    )
+    process = await spawn(*COMMAND, *words, cwd=ROOT, env={**os.environ, **environ}, stdout=-1, stderr=-1)
     out, err = await process.communicate()
     assert process.returncode is not None
     return process.returncode, out.decode(), err.decode()
--- a/tests/load/test_runs.py
+++ b/tests/load/test_runs.py
@@ -422,5 +422,3 @@
         await target.close()
 
     run(test())
-
-
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -279,4 +279,3 @@
         await server.close()
 
     run(test(), within=60.0)
-
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -234,7 +234,9 @@
             await here.until("done")
             await here.until_all_run("v2")
             assert here.limiter_pids() == before  # adopted by each new agent
-            assert (await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)).exit == 0
+            assert (
+                await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)
+            ).exit == 0
             await here.until("taken back")
             await here.until_all_run("")
             assert judged(here.ground).broken == []
@@ -269,7 +271,9 @@
             here.ground.signal("agent-0", signal.SIGKILL, "its base")  # the agent under it ends with it
             plan = await here.until("done", "taken back", "halted")
             if plan.outcome() == "halted":
-                while (await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)).exit != 0:
+                while (
+                    await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)
+                ).exit != 0:
                     await asyncio.sleep(0.1)
                 plan = await here.until("taken back")
             await here.until_all_run("v2" if plan.outcome() == "done" else "")
--- a/tests/rollout/test_decisions.py
+++ b/tests/rollout/test_decisions.py
@@ -105,7 +105,9 @@
 
 @given(st.integers(0, 1 << 30), st.sampled_from([1, 2, 3, 5]), st.integers(1, 4), st.sampled_from([0.0, 0.1, 0.4]))
 @settings(max_examples=60)
-def test_chosen_values_are_one_line_whatever_is_lost_repeated_or_dies(seed: int, voters: int, count: int, loss: float) -> None:
+def test_chosen_values_are_one_line_whatever_is_lost_repeated_or_dies(
+    seed: int, voters: int, count: int, loss: float
+) -> None:
     chosen, _ = play(seed, voters, count, loss)
     assert one_line(chosen)
     assert len(chosen) == count, "nobody is kept from it for ever"
@@ -145,7 +147,9 @@
 # The ledger
 
 
-def asked(ledger: Ledger, *boxes: str, origin: str = "o", budget: Budget | None = None, known: Inventory = ALL) -> Ledger | list[str]:
+def asked(
+    ledger: Ledger, *boxes: str, origin: str = "o", budget: Budget | None = None, known: Inventory = ALL
+) -> Ledger | list[str]:
     return grant(ledger, [("box", name) for name in boxes], budget or Budget(), known, origin, "an", "", 7, 0.0)
 
 
--- a/tests/rollout/test_plans.py
+++ b/tests/rollout/test_plans.py
@@ -62,7 +62,9 @@
         return held(self.ledger).id
 
     def inventory(self) -> Inventory:
-        return Inventory((), tuple(item._replace(out="crashed" if item.name in self.down else "") for item in ALL.limiters))
+        return Inventory(
+            (), tuple(item._replace(out="crashed" if item.name in self.down else "") for item in ALL.limiters)
+        )
 
     @rule(who=st.sampled_from(["a0", "a1", "a2"]), late=st.booleans())
     def leads(self, who: str, late: bool) -> None:
@@ -317,7 +319,12 @@
         group.told["n0"] = one._replace(age=11_000.0)
     group.pass_time(25, {"n0": 0.3} if what == "slow" else None)
     assert group.plan.state == "halted" and {m.targets for m in group.moves if m.do == "send"} == {("n0",)}
-    words = {"failed": "crashed as it", "crashed": "crashed on v2", "silent": "too little is known", "slow": "slower by"}
+    words = {
+        "failed": "crashed as it",
+        "crashed": "crashed on v2",
+        "silent": "too little is known",
+        "slow": "slower by",
+    }
     assert words[what] in group.plan.why
 
 
@@ -345,7 +352,10 @@
     assert carrier.step(plan, unit, look(), 0.0, halted=True) is None  # a halt that only it has heard of
     assert carrier.step(plan, unit, look(), 0.0, halted=False) == "drain"
     drained = look(drained=True, generation=unit.generation)
-    assert carrier.step(plan, unit, drained, 10.0, False) is None and carrier.said.why == "it has not said that it holds the drain"
+    assert (
+        carrier.step(plan, unit, drained, 10.0, False) is None
+        and carrier.said.why == "it has not said that it holds the drain"
+    )
     assert carrier.step(plan, unit, drained._replace(open=2), 20.0, False) is None
     assert carrier.step(plan, unit, drained._replace(open=0), 30.0, False) == "switch"
     assert carrier.step(plan, unit, drained._replace(open=2), 10_100.0, False) == "switch"  # it has waited long enough
@@ -383,7 +393,9 @@
         assert carrier.step(plan, unit, ending, 100.0, False) is None and carrier.said.stage == "starting"
     assert carrier.step(plan, unit, ready._replace(version="v2"), 200.0, False) is None and carrier.said.stage == "up"
     turned = msgspec.structs.replace(unit, aim="back")
-    assert carrier.step(plan, turned, ready._replace(version="v2"), 300.0, False) == "switch"  # another version, once more
+    assert (
+        carrier.step(plan, turned, ready._replace(version="v2"), 300.0, False) == "switch"
+    )  # another version, once more
 
 
 def test_a_permit_that_was_taken_back_is_not_used() -> None:
@@ -401,7 +413,10 @@
     part = LimiterPart("n0", ("limiter",), "n0.json")
     file = AgentFile(AgentPart("a", "127.0.0.1:0", "s", "t"), versions=VersionsPart())
     for name, text in (
-        ("v2", 'command = ["{version}/bin", "{limiter}"]\n'), ("odd", "comand = []\n"), ("empty", ""), ("conf", 'config = "c/{limiter}.json"\n'),
+        ("v2", 'command = ["{version}/bin", "{limiter}"]\n'),
+        ("odd", "comand = []\n"),
+        ("empty", ""),
+        ("conf", 'config = "c/{limiter}.json"\n'),
     ):
         (tmp_path / "versions" / name).mkdir(parents=True)
         (tmp_path / "versions" / name / "version.toml").write_text(text)
@@ -410,7 +425,12 @@
     assert versions.launch(part, "v2").command == (f"{tmp_path}/versions/v2/bin", "n0")
     assert versions.launch(part, "conf") == versions.launch(part, "").__class__(("limiter",), ".", "c/n0.json")
     assert [name for name, _ in versions.digests()] == ["conf", "v2"]
-    for name, text in (("odd", "comand"), ("empty", "neither command"), ("none", "No such file"), ("../v2", "is no name")):
+    for name, text in (
+        ("odd", "comand"),
+        ("empty", "neither command"),
+        ("none", "No such file"),
+        ("../v2", "is no name"),
+    ):
         with pytest.raises(FileError, match=text):
             versions.launch(part, name)
     with pytest.raises(FileError, match="has no .versions."):
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -40,7 +40,10 @@
     async def ask(self, agent: str, *boxes: str, origin: str = "", within: float = 4.0) -> f.Granted:
         targets = tuple(("box", box) for box in boxes)
         said = await self.group.ask(
-            agent, lambda id: f.Ask(id, origin or f"{agent}/{boxes}", targets, "", 0), f.Granted, within  # type: ignore[arg-type]
+            agent,
+            lambda id: f.Ask(id, origin or f"{agent}/{boxes}", targets, "", 0),
+            f.Granted,
+            within,  # type: ignore[arg-type]
         )
         assert isinstance(said, f.Granted), said
         return said
@@ -90,7 +93,9 @@
     async def test() -> None:
         async with three() as here:
             here.ground.ask()
-            tools = [here.faults.told(("an", "binh")[n % 2], "drain", "box", box, within=8.0) for n, box in enumerate(BOXES)]
+            tools = [
+                here.faults.told(("an", "binh")[n % 2], "drain", "box", box, within=8.0) for n, box in enumerate(BOXES)
+            ]
             codes = await asyncio.gather(*tools)
             assert sorted(codes) == [0, 0, 0, 5, 5, 5]
             held = await here.records()
@@ -169,7 +174,9 @@
             assert (await here.ask("agent-1", *BOXES[1:4])).outcome == "refused"
             assert (await here.ask("agent-1", *BOXES[1:3])).outcome == "granted"
             here.ground.relays.mend("cut", cut)
-            while not all(any(r.target == "s-00" and r.drained for r in held) for held in (await here.records()).values()):
+            while not all(
+                any(r.target == "s-00" and r.drained for r in held) for held in (await here.records()).values()
+            ):
                 await asyncio.sleep(0.05)
 
     run(test(), within=60.0)
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -221,7 +221,9 @@
                 await asyncio.sleep(0.05)
             told = json.loads((here.ground.folder / f"{status.name}.log").read_text())
             assert [unit[4] for unit in told["plans"][-1]["units"]] == ["done"] * 2
-            assert (await operate.ask_any(here.group, lambda id: f.Steer(id, plan.id, "back"), f.Steered, 5.0)).exit == 0
+            assert (
+                await operate.ask_any(here.group, lambda id: f.Steer(id, plan.id, "back"), f.Steered, 5.0)
+            ).exit == 0
             await here.until("taken back", plan.id)
             for shown in (await here.ground.shown()).values():
                 assert not [r.target for r in shown.records if r.drained]
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -28,7 +28,10 @@
 
 def test_a_good_version_goes_out_also_into_a_rush() -> None:
     played = play(replace(SMALL, rush=40.0), 2)
-    assert played.good() and played.plan is not None and played.plan.outcome() == "done", (played.broken, played.halted_why)
+    assert played.good() and played.plan is not None and played.plan.outcome() == "done", (
+        played.broken,
+        played.halted_why,
+    )
 
 
 @pytest.mark.parametrize("seed", [3, 5])
@@ -75,7 +78,6 @@
     patch.setattr(Carrier, "step", step)
 
 
-
 FLAWS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Case, Callable[[Played], int]]] = {
     "more goes than the budget allows": (
         lambda patch: patch.setattr(ledger, "reasons", lambda *given: []),
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -26,7 +26,9 @@
 
 def test_a_good_version_goes_out_to_all() -> None:
     played = play(Renewals(), 1)
-    assert played.good() and len(played.ran) == 5 and played.plan is not None and played.plan.outcome() == "done", played.broken
+    assert (
+        played.good() and len(played.ran) == 5 and played.plan is not None and played.plan.outcome() == "done"
+    ), played.broken
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -46,9 +46,7 @@
 
 
 class Fleet:
-    def __init__(
-        self, folder: Path, shared: str, processes: int = PROCESSES, plan: dict[str, Any] = PLAN
-    ) -> None:
+    def __init__(self, folder: Path, shared: str, processes: int = PROCESSES, plan: dict[str, Any] = PLAN) -> None:
         """`shared`: what the operators' file says under that name."""
         rng = random.SystemRandom()
         self.folder, self.shared, self.count, self.plan = folder, shared, processes, plan
--- a/tests/sim/test_judges.py
+++ b/tests/sim/test_judges.py
@@ -61,7 +61,9 @@
     return search.play(given, 5, floor)
 
 
-@pytest.mark.parametrize("rule, floor, given, mutate", BITES, ids=[f"{n}-{b[0]}-{b[1]}".replace(" ", "_") for n, b in enumerate(BITES)])
+@pytest.mark.parametrize(
+    "rule, floor, given, mutate", BITES, ids=[f"{n}-{b[0]}-{b[1]}".replace(" ", "_") for n, b in enumerate(BITES)]
+)
 def test_a_judge_bites(
     rule: str, floor: str, given: Scenario, mutate: flaws.Flaw, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -55,7 +55,9 @@
     seeds.write(Seed(BASE, 1, broke=("no request lost",)), path)
     head, found, tail = path.read_text().partition("[scenario]")
     old, new = f"format = {FORMAT}", f"format = {FORMAT - 1}"
-    path.write_text(head.replace(old, new) + found + tail if place == "format" else head + found + tail.replace(old, new))
+    path.write_text(
+        head.replace(old, new) + found + tail if place == "format" else head + found + tail.replace(old, new)
+    )
     with pytest.raises(NoLongerAppliesError, match="no longer applies"):
         seeds.read(path)
 
@@ -269,7 +271,13 @@
 )  # fmt: skip
 def test_a_wrong_scenario_is_told_with_its_place(change: str, message: str, tmp_path: Path) -> None:
     seeds.write(Seed(BASE, 1), tmp_path / "s.toml")
-    text = (tmp_path / "s.toml").read_text().partition("[scenario]")[2].replace("[scenario.", "[").replace("[[scenario.", "[[")
+    text = (
+        (tmp_path / "s.toml")
+        .read_text()
+        .partition("[scenario]")[2]
+        .replace("[scenario.", "[")
+        .replace("[[scenario.", "[[")
+    )
     with pytest.raises(ScenarioError, match=f"here.toml: .*{message}"):
         parse(text, "here.toml", [change])
 
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -207,7 +207,11 @@
     text = page(experiment, found, compare.compared(experiment, found), ["<b>a bound</b>"])
     assert text.count("<svg") >= 3 and "<script" not in text and "&lt;b&gt;" in text
     assert "limiters" in text  # the settings differ in their number, so there is a chart by it
-    links = text.replace("http://www.w3.org/", "").replace("<!--http://github.com/Kozea/pygal-->", "").replace("<!--http://pygal.org-->", "")
+    links = (
+        text.replace("http://www.w3.org/", "")
+        .replace("<!--http://github.com/Kozea/pygal-->", "")
+        .replace("<!--http://pygal.org-->", "")
+    )
     assert "http://" not in links and "https://" not in links
 
 
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -106,9 +106,7 @@
 
     start(loop, process, serve)
     await asyncio.sleep(0.1)
-    _, client = await context_of(Process(2, "client", HERE)).run(
-        loop.create_task, loop.create_connection(Echo, *AT)
-    )
+    _, client = await context_of(Process(2, "client", HERE)).run(loop.create_task, loop.create_connection(Echo, *AT))
     await asyncio.sleep(0.1)
     return client, served[0], process
 
@@ -234,9 +232,7 @@
     run(loop, work)
 
 
-@pytest.mark.parametrize(
-    "way, error", [("refused", ConnectionRefusedError), ("silent", TimeoutError), ("reset", None)]
-)
+@pytest.mark.parametrize("way, error", [("refused", ConnectionRefusedError), ("silent", TimeoutError), ("reset", None)])
 def test_a_connect_fails_in_each_way(way: str, error: type[OSError] | None) -> None:
     loop, network = world(Scripted("connect", 1, way))
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -106,7 +106,10 @@
         box = Box("s", STD, "floor-2", seed=1)
         await box.open()
         box.model._time = held = Held()
-        asks = [asyncio.create_task(talk(box.doors[0].port, READ, within=60.0)) for _ in range(box.kind.cores + box.kind.shape.room + 5)]
+        asks = [
+            asyncio.create_task(talk(box.doors[0].port, READ, within=60.0))
+            for _ in range(box.kind.cores + box.kind.shape.room + 5)
+        ]
         await until(lambda: len(box.sent) == len(asks))  # none is worked off before all have come
         held.let_go()
         answers = [answer for task in asks for answer in await task]
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -31,8 +31,7 @@
 def test_the_limiter_that_run_starts_loads_its_own_rooms_alone() -> None:
     """The ordinary path pays nothing for a room that is off: one import more costs each limiter memory."""
     code = (
-        "import sys; before = set(sys.modules); import elderlock.__main__;"
-        "print(*sorted(set(sys.modules) - before))"
+        "import sys; before = set(sys.modules); import elderlock.__main__;" "print(*sorted(set(sys.modules) - before))"
     )
     command = [sys.executable, "-c", code]
     loaded = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
@@ -42,4 +41,3 @@
     roots = {m.split(".")[0].lstrip("_") for m in modules}
     roots = {root for root in roots if not root.lower().startswith("cython_")}  # how uvloop is built
     assert roots <= {k.lstrip("_") for k in known}
-
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -362,7 +362,9 @@
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         limiter.clients._most = 8
-        burst = [socket.create_connection(("127.0.0.1", limiter.port)) for _ in range(100)]  # all before one is accepted
+        burst = [
+            socket.create_connection(("127.0.0.1", limiter.port)) for _ in range(100)
+        ]  # all before one is accepted
         most = 0
         while len(limiter.clients) < 8 or most == 0:
             await asyncio.sleep(0)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,7 +1,6 @@
 """The same events give the same actions, from one version of the decisions to the next: a digest over closed
 histories of a small group. A change that is meant to decide otherwise records new ones and says so."""
 
-
 import pytest
 
 from elderlock import interface as api
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,7 +22,11 @@
         (folder / "KNOWN-RED.txt").write_text(listed)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
     return subprocess.run(
-        [sys.executable, "-B", "-m", "pytest", "-q", "-p", "no:cacheprovider"], cwd=folder, env=environ, text=True, capture_output=True
+        [sys.executable, "-B", "-m", "pytest", "-q", "-p", "no:cacheprovider"],
+        cwd=folder,
+        env=environ,
+        text=True,
+        capture_output=True,
     )
 
 
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -107,7 +107,9 @@
 
         async def one(number: int, client: Client) -> None:
             for turn in range(rounds):
-                assert await client.ask(f"{number:x}-{turn:x}-{time.monotonic_ns():x}", first=number, spread=1) is not None
+                assert (
+                    await client.ask(f"{number:x}-{turn:x}-{time.monotonic_ns():x}", first=number, spread=1) is not None
+                )
                 await asyncio.sleep(pause)
 
         await asyncio.gather(*(one(number, client) for number, client in enumerate(self.clients)))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -139,7 +139,9 @@
         (None, {"peers-total": -3}, "peers-total is -3"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(part: str | None, change: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_settings_that_cannot_be_used_are_named(
+    part: str | None, change: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     raw = raw_config()
     place = raw["settings"][part] if part else raw["settings"]
     (place[0] if isinstance(place, list) else place).update(change)
@@ -302,7 +304,9 @@
         agent, watcher, told = await followed()
         agent.hangs = True  # calls are taken and not answered; the watch stays open and says nothing
         await until(lambda: len(agent.asked) == 5)
-        assert agent.lost == 1  # just that of the first list: neither the watch nor a call was given up for the next one
+        assert (
+            agent.lost == 1
+        )  # just that of the first list: neither the watch nor a call was given up for the next one
         agent.hangs = False
         await until(lambda: len(agent.watches) == 2)
         agent.say(b'{"rev":8,"all":false,"targets":[]}\n')
@@ -371,9 +375,7 @@
         loop = asyncio.get_running_loop()
 
         async def bound() -> tuple[asyncio.DatagramTransport, tuple[str, int]]:
-            transport, _ = await loop.create_datagram_endpoint(
-                asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0)
-            )
+            transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0))
             return transport, transport.get_extra_info("sockname")
 
         (one, one_at), (stranger, _) = await bound(), await bound()
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -15,9 +15,7 @@
 OUTCOMES = st.sampled_from(list(Outcome))
 STEPS = st.lists(
     st.one_of(
-        st.tuples(
-            st.just("ask"), st.integers(0, 3), st.integers(0, 3), st.integers(1, 4), LEFT
-        ),
+        st.tuples(st.just("ask"), st.integers(0, 3), st.integers(0, 3), st.integers(1, 4), LEFT),
         st.tuples(st.just("end"), st.integers(0, 30), OUTCOMES, st.integers(0, 300)),
         st.tuples(st.just("wait"), st.integers(1, 700)),
         st.tuples(st.just("list"), st.integers(0, 5), st.sampled_from(list(ServerState)), st.booleans()),
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -47,9 +47,7 @@
             pass
 
 
-@pytest.mark.parametrize(
-    "data", [b"*1\r\n$4\r\nPINGx", b"*1\r\n$4\r\nPING\rx", b"*1\r\n$70000\r\n", b"*17\r\n", b"P"]
-)
+@pytest.mark.parametrize("data", [b"*1\r\n$4\r\nPINGx", b"*1\r\n$4\r\nPING\rx", b"*1\r\n$70000\r\n", b"*17\r\n", b"P"])
 def test_a_wrong_length_is_told_before_more_is_taken_in(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         commands(data, [])
--- a/tests/test_resp_plain.py
+++ b/tests/test_resp_plain.py
@@ -26,7 +26,9 @@
 def answers(draw: st.DrawFn) -> bytes:
     value = bulk(draw(TEXT), draw(st.just(0) | LENGTH))
     figure = draw(st.sampled_from([b"$-1\r\n", b":12\r\n", b"$2\r\n-1\r\n", b"$-2\r\n"]))
-    report = draw(st.sampled_from([b"$-1\r\n", b"$7\r\nqueue=2\r\n", b"$8\r\nqueue=2\r\n", b":4\r\n", b"$3\r\na\r\n\r\n"]))
+    report = draw(
+        st.sampled_from([b"$-1\r\n", b"$7\r\nqueue=2\r\n", b"$8\r\nqueue=2\r\n", b":4\r\n", b"$3\r\na\r\n\r\n"])
+    )
     made = b"*3\r\n" + value + figure + report + draw(st.sampled_from([b"", b"*3\r\n", b"x"]))
     return made[: draw(st.integers(0, len(made)) | st.just(len(made)))]
 
--- a/tests/trial/test_decisions.py
+++ b/tests/trial/test_decisions.py
@@ -62,8 +62,14 @@
 TestWays = WaysMachine.TestCase
 
 
-@given(st.lists(st.tuples(st.binary(max_size=400), st.floats(0.0, 0.5), st.booleans(), st.sampled_from([0.0, 500.0, 5000.0]))))
-def test_a_stream_comes_out_whole_once_and_in_order_whatever_the_weather(steps: list[tuple[bytes, float, bool, float]]) -> None:
+@given(
+    st.lists(
+        st.tuples(st.binary(max_size=400), st.floats(0.0, 0.5), st.booleans(), st.sampled_from([0.0, 500.0, 5000.0]))
+    )
+)
+def test_a_stream_comes_out_whole_once_and_in_order_whatever_the_weather(
+    steps: list[tuple[bytes, float, bool, float]],
+) -> None:
     stream, now, out = Stream(), 0.0, b""
     for data, wait, cut, trickle in steps:
         if data:
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -160,13 +160,21 @@
 def test_wires_that_are_late_trickle_reset_and_half_closed_break_no_rule() -> None:
     ways = ("limiter:0>box:1", "box:2>limiter:1", "clients>limiter:0", "discovery>limiter:2", "agent:0>agent:1",
             "agent:1>limiter:2")  # fmt: skip
-    whats: list[tuple[What, float]] = [("late", 60.0), ("trickle", 3000.0), ("reset", 0.0), ("half-close", 0.0), ("cut", 0.0)]
+    whats: list[tuple[What, float]] = [
+        ("late", 60.0),
+        ("trickle", 3000.0),
+        ("reset", 0.0),
+        ("half-close", 0.0),
+        ("cut", 0.0),
+    ]
     faults = []
     for number, way in enumerate(ways):
         for other, (what, by) in enumerate(whats):
             if not (way.startswith("clients") and what in ("late", "trickle", "cut")):
                 at = 0.3 + 0.11 * ((number * len(whats) + other * 7) % 30)
-                faults.append(Fault(round(at, 3), what, f"way:{way}", 0.0 if what in ("reset", "half-close") else 0.5, by))
+                faults.append(
+                    Fault(round(at, 3), what, f"way:{way}", 0.0 if what in ("reset", "half-close") else 0.5, by)
+                )
     outcome = played(scenario(fault=tuple(faults), plan=QUOTED, lasts_s=4.5))
     assert outcome.verdict() != "broken", outcome.text()
     assert not outcome.unplayed
@@ -201,7 +209,18 @@
 # The command, as a process of its own
 
 
-SHORT = ["--set", "lasts_s=2", "--set", "warm_s=0", "--set", "rest_s=0", "--set", "agents=1", "--set", "stream.0.shape.0.rate=60"]
+SHORT = [
+    "--set",
+    "lasts_s=2",
+    "--set",
+    "warm_s=0",
+    "--set",
+    "rest_s=0",
+    "--set",
+    "agents=1",
+    "--set",
+    "stream.0.shape.0.rate=60",
+]
 
 
 def command(*words: str, **more: Any) -> subprocess.Popen[str]:
@@ -264,8 +283,14 @@
 
 def test_few_descriptors_are_said_and_nothing_is_left() -> None:
     short = ["bash", "-c", 'ulimit -n 40; exec "$0" "$@"', sys.executable, "-B", "-m", "elderlock.cli.main", "trial"]
-    done = subprocess.run([*short, "run", "calm", *SHORT], cwd=ROOT, capture_output=True, text=True, check=False, timeout=60)
-    assert done.returncode == 2 and "descriptors for its relays, and may have 40" in done.stderr and "Traceback" not in done.stderr, done.stderr
+    done = subprocess.run(
+        [*short, "run", "calm", *SHORT], cwd=ROOT, capture_output=True, text=True, check=False, timeout=60
+    )
+    assert (
+        done.returncode == 2
+        and "descriptors for its relays, and may have 40" in done.stderr
+        and "Traceback" not in done.stderr
+    ), done.stderr
 
 
 def test_two_trials_at_once_do_not_meet(tmp_path: Path) -> None:
@@ -280,7 +305,9 @@
 
 def test_ten_processes_start_at_once_on_one_busy_core_and_no_verdict_is_false() -> None:
     core = {min(os.sched_getaffinity(0))}
-    busy = subprocess.Popen([sys.executable, "-c", "while True: pass"], preexec_fn=lambda: os.sched_setaffinity(0, core))
+    busy = subprocess.Popen(
+        [sys.executable, "-c", "while True: pass"], preexec_fn=lambda: os.sched_setaffinity(0, core)
+    )
     try:
         runner = command(
             "run", "calm", *SHORT, "--set", "limiters=8", "--set", "agents=2", "--set", "floors=2",
