--- a/benchmarks/authz_doors.py
+++ b/benchmarks/authz_doors.py
@@ -101,9 +101,7 @@
             late += took > 3000.0
             pool.append(client)
 
-        await asyncio.gather(
-            open_loop(150.0, seconds, rng, check), open_loop(150.0, seconds, random.Random(6), read)
-        )  # fmt: skip
+        await asyncio.gather(open_loop(150.0, seconds, rng, check), open_loop(150.0, seconds, random.Random(6), read))
         first_send: dict[bytes, float] = {}
         for box in made[0].world.boxes.values():
             for sent in box.sent:
@@ -114,13 +112,18 @@
             await asking.channel.close()
         return {
             "ceiling_units": round(ENTERPRISE["never-over-depth"] + ENTERPRISE["hard-rate"] * span, 1),
-            "slack_units": ENTERPRISE["hard-slack"], "sent_units_both_doors": UNITS * len(times),
-            "permitted": len(permits), "read": len(first_send),
-            "over_slack_units": round(over_slack(times, ENTERPRISE), 2), "questions": len(check_ms) + len(read_ms),
+            "slack_units": ENTERPRISE["hard-slack"],
+            "sent_units_both_doors": UNITS * len(times),
+            "permitted": len(permits),
+            "read": len(first_send),
+            "over_slack_units": round(over_slack(times, ENTERPRISE), 2),
+            "questions": len(check_ms) + len(read_ms),
             "answers_per_question_min": min(answers.values()) if len(answers) == len(check_ms) + len(read_ms) else 0,
-            "answers_per_question_max": max(answers.values()), "late_answers": late,
-            **quantiles("check_ms", check_ms), **quantiles("read_ms", read_ms),
-        }  # fmt: skip
+            "answers_per_question_max": max(answers.values()),
+            "late_answers": late,
+            **quantiles("check_ms", check_ms),
+            **quantiles("read_ms", read_ms),
+        }
 
 
 def quantiles(name: str, values: list[float]) -> dict[str, float]:
@@ -168,9 +171,14 @@
         raw["listen"] = "127.0.0.1:0"
         (folder / "off.json").write_text(json.dumps(raw))
         plain = await spawn(
-            sys.executable, "-B", "-m", "elderlock", cwd=ROOT, stderr=asyncio.subprocess.DEVNULL,
+            sys.executable,
+            "-B",
+            "-m",
+            "elderlock",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.DEVNULL,
             env={**os.environ, "PROXY_CONFIG": str(folder / "off.json"), "ELDERLOCK_OPERATORS": str(off.operators)},
-        )  # fmt: skip
+        )
         port_file = folder / "port"
         bare_process = await spawn(sys.executable, "-B", __file__, "--bare", str(port_file))
         while not port_file.exists() or not port_file.read_text():
@@ -217,18 +225,23 @@
         for each in (asking, empty):
             await each.channel.close()
         return {
-            **figures, "check_over_bare": round(statistics.median(ratios[1:]), 2), "cost_permitted": words[200],
-            "cost_asked": words.total(), "rss_mb_door_on": round(on, 1), "rss_mb_door_off": round(off_mb, 1),
-        }  # fmt: skip
+            **figures,
+            "check_over_bare": round(statistics.median(ratios[1:]), 2),
+            "cost_permitted": words[200],
+            "cost_asked": words.total(),
+            "rss_mb_door_on": round(on, 1),
+            "rss_mb_door_off": round(off_mb, 1),
+        }
 
 
 async def after_a_death(folder: Path) -> dict[str, Any]:
     """Over the agent's door: the share of the questions in the 3 s after a death that got a decision in time."""
     async with programs(folder, count=3, boxes=9, plans=[ROOMY]) as made:
         raw = {
-            "door": {"listen": "127.0.0.1:0", "askers": [{"accounts": ["*"]}]}, "config": "n0.json",
+            "door": {"listen": "127.0.0.1:0", "askers": [{"accounts": ["*"]}]},
+            "config": "n0.json",
             "limiter": [{"name": f"n{p.number}", "number": p.number, "address": p.address} for p in made],
-        }  # fmt: skip
+        }
         door = RoutingDoor(raw, folder, set, random.Random(1))
         await door.start()
         asking = Asking(door.port)
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -121,11 +121,18 @@
 
 
 SERIES: dict[str, Callable[[Group], None]] = {
-    "calm": calm, "uneven": uneven, "silence": silence, "silence, empty": silence_empty, "empty twice": empty_twice,
+    "calm": calm,
+    "uneven": uneven,
+    "silence": silence,
+    "silence, empty": silence_empty,
+    "empty twice": empty_twice,
     "swapped": swapped,
-    "unseen loss": unseen, "old snapshot": snapshot, "cut": cut, "cut, busiest there": cut_busiest,
+    "unseen loss": unseen,
+    "old snapshot": snapshot,
+    "cut": cut,
+    "cut, busiest there": cut_busiest,
     "restarts": restarts,
-}  # fmt: skip
+}
 
 
 class Even(Book):
@@ -144,8 +151,9 @@
     terms, store = WAYS[way], HARD if hard else SOFT
     if limiters != 3:
         grown = limiters / 3
-        store = replace(store, limiters=limiters, rate=store.rate * grown, burst=store.burst * grown,
-                        slack=store.slack * grown)  # fmt: skip
+        store = replace(
+            store, limiters=limiters, rate=store.rate * grown, burst=store.burst * grown, slack=store.slack * grown
+        )
     rates = [BUSY[n % 3] for n in range(limiters)]
     group = Group(store, terms, seed, rates, per_s=max(500.0, 170.0 * limiters))
     if way == "even split":
@@ -155,13 +163,17 @@
     allowed = store.burst + store.refill(group.now - begun)
     granted, asked = sum(group.granted.values()), sum(group.asked.values())
     return {
-        "way": way, "series": series, "hard": hard, "limiters": limiters, "worst": round(group.excess.worst, 2),
+        "way": way,
+        "series": series,
+        "hard": hard,
+        "limiters": limiters,
+        "worst": round(group.excess.worst, 2),
         "bound": round(stated(store, terms, group.known_failures()), 2),
         "excess_share": round(max(0.0, granted - allowed) / allowed, 4),
         "unused_share": round(max(0.0, min(asked, allowed) - granted) / allowed, 4),
         "calls_per_request": round(sum(book.made for book in group.books) / max(1, asked), 3),
         "slowest_ms": round(group.slowest, 1),
-    }  # fmt: skip
+    }
 
 
 def recovery(seed: int) -> list[float]:
@@ -207,7 +219,7 @@
         driven.token = driven._token(driven.limiter.start(0.0))
         from decisions import entries
 
-        driven.limiter.handle(api.ServerList(1, api.ListKind.ALL, entries(8)), 0.0)
+        driven.limiter.handle(api.ServerList(1, api.ListKind.COMPLETE, entries(8)), 0.0)
         handle, totals, coming = driven.limiter.handle, dict[str, float](), list[tuple[int, float]]()
         begun = 0
         for n in range(6000):
@@ -219,23 +231,30 @@
                 made += handle(api.CounterAnswered(token, api.Outcome.OK, total, 1.0), now)
             coming.clear()
             if n % 5 == 0:
-                made += handle(api.TimerDue(driven.token), now)
+                made += handle(api.TimerFired(driven.token), now)
             for action in made:
-                if type(action) is api.Send:
-                    handle(api.AttemptEnded(action.request, 0, action.server, api.Outcome.OK, 30.0, True), now)
+                if type(action) is api.SendAttempt:
+                    handle(api.AttemptEnded(action.request_id, 0, action.server_id, api.Outcome.OK, 30.0, True), now)
                 elif type(action) is api.SetTimer:
                     driven.token = action.token
-                elif type(action) is api.Tally:
-                    totals[action.name] = totals.get(action.name, 0.0) + action.amount
-                    coming.append((action.token, totals[action.name]))
+                elif type(action) is api.AddToCounter:
+                    totals[action.counter_name] = totals.get(action.counter_name, 0.0) + action.amount
+                    coming.append((action.token, totals[action.counter_name]))
         return (time.process_time_ns() - begun) / 5000 / 1000.0
 
     ratios = [cost(Counted) / cost(Keepers) for _ in range(5)]
     return statistics.median(ratios)
 
 
-CUSTOMER = {"name": "enterprise", "price": 1.8, "quota-rate": 30.0, "burst": 60.0, "hard-rate": 45.0,
-            "never-over-depth": 80.0, "hard-slack": 8.0}  # fmt: skip
+CUSTOMER = {
+    "name": "enterprise",
+    "price": 1.8,
+    "quota-rate": 30.0,
+    "burst": 60.0,
+    "hard-rate": 45.0,
+    "never-over-depth": 80.0,
+    "hard-slack": 8.0,
+}
 
 
 async def real() -> dict[str, Any]:
@@ -261,8 +280,9 @@
             waits = (0.05, 0.4, 0.6)
             tasks = [
                 asyncio.create_task(asks(program, waits[number], f"c{number}-{n}"))
-                for number, program in enumerate(made) for n in range(5)
-            ]  # fmt: skip
+                for number, program in enumerate(made)
+                for n in range(5)
+            ]
             await asyncio.sleep(5.0)
             await counter.fail(Fault.SILENT)
             await asyncio.sleep(4.0)
@@ -282,21 +302,33 @@
     for at in sorted(served):
         excess.let_in(1.0, at)
     return {
-        "real_served": len(served), "real_asked": asked, "real_calls": calls,
+        "real_served": len(served),
+        "real_asked": asked,
+        "real_calls": calls,
         "real_quota_units": round(store.burst + store.refill((time.monotonic() - begun) * 1000.0), 1),
         "real_worst_units": round(excess.worst, 2),
         "real_bound_units": round(stated(store, Terms(), Failures(returns=2)), 2),
-    }  # fmt: skip
+    }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     options = parser.parse_args()
-    cases = [(way, series, hard, 3, seed) for way in WAYS for series in SERIES for hard in (True, False)
-             for seed in range(options.seeds)]  # fmt: skip
-    large = [("lease", series, hard, limiters, 1) for limiters in (50, 500) for series in SERIES
-             for hard in (True, False) if limiters == 50 or series in ("silence, empty", "cut")]  # fmt: skip
+    cases = [
+        (way, series, hard, 3, seed)
+        for way in WAYS
+        for series in SERIES
+        for hard in (True, False)
+        for seed in range(options.seeds)
+    ]
+    large = [
+        ("lease", series, hard, limiters, 1)
+        for limiters in (50, 500)
+        for series in SERIES
+        for hard in (True, False)
+        if limiters == 50 or series in ("silence, empty", "cut")
+    ]
     with ProcessPoolExecutor(6) as pool:
         made = list(pool.map(play, cases + large))
         waits = sorted(wait for found in pool.map(recovery, range(12)) for wait in found)
@@ -312,34 +344,44 @@
         }
 
     met = uvloop.run(real())
-    print(json.dumps({
-        **met, "real_bound_broken": int(met["real_worst_units"] > met["real_bound_units"]),
-        "scenarios": len(SERIES) * 2,
-        "worst_over_ceiling_units": max(one["worst"] for one in lease if one["hard"]),
-        "worst_over_ceiling_units_uncut": max(
-            one["worst"] for one in lease if one["hard"] and "cut" not in one["series"]),
-        "stated_bound_units": worst["bound"], "worst_over_bound": round(worst["worst"] / worst["bound"], 3),
-        "bound_broken": sum(one["worst"] > one["bound"] for one in lease),
-        "quota_excess_share": shares("lease", "excess_share"), "quota_unused_share": shares("lease", "unused_share"),
-        "even_split_unused_share": shares("even split", "unused_share"),
-        "even_split_excess_share": shares("even split", "excess_share"),
-        "call_each_unused_share": shares("one call a request", "unused_share"),
-        "call_each_excess_share": shares("one call a request", "excess_share"),
-        "calls_per_request": {
-            "far, burst 12": round(light(SOFT, 0.5), 3),
-            "far, burst 400": round(light(Store(200.0, 400.0, 3), 12.0), 3), "near": round(near(), 3),
-            "far beyond": max(one["calls_per_request"] for one in lease if one["series"] == "calm"),
-            "far beyond, one call each": max(
-                one["calls_per_request"] for one in made
-                if (one["way"], one["series"]) == ("one call a request", "calm")
-            ),
-        },
-        "slowest_decision_ms": max(one["slowest_ms"] for one in lease),
-        "recover_ms_p99": round(waits[int(0.99 * (len(waits) - 1))], 1),
-        "simulated_limiters": 500,
-        "simulated_bound_broken": sum(one["worst"] > one["bound"] for one in made if one["limiters"] > 3),
-        "cpu_ratio_counter_on_off": round(decision_cost(), 3),
-    }))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                **met,
+                "real_bound_broken": int(met["real_worst_units"] > met["real_bound_units"]),
+                "scenarios": len(SERIES) * 2,
+                "worst_over_ceiling_units": max(one["worst"] for one in lease if one["hard"]),
+                "worst_over_ceiling_units_uncut": max(
+                    one["worst"] for one in lease if one["hard"] and "cut" not in one["series"]
+                ),
+                "stated_bound_units": worst["bound"],
+                "worst_over_bound": round(worst["worst"] / worst["bound"], 3),
+                "bound_broken": sum(one["worst"] > one["bound"] for one in lease),
+                "quota_excess_share": shares("lease", "excess_share"),
+                "quota_unused_share": shares("lease", "unused_share"),
+                "even_split_unused_share": shares("even split", "unused_share"),
+                "even_split_excess_share": shares("even split", "excess_share"),
+                "call_each_unused_share": shares("one call a request", "unused_share"),
+                "call_each_excess_share": shares("one call a request", "excess_share"),
+                "calls_per_request": {
+                    "far, burst 12": round(light(SOFT, 0.5), 3),
+                    "far, burst 400": round(light(Store(200.0, 400.0, 3), 12.0), 3),
+                    "near": round(near(), 3),
+                    "far beyond": max(one["calls_per_request"] for one in lease if one["series"] == "calm"),
+                    "far beyond, one call each": max(
+                        one["calls_per_request"]
+                        for one in made
+                        if (one["way"], one["series"]) == ("one call a request", "calm")
+                    ),
+                },
+                "slowest_decision_ms": max(one["slowest_ms"] for one in lease),
+                "recover_ms_p99": round(waits[int(0.99 * (len(waits) - 1))], 1),
+                "simulated_limiters": 500,
+                "simulated_bound_broken": sum(one["worst"] > one["bound"] for one in made if one["limiters"] > 3),
+                "cpu_ratio_counter_on_off": round(decision_cost(), 3),
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -47,10 +47,16 @@
 
 def settings(limiters: int, routing: Routing) -> api.Settings:
     return api.Settings(
-        number=0, limiters=limiters, tick=1.0, zone=0, classes=(api.RequestClass("lookup", 300.0),),
-        plans=(api.Plan("plain", rate=1e6, burst=1e6),), rules=api.Rules(0.3, 10_000.0, 2.0, 1000.0),
-        allow=api.Allowances(max_attempts=4), routing=routing,
-    )  # fmt: skip
+        limiter_index=0,
+        limiter_count=limiters,
+        clock_tick_ms=1.0,
+        zone=0,
+        request_classes=(api.RequestClass("lookup", 300.0),),
+        plans=(api.Plan("plain", rate_per_s=1e6, burst_units=1e6),),
+        rules=api.ServiceRules(0.3, 10_000.0, 2.0, 1000.0),
+        capabilities=api.Capabilities(max_attempts=4),
+        routing=routing,
+    )
 
 
 class Driven:
@@ -60,7 +66,7 @@
         self.limiter = Limiter(settings(limiters, routing or Routing()), 1, 0.0)
         self.now, self.number = 0.0, 0
         self.token = self._token(self.limiter.start(0.0))
-        self.limiter.handle(api.ServerList(1, ListKind.ALL, entries(boxes)), 0.0)
+        self.limiter.handle(api.ServerList(1, ListKind.COMPLETE, entries(boxes)), 0.0)
         self.rng = random.Random(1)
 
     @staticmethod
@@ -69,7 +75,7 @@
 
     def tick(self) -> None:
         self.now += 50.0
-        self.token = self._token(self.limiter.handle(api.TimerDue(self.token), self.now + 300.0), self.token)
+        self.token = self._token(self.limiter.handle(api.TimerFired(self.token), self.now + 300.0), self.token)
 
     def requests(self, count: int, accounts: int, out: int = 12) -> float:
         """µs of CPU a request: its arrival, its end and its part of upkeep, with `out` others under way."""
@@ -83,8 +89,8 @@
             name = f"r{self.number}"
             arrived = api.RequestArrived(name, 0, 0, names[n], 1.0, self.now + 900.0, 1, 0)
             for action in handle(arrived, self.now):
-                if type(action) is api.Send:
-                    waiting.append((name, action.server))
+                if type(action) is api.SendAttempt:
+                    waiting.append((name, action.server_id))
                 elif type(action) is api.SetTimer:
                     self.token = action.token
             if len(waiting) > out:
@@ -93,7 +99,7 @@
                     handle(api.AttemptEnded(over, 0, server, Outcome.OK, took[n], True), self.now), self.token
                 )
             if n % 50 == 0:
-                self.token = self._token(handle(api.TimerDue(self.token), self.now), self.token)
+                self.token = self._token(handle(api.TimerFired(self.token), self.now), self.token)
         spent = time.process_time_ns() - begun
         for over, server in waiting:
             handle(api.AttemptEnded(over, 0, server, Outcome.OK, 40.0, True), self.now)
@@ -120,10 +126,10 @@
 def idle_ticks() -> dict[str, float]:
     """A round of upkeep with 100,000 accounts that rest with empty stores, over one with none."""
     full, empty = Driven(8), Driven(8)
-    plan = api.Plan("slow", rate=0.001, burst=4.0)
+    plan = api.Plan("slow", rate_per_s=0.001, burst_units=4.0)
     full.limiter = Limiter(api.Settings(**{**_fields(settings(1, Routing())), "plans": (plan,)}), 1, 0.0)
     full.token = full._token(full.limiter.start(0.0))
-    full.limiter.handle(api.ServerList(1, ListKind.ALL, entries(8)), 0.0)
+    full.limiter.handle(api.ServerList(1, ListKind.COMPLETE, entries(8)), 0.0)
     full.requests(100_000, 1 << 33)
     kept = len(full.limiter.quotas.accounts)
     assert kept > 50_000, kept
@@ -154,9 +160,9 @@
     def group(limiters: int) -> list[Limiter]:
         made = []
         for number in range(limiters):
-            one = api.Settings(**{**_fields(settings(limiters, Routing(subset))), "number": number})
+            one = api.Settings(**{**_fields(settings(limiters, Routing(subset))), "limiter_index": number})
             made.append(Limiter(one, 1, 0.0))
-            made[-1].handle(api.ServerList(1, ListKind.ALL, listed), 0.0)
+            made[-1].handle(api.ServerList(1, ListKind.COMPLETE, listed), 0.0)
         return made
 
     def shares(group: list[Limiter]) -> list[dict[str, float]]:
@@ -164,7 +170,7 @@
         for limiter in group:
             limiter.boxes.rate(0.0)
             drawing = limiter.boxes.open.all
-            held = {server.entry.server: float(drawing.weight(server)) for server in drawing.all()}
+            held = {server.entry.server_id: float(drawing.weight(server)) for server in drawing.all()}
             whole = sum(held.values())
             made.append({name: weight / whole for name, weight in held.items()})
         return made
@@ -172,32 +178,36 @@
     listed = entries(boxes)
     first = group(limiters)
     before = shares(first)
-    load = {entry.server: sum(share.get(entry.server, 0.0) for share in before) for entry in listed}
+    load = {entry.server_id: sum(share.get(entry.server_id, 0.0) for share in before) for entry in listed}
     pairs = {(n, name) for n, share in enumerate(before) for name in share}
     for limiter in first:
-        limiter.handle(api.ServerList(2, ListKind.ALL, listed[:-20]), 1.0)
+        limiter.handle(api.ServerList(2, ListKind.COMPLETE, listed[:-20]), 1.0)
     fewer = {(n, name) for n, share in enumerate(shares(first)) for name in share}
     more = {(n, name) for n, share in enumerate(shares(group(limiters + 1))) for name in share}
-    lost = sum(name in {entry.server for entry in listed[-20:]} for _, name in pairs)
+    lost = sum(name in {entry.server_id for entry in listed[-20:]} for _, name in pairs)
     least = len(more) / (limiters + 1)  # what the new one must hold, taken over from others
     return {
         "connections_1000_boxes_30_limiters": len(pairs),
         "connections_without_subsets": limiters * boxes,
         "subset_load_max_over_mean": round(max(load.values()) / (limiters / boxes), 3),
-        "subset_size_min": min(map(len, before)), "subset_size_max": max(map(len, before)),
+        "subset_size_min": min(map(len, before)),
+        "subset_size_max": max(map(len, before)),
         "moved_on_20_boxes_lost_over_least": round(len(pairs ^ fewer) / lost, 3),
         "moved_share_on_change": round(len(pairs ^ more) / len(pairs), 4),
         "moved_share_least": round(2 * least / len(pairs), 4),
-    }  # fmt: skip
+    }
 
 
 def summary(tier: Tier) -> dict[str, Any]:
     total = sum(tier.sends.values())
     return {
-        "served": round(tier.served(), 4), "p50": round(tier.quantile(0.5), 1), "p99": round(tier.quantile(0.99), 1),
-        "away": round(tier.away / max(1, total), 3), "pairs": len(tier.pairs),
+        "served": round(tier.served(), 4),
+        "p50": round(tier.quantile(0.5), 1),
+        "p99": round(tier.quantile(0.99), 1),
+        "away": round(tier.away / max(1, total), 3),
+        "pairs": len(tier.pairs),
         "waste": round(total / max(1, sum(tier.outcomes.values())) - 1.0, 4),
-    }  # fmt: skip
+    }
 
 
 def gray(seed: int) -> dict[str, Any]:
@@ -234,7 +244,7 @@
     """What leaves home at a load, with zones alike and with a price on leaving."""
     found = {"load": load}
     for away in (0.0, 0.1, 0.3):
-        tier = Tier(Size(limiters=6, boxes=120, load=load, routing=Routing(away=away)), 3).play(2000.0)
+        tier = Tier(Size(limiters=6, boxes=120, load=load, routing=Routing(cross_zone_penalty=away)), 3).play(2000.0)
         tier.count_anew()
         found[f"away_{away}"] = summary(tier.play(3000.0))["away"]
     return found
@@ -247,7 +257,7 @@
     """The least of ours under way alone."""
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
-        return (1.0 + len(server.out)) * (1.0 + 0.05 * self.core.rng.random())
+        return (1.0 + len(server.in_flight)) * (1.0 + 0.05 * self.core.rng.random())
 
 
 class ByLatency(Choice):
@@ -264,10 +274,10 @@
     part, latency = 1.0, False
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
-        box = self.tier.boxes.get(server.entry.server)
+        box = self.tier.boxes.get(server.entry.server_id)
         at, queue = box.report if box is not None else (0.0, 0)
         fresh = self.core.now - at < 2 * self.tier.size.report_every + self.tier.size.report_late
-        waiting = 1.0 + len(server.out) + self.part * queue * fresh
+        waiting = 1.0 + len(server.in_flight) + self.part * queue * fresh
         if self.latency:
             waiting *= self.boxes.estimate(server)
         return waiting * (1.0 + 0.05 * self.core.rng.random())
@@ -282,14 +292,19 @@
 
 
 WAYS: dict[str, type[Choice]] = {
-    "latency x outstanding": Choice, "outstanding": ByOutstanding, "latency": ByLatency,
-    "outstanding + reported queue": Reports, "latency x (outstanding + reported)": Mixed,
+    "latency x outstanding": Choice,
+    "outstanding": ByOutstanding,
+    "latency": ByLatency,
+    "outstanding + reported queue": Reports,
+    "latency x (outstanding + reported)": Mixed,
     "latency x (outstanding + 0.3 reported)": MixedLess,
-}  # fmt: skip
+}
 FIELDS = {
-    "3 limiters, 30 boxes, load 0.7": Size(3, 30, load=0.7), "3, 30, 0.9": Size(3, 30, load=0.9),
-    "30, 300, 0.8": Size(30, 300, load=0.8), "1, 200, 0.8": Size(1, 200, load=0.8),
-}  # fmt: skip
+    "3 limiters, 30 boxes, load 0.7": Size(3, 30, load=0.7),
+    "3, 30, 0.9": Size(3, 30, load=0.9),
+    "30, 300, 0.8": Size(30, 300, load=0.8),
+    "1, 200, 0.8": Size(1, 200, load=0.8),
+}
 
 
 def way(named: tuple[str, str, int, bool]) -> dict[str, Any]:
@@ -322,18 +337,29 @@
         for name, value in vars(importlib.import_module(module.name)).items():
             tree = ast.parse(Path(importlib.import_module(module.name).__file__ or "").read_text())
             own = {
-                target.id for node in tree.body if isinstance(node, ast.Assign)
-                for at in node.targets for target in (at.elts if isinstance(at, ast.Tuple) else [at])
+                target.id
+                for node in tree.body
+                if isinstance(node, ast.Assign)
+                for at in node.targets
+                for target in (at.elts if isinstance(at, ast.Tuple) else [at])
                 if isinstance(target, ast.Name)
-            }  # fmt: skip
+            }
             if name in own and name.isupper() and isinstance(value, int | float) and name not in UNITS:
                 found.append((module.name, name, float(value)))
     return found
 
 
-SHOP = api.Plan("shop", price=0.8, rate=2.0, burst=6.0, over_worth=0.2)
-FIRM = api.Plan("enterprise", price=1.8, rate=3.0, burst=8.0, ceiling_rate=6.0, ceiling_burst=16.0, ceiling_slack=2.0)
-FEW = api.Plan("few", rate=2.0, burst=5.0, open_limit=3, over_cost=0.5)
+SHOP = api.Plan("shop", price_weight=0.8, rate_per_s=2.0, burst_units=6.0, over_quota_value=0.2)
+FIRM = api.Plan(
+    "enterprise",
+    price_weight=1.8,
+    rate_per_s=3.0,
+    burst_units=8.0,
+    ceiling_rate_per_s=6.0,
+    ceiling_burst_units=16.0,
+    ceiling_slack_units=2.0,
+)
+FEW = api.Plan("few", rate_per_s=2.0, burst_units=5.0, concurrency_limit=3, over_quota_cost=0.5)
 
 
 def _troubled(size: Size, seed: int) -> Tier:
@@ -382,7 +408,7 @@
     "rush": lambda seed: Tier(Size(3, 12, load=1.6), seed).play(9000.0),
     "quota": lambda seed: Tier(Size(3, 24, load=0.6, plans=PLANS, peers=True, customers=60), seed).play(9000.0),
     "trouble": lambda seed: _troubled(Size(3, 24, load=0.5), seed),
-    "many": lambda seed: _troubled(Size(8, 64, load=0.6, routing=Routing(subset=24)), seed),
+    "many": lambda seed: _troubled(Size(8, 64, load=0.6, routing=Routing(subset_size=24)), seed),
     "unreachable": _unreachable,
     "spoilt": _spoilt,
     "cold": _cold,
@@ -410,9 +436,10 @@
     module, name, value, day = which
     before = getattr(importlib.import_module(module), name) if module else None
     places = [
-        found for title, found in sys.modules.items()
+        found
+        for title, found in sys.modules.items()
         if module and title.startswith("elderlock.") and getattr(found, name, None) == before
-    ]  # fmt: skip
+    ]
     try:
         for place in places:
             setattr(place, name, type(before)(value))
@@ -426,8 +453,9 @@
 def vary(pool: ProcessPoolExecutor) -> None:
     as_is = {day: (mean, error) for _, _, _, day, mean, error in pool.map(varied, [("", "", 0.0, d) for d in DAYS])}
     print("as they are", json.dumps({day: [round(x, 4) for x in found] for day, found in as_is.items()}), flush=True)
-    cases = [(module, name, value * part, day) for module, name, value in constants() for part in (0.5, 2.0)
-             for day in DAYS]  # fmt: skip
+    cases = [
+        (module, name, value * part, day) for module, name, value in constants() for part in (0.5, 2.0) for day in DAYS
+    ]
     row: dict[str, float] = {}
     for module, name, value, day, mean, _ in pool.map(varied, cases):
         row[day] = round(mean - as_is[day][0], 4)
@@ -466,12 +494,22 @@
         histories = str(Path(name) / SPLIT / "elderlock/standins/histories.py")
         runs = {
             (commit, part): subprocess.Popen(
-                [sys.executable, "-P", "-c", PLAYED, str(Path(name) / commit), histories, str(events),
-                 json.dumps(list(range(part, seeds, 4)))],
-                stdout=subprocess.PIPE, cwd=name,
+                [
+                    sys.executable,
+                    "-P",
+                    "-c",
+                    PLAYED,
+                    str(Path(name) / commit),
+                    histories,
+                    str(events),
+                    json.dumps(list(range(part, seeds, 4))),
+                ],
+                stdout=subprocess.PIPE,
+                cwd=name,
             )
-            for commit in (BEFORE, SPLIT) for part in range(4)
-        }  # fmt: skip
+            for commit in (BEFORE, SPLIT)
+            for part in range(4)
+        }
         found: dict[str, dict[str, str]] = {BEFORE: {}, SPLIT: {}}
         for (commit, _), process in runs.items():
             found[commit].update(json.loads(process.communicate()[0]))
--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -83,9 +83,17 @@
     """The command as a process: when it was started (Unix ms), its exit code, its account, its progress."""
     began = unix_ms()
     process = await spawn(
-        *COMMAND, *words, "--json", "--group", str(world.group_path), "--give-up-after", "20", cwd=ROOT,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+        *COMMAND,
+        *words,
+        "--json",
+        "--group",
+        str(world.group_path),
+        "--give-up-after",
+        "20",
+        cwd=ROOT,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     out, error = await process.communicate()
     assert process.returncode is not None
     return began, process.returncode, json.loads(out), error.decode()
@@ -144,17 +152,28 @@
     shown = await timed_show(world.group_path)
     await down(world, agents, group)
     return {
-        "limiters": 10, "drains": options.drains, "stop_ms_p50": round(statistics.median(stops), 1),
-        "stop_ms_max": round(max(stops), 1), "sends_after_250ms": late, "sends_after_told_250ms": after,
-        "tool_in_force_ms_p50": round(statistics.median(tool), 1), "tool_in_force_ms_max": round(max(tool), 1),
-        "in_force_ms_p50": round(statistics.median(told), 1), "in_force_ms_max": round(max(told), 1),
+        "limiters": 10,
+        "drains": options.drains,
+        "stop_ms_p50": round(statistics.median(stops), 1),
+        "stop_ms_max": round(max(stops), 1),
+        "sends_after_250ms": late,
+        "sends_after_told_250ms": after,
+        "tool_in_force_ms_p50": round(statistics.median(tool), 1),
+        "tool_in_force_ms_max": round(max(tool), 1),
+        "in_force_ms_p50": round(statistics.median(told), 1),
+        "in_force_ms_max": round(max(told), 1),
         "lost_requests": ledger.ends["lost"] + ledger.ends["wrong"] + ledger.ends["nowhere"],
-        "answered_twice": ledger.answered_twice, "reports_wrong": reports_wrong,
-        "show_ms_p50": round(statistics.median(shows), 1), "show_command_ms": round(shown[0], 1),
-        "requests": ledger.sent, "resent": ledger.resent, "refused": ledger.ends["refused"],
-        "failed": ledger.ends["failed"], "stopped_instances": options.drains // 5,
+        "answered_twice": ledger.answered_twice,
+        "reports_wrong": reports_wrong,
+        "show_ms_p50": round(statistics.median(shows), 1),
+        "show_command_ms": round(shown[0], 1),
+        "requests": ledger.sent,
+        "resent": ledger.resent,
+        "refused": ledger.ends["refused"],
+        "failed": ledger.ends["failed"],
+        "stopped_instances": options.drains // 5,
         "unknown_seen": unknown_seen,
-    }  # fmt: skip
+    }
 
 
 async def timed_show(group: Path) -> tuple[float, float]:
@@ -184,9 +203,14 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 8192), hard))
     private(folder / "token", "0123456789abcdef")
     server = await spawn(
-        sys.executable, "-B", __file__, "--serve-agents", str(folder / "thousand.toml"), cwd=ROOT,
+        sys.executable,
+        "-B",
+        __file__,
+        "--serve-agents",
+        str(folder / "thousand.toml"),
+        cwd=ROOT,
         stdout=asyncio.subprocess.PIPE,
-    )  # fmt: skip
+    )
     assert server.stdout is not None
     await server.stdout.readline()
     runs = [await timed_show(folder / "thousand.toml") for _ in range(3)]
@@ -234,9 +258,14 @@
     agent = Agent(path, read_agent(path), random.Random(1))
     await agent.start()
     plain = await spawn(
-        sys.executable, "-B", "-m", "elderlock", cwd=ROOT, stderr=asyncio.subprocess.DEVNULL,
+        sys.executable,
+        "-B",
+        "-m",
+        "elderlock",
+        cwd=ROOT,
+        stderr=asyncio.subprocess.DEVNULL,
         env={**os.environ, "PROXY_CONFIG": str(world.config_path(1))},
-    )  # fmt: skip
+    )
     fronts = [Front([listen], rate, seed=3) for listen in world.listens]
     for front in fronts:
         front.start()
--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -60,9 +60,13 @@
 
     async def __aenter__(self) -> Subject:
         self.process = await spawn(
-            sys.executable, "-B", *self._command, cwd=ROOT, env={**os.environ, **self._environ},
+            sys.executable,
+            "-B",
+            *self._command,
+            cwd=ROOT,
+            env={**os.environ, **self._environ},
             stderr=asyncio.subprocess.DEVNULL,
-        )  # fmt: skip
+        )
         host, _, port = self.listen.rpartition(":")
         for _ in range(1000):
             try:
@@ -115,10 +119,18 @@
     with tempfile.TemporaryDirectory() as name:
         async with apart(kind="none", box=True, ports=count) as endpoints:
             rows = [
-                {"uid": f"s-{n:03d}", "endpoint": endpoint, "az": "a", "model": "m1", "pod_group": 0, "state": "up",
-                 "capacity_hint": 1.0, "boot_ms": 0.0}
+                {
+                    "uid": f"s-{n:03d}",
+                    "endpoint": endpoint,
+                    "az": "a",
+                    "model": "m1",
+                    "pod_group": 0,
+                    "state": "up",
+                    "capacity_hint": 1.0,
+                    "boot_ms": 0.0,
+                }
                 for n, endpoint in enumerate(endpoints)
-            ]  # fmt: skip
+            ]
             discovery = await Discovery(rows=lambda door: rows).start()
             try:
                 for number in range(rounds):
@@ -139,10 +151,15 @@
             finally:
                 await discovery.close()
     return {
-        "rate": rate, "accounts": accounts, "boxes": count, "limiter_us": round(statistics.median(limiter_us), 1),
-        "floor_us": round(statistics.median(floor_us), 1), "ratio": round(statistics.median(ratios), 2),
-        "ratios": [round(ratio, 2) for ratio in ratios], "served": round(min(served), 4),
-    }  # fmt: skip
+        "rate": rate,
+        "accounts": accounts,
+        "boxes": count,
+        "limiter_us": round(statistics.median(limiter_us), 1),
+        "floor_us": round(statistics.median(floor_us), 1),
+        "ratio": round(statistics.median(ratios), 2),
+        "ratios": [round(ratio, 2) for ratio in ratios],
+        "served": round(min(served), 4),
+    }
 
 
 PROFILED = """
@@ -163,21 +180,24 @@
     if options.profile or options.small:
         return {"small": small}
     cases = [
-        await case(300, 1000, 8, rounds, lasts, False), await case(1800, 1000, 8, rounds, lasts, False),
-        await case(900, 100_000, 8, rounds, lasts, False), await case(900, 1000, 50, rounds, lasts, False),
+        await case(300, 1000, 8, rounds, lasts, False),
+        await case(1800, 1000, 8, rounds, lasts, False),
+        await case(900, 100_000, 8, rounds, lasts, False),
+        await case(900, 1000, 50, rounds, lasts, False),
         await case(900, 1000, 200, rounds, lasts, False),
-    ]  # fmt: skip
+    ]
     for each in cases:
         print(json.dumps(each), flush=True)
     return {
         "cost_ratio_limiter_over_floor": small["ratio"],
         "cost_ratio_100k_accounts": round(cases[2]["limiter_us"] / small["limiter_us"], 2),
         "cost_ratio_200_boxes": round(cases[4]["limiter_us"] / small["limiter_us"], 2),
-        "limiter_us": small["limiter_us"], "floor_us": small["floor_us"],
+        "limiter_us": small["limiter_us"],
+        "floor_us": small["floor_us"],
         "ratio_by_rate": {str(c["rate"]): c["ratio"] for c in (cases[0], small, cases[1])},
         "us_by_boxes": {str(c["boxes"]): c["limiter_us"] for c in (small, cases[3], cases[4])},
         "cases": [small, *cases],
-    }  # fmt: skip
+    }
 
 
 def main() -> None:
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -50,11 +50,26 @@
 
 
 async def run(
-    targets: list[str], rate: float, lasts: float, workers: int = 1, arrivals: str = "poisson", seed: int = 1,
-    connections: int = 2000, deadline: float = 20_000.0, meddle: Meddle | None = None, changes: tuple[str, ...] = (),
-) -> Report:  # fmt: skip
-    text = SCENARIO.format(lasts=lasts, seed=seed, workers=workers, rate=rate, arrivals=arrivals,
-                           connections=connections, deadline=deadline)  # fmt: skip
+    targets: list[str],
+    rate: float,
+    lasts: float,
+    workers: int = 1,
+    arrivals: str = "poisson",
+    seed: int = 1,
+    connections: int = 2000,
+    deadline: float = 20_000.0,
+    meddle: Meddle | None = None,
+    changes: tuple[str, ...] = (),
+) -> Report:
+    text = SCENARIO.format(
+        lasts=lasts,
+        seed=seed,
+        workers=workers,
+        rate=rate,
+        arrivals=arrivals,
+        connections=connections,
+        deadline=deadline,
+    )
     read = parse(text, "truth", [f"targets.addresses={json.dumps(targets)}", *changes])
     lines = [LocalLine(number) for number in range(workers)]
 
@@ -74,9 +89,10 @@
 
 async def percentiles(lasts: float) -> dict[str, Any]:
     kinds: list[dict[str, Any]] = [
-        {"kind": "constant", "ms": 50}, {"kind": "exponential", "ms": 50},
+        {"kind": "constant", "ms": 50},
+        {"kind": "exponential", "ms": 50},
         {"kind": "bimodal", "ms": 20, "slow_ms": 200, "slow_share": 0.1},
-    ]  # fmt: skip
+    ]
     rounds: dict[str, list[float]] = {}
     nominal: dict[str, list[float]] = {}
     rate_error, behind, runs = 0.0, 0, 0
@@ -94,8 +110,10 @@
     return {
         "percentile_errors": {key: statistics.median(errors) for key, errors in rounds.items()},
         "percentile_errors_nominal": {key: statistics.median(errors) for key, errors in nominal.items()},
-        "rate_error": rate_error, "runs": runs, "behind": behind,
-    }  # fmt: skip
+        "rate_error": rate_error,
+        "runs": runs,
+        "behind": behind,
+    }
 
 
 def stalled(rate: float, lasts: float, connections: int, delay: float, at: float, stall: float) -> list[float]:
@@ -126,9 +144,10 @@
         expected = known[max(0, -int(-share * len(known) // 1) - 1)]
         errors[name] = abs(found(made, share) / expected - 1.0)
     return {
-        "stall_percentile_errors": errors, "stall_latency_p99": found(made, 0.99),
+        "stall_percentile_errors": errors,
+        "stall_latency_p99": found(made, 0.99),
         "stall_service_p99": found(made, 0.99, True),
-    }  # fmt: skip
+    }
 
 
 async def most(rates: list[float], lasts: float) -> dict[str, Any]:
@@ -199,9 +218,11 @@
     late = {}
     async with apart(kind="constant", ms=50) as targets:
         for name, rate, meddle, wanted in (
-            ("stopped", 300.0, stopped, {"stopped"}), ("busy core", 5000.0, beside(8), {"core", "cpu"}),
-            ("descriptors", 600.0, few_descriptors, {"descriptors"}), ("too fast", 30_000.0, None, {"cpu", "core"}),
-        ):  # fmt: skip
+            ("stopped", 300.0, stopped, {"stopped"}),
+            ("busy core", 5000.0, beside(8), {"core", "cpu"}),
+            ("descriptors", 600.0, few_descriptors, {"descriptors"}),
+            ("too fast", 30_000.0, None, {"cpu", "core"}),
+        ):
             made = await run(targets, rate, 5.0, meddle=meddle, seed=9)
             late[name] = made.late.get("max", 0.0)
             causes = {span.why for span in made.behind}
@@ -224,13 +245,15 @@
         "percentile_error_max": max(told["percentile_errors"].values()),
         "percentile_error_nominal_max": max(told["percentile_errors_nominal"].values()),
         "stall_percentile_error_max": max(stall_told["stall_percentile_errors"].values()),
-        "rate_error": told["rate_error"], "max_rate": max_told["max_rate"],
+        "rate_error": told["rate_error"],
+        "max_rate": max_told["max_rate"],
         "lateness_ms_p99": max_told["lateness_ms_p99"],
         "rss_growth_mb_10min_equivalent": grown["rss_growth_mb_10min_equivalent"],
-        "behind_detected": late_told["detected"], "behind_false": told["behind"],
+        "behind_detected": late_told["detected"],
+        "behind_false": told["behind"],
         **{key: cost[key] for key in cost if key.startswith("cost_")},
         "details": {**told, **stall_told, **max_told, **late_told, **grown, "cost": cost},
-    }  # fmt: skip
+    }
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -251,9 +251,13 @@
 
 
 LARGE = Case(
-    agents=30, limiters=300, faults=20, share=0.2, auto_back=False,
+    agents=30,
+    limiters=300,
+    faults=20,
+    share=0.2,
+    auto_back=False,
     terms=replace_terms(TERMS, settle=4.0, bake=4.0, bake_most=12.0),
-)  # fmt: skip
+)
 
 
 def one(given: tuple[Case, int]) -> tuple[Case, Played]:
@@ -268,8 +272,11 @@
     count = 30 if long else 5
     return [
         (renewals.Renewals(agents=size, limiters=size, build=build, faults=faults), seed)
-        for size in (3, 5) for build in renewals.BUILDS for faults in (0, 10) for seed in range(count if faults else 1)
-    ]  # fmt: skip
+        for size in (3, 5)
+        for build in renewals.BUILDS
+        for faults in (0, 10)
+        for seed in range(count if faults else 1)
+    ]
 
 
 def simulated(long: bool) -> dict[str, Any]:
@@ -280,8 +287,14 @@
         renewed = list(pool.map(one_renewal, releases_of_agents(long)))
         played += [large.result()] if large is not None else []
     bad = [p for case, p in played if not BUILDS[case.build].good]
-    calm = [p for case, p in played if BUILDS[case.build].good and not (case.faults or case.words or case.sleeper)
-            and case.lone_floor_at is None and case.leader_gone is None]  # fmt: skip
+    calm = [
+        p
+        for case, p in played
+        if BUILDS[case.build].good
+        and not (case.faults or case.words or case.sleeper)
+        and case.lone_floor_at is None
+        and case.leader_gone is None
+    ]
     for given, p in [*played, *renewed]:
         if not p.good():
             print("broken:", given, p.broken[:3], flush=True)
@@ -290,15 +303,21 @@
     calm += [p for given, p in renewed if given.build == "good" and not given.faults]
     every = [p for _, p in played] + [p for _, p in renewed]
     return {
-        "simulated_histories": len(every), "agent_releases": len(renewed),
-        "over_budget": sum(p.over_budget for p in every), "permits_doubled": sum(p.doubled for p in every),
-        "acted_after_fence": sum(p.after_fence for p in every), "plans_stuck": sum(p.stuck for p in every),
-        "bad_releases": len(bad), "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad),
-        "good": len(calm), "good_halted": sum(bool(p.halted_why) for p in calm),
-        "back_tried": sum(p.back_tried for p in every), "back_complete": sum(p.back_complete for p in every),
+        "simulated_histories": len(every),
+        "agent_releases": len(renewed),
+        "over_budget": sum(p.over_budget for p in every),
+        "permits_doubled": sum(p.doubled for p in every),
+        "acted_after_fence": sum(p.after_fence for p in every),
+        "plans_stuck": sum(p.stuck for p in every),
+        "bad_releases": len(bad),
+        "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad),
+        "good": len(calm),
+        "good_halted": sum(bool(p.halted_why) for p in calm),
+        "back_tried": sum(p.back_tried for p in every),
+        "back_complete": sum(p.back_complete for p in every),
         "halt_ms": [ms for _, p in played for ms in p.halt_ms],
         "limiters_simulated": max(case.limiters for case, _ in played),
-    }  # fmt: skip
+    }
 
 
 async def real(long: bool) -> Real:
@@ -321,21 +340,32 @@
     starts = sorted(r.drain_ms) or [-1.0]
     halts = [*r.halt_ms, *s["halt_ms"]]
     good, halted = r.good + s["good"], r.good_halted + s["good_halted"]
-    print(json.dumps({
-        "histories": r.histories, "simulated_histories": s["simulated_histories"],
-        "simulated_agent_releases": s["agent_releases"],
-        "over_budget": r.over_budget + s["over_budget"], "permits_doubled": s["permits_doubled"],
-        "acted_after_fence": s["acted_after_fence"], "plans_stuck": r.stuck + s["plans_stuck"],
-        "halt_ms_max": round(max(halts, default=-1.0), 1), "bad_releases": r.bad + s["bad_releases"],
-        "bad_releases_stopped_in_first_wave": r.bad_stopped + s["bad_releases_stopped_in_first_wave"],
-        "good_releases": good, "good_releases_halted_share": round(halted / good, 4) if good else -1.0,
-        "back_tried": r.back_tried + s["back_tried"], "back_complete": r.back_complete + s["back_complete"],
-        "lost_requests": r.lost, "answered_twice": r.twice,
-        "drain_start_ms_p99": round(starts[math.ceil(0.99 * len(starts)) - 1], 1),
-        "drain_start_ms_p50": round(statistics.median(starts), 1),
-        "release_served_ratio": round(statistics.mean(r.served) / statistics.mean(r.calm), 4),
-        "limiters_simulated": s["limiters_simulated"],
-    }))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "histories": r.histories,
+                "simulated_histories": s["simulated_histories"],
+                "simulated_agent_releases": s["agent_releases"],
+                "over_budget": r.over_budget + s["over_budget"],
+                "permits_doubled": s["permits_doubled"],
+                "acted_after_fence": s["acted_after_fence"],
+                "plans_stuck": r.stuck + s["plans_stuck"],
+                "halt_ms_max": round(max(halts, default=-1.0), 1),
+                "bad_releases": r.bad + s["bad_releases"],
+                "bad_releases_stopped_in_first_wave": r.bad_stopped + s["bad_releases_stopped_in_first_wave"],
+                "good_releases": good,
+                "good_releases_halted_share": round(halted / good, 4) if good else -1.0,
+                "back_tried": r.back_tried + s["back_tried"],
+                "back_complete": r.back_complete + s["back_complete"],
+                "lost_requests": r.lost,
+                "answered_twice": r.twice,
+                "drain_start_ms_p99": round(starts[math.ceil(0.99 * len(starts)) - 1], 1),
+                "drain_start_ms_p50": round(statistics.median(starts), 1),
+                "release_served_ratio": round(statistics.mean(r.served) / statistics.mean(r.calm), 4),
+                "limiters_simulated": s["limiters_simulated"],
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -42,12 +42,25 @@
 
 def scenario(limiters: int, what: str, shared: bool) -> Scenario:
     raw: dict[str, Any] = {
-        "name": "shared-state", "lasts_s": LASTS_S, "limiters": limiters, "boxes": BOXES, "floors": 4,
-        "plan": [{"name": "shop"}], "service": [{"name": "lookup", "aim_ms": 300.0}],
-        "stream": [{"name": "lookups", "plan": "shop", "deadline_ms": 1200.0, "spread": 3, "accounts": {"count": 500},
-                    "shape": [{"kind": "steady", "rate": RATE}]}],
+        "name": "shared-state",
+        "lasts_s": LASTS_S,
+        "limiters": limiters,
+        "boxes": BOXES,
+        "floors": 4,
+        "plan": [{"name": "shop"}],
+        "service": [{"name": "lookup", "aim_ms": 300.0}],
+        "stream": [
+            {
+                "name": "lookups",
+                "plan": "shop",
+                "deadline_ms": 1200.0,
+                "spread": 3,
+                "accounts": {"count": 500},
+                "shape": [{"kind": "steady", "rate": RATE}],
+            }
+        ],
         "settings": {"shared": shared},
-    }  # fmt: skip
+    }
     if what:
         raw["fault"] = [{"at_s": AT_S, "what": what, "target": f"box:0-{BAD - 1}", "for_s": FOR_S}]
     return msgspec.convert(raw, Scenario)
@@ -63,7 +76,7 @@
         nonlocal looks, left_out
         now = world.at()
         for node in world.nodes:
-            out = [server.entry.server for server in node.limiter.boxes.outliers.out]
+            out = [server.entry.server_id for server in node.limiter.boxes.outliers.out]
             for name in out:
                 if name in bad and now <= (AT_S + FOR_S) * 1000.0:
                     found.setdefault((node.number, name), now - AT_S * 1000.0)
@@ -78,24 +91,50 @@
     times = [found.get((number, name), FOR_S * 1000.0) for number in range(limiters) for name in bad]
     heard = sum(node.limiter.heard for node in world.nodes if isinstance(node.limiter, SharedLimiter))
     return Played(
-        result.figures.outcomes.get("failed", 0), result.figures.sends_per_request - 1.0,
-        statistics.median(times) if times else 0.0, left_out / max(1, looks), heard / limiters / FOR_S, wall,
+        result.figures.outcomes.get("failed", 0),
+        result.figures.sends_per_request - 1.0,
+        statistics.median(times) if times else 0.0,
+        left_out / max(1, looks),
+        heard / limiters / FOR_S,
+        wall,
         0 if result.good() else 1,
-    )  # fmt: skip
+    )
 
 
 def ceilings(shared: bool, seed: int) -> tuple[int, float, int]:
     """60 limiters, each customer asked at 8 of them near its ceiling: refused, units over the bound, broken."""
     burst, rate = 30.0, 15.0
     raw: dict[str, Any] = {
-        "name": "ceilings", "lasts_s": LASTS_S, "limiters": 60, "boxes": 24, "floors": 3,
-        "plan": [{"name": "shop", "rate": 14.0, "burst": 28.0, "ceiling_rate": rate, "ceiling_burst": burst,
-                  "ceiling_slack": 4.0, "over_worth": 0.5, "over_cost": 0.1}],
+        "name": "ceilings",
+        "lasts_s": LASTS_S,
+        "limiters": 60,
+        "boxes": 24,
+        "floors": 3,
+        "plan": [
+            {
+                "name": "shop",
+                "rate": 14.0,
+                "burst": 28.0,
+                "ceiling_rate": rate,
+                "ceiling_burst": burst,
+                "ceiling_slack": 4.0,
+                "over_worth": 0.5,
+                "over_cost": 0.1,
+            }
+        ],
         "service": [{"name": "lookup", "aim_ms": 300.0}],
-        "stream": [{"name": "lookups", "plan": "shop", "deadline_ms": 1200.0, "spread": 8, "accounts": {"count": 6},
-                    "shape": [{"kind": "steady", "rate": 80.0}]}],
+        "stream": [
+            {
+                "name": "lookups",
+                "plan": "shop",
+                "deadline_ms": 1200.0,
+                "spread": 8,
+                "accounts": {"count": 6},
+                "shape": [{"kind": "steady", "rate": 80.0}],
+            }
+        ],
         "settings": {"shared_ceilings": shared},
-    }  # fmt: skip
+    }
     world = DecisionWorld(msgspec.convert(raw, Scenario), seed)
     result = world.play()
     worst = max(judge.worst for judge in world.bench.judges if isinstance(judge, Ceilings))
@@ -131,27 +170,41 @@
         return statistics.mean(values)
 
     alone, found = mean(200, "silent", False, "found_ms"), mean(200, "silent", True, "found_ms")
-    print(json.dumps({
-        "histories": sum(map(len, runs.values())) + sum(map(len, split.values())),
-        "bound_broken": sum(played.broken for made in runs.values() for played in made)
-        + sum(each[2] for made in split.values() for each in made),
-        "ceilings_refused_even": refused[False], "ceilings_refused_by_demand": refused[True],
-        "worst_over_ceiling_units": round(max(each[1] for each in split[True]), 2), "stated_bound_units": 4.0,
-        "bad_box_found_ms_p50_alone": round(alone), "bad_box_found_ms_p50_shared": round(found),
-        "found_ratio": round(found / alone, 3),
-        "failed_200_alone": mean(200, "silent", False, "failed"),
-        "failed_200_shared": mean(200, "silent", True, "failed"),
-        "in_vain_200_alone": round(mean(200, "errs", False, "vain"), 4),
-        "in_vain_200_shared": round(mean(200, "errs", True, "vain"), 4),
-        "good_box_left_out_share": round(max(
-            mean(limiters, what, True, "good_left_out") for limiters in sizes for what in ("", "silent", "errs")
-        ), 5),
-        "words_per_limiter_s": {limiters: round(mean(limiters, "silent", True, "words"), 2) for limiters in sizes},
-        "words_growth": round(mean(sizes[-1], "silent", True, "words") / mean(30, "silent", True, "words"), 3),
-        "words_growth_at": sizes[-1],
-        "words_calm": max(mean(limiters, "", True, "words") for limiters in sizes),
-        "cpu_ratio_on_off_calm": round(mean(200, "", True, "wall_s") / mean(200, "", False, "wall_s"), 3),
-    }))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "histories": sum(map(len, runs.values())) + sum(map(len, split.values())),
+                "bound_broken": sum(played.broken for made in runs.values() for played in made)
+                + sum(each[2] for made in split.values() for each in made),
+                "ceilings_refused_even": refused[False],
+                "ceilings_refused_by_demand": refused[True],
+                "worst_over_ceiling_units": round(max(each[1] for each in split[True]), 2),
+                "stated_bound_units": 4.0,
+                "bad_box_found_ms_p50_alone": round(alone),
+                "bad_box_found_ms_p50_shared": round(found),
+                "found_ratio": round(found / alone, 3),
+                "failed_200_alone": mean(200, "silent", False, "failed"),
+                "failed_200_shared": mean(200, "silent", True, "failed"),
+                "in_vain_200_alone": round(mean(200, "errs", False, "vain"), 4),
+                "in_vain_200_shared": round(mean(200, "errs", True, "vain"), 4),
+                "good_box_left_out_share": round(
+                    max(
+                        mean(limiters, what, True, "good_left_out")
+                        for limiters in sizes
+                        for what in ("", "silent", "errs")
+                    ),
+                    5,
+                ),
+                "words_per_limiter_s": {
+                    limiters: round(mean(limiters, "silent", True, "words"), 2) for limiters in sizes
+                },
+                "words_growth": round(mean(sizes[-1], "silent", True, "words") / mean(30, "silent", True, "words"), 3),
+                "words_growth_at": sizes[-1],
+                "words_calm": max(mean(limiters, "", True, "words") for limiters in sizes),
+                "cpu_ratio_on_off_calm": round(mean(200, "", True, "wall_s") / mean(200, "", False, "wall_s"), 3),
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -54,9 +54,17 @@
     limiters, boxes, accounts = (50, 1000, 10_000) if quick else (500, 10_000, 100_000)
     kinds = (BoxKind(work_ms=2000.0, room=8, cold_ms=20_000.0),)
     given = Scenario(
-        "largest", lasts_s=5.0, warm_s=1.0, rest_s=2.0, limiters=limiters, boxes=boxes, floors=5, kind=kinds,
-        service=(Service(aim_ms=20_000.0),), settings=Settings(subset=100),
-    )  # fmt: skip
+        "largest",
+        lasts_s=5.0,
+        warm_s=1.0,
+        rest_s=2.0,
+        limiters=limiters,
+        boxes=boxes,
+        floors=5,
+        kind=kinds,
+        service=(Service(aim_ms=20_000.0),),
+        settings=Settings(subset=100),
+    )
     raw = msgspec.json.encode(of_load(0.3, given, accounts=accounts))
     done = subprocess.run([sys.executable, "-B", "-c", LARGEST], input=raw, capture_output=True, check=True, cwd=ROOT)
     found: dict[str, Any] = json.loads(done.stdout)
@@ -66,8 +74,14 @@
 def pace(limiters: int, floor: str, lasts: float) -> float:
     """Simulated seconds in one of life, 100 requests a second in all."""
     given = Scenario(
-        "pace", lasts_s=lasts, warm_s=0.5, rest_s=0.5, limiters=limiters, boxes=12, settings=Settings(subset=8),
-    )  # fmt: skip
+        "pace",
+        lasts_s=lasts,
+        warm_s=0.5,
+        rest_s=0.5,
+        limiters=limiters,
+        boxes=12,
+        settings=Settings(subset=8),
+    )
     result = search.play(of_load(100.0 / given.capacity(), given), 1, floor)
     assert result.good(), result.text()
     return result.sim_s / result.wall_s
@@ -105,8 +119,11 @@
 def bites() -> tuple[int, int]:
     """Judges of both floors, and those of which the tests show that they bite."""
     given = of_load(0.2, Scenario("judges"))
-    names = {judge.name for world in (shells.ShellWorld(given, 1), decisions.DecisionWorld(given, 1))
-             for judge in world.bench.judges}  # fmt: skip
+    names = {
+        judge.name
+        for world in (shells.ShellWorld(given, 1), decisions.DecisionWorld(given, 1))
+        for judge in world.bench.judges
+    }
     command = [sys.executable, "-m", "pytest", "-vv", "-n", "4", "tests/sim/test_judges.py", "-k", "test_a_judge_bites"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     shown = {name for name in names if f"[{name.replace(' ', '_')}-" in done.stdout and "failed" not in done.stdout}
@@ -169,9 +186,14 @@
     """The same group, traffic and accounts on real processes and simulated: errors of served share and of p99."""
     shape = (load.Steady(rate=rate),)
     stream = load.Stream(
-        name="main", plan="shop", shape=shape, accounts=Mix(count=200, skew=0.6), deadline_ms=3000.0,
-        clients=load.Clients(), class_name="lookup",
-    )  # fmt: skip
+        name="main",
+        plan="shop",
+        shape=shape,
+        accounts=Mix(count=200, skew=0.6),
+        deadline_ms=3000.0,
+        clients=load.Clients(),
+        class_name="lookup",
+    )
     real = load.Scenario(name="beside", for_s=lasts, stream=(stream,), group=load.Group(3, 9))
     found: dict[str, float] = {}
 
@@ -187,15 +209,29 @@
 
     swept(PREFIX, life)
     kinds = tuple(
-        BoxKind(kind.name, kind.cores, kind.speed, kind.shape.room, kind.shape.work, kind.shape.cold_share,
-                kind.shape.cold_ms)
+        BoxKind(
+            kind.name,
+            kind.cores,
+            kind.speed,
+            kind.shape.room,
+            kind.shape.work,
+            kind.shape.cold_share,
+            kind.shape.cold_ms,
+        )
         for kind in (STD, OLD)
-    )  # fmt: skip
+    )
     given = Scenario(
-        "beside", lasts_s=lasts, warm_s=0.0, boxes=9, agents=1, kind=kinds, stream=(stream,),
-        plan=(Plan("shop", 0.8, 40.0, 120.0),), service=(Service(aim_ms=1200.0),),
+        "beside",
+        lasts_s=lasts,
+        warm_s=0.0,
+        boxes=9,
+        agents=1,
+        kind=kinds,
+        stream=(stream,),
+        plan=(Plan("shop", 0.8, 40.0, 120.0),),
+        service=(Service(aim_ms=1200.0),),
         net=Net(same_ms=0.1, cross_ms=0.1, datagram_loss=0.0),
-    )  # fmt: skip
+    )
     runs = [shells.play(given, seed).figures for seed in (1, 2, 3)]
     served = statistics.mean(run.value("share.served") for run in runs)
     p99 = statistics.mean(run.p99_ms for run in runs)
@@ -218,15 +254,23 @@
 
     if not given.without_life:
         served, p99, figures = beside_life(15.0 if quick else 40.0, 60.0)
-        tell(real_vs_sim_served_share_error=round(served, 4), real_vs_sim_p99_error=round(p99, 4),
-             **{name: round(value, 4) for name, value in figures.items()})  # fmt: skip
-    tell(sim_seconds_per_second={
-        f"{limiters}-{floor}": round(pace(limiters, floor, lasts), 2)
-        for limiters, floor, lasts in (
-            (3, "shells", 20.0), (3, "decisions", 20.0), (30, "shells", 5.0), (500, "decisions", 4.0),
-            *(() if quick else ((500, "shells", 1.0),)),
+        tell(
+            real_vs_sim_served_share_error=round(served, 4),
+            real_vs_sim_p99_error=round(p99, 4),
+            **{name: round(value, 4) for name, value in figures.items()},
         )
-    })  # fmt: skip
+    tell(
+        sim_seconds_per_second={
+            f"{limiters}-{floor}": round(pace(limiters, floor, lasts), 2)
+            for limiters, floor, lasts in (
+                (3, "shells", 20.0),
+                (3, "decisions", 20.0),
+                (30, "shells", 5.0),
+                (500, "decisions", 4.0),
+                *(() if quick else ((500, "shells", 1.0),)),
+            )
+        }
+    )
     runs = 2 if quick else 6
     tell(deterministic_runs=deterministic(runs), runs=runs)
     judges, shown = bites()
@@ -247,8 +291,14 @@
     grown, speed = day(quick)
     tell(day_growth_mb=round(grown, 2), day_sim_seconds_per_second=round(speed))
     large = largest(quick)
-    tell(limiters=large["limiters"], boxes=large["boxes"], accounts=large["accounts"], largest_good=large["good"],
-         rss_mb_largest=round(large["rss_mb"]), largest_wall_s=round(large["wall_s"], 1))  # fmt: skip
+    tell(
+        limiters=large["limiters"],
+        boxes=large["boxes"],
+        accounts=large["accounts"],
+        largest_good=large["good"],
+        rss_mb_largest=round(large["rss_mb"]),
+        largest_wall_s=round(large["wall_s"], 1),
+    )
     print(json.dumps(told))
 
 
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -44,8 +44,18 @@
 AT_ONCE = 4  # trials side by side
 BUGS_FOUND = 4  # while it was built; docs/design/trial.md tells of each
 BOTH = ("calm", "partition", "drain-and-restart", "power-loss", "one-way", "stopped")
-SHORT = ["--set", "lasts_s=2", "--set", "warm_s=0", "--set", "rest_s=0", "--set", "agents=1",
-         "--set", "stream.0.shape.0.rate=60"]  # fmt: skip
+SHORT = [
+    "--set",
+    "lasts_s=2",
+    "--set",
+    "warm_s=0",
+    "--set",
+    "rest_s=0",
+    "--set",
+    "agents=1",
+    "--set",
+    "stream.0.shape.0.rate=60",
+]
 
 
 def command(*words: str) -> list[str]:
@@ -156,9 +166,11 @@
 def broken_off(number: int) -> None:
     rng = random.Random(number)
     runner = subprocess.Popen(
-        command("run", "calm", *SHORT, "--set", "lasts_s=60"), cwd=ROOT, stdout=subprocess.DEVNULL,
+        command("run", "calm", *SHORT, "--set", "lasts_s=60"),
+        cwd=ROOT,
+        stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
-    )  # fmt: skip
+    )
     time.sleep(rng.uniform(0.4, 4.0))
     runner.send_signal(rng.choice((signal.SIGKILL, signal.SIGINT, signal.SIGTERM)))
     runner.wait()
@@ -191,9 +203,11 @@
     given = str(ROOT / "tests" / "sim" / "seeds" / name) if name.endswith(".toml") else name
     verb = "replay" if name.endswith(".toml") else "run"
     simulated = subprocess.run(
-        [sys.executable, "-B", "-m", "elderlock.cli.main", "sim", verb, given, "--json"], cwd=ROOT, capture_output=True,
+        [sys.executable, "-B", "-m", "elderlock.cli.main", "sim", verb, given, "--json"],
+        cwd=ROOT,
+        capture_output=True,
         check=False,
-    )  # fmt: skip
+    )
     return name, trial(verb, given)["verdict"], "good" if simulated.returncode == 0 else "broken"
 
 
@@ -282,20 +296,38 @@
     false, late = false_verdicts(50)
     say(f"{left} left behind; of 50 runs beside a busy machine {false} told broken and {late} late")
     kinds = {(kind, what) for kind, able in ABLE.items() for what in able}
-    print(json.dumps({
-        "processes": large["processes"], "links": large["links"],
-        "faults_kinds": len(kinds) - sum(map(_unplayed, kinds)),
-        "start_s_5_processes": round(min(starts), 2), "relay_added_p99_ms": round(with_relay - without, 2),
-        "left_behind": left, "judges": len({rule for rule, _, _ in BITES}), "judges_shown_to_bite": len(seen),
-        "schedules": len(played), "verdicts_differ": len(differ), "false_verdicts": false, "late_verdicts": late,
-        "power_loss_points": points, "power_loss_points_whole": sum(whole), "bugs_found": BUGS_FOUND,
-        "took_s": round(time.monotonic() - began, 1),
-    }))  # fmt: skip
+    print(
+        json.dumps(
+            {
+                "processes": large["processes"],
+                "links": large["links"],
+                "faults_kinds": len(kinds) - sum(map(_unplayed, kinds)),
+                "start_s_5_processes": round(min(starts), 2),
+                "relay_added_p99_ms": round(with_relay - without, 2),
+                "left_behind": left,
+                "judges": len({rule for rule, _, _ in BITES}),
+                "judges_shown_to_bite": len(seen),
+                "schedules": len(played),
+                "verdicts_differ": len(differ),
+                "false_verdicts": false,
+                "late_verdicts": late,
+                "power_loss_points": points,
+                "power_loss_points_whole": sum(whole),
+                "bugs_found": BUGS_FOUND,
+                "took_s": round(time.monotonic() - began, 1),
+            }
+        )
+    )
 
 
 def _unplayed(kind: tuple[str, str]) -> bool:
-    target = {"box": "box:0", "limiter": "limiter:0", "agent": "agent:0", "floor": "floor:0",
-              "way": "way:limiter:0>box:0"}.get(kind[0], kind[0])  # fmt: skip
+    target = {
+        "box": "box:0",
+        "limiter": "limiter:0",
+        "agent": "agent:0",
+        "floor": "floor:0",
+        "way": "way:limiter:0>box:0",
+    }.get(kind[0], kind[0])
     scenario = scenario_of("calm", ROOT)
     fault = msgspec.convert({"at_s": 1.0, "what": kind[1], "target": target}, Fault)
     return bool(unplayable(msgspec.structs.replace(scenario, fault=(fault,)), "trial"))
--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -47,7 +47,7 @@
 
 def exit_within(config: Config) -> float:
     """Seconds from SIGTERM to the end: what is still open then would be cut off by SIGKILL."""
-    longest = min(config.socket_settings.longest_deadline / 1000.0, LONGEST_KEPT)
+    longest = min(config.socket_settings.longest_deadline_ms / 1000.0, LONGEST_KEPT)
     return longest + KILLED_AFTER - LAST_WORDS
 
 
@@ -71,7 +71,7 @@
     source, limiter = Keepers, Limiter
     if (extras := _extras()) is not None:
         config = extras.routed(config)
-        source, limiter = extras.source(config.settings.limiters), extras.limiter(config.settings)
+        source, limiter = extras.source(config.settings.limiter_count), extras.limiter(config.settings)
     gateway = Gateway(loop, config, Clock(), source, limiter)
     discovery = Discovery(config.socket_settings, gateway.listed)
     loop.add_signal_handler(signal.SIGHUP, reload, discovery)
@@ -79,7 +79,7 @@
         loop.add_signal_handler(number, stop.set)
     peers = None
     if config.peer_listen is not None:
-        intake = config.settings.sources.peer_intake
+        intake = config.settings.quota_sources.peer_messages_per_s
         peers = Peers(config.peers, config.peers_all, intake, gateway.told, gateway.now)
         await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
         gateway.tell_peer = peers.send
--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -11,7 +11,7 @@
 
 from elderlock import interface as api
 from elderlock.decisions.limiter import Limiter
-from elderlock.settings import settings_of
+from elderlock.settings import read_settings
 
 OUTCOMES = {
     0: api.Outcome.OK,
@@ -21,17 +21,17 @@
     252: api.Outcome.CONNECT_FAILED,
     251: api.Outcome.RESET,
     250: api.Outcome.CANCELLED,
-    249: api.Outcome.MOOT,
+    249: api.Outcome.NOT_FORWARDED,
 }
 STATES = {
     "Running": api.ServerState.RUNNING,
     "Stopping": api.ServerState.DRAINING,
-    "Deleted": api.ServerState.GONE,
+    "Deleted": api.ServerState.REMOVED,
 }
 LISTS = {
     "changes": api.ListKind.CHANGES,
-    "all": api.ListKind.ALL,
-    "remembered": api.ListKind.REMEMBERED,
+    "all": api.ListKind.COMPLETE,
+    "remembered": api.ListKind.CACHED,
     "refused": api.ListKind.REFUSED,
 }
 TEXT_FIELDS = {"born": "facts"}
@@ -102,39 +102,39 @@
 
 def entry_of(f: Fields) -> api.ServerEntry:
     return api.ServerEntry(
-        server=f.text("server"),
+        server_id=f.text("server"),
         zone=f.whole("hall"),
         kind=f.whole("family-type"),
         cell=f.whole("cluster"),
         state=f.choice("stage-state", STATES),
         weight=f.number("power-hint"),
-        started_at=f.number("ready-at", 0.0),
+        started_at_ms=f.number("ready-at", 0.0),
     )
 
 
 def request_of(f: Fields) -> api.RequestArrived:
     return api.RequestArrived(
-        request=f.text("ref"),
+        request_id=f.text("ref"),
         class_index=f.whole("grade"),
         plan_index=f.whole("plan"),
-        customer=f.text("caller"),
+        customer_id=f.text("caller"),
         units=f.number("cost-units"),
-        give_up_at=f.number("give-up-at"),
-        spread=f.whole("width"),
-        first=f.whole("from-no"),
+        deadline_ms=f.number("give-up-at"),
+        limiter_count=f.whole("width"),
+        first_limiter=f.whole("from-no"),
     )
 
 
 def ended_of(f: Fields) -> api.AttemptEnded:
     return api.AttemptEnded(
-        request=f.text("ref"),
-        attempt=f.whole("shot"),
-        server=f.text("server"),
+        request_id=f.text("ref"),
+        attempt_index=f.whole("shot"),
+        server_id=f.text("server"),
         outcome=f.outcome(),
-        took=f.number("spent"),
-        answered=f.flag("finished"),
+        duration_ms=f.number("spent"),
+        is_answered=f.flag("finished"),
         meter=f.whole("seen-use", 0),
-        true_units=f.number("charged", 0.0),
+        settled_units=f.number("charged", 0.0),
     )
 
 
@@ -142,37 +142,37 @@
     "inbound": request_of,
     "settled": ended_of,
     "established": lambda f: api.StreamStarted(f.text("ref"), f.whole("shot"), f.text("server"), f.number("spent")),
-    "timed_out_client": lambda f: api.ClientGone(f.text("ref")),
-    "check_result": lambda f: api.ProbeEnded(f.text("server"), f.outcome(), f.number("spent")),
+    "timed_out_client": lambda f: api.ClientDisconnected(f.text("ref")),
+    "check_result": lambda f: api.HealthCheckEnded(f.text("server"), f.outcome(), f.number("spent")),
     "mail": lambda f: api.PeerMessage(f.whole("author"), f.data("payload")),
     "count_result": lambda f: api.CounterAnswered(
         f.whole("name"), f.outcome(), f.number("result-value", 0.0), f.number("spent", 0.0)
     ),
-    "due": lambda f: api.TimerDue(f.whole("tag")),
+    "due": lambda f: api.TimerFired(f.whole("tag")),
 }
 
 
 def line_of(action: api.Action) -> str:
     match action:
-        case api.Send(request, server, timeout):
+        case api.SendAttempt(request, server, timeout):
             return f"send ref={request} server={server} patience={timeout:.3f}"
-        case api.Refuse(request, retry_after):
+        case api.Reject(request, retry_after):
             return f"say_no ref={request} not-before-for={retry_after:.3f}"
         case api.Fail(request):
             return f"give_up ref={request}"
-        case api.Cancel(request, attempt):
+        case api.CancelAttempt(request, attempt):
             return f"recall ref={request} shot={attempt}"
-        case api.TellPeer(receiver, data):
+        case api.SendPeerMessage(receiver, data):
             return f"broadcast_to addressee={receiver} payload={base64.b64encode(data).decode() or '-'}"
         case api.Subscribe(active):
             return f"listen active={int(active)}"
-        case api.FetchList():
+        case api.FetchServerList():
             return "read_list"
         case api.SetTimer(wait, token):
             return f"defer wait={wait:.3f} tag={token}"
         case api.Log(text):
             return f"journal_line msg={text}"
-        case api.Permit() | api.Tally():
+        case api.Permit() | api.AddToCounter():
             raise WireError(f"the simulator's wire has no {type(action).__name__} here")
 
 
@@ -228,7 +228,7 @@
         if message == "born":
             seed, facts = fields.whole("seed"), fields.text("facts")
             try:
-                settings = settings_of(json.loads(facts))
+                settings = read_settings(json.loads(facts))
             except json.JSONDecodeError as error:
                 raise WireError(f"born: field 'facts' is not JSON: {error}") from None
             except KeyError as error:
--- a/elderlock/authz/door.py
+++ b/elderlock/authz/door.py
@@ -41,11 +41,14 @@
 CHECK, LIMIT = "envoy.service.auth.v3.Authorization", "envoy.service.ratelimit.v3.RateLimitService"
 LOOKUPS = "elderlock.v1.Lookups"
 OUTCOMES = {
-    lookups_pb2.OUTCOME_SERVED: Outcome.OK, lookups_pb2.OUTCOME_ERROR: Outcome.ERROR,
-    lookups_pb2.OUTCOME_FULL: Outcome.FULL, lookups_pb2.OUTCOME_TIMEOUT: Outcome.TIMEOUT,
-    lookups_pb2.OUTCOME_CONNECT_FAILED: Outcome.CONNECT_FAILED, lookups_pb2.OUTCOME_RESET: Outcome.RESET,
-    lookups_pb2.OUTCOME_NOT_SENT: Outcome.MOOT,
-}  # fmt: skip
+    lookups_pb2.OUTCOME_SERVED: Outcome.OK,
+    lookups_pb2.OUTCOME_ERROR: Outcome.ERROR,
+    lookups_pb2.OUTCOME_FULL: Outcome.FULL,
+    lookups_pb2.OUTCOME_TIMEOUT: Outcome.TIMEOUT,
+    lookups_pb2.OUTCOME_CONNECT_FAILED: Outcome.CONNECT_FAILED,
+    lookups_pb2.OUTCOME_RESET: Outcome.RESET,
+    lookups_pb2.OUTCOME_NOT_SENT: Outcome.NOT_FORWARDED,
+}
 DEFAULT_RETRY = 1000.0  # ms, where the module says no time
 
 
@@ -147,7 +150,7 @@
                 # together or not at all: what the others took is given back, also where the asker has gone
                 for command, verdict in zip(commands, verdicts, strict=False):
                     if verdict.kind == "permitted":
-                        door.questions.report(command.name, command.customer, Outcome.MOOT, 0.0, b"")
+                        door.questions.report(command.name, command.customer, Outcome.NOT_FORWARDED, 0.0, b"")
         last = verdicts[-1]
         if last.kind not in ("permitted", "refused"):
             await door.abort(context, last)
@@ -180,8 +183,8 @@
                 limit_remaining=door.remaining(command),
                 duration_until_reset=duration_pb2.Duration(nanos=int(after % 1000 * 1e6), seconds=int(after // 1000)),
             )
-            if plan.rate > 0:
-                status.current_limit.requests_per_unit = max(1, round(plan.rate * 60))
+            if plan.rate_per_s > 0:
+                status.current_limit.requests_per_unit = max(1, round(plan.rate_per_s * 60))
                 status.current_limit.unit = rls.RateLimitResponse.RateLimit.MINUTE
                 status.current_limit.name = plan.name
             statuses.append(status)
@@ -238,16 +241,19 @@
         b = self.file.bounds
         self._server = grpc.aio.server(
             options=[
-                ("grpc.max_concurrent_streams", b.streams), ("grpc.max_receive_message_length", b.message),
-                ("grpc.max_metadata_size", b.metadata), ("grpc.absolute_max_metadata_size", 2 * b.metadata),
+                ("grpc.max_concurrent_streams", b.streams),
+                ("grpc.max_receive_message_length", b.message),
+                ("grpc.max_metadata_size", b.metadata),
+                ("grpc.absolute_max_metadata_size", 2 * b.metadata),
                 ("grpc.http2.max_ping_strikes", b.ping_strikes),
                 ("grpc.http2.min_ping_interval_without_data_ms", int(1000 * b.ping_interval)),
-                ("grpc.max_connection_idle_ms", int(1000 * b.idle)), ("grpc.so_reuseport", 0),
+                ("grpc.max_connection_idle_ms", int(1000 * b.idle)),
+                ("grpc.so_reuseport", 0),
                 ("grpc.max_allowed_incoming_connections", b.connections),
                 ("grpc.server_handshake_timeout_ms", int(1000 * b.handshake)),
             ],
             maximum_concurrent_rpcs=2 * b.questions,
-        )  # fmt: skip
+        )
         auth_grpc.add_AuthorizationServicer_to_server(Authorization(self), self._server)
         rls_grpc.add_RateLimitServiceServicer_to_server(RateLimit(self), self._server)
         lookups_pb2_grpc.add_LookupsServicer_to_server(Lookups(self), self._server)
@@ -297,17 +303,20 @@
 
     def permission(self, command: Command, verdict: Verdict) -> list[base_pb2.HeaderValueOption]:
         return [
-            header(BOX, verdict.box), header(ENDPOINT, verdict.endpoint), header(PERMISSION, command.name.decode()),
-            header(LIFE, str(int(verdict.life))), header(REMAINING, str(self.remaining(command))),
-        ]  # fmt: skip
+            header(BOX, verdict.box),
+            header(ENDPOINT, verdict.endpoint),
+            header(PERMISSION, command.name.decode()),
+            header(LIFE, str(int(verdict.life))),
+            header(REMAINING, str(self.remaining(command))),
+        ]
 
     def retry(self, command: Command, after: float) -> list[tuple[str, str]]:
         """`Retry-After` in whole seconds, rounded up, and the draft's RateLimit fields."""
         plan, seconds = self.gateway.settings.plans[command.plan_index], max(1, math.ceil(after / 1000.0))
-        window = max(1, math.ceil(plan.burst / plan.rate)) if plan.rate > 0 else 1
+        window = max(1, math.ceil(plan.burst_units / plan.rate_per_s)) if plan.rate_per_s > 0 else 1
         return [
             ("retry-after", str(seconds)),
-            ("ratelimit-policy", f'"{plan.name}";q={max(1, round(plan.burst))};w={window}'),
+            ("ratelimit-policy", f'"{plan.name}";q={max(1, round(plan.burst_units))};w={window}'),
             ("ratelimit", f'"{plan.name}";r=0;t={seconds}'),
         ]
 
--- a/elderlock/authz/mapping.py
+++ b/elderlock/authz/mapping.py
@@ -43,8 +43,8 @@
     """Reads questions against the settings' names and the askers' accounts."""
 
     def __init__(self, file: AuthzFile, settings: api.Settings, largest: float) -> None:
-        self._file, self._largest, self._limiters = file, largest, settings.limiters
-        self._classes = {c.name: i for i, c in enumerate(settings.classes)}
+        self._file, self._largest, self._limiters = file, largest, settings.limiter_count
+        self._classes = {c.name: i for i, c in enumerate(settings.request_classes)}
         self._plans = {plan.name: i for i, plan in enumerate(settings.plans)}
         self._accounts: dict[str, frozenset[str]] = {}
         for asker in file.askers:
--- a/elderlock/authz/router.py
+++ b/elderlock/authz/router.py
@@ -56,9 +56,11 @@
 
     def __init__(self, at: LimiterAt, credentials: Any) -> None:
         options = [
-            ("grpc.initial_reconnect_backoff_ms", RECONNECT_MS), ("grpc.min_reconnect_backoff_ms", RECONNECT_MS),
-            ("grpc.max_reconnect_backoff_ms", 5 * RECONNECT_MS), ("grpc.enable_retries", 0),
-        ]  # fmt: skip
+            ("grpc.initial_reconnect_backoff_ms", RECONNECT_MS),
+            ("grpc.min_reconnect_backoff_ms", RECONNECT_MS),
+            ("grpc.max_reconnect_backoff_ms", 5 * RECONNECT_MS),
+            ("grpc.enable_retries", 0),
+        ]
         if credentials is None:
             self.channel = grpc.aio.insecure_channel(at.address, options)
         else:
@@ -98,7 +100,7 @@
         self._at = self._file.door.check()
         self._folder, self._usable = folder, usable
         config = load({"PROXY_CONFIG": str(folder / self._file.config)})
-        self._terms = Terms(self._file.door, config.settings, config.socket_settings.largest)
+        self._terms = Terms(self._file.door, config.settings, config.socket_settings.largest_request_units)
         self._router = Router(dict(zip(names, numbers, strict=True)), rng)
         self._targets: dict[str, _Target] = {}
         self._where: OrderedDict[str, str] = OrderedDict()  # permission -> limiter
@@ -115,12 +117,16 @@
         self._targets = {at.name: _Target(at, credentials) for at in self._file.limiter}
         b = self._file.door.bounds
         self._server = grpc.aio.server(
-            options=[("grpc.max_concurrent_streams", b.streams), ("grpc.max_receive_message_length", b.message),
-                     ("grpc.max_metadata_size", b.metadata), ("grpc.so_reuseport", 0),
-                     ("grpc.max_allowed_incoming_connections", b.connections),
-                     ("grpc.server_handshake_timeout_ms", int(1000 * b.handshake))],
+            options=[
+                ("grpc.max_concurrent_streams", b.streams),
+                ("grpc.max_receive_message_length", b.message),
+                ("grpc.max_metadata_size", b.metadata),
+                ("grpc.so_reuseport", 0),
+                ("grpc.max_allowed_incoming_connections", b.connections),
+                ("grpc.server_handshake_timeout_ms", int(1000 * b.handshake)),
+            ],
             maximum_concurrent_rpcs=b.questions,
-        )  # fmt: skip
+        )
         auth_grpc.add_AuthorizationServicer_to_server(self, self._server)
         rls_grpc.add_RateLimitServiceServicer_to_server(self, self._server)
         lookups_pb2_grpc.add_LookupsServicer_to_server(self, self._server)  # type: ignore[no-untyped-call]
@@ -229,9 +235,12 @@
             return denied(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
         try:
             name, answer = await self._pass(
-                command.spread, command.first, command.wait, True,
+                command.spread,
+                command.first,
+                command.wait,
+                True,
                 lambda target, left: target.auth.Check(request, timeout=left),
-            )  # fmt: skip
+            )
         except _NobodyError as error:
             await context.abort(error.code, str(error))
         if answer.HasField("ok_response") and any(o.header.key == BOX for o in answer.ok_response.headers):
@@ -258,9 +267,12 @@
         named = all(any(e.key == "request" for e in d.entries) for d in request.descriptors)
         try:
             name, answer = await self._pass(
-                first.spread, first.first, first.wait, named,
+                first.spread,
+                first.first,
+                first.wait,
+                named,
                 lambda target, left: target.rls.ShouldRateLimit(request, timeout=left),
-            )  # fmt: skip
+            )
         except _NobodyError as error:
             await context.abort(error.code, str(error))
         for option in answer.request_headers_to_add:
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -42,8 +42,9 @@
 def _seen_exit(seen: Seen) -> Exit:
     if not seen.shown:
         return Exit.NOTHING
-    silent = any(each.link != "answering" and each.phase != "stopped"
-                 for shown in seen.shown.values() for each in shown.limiters)  # fmt: skip
+    silent = any(
+        each.link != "answering" and each.phase != "stopped" for shown in seen.shown.values() for each in shown.limiters
+    )
     return Exit.PART if seen.missing or silent else Exit.DONE
 
 
@@ -128,9 +129,16 @@
 
 async def drain(options: argparse.Namespace, group: Group) -> int:
     order = Order(
-        options.kind, tuple(dict.fromkeys(options.target)), options.command == "drain", options.reason,
-        options.expect, options.force, options.deadline, options.give_up_after, not options.no_wait,
-    )  # fmt: skip
+        options.kind,
+        tuple(dict.fromkeys(options.target)),
+        options.command == "drain",
+        options.reason,
+        options.expect,
+        options.force,
+        options.deadline,
+        options.give_up_after,
+        not options.no_wait,
+    )
     last: dict[str, Account] = {}
     said: set[str] = set()
 
@@ -174,33 +182,52 @@
         _out(tables.account_table(account, _colour()))
     _err(result.lines)
     words = {
-        Exit.DONE: "done everywhere", Exit.PART: "done in part", Exit.NOTHING: "nothing was done",
-        Exit.UNSAFE: "refused as unsafe; --force overrides", Exit.OVERTAKEN: "another operator's change holds",
-    }  # fmt: skip
+        Exit.DONE: "done everywhere",
+        Exit.PART: "done in part",
+        Exit.NOTHING: "nothing was done",
+        Exit.UNSAFE: "refused as unsafe; --force overrides",
+        Exit.OVERTAKEN: "another operator's change holds",
+    }
     _err([words[result.exit]])
 
 
 def _result_json(result: Result, began: float) -> dict[str, Any]:
     return {
-        "exit": int(result.exit), "outcome": result.exit.name.lower(), "began_at": began,
+        "exit": int(result.exit),
+        "outcome": result.exit.name.lower(),
+        "began_at": began,
         "plan": msgspec.structs.asdict(result.plan) if result.plan is not None else None,
-        "unsafe": list(result.unsafe), "lines": result.lines,
+        "unsafe": list(result.unsafe),
+        "lines": result.lines,
         "text": [line for account in result.accounts for line in account.text()],
         "records": [msgspec.to_builtins(r) for account in result.accounts for r in account.records.values()],
         "rows": [
-            {"target": row.key[1], "limiter": row.limiter, "agent": row.agent, "state": row.state,
-             "at": row.at, "why": row.why, "out": row.out}
-            for account in result.accounts for row in account.rows()
+            {
+                "target": row.key[1],
+                "limiter": row.limiter,
+                "agent": row.agent,
+                "state": row.state,
+                "at": row.at,
+                "why": row.why,
+                "out": row.out,
+            }
+            for account in result.accounts
+            for row in account.rows()
         ],
-    }  # fmt: skip
+    }
 
 
 async def order(options: argparse.Namespace, group: Group) -> int:
     try:
         result = await order_limiters(
-            group, options.command, list(dict.fromkeys(options.limiter)), options.force, options.deadline,
-            options.give_up_after, lambda line: _err([line]),
-        )  # fmt: skip
+            group,
+            options.command,
+            list(dict.fromkeys(options.limiter)),
+            options.force,
+            options.deadline,
+            options.give_up_after,
+            lambda line: _err([line]),
+        )
     except asyncio.CancelledError:
         _err(["interrupted: what was ordered goes on"])
         return Exit.PART
@@ -223,8 +250,14 @@
     stood = [answer for answer in answers.values() if isinstance(answer, f.Stood)]
     gone = {name: a for name, a in answers.items() if isinstance(a, Missing | Refusal)}
     if options.json:
-        print(json.dumps({"agents": [msgspec.to_builtins(each) for each in stood],
-                          "missing": {name: why(a) for name, a in gone.items()}}))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "agents": [msgspec.to_builtins(each) for each in stood],
+                    "missing": {name: why(a) for name, a in gone.items()},
+                }
+            )
+        )
     elif stood:
         newest = max(stood, key=lambda each: each.version)
         _out(newest.lines)
@@ -249,10 +282,17 @@
         from datetime import UTC, datetime
 
         rows = [
-            [datetime.fromtimestamp(at / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%S"), name, line.who, line.role,
-             line.what, str(line.generation or "-"), line.reached or "-"]
+            [
+                datetime.fromtimestamp(at / 1000.0, UTC).strftime("%Y-%m-%d %H:%M:%S"),
+                name,
+                line.who,
+                line.role,
+                line.what,
+                str(line.generation or "-"),
+                line.reached or "-",
+            ]
             for at, name, line in lines
-        ]  # fmt: skip
+        ]
         _out(tables.table(("AT (UTC)", "AGENT", "WHO", "ROLE", "WHAT", "GEN", "REACHED"), rows, _colour()))
     gone = {name: a for name, a in answers.items() if isinstance(a, Missing | Refusal)}
     _err(f"agent {name} does not answer: {why(a)}" for name, a in gone.items())
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -60,22 +60,34 @@
     shown.add_argument("report", type=Path)
     shown.add_argument("--html", type=Path, metavar="FILE")
     shown.add_argument("--fail-if", action="append", default=[], metavar="BOUND")
-    both = commands.add_parser("compare", help="two reports, and what is beyond the noise",
-                               description="two reports, and what is beyond the noise")  # fmt: skip
+    both = commands.add_parser(
+        "compare",
+        help="two reports, and what is beyond the noise",
+        description="two reports, and what is beyond the noise",
+    )
     both.add_argument("before", type=Path)
     both.add_argument("after", type=Path)
     both.add_argument("--json", action="store_true")
-    check = commands.add_parser("check", help="checks a scenario, or reads a trace through",
-                                description="checks a scenario, or reads a trace through")  # fmt: skip
+    check = commands.add_parser(
+        "check",
+        help="checks a scenario, or reads a trace through",
+        description="checks a scenario, or reads a trace through",
+    )
     check.add_argument("file")
     check.add_argument("--set", action="append", default=[], metavar="NAME=VALUE")
-    rename = commands.add_parser("rename", help="renames a trace's accounts by a key, to hand it on",
-                                 description="renames a trace's accounts by a key, to hand it on")  # fmt: skip
+    rename = commands.add_parser(
+        "rename",
+        help="renames a trace's accounts by a key, to hand it on",
+        description="renames a trace's accounts by a key, to hand it on",
+    )
     rename.add_argument("trace", type=Path)
     rename.add_argument("out", type=Path)
     rename.add_argument("--key", type=Path, required=True, metavar="FILE", help="16 bytes or more, kept secret")
-    record = commands.add_parser("record", help="makes a trace from the limiters' figures",
-                                 description="makes a trace from the limiters' figures")  # fmt: skip
+    record = commands.add_parser(
+        "record",
+        help="makes a trace from the limiters' figures",
+        description="makes a trace from the limiters' figures",
+    )
     record.add_argument("out", type=Path)
     record.add_argument("--group", type=Path, metavar="FILE")
     record.add_argument("--token-file", type=Path, metavar="FILE")
@@ -87,9 +99,15 @@
 
 def main(options: argparse.Namespace) -> int:
     work: dict[str, Callable[[argparse.Namespace], int]] = {
-        "run": run, "up": up, "show": show, "compare": compared, "check": check, "rename": rename,
-        "record": record, "scenarios": scenarios,
-    }  # fmt: skip
+        "run": run,
+        "up": up,
+        "show": show,
+        "compare": compared,
+        "check": check,
+        "rename": rename,
+        "record": record,
+        "scenarios": scenarios,
+    }
     try:
         return work[options.load_command](options)
     except (ScenarioError, LoadError, ThresholdError, trace.TraceError, ValueError) as error:
@@ -126,17 +144,18 @@
 
 
 def _at(read: Scenario, addresses: Sequence[str], kind: str | None = None) -> Scenario:
-    targets = msgspec.structs.replace(
-        read.targets, addresses=tuple(addresses), kind=kind or read.targets.kind
-    )  # fmt: skip
+    targets = msgspec.structs.replace(read.targets, addresses=tuple(addresses), kind=kind or read.targets.kind)
     made = msgspec.structs.replace(read, targets=targets)
     scenario.check(made)
     return made
 
 
 async def _send(
-    options: argparse.Namespace, read: Scenario, lines: Sequence[Line], began: Began | None = None,
-) -> int:  # fmt: skip
+    options: argparse.Namespace,
+    read: Scenario,
+    lines: Sequence[Line],
+    began: Began | None = None,
+) -> int:
     if not read.targets.addresses:
         raise ScenarioError("no targets: give --target HOST:PORT or --group FILE, or use elderlock load up")
 
--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -67,16 +67,21 @@
 def parser(whole: bool = True) -> argparse.ArgumentParser:
     """`whole`: with the parts of `load`, `sim` and `experiment`, which take a while to read in."""
     top = argparse.ArgumentParser(
-        prog="elderlock", epilog=EPILOG, formatter_class=argparse.RawDescriptionHelpFormatter,
+        prog="elderlock",
+        epilog=EPILOG,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
         description="Manages many limiters as one group.",
-    )  # fmt: skip
+    )
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
     def add(name: str, help: str, example: str) -> argparse.ArgumentParser:
         return commands.add_parser(
-            name, help=help, description=help, epilog=f"example:\n  {example}\n\n{EPILOG}",
+            name,
+            help=help,
+            description=help,
+            epilog=f"example:\n  {example}\n\n{EPILOG}",
             formatter_class=argparse.RawDescriptionHelpFormatter,
-        )  # fmt: skip
+        )
 
     def grouped(command: argparse.ArgumentParser) -> None:
         command.add_argument("--group", type=Path, metavar="FILE", help="the group file")
@@ -256,10 +261,18 @@
         from elderlock.cli import commands, plans
 
         work: dict[str, Callable[..., Coroutine[Any, Any, int]]] = {
-            "show": commands.show, "explain": commands.explain, "compare": commands.compare, "drain": commands.drain,
-            "undrain": commands.drain, "start": commands.order, "stop": commands.order,
-            "audit": commands.audit, "budget": commands.budget, "release": plans.main, "plan": plans.main,
-        }  # fmt: skip
+            "show": commands.show,
+            "explain": commands.explain,
+            "compare": commands.compare,
+            "drain": commands.drain,
+            "undrain": commands.drain,
+            "start": commands.order,
+            "stop": commands.order,
+            "audit": commands.audit,
+            "budget": commands.budget,
+            "release": plans.main,
+            "plan": plans.main,
+        }
         return _interruptible(work[options.command](options, group_of(options)))
     except FileError as error:
         print(f"elderlock: {error}", file=sys.stderr)
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -26,14 +26,20 @@
 
 
 def add(
-    commands: Any, grouped: Callable[[argparse.ArgumentParser], None], seconds: Callable[[str], float],
-    formatter: Any, epilog: str,
-) -> None:  # fmt: skip
+    commands: Any,
+    grouped: Callable[[argparse.ArgumentParser], None],
+    seconds: Callable[[str], float],
+    formatter: Any,
+    epilog: str,
+) -> None:
     def command(of: Any, name: str, help: str, example: str) -> argparse.ArgumentParser:
         made: argparse.ArgumentParser = of.add_parser(
-            name, help=help, description=help, formatter_class=formatter,
+            name,
+            help=help,
+            description=help,
+            formatter_class=formatter,
             epilog=f"example:\n  elderlock {example}\n\n{epilog}",
-        )  # fmt: skip
+        )
         return made
 
     def json_too(made: argparse.ArgumentParser) -> None:
@@ -131,10 +137,14 @@
             group, lambda n: f.Steer(n, id, what, turn, options.reason), f.Steered, options.deadline
         )
         return _said(options, answer)
-    terms = Terms(
-        **{name.replace("-", "_"): getattr(options, name.replace("-", "_")) for name, _, _ in TIMES},
-        auto_back=options.auto_back,
-    ) if what != "drain" else Terms(pause=0.0)  # fmt: skip
+    terms = (
+        Terms(
+            **{name.replace("-", "_"): getattr(options, name.replace("-", "_")) for name, _, _ in TIMES},
+            auto_back=options.auto_back,
+        )
+        if what != "drain"
+        else Terms(pause=0.0)
+    )
     dry = what != "start"
     if what == "drain":
         from elderlock.fleet.operate import box_steps, see
@@ -182,11 +192,15 @@
     now = await operate.known(group, options.deadline)
     if options.json and not options.watch:
         newest = now.newest
-        print(json.dumps({
-            "plans": msgspec.to_builtins(newest.plans) if newest is not None else [],
-            "agents": {name: msgspec.to_builtins(answer) for name, answer in now.answers.items()},
-            "missing": now.missing,
-        }))  # fmt: skip
+        print(
+            json.dumps(
+                {
+                    "plans": msgspec.to_builtins(newest.plans) if newest is not None else [],
+                    "agents": {name: msgspec.to_builtins(answer) for name, answer in now.answers.items()},
+                    "missing": now.missing,
+                }
+            )
+        )
         return Exit.DONE if newest is not None and not now.missing else Exit.PART
     plan = now.plan(options.plan)
     if plan is None:
--- a/elderlock/cli/sim.py
+++ b/elderlock/cli/sim.py
@@ -87,8 +87,13 @@
     for command in (run, shown):
         command.add_argument("--html", type=Path, metavar="FILE", help="the report as one page")
         command.add_argument("--json", action="store_true")
-        command.add_argument("--fail-if", action="append", default=[], metavar="BOUND",
-                             help="served_in_time@SETTING<0.95, diff.p99_ms>20")  # fmt: skip
+        command.add_argument(
+            "--fail-if",
+            action="append",
+            default=[],
+            metavar="BOUND",
+            help="served_in_time@SETTING<0.95, diff.p99_ms>20",
+        )
     check = _command(commands, "check", "checks an experiment's file")
     check.add_argument("experiment", type=Path)
 
@@ -106,9 +111,13 @@
 
 def main(options: argparse.Namespace) -> int:
     work = {
-        "run": run, "search": search, "systematic": step_by_step, "replay": replay, "check": check,
+        "run": run,
+        "search": search,
+        "systematic": step_by_step,
+        "replay": replay,
+        "check": check,
         "scenarios": scenarios,
-    }[options.sim_command]  # fmt: skip
+    }[options.sim_command]
     try:
         return work(options)
     except (ScenarioError, SeedError, OSError) as error:
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -18,8 +18,9 @@
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]], colour: bool) -> list[str]:
     widths = [max(len(row[n]) for row in (head, *rows)) for n in range(len(head))]
-    lines = ["  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
-             for row in (head, *rows)]  # fmt: skip
+    lines = [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in (head, *rows)
+    ]
     return [f"{BOLD}{lines[0]}{PLAIN}" if colour else lines[0], *lines[1:]]
 
 
@@ -44,8 +45,21 @@
 def show(seen: Seen, accounts: bool, colour: bool) -> list[str]:
     lines: list[str] = []
     rows = [_limiter(agent, limiter) for agent, shown in sorted(seen.shown.items()) for limiter in shown.limiters]
-    head = ("LIMITER", "AGENT", "PHASE", "LINK", "UP", "OPEN", "SERVED", "REFUSED", "FAILED", "P50 ms",
-            "P99 ms", "THROTTLE", "DRAINED")  # fmt: skip
+    head = (
+        "LIMITER",
+        "AGENT",
+        "PHASE",
+        "LINK",
+        "UP",
+        "OPEN",
+        "SERVED",
+        "REFUSED",
+        "FAILED",
+        "P50 ms",
+        "P99 ms",
+        "THROTTLE",
+        "DRAINED",
+    )
     lines += table(head, rows, colour)
     lines += ["", *_boxes(seen, colour)]
     for agent, shown in sorted(seen.shown.items()):
@@ -61,8 +75,10 @@
         lines += ["", *_accounts(seen, colour)]
         leases = [
             [state.limiter, one.account, f"{one.level:.1f} of {one.burst:g}", f"{one.drawn:.1f}", f"{one.owed:.1f}"]
-            for state in seen.states() if state.counter is not None for one in state.counter.leases
-        ]  # fmt: skip
+            for state in seen.states()
+            if state.counter is not None
+            for one in state.counter.leases
+        ]
         if leases:
             lines += ["", *table(("LIMITER", "ACCOUNT'S STORE", "LEVEL", "DRAWN", "NOT TOLD"), leases, colour)]
     return lines
@@ -75,8 +91,9 @@
     parts = [
         f"{state.limiter}: ceilings by demand, {c.given:.1f} units given, {c.taken:.1f} taken, "
         f"{c.away:.1f} on their way; {c.told_most:g} datagrams a second at most"
-        for state in states if (c := state.ceilings) is not None
-    ]  # fmt: skip
+        for state in states
+        if (c := state.ceilings) is not None
+    ]
     if not sharing:
         said = "no limiter that answers shares evidence ([shared] in the operators' file)"
         return [*parts, said, *_missing(seen)]
@@ -84,23 +101,48 @@
     for state in sharing:
         told = state.shared
         assert told is not None
-        rows.append([
-            state.limiter, str(told.servers), age(told.counts_ms), str(told.told), f"{told.told_most:g}",
-            str(told.heard), str(told.refused), age(told.heard_age_ms), numbers(told.disbelieved),
-            "yes" if told.silent else "no",
-        ])  # fmt: skip
-    head = ("LIMITER", "BOXES", "COUNTS FOR", "TOLD", "MOST A S", "HEARD", "REFUSED", "LAST HEARD", "DISBELIEVES",
-            "DOUBTS ITSELF")  # fmt: skip
+        rows.append(
+            [
+                state.limiter,
+                str(told.servers),
+                age(told.counts_ms),
+                str(told.told),
+                f"{told.told_most:g}",
+                str(told.heard),
+                str(told.refused),
+                age(told.heard_age_ms),
+                numbers(told.disbelieved),
+                "yes" if told.silent else "no",
+            ]
+        )
+    head = (
+        "LIMITER",
+        "BOXES",
+        "COUNTS FOR",
+        "TOLD",
+        "MOST A S",
+        "HEARD",
+        "REFUSED",
+        "LAST HEARD",
+        "DISBELIEVES",
+        "DOUBTS ITSELF",
+    )
     lines = table(head, rows, colour)
     if apart := [state.limiter for state in states if state.shared is None]:
         lines.append(f"shares nothing: {', '.join(apart)}")
     found = entries(sharing)
     if found:
         boxes = [
-            [each.box, f"{each.weighed:g} of {each.enough:g}", f"{each.held_by}/{len(sharing)}", ages(each.failed),
-             ages(each.answered), ", ".join(each.left_out_by) or "-"]
+            [
+                each.box,
+                f"{each.weighed:g} of {each.enough:g}",
+                f"{each.held_by}/{len(sharing)}",
+                ages(each.failed),
+                ages(each.answered),
+                ", ".join(each.left_out_by) or "-",
+            ]
             for each in found
-        ]  # fmt: skip
+        ]
         about = ("BOX", "FAILURES WEIGH", "HELD BY", "FAILED AT (AGO)", "ANSWERED AT (AGO)", "LEFT OUT BY")
         lines += ["", *table(about, boxes, colour)]
     return [*lines, *([] if found else ["no evidence on any box"]), *parts, *_missing(seen)]
@@ -123,14 +165,30 @@
         witnesses = health.witnesses if health is not None else ()
         failed = [(w.limiter, w.failed_age_ms) for w in witnesses if w.failed_age_ms >= 0.0]
         answered = [(w.limiter, w.answered_age_ms) for w in witnesses if w.answered_age_ms >= 0.0]
-        rows.append([
-            word.limiter, "yes" if word.used else "no", word.why or ("-" if word.listed else "not in its list"),
-            age(word.since_ms) if word.since_ms >= 0.0 else "-", str(word.out), number(word.latency_ms),
-            numbers(health.left_out_by) if health is not None else "-",
-            ages(failed), ages(answered),
-        ])  # fmt: skip
-    head = ("LIMITER", "USED", "WHY NOT", "SINCE", "OUT", "LATENCY ms", "BY FAILURES OF", "FAILED AT (AGO)",
-            "ANSWERED AT (AGO)")  # fmt: skip
+        rows.append(
+            [
+                word.limiter,
+                "yes" if word.used else "no",
+                word.why or ("-" if word.listed else "not in its list"),
+                age(word.since_ms) if word.since_ms >= 0.0 else "-",
+                str(word.out),
+                number(word.latency_ms),
+                numbers(health.left_out_by) if health is not None else "-",
+                ages(failed),
+                ages(answered),
+            ]
+        )
+    head = (
+        "LIMITER",
+        "USED",
+        "WHY NOT",
+        "SINCE",
+        "OUT",
+        "LATENCY ms",
+        "BY FAILURES OF",
+        "FAILED AT (AGO)",
+        "ANSWERED AT (AGO)",
+    )
     silent = [f"says nothing: {', '.join(found.silent)}"] if found.silent else []
     return [*found.lines(), "", *table(head, rows, colour), *silent]
 
@@ -152,10 +210,18 @@
     if state is None:
         return [limiter.name, agent, phase, link, *["-"] * 9]
     return [
-        limiter.name, agent, phase, link, age(state.uptime_ms), str(state.open), *counts(state.counts),
-        number(state.answer_p50_ms), number(state.answer_p99_ms), state.throttle.phase,
+        limiter.name,
+        agent,
+        phase,
+        link,
+        age(state.uptime_ms),
+        str(state.open),
+        *counts(state.counts),
+        number(state.answer_p50_ms),
+        number(state.answer_p99_ms),
+        state.throttle.phase,
         "yes" if state.drained else "no",
-    ]  # fmt: skip
+    ]
 
 
 def _boxes(seen: Seen, colour: bool) -> list[str]:
@@ -169,12 +235,22 @@
         reasons = {b.left_out for b in views if b.left_out}
         record = seen.records.get("box", uid)
         generation = str(record.generation) if record is not None else "-"
-        rows.append([
-            uid, box.floor, box.kind, f"{box.weight:g}", str(box.out), latency, number(box.queue),
-            age(box.report_age_ms), f"{len(views)}/{len(states)}", generation, "; ".join(sorted(reasons)) or "-",
-        ])  # fmt: skip
-    head = ("BOX", "FLOOR", "KIND", "WEIGHT", "OUT", "LATENCY ms", "QUEUE", "REPORT", "KNOWN BY", "GEN",
-            "LEFT OUT")  # fmt: skip
+        rows.append(
+            [
+                uid,
+                box.floor,
+                box.kind,
+                f"{box.weight:g}",
+                str(box.out),
+                latency,
+                number(box.queue),
+                age(box.report_age_ms),
+                f"{len(views)}/{len(states)}",
+                generation,
+                "; ".join(sorted(reasons)) or "-",
+            ]
+        )
+    head = ("BOX", "FLOOR", "KIND", "WEIGHT", "OUT", "LATENCY ms", "QUEUE", "REPORT", "KNOWN BY", "GEN", "LEFT OUT")
     return table(head, rows, colour)
 
 
@@ -235,9 +311,17 @@
     rows = []
     for row in account.rows():
         at = datetime.fromtimestamp(row.at / 1000.0, UTC).strftime("%H:%M:%S.%f")[:-3] if row.at else "-"
-        rows.append([
-            row.key[1], row.limiter or "?", row.agent, row.state.replace("-", " "), at, str(row.out), row.why or "-",
-        ])  # fmt: skip
+        rows.append(
+            [
+                row.key[1],
+                row.limiter or "?",
+                row.agent,
+                row.state.replace("-", " "),
+                at,
+                str(row.out),
+                row.why or "-",
+            ]
+        )
     head = ("TARGET", "LIMITER", "AGENT", "STATE", "AT (UTC)", "OUT", "WHY")
     return [*table(head, rows, colour), *account.text()]
 
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -43,8 +43,11 @@
         made.add_argument("--against-sim", action="store_true", help="says where the simulation of it parts from it")
         made.add_argument("--flaw", default="", metavar="NAME", help="a build with that known fault, to see it found")
         made.add_argument("--json", action="store_true")
-    check = commands.add_parser("check", help="checks a scenario, and says what cannot be played here",
-                                description="checks a scenario, and says what cannot be played here")  # fmt: skip
+    check = commands.add_parser(
+        "check",
+        help="checks a scenario, and says what cannot be played here",
+        description="checks a scenario, and says what cannot be played here",
+    )
     check.add_argument("scenario")
     check.add_argument("--set", action="append", default=[], metavar="NAME=VALUE")
     check.add_argument("--seed", type=_seed, default=1)
@@ -59,8 +62,11 @@
 
 def main(options: argparse.Namespace) -> int:
     work: dict[str, Callable[[argparse.Namespace], int]] = {
-        "run": run, "replay": run, "check": check, "scenarios": scenarios,
-    }  # fmt: skip
+        "run": run,
+        "replay": run,
+        "check": check,
+        "scenarios": scenarios,
+    }
     try:
         return work[options.trial_command](options)
     except (ScenarioError, SeedError, TrialError, OSError) as error:
@@ -72,8 +78,10 @@
     """Raises `ScenarioError` for what one machine does not hold."""
     s = scenario
     for what, count, most in (
-        ("limiters", s.limiters, MOST_LIMITERS), ("agents", s.agents, MOST_AGENTS), ("boxes", s.boxes, MOST_BOXES),
-    ):  # fmt: skip
+        ("limiters", s.limiters, MOST_LIMITERS),
+        ("agents", s.agents, MOST_AGENTS),
+        ("boxes", s.boxes, MOST_BOXES),
+    ):
         if count > most:
             raise ScenarioError(f"{count} {what}: real processes on one machine are {most} at the most")
 
@@ -114,12 +122,21 @@
         return code
     made = outcome[0]
     if options.json:
-        print(msgspec.json.encode({
-            "verdict": made.verdict(), "result": made.result, "late": made.late, "late_rules": made.late_rules,
-            "links": made.links,
-            "processes": made.processes, "start_s": made.start_s, "commands": made.commands,
-            "unplayed": made.unplayed,
-        }).decode())  # fmt: skip
+        print(
+            msgspec.json.encode(
+                {
+                    "verdict": made.verdict(),
+                    "result": made.result,
+                    "late": made.late,
+                    "late_rules": made.late_rules,
+                    "links": made.links,
+                    "processes": made.processes,
+                    "start_s": made.start_s,
+                    "commands": made.commands,
+                    "unplayed": made.unplayed,
+                }
+            ).decode()
+        )
     else:
         print(made.text())
     if options.keep is not None:
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -51,7 +51,7 @@
         """Raises `ConfigError`."""
         if 0 < self.subset < LEAST_SUBSET:
             raise ConfigError(f"[routing] subset is {self.subset}: 0 for all boxes, or {LEAST_SUBSET} at least")
-        aim = min((c.aim for c in settings.classes), default=SECOND)
+        aim = min((c.latency_objective_ms for c in settings.request_classes), default=SECOND)
         return api.Routing(self.subset, self.away_ms / aim)
 
 
--- a/elderlock/control/desk.py
+++ b/elderlock/control/desk.py
@@ -72,9 +72,12 @@
         if self.records.merge(message.records):
             self._enforce()
         return m.Applied(
-            message.id, tuple(self.records), now,
-            self._face.out(self.records.drained("box")), self._face.open_requests(),
-        )  # fmt: skip
+            message.id,
+            tuple(self.records),
+            now,
+            self._face.out(self.records.drained("box")),
+            self._face.open_requests(),
+        )
 
     def _hello(self, visitor: Visitor, hello: m.Hello, now: float) -> m.Message:
         if m.VERSION not in hello.versions:
--- a/elderlock/control/overlay.py
+++ b/elderlock/control/overlay.py
@@ -28,7 +28,7 @@
 
     def _over(self, target: Target) -> Target:
         entry = target.entry
-        if entry.server not in self._drained or entry.state is not ServerState.RUNNING:
+        if entry.server_id not in self._drained or entry.state is not ServerState.RUNNING:
             return target
         return replace(target, entry=replace(entry, state=ServerState.DRAINING))
 
@@ -38,10 +38,10 @@
             self._told = {}
         self.version = listed.version
         for target in listed.targets:
-            if target.entry.state is ServerState.GONE:
-                self._told.pop(target.entry.server, None)
+            if target.entry.state is ServerState.REMOVED:
+                self._told.pop(target.entry.server_id, None)
             else:
-                self._told[target.entry.server] = target
+                self._told[target.entry.server_id] = target
         return replace(listed, targets=tuple(self._over(target) for target in listed.targets))
 
     def drain(self, drained: Iterable[str]) -> TargetList:
--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -20,7 +20,7 @@
     if not isinstance(limiter, ceilings.CeilingLimiter):
         return None
     quotas = limiter.quotas
-    most = ceilings.INTAKE_PART * limiter.core.settings.sources.peer_intake
+    most = ceilings.INTAKE_PART * limiter.core.settings.quota_sources.peer_messages_per_s
     return m.Ceilings(quotas.given, quotas.taken, quotas.away(), most)
 
 
@@ -34,13 +34,16 @@
         limiter, evidence = self._limiter, self._limiter.evidence
         heard_at = limiter.outliers.heard_at
         return m.Shared(
-            heard=limiter.heard, refused=limiter.refused, told=limiter.told,
-            told_most=INTAKE_PART * limiter.core.settings.sources.peer_intake,
+            heard=limiter.heard,
+            refused=limiter.refused,
+            told=limiter.told,
+            told_most=INTAKE_PART * limiter.core.settings.quota_sources.peer_messages_per_s,
             heard_age_ms=now - heard_at if heard_at > float("-inf") else -1.0,
-            counts_ms=FRESH, servers=len(evidence),
+            counts_ms=FRESH,
+            servers=len(evidence),
             disbelieved=tuple(evidence.disbelieved(len(limiter.boxes.listing.ready), now)),
             silent=evidence.doubts_itself(now),
-        )  # fmt: skip
+        )
 
     def shown(self) -> set[int]:
         """Keys of the servers whose evidence is shown."""
@@ -53,12 +56,12 @@
             return None
         ready = len(self._limiter.boxes.listing.ready)
         return m.Health(
-            self._limiter.evidence.failures(key(uid), ready, now), ENOUGH,
-            now - held.since if held is not None else -1.0, held.origins if held is not None else (),
-            tuple(
-                m.Witness(each.origin, self._zone(each.zone), each.failed_age, each.good_age) for each in rows
-            ),
-        )  # fmt: skip
+            self._limiter.evidence.failures(key(uid), ready, now),
+            ENOUGH,
+            now - held.since if held is not None else -1.0,
+            held.origins if held is not None else (),
+            tuple(m.Witness(each.origin, self._zone(each.zone), each.failed_age, each.good_age) for each in rows),
+        )
 
     def _zone(self, number: int) -> str:
         return self._zones[number] if number < len(self._zones) else "?"
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -20,7 +20,7 @@
 from elderlock.net.config import Config
 from elderlock.net.gateway import Command, Gateway
 from elderlock.net.targets import Target, TargetList
-from elderlock.state import NEVER, Server
+from elderlock.state import NEVER_MS, Server
 
 if TYPE_CHECKING:
     from elderlock.control.shared import SharedView
@@ -68,7 +68,7 @@
         self._overlay = Overlay()
         self._drained: dict[str, Record] = {}
         self._cordoned = False
-        self._list_at = NEVER
+        self._list_at = NEVER_MS
         self._reports: dict[str, tuple[bytes, float]] = {}  # as they came: read when somebody looks
         self.records: Callable[[], tuple[tuple[Record, ...], str]] = lambda: ((), "")
         self.owner: Callable[[], tuple[str, int]] = lambda: ("", 0)
@@ -105,7 +105,7 @@
 
     def out(self, boxes: Iterable[str]) -> dict[str, int]:
         servers = self._gateway.limiter.boxes.servers
-        return {uid: len(servers[uid].out) for uid in boxes if uid in servers}
+        return {uid: len(servers[uid].in_flight) for uid in boxes if uid in servers}
 
     def open_requests(self) -> int:
         return self._gateway.open_requests
@@ -122,18 +122,29 @@
         evident = self._shared.shown() if self._shared is not None else set()
         host, port = self._config.listen
         return m.State(
-            id=id, limiter=self.name, build=self.build, pid=self.pid,
+            id=id,
+            limiter=self.name,
+            build=self.build,
+            pid=self.pid,
             uptime_ms=now - self.started_at,
-            config_digest=self.digests[0], config_parts=self.digests[1],
-            listen=f"{host}:{port}", discovery=self._discovery(),
+            config_digest=self.digests[0],
+            config_parts=self.digests[1],
+            listen=f"{host}:{port}",
+            discovery=self._discovery(),
             list_version=self._overlay.version,
-            list_age_ms=now - self._list_at if self._list_at > NEVER else -1.0,
-            ready=gateway.has_list and not self._cordoned, drained=self._cordoned,
-            open=gateway.open_requests, clients=len(self._clients),
-            counts=figures.all, plans=figures.plans,
-            accounts=figures.accounts(accounts), accounts_known=figures.known(),
-            answer_p50_ms=figures.times.quantile(0.5), answer_p99_ms=figures.times.quantile(0.99),
-            log_sum=figures.log_sum, log_squares=figures.log_squares,
+            list_age_ms=now - self._list_at if self._list_at > NEVER_MS else -1.0,
+            ready=gateway.has_list and not self._cordoned,
+            drained=self._cordoned,
+            open=gateway.open_requests,
+            clients=len(self._clients),
+            counts=figures.all,
+            plans=figures.plans,
+            accounts=figures.accounts(accounts),
+            accounts_known=figures.known(),
+            answer_p50_ms=figures.times.quantile(0.5),
+            answer_p99_ms=figures.times.quantile(0.99),
+            log_sum=figures.log_sum,
+            log_squares=figures.log_squares,
             boxes=tuple(
                 self._box(uid, told, limiter.boxes.servers.get(uid), endpoints.get(uid, ("", 0))[1], evident, now)
                 for uid, told in sorted(self._overlay.told.items())
@@ -142,21 +153,27 @@
                 throttle.phase.name.lower(), throttle.leak_rate, limiter.admit_rate, limiter.answer_rate
             ),
             peers=tuple(
-                m.Peer(number, limiter.keepers.silent.get(number, NEVER) > now, limiter.keepers.missed.get(number, 0))
-                for number in range(self._config.settings.limiters)
-                if number != self._config.settings.number
+                m.Peer(
+                    number, limiter.keepers.silent.get(number, NEVER_MS) > now, limiter.keepers.missed.get(number, 0)
+                )
+                for number in range(self._config.settings.limiter_count)
+                if number != self._config.settings.limiter_index
             ),
-            records=records, records_digest=records_digest, owner=owner, owner_epoch=owner_epoch,
+            records=records,
+            records_digest=records_digest,
+            owner=owner,
+            owner_epoch=owner_epoch,
             counter=self._counter(accounts) if self._counter is not None else None,
-            shared=self._shared.summary(now) if self._shared is not None else None, ceilings=self._ceilings(),
-        )  # fmt: skip
+            shared=self._shared.summary(now) if self._shared is not None else None,
+            ceilings=self._ceilings(),
+        )
 
     def _box(
         self, uid: str, told: Target, server: Server | None, connections: int, evident: set[int], now: float
     ) -> m.Box:
         entry, record = told.entry, self._drained.get(uid)
         zones, kinds = self._config.socket_settings.zones, self._config.socket_settings.kinds
-        known = server is not None and server.known_at > NEVER
+        known = server is not None and server.latency_ratio_at_ms > NEVER_MS
         queue, reported_at = self._queue(uid)
         aim = self._gateway.limiter.core.aim
         return m.Box(
@@ -166,10 +183,10 @@
             kind=kinds[entry.kind] if entry.kind >= 0 else "?",
             weight=entry.weight,
             state=WORDS.get(entry.state, "gone"),
-            out=len(server.out) if server is not None else 0,
+            out=len(server.in_flight) if server is not None else 0,
             connections=connections,
-            latency_ms=server.stretch * aim if server is not None and known else -1.0,
-            latency_age_ms=now - server.known_at if server is not None and known else -1.0,
+            latency_ms=server.latency_ratio * aim if server is not None and known else -1.0,
+            latency_age_ms=now - server.latency_ratio_at_ms if server is not None and known else -1.0,
             queue=queue,
             report_age_ms=now - reported_at if queue >= 0 else -1.0,
             left_out=self._why(entry, server, record, now),
@@ -190,23 +207,24 @@
             return f"drained by {record.by}"
         if entry.state is not api.ServerState.RUNNING:
             return "discovery says it drains"
-        if server is None or server.gone:
+        if server is None or server.is_removed:
             return "another box has its address"
         rules = self._config.settings.rules
-        age = now - entry.started_at
-        if entry.started_at > 0 and age < rules.cold_time:
+        age = now - entry.started_at_ms
+        if entry.started_at_ms > 0 and age < rules.warm_up_ms:
             return f"cold, up for {max(age, 0.0) / 1000.0:.1f} s"
         if why := routed_away(self._gateway.limiter.boxes, server, now):
             return why
-        if server.wrong > FAILING:
+        if server.error_fraction > FAILING:
             return "failing: most of its answers are errors"
         return ""
 
 
 def routed_away(boxes: Boxes, server: Server, now: float) -> str:
     """Why the limiter's own routing sends it nothing; empty where it does."""
-    if server.left_out:
-        return f"{server.fails} failures in a row, back in {max(server.back_at - now, 0.0) / 1000.0:.1f} s"
-    if server.trial:
+    if server.is_ejected:
+        wait_s = max(server.reinstate_at_ms - now, 0.0) / 1000.0
+        return f"{server.consecutive_failures} failures in a row, back in {wait_s:.1f} s"
+    if server.is_on_probation:
         return "on trial, one request at a time"
-    return "" if boxes.subset.holds(server.entry.server) else "not in this limiter's subset"
+    return "" if boxes.subset.holds(server.entry.server_id) else "not in this limiter's subset"
--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -11,7 +11,7 @@
 from elderlock.decisions.load import Load
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.throttle import Throttle
-from elderlock.state import OpenRequest, Phase
+from elderlock.state import OpenRequest, ThrottlePhase
 
 MOST_CROWDING = 0.6  # aims of work out over what comes back, at which even the dearest work is held off
 CHEAPEST = 0.7  # of that for worthless work: a gentle slope, as the plan that fares worst counts by itself
@@ -25,9 +25,15 @@
     period."""
 
     def __init__(
-        self, core: Core, throttle: Throttle, load: Load, quotas: Quotas, attempts: Attempts,
-        requests: dict[str, OpenRequest], source: type[Keepers],
-    ) -> None:  # fmt: skip
+        self,
+        core: Core,
+        throttle: Throttle,
+        load: Load,
+        quotas: Quotas,
+        attempts: Attempts,
+        requests: dict[str, OpenRequest],
+        source: type[Keepers],
+    ) -> None:
         self.core, self.throttle, self.load, self.quotas, self.attempts = core, throttle, load, quotas, attempts
         self.requests = requests
         self.keepers = source(core, quotas, load, requests, self.decide)
@@ -35,35 +41,37 @@
         self.arrivals = self.offered = self.admitted = 0
         self.tick = TICK
         settings = core.settings
-        self.top_price = max([c.worth * p.price for c in settings.classes for p in settings.plans] + [1e-9])
+        self.top_price = max(
+            [c.priority_weight * p.price_weight for c in settings.request_classes for p in settings.plans] + [1e-9]
+        )
 
     def arrived(self, event: api.RequestArrived) -> None:
         core = self.core
-        name, settings, kinds = event.request, core.settings, range(len(core.settings.classes))
+        name, settings, kinds = event.request_id, core.settings, range(len(core.settings.request_classes))
         if event.plan_index not in range(len(settings.plans)) or event.class_index not in kinds:
-            core.actions.append(api.Refuse(name))
+            core.actions.append(api.Reject(name))
         if name in self.requests or core.actions:
             return
-        account, rclass = self.quotas.account(event), settings.classes[event.class_index]
+        account, rclass = self.quotas.account(event), settings.request_classes[event.class_index]
         self.arrivals += 1
         request = self.requests[name] = OpenRequest(event, rclass, account, core.now)
         if self.quotas.capped(account, event.units):
             self.attempts.close(request)
-        elif core.now < account.empty_until or 0 < account.plan.open_limit <= account.open:
+        elif core.now < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
             self._beyond(request)
         elif self._bucket_passes(request, True):
             self.keepers.read(request)
 
     def _beyond(self, request: OpenRequest) -> None:
-        plan, calm = request.account.plan, self.throttle.phase is Phase.NOT_OVERLOADED
-        if not (calm and plan.over_worth > plan.over_cost):
+        plan, calm = request.account.plan, self.throttle.phase is ThrottlePhase.NOT_OVERLOADED
+        if not (calm and plan.over_quota_value > plan.over_quota_cost):
             self.attempts.close(request)
         elif self._bucket_passes(request, False):
             self.first_send(request)
 
     def _bucket_passes(self, request: OpenRequest, inside: bool) -> bool:
         """Else it is refused. Crowding acts where load jumps."""
-        value = request.rclass.worth * request.account.plan.price / self.top_price
+        value = request.request_class.priority_weight * request.account.plan.price_weight / self.top_price
         most = MOST_CROWDING * (CHEAPEST + (1.0 - CHEAPEST) * value) * (1.0 if inside else 0.5)
         passes = self.load.crowding() <= most and self.throttle.passes(inside, value, self.core.now)
         if not passes:
@@ -73,7 +81,7 @@
 
     def decide(self, request: OpenRequest, inside: bool) -> None:
         """What a reading, or the bucket without one, says of it."""
-        request.inside = inside
+        request.is_within_quota = inside
         if inside:
             self.offered += 1
             return self.first_send(request)
@@ -84,13 +92,13 @@
     def first_send(self, request: OpenRequest) -> None:
         account, server = request.account, self.attempts.choice.choose(request)
         self.quotas.refresh(account)
-        left = request.event.give_up_at - request.arrived - 2 * self.tick
-        wait = min(HOLD_AIMS * request.rclass.aim, left)
-        late = self.core.now - request.arrived >= wait
-        if self.quotas.capped(account, request.event.units) or (server is None and late):
+        left = request.arrival.deadline_ms - request.arrived_at_ms - 2 * self.tick
+        wait = min(HOLD_AIMS * request.request_class.latency_objective_ms, left)
+        late = self.core.now - request.arrived_at_ms >= wait
+        if self.quotas.capped(account, request.arrival.units) or (server is None and late):
             self.attempts.close(request)
         elif server is None:
-            self.held.append(request.event.request)
+            self.held.append(request.arrival.request_id)
         else:
             self.admitted += 1
             self.quotas.take(request)
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -9,7 +9,7 @@
 from elderlock.decisions.load import Load
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.throttle import CONTROL_PERIOD
-from elderlock.interface import Effect, Outcome
+from elderlock.interface import Idempotency, Outcome
 from elderlock.state import Account, Attempt, OpenRequest, Server
 
 EXTRA_PER_SEND, EXTRA_MOST = 0.15, 12.0  # further attempts earned by each first send, and kept at most
@@ -30,40 +30,48 @@
 
     def send(self, request: OpenRequest, server: Server) -> None:
         core = self.core
-        server.out[request.event.request, len(request.attempts)] = core.now
+        server.in_flight[request.arrival.request_id, len(request.attempts)] = core.now
         request.attempts.append(Attempt(server, core.now))
         self.boxes.sent(server)
         self.load.out += 1
-        asked = type(request.event) is api.PermissionAsked
-        action = api.Permit if asked else api.Send
-        core.actions.append(action(request.event.request, server.entry.server, self._patience(request)))
-        request.answered = asked  # a permission is the one final answer: no further attempt is ours to make
+        asked = type(request.arrival) is api.PermitRequested
+        action = api.Permit if asked else api.SendAttempt
+        core.actions.append(action(request.arrival.request_id, server.entry.server_id, self._patience(request)))
+        request.is_answered = asked  # a permission is the one final answer: no further attempt is ours to make
 
     def first_sent(self) -> None:
         self.extra = min(EXTRA_MOST, self.extra + EXTRA_PER_SEND)
 
     def ended(self, event: api.AttemptEnded) -> None:
-        request = self.requests.get(event.request)
-        named = request.attempts[event.attempt : event.attempt + 1] if request and event.attempt >= 0 else []
-        if request is None or not named or named[0].over:
+        request = self.requests.get(event.request_id)
+        named = (
+            request.attempts[event.attempt_index : event.attempt_index + 1]
+            if request and event.attempt_index >= 0
+            else []
+        )
+        if request is None or not named or named[0].has_ended:
             return
         attempt, account = named[0], request.account
-        attempt.over = True
+        attempt.has_ended = True
         self.load.out -= 1
-        attempt.may_have_run = event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        attempt.may_have_run = event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
         self.boxes.learn(attempt.server, request, event)
         self.quotas.metered(account, event.meter)
-        if event.true_units > 0 and request.inside and self.core.settings.sources.settled_after:
-            self.quotas.settle(account, event.true_units - request.event.units)
-        if type(request.event) is api.PermissionAsked:
-            self.answers += event.outcome is Outcome.OK and event.took <= request.rclass.aim
-            if event.outcome is Outcome.MOOT:
+        if event.settled_units > 0 and request.is_within_quota and self.core.settings.quota_sources.cost_known_after:
+            self.quotas.settle(account, event.settled_units - request.arrival.units)
+        if type(request.arrival) is api.PermitRequested:
+            self.answers += (
+                event.outcome is Outcome.OK and event.duration_ms <= request.request_class.latency_objective_ms
+            )
+            if event.outcome is Outcome.NOT_FORWARDED:
                 self.quotas.give_back(request)
             self._drop_if_over(request)
-        elif event.answered and not request.answered:
-            self.answers += event.outcome is Outcome.OK and event.took <= request.rclass.aim
+        elif event.is_answered and not request.is_answered:
+            self.answers += (
+                event.outcome is Outcome.OK and event.duration_ms <= request.request_class.latency_objective_ms
+            )
             self.finish(request)
-        elif not request.answered and not request.out():
+        elif not request.is_answered and not request.has_attempt_in_flight():
             self._again(request, attempt.may_have_run)
         else:
             self._drop_if_over(request)
@@ -71,12 +79,12 @@
     def _again(self, request: OpenRequest, ran: bool) -> None:
         """No attempt is out and none has answered: try another server, or give the final answer."""
         core = self.core
-        in_time = self._patience(request) > 2 * core.settings.tick and not request.streaming
+        in_time = self._patience(request) > 2 * core.settings.clock_tick_ms and not request.is_streaming
         if not any(a.may_have_run for a in request.attempts):
             # a refusal is worth more to a client while it has time to ask elsewhere
-            time = request.event.give_up_at - request.arrived
-            in_time = in_time and core.now - request.arrived < UNSEEN_UNTIL * time
-        fewer = self.extra >= 1.0 and len(request.attempts) < core.settings.allow.max_attempts
+            time = request.arrival.deadline_ms - request.arrived_at_ms
+            in_time = in_time and core.now - request.arrived_at_ms < UNSEEN_UNTIL * time
+        fewer = self.extra >= 1.0 and len(request.attempts) < core.settings.capabilities.max_attempts
         server = self.choice.choose(request) if in_time and fewer else None
         if server is None:
             return self.close(request)
@@ -85,36 +93,46 @@
 
     def _patience(self, request: OpenRequest) -> float:
         """How long an answer is waited for: past the aim it may earn nothing and keep others waiting."""
-        left, rclass = request.event.give_up_at - self.core.now, request.rclass
-        early = rclass.effect is Effect.SAFE and rclass.late_worth <= 0 and not rclass.stream
-        return max(1.0, min(left, request.arrived + rclass.aim - self.core.now) if early else left)
+        left, rclass = request.arrival.deadline_ms - self.core.now, request.request_class
+        early = (
+            rclass.idempotency is Idempotency.IDEMPOTENT
+            and rclass.late_priority_weight <= 0
+            and not rclass.is_streaming
+        )
+        return max(
+            1.0, min(left, request.arrived_at_ms + rclass.latency_objective_ms - self.core.now) if early else left
+        )
 
     def close(self, request: OpenRequest) -> None:
         """The one final answer: a refusal where no attempt can have run, else a failure."""
-        if not request.answered and not request.streaming:
-            name, allow = request.event.request, self.core.settings.allow
+        if not request.is_answered and not request.is_streaming:
+            name, allow = request.arrival.request_id, self.core.settings.capabilities
             run = any(a.may_have_run for a in request.attempts)
-            wait = self._advice(request.account) if allow.retry_after else 0.0
-            self.core.actions.append(api.Fail(name) if run else api.Refuse(name, wait))
+            wait = self._advice(request.account) if allow.can_send_retry_after else 0.0
+            self.core.actions.append(api.Fail(name) if run else api.Reject(name, wait))
             self.finish(request)
 
     def _advice(self, account: Account) -> float:
         """When to come back: once the quota has room by what its keeper told, else after a control period."""
         settings = self.core.settings
-        wait = account.empty_until - self.core.now
-        wait = max(wait, settings.tick) if wait > 0 else CONTROL_PERIOD
-        return min(wait, settings.allow.max_retry_after)
+        wait = account.exhausted_until_ms - self.core.now
+        wait = max(wait, settings.clock_tick_ms) if wait > 0 else CONTROL_PERIOD
+        return min(wait, settings.capabilities.max_retry_after_ms)
 
     def finish(self, request: OpenRequest) -> None:
-        if not request.answered and self.core.settings.allow.cancel:
+        if not request.is_answered and self.core.settings.capabilities.can_cancel:
             for number, attempt in enumerate(request.attempts):
-                if not attempt.over:
-                    self.core.actions.append(api.Cancel(request.event.request, number))
-        request.answered = True
+                if not attempt.has_ended:
+                    self.core.actions.append(api.CancelAttempt(request.arrival.request_id, number))
+        request.is_answered = True
         self._drop_if_over(request)
 
     def _drop_if_over(self, request: OpenRequest) -> None:
-        if not request.answered or request.out() or self.requests.pop(request.event.request, None) is None:
+        if (
+            not request.is_answered
+            or request.has_attempt_in_flight()
+            or self.requests.pop(request.arrival.request_id, None) is None
+        ):
             return
         if request.attempts:
-            request.account.open = max(0, request.account.open - 1)
+            request.account.in_flight = max(0, request.account.in_flight - 1)
--- a/elderlock/decisions/boxes.py
+++ b/elderlock/decisions/boxes.py
@@ -13,7 +13,7 @@
 from elderlock.decisions.subset import Subset
 from elderlock.decisions.throttle import CONTROL_PERIOD, GOAL_LOAD_LEVEL
 from elderlock.interface import ListKind, Outcome
-from elderlock.state import NEVER, OpenRequest, Server
+from elderlock.state import NEVER_MS, OpenRequest, Server
 from elderlock.structures.listing import MASS, Listing
 from elderlock.structures.roster import Roster
 
@@ -32,11 +32,11 @@
     def __init__(self, core: Core, load: Load, quotas: Quotas) -> None:
         self.core, self.load, self.quotas = core, load, quotas
         settings = core.settings
-        self.subset = Subset(settings.number, settings.limiters, settings.routing.subset)
+        self.subset = Subset(settings.limiter_index, settings.limiter_count, settings.routing.subset_size)
         self.outliers = Outliers(core)
-        self.listing = Listing(settings.rules.cold_time)
+        self.listing = Listing(settings.rules.warm_up_ms)
         self.servers = self.listing.servers
-        self.by_rank = [0] * settings.limiters  # ready ones that are not left out, by our rank in the subset
+        self.by_rank = [0] * settings.limiter_count  # ready ones that are not left out, by our rank in the subset
         self.open = Roster()
         self.parked: list[tuple[float, int, Server]] = []  # cold ones, by when they are looked at
         self.parkings = 0
@@ -54,12 +54,12 @@
         self.asked_at = core.now
         left, joined = self.listing.take(event, core.now, core.rng)
         for server in left:
-            self.by_rank[ranking.rank(server.entry.server)] -= not server.left_out
-            ranking.remove(server.entry.server)
+            self.by_rank[ranking.rank(server.entry.server_id)] -= not server.is_ejected
+            ranking.remove(server.entry.server_id)
             self.outliers.forget(server)
             self.open.put(server, 0)
         for server in joined:
-            self.subset.add(server.entry.server, server.mass)
+            self.subset.add(server.entry.server_id, server.weight_milli)
             self._let_in(server)
         for server in self.outliers.trim(self.listing.mass):
             self._let_in(server)
@@ -75,12 +75,14 @@
 
     def place(self, server: Server) -> None:
         """Puts it where it belongs after whatever changed of it."""
-        name, weight = server.entry.server, 0
-        if self.subset.holds(name) and not (server.leaving or server.left_out or (server.trial and server.out)):
+        name, weight = server.entry.server_id, 0
+        if self.subset.holds(name) and not (
+            server.is_draining or server.is_ejected or (server.is_on_probation and server.in_flight)
+        ):
             if (wait := self.cold_wait(server)) <= 0.0:
-                weight = self.subset.weight(name, server.mass * self.coldness(server))
-            if name in self.listing.young and not server.parked:
-                server.parked = True
+                weight = self.subset.weight(name, server.weight_milli * self.coldness(server))
+            if name in self.listing.young and not server.awaits_review:
+                server.awaits_review = True
                 self.parkings += 1
                 heapq.heappush(self.parked, (self.core.now + max(abs(wait), COLD_LOOK), self.parkings, server))
         self.open.put(server, weight)
@@ -89,107 +91,112 @@
         """Before a choice: whoever's time has come may be drawn again."""
         while self.parked and self.parked[0][0] <= self.core.now:
             server = heapq.heappop(self.parked)[2]
-            server.parked = False
+            server.awaits_review = False
             self.place(server)
         for server in self.outliers.back():
             self._let_in(server)
 
     def _let_in(self, server: Server) -> None:
-        self.by_rank[self.subset.ranking.rank(server.entry.server)] += 1
+        self.by_rank[self.subset.ranking.rank(server.entry.server_id)] += 1
         self.place(server)
 
     def sent(self, server: Server) -> None:
         """An attempt went there."""
-        if self.coldness(server) < 1.0 or server.trial:
-            server.cold_room -= 1.0  # which a warm one is not asked for
+        if self.coldness(server) < 1.0 or server.is_on_probation:
+            server.warm_up_budget -= 1.0  # which a warm one is not asked for
             self.place(server)
 
     # Beliefs
 
     def coldness(self, server: Server) -> float:
         """The least share of its capacity that a young server has; 1 when it is warm."""
-        rules, age = self.core.settings.rules, self.core.now - server.entry.started_at
-        if server.entry.started_at <= 0 or age >= rules.cold_time:
+        rules, age = self.core.settings.rules, self.core.now - server.entry.started_at_ms
+        if server.entry.started_at_ms <= 0 or age >= rules.warm_up_ms:
             return 1.0
-        return rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age) / rules.cold_time
+        return (
+            rules.warm_up_initial_fraction + (1.0 - rules.warm_up_initial_fraction) * max(0.0, age) / rules.warm_up_ms
+        )
 
     def cold_wait(self, server: Server) -> float:
         """How long (ms) till our part of a cold server's budget has room for one more, or till that is worth a look:
         what warm ones bear of all, less what chance may add. Where it has room, not above 0: till that may lapse."""
         core = self.core
-        share, rules, count = self.coldness(server), core.settings.rules, core.settings.limiters
+        share, rules, count = self.coldness(server), core.settings.rules, core.settings.limiter_count
         if share >= 1.0:
             return 0.0
         bears = max(self.warm_rate * server.entry.weight * count, self.load.least_rate * count)
-        budget = bears * share * rules.fall_multiple * rules.fall_window / SECOND
+        budget = bears * share * rules.overload_multiple * rules.overload_window_ms / SECOND
         sharing = self.subset.sharing()
         spaced = budget - COLD_CHANCE * sqrt(sharing / 12.0)  # few limiters send evenly, many at random
         random_part = (sqrt(COLD_CHANCE**2 / 4.0 + budget) - COLD_CHANCE / 2.0) ** 2
         part = max(COLD_PART * max(spaced, random_part) / sharing, 1e-6)
-        room = server.cold_room + part / rules.fall_window * (core.now - server.cold_at)
+        room = server.warm_up_budget + part / rules.overload_window_ms * (core.now - server.warm_up_budget_at_ms)
         if room > (most := max(1.0 + COLD_KEPT * part, part)):
             room = most if part >= 1.0 else room % 1.0 + (room % 1.0 < COLD_KEPT * part)
-        server.cold_room, server.cold_at = room, core.now
-        wait = ((most if room >= 1.0 - 1e-9 else 1.0) - room) / part * rules.fall_window
+        server.warm_up_budget, server.warm_up_budget_at_ms = room, core.now
+        wait = ((most if room >= 1.0 - 1e-9 else 1.0) - room) / part * rules.overload_window_ms
         return copysign(min(max(wait, COLD_LOOK), CONTROL_PERIOD / 4), 1.0 - 1e-9 - room)
 
     def estimate(self, server: Server) -> float:
         """Its latency in aims: what is known of it as far as that is fresh, else what its kind takes."""
         usual = self.usual.get(server.entry.kind, GOAL_LOAD_LEVEL / 2)
-        return usual + exp((server.known_at - self.core.now) / KNOWN_FOR) * (server.stretch - usual)
+        return usual + exp((server.latency_ratio_at_ms - self.core.now) / KNOWN_FOR) * (server.latency_ratio - usual)
 
     def learn(self, server: Server, request: OpenRequest, event: api.AttemptEnded) -> None:
         """What the end of an attempt tells of its server, its kind and its neighbours."""
         core = self.core
-        server.out.pop((event.request, event.attempt), None)
-        aim, outcome, plan = request.rclass.aim, event.outcome, request.event.plan_index
+        server.in_flight.pop((event.request_id, event.attempt_index), None)
+        aim, outcome, plan = request.request_class.latency_objective_ms, event.outcome, request.arrival.plan_index
         # one that answered others while this waited is slow, not dead: held for dead, each server that
         # fell behind would be left by all at once, and the rest would fall behind in turn
-        silent = outcome is Outcome.TIMEOUT and server.answered_at <= core.now - event.took
+        silent = outcome is Outcome.TIMEOUT and server.answered_at_ms <= core.now - event.duration_ms
         failed = silent or outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
         if outcome in (Outcome.OK, Outcome.ERROR):
             # an error tells nothing of speed, and all servers may give some alike: taken for a latency it
             # would leave out all but those that erred longest ago, and these few would drown
-            before = server.wrong * exp((server.wrong_at - core.now) / KNOWN_FOR)
+            before = server.error_fraction * exp((server.error_fraction_at_ms - core.now) / KNOWN_FOR)
             wrong = outcome is Outcome.ERROR
-            server.wrong, server.wrong_at = before + 2 * LATENCY_WEIGHT * (wrong - before), core.now
+            server.error_fraction, server.error_fraction_at_ms = (
+                before + 2 * LATENCY_WEIGHT * (wrong - before),
+                core.now,
+            )
         slow = outcome is Outcome.TIMEOUT
         if outcome is Outcome.OK:
-            server.answered_at = core.now
-            server.full_plans &= ~(1 << plan)
-            usual = self.usual.get(server.entry.kind, event.took / aim)
-            self.usual[server.entry.kind] = usual + LATENCY_WEIGHT / 2 * (event.took / aim - usual)
-            self.quotas.latency += LATENCY_WEIGHT / 2 * (event.took - self.quotas.latency)
+            server.answered_at_ms = core.now
+            server.full_plan_bits &= ~(1 << plan)
+            usual = self.usual.get(server.entry.kind, event.duration_ms / aim)
+            self.usual[server.entry.kind] = usual + LATENCY_WEIGHT / 2 * (event.duration_ms / aim - usual)
+            self.quotas.latency += LATENCY_WEIGHT / 2 * (event.duration_ms - self.quotas.latency)
         elif outcome is Outcome.FULL:  # told to one plan alone it is no load: the plan goes elsewhere
-            server.full_plans |= 1 << plan
-            server.full_at = server.answered_at = self.full_at[plan] = core.now
+            server.full_plan_bits |= 1 << plan
+            server.full_at_ms = server.answered_at_ms = self.full_at[plan] = core.now
             others = [at for other, at in self.full_at.items() if other != plan]
-            slow = len(core.settings.plans) == 1 or core.now - max(others, default=NEVER) < FRESH_FOR
+            slow = len(core.settings.plans) == 1 or core.now - max(others, default=NEVER_MS) < FRESH_FOR
         if failed or outcome is Outcome.OK:
-            for group in server.groups():
+            for group in server.failure_domains():
                 before = self.failing.get(group, 0.0)
                 if failed or before:  # empty on a calm day, when nobody has to look into it
                     self.failing[group] = before + 2 * LATENCY_WEIGHT * (failed - before)
-        if failed or slow or (outcome is Outcome.OK and not request.streaming):  # errors are no health
-            stretch = max(event.took / aim, float(slow))
-            before, server.known_at = self.estimate(server), core.now
+        if failed or slow or (outcome is Outcome.OK and not request.is_streaming):  # errors are no health
+            stretch = max(event.duration_ms / aim, float(slow))
+            before, server.latency_ratio_at_ms = self.estimate(server), core.now
             weight = LATENCY_WEIGHT * (1 + failed)
-            server.stretch = before + weight * (max(stretch, FAILURE * failed) - before)
+            server.latency_ratio = before + weight * (max(stretch, FAILURE * failed) - before)
             if slow or not failed:
                 self.load.sample(stretch)
-        if failed or server.fails or server.trial:
+        if failed or server.consecutive_failures or server.is_on_probation:
             self._weigh_out(server, failed, outcome)
 
     def _weigh_out(self, server: Server, failed: bool, outcome: Outcome) -> None:
-        if server.leaving:
+        if server.is_draining:
             return
-        before = server.left_out
+        before = server.is_ejected
         if failed:
             for other in self.outliers.failed(server, len(self.listing.ready), self.listing.mass):
                 self._let_in(other)
         elif outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):  # an answer, of whatever kind
             self.outliers.good(server)
-        self.by_rank[self.subset.ranking.rank(server.entry.server)] += before - server.left_out
+        self.by_rank[self.subset.ranking.rank(server.entry.server_id)] += before - server.is_ejected
         self.place(server)
 
     # Upkeep
--- a/elderlock/decisions/choice.py
+++ b/elderlock/decisions/choice.py
@@ -6,7 +6,7 @@
 
 from elderlock.decisions.boxes import FULL_FOR, KNOWN_FOR, Boxes
 from elderlock.decisions.core import Core
-from elderlock.interface import Effect, Group
+from elderlock.interface import DeduplicationScope, Idempotency
 from elderlock.state import OpenRequest, Server
 
 WHOLE = 16  # up to so many all are weighed
@@ -20,12 +20,12 @@
 
     def __init__(self, core: Core, boxes: Boxes) -> None:
         self.core, self.boxes = core, boxes
-        self.away = core.settings.routing.away
+        self.away = core.settings.routing.cross_zone_penalty
 
     def choose(self, request: OpenRequest) -> Server | None:
         """The cheapest of those drawn; None where no box may be sent to now."""
         self.boxes.settle()
-        tried = {a.server.entry.server for a in request.attempts}
+        tried = {a.server.entry.server_id for a in request.attempts}
         best, least = None, inf
         for server in self._pool(request):  # the first of the cheapest, as min() would give
             cost = self.cost(server, request, tried, least)
@@ -36,15 +36,19 @@
     def _pool(self, request: OpenRequest) -> list[Server]:
         roster = self.boxes.open
         source = roster.all
-        run, rclass = [a for a in request.attempts if a.may_have_run], request.rclass
-        if run and rclass.effect is not Effect.SAFE:  # the second rule
-            window = rclass.window - self.core.settings.tick - self.core.settings.allow.dial
-            if rclass.effect is Effect.UNSAFE or self.core.now - run[0].sent_at >= window:
+        run, rclass = [a for a in request.attempts if a.may_have_run], request.request_class
+        if run and rclass.idempotency is not Idempotency.IDEMPOTENT:  # the second rule
+            window = (
+                rclass.deduplication_window_ms
+                - self.core.settings.clock_tick_ms
+                - self.core.settings.capabilities.connect_timeout_ms
+            )
+            if rclass.idempotency is Idempotency.NOT_IDEMPOTENT or self.core.now - run[0].sent_at_ms >= window:
                 return []
             first = run[0].server.entry
-            if rclass.group is Group.CELL:
+            if rclass.deduplication_scope is DeduplicationScope.CELL:
                 return list(roster.cells.get(first.cell, ()))
-            if rclass.group is Group.ZONE:
+            if rclass.deduplication_scope is DeduplicationScope.ZONE:
                 if first.zone not in roster.zones:
                     return []
                 source = roster.zones[first.zone]
@@ -59,20 +63,22 @@
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = inf) -> float:
         """What is zero on a calm day is not computed, nor what would only add to one that is no longer the `least`."""
-        core, boxes, under_way = self.core, self.boxes, 1.0 + len(server.out)
+        core, boxes, under_way = self.core, self.boxes, 1.0 + len(server.in_flight)
         stretch = boxes.estimate(server)
         if self.away and server.entry.zone != core.settings.zone:
             stretch += self.away
         if stretch * under_way >= least:
             return inf
         suspicion = 0.0
-        if server.out:
-            stretch = max(stretch, server.silence(core.now) / core.aim)
+        if server.in_flight:
+            stretch = max(stretch, server.unanswered_ms(core.now) / core.aim)
         if boxes.failing:
-            suspicion = max(boxes.failing.get(group, 0.0) for group in server.groups())
-        if server.wrong:
-            suspicion = max(suspicion, server.wrong * exp((server.wrong_at - core.now) / KNOWN_FOR))
+            suspicion = max(boxes.failing.get(group, 0.0) for group in server.failure_domains())
+        if server.error_fraction:
+            suspicion = max(
+                suspicion, server.error_fraction * exp((server.error_fraction_at_ms - core.now) / KNOWN_FOR)
+            )
         cost = stretch * under_way * (1.0 + SUSPECT * suspicion**2 + 0.05 * core.rng.random())
-        if server.full_plans >> request.event.plan_index & 1 and core.now - server.full_at < FULL_FOR:
+        if server.full_plan_bits >> request.arrival.plan_index & 1 and core.now - server.full_at_ms < FULL_FOR:
             return cost * AVOIDED
-        return cost * AVOIDED if tried and server.entry.server in tried else cost
+        return cost * AVOIDED if tried and server.entry.server_id in tried else cost
--- a/elderlock/decisions/core.py
+++ b/elderlock/decisions/core.py
@@ -18,7 +18,7 @@
         self.settings, self.rng = settings, random.Random(seed)
         self.now = self.started = now
         self.actions: list[api.Action] = []
-        self.aim = min([c.aim for c in settings.classes], default=SECOND)
+        self.aim = min([c.latency_objective_ms for c in settings.request_classes], default=SECOND)
         self.timers = Timers()
 
     def timer(self, wait: float, question: int | None = None) -> Timer:
--- a/elderlock/decisions/keepers.py
+++ b/elderlock/decisions/keepers.py
@@ -12,7 +12,7 @@
 from elderlock.decisions.core import SECOND, Core
 from elderlock.decisions.load import Load
 from elderlock.decisions.quotas import FORGET_AFTER, RATE_SPAN, Quotas
-from elderlock.state import NEVER, Account, Ledger, OpenRequest
+from elderlock.state import NEVER_MS, Account, OpenRequest, QuotaLedger
 from elderlock.structures.aging import Aging
 from elderlock.structures.timers import Timer
 
@@ -32,11 +32,15 @@
     quotas_of: type[Quotas] = Quotas
 
     def __init__(
-        self, core: Core, quotas: Quotas, load: Load, requests: dict[str, OpenRequest],
+        self,
+        core: Core,
+        quotas: Quotas,
+        load: Load,
+        requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.core, self.quotas, self.load, self.requests, self.decide = core, quotas, load, requests, decide
-        self.ledgers: dict[int, Ledger] = {}
+        self.ledgers: dict[int, QuotaLedger] = {}
         self.aging = Aging(FORGET_AFTER)
         self.questions: dict[int, tuple[str, int, int, bool, Timer]] = {}  # request, keeper, belief, again
         self.missed: dict[int, int] = {}  # questions in a row that a keeper left open
@@ -44,18 +48,18 @@
         self.unreported: dict[int, float] = {}  # units let in by customer that its keeper has not been told
         self.reported_at = core.now
         self.asked = 0  # the number of the last question
-        self.mail_room = core.settings.sources.peer_intake / 4
+        self.mail_room = core.settings.quota_sources.peer_messages_per_s / 4
 
     # Our own customers
 
     def read(self, request: OpenRequest) -> None:
         """Gets the latest reading of the customer's use, at the request itself where it can be had."""
-        account, event, keeper = request.account, request.event, self.keeper(request.account)
+        account, event, keeper = request.account, request.arrival, self.keeper(request.account)
         belief = self._belief(account)
-        if keeper == self.core.settings.number:
+        if keeper == self.core.settings.limiter_index:
             ledger = self._ledger(account.key, account.plan, belief)
             granted = self._grants(ledger, event.units)
-            self._reading(request, granted, ledger.level, ledger.rate)
+            self._reading(request, granted, ledger.level_units, ledger.rate_per_s)
         elif keeper is not None and self._may_ask(account):
             self._ask(request, keeper, belief, False)
         else:
@@ -63,38 +67,40 @@
 
     def _belief(self, account: Account) -> int:
         """A store that another keeper takes over opens as last heard of."""
-        part = account.store / (account.plan.burst or 1.0)
-        return min(254, words.byte(part * 254)) if account.reading_at > NEVER else words.UNKNOWN
+        part = account.shared_units / (account.plan.burst_units or 1.0)
+        return min(254, words.byte(part * 254)) if account.reading_at_ms > NEVER_MS else words.UNKNOWN
 
     def _may_ask(self, account: Account) -> bool:
         """Mail is short where requests are many: then most of it is for customers near their quota. The
         others are let in by the last reading, and their use is reported a little later."""
-        most = self.core.settings.sources.peer_intake / 4
+        most = self.core.settings.quota_sources.peer_messages_per_s / 4
         return self.mail_room >= max(1.0, (CALM_PART if self._calm(account) else ANSWER_PART) * most)
 
     def _calm(self, account: Account) -> bool:
         """Whether much is left also if each of its other limiters let in unseen as much as we did."""
-        unseen = self.unreported.get(account.key, 0.0) * (account.spread - 1)
-        return account.plan.open_limit <= 0 and account.store - unseen > COMFORT * account.plan.burst
+        unseen = self.unreported.get(account.key, 0.0) * (account.limiter_count - 1)
+        return (
+            account.plan.concurrency_limit <= 0 and account.shared_units - unseen > COMFORT * account.plan.burst_units
+        )
 
     def _ask(self, request: OpenRequest, keeper: int, belief: int, again: bool) -> None:
-        core, event = self.core, request.event
+        core, event = self.core, request.arrival
         self.asked = number = (self.asked + 1) % (1 << 16)
-        left = event.give_up_at - core.now - 2 * core.settings.tick  # an answer comes after it
+        left = event.deadline_ms - core.now - 2 * core.settings.clock_tick_ms  # an answer comes after it
         timer = core.timer(min(max(ASK_AIMS * core.aim, LEAST_ASK), left), number)
-        self.questions[number] = (event.request, keeper, belief, again, timer)
+        self.questions[number] = (event.request_id, keeper, belief, again, timer)
         told = request.account.key, words.ASK, event.plan_index, event.units * 4, belief, number
         self._post(keeper, words.single(self.load.latest_byte(), *told))
 
     def keeper(self, account: Account) -> int | None:
         """By the customer, so that all its limiters agree; the next in the row while that is silent."""
         settings = self.core.settings
-        count, number = settings.limiters, settings.number
-        if account.spread <= 1:
+        count, number = settings.limiter_count, settings.limiter_index
+        if account.limiter_count <= 1:
             return number
-        for turn in range(2 * settings.allow.peers):
-            keeper = (account.first + (account.key + turn) % account.spread) % count
-            if keeper == number or self.core.now >= self.silent.get(keeper, NEVER):
+        for turn in range(2 * settings.capabilities.can_message_peers):
+            keeper = (account.first_limiter + (account.key + turn) % account.limiter_count) % count
+            if keeper == number or self.core.now >= self.silent.get(keeper, NEVER_MS):
                 return keeper
         return None
 
@@ -115,7 +121,7 @@
     def _decide_alone(self, request: OpenRequest, kept: bool) -> None:
         """Without a reading of this moment. What is let in reaches the keeper with the next report: it
         left a question open where it had no mail for an answer, and has counted nothing then."""
-        account, units = request.account, request.event.units
+        account, units = request.account, request.arrival.units
         inside = (kept and self._calm(account)) or self.quotas.inside(account, units)
         if inside and kept:
             self.unreported[account.key] = self.unreported.get(account.key, 0.0) + units
@@ -123,16 +129,16 @@
 
     def _reading(self, request: OpenRequest, granted: bool, level: float, rate: float) -> None:
         """Takes in a reading; the units it grants fill the bucket, as nobody else may spend them."""
-        account, units = request.account, request.event.units
+        account, units = request.account, request.arrival.units
         self.quotas.read_level(account, level, rate)
         if granted:
-            account.store, account.bucket = level + units, max(account.bucket, 0.0) + units
-        elif account.plan.rate > 0:
+            account.shared_units, account.bucket_units = level + units, max(account.bucket_units, 0.0) + units
+        elif account.plan.rate_per_s > 0:
             # until our share of what comes in is enough for this: were all its limiters to ask as soon as
             # one request's worth has come in, most would ask in vain and take up the keeper's mail
-            both = account.own_rate + account.others_rate
-            share = max(account.own_rate / both if both > 0 else 1.0, 1.0 / account.spread)
-            account.empty_until = self.core.now + (units - level) / (account.plan.rate * share) * SECOND
+            both = account.own_rate_per_s + account.others_rate_per_s
+            share = max(account.own_rate_per_s / both if both > 0 else 1.0, 1.0 / account.limiter_count)
+            account.exhausted_until_ms = self.core.now + (units - level) / (account.plan.rate_per_s * share) * SECOND
         self.decide(request, granted)
 
     def counted(self, event: api.CounterAnswered) -> None: ...  # for what takes the keepers' place
@@ -145,7 +151,7 @@
 
     def fill_mail(self, elapsed: float) -> None:
         """`elapsed` in ms."""
-        intake = self.core.settings.sources.peer_intake
+        intake = self.core.settings.quota_sources.peer_messages_per_s
         self.mail_room = min(self.mail_room + MAIL_PART * intake * elapsed / SECOND, intake / 4)
 
     def _report(self) -> None:
@@ -158,7 +164,7 @@
             keeper = self.keeper(account) if account else None
             if account is None or keeper is None:
                 continue
-            if keeper == core.settings.number:
+            if keeper == core.settings.limiter_index:
                 self._spend(self._ledger(key, account.plan, words.UNKNOWN), units)
                 continue
             belief, plan = self._belief(account), core.settings.plans.index(account.plan) % 256
@@ -174,8 +180,8 @@
     # What others say
 
     def told(self, event: api.PeerMessage) -> None:
-        sender, said = event.sender, words.read(event.data)
-        if said is None or sender not in range(self.core.settings.limiters):
+        sender, said = event.sender_index, words.read(event.payload)
+        if said is None or sender not in range(self.core.settings.limiter_count):
             return
         self.missed.pop(sender, None)
         self.silent.pop(sender, None)
@@ -191,7 +197,9 @@
                 for key, level, rate in rows:
                     if (account := self.quotas.accounts.get(key)) is not None:
                         plan, since = account.plan, self.unreported.get(key, 0.0)
-                        self.quotas.read_level(account, level / 254 * plan.burst - since, rate / 254 * 8 * plan.rate)
+                        self.quotas.read_level(
+                            account, level / 254 * plan.burst_units - since, rate / 254 * 8 * plan.rate_per_s
+                        )
 
     def _asked(self, sender: int, question: words.Single) -> None:
         plans = self.core.settings.plans
@@ -202,9 +210,12 @@
             self._post(sender, words.single(self.load.latest_byte(), *told))
 
     @staticmethod
-    def _level(ledger: Ledger) -> tuple[int, int]:
+    def _level(ledger: QuotaLedger) -> tuple[int, int]:
         """Level and rate as bytes."""
-        level, rate = ledger.level / (ledger.plan.burst or 1.0), ledger.rate / (ledger.plan.rate or 1.0)
+        level, rate = (
+            ledger.level_units / (ledger.plan.burst_units or 1.0),
+            ledger.rate_per_s / (ledger.plan.rate_per_s or 1.0),
+        )
         return words.byte(level * 254), words.byte(rate * 254 / 8)
 
     def _told_answer(self, sender: int, answer: words.Single) -> None:
@@ -214,7 +225,7 @@
         request = self.requests.get(question[0])
         if request and question[1] == sender and request.account.key == answer.key:
             plan = request.account.plan
-            level, rate = answer.a / 254 * plan.burst, answer.b / 254 * 8 * plan.rate
+            level, rate = answer.a / 254 * plan.burst_units, answer.b / 254 * 8 * plan.rate_per_s
             self._reading(request, answer.what == words.GRANTED, level, rate)
 
     def _told_uses(self, sender: int, rows: tuple[tuple[int, ...], ...]) -> None:
@@ -229,43 +240,45 @@
 
     def _post(self, to: int, data: bytes) -> None:
         self.mail_room -= 1.0
-        self.core.actions.append(api.TellPeer(to, data))
+        self.core.actions.append(api.SendPeerMessage(to, data))
 
     # Stores that are kept here
 
-    def _ledger(self, key: int, plan: api.Plan, belief: int) -> Ledger:
+    def _ledger(self, key: int, plan: api.Plan, belief: int) -> QuotaLedger:
         """Opened full, or as the asking limiter last heard of it from a keeper that is gone."""
         ledger = self.ledgers.get(key)
         if ledger is None or ledger.plan is not plan:
-            level = plan.burst * (1.0 if belief == words.UNKNOWN else belief / 254)
-            ledger = self.ledgers[key] = Ledger(plan, level, self.core.now)
+            level = plan.burst_units * (1.0 if belief == words.UNKNOWN else belief / 254)
+            ledger = self.ledgers[key] = QuotaLedger(plan, level, self.core.now)
         self.aging.used(key, self.core.now)
         return ledger
 
-    def _fill(self, ledger: Ledger) -> None:
+    def _fill(self, ledger: QuotaLedger) -> None:
         now = self.core.now
-        plan, elapsed, ledger.at = ledger.plan, now - ledger.at, now
-        ledger.level = min(plan.burst, ledger.level + plan.rate * elapsed / SECOND)
-        ledger.rate *= exp(-elapsed / RATE_SPAN)
+        plan, elapsed, ledger.refreshed_at_ms = ledger.plan, now - ledger.refreshed_at_ms, now
+        ledger.level_units = min(plan.burst_units, ledger.level_units + plan.rate_per_s * elapsed / SECOND)
+        ledger.rate_per_s *= exp(-elapsed / RATE_SPAN)
 
-    def _spend(self, ledger: Ledger, units: float) -> None:
+    def _spend(self, ledger: QuotaLedger, units: float) -> None:
         """Takes what was let in already; a store is in debt by the burst at most, as one that went on
         longer would hold back a customer for what nobody knew."""
         self._fill(ledger)
-        ledger.level = max(ledger.level - units, -ledger.plan.burst)
-        ledger.rate += units * SECOND / RATE_SPAN
+        ledger.level_units = max(ledger.level_units - units, -ledger.plan.burst_units)
+        ledger.rate_per_s += units * SECOND / RATE_SPAN
 
-    def _grants(self, ledger: Ledger, units: float) -> bool:
+    def _grants(self, ledger: QuotaLedger, units: float) -> bool:
         plan, now = ledger.plan, self.core.now
         self._fill(ledger)
-        while ledger.open and now - ledger.open[0] > self.quotas.latency:
-            ledger.open.popleft()  # attempts are taken to be out as long as they usually are
-        if (plan.rate > 0 and ledger.level < units) or 0 < plan.open_limit <= len(ledger.open):
+        while ledger.granted_at_ms and now - ledger.granted_at_ms[0] > self.quotas.latency:
+            ledger.granted_at_ms.popleft()  # attempts are taken to be out as long as they usually are
+        if (plan.rate_per_s > 0 and ledger.level_units < units) or 0 < plan.concurrency_limit <= len(
+            ledger.granted_at_ms
+        ):
             return False
-        ledger.level -= units
-        ledger.rate += units * SECOND / RATE_SPAN
-        if plan.open_limit > 0:
-            ledger.open.append(now)
+        ledger.level_units -= units
+        ledger.rate_per_s += units * SECOND / RATE_SPAN
+        if plan.concurrency_limit > 0:
+            ledger.granted_at_ms.append(now)
         return True
 
     def age_out(self) -> None:
@@ -273,7 +286,9 @@
         for key in self.aging.due(now):
             if (ledger := self.ledgers.get(key)) is not None:
                 plan = ledger.plan
-                full_at = ledger.at + (plan.burst - ledger.level) / (plan.rate or 1.0) * SECOND
+                full_at = (
+                    ledger.refreshed_at_ms + (plan.burst_units - ledger.level_units) / (plan.rate_per_s or 1.0) * SECOND
+                )
                 if full_at <= now:
                     del self.ledgers[key]
                 else:
--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -14,7 +14,7 @@
 from elderlock.decisions.load import Load
 from elderlock.decisions.quotas import RATE_COUNT, RATE_SPAN
 from elderlock.decisions.throttle import CONTROL_PERIOD, Throttle
-from elderlock.state import OpenRequest, Phase
+from elderlock.state import OpenRequest, ThrottlePhase
 
 LEAST_OF_ANSWERED = 0.7  # of what was answered in time lately: that much is borne, and cuts do not overshoot
 MAX_LEAK_OVER_DEMAND = 1.2  # MaxLeakRate over the peak of demand: beyond it the bucket no longer binds
@@ -36,17 +36,22 @@
         self.rated_at = self.ticked_at = now
         self.admit_rate = self.answer_rate = self.peak_rate = 0.0
         self.handlers: dict[type, Callable[..., None]] = {
-            api.RequestArrived: self.admission.arrived, api.PermissionAsked: self.admission.arrived,
-            api.AttemptEnded: self.attempts.ended, api.TimerDue: self._due, api.ServerList: self.boxes.listed,
-            api.PeerMessage: self.keepers.told, api.CounterAnswered: self.keepers.counted,
-            api.ClientGone: self._gone, api.StreamStarted: self._streaming,
-        }  # fmt: skip
+            api.RequestArrived: self.admission.arrived,
+            api.PermitRequested: self.admission.arrived,
+            api.AttemptEnded: self.attempts.ended,
+            api.TimerFired: self._due,
+            api.ServerList: self.boxes.listed,
+            api.PeerMessage: self.keepers.told,
+            api.CounterAnswered: self.keepers.counted,
+            api.ClientDisconnected: self._gone,
+            api.StreamStarted: self._streaming,
+        }
 
     # Events
 
     def start(self, now: float) -> list[api.Action]:
         core = self.core
-        core.now, core.actions = now, [api.Subscribe(True)] if core.settings.subscribe else []
+        core.now, core.actions = now, [api.Subscribe(True)] if core.settings.subscribes_to_list else []
         core.timer(TICK * core.rng.random())
         return core.done()
 
@@ -57,7 +62,7 @@
             self.handlers[type(event)](event)
         return core.done()
 
-    def _due(self, event: api.TimerDue) -> None:
+    def _due(self, event: api.TimerFired) -> None:
         for timer in self.core.timers.due(event.token, self.core.now):
             if timer.question is None:
                 self._tick()
@@ -65,12 +70,12 @@
                 self.keepers.unanswered(timer.question)
 
     def _streaming(self, event: api.StreamStarted) -> None:
-        if event.request in self.requests:
-            self.requests[event.request].streaming = True
+        if event.request_id in self.requests:
+            self.requests[event.request_id].is_streaming = True
 
-    def _gone(self, event: api.ClientGone) -> None:
-        if event.request in self.requests:
-            self.attempts.finish(self.requests[event.request])
+    def _gone(self, event: api.ClientDisconnected) -> None:
+        if event.request_id in self.requests:
+            self.attempts.finish(self.requests[event.request_id])
 
     # Upkeep
 
@@ -84,9 +89,12 @@
         self._control()
         self.keepers.fill_mail(elapsed)
         self.keepers.report_if_due()
-        if core.settings.subscribe and core.now - boxes.asked_at >= core.settings.rules.ask_within / 2:
+        if (
+            core.settings.subscribes_to_list
+            and core.now - boxes.asked_at >= core.settings.rules.list_refresh_within_ms / 2
+        ):
             boxes.asked_at = core.now  # well before old news would count against the drain rule
-            core.actions += [api.Subscribe(True), api.FetchList()]
+            core.actions += [api.Subscribe(True), api.FetchServerList()]
 
     def _rate(self, elapsed: float) -> None:
         """The rates of the control period that has passed; `elapsed` in s."""
@@ -114,7 +122,7 @@
         throttle.least_rate = max(self.load.least_rate * ready, LEAST_OF_ANSWERED * self.answer_rate)
         throttle.update(level, self.admit_rate, max(self.answer_rate, self.load.entry_rate * ready), core.now)
         after = throttle.phase
-        if before is not after and Phase.NOT_OVERLOADED in (before, after):
-            verb = "ends" if after is Phase.NOT_OVERLOADED else "starts"
+        if before is not after and ThrottlePhase.NOT_OVERLOADED in (before, after):
+            verb = "ends" if after is ThrottlePhase.NOT_OVERLOADED else "starts"
             shown = f"load_level {level:.2f}, leak_rate {throttle.leak_rate:.1f}/s"
             core.actions.append(api.Log(f"throttling {verb}: {shown}"))
--- a/elderlock/decisions/load.py
+++ b/elderlock/decisions/load.py
@@ -9,7 +9,7 @@
 from elderlock.decisions.core import SECOND, Core
 from elderlock.decisions.throttle import GOAL_LOAD_LEVEL
 from elderlock.peerwords import UNKNOWN
-from elderlock.state import NEVER
+from elderlock.state import NEVER_MS
 
 LEAST_BACK = 6.0  # attempts an aim taken to come back at least: with fewer, one or two out say nothing
 ENTRY_PER_SERVER = 3.6  # attempts an aim per ready server over all limiters, where fewer were answered
@@ -25,10 +25,10 @@
     def __init__(self, core: Core) -> None:
         self.core = core
         self.levels: deque[tuple[float, float]] = deque(maxlen=MOST_ANSWERS)  # when answered, latency in aims
-        self.latest = (NEVER, 0.0)  # of our own
+        self.latest = (NEVER_MS, 0.0)  # of our own
         self.out, self.ready = 0, 0
         self.back, self.back_at = 0.0, core.now
-        part = SECOND / core.aim / core.settings.limiters  # from attempts an aim at a server to ours a second
+        part = SECOND / core.aim / core.settings.limiter_count  # from attempts an aim at a server to ours a second
         self.entry_rate, self.least_rate = ENTRY_PER_SERVER * part, LEAST_PER_SERVER * part
 
     def sample(self, stretch: float) -> None:
--- a/elderlock/decisions/outliers.py
+++ b/elderlock/decisions/outliers.py
@@ -29,27 +29,33 @@
         return len(self.failing) > PANIC * ready
 
     def good(self, server: Server) -> None:
-        server.fails = server.times_out = 0
-        server.trial = False
-        self.failing.discard(server.entry.server)
+        server.consecutive_failures = server.consecutive_ejections = 0
+        server.is_on_probation = False
+        self.failing.discard(server.entry.server_id)
         self._let_in(server)
 
     def failed(self, server: Server, ready: int, mass: int) -> list[Server]:
         """`ready` and `mass`: of all that is ready. Returns those that a panic lets in."""
-        server.fails += 1
-        if server.fails < OUTLIER_AFTER or server.left_out:
+        server.consecutive_failures += 1
+        if server.consecutive_failures < OUTLIER_AFTER or server.is_ejected:
             return []
-        self.failing.add(server.entry.server)
+        self.failing.add(server.entry.server_id)
         if self.panic(ready):
             return self.trim(0)
-        if self.mass + server.mass <= LEFT_OUT_PART * mass:
-            wait = min(LEFT_OUT_FOR * 2.0**server.times_out, LEFT_OUT_MOST) * self.core.rng.uniform(0.8, 1.2)
-            server.left_out, server.trial, server.times_out = True, False, min(server.times_out + 1, 8)
-            self.out[server] = server.mass
-            self.mass += server.mass
+        if self.mass + server.weight_milli <= LEFT_OUT_PART * mass:
+            wait = min(LEFT_OUT_FOR * 2.0**server.consecutive_ejections, LEFT_OUT_MOST) * self.core.rng.uniform(
+                0.8, 1.2
+            )
+            server.is_ejected, server.is_on_probation, server.consecutive_ejections = (
+                True,
+                False,
+                min(server.consecutive_ejections + 1, 8),
+            )
+            self.out[server] = server.weight_milli
+            self.mass += server.weight_milli
             self._number += 1
-            server.back_at = self.core.now + wait
-            heapq.heappush(self._back, (server.back_at, self._number, server))
+            server.reinstate_at_ms = self.core.now + wait
+            heapq.heappush(self._back, (server.reinstate_at_ms, self._number, server))
         return []
 
     def trim(self, mass: int) -> list[Server]:
@@ -65,17 +71,17 @@
         due = []
         while self._back and self._back[0][0] <= self.core.now:
             at, _, server = heapq.heappop(self._back)
-            if server.left_out and server.back_at == at:  # else it was let in and left out again since
+            if server.is_ejected and server.reinstate_at_ms == at:  # else it was let in and left out again since
                 self._let_in(server)
-                server.trial = True
+                server.is_on_probation = True
                 due.append(server)
         return due
 
     def forget(self, server: Server) -> None:
-        self.failing.discard(server.entry.server)
+        self.failing.discard(server.entry.server_id)
         self._let_in(server)
 
     def _let_in(self, server: Server) -> None:
-        if server.left_out:
-            server.left_out = False
+        if server.is_ejected:
+            server.is_ejected = False
             self.mass -= self.out.pop(server)
--- a/elderlock/decisions/quotas.py
+++ b/elderlock/decisions/quotas.py
@@ -27,115 +27,119 @@
 
     def account(self, event: api.RequestArrived) -> Account:
         settings = self.core.settings
-        key = zlib.crc32(event.customer.encode())
+        key = zlib.crc32(event.customer_id.encode())
         plan, known = settings.plans[event.plan_index], self.accounts.get(key)
-        spread = min(max(1, event.spread), settings.limiters)
-        account = known or self._open_account(key, plan, spread, event.first)
+        spread = min(max(1, event.limiter_count), settings.limiter_count)
+        account = known or self._open_account(key, plan, spread, event.first_limiter)
         if known is None:
             self.accounts[key] = account
         self.aging.used(key, self.core.now)
         if account.plan is not plan:
-            account.plan, account.ceiling = plan, -SLACK_PART * plan.ceiling_slack
-        account.spread = max(spread, account.spread if plan.ceiling_rate else 1)
-        account.first = event.first
+            account.plan, account.ceiling_units = plan, -SLACK_PART * plan.ceiling_slack_units
+        account.limiter_count = max(spread, account.limiter_count if plan.ceiling_rate_per_s else 1)
+        account.first_limiter = event.first_limiter
         self.refresh(account)
         return account
 
     def _open_account(self, key: int, plan: api.Plan, spread: int, first: int) -> Account:
         """A ceiling's part fills from our start on: what came before, an earlier self may have used."""
         core = self.core
-        filled = (core.now - core.started) / SECOND * plan.ceiling_rate - SLACK_PART * plan.ceiling_slack
-        ceiling = min(filled, plan.ceiling_burst) / spread
-        burst, part = plan.burst, plan.burst / spread
+        filled = (core.now - core.started) / SECOND * plan.ceiling_rate_per_s - SLACK_PART * plan.ceiling_slack_units
+        ceiling = min(filled, plan.ceiling_burst_units) / spread
+        burst, part = plan.burst_units, plan.burst_units / spread
         return Account(key, plan, spread, first, burst, part, ceiling, core.now, RATE_SPAN)
 
     def trust(self, account: Account) -> float:
         """How far the latest reading can be relied on, 0 to 1: by time, or by count if requests are few."""
-        span = 2.0 * max(self.core.settings.sources.meter_period, SECOND / 2, account.span / RATE_COUNT)
-        return min(1.0, max(0.0, 2.0 - (self.core.now - account.reading_at) / span))
+        span = 2.0 * max(
+            self.core.settings.quota_sources.meter_period_ms, SECOND / 2, account.averaging_ms / RATE_COUNT
+        )
+        return min(1.0, max(0.0, 2.0 - (self.core.now - account.reading_at_ms) / span))
 
     def depth(self, account: Account, trust: float) -> float:
         """The store as believed, less what others may spend of it before we are told; at least a part."""
-        busy = min(1.0, account.others_rate / (account.plan.rate or 1.0))
+        busy = min(1.0, account.others_rate_per_s / (account.plan.rate_per_s or 1.0))
         contested = 1.0 - trust * (1.0 - busy)
-        return (1.0 - contested * (1.0 - 1.0 / account.spread)) * max(account.store, 0.0)
+        return (1.0 - contested * (1.0 - 1.0 / account.limiter_count)) * max(account.shared_units, 0.0)
 
     def fill_rate(self, account: Account, trust: float) -> float:
         """The design's: own rate plus our part of the room or excess; the even split where none is known."""
-        rate = account.plan.rate
-        room = rate - account.own_rate - account.others_rate
-        told = min(max(0.0, account.own_rate + room / account.spread), rate)
-        return trust * told + (1.0 - trust) * rate / account.spread
+        rate = account.plan.rate_per_s
+        room = rate - account.own_rate_per_s - account.others_rate_per_s
+        told = min(max(0.0, account.own_rate_per_s + room / account.limiter_count), rate)
+        return trust * told + (1.0 - trust) * rate / account.limiter_count
 
     def refresh(self, account: Account) -> None:
         now = self.core.now
-        elapsed, account.at = (now - account.at) / SECOND, now
+        elapsed, account.refreshed_at_ms = (now - account.refreshed_at_ms) / SECOND, now
         plan, trust = account.plan, self.trust(account)
         if elapsed == 0.0:  # again within one event: nothing has filled, what was read is taken in
-            account.store = min(plan.burst, account.store)
-            account.bucket = min(account.bucket, self.depth(account, trust))
-            account.ceiling = min(account.ceiling, plan.ceiling_burst / account.spread)
+            account.shared_units = min(plan.burst_units, account.shared_units)
+            account.bucket_units = min(account.bucket_units, self.depth(account, trust))
+            account.ceiling_units = min(account.ceiling_units, plan.ceiling_burst_units / account.limiter_count)
             return
-        unknown = (1.0 - trust) * (plan.rate - plan.rate / account.spread)
-        store = account.store + (plan.rate - trust * account.others_rate - unknown) * elapsed
-        account.store = min(plan.burst, max(store, min(account.store, 0.0)))
-        filled = account.bucket + self.fill_rate(account, trust) * elapsed
-        account.bucket = min(filled, self.depth(account, trust))
-        account.own_rate *= exp(-elapsed * SECOND / account.span)
-        ceiling = account.ceiling + plan.ceiling_rate / account.spread * elapsed
-        account.ceiling = min(ceiling, plan.ceiling_burst / account.spread)
+        unknown = (1.0 - trust) * (plan.rate_per_s - plan.rate_per_s / account.limiter_count)
+        store = account.shared_units + (plan.rate_per_s - trust * account.others_rate_per_s - unknown) * elapsed
+        account.shared_units = min(plan.burst_units, max(store, min(account.shared_units, 0.0)))
+        filled = account.bucket_units + self.fill_rate(account, trust) * elapsed
+        account.bucket_units = min(filled, self.depth(account, trust))
+        account.own_rate_per_s *= exp(-elapsed * SECOND / account.averaging_ms)
+        ceiling = account.ceiling_units + plan.ceiling_rate_per_s / account.limiter_count * elapsed
+        account.ceiling_units = min(ceiling, plan.ceiling_burst_units / account.limiter_count)
 
     def inside(self, account: Account, units: float) -> bool:
         """By the bucket alone. A part below a request may go into debt by one, else none would ever pass."""
         plan = account.plan
-        need = min(max(0.0, 2.0 * plan.burst / account.spread - units), units)
-        if plan.rate > 0 and account.bucket < need:
+        need = min(max(0.0, 2.0 * plan.burst_units / account.limiter_count - units), units)
+        if plan.rate_per_s > 0 and account.bucket_units < need:
             return False
-        elsewhere = account.others_rate / account.units * self.latency / SECOND  # Little's law
-        return plan.open_limit <= 0 or account.open + elsewhere <= plan.open_limit - 0.5
+        elsewhere = account.others_rate_per_s / account.mean_request_units * self.latency / SECOND  # Little's law
+        return plan.concurrency_limit <= 0 or account.in_flight + elsewhere <= plan.concurrency_limit - 0.5
 
     def capped(self, account: Account, units: float) -> bool:
-        slack = SLACK_PART * account.plan.ceiling_slack / account.spread
-        return account.plan.ceiling_rate > 0 and account.ceiling + slack < units
+        slack = SLACK_PART * account.plan.ceiling_slack_units / account.limiter_count
+        return account.plan.ceiling_rate_per_s > 0 and account.ceiling_units + slack < units
 
     def take(self, request: OpenRequest) -> None:
-        account, units, now = request.account, request.event.units, self.core.now
-        account.ceiling -= units
-        account.open += 1
-        gap = min(max(now - account.sent_at, 0.0), 2 * FORGET_AFTER)
-        account.span = max(RATE_SPAN, account.span + (RATE_COUNT * gap - account.span) / RATE_COUNT)
-        account.sent_at = now
-        account.own_rate += units * SECOND / account.span
-        account.units += 0.1 * (units - account.units)
-        account.store -= units * request.inside
-        account.bucket -= units * request.inside
+        account, units, now = request.account, request.arrival.units, self.core.now
+        account.ceiling_units -= units
+        account.in_flight += 1
+        gap = min(max(now - account.sent_at_ms, 0.0), 2 * FORGET_AFTER)
+        account.averaging_ms = max(
+            RATE_SPAN, account.averaging_ms + (RATE_COUNT * gap - account.averaging_ms) / RATE_COUNT
+        )
+        account.sent_at_ms = now
+        account.own_rate_per_s += units * SECOND / account.averaging_ms
+        account.mean_request_units += 0.1 * (units - account.mean_request_units)
+        account.shared_units -= units * request.is_within_quota
+        account.bucket_units -= units * request.is_within_quota
 
     def give_back(self, request: OpenRequest) -> None:
         """What a permission took and its asker did not use. Its keeper is not told: the safe side."""
-        account, units, plan = request.account, request.event.units, request.account.plan
+        account, units, plan = request.account, request.arrival.units, request.account.plan
         self.refresh(account)
-        account.ceiling = min(account.ceiling + units, plan.ceiling_burst / account.spread)
-        account.own_rate = max(0.0, account.own_rate - units * SECOND / account.span)
-        account.store = min(plan.burst, account.store + units * request.inside)
-        account.bucket = min(account.bucket + units * request.inside, plan.burst)
+        account.ceiling_units = min(account.ceiling_units + units, plan.ceiling_burst_units / account.limiter_count)
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s - units * SECOND / account.averaging_ms)
+        account.shared_units = min(plan.burst_units, account.shared_units + units * request.is_within_quota)
+        account.bucket_units = min(account.bucket_units + units * request.is_within_quota, plan.burst_units)
 
     def settle(self, account: Account, more: float) -> None:
-        account.store = min(account.plan.burst, account.store - more)
-        account.bucket -= more
-        account.own_rate = max(0.0, account.own_rate + more * SECOND / account.span)
+        account.shared_units = min(account.plan.burst_units, account.shared_units - more)
+        account.bucket_units -= more
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more * SECOND / account.averaging_ms)
 
     def metered(self, account: Account, meter: int) -> None:
-        if meter > 0 and self.core.settings.sources.meter_period:
+        if meter > 0 and self.core.settings.quota_sources.meter_period_ms:
             self.refresh(account)
-            account.others_rate = max(0.0, (meter - 1) / 100.0 * account.plan.rate - account.own_rate)
-            account.reading_at = self.core.now
+            account.others_rate_per_s = max(0.0, (meter - 1) / 100.0 * account.plan.rate_per_s - account.own_rate_per_s)
+            account.reading_at_ms = self.core.now
 
     def read_level(self, account: Account, level: float, rate: float) -> None:
         """Takes in what a keeper told: the store's level, and the rate of all in units a second."""
         self.refresh(account)
-        account.store, account.reading_at = level, self.core.now
-        account.others_rate = max(0.0, rate - account.own_rate)
-        account.bucket = min(account.bucket, self.depth(account, 1.0))
+        account.shared_units, account.reading_at_ms = level, self.core.now
+        account.others_rate_per_s = max(0.0, rate - account.own_rate_per_s)
+        account.bucket_units = min(account.bucket_units, self.depth(account, 1.0))
 
     def age_out(self) -> None:
         """Forgets who is full again: new customers come all day."""
@@ -144,9 +148,13 @@
             if (account := self.accounts.get(key)) is None:
                 continue
             p = account.plan  # once every store is full again, so that nothing is won by it
-            owed = max(p.burst, p.burst - account.bucket * account.spread) / (p.rate or 1.0)
-            full_at = account.at + max(owed, p.ceiling_burst / (p.ceiling_rate or 1.0)) * SECOND
-            if account.open or now <= full_at:
-                self.aging.put_off(key, max(full_at, now + FORGET_AFTER * bool(account.open)) + 1.0)
+            owed = max(p.burst_units, p.burst_units - account.bucket_units * account.limiter_count) / (
+                p.rate_per_s or 1.0
+            )
+            full_at = (
+                account.refreshed_at_ms + max(owed, p.ceiling_burst_units / (p.ceiling_rate_per_s or 1.0)) * SECOND
+            )
+            if account.in_flight or now <= full_at:
+                self.aging.put_off(key, max(full_at, now + FORGET_AFTER * bool(account.in_flight)) + 1.0)
             else:
                 del self.accounts[key]
--- a/elderlock/decisions/throttle.py
+++ b/elderlock/decisions/throttle.py
@@ -5,7 +5,7 @@
 import random
 
 from elderlock.decisions.core import SECOND
-from elderlock.state import Phase
+from elderlock.state import ThrottlePhase
 
 # Load is latency over the class's aim, so the levels are shares of the aim.
 GOAL_LOAD_LEVEL = 0.4  # with the median answer at this share a queue stands, and a slow tenth misses the aim
@@ -23,7 +23,7 @@
     """Invariant: the fill never falls below nothing, and while throttled no leak rate lies below `least_rate`."""
 
     def __init__(self, rng: random.Random, now: float) -> None:
-        self.rng, self.phase = rng, Phase.NOT_OVERLOADED
+        self.rng, self.phase = rng, ThrottlePhase.NOT_OVERLOADED
         self.fill_at = self.updated_at = self.phase_at = now
         self.leak_rate = self.fill = self.entry_rate = self.max_leak_rate = self.least_rate = 0.0
         self.previous_rate: float | None = None
@@ -42,7 +42,7 @@
         self.leak(now)
         passes = 1.0 + self.fill < self.threshold_vector(inside, value)
         self.fill += passes
-        return passes or self.phase is Phase.NOT_OVERLOADED
+        return passes or self.phase is ThrottlePhase.NOT_OVERLOADED
 
     def set_rate(self, rate: float, now: float) -> None:
         """Randomises the fill at each new rate, so that limiters do not run in step; it stays bounded."""
@@ -52,36 +52,36 @@
         self.fill = min(max(0.0, fill), 2.0 * self.threshold_vector(True, 1.0))
 
     def enter(self, rate: float, now: float) -> None:
-        if self.phase is Phase.NOT_OVERLOADED:
+        if self.phase is ThrottlePhase.NOT_OVERLOADED:
             self.leak_rate, self.fill_at = rate, now
             self.fill = self.threshold_vector(True, 0.0)
         self.entry_rate = rate
         self.set_rate(rate, now)
-        self.turn(Phase.OVERLOADED, now)
+        self.turn(ThrottlePhase.OVERLOADED, now)
         self.updated_at = now
 
-    def turn(self, phase: Phase, now: float) -> None:
+    def turn(self, phase: ThrottlePhase, now: float) -> None:
         self.phase, self.phase_at, self.previous_rate = phase, now, None
 
     def update(self, level: float, attempts: float, entry: float, now: float) -> None:
         """One look at the load level, `attempts` a second being let through."""
         over = level > GOAL_LOAD_LEVEL
-        if over and self.phase in (Phase.NOT_OVERLOADED, Phase.RETURNING_TO_NOT_OVERLOADED):
-            self.enter(entry if self.phase is Phase.NOT_OVERLOADED else self.entry_rate, now)
-        elif over and self.phase is Phase.TERMINATION_PENDING:
-            self.turn(Phase.OVERLOADED, now)
-        if self.phase is Phase.NOT_OVERLOADED or now - self.updated_at < CONTROL_PERIOD:
+        if over and self.phase in (ThrottlePhase.NOT_OVERLOADED, ThrottlePhase.RETURNING_TO_NOT_OVERLOADED):
+            self.enter(entry if self.phase is ThrottlePhase.NOT_OVERLOADED else self.entry_rate, now)
+        elif over and self.phase is ThrottlePhase.TERMINATION_PENDING:
+            self.turn(ThrottlePhase.OVERLOADED, now)
+        if self.phase is ThrottlePhase.NOT_OVERLOADED or now - self.updated_at < CONTROL_PERIOD:
             return
         self.updated_at = now
         factor = min(max(GOAL_LOAD_LEVEL / max(level, 1e-3), MOST_CUT), MOST_RISE)
-        if self.phase is Phase.RETURNING_TO_NOT_OVERLOADED:
+        if self.phase is ThrottlePhase.RETURNING_TO_NOT_OVERLOADED:
             self._return(now)
-        elif self.phase is Phase.TERMINATION_PENDING:
+        elif self.phase is ThrottlePhase.TERMINATION_PENDING:
             self._pend(factor, attempts, now)
         elif over:
             self.set_rate(self.leak_rate * factor, now)
         else:
-            self.turn(Phase.TERMINATION_PENDING, now)
+            self.turn(ThrottlePhase.TERMINATION_PENDING, now)
         self.last_attempts = attempts
 
     def _pend(self, factor: float, attempts: float, now: float) -> None:
@@ -92,7 +92,7 @@
             self.previous_rate = self.leak_rate
             self.set_rate(max(self.leak_rate, min(self.leak_rate * factor, self.max_leak_rate)), now)
         if now - self.phase_at >= TERMINATION_PENDING_PERIOD:
-            self.turn(Phase.RETURNING_TO_NOT_OVERLOADED, now)
+            self.turn(ThrottlePhase.RETURNING_TO_NOT_OVERLOADED, now)
             self.entry_rate = self.leak_rate
 
     def _return(self, now: float) -> None:
@@ -100,6 +100,6 @@
         if now - self.phase_at < RATE_INCREMENT_PERIOD:
             return
         if rate >= self.max_leak_rate:
-            self.turn(Phase.NOT_OVERLOADED, now)
+            self.turn(ThrottlePhase.NOT_OVERLOADED, now)
         else:
             self.set_rate(rate, now)
