--- a/elderlock/fleet/agent.py
+++ b/elderlock/fleet/agent.py
@@ -71,12 +71,21 @@
         self.versions = Versions(self.folder, file)
         self.charges = {
             part.name: Charge(
-                part, self.folder, home / part.name, control_path(self.folder, file, part), self,
-                self.store, file.policy(), random.Random(rng.random()), self.spread,
-                self._given_back, self._host, self.versions,
+                part,
+                self.folder,
+                home / part.name,
+                control_path(self.folder, file, part),
+                self,
+                self.store,
+                file.policy(),
+                random.Random(rng.random()),
+                self.spread,
+                self._given_back,
+                self._host,
+                self.versions,
             )
             for part in file.limiter
-        }  # fmt: skip
+        }
         self.renewal = Renewal(self.name, basis, self.versions, self.charges)
         self.peers: list[Peer] = []
         members: list[str] = []
@@ -287,9 +296,11 @@
 
 
 async def serve(
-    path: Path, beside: Callable[[Agent], Beside | None] = lambda agent: None, host: Host | None = None,
+    path: Path,
+    beside: Callable[[Agent], Beside | None] = lambda agent: None,
+    host: Host | None = None,
     basis: Basis | None = None,
-) -> None:  # fmt: skip
+) -> None:
     """Runs the agent of that file on `host` until SIGTERM or SIGINT, under `basis` or the base that started it, if any.
     Raises `FileError`, `StoreError`, `OSError`."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
--- a/elderlock/fleet/api.py
+++ b/elderlock/fleet/api.py
@@ -168,10 +168,16 @@
         within = max(0.0, min(show.within_ms / 1000.0, MOST_WITHIN))
         await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.charges.values()))
         return f.Shown(
-            show.id, agent.name, build(), agent.epoch(), now_ms() - agent.started, agent.store_error,
-            tuple(c.status() for c in agent.charges.values()), tuple(agent.records),
+            show.id,
+            agent.name,
+            build(),
+            agent.epoch(),
+            now_ms() - agent.started,
+            agent.store_error,
+            tuple(c.status() for c in agent.charges.values()),
+            tuple(agent.records),
             agent.exchanges.membership.view(now_ms()),
-        )  # fmt: skip
+        )
 
     async def _intend(self, who: Identity, intend: f.Intend) -> f.Message:
         self._agent.learn(intend.known, f"{who.name}'s command")
--- a/elderlock/fleet/charge.py
+++ b/elderlock/fleet/charge.py
@@ -33,10 +33,20 @@
 
 class Charge:
     def __init__(
-        self, part: LimiterPart, folder: Path, home: Path, control: Path, owner: Owner, store: Store,
-        policy: Policy, rng: random.Random, changed: Callable[[], None],
-        told: Callable[[str, tuple[Record, ...]], None], host: Host, versions: Versions,
-    ) -> None:  # fmt: skip
+        self,
+        part: LimiterPart,
+        folder: Path,
+        home: Path,
+        control: Path,
+        owner: Owner,
+        store: Store,
+        policy: Policy,
+        rng: random.Random,
+        changed: Callable[[], None],
+        told: Callable[[str, tuple[Record, ...]], None],
+        host: Host,
+        versions: Versions,
+    ) -> None:
         """`told` hears which records the limiter of that name holds, `changed` that it came or went. Raises
         `StoreError`."""
         self.part, self._folder, self._home, self._host = part, folder, home, host
@@ -119,12 +129,15 @@
         state = self.link.state if self.link.standing == "answering" else None
         fresh = state is not None and self.process is not None and state.pid == self.process.pid
         return Look(
-            self.version(), self.supervisor.phase, record is not None and record.drained,
+            self.version(),
+            self.supervisor.phase,
+            record is not None and record.drained,
             record.generation if record is not None else 0,
             state.open if state is not None and fresh and state.drained else -1,
             fresh and state is not None and self.supervisor.phase == "running" and state.list_age_ms >= 0,
-            self.supervisor.restarts, self.boot_error or self.link.why,
-        )  # fmt: skip
+            self.supervisor.restarts,
+            self.boot_error or self.link.why,
+        )
 
     def _remember(self) -> None:
         process = self.process
@@ -249,19 +262,33 @@
         if supervisor.phase == "backing-off" and supervisor.due is not None:
             next_start = max(0.0, supervisor.due - self._now())
         return LimiterStatus(
-            self.name, supervisor.phase, self.process.pid if self.process else 0, self.adopted,
-            supervisor.restarts, next_start, link.standing,
-            "; ".join(why for why in (link.why, self.boot_error) if why), age, link.state,
-        )  # fmt: skip
+            self.name,
+            supervisor.phase,
+            self.process.pid if self.process else 0,
+            self.adopted,
+            supervisor.restarts,
+            next_start,
+            link.standing,
+            "; ".join(why for why in (link.why, self.boot_error) if why),
+            age,
+            link.state,
+        )
 
     def brief(self, records: Records) -> LimiterBrief:
         state, drained = self.link.state, records.get("limiter", self.name)
         return LimiterBrief(
-            self.name, self.supervisor.phase, self.link.standing, state.open if state else 0,
-            drained is not None and drained.drained, len(records.drained("box")), self.version(),
-            state is not None and state.ready and self.why_out() == "", self.supervisor.restarts,
-            self.figures(), self.said,
-        )  # fmt: skip
+            self.name,
+            self.supervisor.phase,
+            self.link.standing,
+            state.open if state else 0,
+            drained is not None and drained.drained,
+            len(records.drained("box")),
+            self.version(),
+            state is not None and state.ready and self.why_out() == "",
+            self.supervisor.restarts,
+            self.figures(),
+            self.said,
+        )
 
     def figures(self) -> Figures:
         state = self.link.state
--- a/elderlock/fleet/compare.py
+++ b/elderlock/fleet/compare.py
@@ -54,10 +54,11 @@
     found = []
     for name in names:
         found += _odd(
-            f"configuration: {name}", states,
+            f"configuration: {name}",
+            states,
             lambda s, name=name: s.config_parts.get(name),  # type: ignore[misc]
             lambda s, name=name: f"'{name}' of the configuration differs ({s.config_parts.get(name)})",  # type: ignore[misc]
-        )  # fmt: skip
+        )
     return found
 
 
--- a/elderlock/fleet/conductor.py
+++ b/elderlock/fleet/conductor.py
@@ -237,9 +237,8 @@
             stopped = self._stopped()
             everyone = self._owner.agent_floors() if asked.kind == "agents" else self._owner.floors()
             floors = [
-                each for each in everyone
-                if (each[0] in asked.targets if asked.targets else each[0] not in stopped)
-            ]  # fmt: skip
+                each for each in everyone if (each[0] in asked.targets if asked.targets else each[0] not in stopped)
+            ]
             waves = tuple(tuple(wave) for wave in plans.waves_over_floors(floors))
         kind: Literal["release", "agents"] = "agents" if asked.kind == "agents" else "release"
         return plans.release(asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind)
@@ -335,10 +334,19 @@
             for each, charge in self._owner.charges.items()
         )
         return f.Planned(
-            asked.id, name, ledger.version, ledger.plans, tuple(plan.id for plan in mine), tuple(waits), runs,
-            self._owner.versions.digests(), ledger.given_up, self.told_halts(), ledger.permits,
+            asked.id,
+            name,
+            ledger.version,
+            ledger.plans,
+            tuple(plan.id for plan in mine),
+            tuple(waits),
+            runs,
+            self._owner.versions.digests(),
+            ledger.given_up,
+            self.told_halts(),
+            ledger.permits,
             self._owner.renewal.brief(),
-        )  # fmt: skip
+        )
 
     # What concerns our own limiters
 
@@ -444,9 +452,15 @@
             return
         verb = "drain" if drained else "undrain"
         record = Record(
-            kind, unit.target, drained, unit.generation, plan.origin(unit), plan.by, time.time() * 1000.0,
+            kind,
+            unit.target,
+            drained,
+            unit.generation,
+            plan.origin(unit),
+            plan.by,
+            time.time() * 1000.0,
             f"{plan.kind} {plan.id[:8]}",
-        )  # fmt: skip
+        )
         self._owner.make(record, f"{verb} {kind} {unit.target} for {plan.kind} {plan.id[:8]}")
 
     async def _confirmed(self, plan: Plan, unit: Unit) -> bool:
@@ -574,9 +588,15 @@
         record = self._owner.records.get("limiter", brief.name)
         others = record is not None and record.drained and not record.origin.startswith(f"{plan.id}/")
         return Told(
-            brief.name, *brief.said, brief.phase, brief.serving, brief.restarts,
-            record.by if record is not None and others else "", brief.figures, age,
-        )  # fmt: skip
+            brief.name,
+            *brief.said,
+            brief.phase,
+            brief.serving,
+            brief.restarts,
+            record.by if record is not None and others else "",
+            brief.figures,
+            age,
+        )
 
     async def _told_of_boxes(self, plan: Plan) -> Mapping[str, Told]:
         now = self._now()
--- a/elderlock/fleet/config.py
+++ b/elderlock/fleet/config.py
@@ -97,9 +97,13 @@
 
         s = self.supervise
         return Policy(
-            1000 * s.first_backoff, 1000 * s.most_backoff, 1000 * s.steady, s.crashes, 1000 * s.window,
+            1000 * s.first_backoff,
+            1000 * s.most_backoff,
+            1000 * s.steady,
+            s.crashes,
+            1000 * s.window,
             1000 * s.stop_within,
-        )  # fmt: skip
+        )
 
 
 class MemberPart(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/elderlock/fleet/exchange.py
+++ b/elderlock/fleet/exchange.py
@@ -93,15 +93,20 @@
         version = keeper.ledger.version if keeper is not None else -1
         newer = keeper is not None and (told is None or told.ledger_version < version)
         return f.Exchange(
-            number, agent.name, agent.epoch(), self._sequence,
+            number,
+            agent.name,
+            agent.epoch(),
+            self._sequence,
             tuple(charge.brief(agent.records) for charge in agent.charges.values()),
-            agent.records.digest(), tuple(agent.records) if with_records else (),
+            agent.records.digest(),
+            tuple(agent.records) if with_records else (),
             view if lacks is None else tuple(heard for heard in view if heard.agent in lacks),
-            keeper.told() if keeper is not None and newer else b"", version,
+            keeper.told() if keeper is not None and newer else b"",
+            version,
             self.membership.lacking(now_ms(), LACKED_AFTER),
             conductor.told_halts() if conductor is not None else (),
             agent.renewal.brief(),
-        )  # fmt: skip
+        )
 
     def heard(self, exchange: f.Exchange) -> None:
         now = now_ms()
--- a/elderlock/fleet/explain.py
+++ b/elderlock/fleet/explain.py
@@ -73,9 +73,14 @@
     silent = [name for names in seen.limiters().values() for name in names if name not in told]
     silent += [f"agent {name}" for name in seen.missing]
     return Explained(
-        uid, first.floor if first else "", first.kind if first else "", first.weight if first else 0.0,
-        record, tuple(words), tuple(silent),
-    )  # fmt: skip
+        uid,
+        first.floor if first else "",
+        first.kind if first else "",
+        first.weight if first else 0.0,
+        record,
+        tuple(words),
+        tuple(silent),
+    )
 
 
 def _word(state: State, box: Box | None, record: Record | None, now: float) -> Word:
@@ -122,8 +127,11 @@
                 if age >= 0.0:
                     ages[witness.limiter] = min(age, ages.get(witness.limiter, age))
     return Entry(
-        uid, max(health.weighed for _, health in healths), healths[0][1].enough, len(healths),
+        uid,
+        max(health.weighed for _, health in healths),
+        healths[0][1].enough,
+        len(healths),
         tuple(sorted(limiter for limiter, health in healths if health.left_out_ms >= 0.0)),
         tuple(sorted(failed.items(), key=lambda each: each[1])),
         tuple(sorted(answered.items(), key=lambda each: each[1])),
-    )  # fmt: skip
+    )
--- a/elderlock/fleet/keeper.py
+++ b/elderlock/fleet/keeper.py
@@ -167,9 +167,12 @@
         return Ballot(self._number, f"{self._owner.epoch():09d}/{self._owner.name}")
 
     async def _answers(
-        self, round: Round, make: Callable[[int], f.Message], own: Callable[[], f.Voted] | None,
+        self,
+        round: Round,
+        make: Callable[[int], f.Message],
+        own: Callable[[], f.Voted] | None,
         take: Callable[[str, Vote], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Asks all voters of the round at once, till its phase is over."""
         phase = round.phase
         asked: dict[asyncio.Task[f.FromAgent], str] = {}
@@ -379,9 +382,15 @@
         made = await self.change(above)
         if made.chosen:
             record = Record(
-                permit.kind, permit.target, False, made.ledger.generation, f"{permit.origin}/back", self._owner.name,
-                time.time() * 1000.0, "its permit was never used",
-            )  # fmt: skip
+                permit.kind,
+                permit.target,
+                False,
+                made.ledger.generation,
+                f"{permit.origin}/back",
+                self._owner.name,
+                time.time() * 1000.0,
+                "its permit was never used",
+            )
             self._owner.make(record, f"took back {permit.kind} {permit.target}: its permit of {permit.by} was not used")
             self._unused.pop(permit, None)
 
--- a/elderlock/fleet/lending.py
+++ b/elderlock/fleet/lending.py
@@ -37,9 +37,12 @@
     async def start(self) -> None:
         try:
             self.process = await spawn(
-                sys.executable, *WORKER, stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
+                sys.executable,
+                *WORKER,
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
-            )  # fmt: skip
+            )
         except OSError as error:
             self.ended = f"it cannot be started: {error}"
             return
--- a/elderlock/fleet/link.py
+++ b/elderlock/fleet/link.py
@@ -39,9 +39,12 @@
     that the limiter says of itself."""
 
     def __init__(
-        self, path: Path, owner: Owner, welcomed: Callable[[m.Welcome, bool], None],
+        self,
+        path: Path,
+        owner: Owner,
+        welcomed: Callable[[m.Welcome, bool], None],
         told: Callable[[m.State | m.Applied], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._path, self._owner, self._welcomed, self._told = path, owner, welcomed, told
         self.book = Book()
         self.standing: Standing = "down"
--- a/elderlock/fleet/membership.py
+++ b/elderlock/fleet/membership.py
@@ -46,9 +46,14 @@
                 self._news(each.agent, each.incarnation, each.sequence, each.limiters, at, via)
 
     def _news(
-        self, name: str, incarnation: int, sequence: int, limiters: tuple[LimiterBrief, ...],
-        at: float, via: str,
-    ) -> None:  # fmt: skip
+        self,
+        name: str,
+        incarnation: int,
+        sequence: int,
+        limiters: tuple[LimiterBrief, ...],
+        at: float,
+        via: str,
+    ) -> None:
         member = self._members.get(name)
         if member is None or (incarnation, sequence) < (member.incarnation, member.sequence):
             return
@@ -62,9 +67,10 @@
         """Of whom others are asked: who has said nothing himself for `after` ms. One whose news came by a longer way
         first is not among them while he speaks: to ask for him made each word carry all others, again and again."""
         return tuple(
-            name for name, member in sorted(self._members.items())
+            name
+            for name, member in sorted(self._members.items())
             if member.direct_at is None or now - member.direct_at > after
-        )  # fmt: skip
+        )
 
     def view(self, now: float) -> tuple[Heard, ...]:
         return tuple(self._view(name, member, now) for name, member in sorted(self._members.items()))
--- a/elderlock/fleet/operate.py
+++ b/elderlock/fleet/operate.py
@@ -122,9 +122,13 @@
 
 
 async def _planned(
-    group: Group, order: Order, plan: Plan | None, steps: tuple[tuple[str, ...], ...], ends: float | None,
+    group: Group,
+    order: Order,
+    plan: Plan | None,
+    steps: tuple[tuple[str, ...], ...],
+    ends: float | None,
     planned: Callable[[list[str]], None],
-) -> Result:  # fmt: skip
+) -> Result:
     """A drain of several steps is the group's to carry out: the tool begins it and looks on."""
     make = operate_plans.begin(os.urandom(16).hex(), "drain", "", order.targets, steps, Terms(pause=0.0), order.reason)
     left = None if ends is None else max(0.0, ends - asyncio.get_running_loop().time())
@@ -193,9 +197,11 @@
             group.ask_all(intend, f.Intended, order.deadline, asked),
             group.ask_all(
                 lambda id: f.Progress(id, tuple((order.kind, key[1]) for key in keys)),
-                f.Progressed, order.deadline, [name for name in group.names if name not in pending],
+                f.Progressed,
+                order.deadline,
+                [name for name in group.names if name not in pending],
             ),
-        )  # fmt: skip
+        )
         for name, answer in intended.items():
             account.answered(name, answer)
             if isinstance(answer, f.Intended) or (isinstance(answer, Refusal) and answer.code in FINAL):
@@ -239,9 +245,14 @@
 
 
 async def order_limiters(
-    group: Group, action: str, names: Sequence[str], force: bool, deadline: float,
-    give_up_after: float | None, told: Callable[[str], None],
-) -> Result:  # fmt: skip
+    group: Group,
+    action: str,
+    names: Sequence[str],
+    force: bool,
+    deadline: float,
+    give_up_after: float | None,
+    told: Callable[[str], None],
+) -> Result:
     """Starts or stops limiters and waits until they run or are gone."""
     seen = await see(group, accounts=0, within=deadline)
     where = {name: agent for agent, limiters in seen.limiters().items() for name in limiters}
@@ -262,8 +273,9 @@
             answer = await group.ask(
                 where[name],
                 lambda id, name=name: f.Order(id, action, name),  # type: ignore[misc,arg-type]
-                f.Ordered, deadline,
-            )  # fmt: skip
+                f.Ordered,
+                deadline,
+            )
             if isinstance(answer, f.Ordered):
                 ordered.add(name)
                 told(f"{name}: {answer.text}")
--- a/elderlock/fleet/operate_plans.py
+++ b/elderlock/fleet/operate_plans.py
@@ -108,9 +108,7 @@
     lines: list[str]
 
 
-EXITS = {
-    "begun": Exit.DONE, "planned": Exit.DONE, "done": Exit.DONE, "refused": Exit.UNSAFE, "away": Exit.NOTHING
-}  # fmt: skip
+EXITS = {"begun": Exit.DONE, "planned": Exit.DONE, "done": Exit.DONE, "refused": Exit.UNSAFE, "away": Exit.NOTHING}
 
 
 async def ask_any(
@@ -167,20 +165,26 @@
 
 
 def begin(
-    origin: str, kind: str, version: str, targets: Sequence[str], waves: Sequence[Sequence[str]], terms: Terms,
-    reason: str, dry: bool = False,
-) -> Callable[[int], f.Message]:  # fmt: skip
+    origin: str,
+    kind: str,
+    version: str,
+    targets: Sequence[str],
+    waves: Sequence[Sequence[str]],
+    terms: Terms,
+    reason: str,
+    dry: bool = False,
+) -> Callable[[int], f.Message]:
     def make(id: int) -> f.Message:
         return f.Begin(
             id,
             origin,
-            kind,
+            kind,  # type: ignore[arg-type]
             version,
             tuple(targets),
             tuple(tuple(w) for w in waves),
             terms,
             reason,
-            dry,  # type: ignore[arg-type]
+            dry,
         )
 
     return make
--- a/elderlock/fleet/plan.py
+++ b/elderlock/fleet/plan.py
@@ -47,10 +47,15 @@
     age, queue = min(reports, default=(-1.0, -1))
     first = boxes[0]
     return BoxSum(
-        first.uid, first.floor, first.kind, max(b.weight for b in boxes),
+        first.uid,
+        first.floor,
+        first.kind,
+        max(b.weight for b in boxes),
         all(b.state == "running" and not b.drained_by for b in boxes),
-        queue, age, sum(b.out for b in boxes),
-    )  # fmt: skip
+        queue,
+        age,
+        sum(b.out for b in boxes),
+    )
 
 
 class Plan(msgspec.Struct, frozen=True):
@@ -90,9 +95,13 @@
             f"{sum(reported)} requests wait: {queue:.1f} for each unit of weight left, " f"{MOST_QUEUE:.0f} is the most"
         )
     return Plan(
-        _steps(going, before), unknown, before / full if full else 0.0, after / full if full else 0.0,
-        queue, tuple(unsafe),
-    )  # fmt: skip
+        _steps(going, before),
+        unknown,
+        before / full if full else 0.0,
+        after / full if full else 0.0,
+        queue,
+        tuple(unsafe),
+    )
 
 
 def _count(boxes: Sequence[BoxSum], floor: str) -> int:
--- a/elderlock/fleet/process.py
+++ b/elderlock/fleet/process.py
@@ -78,7 +78,12 @@
         log.replace(log.with_name(log.name + ".1"))
     with log.open("ab") as out:
         child = subprocess.Popen(
-            command, env={**os.environ, **environ}, cwd=directory, stdin=subprocess.DEVNULL,
-            stdout=out, stderr=out, start_new_session=True,
-        )  # fmt: skip
+            command,
+            env={**os.environ, **environ},
+            cwd=directory,
+            stdin=subprocess.DEVNULL,
+            stdout=out,
+            stderr=out,
+            start_new_session=True,
+        )
     return Process(child.pid, child, ended)
--- a/elderlock/fleet/renewal.py
+++ b/elderlock/fleet/renewal.py
@@ -68,9 +68,14 @@
             look = AgentLook("", 0, False, 0, "no base started it", self.heard_by_majority, self._serving())
         else:
             look = AgentLook(
-                held.which.version, held.generation, held.trial, held.failed, held.why, self.heard_by_majority,
+                held.which.version,
+                held.generation,
+                held.trial,
+                held.failed,
+                held.why,
+                self.heard_by_majority,
                 self._serving(),
-            )  # fmt: skip
+            )
         before = self._said
         self._said, act = carry_agent(plan, unit, look, halted)
         return act, self._said != before
--- a/elderlock/fleet/seen.py
+++ b/elderlock/fleet/seen.py
@@ -47,8 +47,10 @@
         for each in answer.heard:
             best = heard.get(each.agent)
             newer = best is None or (each.incarnation, each.sequence, -each.age_ms) > (
-                best.incarnation, best.sequence, -best.age_ms
-            )  # fmt: skip
+                best.incarnation,
+                best.sequence,
+                -best.age_ms,
+            )
             if each.agent in missing and each.age_ms >= 0 and newer:
                 heard[each.agent] = each
     return Seen(shown, missing, records, heard)
--- a/elderlock/fleet/store.py
+++ b/elderlock/fleet/store.py
@@ -118,27 +118,38 @@
 
     def at_least_epoch(self, epoch: int) -> None:
         self._write(
-            ("INSERT INTO meta VALUES ('epoch', ?) ON CONFLICT (name) DO UPDATE "
-             "SET value = max(value, excluded.value)", (epoch,))
-        )  # fmt: skip
+            (
+                "INSERT INTO meta VALUES ('epoch', ?) ON CONFLICT (name) DO UPDATE "
+                "SET value = max(value, excluded.value)",
+                (epoch,),
+            )
+        )
 
     def records(self) -> tuple[Record, ...]:
         rows = self._rows("SELECT kind, target, drained, generation, origin, by, at, reason FROM records")
         return tuple(
             Record(
-                "box" if kind == "box" else "limiter", str(target), bool(drained), int(str(generation)),
-                str(origin), str(by), float(str(at)), str(reason),
+                "box" if kind == "box" else "limiter",
+                str(target),
+                bool(drained),
+                int(str(generation)),
+                str(origin),
+                str(by),
+                float(str(at)),
+                str(reason),
             )
             for kind, target, drained, generation, origin, by, at, reason in rows
-        )  # fmt: skip
+        )
 
     def keep(self, records: Iterable[Record], line: AuditLine) -> int:
         """The records with their audit line; returns its id, for `reached`."""
         statements: list[tuple[str, tuple[object, ...]]] = [
-            ("INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
-             (r.kind, r.target, int(r.drained), r.generation, r.origin, r.by, r.at, r.reason))
+            (
+                "INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
+                (r.kind, r.target, int(r.drained), r.generation, r.origin, r.by, r.at, r.reason),
+            )
             for r in records
-        ]  # fmt: skip
+        ]
         return self._audited(statements, line)
 
     def forget(self, records: Iterable[Record], line: AuditLine) -> int:
@@ -178,9 +189,10 @@
             return None
         promised, promised_by, accepted, accepted_by, value = rows[0]
         return (
-            Ballot(int(str(promised)), str(promised_by)), Ballot(int(str(accepted)), str(accepted_by)),
+            Ballot(int(str(promised)), str(promised_by)),
+            Ballot(int(str(accepted)), str(accepted_by)),
             bytes(value) if isinstance(value, bytes) else b"",
-        )  # fmt: skip
+        )
 
     def keep_vote(self, promised: Ballot, accepted: Ballot, value: bytes) -> None:
         """Before the answer leaves that tells of it."""
--- a/elderlock/fleet/versions.py
+++ b/elderlock/fleet/versions.py
@@ -45,8 +45,9 @@
 
         return Launch(
             tuple(filled(word) for word in file.command) or part.command,
-            filled(file.directory) or part.directory, filled(file.config) or part.config,
-        )  # fmt: skip
+            filled(file.directory) or part.directory,
+            filled(file.config) or part.config,
+        )
 
     def agent(self, version: str, name: str) -> tuple[str, ...]:
         """The command that starts the agent of that name on that version; empty for the base's own. Raises
--- a/elderlock/gossip/ceilings.py
+++ b/elderlock/gossip/ceilings.py
@@ -98,22 +98,25 @@
         self._answered: dict[tuple[int, int], float] = {}  # wants that were answered, and when
         self._opened: set[int] = set()
         self._out: list[tuple[int, Want | Grant]] = []
-        self._rate = INTAKE_PART * core.settings.sources.peer_intake
+        self._rate = INTAKE_PART * core.settings.quota_sources.peer_messages_per_s
         self._room, self._room_at = BURST, core.now
         self.given = self.taken = 0.0  # units
 
     # The bucket
 
     def refresh(self, account: Account) -> None:
-        level, at = account.ceiling, account.at
+        level, at = account.ceiling_units, account.refreshed_at_ms
         super().refresh(account)
         if account.key in self._away:
-            account.ceiling = self._filled(account, level, at)
+            account.ceiling_units = self._filled(account, level, at)
 
     def _filled(self, account: Account, level: float, at: float) -> float:
         """The level now, of a bucket that held `level` at `at`, under a bound that rises as what is away lapses."""
         now, plan = self.core.now, account.plan
-        part, fill = plan.ceiling_burst / account.spread, plan.ceiling_rate / account.spread / SECOND
+        part, fill = (
+            plan.ceiling_burst_units / account.limiter_count,
+            plan.ceiling_rate_per_s / account.limiter_count / SECOND,
+        )
         away = self._away[account.key]
         while away and away[0][0] <= now:
             until = max(away[0][0], at)
@@ -127,7 +130,9 @@
         super().give_back(request)
         account = request.account
         away = sum(units for _, units in self._away.get(account.key, ()))
-        account.ceiling = min(account.ceiling, account.plan.ceiling_burst / account.spread - away)
+        account.ceiling_units = min(
+            account.ceiling_units, account.plan.ceiling_burst_units / account.limiter_count - away
+        )
 
     # Wants
 
@@ -143,16 +148,16 @@
 
     def _need(self, account: Account) -> float:
         """Units that it wants to hold here: what it uses, and never more than its part may hold."""
-        lately = self.core.now - account.sent_at < NEED_FOR
-        need = account.own_rate * NEED_FOR / SECOND + NEED_MORE * account.units * lately
-        return min(need, account.plan.ceiling_burst / account.spread)
+        lately = self.core.now - account.sent_at_ms < NEED_FOR
+        need = account.own_rate_per_s * NEED_FOR / SECOND + NEED_MORE * account.mean_request_units * lately
+        return min(need, account.plan.ceiling_burst_units / account.limiter_count)
 
     def _want(self, account: Account) -> None:
         now, plan = self.core.now, account.plan
-        if plan.ceiling_rate <= 0 or account.spread <= 1:
+        if plan.ceiling_rate_per_s <= 0 or account.limiter_count <= 1:
             return
-        lacks = self._need(account) - account.ceiling
-        if lacks < account.units or now - self._wanted_at.get(account.key, float("-inf")) < AGAIN:
+        lacks = self._need(account) - account.ceiling_units
+        if lacks < account.mean_request_units or now - self._wanted_at.get(account.key, float("-inf")) < AGAIN:
             return
         if not self._may_send(1):
             return
@@ -165,13 +170,13 @@
         self._pending[self._id] = Pending(account.key, now, set(asked))
         # of each its share: what two give for the same lack is lost
         index, units = self.core.settings.plans.index(plan), lacks / len(asked)
-        want = Want(self._id, account.key, index, account.spread, account.first, units)
+        want = Want(self._id, account.key, index, account.limiter_count, account.first_limiter, units)
         self._out += [(other, want) for other in asked]
 
     def _others(self, account: Account) -> list[int]:
         settings = self.core.settings
-        members = [(account.first + n) % settings.limiters for n in range(account.spread)]
-        return [member for member in members if member != settings.number]
+        members = [(account.first_limiter + n) % settings.limiter_count for n in range(account.limiter_count)]
+        return [member for member in members if member != settings.limiter_index]
 
     def _may_send(self, datagrams: int) -> bool:
         now = self.core.now
@@ -207,9 +212,9 @@
             return
         self.refresh(account)
         away = sum(units for _, units in self._away.get(account.key, ()))
-        room = account.plan.ceiling_burst / account.spread - away - account.ceiling
+        room = account.plan.ceiling_burst_units / account.limiter_count - away - account.ceiling_units
         taken = max(0.0, min(grant.units, room))
-        account.ceiling += taken
+        account.ceiling_units += taken
         self.taken += taken
 
     def _wanted(self, sender: int, want: Want) -> None:
@@ -220,12 +225,12 @@
         if now - self._wanted_at.get(want.key, float("-inf")) < LIFE:
             return  # we want some ourselves
         self.refresh(account)
-        units = int(min(want.units, account.ceiling - self._need(account)) * PARTS) / PARTS
-        if units < min(want.units, LEAST_PART * account.units) or units <= 0.0:
+        units = int(min(want.units, account.ceiling_units - self._need(account)) * PARTS) / PARTS
+        if units < min(want.units, LEAST_PART * account.mean_request_units) or units <= 0.0:
             return  # not worth a datagram
         self._room -= 1
         self._answered[sender, want.id] = now
-        account.ceiling -= units
+        account.ceiling_units -= units
         self._away.setdefault(want.key, []).append((now + LIFE, units))
         self.given += units
         self._out.append((sender, Grant(want.id, units)))
@@ -234,18 +239,18 @@
         """Our part of that ceiling, if it is split as the sender says and both hold one. A customer that nobody asked
         us about yet has a part here all the same."""
         settings = self.core.settings
-        if want.plan >= len(settings.plans) or not 1 < want.spread <= settings.limiters:
+        if want.plan >= len(settings.plans) or not 1 < want.spread <= settings.limiter_count:
             return None
         plan = settings.plans[want.plan]
-        places = [(number - want.first) % settings.limiters for number in (sender, settings.number)]
-        if plan.ceiling_rate <= 0 or max(places) >= want.spread or places[0] == places[1]:
+        places = [(number - want.first) % settings.limiter_count for number in (sender, settings.limiter_index)]
+        if plan.ceiling_rate_per_s <= 0 or max(places) >= want.spread or places[0] == places[1]:
             return None
         account = self.accounts.get(want.key)
         if account is None and len(self._opened) < MOST_OPENED:
             account = self.accounts[want.key] = self._open_account(want.key, plan, want.spread, want.first)
             self.aging.used(want.key, self.core.now)
             self._opened.add(want.key)
-        alike = account is not None and account.plan is plan and account.spread == want.spread
+        alike = account is not None and account.plan is plan and account.limiter_count == want.spread
         return account if alike else None
 
     # Upkeep
@@ -272,13 +277,13 @@
         self.handlers[api.PeerMessage] = self._peer_message
 
     def _peer_message(self, event: api.PeerMessage) -> None:
-        message = decode(event.data)
+        message = decode(event.payload)
         if message is not None:
-            self.quotas.told(event.sender, message)
-        elif event.data[:1] != bytes([FORMAT]):
+            self.quotas.told(event.sender_index, message)
+        elif event.payload[:1] != bytes([FORMAT]):
             self._others_messages(event)
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
         actions = super().handle(event, now)
-        actions += [api.TellPeer(to, data) for to, data in self.quotas.due()]
+        actions += [api.SendPeerMessage(to, data) for to, data in self.quotas.due()]
         return actions
--- a/elderlock/gossip/evidence.py
+++ b/elderlock/gossip/evidence.py
@@ -126,11 +126,13 @@
         """For operators, the latest first."""
         rows = [
             Told(
-                origin, seen.zone, now - seen.failed if seen.failed > 0 else -1.0,
+                origin,
+                seen.zone,
+                now - seen.failed if seen.failed > 0 else -1.0,
                 now - seen.good if seen.good > 0 else -1.0,
             )
             for origin, seen in self._seen.get(server, {}).items()
-        ]  # fmt: skip
+        ]
         return sorted(rows, key=lambda row: min((age for age in row[2:] if age >= 0), default=0.0))
 
     def latest(self, most: int) -> list[int]:
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -45,13 +45,13 @@
 
     def failed(self, server: Server, ready: int, mass: int) -> list[Server]:
         self._failed_here(server)
-        return self.blamed(server, ready, mass, (self.core.settings.number,))
+        return self.blamed(server, ready, mass, (self.core.settings.limiter_index,))
 
     def blamed(self, server: Server, ready: int, mass: int, origins: tuple[int, ...]) -> list[Server]:
         """A failure, ours or others' that weigh as much."""
-        out_before = server.left_out
+        out_before = server.is_ejected
         let_in = super().failed(server, ready, mass)
-        if server.left_out and not out_before:
+        if server.is_ejected and not out_before:
             self.held[server] = Held(self.core.now, origins)
             self._wait(server)
         return let_in
@@ -61,16 +61,16 @@
         self.held.pop(server, None)
 
     def _wait(self, server: Server) -> None:
-        core, limiters = self.core, self.core.settings.limiters
-        wait = min(LEFT_OUT_FOR * 2.0 ** (server.times_out - 1), LEFT_OUT_MOST)
+        core, limiters = self.core, self.core.settings.limiter_count
+        wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
         first = core.rng.random() * limiters < TRIALS or core.now - self.heard_at > HEARD_WITHIN
         self.put_off(server, wait * core.rng.uniform(0.8, 1.2) * (1.0 if first else PUT_OFF))
 
     def put_off(self, server: Server, wait: float) -> None:
         """Left out for `wait` ms from now; what `back` had noted for it is passed over."""
         self._number += 1
-        server.back_at = self.core.now + wait
-        heapq.heappush(self._back, (server.back_at, self._number, server))
+        server.reinstate_at_ms = self.core.now + wait
+        heapq.heappush(self._back, (server.reinstate_at_ms, self._number, server))
 
 
 class SharedLimiter(Limiter):
@@ -81,10 +81,10 @@
     def __init__(self, settings: api.Settings, seed: int, now: float, source: type[Keepers] = Keepers) -> None:
         super().__init__(settings, seed, now, source)
         zone = settings.zone if 0 <= settings.zone < NO_ZONE else NO_ZONE
-        self.evidence = Evidence(settings.number, zone)
+        self.evidence = Evidence(settings.limiter_index, zone)
         # draws of its own: what is drawn for choices stays as it was
-        intake, rng = settings.sources.peer_intake, random.Random(seed ^ 0x5E)
-        self.rumours = Rumours(settings.number, settings.limiters, intake, rng, now)
+        intake, rng = settings.quota_sources.peer_messages_per_s, random.Random(seed ^ 0x5E)
+        self.rumours = Rumours(settings.limiter_index, settings.limiter_count, intake, rng, now)
         self.outliers = self.boxes.outliers = SharedOutliers(self.core, self._failed_here)
         self._by_key: dict[int, Server] = {}
         self._told: dict[tuple[int, Kind], float] = {}  # when we last told this of that server
@@ -98,8 +98,8 @@
 
     def _listed(self, event: api.ServerList) -> None:
         """At the cost of what the list names: a change does not walk all servers."""
-        servers, names = self.boxes.servers, [entry.server for entry in event.entries]
-        before = {name: servers[name].entry.started_at for name in names if name in servers}
+        servers, names = self.boxes.servers, [entry.server_id for entry in event.entries]
+        before = {name: servers[name].entry.started_at_ms for name in names if name in servers}
         self.boxes.listed(event)
         if event.kind is not api.ListKind.CHANGES:
             self._by_key = {key(name): server for name, server in servers.items()}
@@ -108,35 +108,38 @@
                 self._by_key.pop(key(name), None)
                 continue
             self._by_key[key(name)] = server
-            if before.get(name, server.entry.started_at) != server.entry.started_at:
+            if before.get(name, server.entry.started_at_ms) != server.entry.started_at_ms:
                 self.evidence.forget(key(name))
 
     def _ended(self, event: api.AttemptEnded) -> None:
-        request = self.requests.get(event.request)
-        server = self.boxes.servers.get(event.server)
-        self._began = self.core.now - event.took
+        request = self.requests.get(event.request_id)
+        server = self.boxes.servers.get(event.server_id)
+        self._began = self.core.now - event.duration_ms
         self.attempts.ended(event)
         if request is None or server is None:
             return
-        name = key(event.server)
+        name = key(event.server_id)
         if event.outcome in (Outcome.OK, Outcome.ERROR):
             self.evidence.tried(name, self.core.now)
             # a good answer is told where failures still weigh or errors did: the first one of a zone undoes these there
             if event.outcome is Outcome.ERROR:
                 self._saw(server, Kind.ERROR)
-            elif server.wrong > LEAST_WRONG or self.evidence.failures(name, self.boxes.load.ready, self.core.now) > 0.0:
+            elif (
+                server.error_fraction > LEAST_WRONG
+                or self.evidence.failures(name, self.boxes.load.ready, self.core.now) > 0.0
+            ):
                 self._saw(server, Kind.GOOD)
         self._tell()
 
     def _failed_here(self, server: Server) -> None:
-        self.evidence.tried(key(server.entry.server), self.core.now)
+        self.evidence.tried(key(server.entry.server_id), self.core.now)
         self._saw(server, Kind.FAILED)
 
     def _saw(self, server: Server, kind: Kind) -> None:
-        now, name = self.core.now, key(server.entry.server)
-        if self._began < server.entry.started_at:
+        now, name = self.core.now, key(server.entry.server_id)
+        if self._began < server.entry.started_at_ms:
             return  # it tells of the process before
-        observation = Observation(name, self.core.settings.number, self.evidence.zone, kind, self._began)
+        observation = Observation(name, self.core.settings.limiter_index, self.evidence.zone, kind, self._began)
         self.evidence.take(observation, now)
         if now - self._told.get((name, kind), float("-inf")) < TOLD_EVERY:
             return
@@ -147,10 +150,10 @@
     # What others say
 
     def _message(self, event: api.PeerMessage) -> None:
-        if not is_gossip(event.data):
+        if not is_gossip(event.payload):
             return self.keepers.told(event)
         try:
-            observations = decode(event.data, self.core.now, self.core.settings.limiters)
+            observations = decode(event.payload, self.core.now, self.core.settings.limiter_count)
         except WireError:
             self.refused += 1
             return
@@ -159,9 +162,9 @@
         ready = len(self.boxes.listing.ready)
         for observation in observations:
             server = self._by_key.get(observation.server)
-            if server is None or server.gone or observation.at < server.entry.started_at:
+            if server is None or server.is_removed or observation.at < server.entry.started_at_ms:
                 continue  # not ours to judge, or of the process before
-            ours = observation.origin == self.core.settings.number
+            ours = observation.origin == self.core.settings.limiter_index
             if ours or not self.evidence.take(observation, self.core.now):
                 continue
             if not self.evidence.doubted(observation.origin, ready, self.core.now):
@@ -170,45 +173,45 @@
         self._tell()
 
     def _learn(self, server: Server, observation: Observation, ready: int) -> None:
-        if server.leaving:
+        if server.is_draining:
             return
         weight = 2 * LATENCY_WEIGHT  # as an answer of our own has in `Boxes.learn`
         match observation.kind:
             case Kind.FAILED:
                 self._weigh(server, ready)
             case Kind.ERROR:
-                server.wrong += weight * (1.0 - server.wrong)
-                server.wrong_at = self.core.now
+                server.error_fraction += weight * (1.0 - server.error_fraction)
+                server.error_fraction_at_ms = self.core.now
             case Kind.GOOD:
-                server.wrong *= 1.0 - weight
-                if server.left_out and observation.zone == self.evidence.zone:
+                server.error_fraction *= 1.0 - weight
+                if server.is_ejected and observation.zone == self.evidence.zone:
                     self._place(server, lambda: self.outliers.good(server))
 
     def _weigh(self, server: Server, ready: int) -> None:
-        if self.evidence.failures(key(server.entry.server), ready, self.core.now) < ENOUGH:
+        if self.evidence.failures(key(server.entry.server_id), ready, self.core.now) < ENOUGH:
             return
-        if server.left_out:  # somebody tried it in vain: we need not
-            wait = min(LEFT_OUT_FOR * 2.0 ** (server.times_out - 1), LEFT_OUT_MOST)
-            return self.outliers.put_off(server, max(wait, server.back_at - self.core.now))
+        if server.is_ejected:  # somebody tried it in vain: we need not
+            wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
+            return self.outliers.put_off(server, max(wait, server.reinstate_at_ms - self.core.now))
 
-        name, out = server.entry.server, len(self.outliers.out) + 1
+        name, out = server.entry.server_id, len(self.outliers.out) + 1
         seen = self.evidence.who(key(name), self.core.now)
         origins = tuple(each.origin for each in seen if 0.0 <= each.failed_age <= FRESH)
 
         def blame() -> None:
-            server.fails = max(server.fails, OUTLIER_AFTER - 1)
+            server.consecutive_failures = max(server.consecutive_failures, OUTLIER_AFTER - 1)
             for other in self.outliers.blamed(server, ready, self.boxes.listing.mass, origins):
                 self.boxes._let_in(other)
 
         self._place(server, blame)
-        if server.left_out:
+        if server.is_ejected:
             who = ", ".join(map(str, origins))
             self.core.actions.append(api.Log(f"{name} is left out, one of {out}: it failed at limiters {who}"))
 
     def _place(self, server: Server, change: Callable[[], None]) -> None:
-        before = server.left_out
+        before = server.is_ejected
         change()
-        self.boxes.by_rank[self.boxes.subset.ranking.rank(server.entry.server)] += before - server.left_out
+        self.boxes.by_rank[self.boxes.subset.ranking.rank(server.entry.server_id)] += before - server.is_ejected
         self.boxes.place(server)
 
     # Upkeep
@@ -223,7 +226,7 @@
         now = self.core.now
         for to, observations in self.rumours.due(now, FRESH):
             self.told += 1
-            self.core.actions.append(api.TellPeer(to, encode(observations, now)))
+            self.core.actions.append(api.SendPeerMessage(to, encode(observations, now)))
 
     def _rate(self, elapsed: float) -> None:
         super()._rate(elapsed)
--- a/elderlock/interface.py
+++ b/elderlock/interface.py
@@ -10,15 +10,15 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeat of a request does: nothing, dropped inside a group of servers, or a second effect."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """The servers that drop each other's repeats of a keyed request."""
 
     ALL = "all"
@@ -36,34 +36,34 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_FORWARDED = "moot"
 
 
 class ServerState(Enum):
     RUNNING = "running"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class ListKind(Enum):
     """How much a list tells: changes, all, what was remembered from before the start, or a refused call."""
 
     CHANGES = "changes"
-    ALL = "all"
-    REMEMBERED = "remembered"
+    COMPLETE = "all"
+    CACHED = "remembered"
     REFUSED = "refused"
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
     name: str
-    aim: float
-    effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
-    window: float = 0.0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    stream: bool = False
+    latency_objective_ms: float
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: float = 0.0
+    priority_weight: float = 1.0
+    late_priority_weight: float = 0.0
+    is_streaming: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,45 +71,45 @@
     """Quota in units a second with a burst, attempts open at once, and a ceiling; 0 where there is none."""
 
     name: str
-    price: float = 1.0
-    rate: float = 0.0
-    burst: float = 0.0
-    open_limit: int = 0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    price_weight: float = 1.0
+    rate_per_s: float = 0.0
+    burst_units: float = 0.0
+    concurrency_limit: int = 0
+    over_quota_value: float = 0.0
+    over_quota_cost: float = 0.0
+    ceiling_rate_per_s: float = 0.0
+    ceiling_burst_units: float = 0.0
+    ceiling_slack_units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
-    cold_share: float
-    cold_time: float
-    fall_multiple: float
-    fall_window: float
-    ask_within: float = 0.0
+class ServiceRules:
+    warm_up_initial_fraction: float
+    warm_up_ms: float
+    overload_multiple: float
+    overload_window_ms: float
+    list_refresh_within_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Allowances:
+class Capabilities:
     """`dial`: how long (ms) a send may take to begin, where a connection has to come up first."""
 
     max_attempts: int
-    cancel: bool = False
-    peers: bool = False
-    retry_after: bool = False
-    max_retry_after: float = 0.0
-    dial: float = 0.0
+    can_cancel: bool = False
+    can_message_peers: bool = False
+    can_send_retry_after: bool = False
+    max_retry_after_ms: float = 0.0
+    connect_timeout_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSources:
     """What tells of a customer's use elsewhere: messages of peers, a meter in answers."""
 
-    meter_period: float = 0.0
-    peer_intake: float = 0.0
-    settled_after: bool = False
+    meter_period_ms: float = 0.0
+    peer_messages_per_s: float = 0.0
+    cost_known_after: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,34 +117,34 @@
     """How boxes are shared out where they are many. `subset`: boxes that each limiter holds, 0 for all. `away`: what
     leaving the limiter's own zone counts as, in aims of latency; 0 where all zones are alike."""
 
-    subset: int = 0
-    away: float = 0.0
+    subset_size: int = 0
+    cross_zone_penalty: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    number: int
-    limiters: int
-    tick: float
+    limiter_index: int
+    limiter_count: int
+    clock_tick_ms: float
     zone: int
-    classes: tuple[RequestClass, ...]
+    request_classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    rules: Rules
-    allow: Allowances
-    sources: QuotaSources = field(default_factory=QuotaSources)
-    subscribe: bool = False
+    rules: ServiceRules
+    capabilities: Capabilities
+    quota_sources: QuotaSources = field(default_factory=QuotaSources)
+    subscribes_to_list: bool = False
     routing: Routing = field(default_factory=Routing)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    server: str
+    server_id: str
     zone: int
     kind: int
     cell: int
     state: ServerState
     weight: float
-    started_at: float = 0.0
+    started_at_ms: float = 0.0
 
 
 # Events
@@ -159,18 +159,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    request: str
+    request_id: str
     class_index: int
     plan_index: int
-    customer: str
+    customer_id: str
     units: float
-    give_up_at: float
-    spread: int
-    first: int
+    deadline_ms: float
+    limiter_count: int
+    first_limiter: int
 
 
 @dataclass(frozen=True, slots=True)
-class PermissionAsked(RequestArrived):
+class PermitRequested(RequestArrived):
     """A request that its asker sends on by itself: the answer to it is `Permit`, `Refuse` or `Fail`, and
     how the one attempt ended comes as `AttemptEnded`, `MOOT` where it was never sent on."""
 
@@ -179,66 +179,66 @@
 class AttemptEnded:
     """`answered`: the request has its final answer, through this outcome or before it."""
 
-    request: str
-    attempt: int
-    server: str
+    request_id: str
+    attempt_index: int
+    server_id: str
     outcome: Outcome
-    took: float
-    answered: bool
+    duration_ms: float
+    is_answered: bool
     meter: int = 0
-    true_units: float = 0.0
+    settled_units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    request: str
-    attempt: int
-    server: str
-    took: float
+    request_id: str
+    attempt_index: int
+    server_id: str
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
-    request: str
+class ClientDisconnected:
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
-    server: str
+class HealthCheckEnded:
+    server_id: str
     outcome: Outcome
-    took: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    sender: int
-    data: bytes
+    sender_index: int
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    name: int
+    token: int
     outcome: Outcome
     total: float
-    took: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerFired:
     token: int
 
 
 Event = (
     ServerList
     | RequestArrived
-    | PermissionAsked
+    | PermitRequested
     | AttemptEnded
     | StreamStarted
-    | ClientGone
-    | ProbeEnded
+    | ClientDisconnected
+    | HealthCheckEnded
     | PeerMessage
     | CounterAnswered
-    | TimerDue
+    | TimerFired
 )
 
 
@@ -246,59 +246,59 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """Send a request to a server; the time-out 0 means until the client gives up."""
 
-    request: str
-    server: str
-    timeout: float = 0.0
+    request_id: str
+    server_id: str
+    timeout_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Permit:
     """Final: the asker may send it to that server, and waits that long (ms) at most. It counts as a send."""
 
-    request: str
-    server: str
-    timeout: float
+    request_id: str
+    server_id: str
+    timeout_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final: retrying is harmless."""
 
-    request: str
-    retry_after: float = 0.0
+    request_id: str
+    retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
     """Final: promises nothing."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    request: str
-    attempt: int
+class CancelAttempt:
+    request_id: str
+    attempt_index: int
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
-    receiver: int
-    data: bytes
+class SendPeerMessage:
+    receiver_index: int
+    payload: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Tally:
+class AddToCounter:
     """Add `amount` to the shared counter's `name`, whose life (ms) begins with its first call; `CounterAnswered` comes
     with the token as its `name`, or nothing does."""
 
     token: int
-    name: str
+    counter_name: str
     amount: float
-    life: float
+    lifetime_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -307,13 +307,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchServerList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    wait: float
+    delay_ms: float
     token: int
 
 
@@ -322,4 +322,16 @@
     text: str
 
 
-Action = Send | Permit | Refuse | Fail | Cancel | TellPeer | Tally | Subscribe | FetchList | SetTimer | Log
+Action = (
+    SendAttempt
+    | Permit
+    | Reject
+    | Fail
+    | CancelAttempt
+    | SendPeerMessage
+    | AddToCounter
+    | Subscribe
+    | FetchServerList
+    | SetTimer
+    | Log
+)
--- a/elderlock/load/asking.py
+++ b/elderlock/load/asking.py
@@ -101,9 +101,15 @@
     async def _ask(self, request: Request, tries: int, patience: float) -> None:
         arrival, target = request.arrival, request.target
         question = auth.CheckRequest()
-        values = {"account": arrival.account, "plan": arrival.plan, "class": arrival.class_name,
-                  "request": request.id.decode(), "units": f"{arrival.units:g}", "spread": str(arrival.spread),
-                  "first": str(arrival.first)}  # fmt: skip
+        values = {
+            "account": arrival.account,
+            "plan": arrival.plan,
+            "class": arrival.class_name,
+            "request": request.id.decode(),
+            "units": f"{arrival.units:g}",
+            "spread": str(arrival.spread),
+            "first": str(arrival.first),
+        }
         for key, value in values.items():
             question.attributes.context_extensions[key] = value
         request.wrote = now_us()
--- a/elderlock/load/clientele.py
+++ b/elderlock/load/clientele.py
@@ -42,9 +42,15 @@
         return min(self._clients.try_share * deadline, deadline - waited)
 
     def after(
-        self, outcome: str, advice: float | None, tries: int, honours: bool, waited: float, deadline: float,
+        self,
+        outcome: str,
+        advice: float | None,
+        tries: int,
+        honours: bool,
+        waited: float,
+        deadline: float,
         rng: random.Random,
-    ) -> Again | None:  # fmt: skip
+    ) -> Again | None:
         """`advice` is the limiter's "come back" in ms, None where it gave none. A client that honours it
         waits so long, and goes away where that is longer than it may wait or has time for; one that does not
         takes its own back-off as after any failure."""
--- a/elderlock/load/clock.py
+++ b/elderlock/load/clock.py
@@ -21,9 +21,11 @@
 
 class _Itimerspec(ctypes.Structure):
     _fields_ = (
-        ("interval_s", ctypes.c_long), ("interval_ns", ctypes.c_long),
-        ("value_s", ctypes.c_long), ("value_ns", ctypes.c_long),
-    )  # fmt: skip
+        ("interval_s", ctypes.c_long),
+        ("interval_ns", ctypes.c_long),
+        ("value_s", ctypes.c_long),
+        ("value_ns", ctypes.c_long),
+    )
 
 
 class Ticker:
--- a/elderlock/load/compare.py
+++ b/elderlock/load/compare.py
@@ -89,9 +89,7 @@
         if one is None or two is None or point not in one.latency or point not in two.latency:
             continue
         samples = [[spread.times((point,) if point != "mean" else ())[point] for spread, _ in g] for g in groups]
-        found.append(
-            Difference(f"{point} ms", one.latency[point], two.latency[point], _noise(*samples))
-        )  # fmt: skip
+        found.append(Difference(f"{point} ms", one.latency[point], two.latency[point], _noise(*samples)))
     for name in sorted(before.outcomes.keys() | after.outcomes.keys()):
         shares = [run.outcomes.get(name, 0) / max(1, run.ledger["scheduled"]) for run in (before, after)]
         samples = [[outcomes.get(name, 0) / sum(outcomes.values()) for _, outcomes in g if outcomes] for g in groups]
@@ -107,6 +105,8 @@
     widths = [max(len(row[n]) for row in rows) for n in range(4)]
     return [
         *(f"careful: {text}" for text in warnings),
-        *(f"{a.ljust(widths[0])}  {b.rjust(widths[1])}  {c.rjust(widths[2])}  {d.rjust(widths[3])}  {e}".rstrip()
-          for a, b, c, d, e in rows),
-    ]  # fmt: skip
+        *(
+            f"{a.ljust(widths[0])}  {b.rjust(widths[1])}  {c.rjust(widths[2])}  {d.rjust(widths[3])}  {e}".rstrip()
+            for a, b, c, d, e in rows
+        ),
+    ]
--- a/elderlock/load/coordinator.py
+++ b/elderlock/load/coordinator.py
@@ -60,9 +60,13 @@
 
     async def open(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
         self.process = await spawn(
-            sys.executable, "-m", "elderlock.load.worker", stdin=asyncio.subprocess.PIPE,
-            stdout=asyncio.subprocess.PIPE, start_new_session=True,
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            "elderlock.load.worker",
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            start_new_session=True,
+        )
         self._task = asyncio.get_running_loop().create_task(self._read(heard, gone))
 
     async def _read(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
@@ -106,10 +110,14 @@
     """One run. `live` hears of each second; `began` is called with the start, for troubles on a timeline."""
 
     def __init__(
-        self, scenario: Scenario, lines: Sequence[Line], live: Callable[[Second], None] = lambda second: None,
-        began: Callable[[float], Awaitable[list[tuple[float, str]]]] | None = None, key: bytes = b"",
+        self,
+        scenario: Scenario,
+        lines: Sequence[Line],
+        live: Callable[[Second], None] = lambda second: None,
+        began: Callable[[float], Awaitable[list[tuple[float, str]]]] | None = None,
+        key: bytes = b"",
         folder: Path | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.scenario, self._live, self._began, self._key = scenario, live, began, key
         self._folder = folder
         self.workers = [_Worker(number, line) for number, line in enumerate(lines)]
@@ -257,9 +265,16 @@
         scheduled = await asyncio.to_thread(self._scheduled, dead)
         self._write_trace()
         return report(
-            self.totals, self.scenario, scheduled=scheduled, began_at=began_at, lasted=lasted, notes=self.notes,
-            incomplete=bool(dead) or self._stopped_at is not None, trouble=told, fail_if=fail_if,
-        )  # fmt: skip
+            self.totals,
+            self.scenario,
+            scheduled=scheduled,
+            began_at=began_at,
+            lasted=lasted,
+            notes=self.notes,
+            incomplete=bool(dead) or self._stopped_at is not None,
+            trouble=told,
+            fail_if=fail_if,
+        )
 
     def _give_up(self, waiting: Sequence[_Worker], began: float, longest: float) -> None:
         """On workers that say nothing although their time is over."""
--- a/elderlock/load/figures.py
+++ b/elderlock/load/figures.py
@@ -226,10 +226,14 @@
                 outcomes[sample.outcome] += len(latency)
                 spread.add(latency)
         made = Second(
-            number, dict(counts), dict(outcomes), spread.times(("p50", "p99", "max")), late.times(("p99", "max")),
+            number,
+            dict(counts),
+            dict(outcomes),
+            spread.times(("p50", "p99", "max")),
+            late.times(("p99", "max")),
             sum(interval.open for interval in intervals),
             {i.worker: i.facts.cpu_ms / max(i.facts.wall_ms, 1.0) for i in intervals},
-        )  # fmt: skip
+        )
         self.seconds.append(made)
         if len(self.seconds) > 4 * MOST_BLOCKS:
             del self.seconds[::2]
@@ -253,12 +257,15 @@
         """`missing` is what was scheduled and nobody has accounted for: a worker that died took it along."""
         of = self.outcomes()
         return {
-            "scheduled": scheduled, "offered": self.counts["offered"], "sent": self.counts["sent"],
+            "scheduled": scheduled,
+            "offered": self.counts["offered"],
+            "sent": self.counts["sent"],
             "answered": sum(of.get(name, 0) for name in ANSWERS),
             "unanswered": sum(of.get(name, 0) for name in UNANSWERED),
             "unsent": sum(of.get(name, 0) for name in UNSENT),
-            "missing": scheduled - sum(of.values()), "open": sum(self.open),
-        }  # fmt: skip
+            "missing": scheduled - sum(of.values()),
+            "open": sum(self.open),
+        }
 
     def check(self, ledger: Mapping[str, int]) -> list[str]:
         """What does not add up, in words; nothing else may be found here than a fault of ours."""
--- a/elderlock/load/lateness.py
+++ b/elderlock/load/lateness.py
@@ -103,9 +103,14 @@
         if last is not None and (last.worker, last.why) == (span.worker, span.why) and span.start - last.end < 0.5:
             text = span.text if span.most_ms > last.most_ms else last.text
             found[-1] = Span(
-                span.worker, last.start, span.end, last.late + span.late, max(last.most_ms, span.most_ms),
-                span.why, text,
-            )  # fmt: skip
+                span.worker,
+                last.start,
+                span.end,
+                last.late + span.late,
+                max(last.most_ms, span.most_ms),
+                span.why,
+                text,
+            )
         else:
             found.append(span)
     return sorted(found, key=lambda s: (s.start, s.worker))
--- a/elderlock/load/page.py
+++ b/elderlock/load/page.py
@@ -30,10 +30,21 @@
 
 def _chart(title: str, x: str, y: str, series: Iterable[tuple[str, Sequence[tuple[float, float]]]], log: bool) -> str:
     chart = pygal.XY(
-        title=title, x_title=x, y_title=y, stroke_style={"width": 1.5}, show_dots=False, style=CleanStyle,
-        width=1000, height=360, js=[], legend_at_bottom=True, logarithmic=log, include_x_axis=not log,
-        no_data_text="nothing was measured", disable_xml_declaration=True,
-    )  # fmt: skip
+        title=title,
+        x_title=x,
+        y_title=y,
+        stroke_style={"width": 1.5},
+        show_dots=False,
+        style=CleanStyle,
+        width=1000,
+        height=360,
+        js=[],
+        legend_at_bottom=True,
+        logarithmic=log,
+        include_x_axis=not log,
+        no_data_text="nothing was measured",
+        disable_xml_declaration=True,
+    )
     for name, points in series:
         # a logarithm knows no zero
         chart.add(name, [(px, max(py, 0.001) if log else py) for px, py in thinned(points)])
@@ -55,25 +66,50 @@
 def page(report: Report) -> str:
     seconds = report.seconds
     charts = [
-        _chart("Arrivals", "s", "requests a second", [
-            ("offered", [(s.at, float(s.counts.get("offered", 0))) for s in seconds]),
-            ("first sends", [(s.at, float(s.counts.get("sent", 0))) for s in seconds]),
-            ("open at the end of the second", [(s.at, float(s.open)) for s in seconds]),
-        ], False),
-        _chart("Latency from the intended start, by second", "s", "ms", [
-            (point, [(s.at, s.times[point]) for s in seconds if point in s.times]) for point in ("p50", "p99", "max")
-        ], True),
-        _chart("How requests ended, by second", "s", "requests a second", [
-            (name, [(s.at, float(s.outcomes.get(name, 0))) for s in seconds])
-            for name in OUTCOMES if report.outcomes.get(name)
-        ], False),
-        _chart("How late sends left against the schedule", "s", "ms", [
-            (point, [(s.at, s.late[point]) for s in seconds if point in s.late]) for point in ("p99", "max")
-        ], True),
-        _chart("CPU of each worker", "s", "share of a core", [
-            (f"worker {n}", [(s.at, s.cpu[n]) for s in seconds if n in s.cpu]) for n in range(report.workers)
-        ], False),
-    ]  # fmt: skip
+        _chart(
+            "Arrivals",
+            "s",
+            "requests a second",
+            [
+                ("offered", [(s.at, float(s.counts.get("offered", 0))) for s in seconds]),
+                ("first sends", [(s.at, float(s.counts.get("sent", 0))) for s in seconds]),
+                ("open at the end of the second", [(s.at, float(s.open)) for s in seconds]),
+            ],
+            False,
+        ),
+        _chart(
+            "Latency from the intended start, by second",
+            "s",
+            "ms",
+            [(point, [(s.at, s.times[point]) for s in seconds if point in s.times]) for point in ("p50", "p99", "max")],
+            True,
+        ),
+        _chart(
+            "How requests ended, by second",
+            "s",
+            "requests a second",
+            [
+                (name, [(s.at, float(s.outcomes.get(name, 0))) for s in seconds])
+                for name in OUTCOMES
+                if report.outcomes.get(name)
+            ],
+            False,
+        ),
+        _chart(
+            "How late sends left against the schedule",
+            "s",
+            "ms",
+            [(point, [(s.at, s.late[point]) for s in seconds if point in s.late]) for point in ("p99", "max")],
+            True,
+        ),
+        _chart(
+            "CPU of each worker",
+            "s",
+            "share of a core",
+            [(f"worker {n}", [(s.at, s.cpu[n]) for s in seconds if n in s.cpu]) for n in range(report.workers)],
+            False,
+        ),
+    ]
     lines = report.by["all"].get("all")
     if lines is not None:
         curves = []
@@ -81,9 +117,10 @@
             histogram = decoded(encoded).hdr()
             # so many nines as the axis: 90 is 1, 99 is 2
             points = [
-                (nines(share), histogram.get_value_at_percentile(share) / 1000.0) for share in CURVE
+                (nines(share), histogram.get_value_at_percentile(share) / 1000.0)
+                for share in CURVE
                 if histogram.get_total_count()
-            ]  # fmt: skip
+            ]
             curves.append((name, points))
         charts.insert(2, _chart("Percentiles (1 is p90, 2 is p99, 3 is p99.9)", "nines", "ms", curves, True))
     title = html.escape(f"{report.scenario}, seed {report.seed}")
@@ -91,9 +128,10 @@
     verdict = "good" if report.exit == Exit.DONE else "bad"
     words = {
         Exit.DONE: "kept all its thresholds; the generator kept to its schedule",
-        Exit.FAILED: "thresholds were not kept", Exit.BEHIND: "the generator fell behind",
+        Exit.FAILED: "thresholds were not kept",
+        Exit.BEHIND: "the generator fell behind",
         Exit.INCOMPLETE: "a part of the load was not sent",
-    }.get(Exit(report.exit), "")  # fmt: skip
+    }.get(Exit(report.exit), "")
     text = html.escape("\n".join(summary(report)))
     told = "".join(f"<p class=bad>{html.escape(line)}</p>" for line in (*behind, *report.failed))
     return (
--- a/elderlock/load/report.py
+++ b/elderlock/load/report.py
@@ -71,9 +71,17 @@
 
 
 def report(
-    totals: Totals, scenario: Scenario, *, scheduled: int, began_at: float, lasted: float, notes: Sequence[str],
-    incomplete: bool, trouble: Sequence[tuple[float, str]] = (), fail_if: Sequence[str] = (),
-) -> Report:  # fmt: skip
+    totals: Totals,
+    scenario: Scenario,
+    *,
+    scheduled: int,
+    began_at: float,
+    lasted: float,
+    notes: Sequence[str],
+    incomplete: bool,
+    trouble: Sequence[tuple[float, str]] = (),
+    fail_if: Sequence[str] = (),
+) -> Report:
     ledger = totals.ledger(scheduled)
     wrong = [f"the figures do not add up: {text}" for text in totals.check(ledger)]
     by: dict[str, dict[str, Lines]] = {}
@@ -81,14 +89,33 @@
         by[name] = {key: _lines(pair.latency, pair.service) for key, pair in sorted(totals.by(place).items())}
     own = totals.counts["overdue"] + totals.outcomes().get("descriptors", 0) + max(0, ledger["missing"])
     made = Report(
-        VERSION, scenario.name, scenario.seed, began_at, lasted, totals.workers, scenario.targets.addresses, ledger,
-        totals.outcomes(), dict(totals.counts), own / scheduled if scheduled else 0.0, by, totals.late.times(),
-        totals.late.encoded(), joined(totals.spans), msgspec.structs.asdict(scenario.truth), totals.seconds,
-        totals.blocks(), totals.changes, list(trouble), dict(totals.faults),
+        VERSION,
+        scenario.name,
+        scenario.seed,
+        began_at,
+        lasted,
+        totals.workers,
+        scenario.targets.addresses,
+        ledger,
+        totals.outcomes(),
+        dict(totals.counts),
+        own / scheduled if scheduled else 0.0,
+        by,
+        totals.late.times(),
+        totals.late.encoded(),
+        joined(totals.spans),
+        msgspec.structs.asdict(scenario.truth),
+        totals.seconds,
+        totals.blocks(),
+        totals.changes,
+        list(trouble),
+        dict(totals.faults),
         [*notes, *(f"{key}: {text}" for key, text in totals.shown.items()), *wrong],
         dict(zip(("first", "last", "most"), map(sum, zip(*totals.rss, strict=True)), strict=True)),
-        sum(totals.cpu_ms) / 1000.0, [], 0,
-    )  # fmt: skip
+        sum(totals.cpu_ms) / 1000.0,
+        [],
+        0,
+    )
     made.failed = judged(made, (*scenario.fail_if, *fail_if))
     if incomplete or wrong or ledger["missing"]:
         made.exit = Exit.INCOMPLETE
@@ -164,8 +191,10 @@
 
 def _table(rows: Sequence[Sequence[str]]) -> list[str]:
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    return ["  ".join([row[0].ljust(widths[0]), *(c.rjust(w) for c, w in zip(row[1:], widths[1:], strict=True))])
-            for row in rows]  # fmt: skip
+    return [
+        "  ".join([row[0].ljust(widths[0]), *(c.rjust(w) for c, w in zip(row[1:], widths[1:], strict=True))])
+        for row in rows
+    ]
 
 
 def summary(report: Report) -> list[str]:
@@ -180,9 +209,15 @@
         f"sent      {ledger['sent']} = answered {ledger['answered']} + unanswered {ledger['unanswered']}",
         "ends: " + (", ".join(f"{n} {name}" for name in OUTCOMES if (n := report.outcomes.get(name))) or "none"),
     ]
-    beside = {"retries": "retries", "resent": "resent once", "late_answers": "answers too late",
-              "stray_answers": "answers to nothing", "mismatched": "answers for another request",
-              "waited": "waited for a connection", "connections": "connections opened"}  # fmt: skip
+    beside = {
+        "retries": "retries",
+        "resent": "resent once",
+        "late_answers": "answers too late",
+        "stray_answers": "answers to nothing",
+        "mismatched": "answers for another request",
+        "waited": "waited for a connection",
+        "connections": "connections opened",
+    }
     told = [f"{counts[key]} {words}" for key, words in beside.items() if counts.get(key)]
     lines += [f"beside: {', '.join(told)}"] if told else []
     rows = [["ms", "count", *POINTS, "service " + POINTS[0], *POINTS[1:]]]
@@ -191,16 +226,25 @@
             if place != "all" and len(report.by[place]) == 1 and place != "outcome":
                 continue
             name = key if place == "all" else f"{place} {key}"
-            rows.append([name, str(each.count), *(_ms(each.latency.get(p)) for p in POINTS),
-                         *(_ms(each.service.get(p)) for p in POINTS)])  # fmt: skip
+            rows.append(
+                [
+                    name,
+                    str(each.count),
+                    *(_ms(each.latency.get(p)) for p in POINTS),
+                    *(_ms(each.service.get(p)) for p in POINTS),
+                ]
+            )
     lines += ["", *_table(rows), ""]
     lines.append(
         f"sends left late by p50 {_ms(report.late.get('p50'))}, p99 {_ms(report.late.get('p99'))}, "
         f"at most {_ms(report.late.get('max'))} ms; rate error {report.rate_error:.4f}; "
         f"CPU {report.cpu_s:.1f} s; memory {report.rss_kb['last'] / 1024:.0f} MB"
     )
-    lines += [f"target {t} {'takes part' if part else 'takes part no more'} from {at:.1f} s"
-              for at, t, part in report.targets_changed if at > 0.0][:20]  # fmt: skip
+    lines += [
+        f"target {t} {'takes part' if part else 'takes part no more'} from {at:.1f} s"
+        for at, t, part in report.targets_changed
+        if at > 0.0
+    ][:20]
     lines += [f"trouble at {at:.1f} s: {text}" for at, text in report.trouble]
     lines += [f"passed over in the trace: {n} for {reason}" for reason, n in report.faults.items()]
     lines += [f"note: {text}" for text in report.notes]
--- a/elderlock/load/scenario.py
+++ b/elderlock/load/scenario.py
@@ -294,8 +294,13 @@
     _check_clients("clients", scenario.clients)
     replay = scenario.replay
     if replay is not None:
-        bounds("replay", speed=(replay.speed, 0.001, 10_000), loops=(replay.loops, 1, 1_000_000),
-                from_s=(replay.from_s, 0, 1e9), to_s=(replay.to_s, 0, 1e9))  # fmt: skip
+        bounds(
+            "replay",
+            speed=(replay.speed, 0.001, 10_000),
+            loops=(replay.loops, 1, 1_000_000),
+            from_s=(replay.from_s, 0, 1e9),
+            to_s=(replay.to_s, 0, 1e9),
+        )
         if replay.to_s and replay.to_s <= replay.from_s:
             raise ScenarioError("replay: to_s is not after from_s")
         if replay.on_error not in ("stop", "skip") and not replay.on_error.startswith("map:"):
@@ -308,13 +313,21 @@
         if not port:
             raise ScenarioError(f"targets: {target!r} has no port")
     truth = scenario.truth
-    bounds("truth", late_p99_ms=(truth.late_p99_ms, 0.1, 60_000), late_most_ms=(truth.late_most_ms, 0.1, 60_000),
-            connect_ms=(truth.connect_ms, 1, 60_000))  # fmt: skip
+    bounds(
+        "truth",
+        late_p99_ms=(truth.late_p99_ms, 0.1, 60_000),
+        late_most_ms=(truth.late_most_ms, 0.1, 60_000),
+        connect_ms=(truth.connect_ms, 1, 60_000),
+    )
     bounds("targets", silent_s=(scenario.targets.silent_s, 0.1, 60), ping_s=(scenario.targets.ping_s, 0.05, 60))
     bounds("group", limiters=(scenario.group.limiters, 1, 40), boxes=(scenario.group.boxes, 1, 200))
     for number, trouble in enumerate(scenario.trouble):
-        bounds(f"trouble {number}", at_s=(trouble.at_s, 0, LONGEST_S), for_s=(trouble.for_s, 0, LONGEST_S),
-                by_ms=(trouble.by_ms, 0, 60_000))  # fmt: skip
+        bounds(
+            f"trouble {number}",
+            at_s=(trouble.at_s, 0, LONGEST_S),
+            for_s=(trouble.for_s, 0, LONGEST_S),
+            by_ms=(trouble.by_ms, 0, 60_000),
+        )
     from elderlock.load.thresholds import ThresholdError, threshold
 
     for text in scenario.fail_if:
@@ -355,19 +368,32 @@
             bounds(place, spike_s=(shape.spike_s, 0.001, LONGEST_S))
     pieces(stream, lasts)
     accounts = stream.accounts
-    bounds(f"{where}, accounts", count=(accounts.count, 1, MOST_ACCOUNTS), skew=(accounts.skew, 0, 5),
-            heavy=(accounts.heavy, 0, 1), spiky=(accounts.spiky, 0, 1 - accounts.heavy),
-            heavy_times=(accounts.heavy_times, 1, 1000), spike_times=(accounts.spike_times, 1, 1000),
-            spike_every_s=(accounts.spike_every_s, 0.01, LONGEST_S),
-            spike_s=(accounts.spike_s, 0, accounts.spike_every_s),
-            move_every_s=(accounts.move_every_s, 0, LONGEST_S))  # fmt: skip
+    bounds(
+        f"{where}, accounts",
+        count=(accounts.count, 1, MOST_ACCOUNTS),
+        skew=(accounts.skew, 0, 5),
+        heavy=(accounts.heavy, 0, 1),
+        spiky=(accounts.spiky, 0, 1 - accounts.heavy),
+        heavy_times=(accounts.heavy_times, 1, 1000),
+        spike_times=(accounts.spike_times, 1, 1000),
+        spike_every_s=(accounts.spike_every_s, 0.01, LONGEST_S),
+        spike_s=(accounts.spike_s, 0, accounts.spike_every_s),
+        move_every_s=(accounts.move_every_s, 0, LONGEST_S),
+    )
     if stream.clients is not None:
         _check_clients(f"{where}, clients", stream.clients)
 
 
 def _check_clients(where: str, clients: Clients) -> None:
-    bounds(where, retries=(clients.retries, 0, 20), try_share=(clients.try_share, 0.01, 1),
-            backoff_ms=(clients.backoff_ms, 0, 60_000), honour=(clients.honour, 0, 1),
-            most_wait_ms=(clients.most_wait_ms, 0, 600_000), impatient=(clients.impatient, 0, 1),
-            slow=(clients.slow, 0, 1), slow_ms=(clients.slow_ms, 0, 60_000),
-            most_connections=(clients.most_connections, 1, 100_000))  # fmt: skip
+    bounds(
+        where,
+        retries=(clients.retries, 0, 20),
+        try_share=(clients.try_share, 0.01, 1),
+        backoff_ms=(clients.backoff_ms, 0, 60_000),
+        honour=(clients.honour, 0, 1),
+        most_wait_ms=(clients.most_wait_ms, 0, 600_000),
+        impatient=(clients.impatient, 0, 1),
+        slow=(clients.slow, 0, 1),
+        slow_ms=(clients.slow_ms, 0, 60_000),
+        most_connections=(clients.most_connections, 1, 100_000),
+    )
--- a/elderlock/load/schedule.py
+++ b/elderlock/load/schedule.py
@@ -56,9 +56,7 @@
     def __iter__(self) -> Iterator[Arrival]:
         stream: Stream = self.stream
         rng = stream_rng(self.seed, stream.name, "draws")
-        unit = unit_even() if stream.arrivals == "even" else unit_poisson(
-            stream_rng(self.seed, stream.name, "times")
-        )  # fmt: skip
+        unit = unit_even() if stream.arrivals == "even" else unit_poisson(stream_rng(self.seed, stream.name, "times"))
         population, clients = self.population, self.clients
         names, groups, firsts, draw = population.names, population.groups, population.firsts, population.draw
         plan, kind, deadline = stream.plan, stream.class_name, stream.deadline_ms
@@ -72,9 +70,20 @@
                 leaves = 1 + int(rng.random() * deadline * 1000.0)
             pause = clients.slow_ms if clients.slow and rng.random() < clients.slow else 0.0
             yield Arrival(
-                round(time * 1e6), self.number, names[index], plan, GROUPS[groups[index]], kind, units, deadline,
-                self.spread, firsts[index], honours, leaves, pause,
-            )  # fmt: skip
+                round(time * 1e6),
+                self.number,
+                names[index],
+                plan,
+                GROUPS[groups[index]],
+                kind,
+                units,
+                deadline,
+                self.spread,
+                firsts[index],
+                honours,
+                leaves,
+                pause,
+            )
 
 
 def schedule(scenario: Scenario, limiters: int) -> Iterator[Arrival]:
--- a/elderlock/load/thresholds.py
+++ b/elderlock/load/thresholds.py
@@ -16,8 +16,20 @@
 UNITS = {"us": 0.001, "ms": 1.0, "s": 1000.0}
 TIMES = ("latency", "service", "late")
 DIMENSIONS = ("outcome", "plan", "group", "target")
-COUNTS = ("offered", "sent", "answered", "unanswered", "unsent", "missing", "late_answers", "stray_answers",
-          "mismatched", "resent", "retries", "behind_s")  # fmt: skip
+COUNTS = (
+    "offered",
+    "sent",
+    "answered",
+    "unanswered",
+    "unsent",
+    "missing",
+    "late_answers",
+    "stray_answers",
+    "mismatched",
+    "resent",
+    "retries",
+    "behind_s",
+)
 
 
 class ThresholdError(Exception):
--- a/elderlock/load/trace.py
+++ b/elderlock/load/trace.py
@@ -28,8 +28,16 @@
 GZIP = b"\x1f\x8b"
 Column = Literal["at", "account", "plan", "class", "units", "deadline", "spread", "first", "outcome"]
 COLUMNS: tuple[Column, ...] = (
-    "at", "account", "plan", "class", "units", "deadline", "spread", "first", "outcome",
-)  # fmt: skip
+    "at",
+    "account",
+    "plan",
+    "class",
+    "units",
+    "deadline",
+    "spread",
+    "first",
+    "outcome",
+)
 
 
 class TraceError(Exception):
@@ -224,10 +232,19 @@
                     plan = self._map
                 account = row.account.lower()
                 yield Arrival(
-                    round((at - start) / replay.speed), 0, self._rename(account) if self._rename else account, plan,
-                    "trace", row.class_name, row.units, row.deadline,
-                    min(row.spread or min(3, limiters), limiters), row.first % max(1, limiters), True, 0,
-                )  # fmt: skip
+                    round((at - start) / replay.speed),
+                    0,
+                    self._rename(account) if self._rename else account,
+                    plan,
+                    "trace",
+                    row.class_name,
+                    row.units,
+                    row.deadline,
+                    min(row.spread or min(3, limiters), limiters),
+                    row.first % max(1, limiters),
+                    True,
+                    0,
+                )
 
 
 def open_trace(path: Path) -> IO[bytes]:
--- a/elderlock/load/wire.py
+++ b/elderlock/load/wire.py
@@ -25,8 +25,25 @@
 class Request:
     """One request of the schedule through all its tries. `began` is its intended start in µs."""
 
-    __slots__ = ("active", "again", "arrival", "began", "connection", "id", "leave", "number", "over", "reason",
-                 "resent", "sent", "target", "timer", "tries", "way", "wrote")  # fmt: skip
+    __slots__ = (
+        "active",
+        "again",
+        "arrival",
+        "began",
+        "connection",
+        "id",
+        "leave",
+        "number",
+        "over",
+        "reason",
+        "resent",
+        "sent",
+        "target",
+        "timer",
+        "tries",
+        "way",
+        "wrote",
+    )
 
     def __init__(self, number: int, arrival: Arrival, began: int, way: int) -> None:
         self.number, self.arrival, self.began, self.way = number, arrival, began, way
@@ -152,9 +169,14 @@
     """The connections of one kind of clients to one target. Beyond `most`, requests wait for a free one."""
 
     def __init__(
-        self, engine: Engine, loop: asyncio.AbstractEventLoop, address: tuple[str, int], keep: bool, most: int,
+        self,
+        engine: Engine,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        keep: bool,
+        most: int,
         verify: bool,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.engine, self.loop, self.address = engine, loop, address
         self.keep, self.verify, self._most = keep, verify, most
         self.count = 0
@@ -273,5 +295,9 @@
 
 def command(account: str, id: bytes, terms: bytes) -> bytes:
     return b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
-        account.encode(), len(id), id, len(terms), terms,
-    )  # fmt: skip
+        account.encode(),
+        len(id),
+        id,
+        len(terms),
+        terms,
+    )
--- a/elderlock/load/worker.py
+++ b/elderlock/load/worker.py
@@ -216,8 +216,16 @@
 
     def _record(self, arrival: Arrival) -> None:
         assert self._trace is not None
-        row = Row(arrival.at, arrival.account, arrival.plan, arrival.class_name, arrival.units, arrival.deadline,
-                  arrival.spread, arrival.first)  # fmt: skip
+        row = Row(
+            arrival.at,
+            arrival.account,
+            arrival.plan,
+            arrival.class_name,
+            arrival.units,
+            arrival.deadline,
+            arrival.spread,
+            arrival.first,
+        )
         try:
             self._trace.write(row)
         except OSError as error:
@@ -258,9 +266,12 @@
             if len(self._terms) >= MOST_TERMS:
                 self._terms.clear()  # a trace may hold any number of units
             terms = self._terms[key] = b"c=%b,t=%b,units=%b,spread=%d,first=%d,d=" % (
-                arrival.class_name.encode(), arrival.plan.encode(), f"{arrival.units:g}".encode(), arrival.spread,
+                arrival.class_name.encode(),
+                arrival.plan.encode(),
+                f"{arrival.units:g}".encode(),
+                arrival.spread,
                 arrival.first,
-            )  # fmt: skip
+            )
         waited = (request.wrote - request.began) / 1000.0
         left = max(1, int(self._ways[request.way].patience(arrival.deadline, waited)))
         marked = b",r=1" if request.tries > 1 and self._marks[request.way] else b""
@@ -286,9 +297,14 @@
         again: Again | None = None
         if outcome not in FINAL and not self._over:
             again = self._ways[request.way].after(
-                outcome, advice, request.tries, arrival.honours, (now - request.began) / 1000.0, arrival.deadline,
+                outcome,
+                advice,
+                request.tries,
+                arrival.honours,
+                (now - request.began) / 1000.0,
+                arrival.deadline,
                 self.rng,
-            )  # fmt: skip
+            )
         if again is None:
             return self._finish(request, request.reason)
         request.again = self.loop.call_later(again.wait / 1000.0, self._again, request)
@@ -382,9 +398,17 @@
         end = max((now_us() - self._begun) / 1e6, self._since)
         cpu, wait, preempted = self._watch.cpu_ms(), self._watch.wait_ms(), self._watch.preempted()
         facts = Facts(
-            (end - self._since) * 1000.0, cpu - self._facts_cpu, wait - self._facts_wait, self._gap, self._gap_cpu,
-            preempted - self._facts_preempted, self._descriptors, self._dials, self._slow_dials, self._slowest,
-        )  # fmt: skip
+            (end - self._since) * 1000.0,
+            cpu - self._facts_cpu,
+            wait - self._facts_wait,
+            self._gap,
+            self._gap_cpu,
+            preempted - self._facts_preempted,
+            self._descriptors,
+            self._dials,
+            self._slow_dials,
+            self._slowest,
+        )
         self._facts_cpu, self._facts_wait, self._facts_preempted = cpu, wait, preempted
         changes = [(at - self._begun / 1e6, target, part) for at, target, part in self.front.changes]
         self.front.changes.clear()
@@ -393,10 +417,23 @@
         samples = [m.Sample(*key, pair[0].tobytes(), pair[1].tobytes()) for key, pair in self._samples.items()]
         self._say(
             m.Interval(
-                self.job.worker, self._number, self._since, end, dict(self.counts), samples, self._late.tobytes(),
-                facts, len(self._open), self._open_sent, self._watch.rss_kb(), dict(faults), shown, changes, last,
+                self.job.worker,
+                self._number,
+                self._since,
+                end,
+                dict(self.counts),
+                samples,
+                self._late.tobytes(),
+                facts,
+                len(self._open),
+                self._open_sent,
+                self._watch.rss_kb(),
+                dict(faults),
+                shown,
+                changes,
+                last,
             )
-        )  # fmt: skip
+        )
         # a worker that stood still for seconds has one long interval, and numbers stay those of the run
         self._since = end
         self._number = max(self._number + 1, int(end + 0.5))
--- a/elderlock/logs.py
+++ b/elderlock/logs.py
@@ -16,11 +16,13 @@
 # until a command says how: into the standard library's logging, for whoever embeds this or tests it
 structlog.configure(
     processors=[
-        structlog.stdlib.filter_by_level, structlog.stdlib.PositionalArgumentsFormatter(),
+        structlog.stdlib.filter_by_level,
+        structlog.stdlib.PositionalArgumentsFormatter(),
         structlog.processors.KeyValueRenderer(key_order=["event"]),
     ],
-    logger_factory=structlog.stdlib.LoggerFactory(), wrapper_class=structlog.stdlib.BoundLogger,
-)  # fmt: skip
+    logger_factory=structlog.stdlib.LoggerFactory(),
+    wrapper_class=structlog.stdlib.BoundLogger,
+)
 
 
 def configure(form: Format, level: int = logging.INFO) -> None:
@@ -46,11 +48,14 @@
     root.setLevel(level)
     structlog.configure(
         processors=[
-            structlog.stdlib.filter_by_level, *shared, structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
+            structlog.stdlib.filter_by_level,
+            *shared,
+            structlog.stdlib.ProcessorFormatter.wrap_for_formatter,
         ],
-        logger_factory=structlog.stdlib.LoggerFactory(), wrapper_class=structlog.stdlib.BoundLogger,
+        logger_factory=structlog.stdlib.LoggerFactory(),
+        wrapper_class=structlog.stdlib.BoundLogger,
         cache_logger_on_first_use=False,
-    )  # fmt: skip
+    )
 
 
 def get(name: str) -> structlog.stdlib.BoundLogger:
--- a/elderlock/net/clients.py
+++ b/elderlock/net/clients.py
@@ -52,10 +52,10 @@
 
     def __init__(self, settings: api.Settings, largest: float) -> None:
         self._largest = largest
-        self._classes = {c.name: i for i, c in enumerate(settings.classes)}
-        self._effects = [c.effect for c in settings.classes]
+        self._classes = {c.name: i for i, c in enumerate(settings.request_classes)}
+        self._effects = [c.idempotency for c in settings.request_classes]
         self._plans = {plan.name: i for i, plan in enumerate(settings.plans)}
-        self._limiters = settings.limiters
+        self._limiters = settings.limiter_count
         self._read: dict[bytes, Terms] = {}
 
     def command(self, parts: list[bytes]) -> Command:
@@ -73,12 +73,20 @@
             if len(self._read) >= MOST_READ:
                 self._read.clear()
             read = self._read[terms] = self._terms(terms)
-        if verb == READ and self._effects[read.class_index] is not api.Effect.SAFE:
+        if verb == READ and self._effects[read.class_index] is not api.Idempotency.IDEMPOTENT:
             raise CommandError("API.READ serves no class that may not simply be repeated")
         return Command(
-            name, read.class_index, read.plan_index, customer.decode("ascii").lower(), read.wait, read.units,
-            read.spread, read.first, _encoder(parts, read.before, read.after), sum(map(len, parts)),
-        )  # fmt: skip
+            name,
+            read.class_index,
+            read.plan_index,
+            customer.decode("ascii").lower(),
+            read.wait,
+            read.units,
+            read.spread,
+            read.first,
+            _encoder(parts, read.before, read.after),
+            sum(map(len, parts)),
+        )
 
     def _terms(self, terms: bytes) -> Terms:
         if len(terms) > LONGEST_TERMS:
@@ -92,11 +100,13 @@
         if len(values) != len(pairs) or not all(found for _, found, _ in pairs):
             raise CommandError("the list of names and values is not one of name=value, each name once")
         read = Terms(
-            _index(self._classes, values, "c", "class"), _index(self._plans, values, "t", "plan"),
-            _number(values, "d", DECIMAL, 1.0, LONGEST_WAIT), _number(values, "units", DECIMAL, 1e-9, self._largest),
+            _index(self._classes, values, "c", "class"),
+            _index(self._plans, values, "t", "plan"),
+            _number(values, "d", DECIMAL, 1.0, LONGEST_WAIT),
+            _number(values, "units", DECIMAL, 1e-9, self._largest),
             int(_number(values, "spread", WHOLE, 1, self._limiters)),
             int(_number(values, "first", WHOLE, 0, self._limiters - 1)),
-        )  # fmt: skip
+        )
         # it goes on as it came, but for `d`
         at = [key for key, _, _ in pairs].index("d")
         read.before = ("".join(f"{key}={value}," for key, _, value in pairs[:at]) + "d=").encode("ascii")
--- a/elderlock/net/config.py
+++ b/elderlock/net/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from elderlock import interface as api
-from elderlock.settings import SocketSettings, settings_of, socket_settings_of
+from elderlock.settings import SocketSettings, read_settings, read_socket_settings
 
 LEAST_SOCKETS = 64  # below it there would be no room left for clients beside the servers
 
@@ -52,15 +52,20 @@
 
 
 def config_of(raw: Any) -> Config:
-    settings, socket_settings = settings_of(raw["settings"]), socket_settings_of(raw["settings"])
+    settings, socket_settings = read_settings(raw["settings"]), read_socket_settings(raw["settings"])
     # `-BUSY MS` can always say when to come back, also where the simulator's clients are not told
-    settings = replace(settings, allow=replace(settings.allow, retry_after=True, dial=socket_settings.dial_timeout))
+    settings = replace(
+        settings,
+        capabilities=replace(
+            settings.capabilities, can_send_retry_after=True, connect_timeout_ms=socket_settings.connect_timeout_ms
+        ),
+    )
     peers = tuple(address_of(peer) for peer in raw.get("peers", ()))
     sockets = int(raw["limits"]["sockets"])
     if sockets < LEAST_SOCKETS:
         raise ValueError(f"limits.sockets is {sockets}, {LEAST_SOCKETS} are needed")
-    if settings.allow.peers and len(peers) != settings.limiters:
-        raise ValueError(f"peers names {len(peers)} limiters, the settings say {settings.limiters}")
+    if settings.capabilities.can_message_peers and len(peers) != settings.limiter_count:
+        raise ValueError(f"peers names {len(peers)} limiters, the settings say {settings.limiter_count}")
     return Config(
         name=str(raw["name"]),
         seed=int(raw["seed"], 16),
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -112,15 +112,19 @@
 
 class Gateway:
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, clock: Clock, source: type[Keepers] = Keepers,
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: Config,
+        clock: Clock,
+        source: type[Keepers] = Keepers,
         limiter: type[Limiter] = Limiter,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`source` tells of a customer's use, `limiter` decides."""
         self._loop, self._config, self.now = loop, config, clock.now
-        self.settings, self.largest = config.settings, config.socket_settings.largest
-        aim = min((c.aim for c in config.settings.classes), default=1000.0)
+        self.settings, self.largest = config.settings, config.socket_settings.largest_request_units
+        aim = min((c.latency_objective_ms for c in config.settings.request_classes), default=1000.0)
         self.servers = Servers(loop, config.socket_settings, aim, config.sockets, self.now, self._ended)
-        self._most = config.socket_settings.max_open
+        self._most = config.socket_settings.max_open_requests
         self._room = config.memory * (1 << 20) * MEMORY_SHARE  # bytes left for open requests
         self.tell_peer: Callable[[int, bytes], None] | None = None
         self._limiter = limiter(config.settings, config.seed, self.now(), source)
@@ -156,7 +160,7 @@
             except (KeyError, TypeError, ValueError, AttributeError) as error:
                 log.warning("the list known from before cannot be read: %r", error)
             else:
-                self._list(self._overlaid(known), ListKind.REMEMBERED)
+                self._list(self._overlaid(known), ListKind.CACHED)
         self._sweep()
 
     def _sweep(self) -> None:
@@ -167,7 +171,7 @@
 
     def listed(self, listed: TargetList) -> None:
         self.fresh.set()
-        self._list(self._overlaid(listed), ListKind.ALL if listed.complete else ListKind.CHANGES)
+        self._list(self._overlaid(listed), ListKind.COMPLETE if listed.complete else ListKind.CHANGES)
 
     def changed(self, changes: TargetList) -> None:
         """What an operator's drain or its end changes in the list; discovery has not spoken."""
@@ -226,17 +230,17 @@
         now = request.arrived = self.now()
         wait = max(command.wait - MARGIN, command.wait / 2)
         request.watchdog = self._loop.call_later(wait / 1000.0, self._overdue, request)
-        happened = api.RequestArrived if asked is None else api.PermissionAsked
+        happened = api.RequestArrived if asked is None else api.PermitRequested
         self._happened(
             happened(
-                request=name,
+                request_id=name,
                 class_index=command.class_index,
                 plan_index=command.plan_index,
-                customer=command.customer,
+                customer_id=command.customer,
                 units=command.units,
-                give_up_at=now + wait,
-                spread=command.spread,
-                first=command.first,
+                deadline_ms=now + wait,
+                limiter_count=command.spread,
+                first_limiter=command.first,
             )
         )
         return name
@@ -282,19 +286,19 @@
     def remaining(self, customer: str) -> int:
         """Whole units that the customer's store is believed to hold; 0 for one not known."""
         account = self._limiter.quotas.accounts.get(zlib.crc32(customer.encode()))
-        return max(0, int(account.store)) if account is not None else 0
+        return max(0, int(account.shared_units)) if account is not None else 0
 
     def client_gone(self, name: str) -> None:
         request = self._requests.get(name)
         if request is not None and not request.answered:
             self._end(request, None)
-            self._happened(api.ClientGone(name))
+            self._happened(api.ClientDisconnected(name))
 
     def _overdue(self, request: Request) -> None:
         """Whatever the module does, no client is left without an answer when its patience ends."""
         if not request.answered:
             self._end(request, FAILED)
-            self._happened(api.ClientGone(request.name))
+            self._happened(api.ClientDisconnected(request.name))
 
     def _ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         request = self._requests[attempt.request]
@@ -363,28 +367,28 @@
     def _act(self, action: api.Action) -> None:
         match action:
             case api.SetTimer(wait, token):
-                self._loop.call_later(wait / 1000.0, self._happened, api.TimerDue(token))
-            case api.Send(name, server, timeout):
+                self._loop.call_later(wait / 1000.0, self._happened, api.TimerFired(token))
+            case api.SendAttempt(name, server, timeout):
                 self._send(name, server, timeout)
             case api.Permit(name, server, timeout):
                 self._permit(name, server, timeout)
-            case api.Refuse(name, retry_after):
+            case api.Reject(name, retry_after):
                 self._answer(name, b"-BUSY %d\r\n" % retry_after if retry_after >= 1.0 else BUSY)
             case api.Fail(name):
                 self._answer(name, FAILED)
-            case api.Cancel(name, number):
+            case api.CancelAttempt(name, number):
                 request = self._requests.get(name)
                 if request is not None and number < len(request.attempts):
                     request.attempts[number].give_up(Outcome.CANCELLED)
-            case api.TellPeer(receiver, data):
+            case api.SendPeerMessage(receiver, data):
                 if self.tell_peer is not None:
                     self.tell_peer(receiver, data)
-            case api.Tally(token, name, amount, life):
+            case api.AddToCounter(token, name, amount, life):
                 if self.tally is not None:
                     self.tally(token, name, amount, life)
             case api.Log(text):
                 log.info("%s", text)
-            case api.Subscribe() | api.FetchList():
+            case api.Subscribe() | api.FetchServerList():
                 pass  # the watch is always open here, and brings whatever there is to tell
 
     def _answer(self, name: str, answer: bytes) -> None:
--- a/elderlock/net/resp.py
+++ b/elderlock/net/resp.py
@@ -21,9 +21,7 @@
 INTEGER = re.compile(rb"-?[0-9]{1,19}")
 NULL = b"$-1"
 # four arguments within `LONGEST_ARGUMENT`; their lengths are held against what they announce
-PLAIN = re.compile(
-    rb"\*4\r\n" + rb"\$(0|[1-9][0-9]{0,3})\r\n([^\r\n]{0,4096}+)\r\n" * 4
-)  # fmt: skip
+PLAIN = re.compile(rb"\*4\r\n" + rb"\$(0|[1-9][0-9]{0,3})\r\n([^\r\n]{0,4096}+)\r\n" * 4)
 # an answer with a value, no figure on use and a load report of a plain line
 SERVED = re.compile(rb"\*3\r\n\$(0|[1-9][0-9]{0,4})\r\n")
 FIGURES = re.compile(rb"\r\n\$-1\r\n(?:\$-1|\$(0|[1-9][0-9]{0,2})\r\n([^\r\n]{0,256}+))\r\n")
--- a/elderlock/net/servers.py
+++ b/elderlock/net/servers.py
@@ -32,8 +32,20 @@
 class Attempt:
     """One copy of a request at one server. It has exactly one outcome, given by `end`."""
 
-    __slots__ = ("_ended", "connection", "encode", "expires", "number", "over", "pool", "request", "sent",
-                 "server", "started", "timer")  # fmt: skip
+    __slots__ = (
+        "_ended",
+        "connection",
+        "encode",
+        "expires",
+        "number",
+        "over",
+        "pool",
+        "request",
+        "sent",
+        "server",
+        "started",
+        "timer",
+    )
 
     def __init__(self, request: str, number: int, server: str, encode: Callable[[float], bytes], ended: Ended) -> None:
         self.request, self.number, self.server = request, number, server
@@ -222,10 +234,10 @@
         ended: Ended,
     ) -> None:
         self._loop, self._ended, self.now = loop, ended, now
-        self._dial_timeout = settings.dial_timeout / 1000.0
-        self._dial_within = min(settings.dial_timeout, DIAL_AIMS * aim)
+        self._dial_timeout = settings.connect_timeout_ms / 1000.0
+        self._dial_within = min(settings.connect_timeout_ms, DIAL_AIMS * aim)
         self.stall = STALL_AIMS * aim / 1000.0
-        self.idle_for = settings.keepalive * IDLE_PART
+        self.idle_for = settings.keepalive_ms * IDLE_PART
         self.settle = SETTLE
         self._most = int(sockets * SERVER_SHARE)
         self._most_each = max(1, int(self._most * MOST_PER_SERVER))
@@ -243,26 +255,26 @@
         """Takes in a list. Returns those that it names but whose address another has by now, as gone:
         what went there under the old name would come to a process that nobody meant, a cold one."""
         if listed.complete:
-            named = {target.entry.server for target in listed.targets}
+            named = {target.entry.server_id for target in listed.targets}
             for server in [name for name in self._pools if name not in named]:
                 self._remove(server)
         replaced = []
         for target in listed.targets:
-            server, pool = target.entry.server, self._pools.get(target.entry.server)
-            if target.entry.state is ServerState.GONE:
+            server, pool = target.entry.server_id, self._pools.get(target.entry.server_id)
+            if target.entry.state is ServerState.REMOVED:
                 if pool is not None:
                     self._remove(server)
                 continue
             other = self._by_address.get(target.address)
             if other is not None and other is not pool:
-                older = min(other.entry, target.entry, key=lambda entry: entry.started_at)
-                replaced.append(replace(older, state=ServerState.GONE))
-                if older.server in self._pools:
-                    self._remove(older.server)
-                if older.server == server:
+                older = min(other.entry, target.entry, key=lambda entry: entry.started_at_ms)
+                replaced.append(replace(older, state=ServerState.REMOVED))
+                if older.server_id in self._pools:
+                    self._remove(older.server_id)
+                if older.server_id == server:
                     continue
             moved = pool is not None and (
-                pool.address != target.address or pool.entry.started_at != target.entry.started_at
+                pool.address != target.address or pool.entry.started_at_ms != target.entry.started_at_ms
             )
             if pool is not None and moved:  # connections of the process before are dead or soon will be
                 self._remove(server)
@@ -294,13 +306,13 @@
         attempt.expires = attempt.started + timeout
         pool = attempt.pool = self._pools.get(server)
         if pool is None or pool.leaving:
-            attempt.end(Outcome.MOOT)
+            attempt.end(Outcome.NOT_FORWARDED)
             return attempt
         connection = pool.take()
         if connection is not None:
             self._carry(attempt, connection)
         elif pool.count >= self._most_each or not self._make_room():
-            attempt.end(Outcome.MOOT)  # it is us who have no room: nothing is learnt of the server
+            attempt.end(Outcome.NOT_FORWARDED)  # it is us who have no room: nothing is learnt of the server
         else:
             # a dial that hangs must leave time for another server; it goes on, for whoever comes next
             within = min(timeout, self._dial_within)
@@ -339,7 +351,7 @@
         except (OSError, TimeoutError) as error:
             connection.abort()  # it may have come up in the same moment
             if isinstance(error, OSError) and error.errno in OUR_OWN:
-                failed = Outcome.MOOT
+                failed = Outcome.NOT_FORWARDED
         connection.adopted = connection.usable()
         if not connection.adopted:  # counted down here alone, whether or not it was up for a moment
             pool.count -= 1
@@ -349,7 +361,7 @@
             pool.release(connection)
         elif pool.leaving or pool.closed:  # heard of the drain while dialling
             pool.release(connection)
-            attempt.end(Outcome.MOOT)
+            attempt.end(Outcome.NOT_FORWARDED)
         else:
             self._carry(attempt, connection)
 
--- a/elderlock/net/targets.py
+++ b/elderlock/net/targets.py
@@ -14,7 +14,7 @@
 STATES = {
     "up": api.ServerState.RUNNING,
     "draining": api.ServerState.DRAINING,
-    "removed": api.ServerState.GONE,
+    "removed": api.ServerState.REMOVED,
 }
 
 log = logging.getLogger(__name__)
@@ -39,13 +39,13 @@
     if not (isfinite(weight) and isfinite(started)):
         raise ValueError("a number of a server is not finite")
     entry = api.ServerEntry(
-        server=str(raw["uid"]),
+        server_id=str(raw["uid"]),
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
         kind=settings.kinds.index(kind) if kind in settings.kinds else -1,
         cell=int(raw.get("pod_group", 0)),
         state=STATES[raw["state"]],
         weight=weight,
-        started_at=started,  # Unix time, as the module's clock counts
+        started_at_ms=started,  # Unix time, as the module's clock counts
     )
     return Target(entry, address_of(raw["endpoint"]))
 
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -71,7 +71,7 @@
         on = [] if shared is None else [name for name in ("evidence", "ceilings") if getattr(shared, name)]
         if not on:
             return Limiter
-        if not settings.allow.peers:
+        if not settings.capabilities.can_message_peers:
             raise ConfigError(f"{self._path}: [shared] {on[0]}: the settings do not let limiters talk to one another")
         if "ceilings" in on and self._file.quota is not None:
             raise ConfigError(f"{self._path}: [shared] ceilings: with [quota] the counter holds them")
@@ -80,9 +80,13 @@
         return limiter_of("evidence" in on, "ceilings" in on)
 
     async def prepare(
-        self, gateway: Gateway, clients: Clients, config: Config, discovery: Callable[[], str],
+        self,
+        gateway: Gateway,
+        clients: Clients,
+        config: Config,
+        discovery: Callable[[], str],
         stop: Callable[[], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._gateway, self._clients = gateway, clients
         if self._quota_file is not None:
             from elderlock.quota.attach import Quota
@@ -95,9 +99,16 @@
             path = os.environ["PROXY_CONFIG"]
             counter = self._quota.view if self._quota is not None else None
             self._control = await attach(
-                self._file.control, path, gateway, clients, config, discovery, stop, counter,
+                self._file.control,
+                path,
+                gateway,
+                clients,
+                config,
+                discovery,
+                stop,
+                counter,
                 *self._shown(gateway, config),
-            )  # fmt: skip
+            )
 
     def _shown(self, gateway: Gateway, config: Config) -> tuple[()] | tuple[SharedView | None, ShownCeilings]:
         """What is shown of what limiters share."""
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -45,9 +45,12 @@
         """Raises `ConfigError`."""
         try:
             return Terms(
-                answer_within=self.answer_ms, skew=self.skew_ms, calls=self.calls_per_s,
-                cut_most=self.cut_most_s * SECOND, heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * limiters),
-            )  # fmt: skip
+                answer_within=self.answer_ms,
+                skew=self.skew_ms,
+                calls=self.calls_per_s,
+                cut_most=self.cut_most_s * SECOND,
+                heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * limiters),
+            )
         except ValueError as error:
             raise ConfigError(f"[quota] {error}") from None
 
@@ -74,9 +77,9 @@
         self._client = self._made(self._addresses())
         gateway.tally = self._send
         for plan in settings.plans:
-            if plan.ceiling_rate > 0 and settings.limiters > 1:
-                store = keepers.store(plan, settings.limiters, True)
-                for text in warnings(plan.name, store, file.terms(settings.limiters)):
+            if plan.ceiling_rate_per_s > 0 and settings.limiter_count > 1:
+                store = keepers.store(plan, settings.limiter_count, True)
+                for text in warnings(plan.name, store, file.terms(settings.limiter_count)):
                     log.warning("%s", text)
 
     def _addresses(self) -> list[tuple[str, int]]:
@@ -126,20 +129,28 @@
 
     def view(self, most: int) -> m.Counter:
         """With the leases of the `most` customers that use most."""
-        book, terms, now = self.book, self._file.terms(self._settings.limiters), self._gateway.now()
+        book, terms, now = self.book, self._file.terms(self._settings.limiter_count), self._gateway.now()
         off = now - book.health.changed_at if book.mode is not Mode.SHARED else 0.0
-        stores = [Store(p.rate, p.burst, self._settings.limiters) for p in self._settings.plans if p.rate > 0]
+        stores = [
+            Store(p.rate_per_s, p.burst_units, self._settings.limiter_count)
+            for p in self._settings.plans
+            if p.rate_per_s > 0
+        ]
         errors = [shared(store, terms) + cut_off(store, terms, off) for store in stores]
         busiest = nlargest(most, book.ledgers.values(), key=lambda ledger: ledger.rate_now(now))
         return m.Counter(
-            mode=book.mode.value, since_ms=now - book.health.changed_at, generation=book.health.generation,
-            accounts=len(book.ledgers), calls=book.made, calls_per_s=book.budget.rate,
+            mode=book.mode.value,
+            since_ms=now - book.health.changed_at,
+            generation=book.health.generation,
+            accounts=len(book.ledgers),
+            calls=book.made,
+            calls_per_s=book.budget.rate,
             error_units=max(errors, default=0.0),
             leases=tuple(
                 m.Lease(one.key, one.level(now), one.store.burst, sum(lease.units for lease in one.leases), one.owed)
                 for one in busiest
             ),
-        )  # fmt: skip
+        )
 
     def close(self) -> None:
         self._client.close()
--- a/elderlock/quota/counted.py
+++ b/elderlock/quota/counted.py
@@ -24,7 +24,12 @@
     """Whether a customer's ceiling is drawn from the counter too. Where work beyond the quota is worth sending on, it
     goes without a reading, and the ceiling stays split evenly."""
     plan = account.plan
-    return plan.ceiling_rate > 0 and account.spread > 1 and plan.rate > 0 and plan.over_worth <= plan.over_cost
+    return (
+        plan.ceiling_rate_per_s > 0
+        and account.limiter_count > 1
+        and plan.rate_per_s > 0
+        and plan.over_quota_value <= plan.over_quota_cost
+    )
 
 
 class CountedQuotas(Quotas):
@@ -42,9 +47,13 @@
     quotas_of = CountedQuotas
 
     def __init__(
-        self, core: Core, quotas: Quotas, load: Load, requests: dict[str, OpenRequest],
+        self,
+        core: Core,
+        quotas: Quotas,
+        load: Load,
+        requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(core, quotas, load, requests, decide)
         self.book = Book(self.terms, random.Random(core.rng.random()), core.now)
         self._stores: dict[tuple[str, int, bool], Store] = {}
@@ -58,22 +67,29 @@
         found = self._stores.get((plan.name, spread, hard))
         if found is None:
             found = self._stores[plan.name, spread, hard] = (
-                Store(plan.ceiling_rate, plan.ceiling_burst, spread, True, SLACK_PART * plan.ceiling_slack)
-                if hard else Store(plan.rate, plan.burst, spread)
-            )  # fmt: skip
+                Store(
+                    plan.ceiling_rate_per_s,
+                    plan.ceiling_burst_units,
+                    spread,
+                    True,
+                    SLACK_PART * plan.ceiling_slack_units,
+                )
+                if hard
+                else Store(plan.rate_per_s, plan.burst_units, spread)
+            )
         return found
 
     def read(self, request: OpenRequest) -> None:
         account, plan = request.account, request.account.plan
-        if plan.rate <= 0 or account.spread <= 1:
+        if plan.rate_per_s <= 0 or account.limiter_count <= 1:
             return super().read(request)
         self._ask_book(request, hard=False)
         self._work()
 
     def _ask_book(self, request: OpenRequest, hard: bool) -> None:
-        account, event = request.account, request.event
-        store, key = self.store(account.plan, account.spread, hard), f"{account.key:x}{'!' * hard}"
-        said = self.book.ask(f"{event.request}{'!' * hard}", key, store, event.units, self.core.now)
+        account, event = request.account, request.arrival
+        store, key = self.store(account.plan, account.limiter_count, hard), f"{account.key:x}{'!' * hard}"
+        said = self.book.ask(f"{event.request_id}{'!' * hard}", key, store, event.units, self.core.now)
         if said is not None:
             self._said(request, hard, said, 0.0)
 
@@ -84,20 +100,23 @@
         self._decided(request, granted, wait)
 
     def _decided(self, request: OpenRequest, granted: bool, wait: float) -> None:
-        account, units = request.account, request.event.units
+        account, units = request.account, request.arrival.units
         self._reading_of(account)
         if granted:  # nobody else may spend it
-            account.store, account.bucket = max(account.store, units), max(account.bucket, units)
+            account.shared_units, account.bucket_units = (
+                max(account.shared_units, units),
+                max(account.bucket_units, units),
+            )
         elif wait > 0.0:
-            account.empty_until = self.core.now + min(wait, EMPTY_MOST)
+            account.exhausted_until_ms = self.core.now + min(wait, EMPTY_MOST)
         self.decide(request, granted)
 
     def _reading_of(self, account: Account) -> None:
         """The design's bucket is fed by the latest total."""
         key = f"{account.key:x}"
-        _, ledger = self.book.ledger(key, self.store(account.plan, account.spread), self.core.now)
+        _, ledger = self.book.ledger(key, self.store(account.plan, account.limiter_count), self.core.now)
         if ledger.told is not None:
-            self.quotas.read_level(account, ledger.level(self.core.now), ledger.others + account.own_rate)
+            self.quotas.read_level(account, ledger.level(self.core.now), ledger.others + account.own_rate_per_s)
 
     def unanswered(self, number: int) -> None:
         if number >= 0:
@@ -109,15 +128,15 @@
 
     def counted(self, event: api.CounterAnswered) -> None:
         if event.outcome is Outcome.OK:
-            self.book.answered(event.name, event.total, self.core.now)
+            self.book.answered(event.token, event.total, self.core.now)
         else:
             never = event.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED)
-            self.book.unanswered(event.name, not never, event.outcome is Outcome.FULL, self.core.now)
+            self.book.unanswered(event.token, not never, event.outcome is Outcome.FULL, self.core.now)
         self._work()
 
     def _work(self) -> None:
         for call in self.book.calls(self.core.now):
-            self.core.actions.append(api.Tally(call.token, call.name, call.amount, call.life))
+            self.core.actions.append(api.AddToCounter(call.token, call.name, call.amount, call.life))
         decided, self.book.decided = self.book.decided, []
         for one in decided:
             hard = one.request.endswith("!")
--- a/elderlock/quota/ledger.py
+++ b/elderlock/quota/ledger.py
@@ -202,8 +202,9 @@
             return None
         raised = max(0.0, self._low(now) - (self.seen + self.owed - self.given)) if want else 0.0
         amount = want + raised + self.owed - self.given
-        self.out = Draw(self.name(self.window), amount, now, self.window, self.generation, want, raised, self.owed,
-                        self.given)  # fmt: skip
+        self.out = Draw(
+            self.name(self.window), amount, now, self.window, self.generation, want, raised, self.owed, self.given
+        )
         self.owed = self.given = 0.0
         return self.out
 
--- a/elderlock/quota/redis_store.py
+++ b/elderlock/quota/redis_store.py
@@ -45,10 +45,16 @@
     or where to ask for a cluster's slots."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, addresses: Sequence[tuple[str, int]], cluster: bool, prefix: str,
-        answer_within: float, answered: Callable[[int, float], None], unanswered: Callable[[int, bool, bool], None],
+        self,
+        loop: asyncio.AbstractEventLoop,
+        addresses: Sequence[tuple[str, int]],
+        cluster: bool,
+        prefix: str,
+        answer_within: float,
+        answered: Callable[[int, float], None],
+        unanswered: Callable[[int, bool, bool], None],
         off: Callable[[], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._loop, self._addresses, self._cluster, self._prefix = loop, tuple(addresses), cluster, prefix
         self._within = answer_within / 1000.0
         self._answered, self._unanswered, self._off = answered, unanswered, off
@@ -61,8 +67,10 @@
     def _open(self) -> Any:
         once = Retry(NoBackoff(), 0)
         common: dict[str, Any] = {
-            "socket_connect_timeout": STUCK * self._within, "socket_timeout": STUCK * self._within, "protocol": 2,
-        }  # fmt: skip
+            "socket_connect_timeout": STUCK * self._within,
+            "socket_timeout": STUCK * self._within,
+            "protocol": 2,
+        }
         if self._cluster:
             nodes = [ClusterNode(host, port) for host, port in self._addresses]
             return RedisCluster(startup_nodes=nodes, retry=once, require_full_coverage=False, **common)
--- a/elderlock/quota/tally.py
+++ b/elderlock/quota/tally.py
@@ -89,9 +89,14 @@
     Calls that find none open were not made. `follow` turns to another address, at once."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: tuple[str, int], answer_within: float,
-        answered: Answered, unanswered: Unanswered, off: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: tuple[str, int],
+        answer_within: float,
+        answered: Answered,
+        unanswered: Unanswered,
+        off: Callable[[], None],
+    ) -> None:
         self._loop, self.address = loop, address
         self._stuck = STUCK * answer_within / 1000.0
         self._within = answer_within / 1000.0
--- a/elderlock/rollout/leading.py
+++ b/elderlock/rollout/leading.py
@@ -140,9 +140,10 @@
         # what is out or on trial is seen through whatever its wave: it went while an earlier one was silent, and that
         # one, heard again, would wait for it under the budget for good
         return [
-            unit for unit in plan.units
+            unit
+            for unit in plan.units
             if unit.stage in ("out", "trial") or (unit.wave <= wave and (unit.stage != "done" or unit.wave == wave))
-        ]  # fmt: skip
+        ]
 
     def _age(self, unit: Unit, now: float) -> float:
         return now - self._since[unit.target, unit.aim, unit.stage, unit.generation]
--- a/elderlock/rollout/ledger.py
+++ b/elderlock/rollout/ledger.py
@@ -90,9 +90,16 @@
 
 
 def grant(
-    ledger: Ledger, keys: Iterable[tuple[Kind, str]], budget: Budget, inventory: Inventory, origin: str, by: str,
-    reason: str, generation: int, at: float,
-) -> Ledger | list[str]:  # fmt: skip
+    ledger: Ledger,
+    keys: Iterable[tuple[Kind, str]],
+    budget: Budget,
+    inventory: Inventory,
+    origin: str,
+    by: str,
+    reason: str,
+    generation: int,
+    at: float,
+) -> Ledger | list[str]:
     """The ledger with permits for all of these, or why not; all or none. A command that asks again finds its own.
     `generation`: the greatest of any record that the asker knows of."""
     wanted = tuple(dict.fromkeys(keys))
--- a/elderlock/rollout/plans.py
+++ b/elderlock/rollout/plans.py
@@ -132,9 +132,16 @@
 
 
 def release(
-    id: str, version: str, waves: Iterable[Iterable[str]], before: dict[str, str], by: str, reason: str, at: float,
-    terms: Terms, kind: Literal["release", "agents"] = "release",
-) -> Plan:  # fmt: skip
+    id: str,
+    version: str,
+    waves: Iterable[Iterable[str]],
+    before: dict[str, str],
+    by: str,
+    reason: str,
+    at: float,
+    terms: Terms,
+    kind: Literal["release", "agents"] = "release",
+) -> Plan:
     units = tuple(Unit(name, number, before.get(name, "")) for number, wave in enumerate(waves) for name in wave)
     return Plan(id, kind, version, by, reason, at, units, terms)
 
--- a/elderlock/rollout/steps.py
+++ b/elderlock/rollout/steps.py
@@ -82,9 +82,16 @@
 
 
 def send(
-    ledger: Ledger, id: str, who: str, term: int, targets: Sequence[str], budget: Budget, inventory: Inventory,
-    generation: int, at: float,
-) -> Step:  # fmt: skip
+    ledger: Ledger,
+    id: str,
+    who: str,
+    term: int,
+    targets: Sequence[str],
+    budget: Budget,
+    inventory: Inventory,
+    generation: int,
+    at: float,
+) -> Step:
     """Takes out what waits, under permits: all of these or none."""
     plan = _led(ledger, id, who, term)
     if isinstance(plan, list):
@@ -124,9 +131,15 @@
 
 
 def send_agents(
-    ledger: Ledger, id: str, who: str, term: int, targets: Sequence[str], voters: Sequence[str],
-    silent: Sequence[str], generation: int,
-) -> Step:  # fmt: skip
+    ledger: Ledger,
+    id: str,
+    who: str,
+    term: int,
+    targets: Sequence[str],
+    voters: Sequence[str],
+    silent: Sequence[str],
+    generation: int,
+) -> Step:
     """Takes out those of the agents that may go now. No permit is needed beside the plan: one plan of this kind is
     under way at a time, so its units are all that is out of agents by our doing. `silent`: of whom the asker hears
     nothing."""
@@ -272,15 +285,19 @@
     gone = set(targets)
     permits = tuple(permit for permit in ledger.permits if permit.key not in gone)
     plans = tuple(
-        plan if plan.state == "over" or plan.kind == "drain" else msgspec.structs.replace(
-            plan, units=tuple(
+        plan
+        if plan.state == "over" or plan.kind == "drain"
+        else msgspec.structs.replace(
+            plan,
+            units=tuple(
                 msgspec.structs.replace(unit, stage="done")
-                if (unit.target == agent if plan.kind == "agents" else ("limiter", unit.target) in gone) else unit
+                if (unit.target == agent if plan.kind == "agents" else ("limiter", unit.target) in gone)
+                else unit
                 for unit in plan.units
-            )
+            ),
         )
         for plan in ledger.plans
-    )  # fmt: skip
+    )
     given_up = dict(ledger.given_up) | {agent: by}
     return msgspec.structs.replace(
         ledger, version=ledger.version + 1, permits=permits, plans=plans, given_up=tuple(sorted(given_up.items()))
--- a/elderlock/rollout/verdict.py
+++ b/elderlock/rollout/verdict.py
@@ -48,9 +48,12 @@
 
     def plus(self, other: Figures) -> Figures:
         return Figures(
-            self.served + other.served, self.refused + other.refused, self.failed + other.failed,
-            self.log_sum + other.log_sum, self.log_squares + other.log_squares,
-        )  # fmt: skip
+            self.served + other.served,
+            self.refused + other.refused,
+            self.failed + other.failed,
+            self.log_sum + other.log_sum,
+            self.log_squares + other.log_squares,
+        )
 
     def answers(self) -> int:
         return self.served + self.refused + self.failed
--- a/elderlock/settings.py
+++ b/elderlock/settings.py
@@ -8,10 +8,14 @@
 
 from elderlock import interface as api
 
-EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
+IDEMPOTENCY_BY_NAME = {
+    "free": api.Idempotency.IDEMPOTENT,
+    "guarded": api.Idempotency.WITH_KEY,
+    "single_shot": api.Idempotency.NOT_IDEMPOTENT,
+}
 
 
-def figure(raw: Any, name: str, default: float | None = None) -> float:
+def read_number(raw: Any, name: str, default: float | None = None) -> float:
     """The figure of that name, `default` where there is none. Raises `KeyError` for one that is missing, `ValueError`
     for one that is no number, below nought or without end: no setting has any use for it."""
     value = raw[name] if default is None else raw.get(name, default)
@@ -22,26 +26,26 @@
     return float(value)
 
 
-def above_nought(raw: Any, name: str) -> float:
+def read_positive(raw: Any, name: str) -> float:
     """As `figure`, for what is divided by. Raises `ValueError` for nought."""
-    value = figure(raw, name)
+    value = read_number(raw, name)
     if not value:
         raise ValueError(f"{name} is {value}, a number above 0 is wanted")
     return value
 
 
-def whole(raw: Any, name: str, default: int | None = None) -> int:
+def read_integer(raw: Any, name: str, default: int | None = None) -> int:
     """As `figure`, and whole. Raises `ValueError` for a fraction."""
-    value = figure(raw, name, default)
+    value = read_number(raw, name, default)
     if value != int(value):
         raise ValueError(f"{name} is {value}, a whole number is wanted")
     return int(value)
 
 
-def _effect(raw: Any) -> api.Effect:
-    if raw["effect"] not in EFFECTS:
-        raise ValueError(f"effect {raw['effect']!r} is not known: it is one of {', '.join(EFFECTS)}")
-    return EFFECTS[raw["effect"]]
+def _read_idempotency(raw: Any) -> api.Idempotency:
+    if raw["effect"] not in IDEMPOTENCY_BY_NAME:
+        raise ValueError(f"effect {raw['effect']!r} is not known: it is one of {', '.join(IDEMPOTENCY_BY_NAME)}")
+    return IDEMPOTENCY_BY_NAME[raw["effect"]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,27 +54,29 @@
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    dial_timeout: float
-    keepalive: float
-    max_open: int
-    largest: float  # units of one request
-    longest_deadline: float  # of all classes
+    connect_timeout_ms: float
+    keepalive_ms: float
+    max_open_requests: int
+    largest_request_units: float  # units of one request
+    longest_deadline_ms: float  # of all classes
 
 
-def socket_settings_of(facts: Any) -> SocketSettings:
+def read_socket_settings(facts: Any) -> SocketSettings:
     limits = facts["policy-limits"]
     return SocketSettings(
         zones=tuple(str(name) for name in facts["zones"]),
         kinds=tuple(str(name) for name in facts["kinds"]),
-        dial_timeout=figure(limits, "dial-timeout"),
-        keepalive=figure(limits, "keepalive"),
-        max_open=whole(limits, "max-open", 20000),
-        largest=figure(facts["family-info"], "largest", 1e6),
-        longest_deadline=max((figure(c, "deadline") for c in facts["services"] if "deadline" in c), default=inf),
+        connect_timeout_ms=read_number(limits, "dial-timeout"),
+        keepalive_ms=read_number(limits, "keepalive"),
+        max_open_requests=read_integer(limits, "max-open", 20000),
+        largest_request_units=read_number(facts["family-info"], "largest", 1e6),
+        longest_deadline_ms=max(
+            (read_number(c, "deadline") for c in facts["services"] if "deadline" in c), default=inf
+        ),
     )
 
 
-def settings_of(facts: Any) -> api.Settings:
+def read_settings(facts: Any) -> api.Settings:
     """Reads the start-up settings; keys that are not known are ignored. Raises `KeyError` for what is missing,
     `ValueError` or `TypeError` for what cannot be used."""
     rules, limits = facts["rules"], facts["policy-limits"]
@@ -78,59 +84,59 @@
     classes = tuple(
         api.RequestClass(
             name=str(c["name"]),
-            aim=above_nought(c, "goal-time"),
-            effect=_effect(c),
-            group=api.Group(c.get("dedup-scope", "all")),
-            window=figure(c, "memory-span", 0.0),
-            worth=figure(c, "credit", 1.0),
-            late_worth=figure(c, "late-worth", 0.0),
-            stream=bool(c.get("stream", False)),
+            latency_objective_ms=read_positive(c, "goal-time"),
+            idempotency=_read_idempotency(c),
+            deduplication_scope=api.DeduplicationScope(c.get("dedup-scope", "all")),
+            deduplication_window_ms=read_number(c, "memory-span", 0.0),
+            priority_weight=read_number(c, "credit", 1.0),
+            late_priority_weight=read_number(c, "late-worth", 0.0),
+            is_streaming=bool(c.get("stream", False)),
         )
         for c in facts["services"]
     )
     plans = tuple(
         api.Plan(
             name=str(p["name"]),
-            price=figure(p, "price", 1.0),
-            rate=figure(p, "quota-rate", 0.0),
-            burst=figure(p, "burst", 0.0),
-            open_limit=whole(p, "parallel", 0),
-            over_worth=figure(p, "beyond-earns", 0.0),
-            over_cost=figure(p, "beyond-costs", 0.0),
-            ceiling_rate=figure(p, "hard-rate", 0.0),
-            ceiling_burst=figure(p, "never-over-depth", 0.0),
-            ceiling_slack=figure(p, "hard-slack", 0.0),
+            price_weight=read_number(p, "price", 1.0),
+            rate_per_s=read_number(p, "quota-rate", 0.0),
+            burst_units=read_number(p, "burst", 0.0),
+            concurrency_limit=read_integer(p, "parallel", 0),
+            over_quota_value=read_number(p, "beyond-earns", 0.0),
+            over_quota_cost=read_number(p, "beyond-costs", 0.0),
+            ceiling_rate_per_s=read_number(p, "hard-rate", 0.0),
+            ceiling_burst_units=read_number(p, "never-over-depth", 0.0),
+            ceiling_slack_units=read_number(p, "hard-slack", 0.0),
         )
         for p in facts["plans"]
     )
-    number, limiters = whole(facts, "ordinal"), whole(facts, "peers-total")
+    number, limiters = read_integer(facts, "ordinal"), read_integer(facts, "peers-total")
     if number >= limiters:
         raise ValueError(f"ordinal is {number} where peers-total is {limiters}")
     return api.Settings(
-        number=number,
-        limiters=limiters,
-        tick=figure(facts, "quantum"),
+        limiter_index=number,
+        limiter_count=limiters,
+        clock_tick_ms=read_number(facts, "quantum"),
         zone=int(facts["zone"]),
-        classes=classes,
+        request_classes=classes,
         plans=plans,
-        rules=api.Rules(
-            cold_share=figure(rules, "cold-share"),
-            cold_time=figure(rules, "cold"),
-            fall_multiple=figure(rules, "tip-multiple"),
-            fall_window=above_nought(rules, "fall"),
-            ask_within=figure(rules, "ask-every", 0.0),
+        rules=api.ServiceRules(
+            warm_up_initial_fraction=read_number(rules, "cold-share"),
+            warm_up_ms=read_number(rules, "cold"),
+            overload_multiple=read_number(rules, "tip-multiple"),
+            overload_window_ms=read_positive(rules, "fall"),
+            list_refresh_within_ms=read_number(rules, "ask-every", 0.0),
         ),
-        allow=api.Allowances(
-            max_attempts=whole(limits, "most-tries"),
-            cancel=bool(limits.get("may-cancel", False)),
-            peers=bool(limits.get("peers", False)),
-            retry_after=bool(limits.get("retry-after", False)),
-            max_retry_after=figure(limits, "max-retry-after", 0.0),
+        capabilities=api.Capabilities(
+            max_attempts=read_integer(limits, "most-tries"),
+            can_cancel=bool(limits.get("may-cancel", False)),
+            can_message_peers=bool(limits.get("peers", False)),
+            can_send_retry_after=bool(limits.get("retry-after", False)),
+            max_retry_after_ms=read_number(limits, "max-retry-after", 0.0),
         ),
-        sources=api.QuotaSources(
-            meter_period=figure(family, "metering", 0.0),
-            peer_intake=figure(family, "peer-intake", 0.0),
-            settled_after=bool(family.get("cost-after", False)),
+        quota_sources=api.QuotaSources(
+            meter_period_ms=read_number(family, "metering", 0.0),
+            peer_messages_per_s=read_number(family, "peer-intake", 0.0),
+            cost_known_after=bool(family.get("cost-after", False)),
         ),
-        subscribe=facts["membership-mode"] == "subscribe",
+        subscribes_to_list=facts["membership-mode"] == "subscribe",
     )
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -39,9 +39,13 @@
     """`finished` hears of each request's end once: how, and after how long (ms) from its intended start."""
 
     def __init__(
-        self, scenario: Scenario, addresses: list[tuple[str, int]], arrivals: Iterator[Arrival], rng: random.Random,
+        self,
+        scenario: Scenario,
+        addresses: list[tuple[str, int]],
+        arrivals: Iterator[Arrival],
+        rng: random.Random,
         finished: Finished,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self._scenario, self._arrivals, self.rng, self._finished = scenario, arrivals, rng, finished
         traffic = scenario.traffic(0)
@@ -168,9 +172,14 @@
         left = self._ways[request.way].patience(a.deadline, (request.wrote - request.began) / 1000.0)
         marked = b",r=1" if request.tries > 1 and self._marks[request.way] else b""
         return b"c=%b,t=%b,units=%b,spread=%d,first=%d,d=%d%b" % (
-            a.class_name.encode(), a.plan.encode(), f"{a.units:g}".encode(), a.spread, a.first, max(1, int(left)),
+            a.class_name.encode(),
+            a.plan.encode(),
+            f"{a.units:g}".encode(),
+            a.spread,
+            a.first,
+            max(1, int(left)),
             marked,
-        )  # fmt: skip
+        )
 
     def wrote(self, request: Request) -> None:
         request.sent = True
--- a/elderlock/sim/compare.py
+++ b/elderlock/sim/compare.py
@@ -58,9 +58,13 @@
         warnings.simplefilter("ignore")  # of a jackknife without spread: the percentile method takes its place
         for method in ("BCa", "percentile"):
             found = stats.bootstrap(
-                (data,), np.mean, confidence_level=CONFIDENCE, n_resamples=RESAMPLES, method=method,
+                (data,),
+                np.mean,
+                confidence_level=CONFIDENCE,
+                n_resamples=RESAMPLES,
+                method=method,
                 rng=np.random.default_rng(seed),
-            ).confidence_interval  # fmt: skip
+            ).confidence_interval
             if np.isfinite(found.low) and np.isfinite(found.high):
                 return float(found.low), float(found.high)
     return None
--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -99,7 +99,7 @@
                 world.teller.changed(box)
                 self._for(fault, self._undrain, box)
             case "remove":
-                box.state = ServerState.GONE
+                box.state = ServerState.REMOVED
                 world.boxes.pop(box.uid, None)
                 world.teller.changed(box)
                 world.schedule.after(500.0, self._end, box)
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -19,7 +19,7 @@
 from elderlock.load.clientele import FINAL, Way, reason
 from elderlock.load.schedule import Arrival
 from elderlock.load.targets import Front
-from elderlock.settings import EFFECTS
+from elderlock.settings import IDEMPOTENCY_BY_NAME
 from elderlock.sim import judges as j
 from elderlock.sim.decision_faults import DecisionFaults
 from elderlock.sim.figures import Account, Result
@@ -48,9 +48,14 @@
     """One run; see `ShellWorld` for what it has in common."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, out: Callable[[str], object] | None = None, ties: int | None = None,
-        rules: j.Rules | None = None, make: type[Node] = Node,
-    ) -> None:  # fmt: skip
+        self,
+        scenario: Scenario,
+        seed: int,
+        out: Callable[[str], object] | None = None,
+        ties: int | None = None,
+        rules: j.Rules | None = None,
+        make: type[Node] = Node,
+    ) -> None:
         self.scenario, self.seed, self._make = scenario, seed, make
         self.schedule = Schedule(START, seed if ties is None else ties)
         self.trace = Trace(out=out)
@@ -61,11 +66,20 @@
         self.lost, self.growth = j.Lost(self.rules), j.Growth(self.rules)
         self.ceilings, self.reports = j.Ceilings(self.rules), j.Reports(self.rules)
         self.cold = j.Cold(self.rules)
-        self.bench = j.Bench([
-            self.lost, j.Twice(self.rules), j.Drains(self.rules), self.cold, self.ceilings, self.reports,
-            j.Failures(self.rules), j.Rest(self.rules, self._at_rest), self.growth,
-            j.Agreement(self.rules, self._digests),
-        ])  # fmt: skip
+        self.bench = j.Bench(
+            [
+                self.lost,
+                j.Twice(self.rules),
+                j.Drains(self.rules),
+                self.cold,
+                self.ceilings,
+                self.reports,
+                j.Failures(self.rules),
+                j.Rest(self.rules, self._at_rest),
+                self.growth,
+                j.Agreement(self.rules, self._digests),
+            ]
+        )
         self.account = Account(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
         self.plans = {plan.name: number for number, plan in enumerate(scenario.plan)}
         self.services = {service.name: number for number, service in enumerate(scenario.service)}
@@ -132,10 +146,20 @@
                 gc.disable()
         broken = [(each.rule, each.at, each.text) for each in self.bench.broken()]
         return Result(
-            self.scenario.name, FLOOR, self.seed, self.account.figures(), broken, self.bench.total(),
-            self.trace.digest(), self.trace.events, ended, why, sorted(self.features), REAL_CLOCK() - began,
+            self.scenario.name,
+            FLOOR,
+            self.seed,
+            self.account.figures(),
+            broken,
+            self.bench.total(),
+            self.trace.digest(),
+            self.trace.events,
+            ended,
+            why,
+            sorted(self.features),
+            REAL_CLOCK() - began,
             self.at() / 1000.0,
-        )  # fmt: skip
+        )
 
     def _begin(self) -> None:
         s = self.scenario
@@ -162,20 +186,36 @@
         s = self.scenario
         kind = s.kind[0]
         return api.Settings(
-            number=number, limiters=s.limiters, tick=1.0, zone=number % s.floors,
-            classes=tuple(api.RequestClass(c.name, c.aim_ms, EFFECTS[c.effect], window=5000.0) for c in s.service),
+            limiter_index=number,
+            limiter_count=s.limiters,
+            clock_tick_ms=1.0,
+            zone=number % s.floors,
+            request_classes=tuple(
+                api.RequestClass(c.name, c.aim_ms, IDEMPOTENCY_BY_NAME[c.effect], deduplication_window_ms=5000.0)
+                for c in s.service
+            ),
             plans=tuple(
                 api.Plan(
-                    p.name, p.price, p.rate, p.burst, p.open_limit, p.over_worth, p.over_cost, p.ceiling_rate,
-                    p.ceiling_burst, p.ceiling_slack,
+                    p.name,
+                    p.price,
+                    p.rate,
+                    p.burst,
+                    p.open_limit,
+                    p.over_worth,
+                    p.over_cost,
+                    p.ceiling_rate,
+                    p.ceiling_burst,
+                    p.ceiling_slack,
                 )
                 for p in s.plan
             ),
-            rules=api.Rules(kind.cold_share, kind.cold_ms, self.rules.multiple, self.rules.window),
-            allow=api.Allowances(s.settings.max_attempts, True, s.settings.peers and s.limiters > 1, True, 500.0),
-            sources=api.QuotaSources(peer_intake=s.settings.peer_intake),
+            rules=api.ServiceRules(kind.cold_share, kind.cold_ms, self.rules.multiple, self.rules.window),
+            capabilities=api.Capabilities(
+                s.settings.max_attempts, True, s.settings.peers and s.limiters > 1, True, 500.0
+            ),
+            quota_sources=api.QuotaSources(peer_messages_per_s=s.settings.peer_intake),
             routing=api.Routing(s.settings.subset, s.settings.away_ms / s.service[0].aim_ms),
-        )  # fmt: skip
+        )
 
     def floor_number(self, machine: Machine) -> int:
         return self._floors.get(machine.floor, -1)
@@ -209,12 +249,12 @@
 
     def heard(self, node: Node, kind: ListKind, entries: tuple[api.ServerEntry, ...]) -> None:
         at = self.at()
-        if not (kind is ListKind.ALL and len(entries) > 1000):  # what nobody knew before is no news to the judges
+        if not (kind is ListKind.COMPLETE and len(entries) > 1000):  # what nobody knew before is no news to the judges
             for entry in entries:
-                started = entry.started_at - START if entry.started_at > 0 else 0.0
-                self.bench.told(at, node.name, entry.server, WORDS[entry.state], started)
-        if kind is ListKind.ALL and at > 0:
-            named = {entry.server for entry in entries}
+                started = entry.started_at_ms - START if entry.started_at_ms > 0 else 0.0
+                self.bench.told(at, node.name, entry.server_id, WORDS[entry.state], started)
+        if kind is ListKind.COMPLETE and at > 0:
+            named = {entry.server_id for entry in entries}
             for uid in [uid for uid in self.boxes if uid not in named]:
                 self.bench.told(at, node.name, uid, "gone", 0.0)
         self.trace.event(at, node.name, f"list {kind.value} {len(entries)}")
@@ -427,7 +467,7 @@
         self.features.add(f"{'+'.join(sorted(phases))} out={min(out, 3)} silent={min(silent, 2)}")
 
 
-WORDS = {api.ServerState.RUNNING: "running", api.ServerState.DRAINING: "draining", api.ServerState.GONE: "gone"}
+WORDS = {api.ServerState.RUNNING: "running", api.ServerState.DRAINING: "draining", api.ServerState.REMOVED: "gone"}
 
 
 def play(scenario: Scenario, seed: int, **more: Any) -> Result:
--- a/elderlock/sim/experiment.py
+++ b/elderlock/sim/experiment.py
@@ -22,8 +22,15 @@
 
 SHIPPED = resources.files("elderlock.sim") / "scenarios"
 MOST_RUNS = 200_000
-FIGURES = ("served_in_time", "p50_ms", "p99_ms", "fairness", "over_quota_share", "sends_per_request",
-           "questions_per_request")  # fmt: skip
+FIGURES = (
+    "served_in_time",
+    "p50_ms",
+    "p99_ms",
+    "fairness",
+    "over_quota_share",
+    "sends_per_request",
+    "questions_per_request",
+)
 BOUND = re.compile(
     r"(diff\.)?(share\.[a-z_]+|[a-z0-9_]+)(?:@([A-Za-z0-9_.-]+))?(?:\[([A-Za-z0-9_.-]+)\])?(<|>)(-?[0-9.]+)"
 )
--- a/elderlock/sim/facts.py
+++ b/elderlock/sim/facts.py
@@ -22,22 +22,43 @@
     """Of limiter `number`."""
     s, kind = scenario, scenario.kind[0]
     own = facts(
-        peers=talks(s), **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
+        peers=talks(s),
+        **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
         **{"dial-timeout": s.settings.dial_ms, "keepalive": s.settings.keepalive_ms},
-    )  # fmt: skip
-    own.update({
-        "ordinal": number, "peers-total": s.limiters, "zone": number % s.floors,
-        "zones": [floor_name(n) for n in range(s.floors)], "kinds": [each.name for each in s.kind],
-        "services": [{"name": c.name, "goal-time": c.aim_ms, "effect": c.effect} for c in s.service],
-        "plans": [{
-            "name": p.name, "price": p.price, "quota-rate": p.rate, "burst": p.burst, "parallel": p.open_limit,
-            "beyond-earns": p.over_worth, "beyond-costs": p.over_cost, "hard-rate": p.ceiling_rate,
-            "never-over-depth": p.ceiling_burst, "hard-slack": p.ceiling_slack,
-        } for p in s.plan],
-        "rules": {"drain-grace": DRAIN, "cold": kind.cold_ms, "cold-share": kind.cold_share,
-                  "tip-multiple": rules.multiple, "fall": rules.window},
-        "family-info": {"peer-intake": s.settings.peer_intake, "largest": 1e6},
-    })  # fmt: skip
+    )
+    own.update(
+        {
+            "ordinal": number,
+            "peers-total": s.limiters,
+            "zone": number % s.floors,
+            "zones": [floor_name(n) for n in range(s.floors)],
+            "kinds": [each.name for each in s.kind],
+            "services": [{"name": c.name, "goal-time": c.aim_ms, "effect": c.effect} for c in s.service],
+            "plans": [
+                {
+                    "name": p.name,
+                    "price": p.price,
+                    "quota-rate": p.rate,
+                    "burst": p.burst,
+                    "parallel": p.open_limit,
+                    "beyond-earns": p.over_worth,
+                    "beyond-costs": p.over_cost,
+                    "hard-rate": p.ceiling_rate,
+                    "never-over-depth": p.ceiling_burst,
+                    "hard-slack": p.ceiling_slack,
+                }
+                for p in s.plan
+            ],
+            "rules": {
+                "drain-grace": DRAIN,
+                "cold": kind.cold_ms,
+                "cold-share": kind.cold_share,
+                "tip-multiple": rules.multiple,
+                "fall": rules.window,
+            },
+            "family-info": {"peer-intake": s.settings.peer_intake, "largest": 1e6},
+        }
+    )
     return own
 
 
--- a/elderlock/sim/figures.py
+++ b/elderlock/sim/figures.py
@@ -51,8 +51,18 @@
         return float(getattr(self, name))
 
 
-NUMBERS = ("offered", "p50_ms", "p99_ms", "served_in_time", "sends_per_request", "questions_per_request",
-           "over_quota_share", "fairness", "worst_second", "refused_with_room")  # fmt: skip
+NUMBERS = (
+    "offered",
+    "p50_ms",
+    "p99_ms",
+    "served_in_time",
+    "sends_per_request",
+    "questions_per_request",
+    "over_quota_share",
+    "fairness",
+    "worst_second",
+    "refused_with_room",
+)
 
 
 class Result(msgspec.Struct):
@@ -165,8 +175,16 @@
         worst = min((_share(self._seconds[second]) for second in sorted(self._seconds)[:-1]), default=1.0)
         offered = max(1, self.offered)
         return Figures(
-            self.offered, dict(sorted(self.outcomes.items())), self._quantile(50.0), self._quantile(99.0),
-            self.in_time / offered, self.sends / offered, self.questions / offered,
-            self.over / self.spent if self.spent > 0 else 0.0, jain(shares),
-            min(worst, self._worst) if self.offered else 0.0, self.refused_with_room / offered, dict(self.more),
-        )  # fmt: skip
+            self.offered,
+            dict(sorted(self.outcomes.items())),
+            self._quantile(50.0),
+            self._quantile(99.0),
+            self.in_time / offered,
+            self.sends / offered,
+            self.questions / offered,
+            self.over / self.spent if self.spent > 0 else 0.0,
+            jain(shares),
+            min(worst, self._worst) if self.offered else 0.0,
+            self.refused_with_room / offered,
+            dict(self.more),
+        )
--- a/elderlock/sim/grammar.py
+++ b/elderlock/sim/grammar.py
@@ -14,15 +14,40 @@
 from elderlock.sim.scenario import ABLE, ONLY_SHELLS, ONLY_TRIAL, Fault, Scenario
 
 RANGES: dict[str, tuple[float, float]] = {
-    "slow": (2.0, 20.0), "errs": (0.1, 1.0), "loss": (0.02, 0.4), "late": (10.0, 400.0), "pause": (100.0, 2500.0),
-    "clock": (-10_000.0, 10_000.0), "rush": (30.0, 400.0), "silent-clients": (20.0, 300.0),
-    "hoard": (0.1, 1.0), "duplicate": (0.05, 0.8), "reorder": (5.0, 300.0), "trickle": (500.0, 20_000.0),
+    "slow": (2.0, 20.0),
+    "errs": (0.1, 1.0),
+    "loss": (0.02, 0.4),
+    "late": (10.0, 400.0),
+    "pause": (100.0, 2500.0),
+    "clock": (-10_000.0, 10_000.0),
+    "rush": (30.0, 400.0),
+    "silent-clients": (20.0, 300.0),
+    "hoard": (0.1, 1.0),
+    "duplicate": (0.05, 0.8),
+    "reorder": (5.0, 300.0),
+    "trickle": (500.0, 20_000.0),
     "disk-slow": (20.0, 800.0),
-}  # fmt: skip
-ENDLESS = frozenset({
-    "kill", "term", "clock", "restart", "remove", "empty", "lies", "op-undrain", "power", "old-state", "no-state",
-    "kill-write", "kill-sync", "kill-rename", "reset", "half-close",
-})  # fmt: skip
+}
+ENDLESS = frozenset(
+    {
+        "kill",
+        "term",
+        "clock",
+        "restart",
+        "remove",
+        "empty",
+        "lies",
+        "op-undrain",
+        "power",
+        "old-state",
+        "no-state",
+        "kill-write",
+        "kill-sync",
+        "kill-rename",
+        "reset",
+        "half-close",
+    }
+)
 KEPT = 64  # schedules that showed something new, to be varied
 VARIED = 0.6  # share of tries that vary one of them
 MOST_REMOVED = 0.3  # of the boxes: with fewer left there is nothing to be learnt
--- a/elderlock/sim/judges.py
+++ b/elderlock/sim/judges.py
@@ -408,8 +408,20 @@
     def __init__(self, judges: list[Judge]) -> None:
         self.judges = judges
         self.counts: Counter[str] = Counter()
-        for name in ("asked", "answered", "excused", "sent", "ran", "told", "started", "spent", "limiter_began",
-                     "claimed", "failure", "ended"):  # fmt: skip
+        for name in (
+            "asked",
+            "answered",
+            "excused",
+            "sent",
+            "ran",
+            "told",
+            "started",
+            "spent",
+            "limiter_began",
+            "claimed",
+            "failure",
+            "ended",
+        ):
             base = getattr(Judge, name)
             hears = [getattr(judge, name) for judge in judges if getattr(type(judge), name) is not base]
             setattr(self, name, _all(hears))
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -83,11 +83,16 @@
         """Shared by all who hear it."""
         shape, started = self.model.shape, self.model.started_at
         found = self._entry
-        if found is None or found.state is not self.state or found.started_at != started:
+        if found is None or found.state is not self.state or found.started_at_ms != started:
             self._entry = found = api.ServerEntry(
-                self.uid, self.world.floor_number(self.machine), self.kind, self.cell, self.state,
-                shape.cores * shape.speed, started,
-            )  # fmt: skip
+                self.uid,
+                self.world.floor_number(self.machine),
+                self.kind,
+                self.cell,
+                self.state,
+                shape.cores * shape.speed,
+                started,
+            )
         return found
 
 
@@ -113,7 +118,7 @@
             terms = Terms(heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * world.scenario.limiters))
             source = type("Counted", (Counted,), {"terms": terms})
         settings = world.settings(number)
-        wanted, peers = world.scenario.settings, settings.allow.peers
+        wanted, peers = world.scenario.settings, settings.capabilities.can_message_peers
         kind = limiter_of(wanted.shared and peers, wanted.shared_ceilings and peers and not wanted.counter)
         self.limiter = kind(settings, seed, self.now(), source)
         self.overlay = Overlay() if world.scenario.agents else None
@@ -174,7 +179,7 @@
         self.version += 1
         if self.overlay is not None:
             targets = tuple(Target(entry, ("", 0)) for entry in entries)
-            over = self.overlay.listed(TargetList(self.version, kind is ListKind.ALL, targets))
+            over = self.overlay.listed(TargetList(self.version, kind is ListKind.COMPLETE, targets))
             entries = tuple(target.entry for target in over.targets)
         self.world.heard(self, kind, entries)
         self.happened(api.ServerList(self.version, kind, entries))
@@ -219,7 +224,7 @@
                 self.world.schedule.after(10.0, self._overdue, held)
                 return
             self._answer(held, "failed")
-            self.happened(api.ClientGone(held.name))
+            self.happened(api.ClientDisconnected(held.name))
 
     def gone(self, held: Open) -> None:
         """Its client has gone away."""
@@ -227,7 +232,7 @@
             held.answered = True
             self.world.bench.excused(self.world.at(), held.tag, "its client went away")
             self._forget(held)
-            self.happened(api.ClientGone(held.name))
+            self.happened(api.ClientDisconnected(held.name))
 
     # Actions
 
@@ -235,20 +240,20 @@
         for action in actions:
             match action:
                 case api.SetTimer(wait, token):
-                    self.world.schedule.after(wait, self.happened, api.TimerDue(token))
-                case api.Send(name, server, timeout):
+                    self.world.schedule.after(wait, self.happened, api.TimerFired(token))
+                case api.SendAttempt(name, server, timeout):
                     self._send(self.requests.get(name), server, timeout)
-                case api.Refuse(name, advice):
+                case api.Reject(name, advice):
                     self._final(name, "refused", advice)
                 case api.Fail(name):
                     self._final(name, "failed", 0.0)
-                case api.Cancel(name, number):
+                case api.CancelAttempt(name, number):
                     held = self.requests.get(name)
                     if held is not None and number < len(held.tries):
                         self._ended(held.tries[number], Outcome.CANCELLED)
-                case api.TellPeer(receiver, data):
+                case api.SendPeerMessage(receiver, data):
                     self.world.tell_peer(self, receiver, data)
-                case api.Tally(token, name, amount, life):
+                case api.AddToCounter(token, name, amount, life):
                     self.world.counter.call(self, token, name, amount, life)
                 case _:
                     pass
--- a/elderlock/sim/page.py
+++ b/elderlock/sim/page.py
@@ -20,13 +20,16 @@
 sys.meta_path[:] = [finder for finder in sys.meta_path if hasattr(finder, "find_spec")]
 
 TITLES = {
-    "served_in_time": "Share served in time", "p50_ms": "Time to answer, p50 (ms)",
+    "served_in_time": "Share served in time",
+    "p50_ms": "Time to answer, p50 (ms)",
     "p99_ms": "Time to answer, p99 (ms)",
-    "fairness": "Fairness among accounts (Jain's index)", "over_quota_share": "Units sent over quota (share)",
-    "sends_per_request": "Sends a request", "questions_per_request": "Questions between limiters a request",
+    "fairness": "Fairness among accounts (Jain's index)",
+    "over_quota_share": "Units sent over quota (share)",
+    "sends_per_request": "Sends a request",
+    "questions_per_request": "Questions between limiters a request",
     "refused_with_room": "Refused though the quota had room (share)",
     "worst_second": "Worst second (share served in time)",
-}  # fmt: skip
+}
 
 
 def _drawn(chart: Any) -> str:
@@ -40,9 +43,16 @@
 def _boxes(figure: str, experiment: Experiment, results: Mapping[Cell, Result]) -> str:
     """One box for each scenario and setting, over its seeds."""
     chart = pygal.Box(
-        title=TITLES.get(figure, figure), style=CleanStyle, width=1000, height=360, js=[], box_mode="tukey",
-        disable_xml_declaration=True, legend_at_bottom=True, no_data_text="nothing was measured",
-    )  # fmt: skip
+        title=TITLES.get(figure, figure),
+        style=CleanStyle,
+        width=1000,
+        height=360,
+        js=[],
+        box_mode="tukey",
+        disable_xml_declaration=True,
+        legend_at_bottom=True,
+        no_data_text="nothing was measured",
+    )
     for scenario in experiment.file.scenario:
         for setting in experiment.file.setting:
             values = []
@@ -59,9 +69,16 @@
 def _by_scale(figure: str, experiment: Experiment, lines: list[Line]) -> str:
     """Over the number of limiters, where the scenarios differ in it."""
     chart = pygal.XY(
-        title=f"{TITLES.get(figure, figure)}, by limiters", x_title="limiters", style=CleanStyle, width=1000,
-        height=360, js=[], disable_xml_declaration=True, legend_at_bottom=True, no_data_text="nothing was measured",
-    )  # fmt: skip
+        title=f"{TITLES.get(figure, figure)}, by limiters",
+        x_title="limiters",
+        style=CleanStyle,
+        width=1000,
+        height=360,
+        js=[],
+        disable_xml_declaration=True,
+        legend_at_bottom=True,
+        no_data_text="nothing was measured",
+    )
     for setting in experiment.file.setting:
         points = [
             (float(experiment.made[line.scenario, setting.name].limiters), line.mean)
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -235,9 +235,10 @@
 
     def _wrong(self, want: str) -> list[str]:
         return [
-            f"agent-{number}" for number, base in self._bases.items()
+            f"agent-{number}"
+            for number, base in self._bases.items()
             if number in self._dark or base.held.which.version != want or not self.agent_processes[number].alive
-        ]  # fmt: skip
+        ]
 
     async def _ends(self, id: str, healed: float) -> Plan | None:
         """The plan once it is over. An operator takes back what stays halted after all is healed."""
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -62,10 +62,14 @@
 BUILDS = {
     build.name: build
     for build in (
-        Build("good"), Build("crashes-at-start", crash_after=0.0), Build("crashes-after-10-s", crash_after=10.0),
-        Build("refuses-all", refuses=1.0), Build("slower-by-a-fifth", slower=0.2), Build("mute", mute=True),
+        Build("good"),
+        Build("crashes-at-start", crash_after=0.0),
+        Build("crashes-after-10-s", crash_after=10.0),
+        Build("refuses-all", refuses=1.0),
+        Build("slower-by-a-fifth", slower=0.2),
+        Build("mute", mute=True),
     )
-}  # fmt: skip
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,10 +144,20 @@
         self._count()
         assert self.desk is not None
         return state(
-            self.name, self.world.boxes, id=id, pid=self.pid, records=tuple(self.desk.records), drained=self.down,
-            ready=not self.down, records_digest=self.desk.records.digest(), owner=self.desk.owner,
-            owner_epoch=self.desk.owner_epoch, counts=self._counts, log_sum=self._sums[0], log_squares=self._sums[1],
-        )  # fmt: skip
+            self.name,
+            self.world.boxes,
+            id=id,
+            pid=self.pid,
+            records=tuple(self.desk.records),
+            drained=self.down,
+            ready=not self.down,
+            records_digest=self.desk.records.digest(),
+            owner=self.desk.owner,
+            owner_epoch=self.desk.owner_epoch,
+            counts=self._counts,
+            log_sum=self._sums[0],
+            log_squares=self._sums[1],
+        )
 
     def _count(self) -> None:
         """What it answered since it was looked at last, drawn in one go."""
@@ -186,9 +200,14 @@
 
     def __init__(self, case: Case, seed: int, log: bool = False) -> None:
         scenario = Scenario(
-            "releases", limiters=case.limiters, agents=case.agents, floors=case.floors, boxes=3,
-            settings=Settings(budget=0.5), lasts_s=3600.0,
-        )  # fmt: skip
+            "releases",
+            limiters=case.limiters,
+            agents=case.agents,
+            floors=case.floors,
+            boxes=3,
+            settings=Settings(budget=0.5),
+            lasts_s=3600.0,
+        )
         super().__init__(scenario, seed)
         self.case, self.made, self._log_on = case, Played(), log
         self.most = int(case.share * case.limiters)
@@ -423,8 +442,9 @@
     def _newest(self) -> Plan | None:
         ledgers = [
             self.agents[f"agent-{n}"].keeper.ledger  # type: ignore[union-attr]
-            for n, process in self.agent_processes.items() if process.alive and f"agent-{n}" in self.agents
-        ]  # fmt: skip
+            for n, process in self.agent_processes.items()
+            if process.alive and f"agent-{n}" in self.agents
+        ]
         newest = max(ledgers, key=lambda ledger: ledger.version, default=None)
         return newest.plans[-1] if newest is not None and newest.plans else None
 
@@ -462,8 +482,10 @@
             self.made.took_over = max(0, plan.term - 1)
         if self.made.plan != plan:
             before = self.made.plan.why if self.made.plan else ""
-            self.say(f"plan {plan.state} {plan.aim} wave {plan.wave()} term {plan.term}"
-                     + (f": {plan.why}" if plan.why != before else ""))  # fmt: skip
+            self.say(
+                f"plan {plan.state} {plan.aim} wave {plan.wave()} term {plan.term}"
+                + (f": {plan.why}" if plan.why != before else "")
+            )
         if plan.why and not self.made.halted_why and (plan.state == "halted" or "by itself" in plan.why):
             self.made.halted_why = plan.why
         self.made.plan = plan
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -28,12 +28,52 @@
 LONGEST_FILE = 32 << 20  # bytes: a schedule of 100,000 faults is some 8 MB
 
 What = Literal[
-    "slow", "errs", "silent", "refusing", "restart", "pause", "drain", "remove", "lies", "kill", "term", "clock",
-    "cut", "cut-to", "cut-from", "loss", "late", "empty", "restored", "busy", "stale", "flap", "dead",
-    "disk-full", "disk-error", "op-drain", "op-undrain", "stop", "start", "rush", "silent-clients",
-    "hoard", "power", "disk-slow", "disk-lies", "old-state", "no-state", "kill-write", "kill-sync", "kill-rename",
-    "duplicate", "reorder", "trickle", "reset", "half-close",
-]  # fmt: skip
+    "slow",
+    "errs",
+    "silent",
+    "refusing",
+    "restart",
+    "pause",
+    "drain",
+    "remove",
+    "lies",
+    "kill",
+    "term",
+    "clock",
+    "cut",
+    "cut-to",
+    "cut-from",
+    "loss",
+    "late",
+    "empty",
+    "restored",
+    "busy",
+    "stale",
+    "flap",
+    "dead",
+    "disk-full",
+    "disk-error",
+    "op-drain",
+    "op-undrain",
+    "stop",
+    "start",
+    "rush",
+    "silent-clients",
+    "hoard",
+    "power",
+    "disk-slow",
+    "disk-lies",
+    "old-state",
+    "no-state",
+    "kill-write",
+    "kill-sync",
+    "kill-rename",
+    "duplicate",
+    "reorder",
+    "trickle",
+    "reset",
+    "half-close",
+]
 ABLE: dict[str, frozenset[str]] = {
     "box": frozenset(
         {"slow", "errs", "silent", "refusing", "restart", "pause", "drain", "remove", "lies", "op-drain", "op-undrain"}
@@ -69,10 +109,21 @@
     "clients": frozenset({"rush", "silent-clients", "hoard"}),
 }
 ONLY_SHELLS = frozenset({"term", "disk-full", "disk-error", "refusing", "reset"})
-ONLY_TRIAL = frozenset({
-    "disk-slow", "disk-lies", "old-state", "no-state", "kill-write", "kill-sync", "kill-rename", "duplicate", "reorder",
-    "trickle", "half-close",
-})  # fmt: skip
+ONLY_TRIAL = frozenset(
+    {
+        "disk-slow",
+        "disk-lies",
+        "old-state",
+        "no-state",
+        "kill-write",
+        "kill-sync",
+        "kill-rename",
+        "duplicate",
+        "reorder",
+        "trickle",
+        "half-close",
+    }
+)
 END = r"(?:(?:box|limiter|agent):\d{1,6}|counter|discovery|clients|tool)"
 WAY = re.compile(rf"way:({END})>({END})")
 TARGET = re.compile(
@@ -120,9 +171,20 @@
 
 
 DEFAULT_BY: dict[str, float] = {
-    "slow": 5.0, "errs": 0.5, "loss": 0.1, "late": 100.0, "pause": 500.0, "clock": 2000.0, "rush": 100.0,
-    "silent-clients": 50.0, "hoard": 0.5, "duplicate": 0.2, "reorder": 50.0, "trickle": 2000.0, "disk-slow": 200.0,
-}  # fmt: skip
+    "slow": 5.0,
+    "errs": 0.5,
+    "loss": 0.1,
+    "late": 100.0,
+    "pause": 500.0,
+    "clock": 2000.0,
+    "rush": 100.0,
+    "silent-clients": 50.0,
+    "hoard": 0.5,
+    "duplicate": 0.2,
+    "reorder": 50.0,
+    "trickle": 2000.0,
+    "disk-slow": 200.0,
+}
 
 
 class Plan(Strict, frozen=True):
@@ -164,9 +226,16 @@
 
     def shape(self) -> Shape:
         return Shape(
-            self.cores, self.speed, self.room, self.work_ms, self.cold_share, self.cold_ms, self.crowd,
-            self.report_every_ms, self.noise,
-        )  # fmt: skip
+            self.cores,
+            self.speed,
+            self.room,
+            self.work_ms,
+            self.cold_share,
+            self.cold_ms,
+            self.crowd,
+            self.report_every_ms,
+            self.noise,
+        )
 
 
 class Net(Strict, frozen=True):
@@ -230,9 +299,13 @@
     def traffic(self, seed: int) -> load.Scenario:
         """As the load generator's schedule takes it."""
         return load.Scenario(
-            name=self.name, for_s=self.lasts_s, seed=seed, stream=self.stream, clients=self.clients,
+            name=self.name,
+            for_s=self.lasts_s,
+            seed=seed,
+            stream=self.stream,
+            clients=self.clients,
             group=load.Group(),
-        )  # fmt: skip
+        )
 
     def longest_deadline(self) -> float:
         """ms, of what clients ask."""
@@ -256,9 +329,13 @@
     mix = Mix(count=accounts, skew=skew)
     shape = (load.Steady(rate=share * scenario.capacity()),)
     stream = load.Stream(
-        name="main", plan="plain", class_name=scenario.service[0].name, shape=shape, accounts=mix,
+        name="main",
+        plan="plain",
+        class_name=scenario.service[0].name,
+        shape=shape,
+        accounts=mix,
         deadline_ms=4 * scenario.service[0].aim_ms,
-    )  # fmt: skip
+    )
     return msgspec.structs.replace(scenario, stream=(stream,), plan=scenario.plan or (Plan("plain"),))
 
 
@@ -299,10 +376,15 @@
     """Raises `ScenarioError`."""
     s = scenario
     load.bounds(
-        "the group", limiters=(s.limiters, 1, MOST_LIMITERS), boxes=(s.boxes, 1, MOST_BOXES),
-        floors=(s.floors, 1, 100), agents=(s.agents, 0, s.limiters), lasts_s=(s.lasts_s, 0.1, LONGEST_S),
-        warm_s=(s.warm_s, 0, s.lasts_s), rest_s=(s.rest_s, 0, 3600),
-    )  # fmt: skip
+        "the group",
+        limiters=(s.limiters, 1, MOST_LIMITERS),
+        boxes=(s.boxes, 1, MOST_BOXES),
+        floors=(s.floors, 1, 100),
+        agents=(s.agents, 0, s.limiters),
+        lasts_s=(s.lasts_s, 0.1, LONGEST_S),
+        warm_s=(s.warm_s, 0, s.lasts_s),
+        rest_s=(s.rest_s, 0, 3600),
+    )
     if bool(s.stream) == (s.replay is not None):
         raise ScenarioError("it needs a [[stream]] or a [replay], and not both")
     if s.replay is not None and s.replay.rename_key:
@@ -319,20 +401,33 @@
             raise ScenarioError(f"stream {stream.name}: there is no service {stream.class_name!r}")
     for kind in s.kind:
         load.bounds(
-            f"kind {kind.name}", cores=(kind.cores, 1, 1000), speed=(kind.speed, 0.001, 1000), room=(kind.room, 0, 1e6),
-            work_ms=(kind.work_ms, 0.01, 60_000), cold_share=(kind.cold_share, 0.01, 1),
-            cold_ms=(kind.cold_ms, 1, 600_000), crowd=(kind.crowd, 0, 100), noise=(kind.noise, 0, 1),
+            f"kind {kind.name}",
+            cores=(kind.cores, 1, 1000),
+            speed=(kind.speed, 0.001, 1000),
+            room=(kind.room, 0, 1e6),
+            work_ms=(kind.work_ms, 0.01, 60_000),
+            cold_share=(kind.cold_share, 0.01, 1),
+            cold_ms=(kind.cold_ms, 1, 600_000),
+            crowd=(kind.crowd, 0, 100),
+            noise=(kind.noise, 0, 1),
             report_every_ms=(kind.report_every_ms, 0, 60_000),
-        )  # fmt: skip
+        )
     load.bounds(
-        "settings", subset=(s.settings.subset, 0, MOST_BOXES), max_attempts=(s.settings.max_attempts, 1, 10),
-        budget=(s.settings.budget, 0, 1), sockets=(s.settings.sockets, 64, 1_000_000),
+        "settings",
+        subset=(s.settings.subset, 0, MOST_BOXES),
+        max_attempts=(s.settings.max_attempts, 1, 10),
+        budget=(s.settings.budget, 0, 1),
+        sockets=(s.settings.sockets, 64, 1_000_000),
         keepalive_ms=(s.settings.keepalive_ms, 100, 600_000),
-    )  # fmt: skip
+    )
     load.bounds(
-        "net", same_ms=(s.net.same_ms, 0, 1000), cross_ms=(s.net.cross_ms, 0, 10_000), loss=(s.net.loss, 0, 0.9),
-        datagram_loss=(s.net.datagram_loss, 0, 1), jitter=(s.net.jitter, 0, 10),
-    )  # fmt: skip
+        "net",
+        same_ms=(s.net.same_ms, 0, 1000),
+        cross_ms=(s.net.cross_ms, 0, 10_000),
+        loss=(s.net.loss, 0, 0.9),
+        datagram_loss=(s.net.datagram_loss, 0, 1),
+        jitter=(s.net.jitter, 0, 10),
+    )
     for number, fault in enumerate(s.fault):
         check_fault(f"fault {number}", fault, s.lasts_s)
 
--- a/elderlock/sim/search.py
+++ b/elderlock/sim/search.py
@@ -23,10 +23,14 @@
 from elderlock.sim.seeds import Floor, Seed
 
 WAYS: dict[str, tuple[str, ...]] = {
-    "connect": ("refused", "silent", "reset"), "write": ("reset", "half", "sent", "late"), "read": ("reset",),
-    "datagram": ("lost", "doubled", "late"), "sqlite": ("full", "error", "locked"), "file": ("full", "error"),
+    "connect": ("refused", "silent", "reset"),
+    "write": ("reset", "half", "sent", "late"),
+    "read": ("reset",),
+    "datagram": ("lost", "doubled", "late"),
+    "sqlite": ("full", "error", "locked"),
+    "file": ("full", "error"),
     "spawn": ("fails",),
-}  # fmt: skip
+}
 
 
 def play(scenario: Scenario, seed: int, floor: str, **more: Any) -> Result:
@@ -82,9 +86,13 @@
         return msgspec.structs.replace(self.scenario, fault=self._corpus.next()), self._rng.randrange(1 << 31)
 
     def run(
-        self, tries: int, lasts: float, workers: int, told: Callable[[Report], None] = lambda report: None,
+        self,
+        tries: int,
+        lasts: float,
+        workers: int,
+        told: Callable[[Report], None] = lambda report: None,
         shrink_most: int = 200,
-    ) -> Report:  # fmt: skip
+    ) -> Report:
         """`tries` runs, or as many as begin within `lasts` s. Failures of a kind not seen before are cut down."""
         began, report = time.monotonic(), self.report
         with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
@@ -180,9 +188,13 @@
 
 
 def systematic(
-    scenario: Scenario, seed: int, workers: int, each: int = 1 << 30, lasts: float = float("inf"),
+    scenario: Scenario,
+    seed: int,
+    workers: int,
+    each: int = 1 << 30,
+    lasts: float = float("inf"),
     told: Callable[[Systematic], None] = lambda so_far: None,
-) -> Systematic:  # fmt: skip
+) -> Systematic:
     """Plays the scenario once for each step and way, on the shells' floor."""
     counting = Counting()
     play(scenario, seed, "shells", io=counting)
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -54,7 +54,7 @@
 FOLDS = 4  # times that what is left at the end is cancelled
 SAMPLE_EVERY = 0.5  # s between looks at what the group has come to
 COMMAND_WITHIN = 15.0  # s that an operator's command may take
-STATES = {ServerState.RUNNING: "running", ServerState.DRAINING: "draining", ServerState.GONE: "gone"}
+STATES = {ServerState.RUNNING: "running", ServerState.DRAINING: "draining", ServerState.REMOVED: "gone"}
 FLOOR = "shells"
 CLASSES: list[tuple[Any, str]] = [(program, "Gateway"), (agents, "Agent")]  # watched while a run lasts
 REAL_CLOCK = time.perf_counter  # bound before any run takes its place
@@ -80,9 +80,14 @@
     """One run. `io` fails single steps of input and output; `out` gets every line of the trace."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, io: Faults | None = None, out: Callable[[str], object] | None = None,
-        ties: int | None = None, rules: j.Rules | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        scenario: Scenario,
+        seed: int,
+        io: Faults | None = None,
+        out: Callable[[str], object] | None = None,
+        ties: int | None = None,
+        rules: j.Rules | None = None,
+    ) -> None:
         self.scenario, self.seed = scenario, seed
         self.loop = SimLoop(seed if ties is None else ties)
         self.trace = Trace(out=out)
@@ -96,10 +101,20 @@
         self.lost, self.growth = j.Lost(self.rules), j.Growth(self.rules)
         self.ceilings, self.reports = j.Ceilings(self.rules), j.Reports(self.rules)
         self.agreed = Agreed(self.rules, most_out(scenario))
-        self.bench = j.Bench([
-            self.lost, j.Drains(self.rules), j.Cold(self.rules), self.ceilings, self.reports, j.Failures(self.rules),
-            j.Rest(self.rules, self._at_rest), self.growth, j.Agreement(self.rules, self._digests), self.agreed,
-        ])  # fmt: skip
+        self.bench = j.Bench(
+            [
+                self.lost,
+                j.Drains(self.rules),
+                j.Cold(self.rules),
+                self.ceilings,
+                self.reports,
+                j.Failures(self.rules),
+                j.Rest(self.rules, self._at_rest),
+                self.growth,
+                j.Agreement(self.rules, self._digests),
+                self.agreed,
+            ]
+        )
         self.account = Account(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
         self.processes: dict[int, Process] = {}
         self.gateways: dict[str, Gateway] = {}
@@ -173,10 +188,20 @@
                 self.bench.failure(self.at(), where, repr(error))
         broken = [(each.rule, each.at, each.text) for each in self.bench.broken()]
         return Result(
-            self.scenario.name, FLOOR, self.seed, self.account.figures(), broken, self.bench.total(),
-            self.trace.digest(), self.trace.events, ended, why, sorted(self.features),
-            REAL_CLOCK() - began, self.at() / 1000.0,
-        )  # fmt: skip
+            self.scenario.name,
+            FLOOR,
+            self.seed,
+            self.account.figures(),
+            broken,
+            self.bench.total(),
+            self.trace.digest(),
+            self.trace.events,
+            ended,
+            why,
+            sorted(self.features),
+            REAL_CLOCK() - began,
+            self.at() / 1000.0,
+        )
 
     def _fold(self) -> None:
         """All that still waits is cancelled, so that nothing of it is left to act when it is collected."""
@@ -273,12 +298,15 @@
         machine = self.machines[number]
         peers = ["%s:%d" % at for at in self._peers]
         return {
-            "name": f"n{number}", "seed": f"{self.rng.randrange(1 << 63):016x}", "listen": f"{machine.host}:7000",
+            "name": f"n{number}",
+            "seed": f"{self.rng.randrange(1 << 63):016x}",
+            "listen": f"{machine.host}:7000",
             "discovery": self.listing.discovery.doors[number].endpoint,
             "limits": {"cores": 1.0, "memory_mb": s.settings.memory_mb, "sockets": s.settings.sockets},
-            "counter": self.counter.doors[number].endpoint, "settings": own,
+            "counter": self.counter.doors[number].endpoint,
+            "settings": own,
             **({"peer_listen": peers[number], "peers": peers, "peers_all": "%s:%d" % everyone} if several else {}),
-        }  # fmt: skip
+        }
 
     # Processes
 
@@ -468,9 +496,9 @@
         named = set()
         for target in listed.targets:
             entry = target.entry
-            named.add(entry.server)
-            started = entry.started_at - EPOCH * 1000.0 if entry.started_at > 0 else 0.0
-            self.bench.told(at, limiter, entry.server, STATES[entry.state], started)
+            named.add(entry.server_id)
+            started = entry.started_at_ms - EPOCH * 1000.0 if entry.started_at_ms > 0 else 0.0
+            self.bench.told(at, limiter, entry.server_id, STATES[entry.state], started)
         if listed.complete:
             for uid in [*self.listing.boxes, *self.listing.dead]:
                 if uid not in named:
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -36,7 +36,7 @@
             return
         world = self._world
         entries = tuple(box.entry() for box in (*world.boxes.values(), *self.dead.values()))
-        node.listed(ListKind.ALL, entries)
+        node.listed(ListKind.COMPLETE, entries)
 
     def changed(self, *boxes: SimBox) -> None:
         if self.silent or self.stale:
--- a/elderlock/sim/virtual/host.py
+++ b/elderlock/sim/virtual/host.py
@@ -67,9 +67,13 @@
     for the store `locked`."""
 
     def __init__(
-        self, machine: Machine, faults: Faults, spawn: Spawn, processes: dict[int, Process],
+        self,
+        machine: Machine,
+        faults: Faults,
+        spawn: Spawn,
+        processes: dict[int, Process],
         signal: Callable[[Process, int], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._machine, self._faults, self._spawn = machine, faults, spawn
         self._processes, self._signal = processes, signal
         self._locks: dict[int, _Lock] = {}
--- a/elderlock/sim/virtual/system.py
+++ b/elderlock/sim/virtual/system.py
@@ -104,15 +104,24 @@
 
     real_pid = os.getpid
     names: list[tuple[Any, str, Any]] = [
-        (time, "time", clocks.wall), (time, "monotonic", clocks.monotonic), (time, "perf_counter", clocks.monotonic),
+        (time, "time", clocks.wall),
+        (time, "monotonic", clocks.monotonic),
+        (time, "perf_counter", clocks.monotonic),
         (time, "time_ns", lambda: round(clocks.wall() * 1e9)),
         (time, "monotonic_ns", lambda: round(clocks.monotonic() * 1e9)),
-        (time, "perf_counter_ns", lambda: round(clocks.monotonic() * 1e9)), (time, "sleep", _no_sleep),
-        (random, "Random", Drawn), (random, "SystemRandom", System), (os, "urandom", urandom), (os, "getpid", pid),
-        (random, "_urandom", urandom), (secrets, "token_bytes", lambda n=32: urandom(n)),
-        (secrets, "token_hex", lambda n=32: urandom(n).hex()), (os, "environ", _Environ(os.environ)),
-        (gc, "freeze", lambda: None), (gc, "collect", lambda *given: 0),
-    ]  # fmt: skip
+        (time, "perf_counter_ns", lambda: round(clocks.monotonic() * 1e9)),
+        (time, "sleep", _no_sleep),
+        (random, "Random", Drawn),
+        (random, "SystemRandom", System),
+        (os, "urandom", urandom),
+        (os, "getpid", pid),
+        (random, "_urandom", urandom),
+        (secrets, "token_bytes", lambda n=32: urandom(n)),
+        (secrets, "token_hex", lambda n=32: urandom(n).hex()),
+        (os, "environ", _Environ(os.environ)),
+        (gc, "freeze", lambda: None),
+        (gc, "collect", lambda *given: 0),
+    ]
     before = [(module, name, getattr(module, name)) for module, name, _ in names]
     try:
         for module, name, ours in names:
--- a/elderlock/standins/boxes.py
+++ b/elderlock/standins/boxes.py
@@ -137,9 +137,16 @@
 
     def target(self, door: int) -> dict[str, Any]:
         """As discovery lists it to the limiter of that door."""
-        return {"uid": self.uid, "endpoint": self.doors[door].endpoint, "az": self.floor,
-                "model": self.kind.name, "pod_group": 0, "state": self.state,
-                "capacity_hint": self.kind.cores * self.kind.speed, "boot_ms": self.boot_ms}  # fmt: skip
+        return {
+            "uid": self.uid,
+            "endpoint": self.doors[door].endpoint,
+            "az": self.floor,
+            "model": self.kind.name,
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": self.kind.cores * self.kind.speed,
+            "boot_ms": self.boot_ms,
+        }
 
     def report(self) -> bytes:
         return b"queue=%d" % self.model.queue()
--- a/elderlock/standins/certificates.py
+++ b/elderlock/standins/certificates.py
@@ -30,22 +30,30 @@
 
     authority = ec.generate_private_key(ec.SECP256R1())
     root = (
-        x509.CertificateBuilder().subject_name(name("ca")).issuer_name(name("ca"))
-        .public_key(authority.public_key()).serial_number(1)
-        .not_valid_before(now - 9 * day).not_valid_after(now + 9 * day)
+        x509.CertificateBuilder()
+        .subject_name(name("ca"))
+        .issuer_name(name("ca"))
+        .public_key(authority.public_key())
+        .serial_number(1)
+        .not_valid_before(now - 9 * day)
+        .not_valid_after(now + 9 * day)
         .add_extension(x509.BasicConstraints(True, None), True)
         .add_extension(x509.SubjectKeyIdentifier.from_public_key(authority.public_key()), False)
         .add_extension(x509.KeyUsage(True, False, False, False, False, True, True, False, False), True)
         .sign(authority, hashes.SHA256())
-    )  # fmt: skip
+    )
     write(folder / "ca", authority, root)
     for number, common in enumerate(("server", "client"), 2):
         key = ec.generate_private_key(ec.SECP256R1())
         ends = now - day if expired and common == "client" else now + 9 * day
         certificate = (
-            x509.CertificateBuilder().subject_name(name(common)).issuer_name(name("ca"))
-            .public_key(key.public_key()).serial_number(number)
-            .not_valid_before(now - 5 * day).not_valid_after(ends)
+            x509.CertificateBuilder()
+            .subject_name(name(common))
+            .issuer_name(name("ca"))
+            .public_key(key.public_key())
+            .serial_number(number)
+            .not_valid_before(now - 5 * day)
+            .not_valid_after(ends)
             .add_extension(x509.BasicConstraints(False, None), True)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(authority.public_key()), False)
             .add_extension(
@@ -55,5 +63,5 @@
                 False,
             )
             .sign(authority, hashes.SHA256())
-        )  # fmt: skip
+        )
         write(folder / common, key, certificate)
--- a/elderlock/standins/counters.py
+++ b/elderlock/standins/counters.py
@@ -36,9 +36,17 @@
     """`ask` rates are a second and limiter. A counter holds `per_s` calls a second over its parts."""
 
     def __init__(
-        self, store: Store, terms: Terms, seed: int, rates: Sequence[float], parts: int = 2, per_s: float = 5000.0,
-        delay: tuple[float, float] = (0.2, 6.0), skews: Sequence[float] = (), start: float = 10_000_000.0,
-    ) -> None:  # fmt: skip
+        self,
+        store: Store,
+        terms: Terms,
+        seed: int,
+        rates: Sequence[float],
+        parts: int = 2,
+        per_s: float = 5000.0,
+        delay: tuple[float, float] = (0.2, 6.0),
+        skews: Sequence[float] = (),
+        start: float = 10_000_000.0,
+    ) -> None:
         super().__init__(start)
         self.store, self.terms, self.rng = store, terms, random.Random(f"counters/{seed}")
         self.parts = [Part() for _ in range(parts)]
--- a/elderlock/standins/front.py
+++ b/elderlock/standins/front.py
@@ -96,8 +96,15 @@
 class Front:
     """Sends `rate` requests a second, Poisson arrivals from a seed, whatever the answers do."""
 
-    def __init__(self, limiters: Sequence[str], rate: float, seed: int, customers: int = 40,
-                 within: float = 3.0, plans: Sequence[str] = ("shop", "enterprise")) -> None:  # fmt: skip
+    def __init__(
+        self,
+        limiters: Sequence[str],
+        rate: float,
+        seed: int,
+        customers: int = 40,
+        within: float = 3.0,
+        plans: Sequence[str] = ("shop", "enterprise"),
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.rate = rate
         self.ledger = Ledger()
--- a/elderlock/standins/gateways.py
+++ b/elderlock/standins/gateways.py
@@ -29,8 +29,15 @@
     @staticmethod
     def question(name: str, **changes: Any) -> auth.CheckRequest:
         request = auth.CheckRequest()
-        values = {"account": CUSTOMER, "plan": "team", "class": "lookup", "request": name, "spread": 1, "first": 0,
-                  **{key.replace("_", "-"): value for key, value in changes.items()}}  # fmt: skip
+        values = {
+            "account": CUSTOMER,
+            "plan": "team",
+            "class": "lookup",
+            "request": name,
+            "spread": 1,
+            "first": 0,
+            **{key.replace("_", "-"): value for key, value in changes.items()},
+        }
         for key, value in values.items():
             if value is not None:
                 request.attributes.context_extensions[key] = str(value)
