--- /dev/null
+++ b/tests/compatibility/test_encoded_messages.py
@@ -0,0 +1,396 @@
+"""Encoded messages, files and printed records as they were before the Python names changed: each is read by today's
+class and written again as the same bytes. A rename touches the tables here, never the data."""
+
+from __future__ import annotations
+
+import importlib
+import json
+import pkgutil
+import tomllib
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from msgspec import inspect
+
+import elderlock
+from elderlock.authz import config as authz_config
+from elderlock.authz import mapping as authz_mapping
+from elderlock.authz import permissions as authz_permissions
+from elderlock.authz import router as authz_router
+from elderlock.authz import routing as authz_routing
+from elderlock.control import attach as control_attach
+from elderlock.control import messages as control_messages
+from elderlock.control import records as control_records
+from elderlock.fleet import answers as fleet_answers
+from elderlock.fleet import auth as fleet_auth
+from elderlock.fleet import based as fleet_based
+from elderlock.fleet import compare as fleet_compare
+from elderlock.fleet import config as fleet_config
+from elderlock.fleet import explain as fleet_explain
+from elderlock.fleet import messages as fleet_messages
+from elderlock.fleet import operate as fleet_operate
+from elderlock.fleet import operate_plans as fleet_operate_plans
+from elderlock.fleet import plan as fleet_plan
+from elderlock.fleet import report as fleet_report
+from elderlock.fleet import seen as fleet_seen
+from elderlock.fleet import supervise as fleet_supervise
+from elderlock.fleet import versions as fleet_versions
+from elderlock.load import accounts as load_accounts
+from elderlock.load import compare as load_compare
+from elderlock.load import figures as load_figures
+from elderlock.load import lateness as load_lateness
+from elderlock.load import messages as load_messages
+from elderlock.load import report as load_report
+from elderlock.load import scenario as load_scenario
+from elderlock.load import trace as load_trace
+from elderlock.quota import attach as quota_attach
+from elderlock.rollout import basing as rollout_basing
+from elderlock.rollout import budget as rollout_budget
+from elderlock.rollout import ledger as rollout_ledger
+from elderlock.rollout import plans as rollout_plans
+from elderlock.sim import experiment as sim_experiment
+from elderlock.sim import figures as sim_figures
+from elderlock.sim import scenario as sim_scenario
+from elderlock.sim import seeds as sim_seeds
+
+DATA = Path(__file__).parent / "data"
+STORED: dict[str, dict[str, str]] = json.loads((DATA / "encoded_messages.json").read_text(encoding="utf-8"))
+CHOICES: dict[str, dict[str, list[Any]]] = json.loads((DATA / "choices.json").read_text(encoding="utf-8"))
+
+MESSAGES: dict[str, type[msgspec.Struct]] = {
+    "authz-file.tls": authz_config.Tls,
+    "authz-file.asker": authz_config.Asker,
+    "authz-file.field": authz_config.Field,
+    "authz-file.mapping": authz_config.Mapping,
+    "authz-file.bounds": authz_config.Bounds,
+    "authz-file.authz-file": authz_config.AuthzFile,
+    "authz-router-file.limiter-at": authz_router.LimiterAt,
+    "authz-router-file.routing-file": authz_router.RoutingFile,
+    "control-file.control-file": control_attach.ControlFile,
+    "control-file.routing-file": control_attach.RoutingFile,
+    "control-file.shared-file": control_attach.SharedFile,
+    "control-file.operators-file": control_attach.OperatorsFile,
+    "control.hello": control_messages.Hello,
+    "control.welcome": control_messages.Welcome,
+    "control.refused": control_messages.Refused,
+    "control.look": control_messages.Look,
+    "control.apply": control_messages.Apply,
+    "control.applied": control_messages.Applied,
+    "control.stop": control_messages.Stop,
+    "control.stopping": control_messages.Stopping,
+    "control.counts": control_messages.Counts,
+    "control.witness": control_messages.Witness,
+    "control.health": control_messages.Health,
+    "control.box": control_messages.Box,
+    "control.throttle": control_messages.Throttle,
+    "control.peer": control_messages.Peer,
+    "control.lease": control_messages.Lease,
+    "control.counter": control_messages.Counter,
+    "control.shared": control_messages.Shared,
+    "control.ceilings": control_messages.Ceilings,
+    "control.state": control_messages.State,
+    "control.record": control_records.Record,
+    "fleet-answer.missing": fleet_answers.Missing,
+    "fleet-answer.refusal": fleet_answers.Refusal,
+    "base-word.started": fleet_based.Started,
+    "base-word.to": fleet_based.Go,
+    "base-word.ready": fleet_based.Ready,
+    "base-word.settled": fleet_based.Settled,
+    "fleet-compare.difference": fleet_compare.Difference,
+    "fleet-file.tls-part": fleet_config.TlsPart,
+    "fleet-file.agent-part": fleet_config.AgentPart,
+    "fleet-file.limiter-part": fleet_config.LimiterPart,
+    "fleet-file.supervise-part": fleet_config.SupervisePart,
+    "fleet-file.lend-part": fleet_config.LendPart,
+    "fleet-file.versions-part": fleet_config.VersionsPart,
+    "fleet-file.agent-file": fleet_config.AgentFile,
+    "fleet-file.member-part": fleet_config.MemberPart,
+    "fleet-file.group-part": fleet_config.GroupPart,
+    "fleet-file.group-file": fleet_config.GroupFile,
+    "fleet-explain.word": fleet_explain.Word,
+    "fleet-explain.explained": fleet_explain.Explained,
+    "fleet-explain.entry": fleet_explain.Entry,
+    "fleet.hello": fleet_messages.Hello,
+    "fleet.welcome": fleet_messages.Welcome,
+    "fleet.refused": fleet_messages.Refused,
+    "fleet.limiter-status": fleet_messages.LimiterStatus,
+    "fleet.limiter-brief": fleet_messages.LimiterBrief,
+    "fleet.agent-brief": fleet_messages.AgentBrief,
+    "fleet.heard": fleet_messages.Heard,
+    "fleet.show": fleet_messages.Show,
+    "fleet.shown": fleet_messages.Shown,
+    "fleet.wish": fleet_messages.Wish,
+    "fleet.intend": fleet_messages.Intend,
+    "fleet.decision": fleet_messages.Decision,
+    "fleet.reach": fleet_messages.Reach,
+    "fleet.intended": fleet_messages.Intended,
+    "fleet.progress": fleet_messages.Progress,
+    "fleet.progressed": fleet_messages.Progressed,
+    "fleet.order": fleet_messages.Order,
+    "fleet.ordered": fleet_messages.Ordered,
+    "fleet.exchange": fleet_messages.Exchange,
+    "fleet.audit-line": fleet_messages.AuditLine,
+    "fleet.audit": fleet_messages.Audit,
+    "fleet.audited": fleet_messages.Audited,
+    "fleet.lend": fleet_messages.Lend,
+    "fleet.lent": fleet_messages.Lent,
+    "fleet.ask": fleet_messages.Ask,
+    "fleet.granted": fleet_messages.Granted,
+    "fleet.prepare": fleet_messages.Prepare,
+    "fleet.accept": fleet_messages.Accept,
+    "fleet.voted": fleet_messages.Voted,
+    "fleet.recall": fleet_messages.Recall,
+    "fleet.recalled": fleet_messages.Recalled,
+    "fleet.standing": fleet_messages.Standing,
+    "fleet.stood": fleet_messages.Stood,
+    "fleet.begin": fleet_messages.Begin,
+    "fleet.begun": fleet_messages.Begun,
+    "fleet.steer": fleet_messages.Steer,
+    "fleet.steered": fleet_messages.Steered,
+    "fleet.plans": fleet_messages.Plans,
+    "fleet.runs": fleet_messages.Runs,
+    "fleet.planned": fleet_messages.Planned,
+    "fleet-plan.box-sum": fleet_plan.BoxSum,
+    "fleet-plan.plan": fleet_plan.Plan,
+    "fleet-version.version-file": fleet_versions.VersionFile,
+    "load-scenario.mix": load_accounts.Mix,
+    "load-compare.difference": load_compare.Difference,
+    "load-report.second": load_figures.Second,
+    "load-report.block": load_figures.Block,
+    "load-report.facts": load_lateness.Facts,
+    "load-report.span": load_lateness.Span,
+    "load-worker.job": load_messages.Job,
+    "load-worker.clock": load_messages.Clock,
+    "load-worker.start": load_messages.Start,
+    "load-worker.stop": load_messages.Stop,
+    "load-worker.ready": load_messages.Ready,
+    "load-worker.told": load_messages.Told,
+    "load-worker.failed": load_messages.Failed,
+    "load-worker.sample": load_messages.Sample,
+    "load-worker.interval": load_messages.Interval,
+    "load-report.lines": load_report.Lines,
+    "load-report.report": load_report.Report,
+    "load-scenario.steady": load_scenario.Steady,
+    "load-scenario.ramp": load_scenario.Ramp,
+    "load-scenario.steps": load_scenario.Steps,
+    "load-scenario.wave": load_scenario.Wave,
+    "load-scenario.bursts": load_scenario.Bursts,
+    "load-scenario.spike": load_scenario.Spike,
+    "load-scenario.clients": load_scenario.Clients,
+    "load-scenario.stream": load_scenario.Stream,
+    "load-scenario.replay": load_scenario.Replay,
+    "load-scenario.trouble": load_scenario.Trouble,
+    "load-scenario.truth": load_scenario.Truth,
+    "load-scenario.targets": load_scenario.Targets,
+    "load-scenario.group": load_scenario.Group,
+    "load-scenario.scenario": load_scenario.Scenario,
+    "load-trace.row": load_trace.Row,
+    "load-trace.header": load_trace._Header,
+    "quota-file.quota-file": quota_attach.QuotaFile,
+    "base-state.which": rollout_basing.Which,
+    "base-state.to": rollout_basing.To,
+    "base-state.held": rollout_basing.Held,
+    "budget-file.limits": rollout_budget.Limits,
+    "budget-file.budget": rollout_budget.Budget,
+    "ledger.permit": rollout_ledger.Permit,
+    "ledger.ledger": rollout_ledger.Ledger,
+    "plan.terms": rollout_plans.Terms,
+    "plan.unit": rollout_plans.Unit,
+    "plan.plan": rollout_plans.Plan,
+    "sim-experiment.scenario-part": sim_experiment.ScenarioPart,
+    "sim-experiment.setting-part": sim_experiment.SettingPart,
+    "sim-experiment.experiment-file": sim_experiment.ExperimentFile,
+    "sim-result.figures": sim_figures.Figures,
+    "sim-result.figures-printed": sim_figures.Figures,
+    "sim-result.result": sim_figures.Result,
+    "sim-result.result-printed": sim_figures.Result,
+    "sim-scenario.fault": sim_scenario.Fault,
+    "sim-scenario.plan": sim_scenario.Plan,
+    "sim-scenario.service": sim_scenario.Service,
+    "sim-scenario.box-kind": sim_scenario.BoxKind,
+    "sim-scenario.net": sim_scenario.Net,
+    "sim-scenario.settings": sim_scenario.Settings,
+    "sim-scenario.scenario": sim_scenario.Scenario,
+    "sim-seed.seed": sim_seeds.Seed,
+}
+
+# Internal: no instance is encoded for a socket, a file or --json
+NOT_ENCODED: dict[type[msgspec.Struct], str] = {
+    authz_mapping.Asked: "a gRPC question as read, handed on within the process",
+    authz_permissions.Verdict: "an answer on its way to gRPC, which has forms of its own",
+    authz_routing._Member: "the router's count of a limiter",
+    control_messages.Message: "the base class of the control messages",
+    fleet_messages.Message: "the base class of the agents' messages",
+    load_messages.Message: "the base class of the load workers' messages",
+    load_scenario.Strict: "the base class of the parts of scenario files",
+    fleet_auth.Identity: "who a token belongs to; the tokens' file has lines of its own",
+    fleet_operate.Order: "a command's options",
+    fleet_operate.Result: "a command's result; the command line prints it under keys of its own",
+    fleet_operate_plans.Known: "answers gathered by a command; printed under keys of its own",
+    fleet_operate_plans.Answer: "a plan command's result; printed under keys of its own",
+    fleet_report.Row: "a line of a command's report; printed under keys of its own",
+    fleet_report.Account: "a command's report; printed by its records and rows",
+    fleet_seen.Seen: "answers gathered by a command; printed under keys of its own",
+    fleet_supervise.Policy: "the supervisor's settings, made from the agent's file",
+    fleet_versions.Launch: "how a process is started, made from the agent's file and the version's",
+}
+
+# The product's own decoders of tagged messages, by the first part of the label
+READERS: dict[str, tuple[Callable[[bytes], Any], ...]] = {
+    "control": (control_messages.to_limiter, control_messages.from_limiter),
+    "fleet": (fleet_messages.to_agent, fleet_messages.from_agent),
+    "load-worker": (load_messages._to_worker.decode, load_messages._from_worker.decode),
+    "base-word": (fleet_based.word_of.decode,),
+}
+
+# Parts of messages, which no decoder of the product reads by themselves
+UNTAGGED = {
+    "base-word.started",
+    "control.box",
+    "control.ceilings",
+    "control.counter",
+    "control.counts",
+    "control.health",
+    "control.lease",
+    "control.peer",
+    "control.record",
+    "control.shared",
+    "control.throttle",
+    "control.witness",
+    "fleet.agent-brief",
+    "fleet.audit-line",
+    "fleet.decision",
+    "fleet.heard",
+    "fleet.limiter-brief",
+    "fleet.limiter-status",
+    "fleet.reach",
+    "fleet.runs",
+    "fleet.wish",
+    "load-worker.sample",
+}
+
+
+def decoded(label: str) -> msgspec.Struct:
+    stored, form = STORED[label], MESSAGES[label]
+    if stored["format"] == "msgpack":
+        return msgspec.msgpack.decode(bytes.fromhex(stored["data"]), type=form)
+    if stored["format"] == "toml":
+        return msgspec.convert(tomllib.loads(stored["data"]), form)
+    return msgspec.json.decode(stored["data"], type=form)
+
+
+def encoded(label: str, message: msgspec.Struct) -> str:
+    match STORED[label]["format"]:
+        case "msgpack":
+            return msgspec.msgpack.encode(message).hex()
+        case "toml":
+            return msgspec.toml.encode(message).decode()
+        case _:
+            return msgspec.json.encode(message).decode()
+
+
+def defaults_in(value: Any, path: str) -> Iterator[str]:
+    """Where a struct or a named tuple within the value has a field at its default."""
+    if isinstance(value, msgspec.Struct):
+        for field in msgspec.structs.fields(value):
+            mine = getattr(value, field.name)
+            default = field.default
+            if field.default_factory is not msgspec.NODEFAULT:
+                default = field.default_factory()
+            if default is not msgspec.NODEFAULT and mine == default:
+                yield f"{path}.{field.name}"
+            yield from defaults_in(mine, f"{path}.{field.name}")
+    elif isinstance(value, tuple) and hasattr(value, "_field_defaults"):  # a named tuple
+        defaults: dict[str, Any] = value._field_defaults
+        for name, mine in ((name, getattr(value, name)) for name in getattr(value, "_fields", ())):
+            if name in defaults and mine == defaults[name]:
+                yield f"{path}.{name}"
+            yield from defaults_in(mine, f"{path}.{name}")
+    elif isinstance(value, dict):
+        for key, each in value.items():
+            yield from defaults_in(each, f"{path}[{key!r}]")
+    elif isinstance(value, list | tuple):
+        for number, each in enumerate(value):
+            yield from defaults_in(each, f"{path}[{number}]")
+
+
+def choices(of: Any) -> set[Any]:
+    """The values of the literals and enumerations that stand in a field's type, but not those of structs within."""
+    if isinstance(of, inspect.LiteralType):
+        return set(of.values)
+    if isinstance(of, inspect.EnumType):
+        return {each.value for each in of.cls}
+    if isinstance(of, inspect.UnionType | inspect.TupleType):
+        parts = of.types if isinstance(of, inspect.UnionType) else of.item_types
+        return {each for part in parts for each in choices(part)}
+    if isinstance(of, inspect.CollectionType):
+        return choices(of.item_type)
+    if isinstance(of, inspect.DictType):
+        return choices(of.key_type) | choices(of.value_type)
+    return set()
+
+
+def choices_of(form: type[msgspec.Struct]) -> dict[str, list[Any]]:
+    info = inspect.type_info(form)
+    assert isinstance(info, inspect.StructType)
+    found = {field.encode_name: sorted(choices(field.type), key=str) for field in info.fields}
+    return {name: values for name, values in found.items() if values}
+
+
+def declared() -> set[type[msgspec.Struct]]:
+    found = set()
+    for module in pkgutil.walk_packages(elderlock.__path__, "elderlock."):
+        if module.name.endswith("__main__"):
+            continue
+        for value in vars(importlib.import_module(module.name)).values():
+            if isinstance(value, type) and issubclass(value, msgspec.Struct) and value.__module__ == module.name:
+                found.add(value)
+    return found
+
+
+@pytest.mark.parametrize("label", STORED)
+def test_stored_message_is_decoded_and_encoded_as_the_same_bytes(label: str) -> None:
+    assert encoded(label, decoded(label)) == STORED[label]["data"]
+
+
+@pytest.mark.parametrize("label", STORED)
+def test_every_field_of_a_stored_message_differs_from_its_default(label: str) -> None:
+    assert list(defaults_in(decoded(label), label)) == []
+
+
+@pytest.mark.parametrize("label", [label for label in STORED if label.split(".")[0] in READERS])
+def test_the_products_decoder_reads_a_tagged_message_as_the_class_of_the_table(label: str) -> None:
+    if not MESSAGES[label].__struct_config__.tag:
+        assert label in UNTAGGED
+        return
+    found = []
+    for read in READERS[label.split(".")[0]]:
+        try:
+            found.append(type(read(raw(label))))
+        except msgspec.ValidationError:  # the other direction's message
+            continue
+    assert found.count(MESSAGES[label]) >= 1
+
+
+def raw(label: str) -> bytes:
+    stored = STORED[label]
+    return bytes.fromhex(stored["data"]) if stored["format"] == "msgpack" else stored["data"].encode()
+
+
+@pytest.mark.parametrize("label", STORED)
+def test_the_choices_of_every_field_are_as_stored(label: str) -> None:
+    assert choices_of(MESSAGES[label]) == CHOICES.get(label, {})
+
+
+def test_the_table_and_the_stored_messages_have_the_same_labels() -> None:
+    assert set(MESSAGES) == set(STORED)
+    assert set(CHOICES) <= set(STORED)
+
+
+def test_every_struct_of_the_product_is_in_the_table_or_named_as_not_encoded() -> None:
+    tabled = set(MESSAGES.values())
+    assert not tabled & set(NOT_ENCODED)
+    assert declared() == tabled | set(NOT_ENCODED)
