--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -6,6 +6,8 @@
 import argparse
 import asyncio
 import json
+import sqlite3
+import tempfile
 from collections.abc import Callable
 from pathlib import Path
 from typing import Any
@@ -13,7 +15,7 @@
 import msgspec
 import pytest
 
-from elderlock.cli import commands
+from elderlock.cli import commands, sim
 from elderlock.cli.main import main
 from elderlock.control.messages import State
 from elderlock.control.records import Record, Records
@@ -23,6 +25,8 @@
 from elderlock.fleet.plan import Plan
 from elderlock.fleet.report import Account, Exit
 from elderlock.fleet.seen import Seen
+from elderlock.sim.experiment import read_experiment
+from elderlock.sim.sweep import Records as SweepResults
 
 DATA = Path(__file__).parent / "data"
 MESSAGES: dict[str, dict[str, str]] = json.loads((DATA / "encoded_messages.json").read_text(encoding="utf-8"))
@@ -111,9 +115,19 @@
     assert main(["load", "compare", report, report, "--json"]) == 0
 
 
+def sim_compare(_: pytest.MonkeyPatch) -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "kept.db"
+        with sqlite3.connect(path) as db:
+            db.executescript((DATA / "sweep_results.sql").read_text(encoding="utf-8"))
+        db.close()
+        options = argparse.Namespace(json=True, html=None, fail_if=[])
+        sim._concluded(options, read_experiment(DATA / "experiment.toml"), SweepResults(path))
+
+
 COMMANDS = {
     "show": show, "show-shared": shared, "drain": drain, "compare": compare, "explain": explain, "audit": audit,
-    "budget": budget, "load-compare": load_compare,
+    "budget": budget, "load-compare": load_compare, "sim-compare": sim_compare,
 }  # fmt: skip
 
 
