--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -111,7 +111,7 @@
 
 def _reader() -> clients.Reader:
     config = config_of(raw_config())
-    return clients.Reader(config.settings, config.socket_settings.largest)
+    return clients.Reader(config.settings, config.socket_settings.largest_request_units)
 
 
 def test_a_servers_stored_answers_are_read_with_value_and_report() -> None:
@@ -200,7 +200,7 @@
             b"GET /discovery/hosts?watch=1&after=7 HTTP/1.1\r\n" + host,
         ]
         (listed,) = told
-        assert (listed.version, listed.complete, listed.targets[0].entry.server) == (7, True, "s-0")
+        assert (listed.version, listed.complete, listed.targets[0].entry.server_id) == (7, True, "s-0")
         assert listed.targets[0].address == ("127.0.0.1", 1)
 
     run(test())
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -150,10 +150,10 @@
     assert (config.peer_listen, config.peers_all) == (("127.0.0.1", 7003), ("127.0.0.1", 7005))
     assert (config.sockets, config.memory) == (1024, 192.0)
     assert [plan.name for plan in config.settings.plans] == ["team", "tiny"]
-    assert [each.name for each in config.settings.classes] == ["lookup", "pay"]
+    assert [each.name for each in config.settings.request_classes] == ["lookup", "pay"]
     assert (config.socket_settings.zones, config.socket_settings.kinds) == (("a", "b"), ("m1",))
-    assert (config.socket_settings.dial_timeout, config.socket_settings.keepalive) == (251.0, 15001.0)
-    assert (config.socket_settings.max_open, config.socket_settings.largest) == (2001, 4.0)
+    assert (config.socket_settings.connect_timeout_ms, config.socket_settings.keepalive_ms) == (251.0, 15001.0)
+    assert (config.socket_settings.max_open_requests, config.socket_settings.largest_request_units) == (2001, 4.0)
 
 
 def test_a_kept_seed_is_read_with_its_values_and_written_as_the_same_text(tmp_path: Path) -> None:
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -179,7 +179,7 @@
         names.append(gate.ask(customer=f"e{gate.count}"))
     assert server not in gate.limiter.boxes.open.all
     gate.end(next(iter(server.in_flight))[0], Outcome.OK)
-    assert not server.trial and not server.fails and server in gate.limiter.boxes.open.all
+    assert not server.is_on_probation and not server.fails and server in gate.limiter.boxes.open.all
 
 
 def test_one_that_fails_again_is_left_out_for_longer_up_to_a_most() -> None:
