--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -27,9 +27,9 @@
 
 from elderlock import decisions
 from elderlock import interface as api
-from elderlock.decisions import choice as choosing
-from elderlock.decisions.choice import Choice
+from elderlock.decisions import server_selection as choosing
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.server_selection import ServerSelector
 from elderlock.interface import ListKind, Outcome, Routing, ServerState
 from elderlock.standins.tier import Size, Tier
 from elderlock.standins.world import ROOT
@@ -168,9 +168,9 @@
     def shares(group: list[Limiter]) -> list[dict[str, float]]:
         made = []
         for limiter in group:
-            limiter.boxes.rate(0.0)
-            drawing = limiter.boxes.open.all
-            held = {server.entry.server_id: float(drawing.weight(server)) for server in drawing.all()}
+            limiter.endpoints.rate(0.0)
+            drawing = limiter.endpoints.candidates.all
+            held = {server.entry.server_id: float(drawing.weight(server)) for server in drawing.members()}
             whole = sum(held.values())
             made.append({name: weight / whole for name, weight in held.items()})
         return made
@@ -253,21 +253,21 @@
 # Ways to choose
 
 
-class ByOutstanding(Choice):
+class ByOutstanding(ServerSelector):
     """The least of ours under way alone."""
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
-        return (1.0 + len(server.in_flight)) * (1.0 + 0.05 * self.core.rng.random())
+        return (1.0 + len(server.in_flight)) * (1.0 + 0.05 * self.context.rng.random())
 
 
-class ByLatency(Choice):
+class ByLatency(ServerSelector):
     """The least latency alone."""
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
-        return self.boxes.estimate(server) * (1.0 + 0.05 * self.core.rng.random())
+        return self.endpoints.estimate(server) * (1.0 + 0.05 * self.context.rng.random())
 
 
-class Reports(Choice):
+class Reports(ServerSelector):
     """With the queue that boxes report, as old as reports are; `part` of it counts beside what we have under way."""
 
     tier: Tier
@@ -276,11 +276,11 @@
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
         box = self.tier.boxes.get(server.entry.server_id)
         at, queue = box.report if box is not None else (0.0, 0)
-        fresh = self.core.now - at < 2 * self.tier.size.report_every + self.tier.size.report_late
+        fresh = self.context.now_ms - at < 2 * self.tier.size.report_every + self.tier.size.report_late
         waiting = 1.0 + len(server.in_flight) + self.part * queue * fresh
         if self.latency:
-            waiting *= self.boxes.estimate(server)
-        return waiting * (1.0 + 0.05 * self.core.rng.random())
+            waiting *= self.endpoints.estimate(server)
+        return waiting * (1.0 + 0.05 * self.context.rng.random())
 
 
 class Mixed(Reports):
@@ -291,8 +291,8 @@
     part = 0.3
 
 
-WAYS: dict[str, type[Choice]] = {
-    "latency x outstanding": Choice,
+WAYS: dict[str, type[ServerSelector]] = {
+    "latency x outstanding": ServerSelector,
     "outstanding": ByOutstanding,
     "latency": ByLatency,
     "outstanding + reported queue": Reports,
@@ -313,10 +313,10 @@
     choosing.DRAWN, choosing.WHOLE = drawn, max(drawn, 2)
     tier = Tier(FIELDS[where], 5)
     for limiter in tier.limiters:
-        made = WAYS[name](limiter.core, limiter.boxes)
+        made = WAYS[name](limiter.context, limiter.endpoints)
         if isinstance(made, Reports):
             made.tier = tier
-        limiter.attempts.choice = made
+        limiter.attempts.server_selector = made
     for box in list(tier.boxes.values())[::10]:
         box.lies = lies
     tier.play(2000.0)
--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -11,7 +11,7 @@
 
 from elderlock import interface as api
 from elderlock.decisions.limiter import Limiter
-from elderlock.settings import read_settings
+from elderlock.settings_reader import read_settings
 
 OUTCOMES = {
     0: api.Outcome.OK,
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -18,7 +18,7 @@
 from elderlock.control.records import Record
 from elderlock.control.transport import Bounds, Connection, FrameServer
 from elderlock.control.view import View, config_digests
-from elderlock.decisions.core import SECOND
+from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
@@ -51,7 +51,7 @@
         """Raises `ConfigError`."""
         if 0 < self.subset < LEAST_SUBSET:
             raise ConfigError(f"[routing] subset is {self.subset}: 0 for all boxes, or {LEAST_SUBSET} at least")
-        aim = min((c.latency_objective_ms for c in settings.request_classes), default=SECOND)
+        aim = min((c.latency_objective_ms for c in settings.request_classes), default=MS_PER_SECOND)
         return api.Routing(self.subset, self.away_ms / aim)
 
 
--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -20,7 +20,7 @@
     if not isinstance(limiter, ceilings.CeilingLimiter):
         return None
     quotas = limiter.quotas
-    most = ceilings.INTAKE_PART * limiter.core.settings.quota_sources.peer_messages_per_s
+    most = ceilings.INTAKE_PART * limiter.context.settings.quota_sources.peer_messages_per_s
     return m.Ceilings(quotas.given, quotas.taken, quotas.away(), most)
 
 
@@ -37,11 +37,11 @@
             heard=limiter.heard,
             refused=limiter.refused,
             told=limiter.told,
-            told_most=INTAKE_PART * limiter.core.settings.quota_sources.peer_messages_per_s,
+            told_most=INTAKE_PART * limiter.context.settings.quota_sources.peer_messages_per_s,
             heard_age_ms=now - heard_at if heard_at > float("-inf") else -1.0,
             counts_ms=FRESH,
             servers=len(evidence),
-            disbelieved=tuple(evidence.disbelieved(len(limiter.boxes.listing.ready), now)),
+            disbelieved=tuple(evidence.disbelieved(len(limiter.endpoints.directory.ready), now)),
             silent=evidence.doubts_itself(now),
         )
 
@@ -54,7 +54,7 @@
         rows = self._limiter.evidence.who(key(uid), now) if key(uid) in shown else []
         if held is None and not rows:
             return None
-        ready = len(self._limiter.boxes.listing.ready)
+        ready = len(self._limiter.endpoints.directory.ready)
         return m.Health(
             self._limiter.evidence.failures(key(uid), ready, now),
             ENOUGH,
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -15,7 +15,7 @@
 from elderlock.control.figures import Figures
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import Record
-from elderlock.decisions.boxes import Boxes
+from elderlock.decisions.endpoints import Endpoints
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config
 from elderlock.net.gateway import Command, Gateway
@@ -104,7 +104,7 @@
                 self._clients.uncordon()
 
     def out(self, boxes: Iterable[str]) -> dict[str, int]:
-        servers = self._gateway.limiter.boxes.servers
+        servers = self._gateway.limiter.endpoints.servers
         return {uid: len(servers[uid].in_flight) for uid in boxes if uid in servers}
 
     def open_requests(self) -> int:
@@ -146,7 +146,7 @@
             log_sum=figures.log_sum,
             log_squares=figures.log_squares,
             boxes=tuple(
-                self._box(uid, told, limiter.boxes.servers.get(uid), endpoints.get(uid, ("", 0))[1], evident, now)
+                self._box(uid, told, limiter.endpoints.servers.get(uid), endpoints.get(uid, ("", 0))[1], evident, now)
                 for uid, told in sorted(self._overlay.told.items())
             ),
             throttle=m.Throttle(
@@ -175,7 +175,7 @@
         zones, kinds = self._config.socket_settings.zones, self._config.socket_settings.kinds
         known = server is not None and server.latency_ratio_at_ms > NEVER_MS
         queue, reported_at = self._queue(uid)
-        aim = self._gateway.limiter.core.aim
+        aim = self._gateway.limiter.context.latency_objective_ms
         return m.Box(
             uid=uid,
             endpoint="%s:%d" % told.address,
@@ -213,18 +213,18 @@
         age = now - entry.started_at_ms
         if entry.started_at_ms > 0 and age < rules.warm_up_ms:
             return f"cold, up for {max(age, 0.0) / 1000.0:.1f} s"
-        if why := routed_away(self._gateway.limiter.boxes, server, now):
+        if why := routed_away(self._gateway.limiter.endpoints, server, now):
             return why
         if server.error_fraction > FAILING:
             return "failing: most of its answers are errors"
         return ""
 
 
-def routed_away(boxes: Boxes, server: Server, now: float) -> str:
+def routed_away(boxes: Endpoints, server: Server, now: float) -> str:
     """Why the limiter's own routing sends it nothing; empty where it does."""
     if server.is_ejected:
         wait_s = max(server.reinstate_at_ms - now, 0.0) / 1000.0
         return f"{server.consecutive_failures} failures in a row, back in {wait_s:.1f} s"
     if server.is_on_probation:
         return "on trial, one request at a time"
-    return "" if boxes.subset.holds(server.entry.server_id) else "not in this limiter's subset"
+    return "" if boxes.subsetting.holds(server.entry.server_id) else "not in this limiter's subset"
--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -6,9 +6,9 @@
 
 from elderlock import interface as api
 from elderlock.decisions.attempts import Attempts
-from elderlock.decisions.core import Core
+from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.keepers import Keepers
-from elderlock.decisions.load import Load
+from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.throttle import Throttle
 from elderlock.state import OpenRequest, ThrottlePhase
@@ -26,15 +26,21 @@
 
     def __init__(
         self,
-        core: Core,
+        core: DecisionContext,
         throttle: Throttle,
-        load: Load,
+        load: LoadEstimator,
         quotas: Quotas,
         attempts: Attempts,
         requests: dict[str, OpenRequest],
         source: type[Keepers],
     ) -> None:
-        self.core, self.throttle, self.load, self.quotas, self.attempts = core, throttle, load, quotas, attempts
+        self.context, self.throttle, self.load_estimator, self.quotas, self.attempts = (
+            core,
+            throttle,
+            load,
+            quotas,
+            attempts,
+        )
         self.requests = requests
         self.keepers = source(core, quotas, load, requests, self.decide)
         self.held: deque[str] = deque()
@@ -46,7 +52,7 @@
         )
 
     def arrived(self, event: api.RequestArrived) -> None:
-        core = self.core
+        core = self.context
         name, settings, kinds = event.request_id, core.settings, range(len(core.settings.request_classes))
         if event.plan_index not in range(len(settings.plans)) or event.class_index not in kinds:
             core.actions.append(api.Reject(name))
@@ -54,10 +60,10 @@
             return
         account, rclass = self.quotas.account(event), settings.request_classes[event.class_index]
         self.arrivals += 1
-        request = self.requests[name] = OpenRequest(event, rclass, account, core.now)
-        if self.quotas.capped(account, event.units):
+        request = self.requests[name] = OpenRequest(event, rclass, account, core.now_ms)
+        if self.quotas.exceeds_hard_ceiling(account, event.units):
             self.attempts.close(request)
-        elif core.now < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
+        elif core.now_ms < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
             self._beyond(request)
         elif self._bucket_passes(request, True):
             self.keepers.read(request)
@@ -73,7 +79,9 @@
         """Else it is refused. Crowding acts where load jumps."""
         value = request.request_class.priority_weight * request.account.plan.price_weight / self.top_price
         most = MOST_CROWDING * (CHEAPEST + (1.0 - CHEAPEST) * value) * (1.0 if inside else 0.5)
-        passes = self.load.crowding() <= most and self.throttle.passes(inside, value, self.core.now)
+        passes = self.load_estimator.queue_pressure() <= most and self.throttle.passes(
+            inside, value, self.context.now_ms
+        )
         if not passes:
             self.offered += inside
             self.attempts.close(request)
@@ -90,12 +98,12 @@
         self._beyond(request)
 
     def first_send(self, request: OpenRequest) -> None:
-        account, server = request.account, self.attempts.choice.choose(request)
+        account, server = request.account, self.attempts.server_selector.choose(request)
         self.quotas.refresh(account)
         left = request.arrival.deadline_ms - request.arrived_at_ms - 2 * self.tick
         wait = min(HOLD_AIMS * request.request_class.latency_objective_ms, left)
-        late = self.core.now - request.arrived_at_ms >= wait
-        if self.quotas.capped(account, request.arrival.units) or (server is None and late):
+        late = self.context.now_ms - request.arrived_at_ms >= wait
+        if self.quotas.exceeds_hard_ceiling(account, request.arrival.units) or (server is None and late):
             self.attempts.close(request)
         elif server is None:
             self.held.append(request.arrival.request_id)
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from elderlock import interface as api
-from elderlock.decisions.boxes import Boxes
-from elderlock.decisions.choice import Choice
-from elderlock.decisions.core import Core
-from elderlock.decisions.load import Load
+from elderlock.decisions.context import DecisionContext
+from elderlock.decisions.endpoints import Endpoints
+from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.throttle import CONTROL_PERIOD
 from elderlock.interface import Idempotency, Outcome
 from elderlock.state import Account, Attempt, OpenRequest, Server
@@ -20,20 +20,33 @@
 class Attempts:
     """Invariant: a request gets one final answer, and none is refused of which an attempt may have run."""
 
-    def __init__(self, core: Core, load: Load, quotas: Quotas, boxes: Boxes, requests: dict[str, OpenRequest]) -> None:
-        self.core, self.load, self.quotas, self.boxes, self.requests = core, load, quotas, boxes, requests
-        self.choice = Choice(core, boxes)
+    def __init__(
+        self,
+        core: DecisionContext,
+        load: LoadEstimator,
+        quotas: Quotas,
+        boxes: Endpoints,
+        requests: dict[str, OpenRequest],
+    ) -> None:
+        self.context, self.load_estimator, self.quotas, self.endpoints, self.requests = (
+            core,
+            load,
+            quotas,
+            boxes,
+            requests,
+        )
+        self.server_selector = ServerSelector(core, boxes)
         self.extra = EXTRA_MOST / 2
         self.answers = 0  # good ones within their aim, since the last control period
 
     # Their course
 
     def send(self, request: OpenRequest, server: Server) -> None:
-        core = self.core
-        server.in_flight[request.arrival.request_id, len(request.attempts)] = core.now
-        request.attempts.append(Attempt(server, core.now))
-        self.boxes.sent(server)
-        self.load.out += 1
+        core = self.context
+        server.in_flight[request.arrival.request_id, len(request.attempts)] = core.now_ms
+        request.attempts.append(Attempt(server, core.now_ms))
+        self.endpoints.sent(server)
+        self.load_estimator.in_flight += 1
         asked = type(request.arrival) is api.PermitRequested
         action = api.Permit if asked else api.SendAttempt
         core.actions.append(action(request.arrival.request_id, server.entry.server_id, self._patience(request)))
@@ -53,11 +66,11 @@
             return
         attempt, account = named[0], request.account
         attempt.has_ended = True
-        self.load.out -= 1
+        self.load_estimator.in_flight -= 1
         attempt.may_have_run = event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
-        self.boxes.learn(attempt.server, request, event)
+        self.endpoints.learn(attempt.server, request, event)
         self.quotas.metered(account, event.meter)
-        if event.settled_units > 0 and request.is_within_quota and self.core.settings.quota_sources.cost_known_after:
+        if event.settled_units > 0 and request.is_within_quota and self.context.settings.quota_sources.cost_known_after:
             self.quotas.settle(account, event.settled_units - request.arrival.units)
         if type(request.arrival) is api.PermitRequested:
             self.answers += (
@@ -78,14 +91,14 @@
 
     def _again(self, request: OpenRequest, ran: bool) -> None:
         """No attempt is out and none has answered: try another server, or give the final answer."""
-        core = self.core
+        core = self.context
         in_time = self._patience(request) > 2 * core.settings.clock_tick_ms and not request.is_streaming
         if not any(a.may_have_run for a in request.attempts):
             # a refusal is worth more to a client while it has time to ask elsewhere
             time = request.arrival.deadline_ms - request.arrived_at_ms
-            in_time = in_time and core.now - request.arrived_at_ms < UNSEEN_UNTIL * time
+            in_time = in_time and core.now_ms - request.arrived_at_ms < UNSEEN_UNTIL * time
         fewer = self.extra >= 1.0 and len(request.attempts) < core.settings.capabilities.max_attempts
-        server = self.choice.choose(request) if in_time and fewer else None
+        server = self.server_selector.choose(request) if in_time and fewer else None
         if server is None:
             return self.close(request)
         self.extra -= 1.0 if ran else UNSEEN_COST
@@ -93,37 +106,37 @@
 
     def _patience(self, request: OpenRequest) -> float:
         """How long an answer is waited for: past the aim it may earn nothing and keep others waiting."""
-        left, rclass = request.arrival.deadline_ms - self.core.now, request.request_class
+        left, rclass = request.arrival.deadline_ms - self.context.now_ms, request.request_class
         early = (
             rclass.idempotency is Idempotency.IDEMPOTENT
             and rclass.late_priority_weight <= 0
             and not rclass.is_streaming
         )
         return max(
-            1.0, min(left, request.arrived_at_ms + rclass.latency_objective_ms - self.core.now) if early else left
+            1.0, min(left, request.arrived_at_ms + rclass.latency_objective_ms - self.context.now_ms) if early else left
         )
 
     def close(self, request: OpenRequest) -> None:
         """The one final answer: a refusal where no attempt can have run, else a failure."""
         if not request.is_answered and not request.is_streaming:
-            name, allow = request.arrival.request_id, self.core.settings.capabilities
+            name, allow = request.arrival.request_id, self.context.settings.capabilities
             run = any(a.may_have_run for a in request.attempts)
             wait = self._advice(request.account) if allow.can_send_retry_after else 0.0
-            self.core.actions.append(api.Fail(name) if run else api.Reject(name, wait))
+            self.context.actions.append(api.Fail(name) if run else api.Reject(name, wait))
             self.finish(request)
 
     def _advice(self, account: Account) -> float:
         """When to come back: once the quota has room by what its keeper told, else after a control period."""
-        settings = self.core.settings
-        wait = account.exhausted_until_ms - self.core.now
+        settings = self.context.settings
+        wait = account.exhausted_until_ms - self.context.now_ms
         wait = max(wait, settings.clock_tick_ms) if wait > 0 else CONTROL_PERIOD
         return min(wait, settings.capabilities.max_retry_after_ms)
 
     def finish(self, request: OpenRequest) -> None:
-        if not request.is_answered and self.core.settings.capabilities.can_cancel:
+        if not request.is_answered and self.context.settings.capabilities.can_cancel:
             for number, attempt in enumerate(request.attempts):
                 if not attempt.has_ended:
-                    self.core.actions.append(api.CancelAttempt(request.arrival.request_id, number))
+                    self.context.actions.append(api.CancelAttempt(request.arrival.request_id, number))
         request.is_answered = True
         self._drop_if_over(request)
 
--- a/elderlock/decisions/quotas.py
+++ b/elderlock/decisions/quotas.py
@@ -6,9 +6,9 @@
 from math import exp
 
 from elderlock import interface as api
-from elderlock.decisions.core import SECOND, Core
+from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.state import Account, OpenRequest
-from elderlock.structures.aging import Aging
+from elderlock.structures.expiry_queue import ExpiryQueue
 
 RATE_SPAN, RATE_COUNT = 4000.0, 4.0  # ms over which send rates are averaged, or so many sends if longer
 FORGET_AFTER = 15000.0  # ms without a request until a customer is aged out, if its stores are full by then
@@ -19,21 +19,21 @@
     """Invariant: a bucket lies between what one request may owe and the believed store, and a ceiling's part never
     holds more than its share of the burst."""
 
-    def __init__(self, core: Core) -> None:
-        self.core = core
+    def __init__(self, core: DecisionContext) -> None:
+        self.context = core
         self.accounts: dict[int, Account] = {}
-        self.aging = Aging(FORGET_AFTER)
+        self.aging = ExpiryQueue(FORGET_AFTER)
         self.latency = 0.0  # ms, of good answers, averaged
 
     def account(self, event: api.RequestArrived) -> Account:
-        settings = self.core.settings
+        settings = self.context.settings
         key = zlib.crc32(event.customer_id.encode())
         plan, known = settings.plans[event.plan_index], self.accounts.get(key)
         spread = min(max(1, event.limiter_count), settings.limiter_count)
         account = known or self._open_account(key, plan, spread, event.first_limiter)
         if known is None:
             self.accounts[key] = account
-        self.aging.used(key, self.core.now)
+        self.aging.touch(key, self.context.now_ms)
         if account.plan is not plan:
             account.plan, account.ceiling_units = plan, -SLACK_PART * plan.ceiling_slack_units
         account.limiter_count = max(spread, account.limiter_count if plan.ceiling_rate_per_s else 1)
@@ -43,18 +43,20 @@
 
     def _open_account(self, key: int, plan: api.Plan, spread: int, first: int) -> Account:
         """A ceiling's part fills from our start on: what came before, an earlier self may have used."""
-        core = self.core
-        filled = (core.now - core.started) / SECOND * plan.ceiling_rate_per_s - SLACK_PART * plan.ceiling_slack_units
+        core = self.context
+        filled = (
+            core.now_ms - core.started_at_ms
+        ) / MS_PER_SECOND * plan.ceiling_rate_per_s - SLACK_PART * plan.ceiling_slack_units
         ceiling = min(filled, plan.ceiling_burst_units) / spread
         burst, part = plan.burst_units, plan.burst_units / spread
-        return Account(key, plan, spread, first, burst, part, ceiling, core.now, RATE_SPAN)
+        return Account(key, plan, spread, first, burst, part, ceiling, core.now_ms, RATE_SPAN)
 
     def trust(self, account: Account) -> float:
         """How far the latest reading can be relied on, 0 to 1: by time, or by count if requests are few."""
         span = 2.0 * max(
-            self.core.settings.quota_sources.meter_period_ms, SECOND / 2, account.averaging_ms / RATE_COUNT
+            self.context.settings.quota_sources.meter_period_ms, MS_PER_SECOND / 2, account.averaging_ms / RATE_COUNT
         )
-        return min(1.0, max(0.0, 2.0 - (self.core.now - account.reading_at_ms) / span))
+        return min(1.0, max(0.0, 2.0 - (self.context.now_ms - account.reading_at_ms) / span))
 
     def depth(self, account: Account, trust: float) -> float:
         """The store as believed, less what others may spend of it before we are told; at least a part."""
@@ -70,8 +72,8 @@
         return trust * told + (1.0 - trust) * rate / account.limiter_count
 
     def refresh(self, account: Account) -> None:
-        now = self.core.now
-        elapsed, account.refreshed_at_ms = (now - account.refreshed_at_ms) / SECOND, now
+        now = self.context.now_ms
+        elapsed, account.refreshed_at_ms = (now - account.refreshed_at_ms) / MS_PER_SECOND, now
         plan, trust = account.plan, self.trust(account)
         if elapsed == 0.0:  # again within one event: nothing has filled, what was read is taken in
             account.shared_units = min(plan.burst_units, account.shared_units)
@@ -83,25 +85,27 @@
         account.shared_units = min(plan.burst_units, max(store, min(account.shared_units, 0.0)))
         filled = account.bucket_units + self.fill_rate(account, trust) * elapsed
         account.bucket_units = min(filled, self.depth(account, trust))
-        account.own_rate_per_s *= exp(-elapsed * SECOND / account.averaging_ms)
+        account.own_rate_per_s *= exp(-elapsed * MS_PER_SECOND / account.averaging_ms)
         ceiling = account.ceiling_units + plan.ceiling_rate_per_s / account.limiter_count * elapsed
         account.ceiling_units = min(ceiling, plan.ceiling_burst_units / account.limiter_count)
 
-    def inside(self, account: Account, units: float) -> bool:
+    def is_within_quota(self, account: Account, units: float) -> bool:
         """By the bucket alone. A part below a request may go into debt by one, else none would ever pass."""
         plan = account.plan
         need = min(max(0.0, 2.0 * plan.burst_units / account.limiter_count - units), units)
         if plan.rate_per_s > 0 and account.bucket_units < need:
             return False
-        elsewhere = account.others_rate_per_s / account.mean_request_units * self.latency / SECOND  # Little's law
+        elsewhere = (
+            account.others_rate_per_s / account.mean_request_units * self.latency / MS_PER_SECOND
+        )  # Little's law
         return plan.concurrency_limit <= 0 or account.in_flight + elsewhere <= plan.concurrency_limit - 0.5
 
-    def capped(self, account: Account, units: float) -> bool:
+    def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
         slack = SLACK_PART * account.plan.ceiling_slack_units / account.limiter_count
         return account.plan.ceiling_rate_per_s > 0 and account.ceiling_units + slack < units
 
     def take(self, request: OpenRequest) -> None:
-        account, units, now = request.account, request.arrival.units, self.core.now
+        account, units, now = request.account, request.arrival.units, self.context.now_ms
         account.ceiling_units -= units
         account.in_flight += 1
         gap = min(max(now - account.sent_at_ms, 0.0), 2 * FORGET_AFTER)
@@ -109,7 +113,7 @@
             RATE_SPAN, account.averaging_ms + (RATE_COUNT * gap - account.averaging_ms) / RATE_COUNT
         )
         account.sent_at_ms = now
-        account.own_rate_per_s += units * SECOND / account.averaging_ms
+        account.own_rate_per_s += units * MS_PER_SECOND / account.averaging_ms
         account.mean_request_units += 0.1 * (units - account.mean_request_units)
         account.shared_units -= units * request.is_within_quota
         account.bucket_units -= units * request.is_within_quota
@@ -119,32 +123,32 @@
         account, units, plan = request.account, request.arrival.units, request.account.plan
         self.refresh(account)
         account.ceiling_units = min(account.ceiling_units + units, plan.ceiling_burst_units / account.limiter_count)
-        account.own_rate_per_s = max(0.0, account.own_rate_per_s - units * SECOND / account.averaging_ms)
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s - units * MS_PER_SECOND / account.averaging_ms)
         account.shared_units = min(plan.burst_units, account.shared_units + units * request.is_within_quota)
         account.bucket_units = min(account.bucket_units + units * request.is_within_quota, plan.burst_units)
 
     def settle(self, account: Account, more: float) -> None:
         account.shared_units = min(account.plan.burst_units, account.shared_units - more)
         account.bucket_units -= more
-        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more * SECOND / account.averaging_ms)
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more * MS_PER_SECOND / account.averaging_ms)
 
     def metered(self, account: Account, meter: int) -> None:
-        if meter > 0 and self.core.settings.quota_sources.meter_period_ms:
+        if meter > 0 and self.context.settings.quota_sources.meter_period_ms:
             self.refresh(account)
             account.others_rate_per_s = max(0.0, (meter - 1) / 100.0 * account.plan.rate_per_s - account.own_rate_per_s)
-            account.reading_at_ms = self.core.now
+            account.reading_at_ms = self.context.now_ms
 
     def read_level(self, account: Account, level: float, rate: float) -> None:
         """Takes in what a keeper told: the store's level, and the rate of all in units a second."""
         self.refresh(account)
-        account.shared_units, account.reading_at_ms = level, self.core.now
+        account.shared_units, account.reading_at_ms = level, self.context.now_ms
         account.others_rate_per_s = max(0.0, rate - account.own_rate_per_s)
         account.bucket_units = min(account.bucket_units, self.depth(account, 1.0))
 
     def age_out(self) -> None:
         """Forgets who is full again: new customers come all day."""
-        now = self.core.now
-        for key in self.aging.due(now):
+        now = self.context.now_ms
+        for key in self.aging.pop_expired(now):
             if (account := self.accounts.get(key)) is None:
                 continue
             p = account.plan  # once every store is full again, so that nothing is won by it
@@ -152,9 +156,10 @@
                 p.rate_per_s or 1.0
             )
             full_at = (
-                account.refreshed_at_ms + max(owed, p.ceiling_burst_units / (p.ceiling_rate_per_s or 1.0)) * SECOND
+                account.refreshed_at_ms
+                + max(owed, p.ceiling_burst_units / (p.ceiling_rate_per_s or 1.0)) * MS_PER_SECOND
             )
             if account.in_flight or now <= full_at:
-                self.aging.put_off(key, max(full_at, now + FORGET_AFTER * bool(account.in_flight)) + 1.0)
+                self.aging.postpone(key, max(full_at, now + FORGET_AFTER * bool(account.in_flight)) + 1.0)
             else:
                 del self.accounts[key]
--- a/elderlock/decisions/subset.py
+++ b/elderlock/decisions/subsetting.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from elderlock.structures.ranking import Ranking
+from elderlock.structures.rendezvous import RendezvousRanking
 
 LEAST_HOLDERS = 2  # limiters to a box: with one, a box would be lost with its limiter
 STEADY = 0.1  # part by which the boxes may change in number before the holders of each do
 LEAST_USABLE = 0.5  # part of the mean subset below which a limiter takes in more boxes
 
 
-class Subset:
+class Subsetting:
     """Each box has the same number of holders, chosen by `Ranking`, and each limiter some `size` boxes.
 
     Invariant: `holds` is a function of the names, the numbers and `holders` alone. All are held where `size` is 0
@@ -17,7 +17,7 @@
 
     def __init__(self, number: int, limiters: int, size: int) -> None:
         self.limiters, self.size = limiters, size if limiters > 1 else 0
-        self.ranking = Ranking(number, limiters)
+        self.ranking = RendezvousRanking(number, limiters)
         self.holders = limiters  # for us; more than `ranking` has them where too few of ours are usable
 
     def add(self, name: str, mass: int) -> None:
@@ -29,20 +29,20 @@
 
     def sharing(self) -> int:
         """How many limiters may send to a box: twice its holders, as some may have had to take in more."""
-        return min(self.limiters, 2 * self.ranking.holders)
+        return min(self.limiters, 2 * self.ranking.holder_count)
 
     def resize(self, usable: list[int]) -> bool:
         """After changes; `usable`: boxes that could be sent to, by our rank. Whether others are held now."""
         ranking, count = self.ranking, len(self.ranking)
-        before = self.holders, ranking.holders
+        before = self.holders, ranking.holder_count
         least, most = self._wanted(count * (1.0 + STEADY)), self._wanted(count * (1.0 - STEADY))
-        if self.size and not least <= ranking.holders <= most:
-            ranking.hold(self._wanted(count))
-        self.holders = ranking.holders
-        least_usable = LEAST_USABLE * count * ranking.holders / self.limiters
+        if self.size and not least <= ranking.holder_count <= most:
+            ranking.set_holder_count(self._wanted(count))
+        self.holders = ranking.holder_count
+        least_usable = LEAST_USABLE * count * ranking.holder_count / self.limiters
         while self.holders < self.limiters and sum(usable[: self.holders]) < least_usable:
             self.holders = min(2 * self.holders, self.limiters)
-        return before != (self.holders, ranking.holders)
+        return before != (self.holders, ranking.holder_count)
 
     def _wanted(self, boxes: float) -> int:
         if boxes <= self.size:
@@ -51,4 +51,6 @@
 
     def weight(self, name: str, mass: float) -> int:
         """What a box of ours is drawn by."""
-        return max(1, int(mass * (self.ranking.evened(name) if self.ranking.holders < self.limiters else 1.0)))
+        return max(
+            1, int(mass * (self.ranking.balance_factor(name) if self.ranking.holder_count < self.limiters else 1.0))
+        )
--- a/elderlock/decisions/throttle.py
+++ b/elderlock/decisions/throttle.py
@@ -4,7 +4,7 @@
 
 import random
 
-from elderlock.decisions.core import SECOND
+from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.state import ThrottlePhase
 
 # Load is latency over the class's aim, so the levels are shares of the aim.
@@ -32,10 +32,10 @@
     def threshold_vector(self, inside: bool, value: float) -> float:
         """The threshold of a class; `value` is its worth over the dearest one's."""
         share = INSIDE_THRESHOLD + (1.0 - INSIDE_THRESHOLD) * value if inside else BEYOND_THRESHOLD
-        return 1.0 + share * max(LEAST_DEPTH, self.leak_rate * BUCKET_SPAN / SECOND)
+        return 1.0 + share * max(LEAST_DEPTH, self.leak_rate * BUCKET_SPAN / MS_PER_SECOND)
 
     def leak(self, now: float) -> None:
-        self.fill = max(0.0, self.fill - self.leak_rate * (now - self.fill_at) / SECOND)
+        self.fill = max(0.0, self.fill - self.leak_rate * (now - self.fill_at) / MS_PER_SECOND)
         self.fill_at = now
 
     def passes(self, inside: bool, value: float, now: float) -> bool:
--- a/elderlock/gossip/ceilings.py
+++ b/elderlock/gossip/ceilings.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from elderlock import interface as api
-from elderlock.decisions.core import SECOND, Core
+from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.quotas import Quotas
@@ -28,7 +28,7 @@
 LIFE = 500.0  # ms from a want in which it may be granted
 AGAIN = 100.0  # ms between two wants of one customer
 ASKED = 2  # of the others by each want, in turn
-NEED_FOR = SECOND  # ms of its own use that a limiter wants to hold, and keeps when it gives ...
+NEED_FOR = MS_PER_SECOND  # ms of its own use that a limiter wants to hold, and keeps when it gives ...
 NEED_MORE = 2.0  # ... and so many requests' units, where it sent any within as long
 LEAST_PART = 0.5  # of a request's units, that are worth a datagram
 INTAKE_PART, BURST = 0.05, 8.0  # of what one takes in that each sends, a second, and datagrams at once
@@ -87,7 +87,7 @@
     burst at most. So they send on no more than one bucket of that rate and burst would let through: a bucket holds its
     part of the burst at most, and what it gave away counts against that part until nobody can take it any more."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: DecisionContext) -> None:
         super().__init__(core)
         self._rng = random.Random(core.rng.random())
         self._id = self._rng.getrandbits(32)  # no want of a process before this one has such a number
@@ -99,7 +99,7 @@
         self._opened: set[int] = set()
         self._out: list[tuple[int, Want | Grant]] = []
         self._rate = INTAKE_PART * core.settings.quota_sources.peer_messages_per_s
-        self._room, self._room_at = BURST, core.now
+        self._room, self._room_at = BURST, core.now_ms
         self.given = self.taken = 0.0  # units
 
     # The bucket
@@ -112,10 +112,10 @@
 
     def _filled(self, account: Account, level: float, at: float) -> float:
         """The level now, of a bucket that held `level` at `at`, under a bound that rises as what is away lapses."""
-        now, plan = self.core.now, account.plan
+        now, plan = self.context.now_ms, account.plan
         part, fill = (
             plan.ceiling_burst_units / account.limiter_count,
-            plan.ceiling_rate_per_s / account.limiter_count / SECOND,
+            plan.ceiling_rate_per_s / account.limiter_count / MS_PER_SECOND,
         )
         away = self._away[account.key]
         while away and away[0][0] <= now:
@@ -136,8 +136,8 @@
 
     # Wants
 
-    def capped(self, account: Account, units: float) -> bool:
-        capped = super().capped(account, units)
+    def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
+        capped = super().exceeds_hard_ceiling(account, units)
         if capped:
             self._want(account)
         return capped
@@ -148,12 +148,12 @@
 
     def _need(self, account: Account) -> float:
         """Units that it wants to hold here: what it uses, and never more than its part may hold."""
-        lately = self.core.now - account.sent_at_ms < NEED_FOR
-        need = account.own_rate_per_s * NEED_FOR / SECOND + NEED_MORE * account.mean_request_units * lately
+        lately = self.context.now_ms - account.sent_at_ms < NEED_FOR
+        need = account.own_rate_per_s * NEED_FOR / MS_PER_SECOND + NEED_MORE * account.mean_request_units * lately
         return min(need, account.plan.ceiling_burst_units / account.limiter_count)
 
     def _want(self, account: Account) -> None:
-        now, plan = self.core.now, account.plan
+        now, plan = self.context.now_ms, account.plan
         if plan.ceiling_rate_per_s <= 0 or account.limiter_count <= 1:
             return
         lacks = self._need(account) - account.ceiling_units
@@ -169,18 +169,18 @@
         self._id = (self._id + 1) % (1 << 32)
         self._pending[self._id] = Pending(account.key, now, set(asked))
         # of each its share: what two give for the same lack is lost
-        index, units = self.core.settings.plans.index(plan), lacks / len(asked)
+        index, units = self.context.settings.plans.index(plan), lacks / len(asked)
         want = Want(self._id, account.key, index, account.limiter_count, account.first_limiter, units)
         self._out += [(other, want) for other in asked]
 
     def _others(self, account: Account) -> list[int]:
-        settings = self.core.settings
+        settings = self.context.settings
         members = [(account.first_limiter + n) % settings.limiter_count for n in range(account.limiter_count)]
         return [member for member in members if member != settings.limiter_index]
 
     def _may_send(self, datagrams: int) -> bool:
-        now = self.core.now
-        self._room = min(BURST, self._room + self._rate * (now - self._room_at) / SECOND)
+        now = self.context.now_ms
+        self._room = min(BURST, self._room + self._rate * (now - self._room_at) / MS_PER_SECOND)
         self._room_at = now
         return self._room >= datagrams
 
@@ -191,7 +191,7 @@
 
     def away(self) -> float:
         """Units that were given and may still be taken, over all customers."""
-        now = self.core.now
+        now = self.context.now_ms
         return sum(units for away in self._away.values() for until, units in away if until > now)
 
     # What others say
@@ -204,7 +204,7 @@
 
     def _granted(self, sender: int, grant: Grant) -> None:
         pending = self._pending.get(grant.id)
-        if pending is None or sender not in pending.asked or self.core.now - pending.at >= LIFE:
+        if pending is None or sender not in pending.asked or self.context.now_ms - pending.at >= LIFE:
             return
         pending.asked.discard(sender)
         account = self.accounts.get(pending.key)
@@ -218,7 +218,7 @@
         self.taken += taken
 
     def _wanted(self, sender: int, want: Want) -> None:
-        now = self.core.now
+        now = self.context.now_ms
         account = self._part_of(sender, want)
         if account is None or (sender, want.id) in self._answered or not self._may_send(1):
             return
@@ -238,7 +238,7 @@
     def _part_of(self, sender: int, want: Want) -> Account | None:
         """Our part of that ceiling, if it is split as the sender says and both hold one. A customer that nobody asked
         us about yet has a part here all the same."""
-        settings = self.core.settings
+        settings = self.context.settings
         if want.plan >= len(settings.plans) or not 1 < want.spread <= settings.limiter_count:
             return None
         plan = settings.plans[want.plan]
@@ -248,7 +248,7 @@
         account = self.accounts.get(want.key)
         if account is None and len(self._opened) < MOST_OPENED:
             account = self.accounts[want.key] = self._open_account(want.key, plan, want.spread, want.first)
-            self.aging.used(want.key, self.core.now)
+            self.aging.touch(want.key, self.context.now_ms)
             self._opened.add(want.key)
         alike = account is not None and account.plan is plan and account.limiter_count == want.spread
         return account if alike else None
@@ -257,7 +257,7 @@
 
     def age_out(self) -> None:
         super().age_out()
-        now, accounts = self.core.now, self.accounts
+        now, accounts = self.context.now_ms, self.accounts
         self._pending = {id: want for id, want in self._pending.items() if now - want.at < LIFE}
         self._answered = {want: at for want, at in self._answered.items() if now - at < 2 * LIFE}
         self._wanted_at = {key: at for key, at in self._wanted_at.items() if now - at < LIFE}
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 from elderlock import interface as api
-from elderlock.decisions.boxes import LATENCY_WEIGHT
-from elderlock.decisions.core import Core
+from elderlock.decisions.context import DecisionContext
+from elderlock.decisions.endpoints import LATENCY_WEIGHT
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.decisions.outliers import LEFT_OUT_FOR, LEFT_OUT_MOST, OUTLIER_AFTER, Outliers
+from elderlock.decisions.outlier_detection import LEFT_OUT_FOR, LEFT_OUT_MOST, OUTLIER_AFTER, OutlierDetector
 from elderlock.gossip.evidence import ENOUGH, FRESH, Evidence
 from elderlock.gossip.rumours import Rumours
 from elderlock.gossip.wire import NO_ZONE, Kind, Observation, WireError, decode, encode, is_gossip, key
@@ -34,10 +34,10 @@
     origins: tuple[int, ...]
 
 
-class SharedOutliers(Outliers):
+class SharedOutliers(OutlierDetector):
     """`failed_here` hears of each failure of our own. Where others are heard, few of all try a server again first."""
 
-    def __init__(self, core: Core, failed_here: Callable[[Server], None]) -> None:
+    def __init__(self, core: DecisionContext, failed_here: Callable[[Server], None]) -> None:
         super().__init__(core)
         self._failed_here = failed_here
         self.heard_at = float("-inf")  # when another limiter was last heard of
@@ -45,14 +45,14 @@
 
     def failed(self, server: Server, ready: int, mass: int) -> list[Server]:
         self._failed_here(server)
-        return self.blamed(server, ready, mass, (self.core.settings.limiter_index,))
+        return self.blamed(server, ready, mass, (self.context.settings.limiter_index,))
 
     def blamed(self, server: Server, ready: int, mass: int, origins: tuple[int, ...]) -> list[Server]:
         """A failure, ours or others' that weigh as much."""
         out_before = server.is_ejected
         let_in = super().failed(server, ready, mass)
         if server.is_ejected and not out_before:
-            self.held[server] = Held(self.core.now, origins)
+            self.held[server] = Held(self.context.now_ms, origins)
             self._wait(server)
         return let_in
 
@@ -61,15 +61,15 @@
         self.held.pop(server, None)
 
     def _wait(self, server: Server) -> None:
-        core, limiters = self.core, self.core.settings.limiter_count
+        core, limiters = self.context, self.context.settings.limiter_count
         wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
-        first = core.rng.random() * limiters < TRIALS or core.now - self.heard_at > HEARD_WITHIN
+        first = core.rng.random() * limiters < TRIALS or core.now_ms - self.heard_at > HEARD_WITHIN
         self.put_off(server, wait * core.rng.uniform(0.8, 1.2) * (1.0 if first else PUT_OFF))
 
     def put_off(self, server: Server, wait: float) -> None:
         """Left out for `wait` ms from now; what `back` had noted for it is passed over."""
         self._number += 1
-        server.reinstate_at_ms = self.core.now + wait
+        server.reinstate_at_ms = self.context.now_ms + wait
         heapq.heappush(self._back, (server.reinstate_at_ms, self._number, server))
 
 
@@ -85,7 +85,7 @@
         # draws of its own: what is drawn for choices stays as it was
         intake, rng = settings.quota_sources.peer_messages_per_s, random.Random(seed ^ 0x5E)
         self.rumours = Rumours(settings.limiter_index, settings.limiter_count, intake, rng, now)
-        self.outliers = self.boxes.outliers = SharedOutliers(self.core, self._failed_here)
+        self.outliers = self.endpoints.outliers = SharedOutliers(self.context, self._failed_here)
         self._by_key: dict[int, Server] = {}
         self._told: dict[tuple[int, Kind], float] = {}  # when we last told this of that server
         self._began = now  # ms, the attempt whose end is in work
@@ -98,9 +98,9 @@
 
     def _listed(self, event: api.ServerList) -> None:
         """At the cost of what the list names: a change does not walk all servers."""
-        servers, names = self.boxes.servers, [entry.server_id for entry in event.entries]
+        servers, names = self.endpoints.servers, [entry.server_id for entry in event.entries]
         before = {name: servers[name].entry.started_at_ms for name in names if name in servers}
-        self.boxes.listed(event)
+        self.endpoints.listed(event)
         if event.kind is not api.ListKind.CHANGES:
             self._by_key = {key(name): server for name, server in servers.items()}
         for name in names:
@@ -113,33 +113,34 @@
 
     def _ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
-        server = self.boxes.servers.get(event.server_id)
-        self._began = self.core.now - event.duration_ms
+        server = self.endpoints.servers.get(event.server_id)
+        self._began = self.context.now_ms - event.duration_ms
         self.attempts.ended(event)
         if request is None or server is None:
             return
         name = key(event.server_id)
         if event.outcome in (Outcome.OK, Outcome.ERROR):
-            self.evidence.tried(name, self.core.now)
+            self.evidence.tried(name, self.context.now_ms)
             # a good answer is told where failures still weigh or errors did: the first one of a zone undoes these there
             if event.outcome is Outcome.ERROR:
                 self._saw(server, Kind.ERROR)
             elif (
                 server.error_fraction > LEAST_WRONG
-                or self.evidence.failures(name, self.boxes.load.ready, self.core.now) > 0.0
+                or self.evidence.failures(name, self.endpoints.load_estimator.ready_server_count, self.context.now_ms)
+                > 0.0
             ):
                 self._saw(server, Kind.GOOD)
         self._tell()
 
     def _failed_here(self, server: Server) -> None:
-        self.evidence.tried(key(server.entry.server_id), self.core.now)
+        self.evidence.tried(key(server.entry.server_id), self.context.now_ms)
         self._saw(server, Kind.FAILED)
 
     def _saw(self, server: Server, kind: Kind) -> None:
-        now, name = self.core.now, key(server.entry.server_id)
+        now, name = self.context.now_ms, key(server.entry.server_id)
         if self._began < server.entry.started_at_ms:
             return  # it tells of the process before
-        observation = Observation(name, self.core.settings.limiter_index, self.evidence.zone, kind, self._began)
+        observation = Observation(name, self.context.settings.limiter_index, self.evidence.zone, kind, self._began)
         self.evidence.take(observation, now)
         if now - self._told.get((name, kind), float("-inf")) < TOLD_EVERY:
             return
@@ -153,21 +154,21 @@
         if not is_gossip(event.payload):
             return self.keepers.told(event)
         try:
-            observations = decode(event.payload, self.core.now, self.core.settings.limiter_count)
+            observations = decode(event.payload, self.context.now_ms, self.context.settings.limiter_count)
         except WireError:
             self.refused += 1
             return
         self.heard += 1
-        self.outliers.heard_at = self.core.now
-        ready = len(self.boxes.listing.ready)
+        self.outliers.heard_at = self.context.now_ms
+        ready = len(self.endpoints.directory.ready)
         for observation in observations:
             server = self._by_key.get(observation.server)
             if server is None or server.is_removed or observation.at < server.entry.started_at_ms:
                 continue  # not ours to judge, or of the process before
-            ours = observation.origin == self.core.settings.limiter_index
-            if ours or not self.evidence.take(observation, self.core.now):
+            ours = observation.origin == self.context.settings.limiter_index
+            if ours or not self.evidence.take(observation, self.context.now_ms):
                 continue
-            if not self.evidence.doubted(observation.origin, ready, self.core.now):
+            if not self.evidence.doubted(observation.origin, ready, self.context.now_ms):
                 self.rumours.add(observation)
                 self._learn(server, observation, ready)
         self._tell()
@@ -181,27 +182,27 @@
                 self._weigh(server, ready)
             case Kind.ERROR:
                 server.error_fraction += weight * (1.0 - server.error_fraction)
-                server.error_fraction_at_ms = self.core.now
+                server.error_fraction_at_ms = self.context.now_ms
             case Kind.GOOD:
                 server.error_fraction *= 1.0 - weight
                 if server.is_ejected and observation.zone == self.evidence.zone:
                     self._place(server, lambda: self.outliers.good(server))
 
     def _weigh(self, server: Server, ready: int) -> None:
-        if self.evidence.failures(key(server.entry.server_id), ready, self.core.now) < ENOUGH:
+        if self.evidence.failures(key(server.entry.server_id), ready, self.context.now_ms) < ENOUGH:
             return
         if server.is_ejected:  # somebody tried it in vain: we need not
             wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
-            return self.outliers.put_off(server, max(wait, server.reinstate_at_ms - self.core.now))
+            return self.outliers.put_off(server, max(wait, server.reinstate_at_ms - self.context.now_ms))
 
-        name, out = server.entry.server_id, len(self.outliers.out) + 1
-        seen = self.evidence.who(key(name), self.core.now)
+        name, out = server.entry.server_id, len(self.outliers.ejected) + 1
+        seen = self.evidence.who(key(name), self.context.now_ms)
         origins = tuple(each.origin for each in seen if 0.0 <= each.failed_age <= FRESH)
 
         def blame() -> None:
             server.consecutive_failures = max(server.consecutive_failures, OUTLIER_AFTER - 1)
-            for other in self.outliers.blamed(server, ready, self.boxes.listing.mass, origins):
-                self.boxes._let_in(other)
+            for other in self.outliers.blamed(server, ready, self.endpoints.directory.total_weight_milli, origins):
+                self.endpoints._let_in(other)
 
         self._place(server, blame)
         if server.is_ejected:
@@ -211,8 +212,10 @@
     def _place(self, server: Server, change: Callable[[], None]) -> None:
         before = server.is_ejected
         change()
-        self.boxes.by_rank[self.boxes.subset.ranking.rank(server.entry.server_id)] += before - server.is_ejected
-        self.boxes.place(server)
+        self.endpoints.by_rank[self.endpoints.subsetting.ranking.rank(server.entry.server_id)] += (
+            before - server.is_ejected
+        )
+        self.endpoints.place(server)
 
     # Upkeep
 
@@ -223,13 +226,13 @@
     def _tell(self) -> None:
         if not len(self.rumours):
             return
-        now = self.core.now
+        now = self.context.now_ms
         for to, observations in self.rumours.due(now, FRESH):
             self.told += 1
-            self.core.actions.append(api.SendPeerMessage(to, encode(observations, now)))
+            self.context.actions.append(api.SendPeerMessage(to, encode(observations, now)))
 
     def _rate(self, elapsed: float) -> None:
         super()._rate(elapsed)
-        self.evidence.age_out(self.core.now)
-        for told in [told for told, at in self._told.items() if at <= self.core.now - TOLD_EVERY]:
+        self.evidence.age_out(self.context.now_ms)
+        for told in [told for told, at in self._told.items() if at <= self.context.now_ms - TOLD_EVERY]:
             del self._told[told]
--- a/elderlock/net/config.py
+++ b/elderlock/net/config.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from elderlock import interface as api
-from elderlock.settings import SocketSettings, read_settings, read_socket_settings
+from elderlock.settings_reader import SocketSettings, read_settings, read_socket_settings
 
 LEAST_SOCKETS = 64  # below it there would be no room left for clients beside the servers
 
--- a/elderlock/net/discovery.py
+++ b/elderlock/net/discovery.py
@@ -13,7 +13,7 @@
 
 from elderlock.net.config import Address
 from elderlock.net.targets import TargetList, parse_list
-from elderlock.settings import SocketSettings
+from elderlock.settings_reader import SocketSettings
 
 # What discovery tells counts 6 s later, whatever became of a watch or a call. An empty line comes every 2 s; a link
 # that is cut stays open and says nothing, and so may the first watch that follows it: twice this and a call are 6 s.
--- a/elderlock/net/servers.py
+++ b/elderlock/net/servers.py
@@ -13,7 +13,7 @@
 from elderlock.interface import Outcome, ServerEntry, ServerState
 from elderlock.net.resp import AnswerReader, ProtocolError
 from elderlock.net.targets import Target, TargetList
-from elderlock.settings import SocketSettings
+from elderlock.settings_reader import SocketSettings
 
 SERVER_SHARE = 0.3  # of the descriptors: the rest is for clients, discovery and peers
 MOST_PER_SERVER = 0.5  # of those: one server that hangs must not take the connections of all others
--- a/elderlock/net/targets.py
+++ b/elderlock/net/targets.py
@@ -9,7 +9,7 @@
 
 from elderlock import interface as api
 from elderlock.net.config import Address, address_of
-from elderlock.settings import SocketSettings
+from elderlock.settings_reader import SocketSettings
 
 STATES = {
     "up": api.ServerState.RUNNING,
--- a/elderlock/quota/book.py
+++ b/elderlock/quota/book.py
@@ -10,7 +10,7 @@
 from elderlock.quota.health import Budget, Health, Mode
 from elderlock.quota.ledger import LEAST, Draw, Ledger
 from elderlock.quota.terms import Store, Terms
-from elderlock.structures.aging import Aging
+from elderlock.structures.expiry_queue import ExpiryQueue
 
 FULL_MOST = 300.0  # ms for which no call is made after one found too little
 PROMPT = 0.02  # of a burst: with more to give back, it is given back at once
@@ -47,7 +47,7 @@
         self.health, self.budget = Health(terms, rng, now), Budget(terms.calls, now)
         self.ledgers: dict[int, Ledger] = {}
         self._numbers: dict[str, int] = {}
-        self._aging = Aging(2.0 * terms.window)
+        self._aging = ExpiryQueue(2.0 * terms.window)
         self._waiting: dict[int, list[tuple[str, float]]] = {}  # by ledger: requests and their units
         self._begun: dict[int, float] = {}  # by ledger: since when the first of them waits
         self._out: dict[int, tuple[int, Draw] | str] = {}  # by token: a ledger's draw, or a sentinel's name
@@ -79,7 +79,7 @@
             ledger = self.ledgers[number] = fresh
         if ledger.generation != self.health.generation:
             ledger.rejoin(self.health.generation, self.health.lost, self.health.changed_at, now)
-        self._aging.used(number, now)
+        self._aging.touch(number, now)
         return number, ledger
 
     def ask(self, request: str, key: str, store: Store, units: float, now: float) -> bool | None:
@@ -182,11 +182,11 @@
             self.unanswered(heapq.heappop(self._sent)[1], True, False, now)
         for number in [n for n, at in self._begun.items() if now - at >= 2.0 * self.terms.answer_within]:
             self._settle(number, now, False)
-        for number in self._aging.due(now):
+        for number in self._aging.pop_expired(now):
             ledger = self.ledgers[number]
             # small use that found no call till its customer had rested through two windows is told no more
             if ledger.owed > self.terms.free_part(ledger.store) + LEAST or number in self._waiting:
-                self._aging.put_off(number, now + self.terms.window)
+                self._aging.postpone(number, now + self.terms.window)
             else:
                 del self.ledgers[number], self._numbers[ledger.key]
                 self._telling.pop(number, None)
--- a/elderlock/quota/counted.py
+++ b/elderlock/quota/counted.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from elderlock import interface as api
-from elderlock.decisions.core import Core
+from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.keepers import Keepers
-from elderlock.decisions.load import Load
+from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import SLACK_PART, Quotas
 from elderlock.interface import Outcome
 from elderlock.quota.book import Book
@@ -35,8 +35,8 @@
 class CountedQuotas(Quotas):
     """Invariant: a ceiling that is drawn is held by its ledger at the reading, which comes before each first send."""
 
-    def capped(self, account: Account, units: float) -> bool:
-        return not drawn(account) and super().capped(account, units)
+    def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
+        return not drawn(account) and super().exceeds_hard_ceiling(account, units)
 
 
 class Counted(Keepers):
@@ -48,16 +48,16 @@
 
     def __init__(
         self,
-        core: Core,
+        core: DecisionContext,
         quotas: Quotas,
-        load: Load,
+        load: LoadEstimator,
         requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
     ) -> None:
         super().__init__(core, quotas, load, requests, decide)
-        self.book = Book(self.terms, random.Random(core.rng.random()), core.now)
+        self.book = Book(self.terms, random.Random(core.rng.random()), core.now_ms)
         self._stores: dict[tuple[str, int, bool], Store] = {}
-        core.timer(STEP, self._look_again())
+        core.schedule_timer(STEP, self._look_again())
 
     @staticmethod
     def _look_again() -> int:
@@ -89,7 +89,7 @@
     def _ask_book(self, request: OpenRequest, hard: bool) -> None:
         account, event = request.account, request.arrival
         store, key = self.store(account.plan, account.limiter_count, hard), f"{account.key:x}{'!' * hard}"
-        said = self.book.ask(f"{event.request_id}{'!' * hard}", key, store, event.units, self.core.now)
+        said = self.book.ask(f"{event.request_id}{'!' * hard}", key, store, event.units, self.context.now_ms)
         if said is not None:
             self._said(request, hard, said, 0.0)
 
@@ -108,35 +108,35 @@
                 max(account.bucket_units, units),
             )
         elif wait > 0.0:
-            account.exhausted_until_ms = self.core.now + min(wait, EMPTY_MOST)
+            account.exhausted_until_ms = self.context.now_ms + min(wait, EMPTY_MOST)
         self.decide(request, granted)
 
     def _reading_of(self, account: Account) -> None:
         """The design's bucket is fed by the latest total."""
         key = f"{account.key:x}"
-        _, ledger = self.book.ledger(key, self.store(account.plan, account.limiter_count), self.core.now)
+        _, ledger = self.book.ledger(key, self.store(account.plan, account.limiter_count), self.context.now_ms)
         if ledger.told is not None:
-            self.quotas.read_level(account, ledger.level(self.core.now), ledger.others + account.own_rate_per_s)
+            self.quotas.read_level(account, ledger.level(self.context.now_ms), ledger.others + account.own_rate_per_s)
 
     def unanswered(self, number: int) -> None:
         if number >= 0:
             return super().unanswered(number)
         busy = self.book.waiting
-        self.book.tick(self.core.now)
+        self.book.tick(self.context.now_ms)
         self._work()
-        self.core.timer(STEP if busy else IDLE_STEP, self._look_again())
+        self.context.schedule_timer(STEP if busy else IDLE_STEP, self._look_again())
 
     def counted(self, event: api.CounterAnswered) -> None:
         if event.outcome is Outcome.OK:
-            self.book.answered(event.token, event.total, self.core.now)
+            self.book.answered(event.token, event.total, self.context.now_ms)
         else:
             never = event.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED)
-            self.book.unanswered(event.token, not never, event.outcome is Outcome.FULL, self.core.now)
+            self.book.unanswered(event.token, not never, event.outcome is Outcome.FULL, self.context.now_ms)
         self._work()
 
     def _work(self) -> None:
-        for call in self.book.calls(self.core.now):
-            self.core.actions.append(api.AddToCounter(call.token, call.name, call.amount, call.life))
+        for call in self.book.calls(self.context.now_ms):
+            self.context.actions.append(api.AddToCounter(call.token, call.name, call.amount, call.life))
         decided, self.book.decided = self.book.decided, []
         for one in decided:
             hard = one.request.endswith("!")
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-import elderlock.structures.ranking as ranking
+import elderlock.structures.rendezvous as ranking
 from elderlock import interface as api
 from elderlock.interface import ListKind
 from elderlock.load.clientele import FINAL, Way, reason
 from elderlock.load.schedule import Arrival
 from elderlock.load.targets import Front
-from elderlock.settings import IDEMPOTENCY_BY_NAME
+from elderlock.settings_reader import IDEMPOTENCY_BY_NAME
 from elderlock.sim import judges as j
 from elderlock.sim.decision_faults import DecisionFaults
 from elderlock.sim.figures import Account, Result
@@ -119,8 +119,10 @@
     def play(self) -> Result:
         began = REAL_CLOCK()
         ended, why = "finished", ""
-        ranked = ranking.ranked
-        ranking.ranked = functools.cache(ranked)  # a function of its arguments, asked by all limiters for all boxes
+        ranked = ranking.rank_limiters
+        ranking.rank_limiters = functools.cache(
+            ranked
+        )  # a function of its arguments, asked by all limiters for all boxes
         collected = gc.isenabled()
         gc.disable()  # millions of objects of a first list are made, and none of them is garbage
         try:
@@ -140,7 +142,7 @@
         except Exception as error:  # of a model or a judge: what the code under test raises is met at the node
             ended, why = "failed", repr(error)
         finally:
-            ranking.ranked = ranked
+            ranking.rank_limiters = ranked
             gc.unfreeze()
             if not collected:
                 gc.disable()
@@ -413,7 +415,7 @@
     def _ponged(self, node: Node) -> None:
         if self.nodes[node.number] is not node or not node.alive:
             return
-        if node.limiter.boxes.servers:
+        if node.limiter.endpoints.servers:
             self.front.ponged(node.number, 0.0)
         else:
             self.schedule.after(PING_EVERY, self._ponged, node)
@@ -453,10 +455,10 @@
                 continue
             limiter = node.limiter
             phases.add(limiter.throttle.phase.name + (" paused" if node.paused else ""))
-            out = max(out, len(limiter.boxes.outliers.out))
+            out = max(out, len(limiter.endpoints.outliers.ejected))
             silent = max(silent, len(limiter.keepers.silent))
             requests += len(limiter.requests)
-            timers += len(limiter.core.timers.heap)
+            timers += len(limiter.context.timers.heap)
             accounts += len(limiter.quotas.accounts)
         self.growth.counted("open requests", requests)
         self.growth.counted("timers", timers)
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 import elderlock.__main__ as program
-from elderlock.decisions.outliers import Outliers
+from elderlock.decisions.outlier_detection import OutlierDetector
 from elderlock.fleet import agent as agents
 from elderlock.interface import ServerState
 from elderlock.load.wire import Request
@@ -534,12 +534,12 @@
                     continue
                 limiter = gateway.limiter
                 phases.add(limiter.throttle.phase.name + ("" if not process.paused else " paused"))
-                outliers: Outliers = limiter.boxes.outliers
-                out = max(out, min(3, len(outliers.out)))
+                outliers: OutlierDetector = limiter.endpoints.outliers
+                out = max(out, min(3, len(outliers.ejected)))
                 self.growth.counted(f"{name}'s descriptors", len(process.holds))
                 self.growth.counted(f"{name}'s tasks", len(process.tasks))
                 self.growth.counted(f"{name}'s requests", len(limiter.requests))
-                self.growth.counted(f"{name}'s timers", len(limiter.core.timers.heap))
+                self.growth.counted(f"{name}'s timers", len(limiter.context.timers.heap))
             links = sorted({c.link.standing for a in self.agents.values() for c in a.charges.values()})
             phases_of = sorted({c.supervisor.phase for a in self.agents.values() for c in a.charges.values()})
             self.features.add(
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -17,7 +17,7 @@
 
 from elderlock import interface as api
 from elderlock.interface import ListKind, Outcome, ServerState
-from elderlock.settings import read_settings
+from elderlock.settings_reader import read_settings
 from elderlock.standins.settings import group_facts
 
 HEALTHS = ("good", "good", "slow", "errs", "full", "silent", "refuses", "resets")
--- a/elderlock/structures/roster.py
+++ b/elderlock/structures/candidate_set.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from elderlock.state import Server
-from elderlock.structures.drawing import Drawing
+from elderlock.structures.weighted_sampler import WeightedSampler
 
 
-class Roster:
+class CandidateSet:
     """Invariant: a box stands in `all`, in its zone and in its cell, or in none of them."""
 
     def __init__(self) -> None:
-        self.all = Drawing()
-        self.zones: dict[int, Drawing] = {}
+        self.all = WeightedSampler()
+        self.zones: dict[int, WeightedSampler] = {}
         self.cells: dict[int, dict[Server, None]] = {}
         self._where: dict[Server, tuple[int, int]] = {}  # as it was put, whatever its entry says by now
 
-    def put(self, server: Server, weight: int) -> None:
+    def set_weight(self, server: Server, weight: int) -> None:
         """Weight 0 takes it out."""
         where = server.entry.zone, server.entry.cell
         before = self._where.get(server)
@@ -27,9 +27,9 @@
             self._put(server, *where, weight)
 
     def _put(self, server: Server, zone: int, cell: int, weight: int) -> None:
-        self.all.put(server, weight)
-        drawing, members = self.zones.setdefault(zone, Drawing()), self.cells.setdefault(cell, {})
-        drawing.put(server, weight)
+        self.all.set_weight(server, weight)
+        drawing, members = self.zones.setdefault(zone, WeightedSampler()), self.cells.setdefault(cell, {})
+        drawing.set_weight(server, weight)
         if weight:
             members[server] = None
             return
--- a/elderlock/structures/aging.py
+++ b/elderlock/structures/expiry_queue.py
@@ -6,7 +6,7 @@
 from collections import OrderedDict
 
 
-class Aging:
+class ExpiryQueue:
     """Keys by their last use. Each is told as due once it was not used for `after` ms, and again when it was put off
     to; in between it costs nothing, however many there are.
 
@@ -15,15 +15,15 @@
     def __init__(self, after: float) -> None:
         self.after = after
         self.recent: OrderedDict[int, float] = OrderedDict()  # a plain dict would step over those deleted in front
-        self.off: dict[int, float] = {}  # until when it is put off
+        self.postponed: dict[int, float] = {}  # until when it is put off
         self._later: list[tuple[float, int]] = []  # a heap of these, with some that hold no more
 
-    def used(self, key: int, now: float) -> None:
-        self.off.pop(key, None)
+    def touch(self, key: int, now: float) -> None:
+        self.postponed.pop(key, None)
         self.recent[key] = now
         self.recent.move_to_end(key)
 
-    def due(self, now: float) -> list[int]:
+    def pop_expired(self, now: float) -> list[int]:
         """Each is to be forgotten, or put off, by who asks."""
         due = []
         for key, at in self.recent.items():
@@ -34,11 +34,11 @@
             del self.recent[key]
         while self._later and self._later[0][0] <= now:
             until, key = heapq.heappop(self._later)
-            if self.off.get(key) == until:  # else it was used since
-                del self.off[key]
+            if self.postponed.get(key) == until:  # else it was used since
+                del self.postponed[key]
                 due.append(key)
         return due
 
-    def put_off(self, key: int, until: float) -> None:
-        self.off[key] = until
+    def postpone(self, key: int, until: float) -> None:
+        self.postponed[key] = until
         heapq.heappush(self._later, (until, key))
--- a/elderlock/structures/listing.py
+++ b/elderlock/structures/server_directory.py
@@ -8,10 +8,10 @@
 from elderlock.interface import ListKind, ServerState
 from elderlock.state import Server
 
-MASS = 1000  # of a server of weight one
+WEIGHT_UNIT_MILLI = 1000  # of a server of weight one
 
 
-class Listing:
+class ServerDirectory:
     """Invariant: `ready` holds just those that the latest list lets new work go to, `young` those of them that may
     still be cold, `mass` and `warm_mass` are the sums over the ready and over those that are not young."""
 
@@ -19,11 +19,11 @@
         self._cold_time = cold_time  # ms
         self.servers: dict[str, Server] = {}
         self.ready: dict[str, Server] = {}
-        self.young: dict[str, Server] = {}
-        self.mass = self.warm_mass = 0
+        self.warming_up: dict[str, Server] = {}
+        self.total_weight_milli = self.warm_weight_milli = 0
         self._gone: set[str] = set()
 
-    def take(self, event: api.ServerList, now: float, rng: random.Random) -> tuple[list[Server], list[Server]]:
+    def apply(self, event: api.ServerList, now: float, rng: random.Random) -> tuple[list[Server], list[Server]]:
         """Which servers leave and which join, also those whose entry changed. A cold one begins at a random place
         of its budget, so that limiters do not come at once."""
         left, joined = [], []
@@ -44,7 +44,7 @@
                 server = Server(entry, now, rng.random(), in_flight=server.in_flight)
             server.entry, server.is_draining = entry, entry.state is not ServerState.RUNNING
             server.weight_milli, server.is_removed = (
-                max(1, int(entry.weight * MASS)),
+                max(1, int(entry.weight * WEIGHT_UNIT_MILLI)),
                 entry.state is ServerState.REMOVED,
             )
             self.servers[entry.server_id] = server
@@ -57,26 +57,26 @@
     def _join(self, server: Server, now: float) -> None:
         name, started_at = server.entry.server_id, server.entry.started_at_ms
         self.ready[name] = server
-        self.mass += server.weight_milli
+        self.total_weight_milli += server.weight_milli
         if started_at > 0 and now - started_at < self._cold_time:
-            self.young[name] = server
+            self.warming_up[name] = server
         else:
-            self.warm_mass += server.weight_milli
+            self.warm_weight_milli += server.weight_milli
 
     def _leave(self, server: Server) -> list[Server]:
         name = server.entry.server_id
         if self.ready.pop(name, None) is None:
             return []
-        self.mass -= server.weight_milli
-        if self.young.pop(name, None) is None:
-            self.warm_mass -= server.weight_milli
+        self.total_weight_milli -= server.weight_milli
+        if self.warming_up.pop(name, None) is None:
+            self.warm_weight_milli -= server.weight_milli
         return [server]
 
-    def warmed(self, server: Server) -> None:
-        del self.young[server.entry.server_id]
-        self.warm_mass += server.weight_milli
+    def mark_warm(self, server: Server) -> None:
+        del self.warming_up[server.entry.server_id]
+        self.warm_weight_milli += server.weight_milli
 
-    def age_out(self) -> None:
+    def forget_removed(self) -> None:
         """Forgets who is gone and has nothing out."""
         for name in [name for name in self._gone if not self.servers[name].in_flight]:
             del self.servers[name]
--- a/elderlock/structures/timers.py
+++ b/elderlock/structures/timer_queue.py
@@ -5,18 +5,18 @@
 import heapq
 from dataclasses import dataclass
 
-EARLY = 1.0  # ms that a timer may fire before its time, as event loops round
+EARLY_FIRING_MS = 1.0  # ms that a timer may fire before its time, as event loops round
 
 
 @dataclass(slots=True, eq=False)
 class Timer:
     """`question`: what it is for; None for upkeep. Cancelled by setting `live` to False."""
 
-    question: int | None
-    live: bool = True
+    query_id: int | None
+    is_live: bool = True
 
 
-class Timers:
+class TimerQueue:
     """Times are ms. A cancelled timer stays in the heap till it is the earliest, and wakes nobody.
 
     Invariant: after `arm`, the earliest live timer has been asked for, at its time or before."""
@@ -26,28 +26,28 @@
         self._number = 0
         self._armed, self._armed_at = 0, float("inf")
 
-    def set(self, at: float, question: int | None) -> Timer:
+    def schedule(self, at: float, question: int | None) -> Timer:
         self._number += 1
         timer = Timer(question)
         heapq.heappush(self.heap, (at, self._number, timer))
         return timer
 
-    def due(self, token: int, now: float) -> list[Timer]:
+    def pop_due(self, token: int, now: float) -> list[Timer]:
         """What has come due; nothing for a token that an earlier one has taken the place of."""
         if token != self._armed:
             return []
         self._armed, self._armed_at = 0, float("inf")
         due = []
-        while self.heap and self.heap[0][0] <= now + EARLY:
+        while self.heap and self.heap[0][0] <= now + EARLY_FIRING_MS:
             timer = heapq.heappop(self.heap)[2]
-            if timer.live:
+            if timer.is_live:
                 due.append(timer)
         return due
 
     def arm(self, now: float) -> tuple[float, int] | None:
         """The wait and the token of the one timer to ask for now, if one is needed."""
         heap = self.heap
-        while heap and not heap[0][2].live:
+        while heap and not heap[0][2].is_live:
             heapq.heappop(heap)
         if not heap or heap[0][0] >= self._armed_at:
             return None
--- a/elderlock/structures/drawing.py
+++ b/elderlock/structures/weighted_sampler.py
@@ -16,7 +16,7 @@
         self.total = 0
 
 
-class Drawing:
+class WeightedSampler:
     """Members by the power of two above their weight (Matias, Vitter and Ni, Dynamic Generation of Discrete Random
     Variates, 2003): a draw picks a level, then a member, taken with the chance of its weight over the power, so
     two tries at most on average. Weights are whole numbers from 1, so that sums never drift.
@@ -34,7 +34,7 @@
     def __contains__(self, server: Server) -> bool:
         return server in self._places
 
-    def all(self) -> list[Server]:
+    def members(self) -> list[Server]:
         return list(self._places)
 
     def weight(self, server: Server) -> int:
@@ -42,7 +42,7 @@
         place = self._places.get(server)
         return self._levels[place[0]].weights[place[1]] if place is not None else 0
 
-    def put(self, server: Server, weight: int) -> None:
+    def set_weight(self, server: Server, weight: int) -> None:
         """Weight 0 takes it out."""
         power, place = weight.bit_length(), self._places.get(server)
         if place is not None:
@@ -75,7 +75,7 @@
         if not level.members:
             del self._levels[power]
 
-    def draw(self, rng: random.Random) -> Server:
+    def sample(self, rng: random.Random) -> Server:
         """One member, by weight; there must be one."""
         at = rng.random() * self.total
         for power, level in self._levels.items():  # a handful
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -12,10 +12,10 @@
 from elderlock import interface as api
 from elderlock.control.overlay import Overlay
 from elderlock.decisions.attempts import Attempts
-from elderlock.decisions.boxes import Boxes
-from elderlock.decisions.choice import Choice
-from elderlock.decisions.load import Load
+from elderlock.decisions.endpoints import Endpoints
+from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.throttle import Throttle
 from elderlock.net.gateway import BUSY, Gateway
 from elderlock.net.targets import TargetList
@@ -52,9 +52,9 @@
 
 def tries_all_again(patch: Patching) -> None:
     """An attempt that may have run is made again whatever the class."""
-    kept = Choice.choose
+    kept = ServerSelector.choose
 
-    def choose(self: Choice, request: OpenRequest) -> Any:
+    def choose(self: ServerSelector, request: OpenRequest) -> Any:
         safe = replace(request.request_class, idempotency=api.Idempotency.IDEMPOTENT)
         request.request_class, own = safe, request.request_class
         try:
@@ -62,14 +62,14 @@
         finally:
             request.request_class = own
 
-    patch.setattr(Choice, "choose", choose)
+    patch.setattr(ServerSelector, "choose", choose)
 
 
 def keeps_sending(patch: Patching) -> None:
     """Lists that say that a box drains are not read."""
-    kept = Boxes.listed
+    kept = Endpoints.listed
 
-    def listed(self: Boxes, event: api.ServerList) -> None:
+    def listed(self: Endpoints, event: api.ServerList) -> None:
         entries = tuple(
             e
             if e.state is not api.ServerState.DRAINING
@@ -90,15 +90,15 @@
         kept_list(self, replace(listed, targets=targets), kind)
 
     kept_list = Gateway._list
-    patch.setattr(Boxes, "listed", listed)
+    patch.setattr(Endpoints, "listed", listed)
     patch.setattr(Gateway, "_list", told)
 
 
 def knows_no_cold(patch: Patching) -> None:
-    patch.setattr(Boxes, "coldness", lambda self, server: 1.0)
-    patch.setattr(Boxes, "cold_wait", lambda self, server: 0.0)
+    patch.setattr(Endpoints, "coldness", lambda self, server: 1.0)
+    patch.setattr(Endpoints, "cold_wait", lambda self, server: 0.0)
     patch.setattr(Throttle, "passes", lambda self, inside, value, now: True)
-    patch.setattr(Load, "crowding", lambda self: 0.0)
+    patch.setattr(LoadEstimator, "crowding", lambda self: 0.0)
 
 
 def knows_no_ceiling(patch: Patching) -> None:
@@ -132,7 +132,7 @@
     def first_sent(self: Attempts) -> None:
         kept(self)
         for _ in range(3):
-            self.core.timers.set(self.core.now + 1e9, -7)
+            self.context.timers.schedule(self.context.now_ms + 1e9, -7)
 
     patch.setattr(Attempts, "first_sent", first_sent)
 
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -48,8 +48,8 @@
             not gateway._open
             and not gateway._requests
             and not module.requests
-            and module.load.out == 0
-            and not any(server.in_flight for server in module.boxes.servers.values())
+            and module.load_estimator.in_flight == 0
+            and not any(server.in_flight for server in module.endpoints.servers.values())
             and len(self.door.questions) == 0
             and self.door.questions.undecided == 0
         )
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from elderlock import peerwords
+from elderlock import peer_messages as peerwords
 from elderlock.control.framing import Framer, framed
 from elderlock.gossip import ceilings, wire
 from elderlock.load import wire as load_wire
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -12,10 +12,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from elderlock import interface as api
-from elderlock.decisions import choice
-from elderlock.decisions.core import Core
+from elderlock.decisions import server_selection as choice
+from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.limiter import Limiter
-from elderlock.decisions.outliers import LEFT_OUT_MOST, LEFT_OUT_PART, OUTLIER_AFTER, PANIC, Outliers
+from elderlock.decisions.outlier_detection import LEFT_OUT_MOST, LEFT_OUT_PART, OUTLIER_AFTER, PANIC, OutlierDetector
 from elderlock.interface import ListKind, Outcome, Routing, ServerState
 from elderlock.standins.tier import Size, Tier
 from elderlock.state import Server
@@ -81,8 +81,8 @@
         for _ in range(count):
             name = gate.ask(customer=f"c{gate.count}", kind=kind)
             for server in gate.where(name)[:1]:  # a first send goes where it may
-                told = gate.limiter.boxes.listing.ready[server]
-                assert gate.limiter.boxes.subset.holds(server) and not told.is_ejected
+                told = gate.limiter.endpoints.directory.ready[server]
+                assert gate.limiter.endpoints.subsetting.holds(server) and not told.is_ejected
 
     @rule(outcome=ENDS, count=st.integers(1, 20))
     def ends(self, outcome: Outcome, count: int) -> None:
@@ -99,26 +99,30 @@
     def who_may_be_drawn(self) -> None:
         if self.gate is None:
             return
-        boxes = self.gate.limiter.boxes
-        listing, core = boxes.listing, boxes.core
+        boxes = self.gate.limiter.endpoints
+        listing, core = boxes.directory, boxes.context
         for server in listing.servers.values():
-            drawn = server in boxes.open.all
-            barred = server.is_draining or server.is_ejected or not boxes.subset.holds(server.entry.server_id)
+            drawn = server in boxes.candidates.all
+            barred = server.is_draining or server.is_ejected or not boxes.subsetting.holds(server.entry.server_id)
             if drawn:
                 assert not barred and not (server.is_on_probation and server.in_flight), server
                 assert boxes.coldness(server) >= 1.0 or server.warm_up_budget >= 1.0 - 1e-9
             elif not barred and not (server.is_on_probation and server.in_flight):
                 assert server.awaits_review and any(one is server for _, _, one in boxes.parked), server
-        drawn_ones = set(boxes.open.all.all())
+        drawn_ones = set(boxes.candidates.all.members())
         assert drawn_ones <= set(listing.ready.values())
-        assert {s for zone in boxes.open.zones.values() for s in zone.all()} == drawn_ones
-        assert {s for cell in boxes.open.cells.values() for s in cell} == drawn_ones
+        assert {s for zone in boxes.candidates.zones.values() for s in zone.members()} == drawn_ones
+        assert {s for cell in boxes.candidates.cells.values() for s in cell} == drawn_ones
         out = boxes.outliers
-        assert set(out.out) == {s for s in listing.ready.values() if s.is_ejected}
-        assert out.mass == sum(s.weight_milli for s in out.out) <= LEFT_OUT_PART * listing.mass
-        ranks = Counter(boxes.subset.ranking.rank(n) for n, s in listing.ready.items() if not s.is_ejected)
+        assert set(out.ejected) == {s for s in listing.ready.values() if s.is_ejected}
+        assert (
+            out.ejected_weight_milli
+            == sum(s.weight_milli for s in out.ejected)
+            <= LEFT_OUT_PART * listing.total_weight_milli
+        )
+        ranks = Counter(boxes.subsetting.ranking.rank(n) for n, s in listing.ready.items() if not s.is_ejected)
         assert boxes.by_rank == [ranks[rank] for rank in range(core.settings.limiter_count)]
-        assert boxes.load.ready == len(listing.ready)
+        assert boxes.load_estimator.ready_server_count == len(listing.ready)
 
 
 TestRoutes = Routes.TestCase
@@ -141,31 +145,31 @@
     names = [chr(97 + n) for n in range(20)]
     gate = gateway(settings_for(limiters=1), names="".join(names))
     went = failing(gate, set(names[1:]), 600)
-    outliers = gate.limiter.boxes.outliers
-    assert len(outliers.out) <= 10
+    outliers = gate.limiter.endpoints.outliers
+    assert len(outliers.ejected) <= 10
     assert went[-200:].count("a") > 150
 
 
 def test_when_nearly_all_fail_it_is_likelier_us_and_nobody_stays_left_out() -> None:
     names = [chr(97 + n) for n in range(20)]
     gate = gateway(settings_for(limiters=1), names="".join(names))
-    boxes = gate.limiter.boxes
+    boxes = gate.limiter.endpoints
     most = 0
     for _ in range(400):
         name = gate.ask(customer=f"c{gate.count}")
         while name not in gate.ended:
             gate.end(name, Outcome.CONNECT_FAILED)
-        most = max(most, len(boxes.outliers.out))
+        most = max(most, len(boxes.outliers.ejected))
         gate.run(gate.now + 20.0)
         if boxes.outliers.panic(20):
             break
     assert most == 10 and len(boxes.outliers.failing) > PANIC * 20
-    assert not boxes.outliers.out and len(boxes.open.all) == 20
+    assert not boxes.outliers.ejected and len(boxes.candidates.all) == 20
 
 
 def test_a_box_that_is_back_is_tried_with_one_request_at_a_time() -> None:
     gate = gateway(settings_for(limiters=1), names="abcd")
-    server = gate.limiter.boxes.servers["b"]
+    server = gate.limiter.endpoints.servers["b"]
     while not server.is_ejected:
         failing(gate, {"b"}, 20)
     assert server.consecutive_failures == OUTLIER_AFTER
@@ -177,19 +181,23 @@
     while not server.in_flight:
         failing(gate, set(), 1)
         names.append(gate.ask(customer=f"e{gate.count}"))
-    assert server not in gate.limiter.boxes.open.all
+    assert server not in gate.limiter.endpoints.candidates.all
     gate.end(next(iter(server.in_flight))[0], Outcome.OK)
-    assert not server.is_on_probation and not server.fails and server in gate.limiter.boxes.open.all
+    assert (
+        not server.is_on_probation
+        and not server.consecutive_failures
+        and server in gate.limiter.endpoints.candidates.all
+    )
 
 
 def test_one_that_fails_again_is_left_out_for_longer_up_to_a_most() -> None:
-    outliers = Outliers(Core(settings_for(limiters=1), 1, 0.0))
+    outliers = OutlierDetector(DecisionContext(settings_for(limiters=1), 1, 0.0))
     one, waits = Server(entry("a"), 0.0, 0.0, weight_milli=10), []
     for _ in range(8):
         while not one.is_ejected:
             assert outliers.failed(one, 4, 40) == []
-        waits.append(one.reinstate_at_ms - outliers.core.now)
-        outliers.core.now = one.reinstate_at_ms
+        waits.append(one.reinstate_at_ms - outliers.context.now_ms)
+        outliers.context.now_ms = one.reinstate_at_ms
         assert outliers.back() == [one] and one.is_on_probation
     assert all(later > 1.2 * earlier for earlier, later in pairwise(waits[:4]))
     assert max(waits) <= LEFT_OUT_MOST * 1.2
@@ -199,15 +207,15 @@
 
 def test_leaving_out_stops_at_its_part_also_when_the_list_shrinks() -> None:
     gate = gateway(settings_for(limiters=1), names="abcdefgh")
-    boxes = gate.limiter.boxes
+    boxes = gate.limiter.endpoints
     for name in "abcd":
         for _ in range(OUTLIER_AFTER):
-            boxes.outliers.failed(boxes.servers[name], 8, boxes.listing.mass)
+            boxes.outliers.failed(boxes.servers[name], 8, boxes.directory.total_weight_milli)
         boxes.by_rank[0] -= 1
         boxes.place(boxes.servers[name])
-    assert len(boxes.outliers.out) == 4 and len(boxes.open.all) == 4
+    assert len(boxes.outliers.ejected) == 4 and len(boxes.candidates.all) == 4
     gate.servers(*(entry(n, state=ServerState.REMOVED) for n in "efg"), kind=ListKind.CHANGES)
-    assert len(boxes.outliers.out) == 2 and len(boxes.open.all) == 3
+    assert len(boxes.outliers.ejected) == 2 and len(boxes.candidates.all) == 3
 
 
 def played(size: Size, seed: int = 1, warm: float = 2000.0) -> Tier:
@@ -290,7 +298,7 @@
 
 
 def held(limiter: Limiter) -> set[str]:
-    return {server.entry.server_id for server in limiter.boxes.open.all.all()}
+    return {server.entry.server_id for server in limiter.endpoints.candidates.all.members()}
 
 
 def test_a_subset_loses_and_gains_just_what_it_must() -> None:
@@ -326,11 +334,11 @@
 
 def test_small_changes_of_the_number_of_boxes_do_not_flap_the_subset() -> None:
     limiter = connected(10, 100, 25)[0]
-    holders = limiter.boxes.subset.holders
+    holders = limiter.endpoints.subsetting.holders
     for turn in range(20):
         state = ServerState.REMOVED if turn % 2 else ServerState.RUNNING
         limiter.handle(api.ServerList(2, ListKind.CHANGES, tuple(entry(f"x-{n}", state=state) for n in range(6))), 9.0)
-        assert limiter.boxes.subset.holders == holders
+        assert limiter.endpoints.subsetting.holders == holders
 
 
 def test_home_comes_first_while_it_has_room_and_spill_rises_with_load() -> None:
@@ -351,7 +359,7 @@
     assert tier.served() > 0.98
 
 
-class Looks(choice.Choice):
+class Looks(choice.ServerSelector):
     seen = 0
 
     def cost(self, server, request, tried, least=0.0):  # type: ignore[no-untyped-def]
@@ -362,7 +370,7 @@
 @pytest.mark.parametrize("boxes", [100, 1000, 5000])
 def test_a_choice_weighs_as_many_of_thousands_as_of_a_hundred(boxes: int) -> None:
     limiter = connected(1, boxes, 0)[0]
-    limiter.attempts.choice = Looks(limiter.core, limiter.boxes)
+    limiter.attempts.server_selector = Looks(limiter.context, limiter.endpoints)
     Looks.seen = 0
     for n in range(50):
         limiter.handle(api.RequestArrived(f"r{n}", 0, 0, f"c{n}", 1.0, 900.0, 1, 0), 100.0)
@@ -376,8 +384,8 @@
     assert sum(bool(gate.where(name)) for name in names) == 2000
     gate.run(gate.now + 1100.0)
     assert all(len(gate.finals[name]) == 1 for name in names)
-    assert gate.limiter.load.out == 0 and not gate.limiter.requests
-    assert not any(server.in_flight for server in gate.limiter.boxes.servers.values())
+    assert gate.limiter.load_estimator.in_flight == 0 and not gate.limiter.requests
+    assert not any(server.in_flight for server in gate.limiter.endpoints.servers.values())
 
 
 def test_accounts_seen_once_are_forgotten_and_a_busy_one_is_not() -> None:
@@ -397,4 +405,4 @@
         now += 100.0
         asks(f"b{n}", "busy")
         limiter.quotas.age_out()
-    assert len(limiter.quotas.accounts) == 1 and not limiter.quotas.aging.off
+    assert len(limiter.quotas.accounts) == 1 and not limiter.quotas.aging.postponed
--- a/tests/gossip/test_ceilings.py
+++ b/tests/gossip/test_ceilings.py
@@ -16,7 +16,7 @@
 from elderlock import interface as api
 from elderlock.control import messages as m
 from elderlock.control.shared import ceilings_of
-from elderlock.decisions.core import SECOND, Core
+from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.quotas import Quotas
 from elderlock.gossip.ceilings import (
@@ -57,15 +57,15 @@
 
     def __init__(self, number: int, now: float, seed: int, kind: type[Quotas] = EscrowQuotas) -> None:
         given = settings(LIMITERS, peers=True)
-        self.number, self.core = number, Core(replace(given, limiter_index=number, plans=(PLAN,)), seed, now)
+        self.number, self.core = number, DecisionContext(replace(given, limiter_index=number, plans=(PLAN,)), seed, now)
         self.quotas = kind(self.core)
 
     def ask(self, now: float, units: float = 1.0, customer: str = "c") -> bool:
         """Whether the ceiling lets it be sent."""
-        self.core.now = now
+        self.core.now_ms = now
         event = api.RequestArrived("r", 0, 0, customer, units, now + 1000.0, MEMBERS, FIRST)
         account = self.quotas.account(event)
-        if self.quotas.capped(account, units):
+        if self.quotas.exceeds_hard_ceiling(account, units):
             return False
         self.quotas.take(OpenRequest(event, SAFE, account, now))
         account.in_flight -= 1
@@ -75,7 +75,7 @@
         return self.quotas.due() if isinstance(self.quotas, EscrowQuotas) else []
 
     def told(self, now: float, sender: int, data: bytes) -> None:
-        self.core.now = now
+        self.core.now_ms = now
         message = decode(data)
         if message is not None and isinstance(self.quotas, EscrowQuotas):
             self.quotas.told(sender, message)
@@ -92,7 +92,7 @@
         self.level, self.at, self.least = FULL, 0.0, 0.0
 
     def spent(self, now: float, units: float) -> None:
-        self.level = min(FULL, self.level + RATE * (now - self.at) / SECOND) - units
+        self.level = min(FULL, self.level + RATE * (now - self.at) / MS_PER_SECOND) - units
         self.at, self.least = now, min(self.least, self.level)
 
 
@@ -129,7 +129,7 @@
                 while now >= asleep.get(member.number, 0.0) and member.ask(now):
                     reference.spent(now, 1.0)
         if rng.random() < 0.02:
-            node.core.now = now
+            node.core.now_ms = now
             node.quotas.age_out()
         for other in list(group.values()):
             for to, data in other.due():
@@ -167,7 +167,7 @@
 
     def _granted(self, sender: int, grant: Grant) -> None:
         if grant.id in self._pending:
-            self._pending[grant.id].at = self.core.now
+            self._pending[grant.id].at = self.context.now_ms
         super()._granted(sender, grant)
 
 
@@ -242,7 +242,7 @@
     other, late = given[1]
     group[FIRST].told(now + LIFE, other, late)
     group[FIRST].ask(now + LIFE, 1000.0)  # only looks: so much no bucket holds
-    assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (LIFE - 1.0) / SECOND)
+    assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (LIFE - 1.0) / MS_PER_SECOND)
 
 
 def test_a_process_that_begins_anew_takes_no_grant_of_the_one_before() -> None:
@@ -262,7 +262,7 @@
     giver, part = group[5], FULL / MEMBERS
     left = giver.level()
     giver.ask(now + LIFE - 1.0, 1000.0)
-    assert giver.level() <= part - (part - left) + RATE / MEMBERS * LIFE / SECOND
+    assert giver.level() <= part - (part - left) + RATE / MEMBERS * LIFE / MS_PER_SECOND
     giver.ask(now + LIFE + WARM, 1000.0)
     assert giver.level() == pytest.approx(part)
 
@@ -299,7 +299,7 @@
     for key in range(MOST_OPENED + 50):
         node.told(WARM + 1000.0 * key, FIRST, encode(Want(key, key, 0, MEMBERS, FIRST, 4.0)))
     assert len(node.quotas.accounts) == MOST_OPENED and len(node.due()) == MOST_OPENED
-    node.core.now += 1e9
+    node.core.now_ms += 1e9
     node.quotas.age_out()
     assert not node.quotas.accounts
 
@@ -312,7 +312,7 @@
             while node.ask(now, 4.0, f"c{customer}"):
                 pass
         sent += len(node.due())
-    assert 0 < sent <= BURST + INTAKE_PART * 100.0 * (seconds + WARM / SECOND)
+    assert 0 < sent <= BURST + INTAKE_PART * 100.0 * (seconds + WARM / MS_PER_SECOND)
 
 
 def test_what_it_wants_again_waits_a_moment() -> None:
--- a/tests/gossip/test_fleets.py
+++ b/tests/gossip/test_fleets.py
@@ -50,7 +50,7 @@
         return [node.limiter for node in self.nodes if isinstance(node.limiter, SharedLimiter)]
 
     def server(self, limiter: SharedLimiter, box: int) -> Server:
-        return limiter.boxes.servers[f"s-{box:02d}"]
+        return limiter.endpoints.servers[f"s-{box:02d}"]
 
     def at_s(self, at: float, do: Any) -> None:
         self.schedule.after(at * 1000.0, do)
@@ -70,7 +70,7 @@
     world = World(scenario(True), 1)
     assert world.play().good()
     assert [limiter.heard for limiter in world.limiters()] == [0] * LIMITERS
-    assert not any(limiter.outliers.out for limiter in world.limiters())
+    assert not any(limiter.outliers.ejected for limiter in world.limiters())
 
 
 def test_limiters_that_hear_nobody_act_on_their_own_evidence() -> None:
@@ -81,7 +81,7 @@
     assert shared.good() and sum(limiter.heard for limiter in world.limiters()) == 0
     assert shared.figures.outcomes["failed"] <= 1.1 * alone.figures.outcomes["failed"]
     for limiter in world.limiters():  # none leans on the trials of others
-        assert limiter.core.now - limiter.outliers.heard_at > HEARD_WITHIN
+        assert limiter.context.now_ms - limiter.outliers.heard_at > HEARD_WITHIN
 
 
 @pytest.mark.parametrize("liars", [1, LIMITERS // 3])
@@ -101,7 +101,7 @@
     world.at_s(4.0, lie)
     seen: list[int] = []
     for second in (5.0, 6.0, 8.0, 10.0):
-        world.at_s(second, lambda: seen.append(max(len(limiter.outliers.out) for limiter in world.limiters())))
+        world.at_s(second, lambda: seen.append(max(len(limiter.outliers.ejected) for limiter in world.limiters())))
     result = world.play()
     assert all(limiter.heard for limiter in world.limiters())
     assert result.good() and seen == [0, 0, 0, 0] and result.figures.served_in_time > 0.99
@@ -125,9 +125,9 @@
 
     before: list[int] = []
     after: list[int] = []
-    world.at_s(12.0, lambda: before.append(sum(len(limiter.outliers.out) for limiter in world.limiters())))
+    world.at_s(12.0, lambda: before.append(sum(len(limiter.outliers.ejected) for limiter in world.limiters())))
     world.at_s(12.001, replay)
-    world.at_s(12.1, lambda: after.append(sum(len(limiter.outliers.out) for limiter in world.limiters())))
+    world.at_s(12.1, lambda: after.append(sum(len(limiter.outliers.ejected) for limiter in world.limiters())))
     assert world.play().good()
     assert kept and after[0] <= before[0]
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -10,11 +10,11 @@
 import pytest
 from sharing import PROCESSES, WARM, Fleet
 
-from elderlock.decisions.outliers import OUTLIER_AFTER
+from elderlock.decisions.outlier_detection import OUTLIER_AFTER
 from elderlock.gossip.evidence import ENOUGH
 from elderlock.gossip.limiter import SharedLimiter
 from elderlock.interface import PeerMessage
-from elderlock.settings import read_settings
+from elderlock.settings_reader import read_settings
 from elderlock.spawning import spawn
 from elderlock.standins.settings import facts, raw_config
 from elderlock.standins.waiting import run, until
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderlock import peerwords
+from elderlock import peer_messages as peerwords
 from elderlock.gossip import wire
 from elderlock.gossip.wire import Kind, Observation, WireError, decode, encode
 
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -192,9 +192,9 @@
     gate = counting()
     plan = replace(settings().plans[1], over_quota_value=1.0)
     account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now, 4000.0)
-    assert not drawn(account) and gate.limiter.quotas.capped(account, 1.0)
+    assert not drawn(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.plan = settings().plans[1]
-    assert drawn(account) and not gate.limiter.quotas.capped(account, 1.0)
+    assert drawn(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.limiter_count = 1
     assert not drawn(account)
 
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -4,18 +4,11 @@
 import pytest
 
 from elderlock import interface as api
-from elderlock.decisions import (
-    admission,
-    attempts,
-    choice,
-    keepers,
-    limiter,
-    load,
-    outliers,
-    quotas,
-    subset,
-    throttle,
-)
+from elderlock.decisions import admission, attempts, keepers, limiter, quotas, throttle
+from elderlock.decisions import load_estimator as load
+from elderlock.decisions import outlier_detection as outliers
+from elderlock.decisions import server_selection as choice
+from elderlock.decisions import subsetting as subset
 from elderlock.decisions.limiter import Limiter
 from elderlock.standins.histories import History, digests
 
@@ -89,10 +82,10 @@
                     ("questions", self.keepers.questions),
                     ("silent", self.keepers.silent),
                     ("unreported", self.keepers.unreported),
-                    ("failing", self.boxes.failing),
-                    ("left out", self.boxes.outliers.out),
-                    ("parked", self.boxes.parked),
-                    ("subset", self.boxes.subset.holders < self.core.settings.limiter_count),
+                    ("failing", self.endpoints.failing),
+                    ("left out", self.endpoints.outliers.ejected),
+                    ("parked", self.endpoints.parked),
+                    ("subset", self.endpoints.subsetting.holders < self.context.settings.limiter_count),
                 )
                 if there
             )
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -8,9 +8,9 @@
 from helpers import Gateway, entry, gateway, settings
 
 from elderlock import interface as api
-from elderlock.decisions.core import SECOND
+from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.interface import ListKind, Outcome, ServerState
-from elderlock.peerwords import (
+from elderlock.peer_messages import (
     ASK,
     BATCH,
     DENIED,
@@ -156,8 +156,8 @@
             gate.end(name)
     for i, start in enumerate(taken):
         for j in range(i, len(taken)):
-            assert j - i + 1 <= 12.0 + 6.0 * (taken[j] - start) / SECOND + 1e-6
-    assert len(taken) <= 6.0 * (gate.now - 5000.0) / SECOND + 1e-6
+            assert j - i + 1 <= 12.0 + 6.0 * (taken[j] - start) / MS_PER_SECOND + 1e-6
+    assert len(taken) <= 6.0 * (gate.now - 5000.0) / MS_PER_SECOND + 1e-6
 
 
 # Peers
@@ -453,12 +453,14 @@
         bad = ord(gate.where(name)[0]) % 2
         gate.end(name, Outcome.CONNECT_FAILED if bad else Outcome.OK)
         gate.run(gate.now + 50.0)
-    share = gate.limiter.boxes.failing  # one that never failed need not stand there
+    share = gate.limiter.endpoints.failing  # one that never failed need not stand there
     assert share["zone", 0] > share.get(("zone", 1), 0.0)
-    servers = gate.limiter.boxes.servers
+    servers = gate.limiter.endpoints.servers
     request = gate.limiter.requests[gate.ask(customer="x")]
     costs = {
-        n: gate.limiter.attempts.choice.cost(servers[n], request, set()) for n in servers if not servers[n].in_flight
+        n: gate.limiter.attempts.server_selector.cost(servers[n], request, set())
+        for n in servers
+        if not servers[n].in_flight
     }
     unseen = {n: c for n, c in costs.items() if servers[n].latency_ratio_at_ms < 0}
     bad_costs = [c for n, c in unseen.items() if ord(n) % 2]
@@ -475,7 +477,7 @@
             gate.end(name, Outcome.FULL, took=200.0)
             gate.end(name)
             gate.run(gate.now + 10.0)
-        assert (gate.limiter.load.load_level() > 0.4) is loaded
+        assert (gate.limiter.load_estimator.load_level() > 0.4) is loaded
 
 
 def test_plan_told_full_goes_elsewhere() -> None:
@@ -531,7 +533,7 @@
         name = gate.ask(customer=f"c{gate.count}")
         while name not in gate.ended:
             gate.end(name, Outcome.ERROR, took=1.0)
-    assert gate.limiter.load.load_level() < 0.4
+    assert gate.limiter.load_estimator.load_level() < 0.4
 
 
 def test_one_sick_server_is_no_load_and_all_slow_is() -> None:
@@ -540,10 +542,10 @@
         name = gate.ask(customer=f"c{gate.count}")
         slow = gate.where(name)[0] == "a"
         gate.end(name, took=900.0 if slow else 50.0)
-    assert gate.limiter.load.load_level() < 0.2
+    assert gate.limiter.load_estimator.load_level() < 0.2
     for _ in range(60):
         gate.end(gate.ask(customer=f"d{gate.count}"), took=900.0)
-    assert gate.limiter.load.load_level() > 0.8
+    assert gate.limiter.load_estimator.load_level() > 0.8
 
 
 def test_crowding_holds_new_work_off_before_answers_tell() -> None:
@@ -613,9 +615,9 @@
     gate.run(gate.now + 90000.0)
     limiter = gate.limiter
     assert len(limiter.quotas.accounts) == len(limiter.keepers.ledgers) == len(limiter.requests) == 0
-    assert list(limiter.boxes.servers) == ["n199"]
-    assert len(limiter.boxes.failing) == len(limiter.keepers.questions) == len(limiter.admission.held) == 0
-    assert len(limiter.core.timers.heap) == 1
+    assert list(limiter.endpoints.servers) == ["n199"]
+    assert len(limiter.endpoints.failing) == len(limiter.keepers.questions) == len(limiter.admission.held) == 0
+    assert len(limiter.context.timers.heap) == 1
 
 
 def worked(gate: Gateway, count: int, wrong: Callable[[int, str], bool]) -> list[str]:
@@ -647,7 +649,7 @@
             gate.end(gate.ask(customer="other"))
         gate.run(gate.now + 499.0)
         gate.end(waiting, Outcome.TIMEOUT, took=999.0)
-        assert (gate.limiter.boxes.servers["a"].latency_ratio > 1.0) is not answers
+        assert (gate.limiter.endpoints.servers["a"].latency_ratio > 1.0) is not answers
 
 
 def test_a_server_that_answers_with_nothing_but_errors_fast_is_left_alone() -> None:
@@ -676,7 +678,7 @@
     gate.run(1500.0)
     for _ in range(12):
         gate.end(gate.ask(customer=f"c{gate.count}"), took=900.0)
-    assert gate.limiter.load.load_level() > 0.4
+    assert gate.limiter.load_estimator.load_level() > 0.4
     gate.run(3000.0)
     assert gate.limiter.throttle.leak_rate > 0.0
     gate.run(8000.0)
@@ -697,19 +699,19 @@
 def test_three_slow_answers_are_load_and_one_is_not() -> None:
     gate = gateway(settings(limiters=400))
     gate.end(gate.ask(), took=900.0)
-    assert gate.limiter.load.load_level() < 0.4
+    assert gate.limiter.load_estimator.load_level() < 0.4
     for i in range(2):
         gate.end(gate.ask(customer=f"c{i}"), took=900.0)
-    assert gate.limiter.load.load_level() > 0.4
+    assert gate.limiter.load_estimator.load_level() > 0.4
 
 
 def test_level_that_peers_tell_counts_where_own_answers_are_few() -> None:
     gate = gateway(settings(limiters=400, peers=True))
     for sender in range(1, 20):
         gate.do(api.PeerMessage(sender, ENTRY.pack(FORMAT, 64, 1, DENIED, 0, 0, 0, 0)))
-    assert gate.limiter.load.load_level() > 0.8
+    assert gate.limiter.load_estimator.load_level() > 0.8
     gate.run(5000.0)
-    assert gate.limiter.load.load_level() < 0.4  # what was told is old
+    assert gate.limiter.load_estimator.load_level() < 0.4  # what was told is old
 
 
 def test_store_that_a_limiter_takes_over_opens_as_last_heard_of() -> None:
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -17,7 +17,7 @@
     account = next(iter(g.limiter.quotas.accounts.values()))
     assert account.shared_units == 18.0 and account.in_flight == 1
     assert 0 < permit.timeout_ms <= 1000.0 and permit.server_id in "abcdef" and at == 0.0
-    assert len(g.limiter.boxes.servers[permit.server_id].in_flight) == 1 and g.limiter.load.out == 1
+    assert len(g.limiter.endpoints.servers[permit.server_id].in_flight) == 1 and g.limiter.load_estimator.in_flight == 1
 
 
 def test_its_end_is_learnt_and_leaves_nothing_behind() -> None:
@@ -25,10 +25,10 @@
         g = gateway(settings(limiters=1))
         name = g.ask(permission=True)
         g.end(name, outcome, took=300.0)
-        assert not g.limiter.requests and g.limiter.load.out == 0
-        assert not any(server.in_flight for server in g.limiter.boxes.servers.values())
+        assert not g.limiter.requests and g.limiter.load_estimator.in_flight == 0
+        assert not any(server.in_flight for server in g.limiter.endpoints.servers.values())
         assert g.finals[name] == ["Permit"] and g.sent == []  # no further attempt is ours to make
-        stretch = g.limiter.boxes.servers[g.permits[0][1].server_id].latency_ratio
+        stretch = g.limiter.endpoints.servers[g.permits[0][1].server_id].latency_ratio
         learnt = outcome in (Outcome.OK, Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED)
         assert (stretch > 0) == learnt, outcome
 
@@ -84,7 +84,7 @@
     def most(doors: tuple[bool, ...]) -> int:
         g = gateway(settings(limiters=1), names="")
         g.now = 1000.0
-        g.limiter.boxes.warm_rate = 30.0  # answers a second of a warm box, as seen before the others went
+        g.limiter.endpoints.warm_rate = 30.0  # answers a second of a warm box, as seen before the others went
         g.servers(entry("cold", state=RUNNING, at=1000.0))
         for n in range(60):
             g.end(g.ask(f"c{n}", permission=doors[n % len(doors)], left=20.0))
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -47,7 +47,7 @@
                 raise AssertionError("an unsafe request was sent again")
             if ran and kind == 1:  # also where a connection has to come up first
                 assert (
-                    at - ran[0][0] + self.gate.limiter.core.settings.capabilities.connect_timeout_ms
+                    at - ran[0][0] + self.gate.limiter.context.settings.capabilities.connect_timeout_ms
                     <= KEYED.deduplication_window_ms
                 )
                 assert "abcdef".index(ran[0][1]) % 2 == "abcdef".index(send.server_id) % 2
