--- /dev/null
+++ b/elderlock/interface/__init__.py
@@ -0,0 +1,88 @@
+"""The messages between a frontend and its `Limiter`: settings at start, events in, actions out.
+
+Nothing here decides anything. A frontend translates its protocol to these types and back.
+"""
+
+from __future__ import annotations
+
+from elderlock.interface.actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    Fail,
+    FetchServerList,
+    Log,
+    Permit,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    Subscribe,
+)
+from elderlock.interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    CounterAnswered,
+    Event,
+    HealthCheckEnded,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    PermitRequested,
+    RequestArrived,
+    ServerEntry,
+    ServerList,
+    ServerState,
+    StreamStarted,
+    TimerFired,
+)
+from elderlock.interface.settings import (
+    Capabilities,
+    DeduplicationScope,
+    Idempotency,
+    Plan,
+    QuotaSources,
+    RequestClass,
+    Routing,
+    ServiceRules,
+    Settings,
+)
+
+__all__ = [
+    "Action",
+    "AddToCounter",
+    "AttemptEnded",
+    "CancelAttempt",
+    "Capabilities",
+    "ClientDisconnected",
+    "CounterAnswered",
+    "DeduplicationScope",
+    "Event",
+    "Fail",
+    "FetchServerList",
+    "HealthCheckEnded",
+    "Idempotency",
+    "ListKind",
+    "Log",
+    "Outcome",
+    "PeerMessage",
+    "Permit",
+    "PermitRequested",
+    "Plan",
+    "QuotaSources",
+    "Reject",
+    "RequestArrived",
+    "RequestClass",
+    "Routing",
+    "SendAttempt",
+    "SendPeerMessage",
+    "ServerEntry",
+    "ServerList",
+    "ServerState",
+    "ServiceRules",
+    "SetTimer",
+    "Settings",
+    "StreamStarted",
+    "Subscribe",
+    "TimerFired",
+]
