--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -22,10 +22,10 @@
 from pathlib import Path
 from typing import Any
 
-from elderlock.fleet.agent import Agent
-from elderlock.fleet.client import Group
+from elderlock.fleet.agent.agent import Agent
+from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import read_agent
-from elderlock.fleet.operate import see
 from elderlock.spawning import spawn
 from elderlock.standins.agents import SimulatedAgents
 from elderlock.standins.front import Front
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -24,8 +24,8 @@
 from typing import Any
 
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans as operate
-from elderlock.fleet.client import Group
+from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, Terms
 from elderlock.sim import renewals
 from elderlock.sim.agreed import Holding, bounded
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -26,7 +26,7 @@
 import msgspec
 import uvloop
 
-from elderlock.fleet.store import Store
+from elderlock.fleet.agent_store import Store
 from elderlock.sim import seeds
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import ABLE, Fault, Scenario, unplayable
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -14,13 +14,13 @@
 
 from elderlock.cli import tables
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal, why
-from elderlock.fleet.client import Group
-from elderlock.fleet.explain import entries
-from elderlock.fleet.explain import explain as explained
-from elderlock.fleet.operate import Order, Result, carry_out, order_limiters, see
-from elderlock.fleet.report import Account, Exit
-from elderlock.fleet.seen import Seen
+from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, order_limiters, see
+from elderlock.fleet.client.explanation import entries
+from elderlock.fleet.client.explanation import explain as explained
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.report import Account, Exit
 
 PLANNED = "the group carries it out"
 CLEAR = "\x1b[H\x1b[2J"
@@ -116,7 +116,7 @@
         seen = await see(group, 0, options.deadline)
     finally:
         group.close()
-    from elderlock.fleet.compare import compare as differences
+    from elderlock.fleet.client.comparison import compare as differences
 
     found = differences(seen.states())
     if options.json:
--- a/elderlock/cli/group.py
+++ b/elderlock/cli/group.py
@@ -10,7 +10,7 @@
 
 def group_of(options: argparse.Namespace) -> Any:
     """The group that the options name, or the environment, or the one that is up. Raises `FileError`."""
-    from elderlock.fleet.client import Group
+    from elderlock.fleet.client.group_client import Group
 
     path = options.group or os.environ.get("ELDERLOCK_GROUP")
     if not path:
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from elderlock.fleet.client import Group
+from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError
-from elderlock.fleet.operate import see
 from elderlock.load import compare, report, scenario, trace
 from elderlock.load.coordinator import Coordinator, Line, LoadError, key_of, local_lines, most_workers
 from elderlock.load.figures import Second
--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -324,7 +324,7 @@
     import uvloop
 
     from elderlock import logs
-    from elderlock.fleet.base import serve
+    from elderlock.fleet.launcher.launcher import serve
 
     logs.configure(options.log_format)
     own = (sys.executable, "-m", "elderlock.cli.main", "agent", "--log-format", options.log_format)
@@ -340,8 +340,8 @@
     import uvloop
 
     from elderlock import logs
-    from elderlock.fleet.agent import check, serve
-    from elderlock.fleet.store import StoreError
+    from elderlock.fleet.agent.agent import check, serve
+    from elderlock.fleet.agent_store import StoreError
 
     if options.check:
         check(options.file)
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from elderlock.fleet.client import Group
-    from elderlock.fleet.operate_plans import Answer
+    from elderlock.fleet.client.group_client import Group
+    from elderlock.fleet.client.plan_commands import Answer
 
 FILES = "files"  # the version that stands in the agents' files, for people
 TIMES = (
@@ -116,8 +116,8 @@
 
 async def _main(options: argparse.Namespace, group: Group) -> int:
     from elderlock.fleet import messages as f
-    from elderlock.fleet import operate_plans as operate
-    from elderlock.fleet.report import Exit
+    from elderlock.fleet.client import plan_commands as operate
+    from elderlock.fleet.client.report import Exit
     from elderlock.rollout.plans import Terms
 
     what = options.plan_command
@@ -147,7 +147,7 @@
     )
     dry = what != "start"
     if what == "drain":
-        from elderlock.fleet.operate import box_steps, see
+        from elderlock.fleet.client.drain_commands import box_steps, see
 
         steps = box_steps(await see(group, accounts=0, within=options.deadline), options.box)
         make = operate.begin(os.urandom(16).hex(), "drain", "", options.box, steps, terms, "", dry)
@@ -165,7 +165,7 @@
 
 async def _watched(options: argparse.Namespace, group: Group, id: str) -> Answer:
     from elderlock.cli.commands import _out
-    from elderlock.fleet import operate_plans as operate
+    from elderlock.fleet.client import plan_commands as operate
 
     told: Callable[[list[str]], None] = (lambda lines: None) if options.json else _out
     return await operate.watch(group, id, options.deadline, told)
@@ -186,8 +186,8 @@
     import msgspec
 
     from elderlock.cli.commands import _err, _out
-    from elderlock.fleet import operate_plans as operate
-    from elderlock.fleet.report import Exit
+    from elderlock.fleet.client import plan_commands as operate
+    from elderlock.fleet.client.report import Exit
 
     now = await operate.known(group, options.deadline)
     if options.json and not options.watch:
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -7,11 +7,11 @@
 from elderlock.control.messages import Counter as CounterState
 from elderlock.control.messages import Counts, State
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import why
-from elderlock.fleet.explain import Explained, entries
-from elderlock.fleet.plan import Plan, summed
-from elderlock.fleet.report import Account
-from elderlock.fleet.seen import Seen
+from elderlock.fleet.client.answers import why
+from elderlock.fleet.client.drain_plan import Plan, summed
+from elderlock.fleet.client.explanation import Explained, entries
+from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.report import Account
 
 BOLD, PLAIN = "\x1b[1m", "\x1b[0m"
 
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -13,10 +13,10 @@
 from pathlib import Path
 
 from elderlock.cli.running import PREFIX
-from elderlock.fleet.client import Group
-from elderlock.fleet.operate import see
-from elderlock.fleet.report import Exit
-from elderlock.fleet.seen import Seen
+from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.report import Exit
 from elderlock.standins.front import Front
 from elderlock.standins.world import OPERATORS, World
 from elderlock.trial.processes import AGENT, Child, python, swept
--- a/elderlock/fleet/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -18,20 +18,20 @@
 from elderlock import logs
 from elderlock.control.records import Offer, Record, Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.api import Api
+from elderlock.fleet.agent.api import Api
+from elderlock.fleet.agent.group_view import Exchanges, now_ms, unix_ms
+from elderlock.fleet.agent.worker_leasing import Lending
+from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.auth import Tokens, client_tls, read_token, server_tls
-from elderlock.fleet.based import Basis
-from elderlock.fleet.charge import Charge
-from elderlock.fleet.conductor import Conductor
 from elderlock.fleet.config import AgentFile, FileError, address, control_path, read_agent, read_group
-from elderlock.fleet.exchange import Exchanges, now_ms, unix_ms
+from elderlock.fleet.consensus.member import Keeper
+from elderlock.fleet.group.peer_link import Peer
 from elderlock.fleet.host import Host
-from elderlock.fleet.keeper import Keeper
-from elderlock.fleet.lending import Lending
-from elderlock.fleet.peers import Peer
-from elderlock.fleet.renewal import Renewal
-from elderlock.fleet.store import StoreError
-from elderlock.fleet.versions import Versions
+from elderlock.fleet.launcher.launcher_link import Basis
+from elderlock.fleet.plans.agent_release import Renewal
+from elderlock.fleet.plans.coordinator import Conductor
+from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.budget import Inventory
 
 PROGRESS_WITHIN = 0.4  # s that a limiter has to say how far it came
--- a/elderlock/fleet/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -15,13 +15,13 @@
 from elderlock.control.records import Offer
 from elderlock.control.transport import Bounds, Connection, FrameServer
 from elderlock.fleet import messages as f
+from elderlock.fleet.agent.group_view import now_ms, unix_ms
+from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.auth import MAY, Identity
-from elderlock.fleet.exchange import now_ms, unix_ms
-from elderlock.fleet.intents import decide
-from elderlock.fleet.store import StoreError
+from elderlock.fleet.drain_intents import decide
 
 if TYPE_CHECKING:
-    from elderlock.fleet.agent import Agent
+    from elderlock.fleet.agent.agent import Agent
 
 CONNECTIONS = 256
 MOST_PENDING = 64  # requests of one connection in work at once
--- a/elderlock/fleet/exchange.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -8,12 +8,12 @@
 
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.membership import Membership
+from elderlock.fleet.group.membership import Membership
 from elderlock.rollout.budget import Inventory
 from elderlock.rollout.inventory import Known, inventory
 
 if TYPE_CHECKING:
-    from elderlock.fleet.agent import Agent
+    from elderlock.fleet.agent.agent import Agent
 
 LACKED_AFTER = 2500.0  # ms without a word of its own, after which others are asked what they heard of a member
 
--- a/elderlock/fleet/operate.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -11,12 +11,12 @@
 
 from elderlock.control.records import Key, Kind, Record
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans
-from elderlock.fleet.answers import Refusal, why
-from elderlock.fleet.client import Group
-from elderlock.fleet.plan import Plan, plan_boxes, plan_limiters, summed
-from elderlock.fleet.report import Account, Exit
-from elderlock.fleet.seen import Seen, seen_of
+from elderlock.fleet.client import plan_commands as operate_plans
+from elderlock.fleet.client.answers import Refusal, why
+from elderlock.fleet.client.drain_plan import Plan, plan_boxes, plan_limiters, summed
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.observation import Seen, seen_of
+from elderlock.fleet.client.report import Account, Exit
 from elderlock.rollout.plans import Terms
 
 SEE_WITHIN = 1.0  # s for each agent
--- a/elderlock/fleet/explain.py
+++ b/elderlock/fleet/client/explanation.py
@@ -8,7 +8,7 @@
 
 from elderlock.control.messages import Box, Health, State
 from elderlock.control.records import Record
-from elderlock.fleet.seen import Seen
+from elderlock.fleet.client.observation import Seen
 
 
 class Word(msgspec.Struct, frozen=True):
--- a/elderlock/fleet/client.py
+++ b/elderlock/fleet/client/group_client.py
@@ -10,8 +10,8 @@
 
 from elderlock.control.caller import Caller, NoAnswerError, NotSentError
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal
 from elderlock.fleet.auth import client_tls, read_token
+from elderlock.fleet.client.answers import Missing, Refusal
 from elderlock.fleet.config import GroupFile, address, read_group
 
 MOST_AT_ONCE = 256  # connections that are being opened or asked at once
--- a/elderlock/fleet/seen.py
+++ b/elderlock/fleet/client/observation.py
@@ -7,7 +7,7 @@
 from elderlock.control.messages import State
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal
+from elderlock.fleet.client.answers import Missing, Refusal
 
 
 class Seen(msgspec.Struct, frozen=True):
--- a/elderlock/fleet/operate_plans.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal, why
-from elderlock.fleet.client import Group
-from elderlock.fleet.report import Exit
+from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.report import Exit
 from elderlock.rollout.plans import Plan, Terms, Unit
 
 ANSWER_WITHIN = 6.0  # s that an agent has to ask the others and to have a majority agree
--- a/elderlock/fleet/report.py
+++ b/elderlock/fleet/client/report.py
@@ -10,8 +10,8 @@
 
 from elderlock.control.records import Key, Record
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal, why
-from elderlock.fleet.intents import words
+from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.drain_intents import words
 from elderlock.rollout.ledger import Permit
 
 
--- a/elderlock/fleet/config.py
+++ b/elderlock/fleet/config.py
@@ -13,7 +13,7 @@
 from elderlock.rollout.budget import Budget
 
 if TYPE_CHECKING:  # of the agent alone: commands that only read the group's file do not wait for it
-    from elderlock.fleet.supervise import Policy
+    from elderlock.fleet.supervision.supervisor import Policy
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 MOST_LENT = 64
@@ -93,7 +93,7 @@
     versions: VersionsPart | None = None
 
     def policy(self) -> Policy:
-        from elderlock.fleet.supervise import Policy
+        from elderlock.fleet.supervision.supervisor import Policy
 
         s = self.supervise
         return Policy(
--- a/elderlock/fleet/keeper.py
+++ b/elderlock/fleet/consensus/member.py
@@ -19,8 +19,8 @@
 from elderlock.control.caller import NoAnswerError, NotSentError
 from elderlock.control.records import Key, Record, Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.peers import Peer
-from elderlock.fleet.store import Store, StoreError
+from elderlock.fleet.agent_store import Store, StoreError
+from elderlock.fleet.group.peer_link import Peer
 from elderlock.rollout import ledger as ledgers
 from elderlock.rollout.budget import Budget, Inventory, spent
 from elderlock.rollout.ledger import Ledger, LedgerError, Permit
--- a/elderlock/fleet/host.py
+++ b/elderlock/fleet/host.py
@@ -10,8 +10,8 @@
 from signal import Signals
 from typing import Protocol
 
-from elderlock.fleet import process
-from elderlock.fleet.store import Store
+from elderlock.fleet.agent_store import Store
+from elderlock.fleet.supervision import limiter_process as process
 
 
 class Running(Protocol):
--- /dev/null
+++ b/elderlock/fleet/launcher/__init__.py
@@ -0,0 +1,1 @@
+"""The launcher that starts an agent and falls back to its version before."""
--- a/elderlock/fleet/base.py
+++ b/elderlock/fleet/launcher/launcher.py
@@ -15,9 +15,9 @@
 import msgspec
 
 from elderlock import logs
-from elderlock.fleet.based import ENVIRON, Go, Ready, Settled, Started, word_of
 from elderlock.fleet.config import FileError, read_agent
 from elderlock.fleet.host import Host
+from elderlock.fleet.launcher.launcher_link import ENVIRON, Go, Ready, Settled, Started, word_of
 from elderlock.rollout.basing import Base, Do, Held
 from elderlock.spawning import spawn
 
--- a/elderlock/fleet/based.py
+++ b/elderlock/fleet/launcher/launcher_link.py
@@ -1,5 +1,8 @@
-"""The agent's side of its base (`elderlock.fleet.base`): words in lines of JSON, the agent's on its standard output,
-the base's end seen as the end of the agent's standard input."""
+"""The link between an agent and its launcher (`elderlock.fleet.launcher.launcher`).
+
+Messages are lines of JSON: the agent's on its standard output; the end of its standard input says that the launcher has
+ended.
+"""
 
 from __future__ import annotations
 
--- a/elderlock/fleet/renewal.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -6,10 +6,10 @@
 from collections.abc import Mapping
 
 from elderlock.fleet import messages as f
-from elderlock.fleet.based import Basis
-from elderlock.fleet.charge import Charge
 from elderlock.fleet.config import FileError
-from elderlock.fleet.versions import Versions
+from elderlock.fleet.launcher.launcher_link import Basis
+from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.basing import To, Which
 from elderlock.rollout.carrying import AgentAct, AgentLook, Said, carry_agent
 from elderlock.rollout.leading import Told
--- a/elderlock/fleet/conductor.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -19,13 +19,13 @@
 from elderlock import logs
 from elderlock.control.records import Key, Kind, Record, Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.charge import Charge
+from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.config import FileError
-from elderlock.fleet.keeper import Keeper, Made, answers_of
-from elderlock.fleet.peers import Peer
-from elderlock.fleet.renewal import Renewal
-from elderlock.fleet.store import StoreError
-from elderlock.fleet.versions import Versions
+from elderlock.fleet.consensus.member import Keeper, Made, answers_of
+from elderlock.fleet.group.peer_link import Peer
+from elderlock.fleet.plans.agent_release import Renewal
+from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout import plans, steps
 from elderlock.rollout.budget import Inventory, reasons, spent
 from elderlock.rollout.carrying import Carrier
--- /dev/null
+++ b/elderlock/fleet/supervision/__init__.py
@@ -0,0 +1,1 @@
+"""The supervision of limiter processes by their agent."""
--- a/elderlock/fleet/link.py
+++ b/elderlock/fleet/supervision/limiter_link.py
@@ -12,7 +12,7 @@
 from elderlock.control import messages as m
 from elderlock.control.caller import Caller, NoAnswerError, NotSentError
 from elderlock.control.records import Records
-from elderlock.fleet.intents import Book
+from elderlock.fleet.drain_intents import Book
 
 POLL = 2.0  # s between looks, which also renew the claim (5 s long)
 CONNECT_WITHIN = HELLO_WITHIN = 1.0  # s
--- a/elderlock/fleet/charge.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -14,14 +14,14 @@
 from elderlock import logs
 from elderlock.control import messages as m
 from elderlock.control.records import Record, Records
+from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.config import FileError, LimiterPart
+from elderlock.fleet.drain_intents import concerns
 from elderlock.fleet.host import Host, Running
-from elderlock.fleet.intents import concerns
-from elderlock.fleet.link import Link, Owner
 from elderlock.fleet.messages import LimiterBrief, LimiterStatus, Reach
-from elderlock.fleet.store import Store, StoreError
-from elderlock.fleet.supervise import Do, Policy, Supervisor
-from elderlock.fleet.versions import Versions
+from elderlock.fleet.supervision.limiter_link import Link, Owner
+from elderlock.fleet.supervision.supervisor import Do, Policy, Supervisor
+from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.carrying import Look, Said
 from elderlock.rollout.verdict import Figures
 
--- a/elderlock/load/remote.py
+++ b/elderlock/load/remote.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal, why
-from elderlock.fleet.client import Group
+from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.client.group_client import Group
 from elderlock.load import messages as m
 
 ASK_EVERY = 0.2  # s; its lease is 5
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from elderlock.fleet import agent as agents
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans as operate
-from elderlock.fleet.based import Basis, Go, Ready, Settled, Started, word_of
+from elderlock.fleet.agent import agent as agents
+from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet.launcher.launcher_link import Basis, Go, Ready, Settled, Started, word_of
 from elderlock.rollout.basing import Base, Do, Held
 from elderlock.rollout.plans import Plan, Terms
 from elderlock.sim.agreed import Holding, bounded
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -20,8 +20,8 @@
 from elderlock.control.desk import Desk
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans as operate
-from elderlock.fleet.client import Group
+from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, Terms
 from elderlock.sim.agreed import Act, Holding, bounded, fenced, never_back
 from elderlock.sim.scenario import Scenario, Settings
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING, Any
 
-from elderlock.fleet.client import Group
-from elderlock.fleet.operate import Order, carry_out
+from elderlock.fleet.client.drain_commands import Order, carry_out
+from elderlock.fleet.client.group_client import Group
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
 from elderlock.sim.stage_faults import StageFaults
 from elderlock.sim.virtual.loop import EPOCH
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -22,7 +22,7 @@
 
 import elderlock.__main__ as program
 from elderlock.decisions.outlier_detection import OutlierDetector
-from elderlock.fleet import agent as agents
+from elderlock.fleet.agent import agent as agents
 from elderlock.interface import ServerState
 from elderlock.load.wire import Request
 from elderlock.net.config import ConfigError, load
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from elderlock.control.records import Record, Records
-from elderlock.fleet.intents import decide
+from elderlock.fleet.drain_intents import decide
 from elderlock.fleet.messages import Intend, Wish
 from elderlock.interface import ListKind, ServerState
 from elderlock.sim.virtual.processes import Machine
--- a/elderlock/sim/virtual/host.py
+++ b/elderlock/sim/virtual/host.py
@@ -11,8 +11,8 @@
 from signal import Signals
 from typing import Any
 
+from elderlock.fleet.agent_store import Store
 from elderlock.fleet.host import Host
-from elderlock.fleet.store import Store
 from elderlock.sim.virtual.network import Faults
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of
 
--- a/elderlock/trial/child.py
+++ b/elderlock/trial/child.py
@@ -50,9 +50,9 @@
     import uvloop
 
     from elderlock import logs
-    from elderlock.fleet.agent import serve
+    from elderlock.fleet.agent.agent import serve
+    from elderlock.fleet.agent_store import StoreError
     from elderlock.fleet.config import FileError, read_agent
-    from elderlock.fleet.store import StoreError
     from elderlock.trial.disk import TrialHost
 
     logs.configure("json")
@@ -70,8 +70,8 @@
     import uvloop
 
     from elderlock import logs
-    from elderlock.fleet.base import serve
     from elderlock.fleet.config import FileError
+    from elderlock.fleet.launcher.launcher import serve
 
     logs.configure("json")
     own = (sys.executable, "-B", "-m", "elderlock.trial.child", "agent", str(seam))
--- a/elderlock/trial/disk.py
+++ b/elderlock/trial/disk.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
+from elderlock.fleet.agent_store import Store
 from elderlock.fleet.host import Host
-from elderlock.fleet.store import Store
 from elderlock.trial.seam import Block, Disk, Step
 
 WRITES = ("INSERT", "UPDATE", "DELETE", "CREATE")
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -139,7 +139,7 @@
 
 def hears_no_other(patch: Patching) -> None:
     """The tool tells one agent, and agents take nothing from one another."""
-    from elderlock.fleet.client import Group
+    from elderlock.fleet.client.group_client import Group
 
     kept = Group.ask_all
 
@@ -152,7 +152,7 @@
 
 def learns_nothing(patch: Patching) -> None:
     """Agents take nothing from one another."""
-    from elderlock.fleet.agent import Agent
+    from elderlock.fleet.agent.agent import Agent
 
     patch.setattr(Agent, "learn", lambda self, records, via: None)
 
@@ -183,7 +183,7 @@
 
 def keeps_nothing(patch: Patching) -> None:
     """A record counts before it is durable: the store's transactions are never ended."""
-    from elderlock.fleet.store import Store
+    from elderlock.fleet.agent_store import Store
 
     def write(self: Store, *statements: Any) -> None:
         if not self._db.in_transaction:
@@ -196,7 +196,7 @@
 
 def grants_alone(patch: Patching) -> None:
     """An agent takes its own vote for a majority."""
-    from elderlock.fleet.keeper import Keeper
+    from elderlock.fleet.consensus.member import Keeper
 
     patch.setattr(Keeper, "quorum", property(lambda self: 1))
 
@@ -256,14 +256,14 @@
 
 
 def agent_crashes_at_start(patch: Patching) -> None:
-    from elderlock.fleet.agent import Agent
+    from elderlock.fleet.agent.agent import Agent
 
     patch.setattr(Agent, "start", lambda self: os._exit(4))
 
 
 def agent_crashes_later(patch: Patching) -> None:
     """Once it has told its base that its group hears it."""
-    from elderlock.fleet.renewal import Renewal
+    from elderlock.fleet.plans.agent_release import Renewal
 
     kept = Renewal.up
 
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -21,7 +21,7 @@
 
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.client import Group
+from elderlock.fleet.client.group_client import Group
 from elderlock.load.wire import Request
 from elderlock.sim import judges as j
 from elderlock.sim.clients import Clients
--- a/elderlock/trial/processes.py
+++ b/elderlock/trial/processes.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from elderlock.fleet.process import born
+from elderlock.fleet.supervision.limiter_process import born
 from elderlock.spawning import spawn
 from elderlock.standins.world import ROOT
 from elderlock.trial.guard import MARK
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -21,9 +21,9 @@
 from elderlock.authz.config import AuthzError
 from elderlock.authz.router import RoutingDoor
 from elderlock.authz.routing import EJECT_AFTER, EJECT_FOR, MOST_EJECTED, Fate, Next, Router, after
-from elderlock.fleet.client import Group
-from elderlock.fleet.operate import Order, carry_out, see
-from elderlock.fleet.report import Exit
+from elderlock.fleet.client.drain_commands import Order, carry_out, see
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.report import Exit
 from elderlock.spawning import spawn
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.gateways import Asking, headers, lookups_report
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -15,7 +15,7 @@
 import pytest
 
 from elderlock.cli.main import main, parser
-from elderlock.fleet.report import Exit
+from elderlock.fleet.client.report import Exit
 from elderlock.spawning import spawn
 from elderlock.standins.agents import SimulatedAgents
 from elderlock.standins.waiting import run
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -20,11 +20,11 @@
 from elderlock.control.messages import State
 from elderlock.control.records import Record, Records
 from elderlock.fleet import messages
-from elderlock.fleet.answers import Missing, Refusal
-from elderlock.fleet.operate import Result
-from elderlock.fleet.plan import Plan
-from elderlock.fleet.report import Account, Exit
-from elderlock.fleet.seen import Seen
+from elderlock.fleet.client.answers import Missing, Refusal
+from elderlock.fleet.client.drain_commands import Result
+from elderlock.fleet.client.drain_plan import Plan
+from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.report import Account, Exit
 from elderlock.sim.experiment import read_experiment
 from elderlock.sim.sweep import Records as SweepResults
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -14,9 +14,9 @@
 
 from elderlock.control.attach import read_records
 from elderlock.control.records import Record
-from elderlock.fleet.base import Running
+from elderlock.fleet.agent_store import Store
+from elderlock.fleet.launcher.launcher import Running
 from elderlock.fleet.messages import AuditLine
-from elderlock.fleet.store import Store
 from elderlock.load import report, trace
 from elderlock.load.figures import Totals
 from elderlock.load.scenario import Ramp, Scenario, Steady, Truth
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -17,16 +17,16 @@
 from elderlock.control.framing import framed
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
-from elderlock.fleet.agent import Agent
-from elderlock.fleet.answers import Missing
-from elderlock.fleet.client import Group
+from elderlock.fleet.agent.agent import Agent
+from elderlock.fleet.agent.group_view import now_ms
+from elderlock.fleet.agent_store import Store, StoreError
+from elderlock.fleet.client.answers import Missing
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, see
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.report import Account, Exit, Row
 from elderlock.fleet.config import FileError, read_agent
-from elderlock.fleet.exchange import now_ms
 from elderlock.fleet.host import Running
 from elderlock.fleet.messages import AuditLine
-from elderlock.fleet.operate import Order, Result, carry_out, see
-from elderlock.fleet.report import Account, Exit, Row
-from elderlock.fleet.store import Store, StoreError
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.limiters import ScriptedLimiter, Trouble
 from elderlock.standins.stores import Failing
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -10,13 +10,13 @@
 from elderlock.control.messages import Box, Counts, State
 from elderlock.control.records import Record, Records
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing, Refusal
-from elderlock.fleet.compare import compare
-from elderlock.fleet.intents import Book, concerns, decide
-from elderlock.fleet.membership import SUSPECT_AFTER, UNREACHABLE_AFTER, Membership
-from elderlock.fleet.plan import LEAST_LEFT, STEP_PART, plan_boxes, plan_limiters, summed
-from elderlock.fleet.report import Account, Exit
-from elderlock.fleet.supervise import Do, Policy, Supervisor
+from elderlock.fleet.client.answers import Missing, Refusal
+from elderlock.fleet.client.comparison import compare
+from elderlock.fleet.client.drain_plan import LEAST_LEFT, STEP_PART, plan_boxes, plan_limiters, summed
+from elderlock.fleet.client.report import Account, Exit
+from elderlock.fleet.drain_intents import Book, concerns, decide
+from elderlock.fleet.group.membership import SUSPECT_AFTER, UNREACHABLE_AFTER, Membership
+from elderlock.fleet.supervision.supervisor import Do, Policy, Supervisor
 from elderlock.standins.limiters import box, state
 
 
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -6,10 +6,10 @@
 import pytest
 
 from elderlock.control.records import Record
+from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.auth import Tokens, read_token
 from elderlock.fleet.config import FileError, read_agent, read_group
 from elderlock.fleet.messages import AuditLine
-from elderlock.fleet.store import Store, StoreError
 from elderlock.standins.stores import Failing
 from elderlock.standins.world import private
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -8,12 +8,12 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from elderlock.fleet.agent import Agent
-from elderlock.fleet.client import Group
+from elderlock.fleet.agent.agent import Agent
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, order_limiters, see
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.report import Exit
 from elderlock.fleet.config import read_agent
-from elderlock.fleet.operate import Order, Result, carry_out, order_limiters, see
-from elderlock.fleet.process import born
-from elderlock.fleet.report import Exit
+from elderlock.fleet.supervision.limiter_process import born
 from elderlock.standins.boxes import STD
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
--- a/tests/gossip/test_seen.py
+++ b/tests/gossip/test_seen.py
@@ -16,11 +16,11 @@
 from elderlock.cli import tables
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
-from elderlock.fleet.answers import Missing
-from elderlock.fleet.client import Group
-from elderlock.fleet.explain import Explained, entries, explain
-from elderlock.fleet.operate import see
-from elderlock.fleet.seen import Seen, seen_of
+from elderlock.fleet.client.answers import Missing
+from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.explanation import Explained, entries, explain
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.observation import Seen, seen_of
 from elderlock.gossip.evidence import ENOUGH, FRESH
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.limiters import box, state
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -15,9 +15,9 @@
 from elderlock.cli.main import main
 from elderlock.cli.running import groups
 from elderlock.fleet import messages as f
-from elderlock.fleet.client import Group
+from elderlock.fleet.agent.worker_leasing import Lending
+from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError, read_agent
-from elderlock.fleet.lending import Lending
 from elderlock.load import messages as m
 from elderlock.load.coordinator import Coordinator
 from elderlock.load.remote import RemoteLine
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -13,8 +13,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans as operate
-from elderlock.fleet.client import Group
+from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet.client.group_client import Group
 from elderlock.rollout import steps
 from elderlock.rollout.basing import START_WITHIN, Base, Held, To, Which, may_go
 from elderlock.rollout.ledger import Ledger
--- a/tests/rollout/test_plans.py
+++ b/tests/rollout/test_plans.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from elderlock.fleet.config import AgentFile, AgentPart, FileError, LimiterPart, VersionsPart
-from elderlock.fleet.versions import Versions
+from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout import plans, steps
 from elderlock.rollout.budget import Budget, Inventory, Item, Limits
 from elderlock.rollout.carrying import Carrier, Look
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -10,9 +10,9 @@
 
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
-from elderlock.fleet.client import Group
-from elderlock.fleet.keeper import UNUSED_AFTER
-from elderlock.fleet.operate_plans import begin
+from elderlock.fleet.client.group_client import Group
+from elderlock.fleet.client.plan_commands import begin
+from elderlock.fleet.consensus.member import UNUSED_AFTER
 from elderlock.rollout.plans import Terms
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run, until
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -14,8 +14,8 @@
 import pytest
 
 from elderlock.fleet import messages as f
-from elderlock.fleet import operate_plans as operate
-from elderlock.fleet.client import Group
+from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, Terms
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.waiting import run
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from elderlock.fleet import conductor
-from elderlock.fleet.conductor import Conductor
-from elderlock.fleet.keeper import Keeper
+from elderlock.fleet.consensus.member import Keeper
+from elderlock.fleet.plans import coordinator as conductor
+from elderlock.fleet.plans.coordinator import Conductor
 from elderlock.rollout import ledger
 from elderlock.rollout.carrying import Carrier
 from elderlock.sim import rollouts
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from elderlock.fleet.conductor import Conductor
+from elderlock.fleet.plans.coordinator import Conductor
 from elderlock.rollout import steps
 from elderlock.rollout.basing import Base
 from elderlock.sim import renewals
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -16,8 +16,8 @@
 
 import pytest
 
+from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.messages import AuditLine
-from elderlock.fleet.store import StoreError
 from elderlock.sim.models.ways import Delays, Ways
 from elderlock.sim.virtual import loop as virtual
 from elderlock.sim.virtual.host import SimHost
--- a/tests/trial/test_disk.py
+++ b/tests/trial/test_disk.py
@@ -11,8 +11,8 @@
 import pytest
 
 from elderlock.control.records import Record
+from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.messages import AuditLine
-from elderlock.fleet.store import Store, StoreError
 from elderlock.standins.world import ROOT
 from elderlock.trial import disk
 from elderlock.trial.seam import RUNS, Block, Disk, Step
