--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -57,11 +57,11 @@
 async def down(world: World, agents: list[Agent], group: Group) -> None:
     group.close()
     for agent in agents:
-        for charge in agent.charges.values():
+        for charge in agent.limiters.values():
             charge.supervisor.wanted = False
             if charge.process is not None:
                 charge.process.signal(signal.SIGKILL)
-    while any(c.process is not None for a in agents for c in a.charges.values()):
+    while any(c.process is not None for a in agents for c in a.limiters.values()):
         await asyncio.sleep(0.02)
     for agent in agents:
         agent.close()
@@ -114,7 +114,7 @@
         stopped = None
         if number % 5 == 4:
             stopped = f"n{rng.randrange(10)}"
-            process = next(c.process for a in agents for n, c in a.charges.items() if n == stopped)
+            process = next(c.process for a in agents for n, c in a.limiters.items() if n == stopped)
             assert process is not None
             process.signal(signal.SIGSTOP)
             asyncio.get_running_loop().call_later(STOPPED_FOR, process.signal, signal.SIGCONT)
@@ -272,7 +272,7 @@
     while not all(front.part[0] for front in fronts):
         await asyncio.sleep(0.05)
     await asyncio.sleep(3.0)
-    process = agent.charges["n0"].process
+    process = agent.limiters["n0"].process
     assert process is not None
     ratios = []
     for _ in range(blocks):
@@ -285,7 +285,7 @@
         await front.stop()
     plain.terminate()
     await plain.wait()
-    charge = agent.charges["n0"]
+    charge = agent.limiters["n0"]
     charge.supervisor.wanted = False
     process.signal(signal.SIGKILL)
     while charge.process is not None:
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -154,10 +154,10 @@
     terms = replace_terms(TERMS, auto_back=kind == "bad")
     waves = [["n0"], ["n3", "n6"], ["n1", "n4", "n7", "n9"], ["n2", "n5", "n8"]]
     begin = operate.begin(id, "release", "v2", (), waves, terms, "")
-    begun = await operate.ask_any(group, begin, f.Begun, 20.0)
+    begun = await operate.ask_any(group, begin, f.BeginAnswer, 20.0)
     while begun.plan is None:
         await asyncio.sleep(0.2)
-        begun = await operate.ask_any(group, begin, f.Begun, 20.0)
+        begun = await operate.ask_any(group, begin, f.BeginAnswer, 20.0)
     troubles = [asyncio.ensure_future(befall(ground, rng)) for _ in range(faults)]
     if kind == "good" and not faults:
         await operate_halt(found, group, ground, id)
@@ -178,7 +178,7 @@
         found.good_halted += plan.outcome() != "done" and not faults
         if plan.outcome() == "halted" or faults == 0:
             found.back_tried += 1
-            await operate.ask_any(group, lambda n: f.Steer(n, id, "back"), f.Steered, 20.0)
+            await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "back"), f.SteerAnswer, 20.0)
             back = await until_outcome(group, id, {"taken back"}, 60.0)
             found.stuck += back is None
             found.back_complete += back is not None and await all_run(group, "")
@@ -191,7 +191,7 @@
     """From the word's reaching an agent until all agents say that it is in force; then it goes on."""
     await asyncio.sleep(1.5)
     began = time.monotonic()
-    await operate.ask_any(group, lambda n: f.Steer(n, id, "halt"), f.Steered, 5.0)
+    await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "halt"), f.SteerAnswer, 5.0)
     while True:
         known = await operate.known(group, 1.0)
         told = [next(plan for plan in answer.plans if plan.id == id) for answer in known.answers.values()]
@@ -203,7 +203,7 @@
     while (plan := (await operate.known(group, 1.0)).plan(id)) is None or plan.state != "halted":
         await asyncio.sleep(0.02)
     turn = plan.turn
-    await operate.ask_any(group, lambda n: f.Steer(n, id, "go-on", turn), f.Steered, 5.0)
+    await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "go-on", turn), f.SteerAnswer, 5.0)
 
 
 async def all_run(group: Group, version: str) -> bool:
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -19,7 +19,7 @@
 from elderlock.fleet.client.explanation import entries
 from elderlock.fleet.client.explanation import explain as explained
 from elderlock.fleet.client.group_client import Group
-from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import Account, Exit
 
 PLANNED = "the group carries it out"
@@ -39,7 +39,7 @@
         print(line, file=sys.stderr, flush=True)
 
 
-def _seen_exit(seen: Seen) -> Exit:
+def _seen_exit(seen: GroupObservation) -> Exit:
     if not seen.shown:
         return Exit.NOTHING
     silent = any(
@@ -48,7 +48,7 @@
     return Exit.PART if seen.missing or silent else Exit.DONE
 
 
-def _seen_json(seen: Seen) -> dict[str, Any]:
+def _seen_json(seen: GroupObservation) -> dict[str, Any]:
     return {
         "agents": msgspec.to_builtins(seen.shown),
         "missing": {name: msgspec.structs.asdict(missing) for name, missing in seen.missing.items()},
@@ -57,7 +57,7 @@
     }
 
 
-def _shared_json(seen: Seen) -> dict[str, Any]:
+def _shared_json(seen: GroupObservation) -> dict[str, Any]:
     sharing = [state for state in seen.states() if state.shared is not None]
     return {
         "limiters": {state.limiter: msgspec.to_builtins(state.shared) for state in sharing},
@@ -244,10 +244,10 @@
 async def budget(options: argparse.Namespace, group: Group) -> int:
     """Where the group's budget stands, as the agents that answer know it: the one with the newest ledger speaks."""
     try:
-        answers = await group.ask_all(f.Standing, f.Stood, options.deadline)
+        answers = await group.ask_all(f.ShowBudget, f.BudgetStatus, options.deadline)
     finally:
         group.close()
-    stood = [answer for answer in answers.values() if isinstance(answer, f.Stood)]
+    stood = [answer for answer in answers.values() if isinstance(answer, f.BudgetStatus)]
     gone = {name: a for name, a in answers.items() if isinstance(a, Missing | Refusal)}
     if options.json:
         print(
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -134,7 +134,7 @@
         if getattr(options, "turn", None) is not None:
             turn = options.turn
         answer = await operate.ask_any(
-            group, lambda n: f.Steer(n, id, what, turn, options.reason), f.Steered, options.deadline
+            group, lambda n: f.SteerPlan(n, id, what, turn, options.reason), f.SteerAnswer, options.deadline
         )
         return _said(options, answer)
     terms = (
@@ -157,7 +157,7 @@
         origin = os.urandom(16).hex()
         kind, targets = ("release", options.limiter) if options.agents is None else ("agents", options.agents)
         make = operate.begin(origin, kind, version, targets, waves, terms, options.reason, dry)
-    answer = await operate.ask_any(group, make, f.Begun, options.deadline)
+    answer = await operate.ask_any(group, make, f.BeginAnswer, options.deadline)
     if dry or answer.exit != Exit.DONE or options.no_wait or answer.plan is None:
         return _said(options, answer)
     return _said(options, await _watched(options, group, answer.plan.id))
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -9,8 +9,8 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import why
 from elderlock.fleet.client.drain_plan import Plan, summed
-from elderlock.fleet.client.explanation import Explained, entries
-from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.explanation import Explanation, entries
+from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import Account
 
 BOLD, PLAIN = "\x1b[1m", "\x1b[0m"
@@ -42,7 +42,7 @@
     return [str(each.served), str(each.refused), str(each.failed)]
 
 
-def show(seen: Seen, accounts: bool, colour: bool) -> list[str]:
+def show(seen: GroupObservation, accounts: bool, colour: bool) -> list[str]:
     lines: list[str] = []
     rows = [_limiter(agent, limiter) for agent, shown in sorted(seen.shown.items()) for limiter in shown.limiters]
     head = (
@@ -84,7 +84,7 @@
     return lines
 
 
-def shared(seen: Seen, colour: bool) -> list[str]:
+def shared(seen: GroupObservation, colour: bool) -> list[str]:
     """What limiters share: per limiter what was told within which bounds, per box the evidence with who gave it."""
     states = seen.states()
     sharing = [state for state in states if state.shared is not None]
@@ -158,7 +158,7 @@
     return f"{told} and {len(rows) - most} more" if len(rows) > most else told or "-"
 
 
-def explained(found: Explained, colour: bool) -> list[str]:
+def explained(found: Explanation, colour: bool) -> list[str]:
     rows = []
     for word in found.words:
         health = word.health
@@ -224,7 +224,7 @@
     ]
 
 
-def _boxes(seen: Seen, colour: bool) -> list[str]:
+def _boxes(seen: GroupObservation, colour: bool) -> list[str]:
     states = seen.states()
     boxes = summed(states)
     rows = []
@@ -254,7 +254,7 @@
     return table(head, rows, colour)
 
 
-def _missing(seen: Seen) -> list[str]:
+def _missing(seen: GroupObservation) -> list[str]:
     lines = []
     for agent, missing in sorted(seen.missing.items()):
         lines.append(f"agent {agent} does not answer: {why(missing)}")
@@ -270,7 +270,7 @@
     return lines
 
 
-def _accounts(seen: Seen, colour: bool) -> list[str]:
+def _accounts(seen: GroupObservation, colour: bool) -> list[str]:
     rows = [
         [state.limiter, name, *counts(each)]
         for state in seen.states()
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -15,7 +15,7 @@
 from elderlock.cli.running import PREFIX
 from elderlock.fleet.client.drain_commands import see
 from elderlock.fleet.client.group_client import Group
-from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import Exit
 from elderlock.standins.front import Front
 from elderlock.standins.world import OPERATORS, World
@@ -133,7 +133,7 @@
         task.cancel()
 
 
-def _answering(seen: Seen) -> int:
+def _answering(seen: GroupObservation) -> int:
     return sum(state.ready for state in seen.states())
 
 
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -19,18 +19,18 @@
 from elderlock.control.records import Offer, Record, Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.api import Api
-from elderlock.fleet.agent.group_view import Exchanges, now_ms, unix_ms
-from elderlock.fleet.agent.worker_leasing import Lending
+from elderlock.fleet.agent.group_view import GroupView, now_ms, unix_ms
+from elderlock.fleet.agent.worker_leasing import WorkerLeasing
 from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.auth import Tokens, client_tls, read_token, server_tls
 from elderlock.fleet.config import AgentFile, FileError, address, control_path, read_agent, read_group
-from elderlock.fleet.consensus.member import Keeper
-from elderlock.fleet.group.peer_link import Peer
+from elderlock.fleet.consensus.member import ConsensusMember
+from elderlock.fleet.group.peer_link import PeerLink
 from elderlock.fleet.host import Host
-from elderlock.fleet.launcher.launcher_link import Basis
-from elderlock.fleet.plans.agent_release import Renewal
-from elderlock.fleet.plans.coordinator import Conductor
-from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.launcher.launcher_link import LauncherLink
+from elderlock.fleet.plans.agent_release import AgentRelease
+from elderlock.fleet.plans.coordinator import PlanCoordinator
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.budget import Inventory
 
@@ -44,11 +44,16 @@
 
 class Agent:
     def __init__(
-        self, path: Path, file: AgentFile, rng: random.Random, host: Host | None = None, basis: Basis | None = None
+        self,
+        path: Path,
+        file: AgentFile,
+        rng: random.Random,
+        host: Host | None = None,
+        basis: LauncherLink | None = None,
     ) -> None:
         """Raises `FileError` or `StoreError`, with nothing begun."""
         self.folder, self.file, self.name = path.resolve().parent, file, file.agent.name
-        home = self.home = self.folder / file.agent.state
+        home = self.state_folder = self.folder / file.agent.state
         self._host = host or Host()
         try:
             home.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -67,10 +72,10 @@
             log.error("store trouble", agent=self.name, error=self.store_error)
         self._epoch = self.store.next_epoch()
         self.records = Records(self.store.records())
-        self.started = now_ms()
+        self.started_at_ms = now_ms()
         self.versions = Versions(self.folder, file)
-        self.charges = {
-            part.name: Charge(
+        self.limiters = {
+            part.name: ManagedLimiter(
                 part,
                 self.folder,
                 home / part.name,
@@ -79,36 +84,38 @@
                 self.store,
                 file.policy(),
                 random.Random(rng.random()),
-                self.spread,
+                self.notify_peers,
                 self._given_back,
                 self._host,
                 self.versions,
             )
             for part in file.limiter
         }
-        self.renewal = Renewal(self.name, basis, self.versions, self.charges)
-        self.peers: list[Peer] = []
+        self.agent_release = AgentRelease(self.name, basis, self.versions, self.limiters)
+        self.peers: list[PeerLink] = []
         members: list[str] = []
-        self.exchanges = Exchanges(self, (), {})
+        self.group_view = GroupView(self, (), {})
         if file.agent.group:
             group = read_group(self.folder / file.agent.group)
             token = read_token(self.folder / file.agent.peer_token)
             tls = client_tls(group.group.tls, self.folder) if group.group.tls else None
             members = [member.name for member in group.agent]
             floors = {member.name: member.floor for member in group.agent}
-            self.exchanges = Exchanges(self, members, floors)
+            self.group_view = GroupView(self, members, floors)
             self.peers = [
-                Peer(self.exchanges, member.name, address(member.address), token, tls)
+                PeerLink(self.group_view, member.name, address(member.address), token, tls)
                 for member in group.agent
                 if member.name != self.name
             ]
-        self.keeper: Keeper | None = None
-        self.conductor: Conductor | None = None
+        self.consensus_member: ConsensusMember | None = None
+        self.plan_coordinator: PlanCoordinator | None = None
         if file.agent.group and group.budget is not None:
             rank = members.index(self.name) if self.name in members else len(members)
-            self.keeper = Keeper(self, group.budget, group.voters(), random.Random(rng.random()), rank)
-            self.conductor = Conductor(self, self.keeper, members, random.Random(rng.random()))
-        self.lending = Lending(file.lend.workers)
+            self.consensus_member = ConsensusMember(
+                self, group.budget, group.voters(), random.Random(rng.random()), rank
+            )
+            self.plan_coordinator = PlanCoordinator(self, self.consensus_member, members, random.Random(rng.random()))
+        self.worker_leasing = WorkerLeasing(file.lend.workers)
         self._api = Api(self)
         self._tasks: set[asyncio.Task[None]] = set()
         self._timer: asyncio.TimerHandle | None = None
@@ -129,15 +136,15 @@
     async def start(self) -> None:
         host, port = address(self.file.agent.listen)
         self.port = await self._api.server.listen_tcp(host, port, self._tls)
-        for charge in self.charges.values():
+        for charge in self.limiters.values():
             charge.begin()
         for peer in self.peers:
             peer.start()
-        if self.keeper is not None:
-            self.keeper.start()
-        if self.conductor is not None:
-            self.conductor.start()
-        self.task(self._release())
+        if self.consensus_member is not None:
+            self.consensus_member.start()
+        if self.plan_coordinator is not None:
+            self.plan_coordinator.start()
+        self.start_task(self._release())
         self._retire()
         log.info("agent listens", agent=self.name, address=f"{host}:{self.port}")
 
@@ -146,23 +153,23 @@
         others, and by the limiters that ran on."""
         try:
             async with asyncio.timeout(LEARN_WITHIN):
-                tried = [charge.link.tried.wait() for charge in self.charges.values()]
+                tried = [charge.link.tried.wait() for charge in self.limiters.values()]
                 await asyncio.gather(*tried, *(peer.met.wait() for peer in self.peers))
         except TimeoutError:
             away = [peer.name for peer in self.peers if not peer.met.is_set()]
             log.warning("limiters start without word from others", agent=self.name, others=away or ["all sockets"])
-        if self.conductor is not None:
+        if self.plan_coordinator is not None:
             try:
-                self.conductor.catch_up()
+                self.plan_coordinator.catch_up()
             except StoreError as error:  # a full disk must keep no limiter from starting as it last ran
                 self.store_failed(error)
-        for charge in self.charges.values():
+        for charge in self.limiters.values():
             charge.release()
 
     def _retire(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(RETIRE_EVERY, self._retire)
-        states = [c.link.state for c in self.charges.values() if c.link.state is not None]
-        if len(states) < len(self.charges):
+        states = [c.link.state for c in self.limiters.values() if c.link.state is not None]
+        if len(states) < len(self.limiters):
             return  # one that does not answer may know the box still
         held = Records(self.records)
         present = [box.uid for state in states for box in state.boxes]
@@ -181,20 +188,20 @@
             self._timer.cancel()
         for task in list(self._tasks):
             task.cancel()
-        if self.conductor is not None:
-            self.conductor.close()
-        if self.keeper is not None:
-            self.keeper.close()
+        if self.plan_coordinator is not None:
+            self.plan_coordinator.close()
+        if self.consensus_member is not None:
+            self.consensus_member.close()
         for peer in self.peers:
             peer.close()
-        for charge in self.charges.values():
+        for charge in self.limiters.values():
             charge.close()
         self._api.server.close()
-        self.lending.close()
+        self.worker_leasing.close()
         self.store.close()
         self._host.unlock(self._lock)
 
-    def task(self, work: object) -> None:
+    def start_task(self, work: object) -> None:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -205,7 +212,7 @@
         self.store_error = f"the store fails: {error}"
         log.error("store trouble", agent=self.name, error=self.store_error)
 
-    def keep(self, records: list[Record], line: f.AuditLine, ours: bool = True) -> int:
+    def commit_records(self, records: list[Record], line: f.AuditLine, ours: bool = True) -> int:
         """In the store first; then in force here and, where it is `ours`, on the way to all. Raises `StoreError`, and
         then nothing has happened."""
         try:
@@ -215,14 +222,14 @@
             raise
         self.store_error = ""
         self.records.merge(records)
-        for charge in self.charges.values():
+        for charge in self.limiters.values():
             charge.write_boot()
             charge.link.kick()
         if ours:
-            self.spread()
+            self.notify_peers()
         return number
 
-    def learn(self, records: Iterable[Record], via: str) -> None:
+    def merge_records(self, records: Iterable[Record], via: str) -> None:
         """Takes what others hold and we lack. What cannot be kept is not taken: it is offered again."""
         news = [record for record in records if self.records.weigh(record) is Offer.TAKEN]
         if not news:
@@ -231,63 +238,63 @@
         try:
             # whoever made it has told all; who hears of it at second hand tells with its next word, or each record
             # would cost a group as many words as it has pairs
-            self.keep(news, line, ours=not via.startswith("agent "))
+            self.commit_records(news, line, ours=not via.startswith("agent "))
         except StoreError:
             return
         log.info("records learnt", agent=self.name, via=via, records=_targets(news))
 
     def _given_back(self, limiter: str, records: tuple[Record, ...]) -> None:
         """A limiter gives back what a lost store lacks."""
-        self.learn(records, f"limiter {limiter}")
+        self.merge_records(records, f"limiter {limiter}")
 
-    def make(self, record: Record, what: str) -> None:
-        self.keep([record], f.AuditLine(unix_ms(), self.name, "agent", what, record.generation, "under way"))
+    def commit_record(self, record: Record, what: str) -> None:
+        self.commit_records([record], f.AuditLine(unix_ms(), self.name, "agent", what, record.generation, "under way"))
 
     async def progressed(self, progress: f.Progress) -> f.Progressed:
         records = [r for kind, target in progress.targets if (r := self.records.get(kind, target))]
-        await self.bring(PROGRESS_WITHIN)
+        await self.deliver_records(PROGRESS_WITHIN)
         return f.Progressed(progress.id, self.name, tuple(records), tuple(self.reach(records)))
 
     def inventory(self) -> Inventory:
-        return self.exchanges.inventory()
+        return self.group_view.inventory()
 
-    def floors(self) -> list[tuple[str, str]]:
-        return self.exchanges.floors()
+    def limiter_zones(self) -> list[tuple[str, str]]:
+        return self.group_view.limiter_zones()
 
-    def agent_floors(self) -> list[tuple[str, str]]:
-        return self.exchanges.agent_floors()
+    def agent_zones(self) -> list[tuple[str, str]]:
+        return self.group_view.agent_zones()
 
-    def heard_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
-        return self.exchanges.heard_briefs()
+    def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
+        return self.group_view.peer_limiter_briefs()
 
     def usable(self, names: Iterable[str]) -> set[str]:
-        return self.exchanges.usable(names)
+        return self.group_view.usable(names)
 
-    def spread(self) -> None:
+    def notify_peers(self) -> None:
         for peer in self.peers:
             peer.kick()
 
-    def tell(self, name: str) -> None:
+    def notify_peer(self, name: str) -> None:
         for peer in self.peers:
             if peer.name == name:
                 peer.kick()
 
-    def note(self, who: str, role: str, what: str, outcome: str) -> None:
+    def audit(self, who: str, role: str, what: str, outcome: str) -> None:
         """In the audit. Raises `StoreError`."""
         self.store.keep([], f.AuditLine(unix_ms(), who, role, what, 0, outcome))
 
-    async def bring(self, within: float) -> None:
-        await asyncio.gather(*(charge.link.bring(within) for charge in self.charges.values()))
+    async def deliver_records(self, within: float) -> None:
+        await asyncio.gather(*(charge.link.bring(within) for charge in self.limiters.values()))
 
     def reach(self, records: list[Record]) -> list[f.Reach]:
-        return [reach for charge in self.charges.values() for reach in charge.reach(records)]
+        return [reach for charge in self.limiters.values() for reach in charge.reach(records)]
 
 
 def _targets(records: Iterable[Record]) -> str:
     return ", ".join(f"{r.kind} {r.target} (generation {r.generation})" for r in records)
 
 
-class Beside(Protocol):
+class CompanionService(Protocol):
     """What runs in the agent's process beside it."""
 
     async def start(self) -> None: ...
@@ -297,16 +304,16 @@
 
 async def serve(
     path: Path,
-    beside: Callable[[Agent], Beside | None] = lambda agent: None,
+    beside: Callable[[Agent], CompanionService | None] = lambda agent: None,
     host: Host | None = None,
-    basis: Basis | None = None,
+    basis: LauncherLink | None = None,
 ) -> None:
     """Runs the agent of that file on `host` until SIGTERM or SIGINT, under `basis` or the base that started it, if any.
     Raises `FileError`, `StoreError`, `OSError`."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    if basis is None and (basis := Basis.of(os.environ)) is not None:
+    if basis is None and (basis := LauncherLink.of(os.environ)) is not None:
         basis.watch(stop.set)
     agent = Agent(path, read_agent(path), random.Random(), host, basis)
     try:
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -30,7 +30,7 @@
 log = logs.get(__name__)
 
 
-class Visitor:
+class Session:
     """Who is on a connection, and how many of its requests are in work."""
 
     def __init__(self) -> None:
@@ -43,13 +43,13 @@
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
         bounds = Bounds(f.LONGEST, f.LONGEST_HELLO, CONNECTIONS)
-        self.server: FrameServer[Visitor] = FrameServer(bounds, Visitor, self._handle, self._broken)
+        self.server: FrameServer[Session] = FrameServer(bounds, Session, self._handle, self._broken)
 
     @staticmethod
     def _broken(text: str) -> bytes:
         return f.encode(f.Refused("bad-message", text))
 
-    def _handle(self, connection: Connection[Visitor], body: bytes) -> None:
+    def _handle(self, connection: Connection[Session], body: bytes) -> None:
         visitor = connection.visitor
         try:
             message = f.to_agent(body)
@@ -67,9 +67,9 @@
             text = f"{MOST_PENDING} requests are in work on this connection"
             return connection.say(f.encode(f.Refused("too-many", text, message.id)))
         visitor.pending += 1
-        self._agent.task(self._serve(connection, visitor, visitor.identity, message))
+        self._agent.start_task(self._serve(connection, visitor, visitor.identity, message))
 
-    def _hello(self, visitor: Visitor, hello: f.Hello) -> f.Message:
+    def _hello(self, visitor: Session, hello: f.Hello) -> f.Message:
         if f.VERSION not in hello.versions:
             told = ", ".join(map(str, hello.versions)) or "none"
             return f.Refused("version", f"version {told} is not known; this agent speaks {f.VERSION}")
@@ -81,7 +81,7 @@
         return f.Welcome(f.VERSION, self._agent.name, identity.name, identity.role, self._agent.epoch())
 
     async def _serve(
-        self, connection: Connection[Visitor], visitor: Visitor, who: Identity, message: f.ToAgent
+        self, connection: Connection[Session], visitor: Session, who: Identity, message: f.ToAgent
     ) -> None:
         try:
             answer = await self._answer(who, message)
@@ -102,19 +102,19 @@
         match message:
             case f.Show():
                 return await self._show(message)
-            case f.Intend():
+            case f.SubmitIntents():
                 return await self._intend(who, message)
             case f.Progress():
                 return await self._agent.progressed(message)
             case f.Order():
                 return self._order(who, message)
             case f.Exchange():
-                return self._agent.exchanges.exchanged(message)
-            case f.Lend():
+                return self._agent.group_view.answer_exchange(message)
+            case f.LeaseWorker():
                 return await self._lend(who, message)
-            case f.Ask() | f.Prepare() | f.Accept() | f.Recall() | f.Standing():
+            case f.RequestPermits() | f.Prepare() | f.Accept() | f.Recall() | f.ShowBudget():
                 return await self._agreed(who, message)
-            case f.Begin() | f.Steer() | f.Plans():
+            case f.BeginPlan() | f.SteerPlan() | f.ListPlans():
                 return await self._planned(who, message)
             case f.Audit():
                 lines = self._agent.store.audit(max(0, min(message.most, 1000)))
@@ -122,12 +122,14 @@
             case _:
                 return f.Refused("bad-message", "hello comes once")
 
-    async def _agreed(self, who: Identity, message: f.Ask | f.Prepare | f.Accept | f.Recall | f.Standing) -> f.Message:
-        keeper = self._agent.keeper
+    async def _agreed(
+        self, who: Identity, message: f.RequestPermits | f.Prepare | f.Accept | f.Recall | f.ShowBudget
+    ) -> f.Message:
+        keeper = self._agent.consensus_member
         if keeper is None:
             return f.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
         match message:
-            case f.Ask():
+            case f.RequestPermits():
                 granted = await keeper.ask(message, who.name, unix_ms())
                 targets = ", ".join(f"{kind} {target}" for kind, target in message.targets)
                 text = f"{granted.outcome}: {'; '.join(granted.reasons)}" if granted.reasons else granted.outcome
@@ -140,47 +142,47 @@
                 return keeper.accepted(message)
             case f.Recall():
                 return keeper.recalled(message)
-            case f.Standing():
+            case f.ShowBudget():
                 return keeper.stood(message)
 
-    async def _planned(self, who: Identity, message: f.Begin | f.Steer | f.Plans) -> f.Message:
-        conductor, audited = self._agent.conductor, self._agent.note
+    async def _planned(self, who: Identity, message: f.BeginPlan | f.SteerPlan | f.ListPlans) -> f.Message:
+        conductor, audited = self._agent.plan_coordinator, self._agent.audit
         if conductor is None:
             return f.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
         match message:
-            case f.Begin():
+            case f.BeginPlan():
                 begun = await conductor.begin(message, who.name, unix_ms())
                 if not message.dry:
                     what = f"begins {message.kind} {message.origin[:8]} {message.version}".rstrip()
                     audited(who.name, who.role, what, "; ".join((begun.outcome, *begun.reasons))[:400])
                 return begun
-            case f.Steer():
+            case f.SteerPlan():
                 steered = await conductor.steer(message, who.name)
                 outcome = "; ".join((steered.outcome, *steered.reasons))[:400]
                 audited(who.name, who.role, f"{message.action} {message.plan[:8]} {message.reason}".rstrip(), outcome)
                 return steered
-            case f.Plans():
+            case f.ListPlans():
                 return conductor.planned(message)
 
     async def _show(self, show: f.Show) -> f.Message:
         agent = self._agent
         accounts = max(0, min(show.accounts, MOST_ACCOUNTS))
         within = max(0.0, min(show.within_ms / 1000.0, MOST_WITHIN))
-        await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.charges.values()))
+        await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.limiters.values()))
         return f.Shown(
             show.id,
             agent.name,
             build(),
             agent.epoch(),
-            now_ms() - agent.started,
+            now_ms() - agent.started_at_ms,
             agent.store_error,
-            tuple(c.status() for c in agent.charges.values()),
+            tuple(c.status() for c in agent.limiters.values()),
             tuple(agent.records),
-            agent.exchanges.membership.view(now_ms()),
+            agent.group_view.membership.view(now_ms()),
         )
 
-    async def _intend(self, who: Identity, intend: f.Intend) -> f.Message:
-        self._agent.learn(intend.known, f"{who.name}'s command")
+    async def _intend(self, who: Identity, intend: f.SubmitIntents) -> f.Message:
+        self._agent.merge_records(intend.known, f"{who.name}'s command")
         now = unix_ms()
         decisions = [self._decide(wish, intend, who.name, now) for wish in intend.wishes]
         made = [d.record for d in decisions if d.outcome == "made" and d.record is not None]
@@ -190,31 +192,35 @@
         number = 0
         if news:
             what = "; ".join(f"{'drain' if r.drained else 'undrain'} {r.kind} {r.target}" for r in news)
-            if self._agent.keeper is not None and intend.force and any(record.drained for record in news):
+            if self._agent.consensus_member is not None and intend.force and any(record.drained for record in news):
                 what = f"forced without a permit: {what}"
             generation = max(record.generation for record in news)
-            number = self._agent.keep(news, f.AuditLine(now, who.name, who.role, what, generation, "under way"))
+            number = self._agent.commit_records(
+                news, f.AuditLine(now, who.name, who.role, what, generation, "under way")
+            )
         concerned = [d.record for d in decisions if d.record is not None and d.outcome in ("made", "joined")]
-        await self._agent.bring(max(0.0, min(intend.within_ms / 1000.0, MOST_WITHIN)))
+        await self._agent.deliver_records(max(0.0, min(intend.within_ms / 1000.0, MOST_WITHIN)))
         reach = self._agent.reach(concerned)
         if number:
             try:
                 self._agent.store.reached(number, _reached(reach))
             except StoreError as error:
                 self._agent.store_failed(error)
-        return f.Intended(intend.id, self._agent.name, tuple(decisions), tuple(reach))
+        return f.IntentsAnswer(intend.id, self._agent.name, tuple(decisions), tuple(reach))
 
-    def _decide(self, wish: f.Wish, intend: f.Intend, by: str, now: float) -> f.Decision:
+    def _decide(self, wish: f.DrainIntent, intend: f.SubmitIntents, by: str, now: float) -> f.Decision:
         decision = decide(self._agent.records, wish, intend, by, now)
-        if self._agent.keeper is None or intend.force or not wish.drained or decision.outcome != "made":
+        if self._agent.consensus_member is None or intend.force or not wish.drained or decision.outcome != "made":
             return decision
         if decision.record is not None and self._agent.records.weigh(decision.record) is Offer.KNOWN:
             return decision  # asked again for what was made
-        why = self._agent.keeper.allows(intend.permits, (wish.kind, wish.target), intend.origin, intend.generation)
+        why = self._agent.consensus_member.allows(
+            intend.permits, (wish.kind, wish.target), intend.origin, intend.generation
+        )
         return f.Decision("refused", None, why) if why else decision
 
     def _order(self, who: Identity, order: f.Order) -> f.Message:
-        charge = self._agent.charges.get(order.limiter)
+        charge = self._agent.limiters.get(order.limiter)
         if charge is None:
             return f.Refused("unknown-limiter", f"{self._agent.name} has no limiter {order.limiter}", order.id)
         line = f.AuditLine(unix_ms(), who.name, who.role, f"{order.action} {order.limiter}", 0, "")
@@ -226,14 +232,14 @@
         self._agent.store.reached(number, text)
         return f.Ordered(order.id, self._agent.name, after, text)
 
-    async def _lend(self, who: Identity, lend: f.Lend) -> f.Message:
-        lending = self._agent.lending
+    async def _lend(self, who: Identity, lend: f.LeaseWorker) -> f.Message:
+        lending = self._agent.worker_leasing
         if lending.begins(lend.job):
             if refused := lending.refusal():
                 return f.Refused("not-lent", refused, lend.id)
-            self._agent.note(who.name, who.role, f"lent a worker: {lend.job}", "")
+            self._agent.audit(who.name, who.role, f"lent a worker: {lend.job}", "")
         taken, first, frames, ended = await lending.talk(lend.job, lend.first, lend.frames, lend.have, lend.end)
-        return f.Lent(lend.id, self._agent.name, taken, first, frames, ended)
+        return f.WorkerLeased(lend.id, self._agent.name, taken, first, frames, ended)
 
 
 def _id(message: f.ToAgent) -> int:
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -26,7 +26,7 @@
     return time.time() * 1000.0
 
 
-class Exchanges:
+class GroupView:
     def __init__(self, agent: Agent, members: Iterable[str], floors: Mapping[str, str]) -> None:
         """`floors`: of each agent's machine."""
         self._agent, self.membership, self._floors = agent, Membership(agent.name, members), floors
@@ -42,9 +42,11 @@
 
     def inventory(self) -> Inventory:
         """What this agent knows of the group, as the budget counts it."""
-        states = [c.link.state for c in self._agent.charges.values() if c.link.standing == "answering" and c.link.state]
+        states = [
+            c.link.state for c in self._agent.limiters.values() if c.link.standing == "answering" and c.link.state
+        ]
         here = self._floors.get(self._agent.name, "")
-        known = [Known(name, here, charge.why_out()) for name, charge in self._agent.charges.items()]
+        known = [Known(name, here, charge.why_out()) for name, charge in self._agent.limiters.items()]
         drained, unheard = self._agent.records.drained("limiter"), []
         for heard in self.membership.view(now_ms()):
             if heard.age_ms < 0:
@@ -61,7 +63,7 @@
         own word, others' by what their agents said last. One that nobody speaks of is not held back."""
         drained = self._agent.records.drained("limiter")
         fit = {name for name in names if name not in drained}
-        for name, charge in self._agent.charges.items():
+        for name, charge in self._agent.limiters.items():
             if charge.link.standing != "answering":
                 fit.discard(name)
         for heard in self.membership.view(now_ms()):
@@ -70,23 +72,23 @@
                     fit.discard(brief.name)
         return fit
 
-    def floors(self) -> list[tuple[str, str]]:
+    def limiter_zones(self) -> list[tuple[str, str]]:
         """All limiters that are known of, with their floors, in the order of their numbers."""
         return [(item.name, item.floor) for item in self.inventory().limiters]
 
-    def agent_floors(self) -> list[tuple[str, str]]:
+    def agent_zones(self) -> list[tuple[str, str]]:
         """All agents of the group's file, with their floors."""
         return list(self._floors.items())
 
-    def heard_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
+    def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
         """Of other agents: whose, how many ms ago, what."""
         return [(h.agent, h.age_ms, brief) for h in self.membership.view(now_ms()) for brief in h.limiters]
 
     # Words
 
-    def word(self, number: int, with_records: bool, told: f.Exchange | None = None) -> f.Exchange:
+    def compose_exchange(self, number: int, with_records: bool, told: f.Exchange | None = None) -> f.Exchange:
         """To another agent, which last said `told`: of the ledger and of others it gets what it lacks."""
-        agent, keeper, conductor = self._agent, self._agent.keeper, self._agent.conductor
+        agent, keeper, conductor = self._agent, self._agent.consensus_member, self._agent.plan_coordinator
         self._sequence += 1
         view = self.membership.view(now_ms())
         lacks = told.lacks if told is not None else None
@@ -97,29 +99,29 @@
             agent.name,
             agent.epoch(),
             self._sequence,
-            tuple(charge.brief(agent.records) for charge in agent.charges.values()),
+            tuple(charge.brief(agent.records) for charge in agent.limiters.values()),
             agent.records.digest(),
             tuple(agent.records) if with_records else (),
             view if lacks is None else tuple(heard for heard in view if heard.agent in lacks),
-            keeper.told() if keeper is not None and newer else b"",
+            keeper.encoded_ledger() if keeper is not None and newer else b"",
             version,
-            self.membership.lacking(now_ms(), LACKED_AFTER),
-            conductor.told_halts() if conductor is not None else (),
-            agent.renewal.brief(),
+            self.membership.without_news(now_ms(), LACKED_AFTER),
+            conductor.halts_to_send() if conductor is not None else (),
+            agent.agent_release.brief(),
         )
 
-    def heard(self, exchange: f.Exchange) -> None:
+    def apply_exchange(self, exchange: f.Exchange) -> None:
         now = now_ms()
-        self.membership.heard(exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now)
-        self.membership.relayed(exchange.heard, exchange.agent, now)
-        self._agent.renewal.heard(exchange.agent, exchange.itself)
-        if self._agent.keeper is not None and exchange.ledger:
-            self._agent.keeper.heard(exchange.ledger)
-        if self._agent.conductor is not None and exchange.halts:
-            self._agent.conductor.heard_halts(exchange.halts)
-        self._agent.learn(exchange.records, f"agent {exchange.agent}")
-
-    def exchanged(self, exchange: f.Exchange) -> f.Message:
+        self.membership.record_direct(exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now)
+        self.membership.record_relayed(exchange.heard, exchange.agent, now)
+        self._agent.agent_release.record_peer(exchange.agent, exchange.itself)
+        if self._agent.consensus_member is not None and exchange.ledger:
+            self._agent.consensus_member.record_ledger(exchange.ledger)
+        if self._agent.plan_coordinator is not None and exchange.halts:
+            self._agent.plan_coordinator.record_halts(exchange.halts)
+        self._agent.merge_records(exchange.records, f"agent {exchange.agent}")
+
+    def answer_exchange(self, exchange: f.Exchange) -> f.Message:
         differs = exchange.digest != self._agent.records.digest()
-        self.heard(exchange)
-        return self.word(exchange.id, differs, exchange)
+        self.apply_exchange(exchange)
+        return self.compose_exchange(exchange.id, differs, exchange)
--- a/elderlock/fleet/agent/worker_leasing.py
+++ b/elderlock/fleet/agent/worker_leasing.py
@@ -22,7 +22,7 @@
 log = logs.get(__name__)
 
 
-class _Lent:
+class _LeasedWorker:
     def __init__(self, job: str) -> None:
         self.job = job
         self.process: asyncio.subprocess.Process | None = None
@@ -100,12 +100,12 @@
                 return
 
 
-class Lending:
+class WorkerLeasing:
     """`most` workers at once, each held under the name of its job."""
 
     def __init__(self, most: int) -> None:
         self._most = most
-        self._lent: dict[str, _Lent] = {}
+        self._lent: dict[str, _LeasedWorker] = {}
 
     def begins(self, job: str) -> bool:
         return job not in self._lent
@@ -125,7 +125,7 @@
         frame, the frames, and how it ended, once all is confirmed."""
         lent = self._lent.get(job)
         if lent is None:
-            lent = self._lent[job] = _Lent(job)
+            lent = self._lent[job] = _LeasedWorker(job)
             await lent.start()
         if lent.lease is not None:
             lent.lease.cancel()
@@ -138,11 +138,11 @@
             self._drop(lent)
         return answer
 
-    def _lapse(self, lent: _Lent) -> None:
+    def _lapse(self, lent: _LeasedWorker) -> None:
         log.warning("lent worker ended: nobody asks after it", job=lent.job)
         self._drop(lent)
 
-    def _drop(self, lent: _Lent) -> None:
+    def _drop(self, lent: _LeasedWorker) -> None:
         if lent.lease is not None:
             lent.lease.cancel()
         lent.kill()
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -15,7 +15,7 @@
 from elderlock.fleet.client.answers import Refusal, why
 from elderlock.fleet.client.drain_plan import Plan, plan_boxes, plan_limiters, summed
 from elderlock.fleet.client.group_client import Group
-from elderlock.fleet.client.observation import Seen, seen_of
+from elderlock.fleet.client.observation import GroupObservation, observe
 from elderlock.fleet.client.report import Account, Exit
 from elderlock.rollout.plans import Terms
 
@@ -27,10 +27,12 @@
 AGAIN_EVERY = 0.2  # s between looks at how far it came
 
 
-async def see(group: Group, accounts: int = 20, within: float = SEE_WITHIN, fresh_within: float = FRESH_WITHIN) -> Seen:
+async def see(
+    group: Group, accounts: int = 20, within: float = SEE_WITHIN, fresh_within: float = FRESH_WITHIN
+) -> GroupObservation:
     """`within` s for each agent; `fresh_within` ms that an agent waits for its limiters, whose last word
     from up to two seconds ago it shows else."""
-    return seen_of(await group.ask_all(lambda id: f.Show(id, accounts, fresh_within), f.Shown, within))
+    return observe(await group.ask_all(lambda id: f.Show(id, accounts, fresh_within), f.Shown, within))
 
 
 class Order(msgspec.Struct, frozen=True):
@@ -104,7 +106,7 @@
     return Exit.PART if Exit.DONE in outcomes else Exit.NOTHING
 
 
-def _plan(seen: Seen, order: Order) -> tuple[Plan | None, tuple[str, ...], tuple[tuple[str, ...], ...]]:
+def _plan(seen: GroupObservation, order: Order) -> tuple[Plan | None, tuple[str, ...], tuple[tuple[str, ...], ...]]:
     if not order.drained:
         return None, (), (order.targets,)
     if order.kind == "limiter":
@@ -116,7 +118,7 @@
     return plan, plan.unsafe, ((rest,) if rest else ()) + plan.steps
 
 
-def box_steps(seen: Seen, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
+def box_steps(seen: GroupObservation, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
     """The steps in which these boxes would go, as the group is seen."""
     return _plan(seen, Order("box", tuple(targets), True))[2]
 
@@ -132,14 +134,14 @@
     """A drain of several steps is the group's to carry out: the tool begins it and looks on."""
     make = operate_plans.begin(os.urandom(16).hex(), "drain", "", order.targets, steps, Terms(pause=0.0), order.reason)
     left = None if ends is None else max(0.0, ends - asyncio.get_running_loop().time())
-    begun = await operate_plans.ask_any(group, make, f.Begun, left)
+    begun = await operate_plans.ask_any(group, make, f.BeginAnswer, left)
     if begun.plan is None or begun.exit is not Exit.DONE:
         return Result(begun.exit, plan, (), [], begun.lines)
     answer = await operate_plans.watch(group, begun.plan.id, order.deadline, planned, left)
     return Result(answer.exit, plan, (), [], answer.lines)
 
 
-def _unknown(seen: Seen, order: Order, plan: Plan | None) -> list[str]:
+def _unknown(seen: GroupObservation, order: Order, plan: Plan | None) -> list[str]:
     if order.kind == "limiter":
         known = {name for names in seen.limiters().values() for name in names}
     else:
@@ -149,7 +151,7 @@
 
 
 async def _permitted(
-    group: Group, order: Order, targets: Sequence[str], seen: Seen, ends: float | None
+    group: Group, order: Order, targets: Sequence[str], seen: GroupObservation, ends: float | None
 ) -> tuple[Account, list[str]]:
     """The account of a step, with its permits where the group has a budget; or why there are none. Any agent may be
     asked: one that was asked and did not answer may have granted them, and the next one finds them by the origin."""
@@ -159,34 +161,34 @@
     wanted = tuple((order.kind, target) for target in targets if target not in drained)
     if not group.budget or not order.drained or order.force or not wanted:
         return account, []
-    ask = lambda id: f.Ask(id, account.origin, wanted, order.reason, seen.records.generation())  # noqa: E731
+    ask = lambda id: f.RequestPermits(id, account.origin, wanted, order.reason, seen.records.generation())  # noqa: E731
     loop, said = asyncio.get_running_loop(), ["no agent answers"]
     while True:
         for name in random.sample(list(seen.shown), len(seen.shown)):
-            answer = await group.ask(name, ask, f.Granted, PERMIT_WITHIN)
-            if isinstance(answer, f.Granted) and answer.outcome == "granted":
+            answer = await group.ask(name, ask, f.PermitsAnswer, PERMIT_WITHIN)
+            if isinstance(answer, f.PermitsAnswer) and answer.outcome == "granted":
                 account.permits = answer.permits
                 return account, []
-            if isinstance(answer, f.Granted) and answer.outcome == "refused":
+            if isinstance(answer, f.PermitsAnswer) and answer.outcome == "refused":
                 return account, [f"no permit: {reason}" for reason in answer.reasons]
-            said = list(answer.reasons) if isinstance(answer, f.Granted) else [f"agent {name}: {why(answer)}"]
+            said = list(answer.reasons) if isinstance(answer, f.PermitsAnswer) else [f"agent {name}: {why(answer)}"]
         if ends is None or loop.time() >= ends:
             return account, [f"no permit: {text}" for text in said]
         await asyncio.sleep(AGAIN_EVERY)
 
 
 async def _step(
-    group: Group, order: Order, account: Account, seen: Seen, ends: float | None, title: str, told: Told
+    group: Group, order: Order, account: Account, seen: GroupObservation, ends: float | None, title: str, told: Told
 ) -> Account:
     loop = asyncio.get_running_loop()
     keys = list(account.wanted)
     held = {key: seen.records.get(*key) for key in keys}
-    wishes = tuple(f.Wish(order.kind, key[1], order.drained, _expect(order, held[key])) for key in keys)
+    wishes = tuple(f.DrainIntent(order.kind, key[1], order.drained, _expect(order, held[key])) for key in keys)
     known = tuple(record for record in held.values() if record is not None)
     generation = max((permit.generation for permit in account.permits), default=seen.records.generation() + 1)
 
     def intend(id: int) -> f.Message:
-        return f.Intend(
+        return f.SubmitIntents(
             id, account.origin, generation, wishes, known, order.reason, LIMITERS_WITHIN, account.permits, order.force
         )
 
@@ -194,7 +196,7 @@
     while True:
         asked = sorted(pending)
         intended, progressed = await asyncio.gather(
-            group.ask_all(intend, f.Intended, order.deadline, asked),
+            group.ask_all(intend, f.IntentsAnswer, order.deadline, asked),
             group.ask_all(
                 lambda id: f.Progress(id, tuple((order.kind, key[1]) for key in keys)),
                 f.Progressed,
@@ -204,7 +206,7 @@
         )
         for name, answer in intended.items():
             account.answered(name, answer)
-            if isinstance(answer, f.Intended) or (isinstance(answer, Refusal) and answer.code in FINAL):
+            if isinstance(answer, f.IntentsAnswer) or (isinstance(answer, Refusal) and answer.code in FINAL):
                 pending.discard(name)
         for name, progress in progressed.items():
             if name in account.decisions or isinstance(progress, f.Progressed):
--- a/elderlock/fleet/client/explanation.py
+++ b/elderlock/fleet/client/explanation.py
@@ -8,10 +8,10 @@
 
 from elderlock.control.messages import Box, Health, State
 from elderlock.control.records import Record
-from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.observation import GroupObservation
 
 
-class Word(msgspec.Struct, frozen=True):
+class LimiterStatement(msgspec.Struct, frozen=True):
     """What one limiter says of a box. `why` is empty where it is used as any other; `since_ms` is how long it has been
     out, -1 where that is not known. `listed` is False where its list does not name the box."""
 
@@ -28,7 +28,7 @@
         return self.listed and not self.why
 
 
-class Explained(msgspec.Struct, frozen=True):
+class Explanation(msgspec.Struct, frozen=True):
     """`record` is the newest drain or undrain of an operator. `silent`: limiters and agents that say nothing."""
 
     box: str
@@ -36,7 +36,7 @@
     kind: str
     weight: float
     record: Record | None
-    words: tuple[Word, ...]
+    words: tuple[LimiterStatement, ...]
     silent: tuple[str, ...]
 
     @property
@@ -61,7 +61,7 @@
         return lines
 
 
-def explain(seen: Seen, uid: str, now: float) -> Explained:
+def explain(seen: GroupObservation, uid: str, now: float) -> Explanation:
     """`now` Unix ms."""
     record = seen.records.get("box", uid)
     words, first = [], None
@@ -72,7 +72,7 @@
     told = {state.limiter for state in seen.states()}
     silent = [name for names in seen.limiters().values() for name in names if name not in told]
     silent += [f"agent {name}" for name in seen.missing]
-    return Explained(
+    return Explanation(
         uid,
         first.floor if first else "",
         first.kind if first else "",
@@ -83,15 +83,15 @@
     )
 
 
-def _word(state: State, box: Box | None, record: Record | None, now: float) -> Word:
+def _word(state: State, box: Box | None, record: Record | None, now: float) -> LimiterStatement:
     if box is None:
-        return Word(state.limiter, False, "", -1.0, 0, -1.0, None)
+        return LimiterStatement(state.limiter, False, "", -1.0, 0, -1.0, None)
     since = -1.0
     if box.drained_by and record is not None and record.generation == box.generation:
         since = max(0.0, now - record.at)
     elif box.health is not None:
         since = box.health.left_out_ms
-    return Word(state.limiter, True, box.left_out, since, box.out, box.latency_ms, box.health)
+    return LimiterStatement(state.limiter, True, box.left_out, since, box.out, box.latency_ms, box.health)
 
 
 class Entry(msgspec.Struct, frozen=True):
--- a/elderlock/fleet/client/observation.py
+++ b/elderlock/fleet/client/observation.py
@@ -10,13 +10,13 @@
 from elderlock.fleet.client.answers import Missing, Refusal
 
 
-class Seen(msgspec.Struct, frozen=True):
+class GroupObservation(msgspec.Struct, frozen=True):
     """The group as its agents told it at one moment."""
 
     shown: dict[str, f.Shown]
     missing: dict[str, Missing | Refusal]
     records: Records
-    heard: dict[str, f.Heard]  # of agents that did not answer: the newest that others heard
+    heard: dict[str, f.AgentObservation]  # of agents that did not answer: the newest that others heard
 
     def states(self) -> list[State]:
         """What limiters say of themselves, fresh ones alone."""
@@ -38,11 +38,11 @@
         return [state.limiter for state in self.states() if state.ready and not state.drained]
 
 
-def seen_of(answers: dict[str, f.Shown | Missing | Refusal]) -> Seen:
+def observe(answers: dict[str, f.Shown | Missing | Refusal]) -> GroupObservation:
     shown = {name: a for name, a in answers.items() if isinstance(a, f.Shown)}
     missing = {name: a for name, a in answers.items() if not isinstance(a, f.Shown)}
     records = Records(record for a in shown.values() for record in a.records)
-    heard: dict[str, f.Heard] = {}
+    heard: dict[str, f.AgentObservation] = {}
     for answer in shown.values():
         for each in answer.heard:
             best = heard.get(each.agent)
@@ -53,4 +53,4 @@
             )
             if each.agent in missing and each.age_ms >= 0 and newer:
                 heard[each.agent] = each
-    return Seen(shown, missing, records, heard)
+    return GroupObservation(shown, missing, records, heard)
--- a/elderlock/fleet/client/plan_commands.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -22,11 +22,11 @@
 class Known(msgspec.Struct, frozen=True):
     """What agents know of plans: the one with the newest ledger speaks for all."""
 
-    answers: dict[str, f.Planned]
+    answers: dict[str, f.PlansStatus]
     missing: dict[str, str]  # agent: why it does not say
 
     @property
-    def newest(self) -> f.Planned | None:
+    def newest(self) -> f.PlansStatus | None:
         answers = list(self.answers.values())
         return max(answers, key=lambda each: each.version) if answers else None
 
@@ -52,7 +52,7 @@
         runs = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
         if plan.kind == "agents":
             runs = {
-                name: f.Runs(name, answer.itself.version, answer.itself.version, answer.itself.said)
+                name: f.RunningVersion(name, answer.itself.version, answer.itself.version, answer.itself.said)
                 for name, answer in self.answers.items()
             }
         for unit in sorted(plan.units, key=lambda unit: (unit.wave, unit.target)):
@@ -72,7 +72,7 @@
         return lines
 
 
-def _unit(plan: Plan, unit: Unit, run: f.Runs | None) -> str:
+def _unit(plan: Plan, unit: Unit, run: f.RunningVersion | None) -> str:
     if unit.stage == "waiting":
         return "waits" if unit.aim == "to" else "waits to go back"
     if plan.kind == "drain":
@@ -93,9 +93,9 @@
 
 
 async def known(group: Group, deadline: float) -> Known:
-    answers = await group.ask_all(f.Plans, f.Planned, deadline)
+    answers = await group.ask_all(f.ListPlans, f.PlansStatus, deadline)
     return Known(
-        {name: a for name, a in answers.items() if isinstance(a, f.Planned)},
+        {name: a for name, a in answers.items() if isinstance(a, f.PlansStatus)},
         {name: why(a) for name, a in answers.items() if isinstance(a, Missing | Refusal)},
     )
 
@@ -112,7 +112,10 @@
 
 
 async def ask_any(
-    group: Group, make: Callable[[int], f.Message], answer: type[f.Begun | f.Steered], give_up_after: float | None
+    group: Group,
+    make: Callable[[int], f.Message],
+    answer: type[f.BeginAnswer | f.SteerAnswer],
+    give_up_after: float | None,
 ) -> Answer:
     """Any agent may be asked, and each again under the same origin: one that did not answer may have done it. An agent
     whose side of a cut has no majority is passed over. None of `give_up_after` s tries each agent once."""
@@ -124,12 +127,12 @@
             got: object = await group.ask(name, make, answer, ANSWER_WITHIN)
             if isinstance(got, Missing | Refusal):
                 said = [f"agent {name}: {why(got)}"]
-            elif not isinstance(got, f.Begun | f.Steered):
+            elif not isinstance(got, f.BeginAnswer | f.SteerAnswer):
                 continue
             elif got.outcome == "away":
                 said = [f"agent {name}: {reason}" for reason in got.reasons]
             else:
-                lines = got.lines if isinstance(got, f.Begun) else ()
+                lines = got.lines if isinstance(got, f.BeginAnswer) else ()
                 return Answer(EXITS[got.outcome], got.plan, [*got.reasons, *lines])
         if loop.time() >= ends:
             return Answer(Exit.NOTHING, None, said)
@@ -175,7 +178,7 @@
     dry: bool = False,
 ) -> Callable[[int], f.Message]:
     def make(id: int) -> f.Message:
-        return f.Begin(
+        return f.BeginPlan(
             id,
             origin,
             kind,  # type: ignore[arg-type]
--- a/elderlock/fleet/client/report.py
+++ b/elderlock/fleet/client/report.py
@@ -59,7 +59,7 @@
     known: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)  # limiters by agent, as last heard
     permits: tuple[Permit, ...] = ()  # that its records are made under, where the group has a budget
 
-    def answered(self, agent: str, answer: f.Intended | f.Progressed | Missing | Refusal) -> None:
+    def answered(self, agent: str, answer: f.IntentsAnswer | f.Progressed | Missing | Refusal) -> None:
         if isinstance(answer, Missing | Refusal):
             self.missing[agent] = answer
             if isinstance(answer, Missing) and answer.sent and agent not in self.decisions:
@@ -67,7 +67,7 @@
             return
         self.missing.pop(agent, None)
         self.reach[agent] = answer.reach
-        if isinstance(answer, f.Intended):
+        if isinstance(answer, f.IntentsAnswer):
             self.decisions[agent] = answer.decisions
             records = [d.record for d in answer.decisions if d.record is not None]
         else:
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -20,7 +20,7 @@
 from elderlock.control.records import Key, Record, Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import Store, StoreError
-from elderlock.fleet.group.peer_link import Peer
+from elderlock.fleet.group.peer_link import PeerLink
 from elderlock.rollout import ledger as ledgers
 from elderlock.rollout.budget import Budget, Inventory, spent
 from elderlock.rollout.ledger import Ledger, LedgerError, Permit
@@ -46,17 +46,17 @@
     name: str
     store: Store
     records: Records
-    peers: list[Peer]
+    peers: list[PeerLink]
 
     def epoch(self) -> int: ...
     def inventory(self) -> Inventory: ...
-    def make(self, record: Record, what: str) -> None:
+    def commit_record(self, record: Record, what: str) -> None:
         """Keeps the record and brings it to all. Raises `StoreError`."""
 
     async def progressed(self, progress: f.Progress) -> f.Progressed: ...
 
 
-class Made(NamedTuple):
+class ChangeResult(NamedTuple):
     """What became of a change. `chosen`: a majority holds it; else `reasons` why it was declined, or none where too few
     voters answered."""
 
@@ -68,7 +68,7 @@
 Change = Callable[[Ledger], "Ledger | list[str]"]
 
 
-class Keeper:
+class ConsensusMember:
     """Invariant: `ledger` is one that was chosen, and its version never goes back."""
 
     def __init__(self, owner: Owner, budget: Budget, voters: Sequence[str], rng: random.Random, rank: int = 0) -> None:
@@ -109,7 +109,7 @@
         if ledger.version > self.ledger.version:
             self.ledger = ledger
 
-    def heard(self, value: bytes) -> None:
+    def record_ledger(self, value: bytes) -> None:
         if value == self._read_last:
             return
         try:
@@ -118,7 +118,7 @@
         except LedgerError as error:
             log.error("another agent's ledger is not understood", error=str(error))
 
-    def told(self) -> bytes:
+    def encoded_ledger(self) -> bytes:
         """The newest ledger that is known to be chosen, as others are told of it."""
         if self._told[0] is not self.ledger:
             self._told = (self.ledger, ledgers.encode(self.ledger))
@@ -223,7 +223,7 @@
         self._number = max(self._number, round.greatest.number)
         return round
 
-    async def change(self, change: Change, within: float = CHANGE_WITHIN) -> Made:
+    async def change(self, change: Change, within: float = CHANGE_WITHIN) -> ChangeResult:
         """`change` may be called several times and has to know its own work again. Raises `LedgerError`."""
         ends = time.monotonic() + within
         declined: list[str] = []
@@ -240,7 +240,7 @@
                 round = await self._round(changed, self.voters, self.quorum)
                 if round.phase is Phase.CHOSEN:
                     self._chosen(round.value)
-                    return Made(True, self.ledger)
+                    return ChangeResult(True, self.ledger)
                 if round.phase is Phase.DECLINED:
                     read = ledgers.decode(round.value)
                     if read.version > self.ledger.version:
@@ -250,9 +250,9 @@
                         again = await self._round(lambda value: value, self.voters, self.quorum)
                         if again.phase is Phase.CHOSEN:
                             self._chosen(again.value)
-                    return Made(False, read, tuple(declined))
+                    return ChangeResult(False, read, tuple(declined))
                 if time.monotonic() >= ends:
-                    return Made(False, self.ledger)
+                    return ChangeResult(False, self.ledger)
                 await asyncio.sleep(self._rng.uniform(*AGAIN))
 
     def _chosen(self, value: bytes) -> None:
@@ -267,7 +267,7 @@
         made = await self.change(lambda ledger: [READ_ALONE], READ_WITHIN)
         return made.ledger if made.reasons else None
 
-    async def ask(self, asked: f.Ask, by: str, now: float) -> f.Granted:
+    async def ask(self, asked: f.RequestPermits, by: str, now: float) -> f.PermitsAnswer:
         """For permits; `now` Unix ms."""
         inventory = self._owner.inventory()
         generation = max(asked.generation, self._owner.records.generation())
@@ -279,13 +279,13 @@
                 )
             )
         except LedgerError as error:
-            return f.Granted(asked.id, name, "refused", (), (str(error),))
+            return f.PermitsAnswer(asked.id, name, "refused", (), (str(error),))
         if made.chosen:
-            return f.Granted(asked.id, name, "granted", made.ledger.of(asked.origin))
+            return f.PermitsAnswer(asked.id, name, "granted", made.ledger.of(asked.origin))
         if made.reasons:
             outcome = "away" if inventory.lacking(asked.targets) else "refused"
-            return f.Granted(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
-        return f.Granted(asked.id, name, "away", (), (self.away(),))
+            return f.PermitsAnswer(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
+        return f.PermitsAnswer(asked.id, name, "away", (), (self.away(),))
 
     def allows(self, permits: Sequence[Permit], key: Key, origin: str, generation: int) -> str:
         """Why a drain may not be made; empty where a permit that is in force, as far as is known here, allows it."""
@@ -294,13 +294,15 @@
                 return "" if ledgers.stands(self.ledger, permit) else "its permit was taken back"
         return "no permit: the group has a budget of what may be out (--force goes without)"
 
-    def stood(self, asked: f.Standing) -> f.Stood:
+    def stood(self, asked: f.ShowBudget) -> f.BudgetStatus:
         voting = "yes" if self.voting else self.why if self._owner.name in self.voters else "it is no voter"
         inventory = self._owner.inventory()
         lines = spent(self.budget, inventory, self.ledger.held())
         lines += [inventory.blind] if inventory.blind else []
         lines.append(f"voters: {', '.join(self.voters)}; {self.quorum} have to agree")
-        return f.Stood(asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines))
+        return f.BudgetStatus(
+            asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines)
+        )
 
     # To be let to vote
 
@@ -329,7 +331,7 @@
         except StoreError:
             return False
         self._acceptor, self._remembers = Acceptor(round.ballot, round.ballot, round.value), True
-        self.heard(round.value)
+        self.record_ledger(round.value)
         return True
 
     # Permits that may be given back
@@ -391,7 +393,9 @@
                 time.time() * 1000.0,
                 "its permit was never used",
             )
-            self._owner.make(record, f"took back {permit.kind} {permit.target}: its permit of {permit.by} was not used")
+            self._owner.commit_record(
+                record, f"took back {permit.kind} {permit.target}: its permit of {permit.by} was not used"
+            )
             self._unused.pop(permit, None)
 
     async def _fenced(self, records: Sequence[Record]) -> dict[Key, int]:
--- a/elderlock/fleet/drain_intents.py
+++ b/elderlock/fleet/drain_intents.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 
 from elderlock.control.records import Key, Record, Records
-from elderlock.fleet.messages import Decision, Intend, Reach, Reached, Wish
+from elderlock.fleet.messages import Decision, DrainIntent, Reach, Reached, SubmitIntents
 
 
-def decide(records: Records, wish: Wish, intend: Intend, by: str, now: float) -> Decision:
+def decide(records: Records, wish: DrainIntent, intend: SubmitIntents, by: str, now: float) -> Decision:
     """One record, one outcome: a wish that already holds joins its record, whoever made it; one that acts
     on what was before another's change is stale. Nothing is changed here; `now` is Unix ms."""
     held = records.get(wish.kind, wish.target)
@@ -35,7 +35,7 @@
     return f"{verb} by {record.by} (generation {record.generation})"
 
 
-class Book:
+class ProgressBook:
     """What is known of the records at one limiter: sent there, or told by it to be in force.
 
     A limiter that answers has reached what it names. What was sent and not answered may be in force or
--- a/elderlock/fleet/group/membership.py
+++ b/elderlock/fleet/group/membership.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from elderlock.fleet.messages import Heard, LimiterBrief
+from elderlock.fleet.messages import AgentObservation, LimiterBrief
 
 SUSPECT_AFTER = 3000.0  # ms without a word
 UNREACHABLE_AFTER = 8000.0
@@ -33,13 +33,15 @@
         self._own = own
         self._members = {name: _Member() for name in others if name != own}
 
-    def heard(self, name: str, incarnation: int, sequence: int, limiters: tuple[LimiterBrief, ...], now: float) -> None:
+    def record_direct(
+        self, name: str, incarnation: int, sequence: int, limiters: tuple[LimiterBrief, ...], now: float
+    ) -> None:
         """It spoke itself. A stranger, who is in no group file, is not kept."""
         if (member := self._members.get(name)) is not None:
             member.direct_at = now
         self._news(name, incarnation, sequence, limiters, now, "")
 
-    def relayed(self, heard: Iterable[Heard], via: str, now: float) -> None:
+    def record_relayed(self, heard: Iterable[AgentObservation], via: str, now: float) -> None:
         for each in heard:
             if each.age_ms >= 0 and each.agent != self._own:
                 at = now - each.age_ms
@@ -63,7 +65,7 @@
         member.spoke_at = at if member.spoke_at is None else max(member.spoke_at, at)
         member.via = via
 
-    def lacking(self, now: float, after: float) -> tuple[str, ...]:
+    def without_news(self, now: float, after: float) -> tuple[str, ...]:
         """Of whom others are asked: who has said nothing himself for `after` ms. One whose news came by a longer way
         first is not among them while he speaks: to ask for him made each word carry all others, again and again."""
         return tuple(
@@ -72,13 +74,13 @@
             if member.direct_at is None or now - member.direct_at > after
         )
 
-    def view(self, now: float) -> tuple[Heard, ...]:
+    def view(self, now: float) -> tuple[AgentObservation, ...]:
         return tuple(self._view(name, member, now) for name, member in sorted(self._members.items()))
 
-    def _view(self, name: str, member: _Member, now: float) -> Heard:
+    def _view(self, name: str, member: _Member, now: float) -> AgentObservation:
         age = -1.0 if member.spoke_at is None else now - member.spoke_at
         silent = member.spoke_at is None or age >= UNREACHABLE_AFTER
-        return Heard(
+        return AgentObservation(
             name,
             "unreachable" if silent else "suspect" if age >= SUSPECT_AFTER else "alive",
             member.incarnation,
--- a/elderlock/fleet/group/peer_link.py
+++ b/elderlock/fleet/group/peer_link.py
@@ -19,21 +19,23 @@
 log = logs.get(__name__)
 
 
-class Speaker(Protocol):
+class MessageSource(Protocol):
     """The agent, as a way to another needs it."""
 
     @property
     def name(self) -> str: ...
     @property
     def records(self) -> Records: ...
-    def word(self, number: int, with_records: bool, told: f.Exchange | None = None) -> f.Exchange: ...
-    def heard(self, exchange: f.Exchange) -> None: ...
+    def compose_exchange(self, number: int, with_records: bool, told: f.Exchange | None = None) -> f.Exchange: ...
+    def apply_exchange(self, exchange: f.Exchange) -> None: ...
 
 
-class Peer:
+class PeerLink:
     """The way to one other agent."""
 
-    def __init__(self, agent: Speaker, name: str, at: tuple[str, int], token: str, tls: ssl.SSLContext | None) -> None:
+    def __init__(
+        self, agent: MessageSource, name: str, at: tuple[str, int], token: str, tls: ssl.SSLContext | None
+    ) -> None:
         self._agent, self.name, self._at, self._token, self._tls = agent, name, at, token, tls
         self.met = asyncio.Event()  # it has told us its records
         self._news = asyncio.Event()
@@ -82,13 +84,13 @@
         while True:
             self._news.clear()
             differs = told is None or told.digest != self._agent.records.digest()
-            word = self._agent.word(caller.next_id(), differs, told)
+            word = self._agent.compose_exchange(caller.next_id(), differs, told)
             answer = await caller.ask(word, PEER_WITHIN)
             if not isinstance(answer, f.Exchange) or answer.agent != self.name:
                 log.error("another agent answers at its address", other=self.name)
                 return
             told = answer
-            self._agent.heard(answer)
+            self._agent.apply_exchange(answer)
             if answer.records or answer.digest == self._agent.records.digest():
                 self.met.set()
             try:
--- a/elderlock/fleet/launcher/launcher_link.py
+++ b/elderlock/fleet/launcher/launcher_link.py
@@ -45,13 +45,13 @@
 word_of = msgspec.json.Decoder(Word)
 
 
-class Basis:
+class LauncherLink:
     def __init__(self, started: Started, out: BinaryIO) -> None:
         self.held, self.starts = started.held, started.starts
         self._out, self._ready = out, False
 
     @classmethod
-    def of(cls, environ: MutableMapping[str, str]) -> Basis | None:
+    def of(cls, environ: MutableMapping[str, str]) -> LauncherLink | None:
         """None where no base started this process. What it starts itself must not take the base for its own, nor write
         to the base: the variable is taken out, and the standard output is given to the log."""
         text = environ.get(ENVIRON, "")
--- a/elderlock/fleet/messages/codec.py
+++ b/elderlock/fleet/messages/codec.py
@@ -8,47 +8,57 @@
 
 from elderlock.fleet.messages.audit import Audit, Audited
 from elderlock.fleet.messages.base import Hello, Message, Refused, Welcome
-from elderlock.fleet.messages.consensus import Accept, Ask, Granted, Prepare, Recall, Recalled, Standing, Stood, Voted
-from elderlock.fleet.messages.drains import Intend, Intended, Order, Ordered, Progress, Progressed
-from elderlock.fleet.messages.plans import Begin, Begun, Planned, Plans, Steer, Steered
+from elderlock.fleet.messages.consensus import (
+    Accept,
+    BudgetStatus,
+    PermitsAnswer,
+    Prepare,
+    Recall,
+    Recalled,
+    RequestPermits,
+    ShowBudget,
+    Voted,
+)
+from elderlock.fleet.messages.drains import IntentsAnswer, Order, Ordered, Progress, Progressed, SubmitIntents
+from elderlock.fleet.messages.plans import BeginAnswer, BeginPlan, ListPlans, PlansStatus, SteerAnswer, SteerPlan
 from elderlock.fleet.messages.status import Exchange, Show, Shown
-from elderlock.fleet.messages.worker_leasing import Lend, Lent
+from elderlock.fleet.messages.worker_leasing import LeaseWorker, WorkerLeased
 
 ToAgent = (
     Hello
     | Show
-    | Intend
+    | SubmitIntents
     | Progress
     | Order
     | Exchange
     | Audit
-    | Lend
-    | Ask
+    | LeaseWorker
+    | RequestPermits
     | Prepare
     | Accept
     | Recall
-    | Standing
-    | Begin
-    | Steer
-    | Plans
+    | ShowBudget
+    | BeginPlan
+    | SteerPlan
+    | ListPlans
 )
 FromAgent = (
     Welcome
     | Refused
     | Shown
-    | Intended
+    | IntentsAnswer
     | Progressed
     | Ordered
     | Exchange
     | Audited
-    | Lent
-    | Granted
+    | WorkerLeased
+    | PermitsAnswer
     | Voted
     | Recalled
-    | Stood
-    | Begun
-    | Steered
-    | Planned
+    | BudgetStatus
+    | BeginAnswer
+    | SteerAnswer
+    | PlansStatus
 )
 _encoder = msgspec.msgpack.Encoder()
 
--- a/elderlock/fleet/messages/consensus.py
+++ b/elderlock/fleet/messages/consensus.py
@@ -9,7 +9,7 @@
 from elderlock.rollout.ledger import Permit
 
 
-class Ask(Message, tag="ask"):
+class RequestPermits(Message, tag="ask"):
     """For permits to take these out, all or none. Repeating it under its `origin` finds the same ones. `generation`:
     the greatest that the caller saw in a record."""
 
@@ -20,7 +20,7 @@
     generation: int
 
 
-class Granted(Message, tag="granted"):
+class PermitsAnswer(Message, tag="granted"):
     """`outcome`: granted, refused (the budget says no, `reasons` why), or away: another agent may say more. No majority
     answers (nobody can grant anything, or it was not to be learnt whether it did), or this agent knows too little."""
 
@@ -72,11 +72,11 @@
     empty: bool
 
 
-class Standing(Message, tag="standing"):
+class ShowBudget(Message, tag="standing"):
     id: int
 
 
-class Stood(Message, tag="stood"):
+class BudgetStatus(Message, tag="stood"):
     """How the budget stands, as this agent knows it: `lines` for people."""
 
     id: int
--- a/elderlock/fleet/messages/drains.py
+++ b/elderlock/fleet/messages/drains.py
@@ -15,21 +15,21 @@
 Decided = Literal["made", "joined", "stale", "refused"]
 
 
-class Wish(msgspec.Struct, frozen=True):
+class DrainIntent(msgspec.Struct, frozen=True):
     kind: Kind
     target: str
     drained: bool
     expect: int  # the generation that the operator saw, 0 where there was no record
 
 
-class Intend(Message, tag="intend"):
+class SubmitIntents(Message, tag="intend"):
     """`generation` is above all that the caller has seen; `known` are the newest records it saw, so an
     agent that was cut off learns them first. Repeating it under its `origin` changes nothing."""
 
     id: int
     origin: str
     generation: int
-    wishes: tuple[Wish, ...]
+    wishes: tuple[DrainIntent, ...]
     known: tuple[Record, ...]
     reason: str
     within_ms: float
@@ -55,7 +55,7 @@
     out: int  # attempts of this limiter that are still out at the box; of a limiter, its open requests
 
 
-class Intended(Message, tag="intended"):
+class IntentsAnswer(Message, tag="intended"):
     id: int
     agent: str
     decisions: tuple[Decision, ...]
--- a/elderlock/fleet/messages/plans.py
+++ b/elderlock/fleet/messages/plans.py
@@ -13,7 +13,7 @@
 from elderlock.rollout.plans import Plan, PlanKind, Terms
 
 
-class Begin(Message, tag="begin"):
+class BeginPlan(Message, tag="begin"):
     """A plan that the group carries out. Repeating it under its `origin` finds the same one. `waves` as the asker wants
     them, or empty for the usual ones. `dry`: only says what would be done."""
 
@@ -28,7 +28,7 @@
     dry: bool = False
 
 
-class Begun(Message, tag="begun"):
+class BeginAnswer(Message, tag="begun"):
     """`outcome`: begun, planned (a dry one), refused (`reasons` why) or away (too few agents answer, or this
     one knows too little)."""
 
@@ -40,7 +40,7 @@
     lines: tuple[str, ...] = ()  # what it would leave, for people
 
 
-class Steer(Message, tag="steer"):
+class SteerPlan(Message, tag="steer"):
     """An operator's word on a plan, or on an agent that is gone (`plan` is then the agent's name). `turn`: the one that
     the operator saw, for a go-on."""
 
@@ -51,7 +51,7 @@
     reason: str = ""
 
 
-class Steered(Message, tag="steered"):
+class SteerAnswer(Message, tag="steered"):
     """`outcome` away: no majority answers. A halt is in force all the same wherever it is heard of."""
 
     id: int
@@ -61,11 +61,11 @@
     plan: Plan | None = None
 
 
-class Plans(Message, tag="plans"):
+class ListPlans(Message, tag="plans"):
     id: int
 
 
-class Runs(msgspec.Struct):
+class RunningVersion(msgspec.Struct):
     """`version`: of its process; `wanted`: that the group agreed on."""
 
     limiter: str
@@ -74,7 +74,7 @@
     said: Said
 
 
-class Planned(Message, tag="planned"):
+class PlansStatus(Message, tag="planned"):
     """What an agent knows of plans. `waits`: of those that it leads; `versions`: with digests, that lie on its disk."""
 
     id: int
@@ -83,7 +83,7 @@
     plans: tuple[Plan, ...]
     leads: tuple[str, ...]
     waits: tuple[str, ...]
-    runs: tuple[Runs, ...]
+    runs: tuple[RunningVersion, ...]
     versions: tuple[tuple[str, str], ...]
     given_up: tuple[tuple[str, str], ...]
     halts: tuple[tuple[str, int, str], ...] = ()
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -57,7 +57,7 @@
     said: Said = Said()
 
 
-class Heard(msgspec.Struct):
+class AgentObservation(msgspec.Struct):
     """What the answering agent last heard of another: not what that one says of itself."""
 
     agent: str
@@ -86,7 +86,7 @@
     store: str  # in words, empty where all is well
     limiters: tuple[LimiterStatus, ...]
     records: tuple[Record, ...]
-    heard: tuple[Heard, ...]
+    heard: tuple[AgentObservation, ...]
 
 
 class Exchange(Message, tag="exchange"):
@@ -99,7 +99,7 @@
     limiters: tuple[LimiterBrief, ...]
     digest: str
     records: tuple[Record, ...]  # empty where the last answer's digest was the same
-    heard: tuple[Heard, ...]  # of those that the other lacks
+    heard: tuple[AgentObservation, ...]  # of those that the other lacks
     ledger: bytes = b""  # the newest that it knows to be chosen, where the other has an older one
     ledger_version: int = -1
     lacks: tuple[str, ...] | None = None  # of whom it has heard nothing lately; None for one that does not say
--- a/elderlock/fleet/messages/worker_leasing.py
+++ b/elderlock/fleet/messages/worker_leasing.py
@@ -5,7 +5,7 @@
 from elderlock.fleet.messages.base import Message
 
 
-class Lend(Message, tag="lend"):
+class LeaseWorker(Message, tag="lend"):
     """Words for a worker of load that this agent's machine lends, and the request for what it has said since.
     The first of a `job` starts it. Its frames are its own protocol's: the agent passes them on unread. They are
     numbered from 0 each way, so that asking again after a lost answer loses nothing and says nothing twice:
@@ -19,7 +19,7 @@
     end: bool = False
 
 
-class Lent(Message, tag="lent"):
+class WorkerLeased(Message, tag="lent"):
     """`ended` says in words how the process ended, and is empty while it lives or has words left. `taken`:
     how many of the caller's frames have come."""
 
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -7,8 +7,8 @@
 
 from elderlock.fleet import messages as f
 from elderlock.fleet.config import FileError
-from elderlock.fleet.launcher.launcher_link import Basis
-from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.launcher.launcher_link import LauncherLink
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.basing import To, Which
 from elderlock.rollout.carrying import AgentAct, AgentLook, Said, carry_agent
@@ -16,8 +16,10 @@
 from elderlock.rollout.plans import Plan, Unit
 
 
-class Renewal:
-    def __init__(self, name: str, basis: Basis | None, versions: Versions, charges: Mapping[str, Charge]) -> None:
+class AgentRelease:
+    def __init__(
+        self, name: str, basis: LauncherLink | None, versions: Versions, charges: Mapping[str, ManagedLimiter]
+    ) -> None:
         self.name, self.basis = name, basis
         self._versions, self._charges = versions, charges
         self._said = Said()
@@ -45,7 +47,7 @@
             not charge.supervisor.wanted or charge.why_out() == "" for charge in self._charges.values()
         )
 
-    def heard(self, name: str, brief: f.AgentBrief) -> None:
+    def record_peer(self, name: str, brief: f.AgentBrief) -> None:
         self._others[name] = time.monotonic() * 1000.0, brief
 
     def briefs(self) -> dict[str, tuple[float, f.AgentBrief]]:
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -21,10 +21,10 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.config import FileError
-from elderlock.fleet.consensus.member import Keeper, Made, answers_of
-from elderlock.fleet.group.peer_link import Peer
-from elderlock.fleet.plans.agent_release import Renewal
-from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.consensus.member import ChangeResult, ConsensusMember, answers_of
+from elderlock.fleet.group.peer_link import PeerLink
+from elderlock.fleet.plans.agent_release import AgentRelease
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout import plans, steps
 from elderlock.rollout.budget import Inventory, reasons, spent
@@ -53,34 +53,34 @@
 
     name: str
     records: Records
-    charges: dict[str, Charge]
-    peers: list[Peer]
+    limiters: dict[str, ManagedLimiter]
+    peers: list[PeerLink]
     versions: Versions
-    renewal: Renewal
+    agent_release: AgentRelease
 
     def inventory(self) -> Inventory: ...
-    def floors(self) -> list[tuple[str, str]]:
+    def limiter_zones(self) -> list[tuple[str, str]]:
         """All limiters that are known of, with their floors."""
 
-    def agent_floors(self) -> list[tuple[str, str]]: ...
+    def agent_zones(self) -> list[tuple[str, str]]: ...
 
-    def heard_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
+    def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
         """Of other agents: whose, how many ms ago, what."""
 
-    def make(self, record: Record, what: str) -> None: ...
-    def note(self, who: str, role: str, what: str, outcome: str) -> None:
+    def commit_record(self, record: Record, what: str) -> None: ...
+    def audit(self, who: str, role: str, what: str, outcome: str) -> None:
         """In the audit. Raises `StoreError`."""
 
     async def progressed(self, progress: f.Progress) -> f.Progressed: ...
-    def spread(self) -> None:
+    def notify_peers(self) -> None:
         """Tells all other agents at once what is new."""
 
-    def tell(self, name: str) -> None:
+    def notify_peer(self, name: str) -> None:
         """The same to one."""
 
 
-class Conductor:
-    def __init__(self, owner: Owner, keeper: Keeper, order: Iterable[str], rng: random.Random) -> None:
+class PlanCoordinator:
+    def __init__(self, owner: Owner, keeper: ConsensusMember, order: Iterable[str], rng: random.Random) -> None:
         """`order`: all agents, as they take over from one another."""
         self._owner, self._keeper, self._rng = owner, keeper, rng
         order = list(order)
@@ -89,7 +89,7 @@
         self._leaders: dict[tuple[str, int], Leader] = {}
         self._beats: dict[str, tuple[tuple[int, int, int], float]] = {}  # what was last seen of a leader, and when
         self._beaten = 0.0
-        self._carriers = {name: Carrier() for name in owner.charges}
+        self._carriers = {name: Carrier() for name in owner.limiters}
         self._acting: set[str] = set()
         self.halts: dict[str, tuple[int, str]] = {}  # plan: turn, why
         self._boxes: dict[str, Told] = {}
@@ -134,7 +134,7 @@
         soft = self.halts.get(plan.id)
         return plan.state != "running" or (soft is not None and soft[0] >= plan.turn)
 
-    def heard_halts(self, halts: Iterable[tuple[str, int, str]]) -> None:
+    def record_halts(self, halts: Iterable[tuple[str, int, str]]) -> None:
         news = False
         for id, turn, why in halts:
             plan = self._keeper.ledger.plan(id)
@@ -144,9 +144,9 @@
             if held is None or held[0] < turn:
                 self.halts[id], news = (turn, why), True
         if news:
-            self._owner.spread()
+            self._owner.notify_peers()
 
-    def told_halts(self) -> tuple[tuple[str, int, str], ...]:
+    def halts_to_send(self) -> tuple[tuple[str, int, str], ...]:
         while len(self.halts) > MOST_HALTS:
             del self.halts[next(iter(self.halts))]
         for id, (turn, _) in list(self.halts.items()):
@@ -157,21 +157,21 @@
 
     # Operators
 
-    async def begin(self, asked: f.Begin, by: str, now: float) -> f.Begun:
+    async def begin(self, asked: f.BeginPlan, by: str, now: float) -> f.BeginAnswer:
         name = self._owner.name
         held = self._keeper.ledger.plan(asked.origin)
         if held is not None:
-            return f.Begun(asked.id, name, "begun", held)
+            return f.BeginAnswer(asked.id, name, "begun", held)
         inventory = self._owner.inventory()
         boxes = asked.targets if asked.kind == "drain" else ()
         unheard: list[str] = []
         refused = await self._unfit(asked, inventory, unheard)
         if refused or unheard:
             lacking = not refused or inventory.lacking([("box", box) for box in boxes])
-            return f.Begun(asked.id, name, "away" if lacking else "refused", None, (*refused, *unheard))
+            return f.BeginAnswer(asked.id, name, "away" if lacking else "refused", None, (*refused, *unheard))
         plan = self._drawn(asked, by, now)
         if asked.dry:
-            return f.Begun(asked.id, name, "planned", plan, tuple(self._against(plan)), tuple(self._leaves(plan)))
+            return f.BeginAnswer(asked.id, name, "planned", plan, tuple(self._against(plan)), tuple(self._leaves(plan)))
 
         def change(ledger: Ledger) -> Ledger | list[str]:
             made = steps.begin(ledger, plan)
@@ -181,10 +181,10 @@
         made = await self._keeper.change(change)
         if not made.chosen:
             outcome = "refused" if made.reasons else "away"
-            return f.Begun(asked.id, name, outcome, None, made.reasons or (self._keeper.away(),))  # type: ignore[arg-type]
-        return f.Begun(asked.id, name, "begun", self._keeper.ledger.plan(plan.id))
+            return f.BeginAnswer(asked.id, name, outcome, None, made.reasons or (self._keeper.away(),))  # type: ignore[arg-type]
+        return f.BeginAnswer(asked.id, name, "begun", self._keeper.ledger.plan(plan.id))
 
-    async def _unfit(self, asked: f.Begin, inventory: Inventory, unheard: list[str]) -> list[str]:
+    async def _unfit(self, asked: f.BeginPlan, inventory: Inventory, unheard: list[str]) -> list[str]:
         """Why it cannot be carried out, as far as is known here, before any budget is asked. Into `unheard` goes who
         does not say: another agent may hear them."""
         if inventory.blind:
@@ -201,7 +201,7 @@
             return [] if targets else ["no box is named"]
         found: list[str] = []
         if asked.kind == "agents":
-            briefs = self._owner.renewal.briefs()
+            briefs = self._owner.agent_release.briefs()
             for name in sorted(targets or known):
                 age, brief = briefs.get(name, (-1.0, f.AgentBrief()))
                 if not 0.0 <= age < 8000.0:
@@ -210,10 +210,10 @@
                     found.append(f"agent {name} was not started by a base (elderlock base FILE)")
         if not asked.version:
             return found
-        answers = await answers_of([peer.ask(f.Plans, ASK_WITHIN) for peer in self._owner.peers])
+        answers = await answers_of([peer.ask(f.ListPlans, ASK_WITHIN) for peer in self._owner.peers])
         has = {self._owner.name: dict(self._owner.versions.digests())}
         for peer, answer in zip(self._owner.peers, answers, strict=True):
-            if isinstance(answer, f.Planned):
+            if isinstance(answer, f.PlansStatus):
                 has[peer.name] = dict(answer.versions)
             else:
                 unheard.append(f"agent {peer.name} does not say whether it has version {asked.version}")
@@ -223,19 +223,19 @@
             found.append(f"version {asked.version} is not the same at all agents")
         return found
 
-    def _drawn(self, asked: f.Begin, by: str, now: float) -> Plan:
+    def _drawn(self, asked: f.BeginPlan, by: str, now: float) -> Plan:
         if asked.kind == "drain":
             waves = asked.waves or tuple((target,) for target in asked.targets)
             return plans.drain(asked.origin, waves, by, asked.reason, now, asked.terms)
         if asked.kind == "agents":
-            before = {name: brief.version for name, (_, brief) in self._owner.renewal.briefs().items()}
+            before = {name: brief.version for name, (_, brief) in self._owner.agent_release.briefs().items()}
         else:
             before = dict(self._keeper.ledger.versions)
         if asked.waves:
             waves = asked.waves
         else:
             stopped = self._stopped()
-            everyone = self._owner.agent_floors() if asked.kind == "agents" else self._owner.floors()
+            everyone = self._owner.agent_zones() if asked.kind == "agents" else self._owner.limiter_zones()
             floors = [
                 each for each in everyone if (each[0] in asked.targets if asked.targets else each[0] not in stopped)
             ]
@@ -244,8 +244,8 @@
         return plans.release(asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind)
 
     def _stopped(self) -> set[str]:
-        own = {name for name, charge in self._owner.charges.items() if not charge.supervisor.wanted}
-        return own | {brief.name for _, _, brief in self._owner.heard_briefs() if brief.phase == "stopped"}
+        own = {name for name, charge in self._owner.limiters.items() if not charge.supervisor.wanted}
+        return own | {brief.name for _, _, brief in self._owner.peer_limiter_briefs() if brief.phase == "stopped"}
 
     def _against(self, plan: Plan) -> list[str]:
         """What the budget would say to each wave, were all before it done and nothing else out."""
@@ -279,7 +279,7 @@
                 held = taken  # what is drained stays out
         return lines + spent(self._keeper.budget, inventory, self._keeper.ledger.held())
 
-    async def steer(self, asked: f.Steer, by: str) -> f.Steered:
+    async def steer(self, asked: f.SteerPlan, by: str) -> f.SteerAnswer:
         ledger, name = self._keeper.ledger, self._owner.name
         reason = f": {asked.reason}" if asked.reason else ""
         if asked.action in ("give-up", "take-in"):
@@ -290,7 +290,7 @@
                 # in force here and, from the next word on, everywhere, whether or not a majority can be had; also of a
                 # plan that this agent has not learnt of yet, as its operator saw it elsewhere
                 turn = plan.turn if plan is not None else asked.turn
-                self.heard_halts([(asked.plan, turn, f"halt of {by}{reason}")])
+                self.record_halts([(asked.plan, turn, f"halt of {by}{reason}")])
             made = await self._keeper.change(lambda held: steps.halt(held, asked.plan, f"halt of {by}{reason}"))
         elif asked.action == "go-on":
             made = await self._keeper.change(lambda held: steps.go_on(held, asked.plan, asked.turn, by))
@@ -299,28 +299,30 @@
         done = made.chosen or made.reasons == (steps.DONE_ALREADY,)
         if not done:
             outcome = "refused" if made.reasons else "away"
-            return f.Steered(asked.id, name, outcome, made.reasons or (self._keeper.away(),), plan)  # type: ignore[arg-type]
-        self.told_halts()
-        return f.Steered(asked.id, name, "done", made.reasons, made.ledger.plan(asked.plan))
+            return f.SteerAnswer(asked.id, name, outcome, made.reasons or (self._keeper.away(),), plan)  # type: ignore[arg-type]
+        self.halts_to_send()
+        return f.SteerAnswer(asked.id, name, "done", made.reasons, made.ledger.plan(asked.plan))
 
-    async def _member(self, asked: f.Steer, by: str) -> f.Steered:
+    async def _member(self, asked: f.SteerPlan, by: str) -> f.SteerAnswer:
         gone, name = asked.plan, self._owner.name
         if asked.action == "take-in":
             made = await self._keeper.change(lambda held: steps.take_in(held, gone))
         else:
-            briefs = [(age, brief) for agent, age, brief in self._owner.heard_briefs() if agent == gone]
+            briefs = [(age, brief) for agent, age, brief in self._owner.peer_limiter_briefs() if agent == gone]
             if gone not in {peer.name for peer in self._owner.peers}:
                 unknown = f"agent {gone} is none of the others in the group's file"
-                return f.Steered(asked.id, name, "refused", (unknown,))
+                return f.SteerAnswer(asked.id, name, "refused", (unknown,))
             if any(0 <= age < 8000.0 for age, _ in briefs):
-                return f.Steered(asked.id, name, "refused", (f"agent {gone} was heard of just now: it is not gone",))
+                return f.SteerAnswer(
+                    asked.id, name, "refused", (f"agent {gone} was heard of just now: it is not gone",)
+                )
             keys: list[Key] = [("limiter", brief.name) for _, brief in briefs]
             made = await self._keeper.change(lambda held: steps.give_up(held, gone, keys, by))
         outcome = "done" if made.chosen else "refused" if made.reasons else "away"
         said = made.reasons or (() if made.chosen else (self._keeper.away(),))
-        return f.Steered(asked.id, name, outcome, said)  # type: ignore[arg-type]
+        return f.SteerAnswer(asked.id, name, outcome, said)  # type: ignore[arg-type]
 
-    def planned(self, asked: f.Plans) -> f.Planned:
+    def planned(self, asked: f.ListPlans) -> f.PlansStatus:
         ledger, name = self._keeper.ledger, self._owner.name
         mine = [plan for plan in ledger.under_way() if plan.leader == name]
         waits = [
@@ -330,10 +332,10 @@
         ]
         wanted = dict(ledger.versions)
         runs = tuple(
-            f.Runs(each, charge.version(), wanted.get(each, ""), charge.said)
-            for each, charge in self._owner.charges.items()
+            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.said)
+            for each, charge in self._owner.limiters.items()
         )
-        return f.Planned(
+        return f.PlansStatus(
             asked.id,
             name,
             ledger.version,
@@ -343,9 +345,9 @@
             runs,
             self._owner.versions.digests(),
             ledger.given_up,
-            self.told_halts(),
+            self.halts_to_send(),
             ledger.permits,
-            self._owner.renewal.brief(),
+            self._owner.agent_release.brief(),
         )
 
     # What concerns our own limiters
@@ -356,14 +358,14 @@
         ledger = self._keeper.ledger
         wanted = dict(ledger.versions)
         out = {unit.target for plan in ledger.under_way() for unit in plan.units if unit.stage == "out"}
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             if wanted.get(name, "") != charge.wanted and name not in out:
                 charge.to_run(wanted.get(name, ""), max(ledger.generation, charge.generation + 1))
 
     async def _carry(self) -> None:
         self.catch_up()
-        if not self._owner.renewal.heard_by_majority and await self._keeper.read() is not None:
-            self._owner.renewal.up()
+        if not self._owner.agent_release.heard_by_majority and await self._keeper.read() is not None:
+            self._owner.agent_release.up()
         ledger = self._keeper.ledger
         if self._given_up:
             return
@@ -379,7 +381,7 @@
                     self._see(plan, unit)
 
     def _see(self, plan: Plan, unit: Unit) -> None:
-        charge, carrier = self._owner.charges[unit.target], self._carriers[unit.target]
+        charge, carrier = self._owner.limiters[unit.target], self._carriers[unit.target]
         if unit.stage == "waiting":
             return
         record = self._owner.records.get("limiter", unit.target)
@@ -393,7 +395,7 @@
         act = carrier.step(plan, unit, look, self._now(), self.halted(plan))
         charge.said = carrier.said
         if carrier.said != before:
-            self._owner.tell(plan.leader)
+            self._owner.notify_peer(plan.leader)
         if act is not None:
             self._acting.add(unit.target)
             self._task(self._act(act, plan, unit))
@@ -402,11 +404,11 @@
         """Our own turn in a release of agents. What this process runs as is the base's word, not its own."""
         if self._owner.name in self._acting:
             return
-        act, news = self._owner.renewal.see(plan, unit, self.halted(plan))
+        act, news = self._owner.agent_release.see(plan, unit, self.halted(plan))
         if news:
-            self._owner.tell(plan.leader)
+            self._owner.notify_peer(plan.leader)
         if act == "settle":
-            self._owner.renewal.settle()
+            self._owner.agent_release.settle()
         elif act == "switch":
             self._acting.add(self._owner.name)
             self._task(self._go(plan, unit))
@@ -415,8 +417,8 @@
         try:
             if await self._confirmed(plan, unit) or (unit.stage == "done" and await self._passed(plan, unit)):
                 what = f"this agent goes to version {plan.toward(unit) or 'of its base'}"
-                self._owner.note(self._owner.name, "agent", what, plan.id[:8])
-                self._owner.renewal.go(plan, unit)
+                self._owner.audit(self._owner.name, "agent", what, plan.id[:8])
+                self._owner.agent_release.go(plan, unit)
                 await asyncio.sleep(GO_AGAIN)
         except (StoreError, LedgerError, FileError) as error:
             log.error("a step is held up", agent=self._owner.name, step="switch", error=str(error))
@@ -425,7 +427,7 @@
             self._acting.discard(self._owner.name)
 
     async def _act(self, act: str, plan: Plan, unit: Unit) -> None:
-        charge, carrier = self._owner.charges[unit.target], self._carriers[unit.target]
+        charge, carrier = self._owner.limiters[unit.target], self._carriers[unit.target]
         try:
             if act == "undrain":
                 self._record(plan, unit, False)
@@ -438,7 +440,7 @@
                     charge.switch()
                     carrier.switched(self._now(), restarts)
                     what = f"{unit.target} goes to version {plan.toward(unit) or 'of the file'}"
-                    self._owner.note(self._owner.name, "agent", what, plan.id[:8])
+                    self._owner.audit(self._owner.name, "agent", what, plan.id[:8])
         except (StoreError, LedgerError) as error:
             log.error("a step is held up", agent=self._owner.name, limiter=unit.target, step=act, error=str(error))
             await asyncio.sleep(LOOK_EVERY)
@@ -461,7 +463,7 @@
             time.time() * 1000.0,
             f"{plan.kind} {plan.id[:8]}",
         )
-        self._owner.make(record, f"{verb} {kind} {unit.target} for {plan.kind} {plan.id[:8]}")
+        self._owner.commit_record(record, f"{verb} {kind} {unit.target} for {plan.kind} {plan.id[:8]}")
 
     async def _confirmed(self, plan: Plan, unit: Unit) -> bool:
         """Whether the unit is still out, as a majority has it now. What slept, or hears nothing, finds out here."""
@@ -483,9 +485,9 @@
 
     async def _lead(self) -> None:
         now = self._now()
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             self._series.heard(name, charge.figures(), now)
-        for _, _, brief in self._owner.heard_briefs():
+        for _, _, brief in self._owner.peer_limiter_briefs():
             self._series.heard(brief.name, brief.figures, now)
         for plan in self._keeper.ledger.under_way():
             soft = self.halts.get(plan.id)
@@ -533,7 +535,7 @@
     async def _moved(self, plan: Plan, leader: Leader, move: Move) -> bool:
         """Whether the ledger took it, so that there may be more to do."""
         change = self._change(plan, move)
-        made: Made = await self._keeper.change(change)
+        made: ChangeResult = await self._keeper.change(change)
         if move.do == "send":
             if made.chosen:
                 leader.sent()
@@ -542,7 +544,7 @@
                 return len(move.targets) > 1
         if move.do == "halt" and made.chosen:
             log.warning("a plan halts by itself", agent=self._owner.name, plan=plan.id, why=move.why)
-            self._owner.note(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.why[:400])
+            self._owner.audit(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.why[:400])
         return made.chosen
 
     def _change(self, plan: Plan, move: Move) -> Callable[[Ledger], Ledger | list[str]]:
@@ -569,18 +571,18 @@
         if plan.kind == "drain":
             return await self._told_of_boxes(plan)
         if plan.kind == "agents":
-            return self._owner.renewal.told()
+            return self._owner.agent_release.told()
         told: dict[str, Told] = {}
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             age = self._now() - 1000.0 * charge.link.state_at if charge.link.state is not None else 0.0
             # our own word on it is fresh, whatever the limiter does
             told[name] = self._of(plan, charge.brief(self._owner.records), min(age, 0.0))
-        for _, age, brief in self._owner.heard_briefs():
+        for _, age, brief in self._owner.peer_limiter_briefs():
             told[brief.name] = self._of(plan, brief, age)
         return told
 
     def _silent_agents(self) -> list[str]:
-        briefs = self._owner.renewal.briefs()
+        briefs = self._owner.agent_release.briefs()
         names = [peer.name for peer in self._owner.peers]
         return [name for name in names if not 0.0 <= briefs.get(name, (-1.0, None))[0] < SILENT_AGENT]
 
--- a/elderlock/fleet/supervision/limiter_link.py
+++ b/elderlock/fleet/supervision/limiter_link.py
@@ -12,7 +12,7 @@
 from elderlock.control import messages as m
 from elderlock.control.caller import Caller, NoAnswerError, NotSentError
 from elderlock.control.records import Records
-from elderlock.fleet.drain_intents import Book
+from elderlock.fleet.drain_intents import ProgressBook
 
 POLL = 2.0  # s between looks, which also renew the claim (5 s long)
 CONNECT_WITHIN = HELLO_WITHIN = 1.0  # s
@@ -34,7 +34,7 @@
     def outbid(self, epoch: int) -> bool: ...
 
 
-class Link:
+class LimiterLink:
     """`welcomed` hears of each greeting with whether this is another process than before; `told` of all
     that the limiter says of itself."""
 
@@ -46,7 +46,7 @@
         told: Callable[[m.State | m.Applied], None],
     ) -> None:
         self._path, self._owner, self._welcomed, self._told = path, owner, welcomed, told
-        self.book = Book()
+        self.book = ProgressBook()
         self.standing: Standing = "down"
         self.why = "not connected yet"
         self.state: m.State | None = None
--- a/elderlock/fleet/supervision/managed_limiter.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -19,8 +19,8 @@
 from elderlock.fleet.drain_intents import concerns
 from elderlock.fleet.host import Host, Running
 from elderlock.fleet.messages import LimiterBrief, LimiterStatus, Reach
-from elderlock.fleet.supervision.limiter_link import Link, Owner
-from elderlock.fleet.supervision.supervisor import Do, Policy, Supervisor
+from elderlock.fleet.supervision.limiter_link import LimiterLink, Owner
+from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.carrying import Look, Said
 from elderlock.rollout.verdict import Figures
@@ -31,7 +31,7 @@
 log = logs.get(__name__)
 
 
-class Charge:
+class ManagedLimiter:
     def __init__(
         self,
         part: LimiterPart,
@@ -53,7 +53,7 @@
         self.name = part.name
         self._control, self._owner, self._store, self._changed = control, owner, store, changed
         self.supervisor = Supervisor(policy, rng)
-        self.link = Link(control, owner, self._welcomed, lambda said: told(part.name, said.records))
+        self.link = LimiterLink(control, owner, self._welcomed, lambda said: told(part.name, said.records))
         self.process: Running | None = None
         self.adopted = False
         self.boot_error = ""  # why the drains could not be written for its next start
@@ -147,13 +147,13 @@
         except StoreError as error:  # it is met again by its socket
             log.error("process could not be noted", limiter=self.name, error=str(error))
 
-    def _do(self, do: Do | None) -> None:
+    def _do(self, do: Command | None) -> None:
         match do:
-            case Do.SPAWN:
+            case Command.SPAWN:
                 self._spawn()
-            case Do.TERMINATE:
+            case Command.TERMINATE:
                 asyncio.get_running_loop().create_task(self._terminate())
-            case Do.KILL if self.process is not None:
+            case Command.KILL if self.process is not None:
                 log.warning("limiter killed, as it did not end in time", limiter=self.name)
                 self.process.signal(signal.SIGKILL)
         self._arm()
--- a/elderlock/fleet/supervision/supervisor.py
+++ b/elderlock/fleet/supervision/supervisor.py
@@ -26,7 +26,7 @@
     stop_within: float = 6_000.0  # from the wish to stop to the kill
 
 
-class Do(Enum):
+class Command(Enum):
     SPAWN = "spawn"
     TERMINATE = "terminate"
     KILL = "kill"
@@ -47,7 +47,7 @@
         self._exits: deque[float] = deque(maxlen=policy.crashes)
         self._killed = False
 
-    def want(self, wanted: bool, now: float) -> Do | None:
+    def want(self, wanted: bool, now: float) -> Command | None:
         """An operator's word. A start forgets past crashes."""
         if wanted and (not self.wanted or self.phase == "gave-up"):
             self._exits.clear()
@@ -57,7 +57,7 @@
         self.wanted = wanted
         return self.step(now)
 
-    def step(self, now: float) -> Do | None:
+    def step(self, now: float) -> Command | None:
         match self.phase:
             case "stopped" if self.wanted:
                 return self._spawn(now)
@@ -67,15 +67,15 @@
                 return self._spawn(now)
             case "starting" | "running" if not self.wanted:
                 self.phase, self.due, self._killed = "stopping", now + self._policy.stop_within, False
-                return Do.TERMINATE
+                return Command.TERMINATE
             case "stopping" if self.due is not None and now >= self.due and not self._killed:
                 self._killed = True
-                return Do.KILL
+                return Command.KILL
         return None
 
-    def _spawn(self, now: float) -> Do:
+    def _spawn(self, now: float) -> Command:
         self.phase, self.due, self._started_at = "starting", None, now
-        return Do.SPAWN
+        return Command.SPAWN
 
     def hold(self, until: float) -> None:
         """It cannot be started just now, through no fault of its own: no exit is counted."""
@@ -89,7 +89,7 @@
         """A process from before was found alive."""
         self.phase, self.due, self._started_at = "running", None, now
 
-    def exited(self, now: float) -> Do | None:
+    def exited(self, now: float) -> Command | None:
         """The process is gone, or could not be started at all."""
         if self.phase == "stopping" and not self.wanted:
             self.phase, self.due = "stopped", None
--- a/elderlock/load/remote.py
+++ b/elderlock/load/remote.py
@@ -40,7 +40,7 @@
         while True:
             answer = await self._ask(False)
             match answer:
-                case f.Lent():
+                case f.WorkerLeased():
                     answered_at = loop.time()
                     del self._out[: answer.taken - self._first]
                     self._first = answer.taken
@@ -65,10 +65,13 @@
                 except TimeoutError:
                     pass
 
-    async def _ask(self, end: bool) -> f.Lent | Missing | Refusal:
+    async def _ask(self, end: bool) -> f.WorkerLeased | Missing | Refusal:
         frames = tuple(self._out)
         return await self._group.ask(
-            self._agent, lambda id: f.Lend(id, self._job, self._first, frames, self._have, end), f.Lent, ASK_WITHIN
+            self._agent,
+            lambda id: f.LeaseWorker(id, self._job, self._first, frames, self._have, end),
+            f.WorkerLeased,
+            ASK_WITHIN,
         )
 
     def say(self, message: m.Message) -> None:
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -15,7 +15,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent import agent as agents
 from elderlock.fleet.client import plan_commands as operate
-from elderlock.fleet.launcher.launcher_link import Basis, Go, Ready, Settled, Started, word_of
+from elderlock.fleet.launcher.launcher_link import Go, LauncherLink, Ready, Settled, Started, word_of
 from elderlock.rollout.basing import Base, Do, Held
 from elderlock.rollout.plans import Plan, Terms
 from elderlock.sim.agreed import Holding, bounded
@@ -120,7 +120,7 @@
         host = SimHost(machine, self.io, self._spawned, self.processes, self.signal)
         process = self.agent_processes[number] = self.process(name, machine, {})
         pipe: Any = _Pipe(lambda data: self._said(number, process, data))
-        basis = Basis(Started(held, base.starts), pipe)
+        basis = LauncherLink(Started(held, base.starts), pipe)
         self.say(f"{name} begins on {version or 'the version of its base'}{', on trial' if held.trial else ''}")
         if version:
             self.made.ran.add(name)
@@ -168,7 +168,7 @@
 
     def _went(self, name: str, held: Held) -> None:
         """Its base was told to go: it is out by our doing until it is up again."""
-        if name in self.agents[name].keeper.voters:  # type: ignore[union-attr]
+        if name in self.agents[name].consensus_member.voters:  # type: ignore[union-attr]
             self._switching.add(name)
             self._holdings.append(Holding(OUT, name, self.at(), self.at()))
         plan = self._newest()
@@ -197,7 +197,9 @@
         await asyncio.sleep(5.0)
         begun: operate.Answer | None = None
         while begun is None or begun.plan is None:
-            begun = await self._asks("an", operate.begin("p" * 32, "agents", VERSION, (), (), given.terms, ""), f.Begun)
+            begun = await self._asks(
+                "an", operate.begin("p" * 32, "agents", VERSION, (), (), given.terms, ""), f.BeginAnswer
+            )
             await asyncio.sleep(0.5)
         healed = self.at() + 1000.0 * (given.faulty_s + 35.0 if given.faults else 0.0)
         for _ in range(given.faults):
@@ -249,7 +251,7 @@
             if plan is not None and plan.state == "over":
                 return plan
             if plan is not None and plan.state == "halted" and self.at() > healed:
-                await self._asks("an", lambda n: f.Steer(n, id, "back"), f.Steered)
+                await self._asks("an", lambda n: f.SteerPlan(n, id, "back"), f.SteerAnswer)
             await asyncio.sleep(0.25)
         self.made.stuck += 1
         self.made.broken.append(f"{self.at():.0f} ms: the plan is not over: {plan.state if plan else 'there is none'}")
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -344,7 +344,7 @@
         class Seen(base):  # type: ignore[misc,valid-type]
             def __init__(self, *given: Any) -> None:
                 super().__init__(*given)
-                keeper, name = self.keeper, self.name
+                keeper, name = self.consensus_member, self.name
                 learn = keeper.learn
 
                 def learnt(ledger: Any) -> None:
@@ -374,10 +374,10 @@
         ids = [f"{self.seed:08x}{n}" for n in range(2)]
         waves = [self._names()] if case.one_wave else []
         make = operate.begin(ids[0], "release", VERSION, (), waves, _with_back(terms, case.auto_back), "")
-        asks: list[Awaitable[Any]] = [self._asks("an", make, f.Begun)]
+        asks: list[Awaitable[Any]] = [self._asks("an", make, f.BeginAnswer)]
         if case.two_operators:
             other = operate.begin(ids[1], "release", VERSION, (), (), _with_back(terms, case.auto_back), "")
-            asks.append(self._asks("binh", other, f.Begun))
+            asks.append(self._asks("binh", other, f.BeginAnswer))
         for _ in range(case.faults):
             self.loop.call_later(rng.uniform(0.0, case.faulty_s), self._befall, rng.randrange(1 << 30))
         if case.leader_gone is not None:
@@ -394,7 +394,7 @@
             self.made.halted_why = plan.why
             self.made.back_tried += 1
             halted = plan.id
-            await self._asks("an", lambda id: f.Steer(id, halted, "back"), f.Steered)
+            await self._asks("an", lambda id: f.SteerPlan(id, halted, "back"), f.SteerAnswer)
             plan = await self._settled(self.at())
         elif plan.aim == "back":
             self.made.back_tried += 1
@@ -435,13 +435,13 @@
         return True
 
     def _voting(self) -> bool:
-        keepers = [agent.keeper for agent in self.agents.values() if agent.keeper is not None]
+        keepers = [agent.consensus_member for agent in self.agents.values() if agent.consensus_member is not None]
         voters = [keeper for keeper in keepers if keeper.voting]
         return len(self.agents) == self.case.agents and len(voters) >= len(keepers[0].voters)
 
     def _newest(self) -> Plan | None:
         ledgers = [
-            self.agents[f"agent-{n}"].keeper.ledger  # type: ignore[union-attr]
+            self.agents[f"agent-{n}"].consensus_member.ledger  # type: ignore[union-attr]
             for n, process in self.agent_processes.items()
             if process.alive and f"agent-{n}" in self.agents
         ]
@@ -525,10 +525,14 @@
     async def _says(self, plan: Plan, action: str, turn: int, who: str) -> None:
         began = self.at()
         self.say(f"{who} says {action}")
-        asked = self._asks(who, lambda id: f.Steer(id, plan.id, action, turn), f.Steered)  # type: ignore[arg-type]
+        asked = self._asks(who, lambda id: f.SteerPlan(id, plan.id, action, turn), f.SteerAnswer)  # type: ignore[arg-type]
         if action == "halt" and plan.state == "running" and not self.case.faults:
             task: asyncio.Future[Any] = asyncio.ensure_future(asked)
-            while not all(a.conductor.halted(p) for a in self.agents.values() if (p := a.keeper.ledger.plan(plan.id))):  # type: ignore[union-attr]
+            while not all(
+                a.plan_coordinator.halted(p)  # type: ignore[union-attr]
+                for a in self.agents.values()
+                if (p := a.consensus_member.ledger.plan(plan.id))  # type: ignore[union-attr]
+            ):
                 await asyncio.sleep(0.01)
                 if self.at() - began > 5000.0:
                     break
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -8,7 +8,7 @@
 
 from elderlock.control.records import Record, Records
 from elderlock.fleet.drain_intents import decide
-from elderlock.fleet.messages import Intend, Wish
+from elderlock.fleet.messages import DrainIntent, SubmitIntents
 from elderlock.interface import ListKind, ServerState
 from elderlock.sim.virtual.processes import Machine
 
@@ -133,7 +133,7 @@
                 way = self.world.ways.delay(self.machine, node.machine)
                 self.world.schedule.after(way, node.apply, held)
 
-    def intend(self, wish: Wish, order: Intend, by: str) -> str:
+    def intend(self, wish: DrainIntent, order: SubmitIntents, by: str) -> str:
         """What the agent makes of an operator's wish: made, joined, stale, refused, or not-kept."""
         if not self._works():
             return "missing"
@@ -159,9 +159,9 @@
             if agent.alive and not agent.paused:
                 known.merge(agent.records)
         held = known.get(kind, target)
-        wish = Wish(kind, target, drained, held.generation if held else 0)  # type: ignore[arg-type]
+        wish = DrainIntent(kind, target, drained, held.generation if held else 0)  # type: ignore[arg-type]
         self._wish, self._ends = wish, world.schedule.time + self.GIVE_UP
-        self._order = Intend(
+        self._order = SubmitIntents(
             1, f"{rng.getrandbits(64):016x}", known.generation() + 1, (wish,), (held,) if held else (), "", 200.0
         )
         self._claimed: set[str] = set()
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -196,9 +196,9 @@
 
 def grants_alone(patch: Patching) -> None:
     """An agent takes its own vote for a majority."""
-    from elderlock.fleet.consensus.member import Keeper
+    from elderlock.fleet.consensus.member import ConsensusMember
 
-    patch.setattr(Keeper, "quorum", property(lambda self: 1))
+    patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
 
 
 def knows_no_budget(patch: Patching) -> None:
@@ -263,15 +263,15 @@
 
 def agent_crashes_later(patch: Patching) -> None:
     """Once it has told its base that its group hears it."""
-    from elderlock.fleet.plans.agent_release import Renewal
+    from elderlock.fleet.plans.agent_release import AgentRelease
 
-    kept = Renewal.up
+    kept = AgentRelease.up
 
-    def up(self: Renewal) -> None:
+    def up(self: AgentRelease) -> None:
         kept(self)
         asyncio.get_running_loop().call_later(float(os.environ.get("ELDERLOCK_TRIAL_AFTER", "1")), os._exit, 3)
 
-    patch.setattr(Renewal, "up", up)
+    patch.setattr(AgentRelease, "up", up)
 
 
 def agent_is_of_another_protocol(patch: Patching) -> None:
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -23,7 +23,7 @@
 from elderlock.fleet.client.answers import Missing, Refusal
 from elderlock.fleet.client.drain_commands import Result
 from elderlock.fleet.client.drain_plan import Plan
-from elderlock.fleet.client.observation import Seen
+from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import Account, Exit
 from elderlock.sim.experiment import read_experiment
 from elderlock.sim.sweep import Records as SweepResults
@@ -39,7 +39,7 @@
     return msgspec.msgpack.decode(bytes.fromhex(MESSAGES[label]["data"]), type=form)
 
 
-def seen() -> Seen:
+def seen() -> GroupObservation:
     """Two limiters that answer and differ in their build."""
     shown, other = message("fleet.shown", messages.Shown), message("control.state", State)
     first = shown.limiters[0]
@@ -47,8 +47,8 @@
     second = message("fleet.limiter-status", messages.LimiterStatus)
     second.link, second.state = "answering", other
     shown.limiters = (first, second)
-    heard = message("fleet.heard", messages.Heard)
-    return Seen({"a": shown}, MISSING, Records([RECORD]), {"b": heard})
+    heard = message("fleet.heard", messages.AgentObservation)
+    return GroupObservation({"a": shown}, MISSING, Records([RECORD]), {"b": heard})
 
 
 class Answers:
@@ -74,7 +74,7 @@
 def drain(_: pytest.MonkeyPatch) -> None:
     reach = message("fleet.reach", messages.Reach)
     account = Account("origin-1", {RECORD.key: True})
-    account.answered("a", messages.Intended(1, "a", (messages.Decision("made", RECORD, "made"),), (reach,)))
+    account.answered("a", messages.IntentsAnswer(1, "a", (messages.Decision("made", RECORD, "made"),), (reach,)))
     account.answered("b", Missing("b", "no connection", True))
     plan = Plan((("box-7",),), ("box-9",), 1.0, 0.75, 2.5, ("too little is left",))
     result = Result(Exit.PART, plan, ("too little is left",), [account], ["a line"])
@@ -82,7 +82,7 @@
 
 
 def _looks(command: Callable[..., Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    async def see(*_: Any) -> Seen:
+    async def see(*_: Any) -> GroupObservation:
         return seen()
 
     monkeypatch.setattr(commands, "see", see)
@@ -106,7 +106,7 @@
 
 
 def budget(_: pytest.MonkeyPatch) -> None:
-    answers = {"a": message("fleet.stood", messages.Stood), **MISSING}
+    answers = {"a": message("fleet.stood", messages.BudgetStatus), **MISSING}
     asyncio.run(commands.budget(argparse.Namespace(json=True, deadline=1.0), Answers(answers)))  # type: ignore[arg-type]
 
 
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -57,7 +57,7 @@
         path = self.world.agent_path(number)
         agent = self.agents[number] = Agent(path, read_agent(path), random.Random(number))
         await agent.start()
-        await until(lambda: all(c.link.tried.is_set() for c in agent.charges.values()))
+        await until(lambda: all(c.link.tried.is_set() for c in agent.limiters.values()))
         return agent
 
     def kill(self, number: int) -> None:
@@ -144,7 +144,7 @@
 
     async def test() -> None:
         async with fleet(tmp_path) as group:
-            charge, odd = group.agents[0].charges["n1"], group.limiters["n1"]
+            charge, odd = group.agents[0].limiters["n1"], group.limiters["n1"]
             await until(lambda: charge.link.state is not None)
             old, new = Recorded(), Recorded()
             odd.trouble, odd.only = Trouble.STOPPED, m.Stop
@@ -167,15 +167,15 @@
     async def test() -> None:
         async with fleet(tmp_path) as group:
             agent, odd = group.agents[0], group.limiters["n1"]
-            await until(lambda: agent.charges["n1"].link.state is not None)
+            await until(lambda: agent.limiters["n1"].link.state is not None)
             odd.trouble, odd.only = Trouble.STOPPED, m.Look
             tool = group.group()
             seen = await see(tool, accounts=0, within=30.0, fresh_within=0.0)
             tool.close()
             assert any(isinstance(message, m.Look) for message in odd.received)
             assert {state.limiter for state in seen.states()} == {"n0", "n1"}
-            assert agent.charges["n1"].link.standing == "answering"
-            await until(lambda: agent.charges["n1"].link.standing == "silent")
+            assert agent.limiters["n1"].link.standing == "answering"
+            await until(lambda: agent.limiters["n1"].link.standing == "silent")
 
     run(test())
 
@@ -218,7 +218,7 @@
     async def test() -> None:
         async with fleet(tmp_path) as group:
             group.limiters["n1"].trouble = Trouble.EMPTY
-            link = group.agents[0].charges["n1"].link
+            link = group.agents[0].limiters["n1"].link
             await until(lambda: link.standing == "down")
             result = await group.command(give_up_after=0.5)
             assert states(result) == {"n0": "reached", "n1": "not-reached"} and result.exit is Exit.PART
@@ -235,7 +235,7 @@
             gone = group.limiters["n1"]
             gone.vanish()
             agent = group.agents[0]
-            await until(lambda: not agent.charges["n1"].link.listening)
+            await until(lambda: not agent.limiters["n1"].link.listening)
             result = await group.command(give_up_after=0.5)
             # nothing runs there: what starts next has the drain before its first request
             assert states(result) == {"n0": "reached", "n1": "at-start"}
@@ -342,7 +342,7 @@
                 path.unlink()
             agent = await group.start(0)
             await until(lambda: records(agent) == [("s-3", True, 1, "an")])
-            await until(lambda: all(c.link.standing == "answering" for c in agent.charges.values()))
+            await until(lambda: all(c.link.standing == "answering" for c in agent.limiters.values()))
             assert agent.store.records()[0].target == "s-3"
             assert (await group.command("s-3", drained=False)).exit is Exit.DONE
 
@@ -394,7 +394,7 @@
 def test_drains_that_cannot_be_written_for_the_next_start_hold_it_back(tmp_path: Path) -> None:
     async def test() -> None:
         async with fleet(tmp_path) as group:
-            charge = group.agents[0].charges["n1"]
+            charge = group.agents[0].limiters["n1"]
             group.limiters["n1"].vanish()
             await until(lambda: not charge.link.listening)
             # a folder where the file should be: the rename fails, whoever we are
@@ -460,13 +460,13 @@
             path = group.world.agent_path(1)
             path.write_text(path.read_text().replace('name = "n1"', f'name = "n0"\ncontrol = "{shared}"'))
             second = await group.start(1)
-            link = second.charges["n0"].link
+            link = second.limiters["n0"].link
             await until(lambda: link.standing == "claimed")
             assert "agent agent-0 holds this limiter" in link.why
             await until(lambda: link.state is not None)  # it still shows what it sees
-            second.charges["n0"].want(True)
-            assert second.charges["n0"].process is None  # and starts no double of it
-            second.charges["n0"].want(False)
+            second.limiters["n0"].want(True)
+            assert second.limiters["n0"].process is None  # and starts no double of it
+            second.limiters["n0"].want(False)
             result = await group.command(give_up_after=0.5)
             told = {(row.agent, row.limiter): row.state for row in result.accounts[0].rows()}
             assert told["agent-0", "n0"] == "reached" and told["agent-1", "n0"] == "not-reached"
@@ -493,7 +493,7 @@
         async with fleet(tmp_path, agents=3, limiters=3) as group:
             await until(
                 lambda: all(
-                    {h.standing for h in agent.exchanges.membership.view(now_ms())} == {"alive"}
+                    {h.standing for h in agent.group_view.membership.view(now_ms())} == {"alive"}
                     for agent in group.agents.values()
                 )
             )
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -14,9 +14,9 @@
 from elderlock.fleet.client.comparison import compare
 from elderlock.fleet.client.drain_plan import LEAST_LEFT, STEP_PART, plan_boxes, plan_limiters, summed
 from elderlock.fleet.client.report import Account, Exit
-from elderlock.fleet.drain_intents import Book, concerns, decide
+from elderlock.fleet.drain_intents import ProgressBook, concerns, decide
 from elderlock.fleet.group.membership import SUSPECT_AFTER, UNREACHABLE_AFTER, Membership
-from elderlock.fleet.supervision.supervisor import Do, Policy, Supervisor
+from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
 from elderlock.standins.limiters import box, state
 
 
@@ -24,12 +24,12 @@
     return Record("box", target, drained, generation, f"{by}-{generation}", by, 0.0)
 
 
-def wish(drained: bool = True, expect: int = 0) -> f.Wish:
-    return f.Wish("box", "s-1", drained, expect)
+def wish(drained: bool = True, expect: int = 0) -> f.DrainIntent:
+    return f.DrainIntent("box", "s-1", drained, expect)
 
 
-def intend(generation: int, origin: str = "binh-x") -> f.Intend:
-    return f.Intend(1, origin, generation, (), (), "", 200.0)
+def intend(generation: int, origin: str = "binh-x") -> f.SubmitIntents:
+    return f.SubmitIntents(1, origin, generation, (), (), "", 200.0)
 
 
 def test_a_wish_makes_one_record_and_its_repeat_makes_none() -> None:
@@ -67,7 +67,7 @@
 
 
 def test_what_was_sent_and_not_answered_is_unknown_until_the_limiter_says_so_itself() -> None:
-    book = Book()
+    book = ProgressBook()
     assert book.reach("n0", record(), True, "").state == "not-reached"
     book.sent([record()])
     reach = book.reach("n0", record(), True, "")
@@ -80,13 +80,13 @@
 
 
 def test_an_older_record_in_force_is_not_the_newer_one() -> None:
-    book = Book()
+    book = ProgressBook()
     book.applied([record(1)], 7.0, {}, 0)
     assert book.reach("n0", record(2, drained=False), True, "").state == "not-reached"
 
 
 def test_what_a_process_held_says_nothing_of_the_next() -> None:
-    book = Book()
+    book = ProgressBook()
     book.sent([record()])
     book.applied([record()], 7.0, {"s-1": 2}, 3)
     book.restarted()
@@ -102,14 +102,14 @@
 # Membership
 
 
-def heard(agent: str, incarnation: int, sequence: int, age: float) -> f.Heard:
-    return f.Heard(agent, "alive", incarnation, sequence, age, "", ())
+def heard(agent: str, incarnation: int, sequence: int, age: float) -> f.AgentObservation:
+    return f.AgentObservation(agent, "alive", incarnation, sequence, age, "", ())
 
 
 def test_standing_follows_the_silence() -> None:
     members = Membership("a", ["a", "b"])
     assert [(h.agent, h.standing, h.age_ms) for h in members.view(0.0)] == [("b", "unreachable", -1.0)]
-    members.heard("b", 1, 1, (), 100.0)
+    members.record_direct("b", 1, 1, (), 100.0)
     standing = [members.view(100.0 + t)[0].standing for t in (0, SUSPECT_AFTER, UNREACHABLE_AFTER)]
     assert standing == ["alive", "suspect", "unreachable"]
 
@@ -117,12 +117,12 @@
 def test_what_one_says_of_itself_beats_older_news_and_a_stranger_is_not_kept() -> None:
     members = Membership("a", ["a", "b", "c"])
     brief = (f.LimiterBrief("n0", "running", "answering", 4, False, 0),)
-    members.heard("b", 2, 5, brief, 1000.0)
-    members.relayed([heard("b", 1, 99, 0.0), heard("a", 9, 9, 0.0), heard("x", 1, 1, 0.0)], "c", 1000.0)
+    members.record_direct("b", 2, 5, brief, 1000.0)
+    members.record_relayed([heard("b", 1, 99, 0.0), heard("a", 9, 9, 0.0), heard("x", 1, 1, 0.0)], "c", 1000.0)
     view = {h.agent: h for h in members.view(1000.0)}
     assert set(view) == {"b", "c"}
     assert (view["b"].incarnation, view["b"].limiters, view["b"].via) == (2, brief, "")
-    members.relayed([heard("b", 2, 6, 500.0)], "c", 2000.0)
+    members.record_relayed([heard("b", 2, 6, 500.0)], "c", 2000.0)
     told = members.view(2000.0)[0]
     assert (told.sequence, told.age_ms, told.via) == (6, 500.0, "c")
 
@@ -132,9 +132,9 @@
     members, before = Membership("a", ["b"]), (0, 0)
     for n, (incarnation, sequence, direct) in enumerate(words):
         if direct:
-            members.heard("b", incarnation, sequence, (), float(n))
+            members.record_direct("b", incarnation, sequence, (), float(n))
         else:
-            members.relayed([heard("b", incarnation, sequence, 0.0)], "c", float(n))
+            members.record_relayed([heard("b", incarnation, sequence, 0.0)], "c", float(n))
         now = members.view(float(n))[0]
         assert (now.incarnation, now.sequence) >= before
         before = (now.incarnation, now.sequence)
@@ -153,16 +153,16 @@
         self.now, self.lives = 0.0, False
         self.exited_at: float | None = None
 
-    def do(self, do: Do | None) -> None:
-        if do is Do.SPAWN:
+    def do(self, do: Command | None) -> None:
+        if do is Command.SPAWN:
             assert not self.lives
             assert self.supervisor.wanted
             if self.supervisor.restarts and self.exited_at is not None and not self.restarted_by_hand:
                 assert self.now - self.exited_at >= self.policy.first_backoff / 2
             self.lives, self.restarted_by_hand = True, False
-        elif do is Do.TERMINATE:
+        elif do is Command.TERMINATE:
             assert not self.supervisor.wanted
-        elif do is Do.KILL:  # also where it is wanted again: it was told to end, and does not
+        elif do is Command.KILL:  # also where it is wanted again: it was told to end, and does not
             assert self.supervisor.phase == "stopping"
 
     restarted_by_hand = False
@@ -201,7 +201,7 @@
 
 def test_crashes_in_a_row_end_the_restarts_until_an_operator_starts_it() -> None:
     supervisor = Supervisor(Policy(crashes=3), random.Random(1))
-    assert supervisor.want(True, 0.0) is Do.SPAWN
+    assert supervisor.want(True, 0.0) is Command.SPAWN
     now = 0.0
     for n in range(3):
         assert supervisor.exited(now) is None
@@ -209,10 +209,10 @@
             assert supervisor.phase == "backing-off" and supervisor.due is not None
             now = supervisor.due
             assert supervisor.step(now - 0.1) is None
-            assert supervisor.step(now) is Do.SPAWN
+            assert supervisor.step(now) is Command.SPAWN
     assert supervisor.phase == "gave-up"
     assert supervisor.step(now + 1e9) is None
-    assert supervisor.want(True, now) is Do.SPAWN
+    assert supervisor.want(True, now) is Command.SPAWN
 
 
 def test_exits_far_apart_are_no_crash_loop_and_back_off_begins_anew() -> None:
@@ -225,15 +225,15 @@
         assert supervisor.phase == "backing-off" and supervisor.due is not None
         assert supervisor.due - now <= policy.first_backoff
         now = supervisor.due
-        assert supervisor.step(now) is Do.SPAWN
+        assert supervisor.step(now) is Command.SPAWN
 
 
 def test_one_that_does_not_end_is_killed_once() -> None:
     supervisor = Supervisor(Policy(stop_within=500.0), random.Random(1))
     supervisor.want(True, 0.0)
-    assert supervisor.want(False, 10.0) is Do.TERMINATE
+    assert supervisor.want(False, 10.0) is Command.TERMINATE
     assert supervisor.step(509.0) is None
-    assert supervisor.step(510.0) is Do.KILL
+    assert supervisor.step(510.0) is Command.KILL
     assert supervisor.step(520.0) is None
     supervisor.exited(530.0)
     assert supervisor.phase == "stopped"
@@ -346,9 +346,9 @@
     return Account("an-1", {KEY: True}, known={name: (f"n-{name}",) for name in agents})
 
 
-def intended(agent: str, outcome: str, held: Record | None, reached: str = "reached", out: int = 0) -> f.Intended:
+def intended(agent: str, outcome: str, held: Record | None, reached: str = "reached", out: int = 0) -> f.IntentsAnswer:
     reach = f.Reach(f"n-{agent}", "box", "s-1", reached, 5.0, "", out)  # type: ignore[arg-type]
-    return f.Intended(1, agent, (f.Decision(outcome, held, "why"),), (reach,))  # type: ignore[arg-type]
+    return f.IntentsAnswer(1, agent, (f.Decision(outcome, held, "why"),), (reach,))  # type: ignore[arg-type]
 
 
 def test_done_everywhere_means_every_limiters_own_word() -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -31,7 +31,7 @@
         self.world, self.agent, self.group, self.front = world, agent, group, front
 
     def pid(self, limiter: str) -> int:
-        process = self.agent.charges[limiter].process
+        process = self.agent.limiters[limiter].process
         assert process is not None
         return process.pid
 
@@ -77,12 +77,12 @@
         yield made
     finally:
         group.close()
-        for charge in made.agent.charges.values():
+        for charge in made.agent.limiters.values():
             charge.supervisor.wanted = False
             if charge.process is not None:
                 charge.process.signal(signal.SIGCONT)
                 charge.process.signal(signal.SIGKILL)
-        await until(lambda: all(c.process is None for c in made.agent.charges.values()))
+        await until(lambda: all(c.process is None for c in made.agent.limiters.values()))
         made.agent.close()
         await world.close()
 
@@ -193,14 +193,14 @@
             since = unix_ms()
             before = here.pid("n0")
             os.kill(before, signal.SIGKILL)
-            await until(lambda: here.agent.charges["n0"].process is not None and here.pid("n0") != before)
+            await until(lambda: here.agent.limiters["n0"].process is not None and here.pid("n0") != before)
             await until(lambda: not here.front.part[0])
             await until(lambda: here.front.part[0])  # it has answered PING: requests come
             count = here.sent_by(0)
             await until(lambda: here.sent_by(0) > count)
             await here.some_work()
             assert here.late("s-02", since) == []
-            assert here.agent.charges["n0"].supervisor.restarts == 1
+            assert here.agent.limiters["n0"].supervisor.restarts == 1
             ledger = await here.front.stop()
             assert ledger.answered_twice == 0
 
@@ -236,12 +236,12 @@
             await here.agent.start()
             await here.answering()
             assert {name: here.pid(name) for name in here.world.limiter_names} == pids
-            assert all(charge.adopted for charge in here.agent.charges.values())
+            assert all(charge.adopted for charge in here.agent.limiters.values())
             seen = await see(here.group)
             assert {r.target for s in seen.states() for r in s.records} == {"s-04"}
             # an adopted one is watched, though it is no child of ours any more
             os.kill(pids["n2"], signal.SIGKILL)
-            await until(lambda: here.agent.charges["n2"].process is not None and here.pid("n2") != pids["n2"])
+            await until(lambda: here.agent.limiters["n2"].process is not None and here.pid("n2") != pids["n2"])
             await here.front.stop()
 
     run(test(), within=60.0)
@@ -292,7 +292,7 @@
             good = config.read_text()
             config.write_text("{")
             os.kill(here.pid("n2"), signal.SIGKILL)
-            charge = here.agent.charges["n2"]
+            charge = here.agent.limiters["n2"]
             await until(lambda: charge.supervisor.phase == "gave-up")
             drained = await here.drain("s-05")
             rows = {row.limiter: row.state for row in drained.accounts[0].rows()}
--- a/tests/gossip/test_seen.py
+++ b/tests/gossip/test_seen.py
@@ -18,9 +18,9 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing
 from elderlock.fleet.client.drain_commands import see
-from elderlock.fleet.client.explanation import Explained, entries, explain
+from elderlock.fleet.client.explanation import Explanation, entries, explain
 from elderlock.fleet.client.group_client import Group
-from elderlock.fleet.client.observation import Seen, seen_of
+from elderlock.fleet.client.observation import GroupObservation, observe
 from elderlock.gossip.evidence import ENOUGH, FRESH
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.limiters import box, state
@@ -41,17 +41,17 @@
     return Group.read(ground.direct_path)
 
 
-async def until_seen(group: Group, holds: Callable[[Seen], bool]) -> Seen:
+async def until_seen(group: Group, holds: Callable[[GroupObservation], bool]) -> GroupObservation:
     while not holds(seen := await see(group, accounts=0)):
         await asyncio.sleep(0.1)
     return seen
 
 
-def of(seen: Seen) -> Explained:
+def of(seen: GroupObservation) -> Explanation:
     return explain(seen, BOX, time.time() * 1000.0)
 
 
-def left_out(seen: Seen) -> list[str]:
+def left_out(seen: GroupObservation) -> list[str]:
     """Limiters that leave the box out."""
     return [word.limiter for word in of(seen).words if word.health is not None and word.health.left_out_ms >= 0.0]
 
@@ -118,7 +118,7 @@
         f.LimiterStatus(name, "running", 1, False, 0, -1.0, "answering", "", 10.0, state(name, each))
         for name, each in (("n0", boxes), ("n1", boxes[:1]))
     ]
-    seen = seen_of(
+    seen = observe(
         {
             "agent-0": f.Shown(1, "agent-0", "1", 1, 1.0, "", tuple(status), (drained,), ()),
             "agent-1": Missing("agent-1", "no answer in 1 s", True),
@@ -173,7 +173,7 @@
             mend = faults.silence(ground.listing.boxes[BOX].uid)
             good: list[float] = []
 
-            def found(seen: Seen) -> bool:
+            def found(seen: GroupObservation) -> bool:
                 good.extend(entry.weighed for entry in entries(seen.states()) if entry.box != BOX)
                 return len(left_out(seen)) >= 2
 
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -15,7 +15,7 @@
 from elderlock.cli.main import main
 from elderlock.cli.running import groups
 from elderlock.fleet import messages as f
-from elderlock.fleet.agent.worker_leasing import Lending
+from elderlock.fleet.agent.worker_leasing import WorkerLeasing
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError, read_agent
 from elderlock.load import messages as m
@@ -190,7 +190,7 @@
 
 def test_a_lent_worker_loses_no_frame_to_a_lost_answer_and_takes_none_twice() -> None:
     async def test() -> None:
-        lending = Lending(1)
+        lending = WorkerLeasing(1)
         clock = [m.encode(m.Clock(n)) for n in range(3)]
         assert lending.begins("a") and not lending.refusal()
         taken, first, _, _ = await lending.talk("a", 0, clock[:2], 0, False)
@@ -253,7 +253,7 @@
     world.write_files()
     with pytest.raises(FileError, match="workers lies between 0 and 64"):
         read_agent(world.agent_path(0))
-    assert "lends no workers" in Lending(0).refusal()
+    assert "lends no workers" in WorkerLeasing(0).refusal()
 
 
 def test_the_groups_that_are_up_are_found_and_no_one_elses(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -187,7 +187,7 @@
     async def begin(self, version: str) -> Plan:
         make = operate.begin("r" * 32, "agents", version, (), (), TERMS, "")
         while True:
-            said = await operate.ask_any(self.group, make, f.Begun, None)
+            said = await operate.ask_any(self.group, make, f.BeginAnswer, None)
             if said.plan is not None:
                 return said.plan
             assert "base" not in " ".join(said.lines), said.lines
@@ -235,7 +235,7 @@
             await here.until_all_run("v2")
             assert here.limiter_pids() == before  # adopted by each new agent
             assert (
-                await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)
+                await operate.ask_any(here.group, lambda id: f.SteerPlan(id, "r" * 32, "back"), f.SteerAnswer, 5.0)
             ).exit == 0
             await here.until("taken back")
             await here.until_all_run("")
@@ -272,7 +272,7 @@
             plan = await here.until("done", "taken back", "halted")
             if plan.outcome() == "halted":
                 while (
-                    await operate.ask_any(here.group, lambda id: f.Steer(id, "r" * 32, "back"), f.Steered, 5.0)
+                    await operate.ask_any(here.group, lambda id: f.SteerPlan(id, "r" * 32, "back"), f.SteerAnswer, 5.0)
                 ).exit != 0:
                     await asyncio.sleep(0.1)
                 plan = await here.until("taken back")
@@ -287,7 +287,7 @@
             here.ground.lay_agent_version("v2")
             make = operate.begin("r" * 32, "agents", "v2", (), (), TERMS, "")
             while True:
-                said = await operate.ask_any(here.group, make, f.Begun, None)
+                said = await operate.ask_any(here.group, make, f.BeginAnswer, None)
                 if "was not heard" not in " ".join(said.lines) and "yet" not in " ".join(said.lines):
                     break
                 await asyncio.sleep(0.1)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -25,7 +25,7 @@
 VOTERS = ("agent-0", "agent-1", "agent-2")
 
 
-def blind(stood: f.Stood) -> bool:
+def blind(stood: f.BudgetStatus) -> bool:
     """It knows too little to grant anything."""
     return any(line.endswith("is not known") for line in stood.lines)
 
@@ -37,20 +37,20 @@
         self.ground, self.faults = ground, TrialFaults(ground)
         self.group = Group.read(ground.group_path, ground.token_path("an"))
 
-    async def ask(self, agent: str, *boxes: str, origin: str = "", within: float = 4.0) -> f.Granted:
+    async def ask(self, agent: str, *boxes: str, origin: str = "", within: float = 4.0) -> f.PermitsAnswer:
         targets = tuple(("box", box) for box in boxes)
         said = await self.group.ask(
             agent,
-            lambda id: f.Ask(id, origin or f"{agent}/{boxes}", targets, "", 0),  # type: ignore[arg-type]
-            f.Granted,
+            lambda id: f.RequestPermits(id, origin or f"{agent}/{boxes}", targets, "", 0),  # type: ignore[arg-type]
+            f.PermitsAnswer,
             within,
         )
-        assert isinstance(said, f.Granted), said
+        assert isinstance(said, f.PermitsAnswer), said
         return said
 
-    async def standing(self, agent: str) -> f.Stood | None:
-        said = await self.group.ask(agent, f.Standing, f.Stood, 1.0)
-        return said if isinstance(said, f.Stood) else None
+    async def standing(self, agent: str) -> f.BudgetStatus | None:
+        said = await self.group.ask(agent, f.ShowBudget, f.BudgetStatus, 1.0)
+        return said if isinstance(said, f.BudgetStatus) else None
 
     async def voting(self, *agents: str) -> None:
         """Until these vote, and know of all agents and boxes."""
@@ -58,16 +58,16 @@
             while (stood := await self.standing(agent)) is None or stood.voting != "yes" or blind(stood):
                 await asyncio.sleep(0.05)
 
-    async def intend(self, agent: str, granted: f.Granted) -> f.Intended:
+    async def intend(self, agent: str, granted: f.PermitsAnswer) -> f.IntentsAnswer:
         (permit,) = granted.permits
-        wish = f.Wish("box", permit.target, True, 0)
+        wish = f.DrainIntent("box", permit.target, True, 0)
         said = await self.group.ask(
             agent,
-            lambda id: f.Intend(id, permit.origin, permit.generation, (wish,), (), "", 500.0, granted.permits),
-            f.Intended,
+            lambda id: f.SubmitIntents(id, permit.origin, permit.generation, (wish,), (), "", 500.0, granted.permits),
+            f.IntentsAnswer,
             3.0,
         )
-        assert isinstance(said, f.Intended), said
+        assert isinstance(said, f.IntentsAnswer), said
         return said
 
     async def records(self) -> dict[str, list[Record]]:
@@ -129,8 +129,8 @@
             lost = await here.ask("agent-0", "s-00")
             assert lost.outcome == "away" and "what the boxes do is not known" in lost.reasons[0]
             make = begin("plan", "drain", "", ["s-00", "s-01"], (("s-00",), ("s-01",)), Terms(pause=0.0), "")
-            begun = await here.group.ask("agent-0", make, f.Begun, 4.0)
-            assert isinstance(begun, f.Begun) and begun.outcome == "away"
+            begun = await here.group.ask("agent-0", make, f.BeginAnswer, 4.0)
+            assert isinstance(begun, f.BeginAnswer) and begun.outcome == "away"
             assert (await here.ask("agent-1", "s-00")).outcome == "granted"
             here.ground.signal("n0", signal.SIGCONT, "")
             await here.voting("agent-0")
@@ -138,8 +138,8 @@
             here.ground.lay_version("v2")
             here.ground.signal("agent-2", signal.SIGSTOP, "it was stopped")
             make = begin("release", "release", "v2", (), (), Terms(), "")
-            begun = await here.group.ask("agent-1", make, f.Begun, 6.0)
-            assert isinstance(begun, f.Begun) and begun.outcome == "away", begun
+            begun = await here.group.ask("agent-1", make, f.BeginAnswer, 6.0)
+            assert isinstance(begun, f.BeginAnswer) and begun.outcome == "away", begun
             assert "agent agent-2 does not say whether it has version v2" in begun.reasons
             here.ground.signal("agent-2", signal.SIGCONT, "")
 
@@ -186,11 +186,11 @@
 def test_no_drain_without_a_permit_and_one_by_force_is_audited() -> None:
     async def test() -> None:
         async with three() as here:
-            wish = f.Wish("box", "s-01", True, 0)
+            wish = f.DrainIntent("box", "s-01", True, 0)
             bare = await here.group.ask(
-                "agent-1", lambda id: f.Intend(id, "o", 9, (wish,), (), "", 500.0), f.Intended, 3.0
+                "agent-1", lambda id: f.SubmitIntents(id, "o", 9, (wish,), (), "", 500.0), f.IntentsAnswer, 3.0
             )
-            assert isinstance(bare, f.Intended)
+            assert isinstance(bare, f.IntentsAnswer)
             assert bare.decisions[0].outcome == "refused" and "no permit" in bare.decisions[0].text
             assert await here.faults.told("an", "drain", "box", "s-05", "--force", within=8.0) == 0
             said = await here.group.ask("agent-1", lambda id: f.Audit(id, 50), f.Audited, 2.0)
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -35,12 +35,16 @@
     async def known(self) -> operate.Known:
         return await operate.known(self.group, 1.0)
 
-    async def begin(self, version: str, id: str = "r" * 32, agent: str = "", terms: Terms = TERMS) -> f.Begun:
+    async def begin(self, version: str, id: str = "r" * 32, agent: str = "", terms: Terms = TERMS) -> f.BeginAnswer:
         make = operate.begin(id, "release", version, (), (), terms, "")
         while True:
             for name in [agent] if agent else self.group.names:
-                said = await self.group.ask(name, make, f.Begun, 5.0)
-                if isinstance(said, f.Begun) and said.outcome != "away" and not any("yet" in r for r in said.reasons):
+                said = await self.group.ask(name, make, f.BeginAnswer, 5.0)
+                if (
+                    isinstance(said, f.BeginAnswer)
+                    and said.outcome != "away"
+                    and not any("yet" in r for r in said.reasons)
+                ):
                     return said
             await asyncio.sleep(0.1)
 
@@ -102,16 +106,16 @@
             await tool.end()
             while (now := (await here.known()).plan("x" * 32)) is None or now.term == plan.term:
                 if now is not None and now.state == "halted":  # halted, it needs no leader
-                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.turn)
-                    await operate.ask_any(here.group, on, f.Steered, 5.0)
+                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.turn)
+                    await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
             assert now.leader != plan.leader
             here.ground.agent_processes[int(plan.leader[6:])].held_down = False
             await here.ground._start_agent(here.ground.agent_processes[int(plan.leader[6:])])
             while (now := (await here.known()).plan("x" * 32)) is None or now.state != "over":
                 if now is not None and now.state == "halted":  # it was silent for too long: an operator goes on
-                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.turn)
-                    await operate.ask_any(here.group, on, f.Steered, 5.0)
+                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.turn)
+                    await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
             want = "v2" if now.aim == "to" else ""
             while set((await here.runs()).values()) != {want}:
@@ -131,9 +135,9 @@
             assert sorted(each.outcome for each in said) == ["begun", "refused"]
             plan = next(each.plan for each in said if each.plan is not None)
 
-            async def steer(agent: str, action: str, turn: int) -> f.Steered:
-                got = await here.group.ask(agent, lambda id: f.Steer(id, plan.id, action, turn), f.Steered, 5.0)  # type: ignore[arg-type]
-                assert isinstance(got, f.Steered), got
+            async def steer(agent: str, action: str, turn: int) -> f.SteerAnswer:
+                got = await here.group.ask(agent, lambda id: f.SteerPlan(id, plan.id, action, turn), f.SteerAnswer, 5.0)  # type: ignore[arg-type]
+                assert isinstance(got, f.SteerAnswer), got
                 return got
 
             assert (await steer("agent-1", "halt", 0)).outcome == "done"
@@ -156,8 +160,8 @@
             assert begun.plan is not None, begun.reasons
             cut = [pair for other in ("agent-1", "agent-2") for pair in (("agent-0", other), (other, "agent-0"))]
             here.ground.relays.befall("cut", cut)
-            said = await here.group.ask("agent-0", lambda id: f.Steer(id, "r" * 32, "halt", 0), f.Steered, 5.0)
-            assert isinstance(said, f.Steered) and said.outcome == "away"
+            said = await here.group.ask("agent-0", lambda id: f.SteerPlan(id, "r" * 32, "halt", 0), f.SteerAnswer, 5.0)
+            assert isinstance(said, f.SteerAnswer) and said.outcome == "away"
             there = (await here.known()).answers["agent-0"]
             assert [halt[:2] for halt in there.halts] == [("r" * 32, 0)]
             here.ground.relays.mend("cut", cut)
@@ -178,7 +182,7 @@
             ground.ask()
             terms = msgspec.structs.replace(TERMS, pause=3.0)
             make = operate.begin("d" * 32, "drain", "", (), [BOXES[:1], BOXES[1:2], BOXES[2:3]], terms, "")
-            while (said := await operate.ask_any(here.group, make, f.Begun, None)).plan is None:
+            while (said := await operate.ask_any(here.group, make, f.BeginAnswer, None)).plan is None:
                 assert any("yet" in line or "does not" in line or "few" in line for line in said.lines), said.lines
                 await asyncio.sleep(0.1)
             for uid in BOXES[4:]:
@@ -222,7 +226,7 @@
             told = json.loads((here.ground.folder / f"{status.name}.log").read_text())
             assert [unit[4] for unit in told["plans"][-1]["units"]] == ["done"] * 2
             assert (
-                await operate.ask_any(here.group, lambda id: f.Steer(id, plan.id, "back"), f.Steered, 5.0)
+                await operate.ask_any(here.group, lambda id: f.SteerPlan(id, plan.id, "back"), f.SteerAnswer, 5.0)
             ).exit == 0
             await here.until("taken back", plan.id)
             for shown in (await here.ground.shown()).values():
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from elderlock.fleet.consensus.member import Keeper
+from elderlock.fleet.consensus.member import ConsensusMember
 from elderlock.fleet.plans import coordinator as conductor
-from elderlock.fleet.plans.coordinator import Conductor
+from elderlock.fleet.plans.coordinator import PlanCoordinator
 from elderlock.rollout import ledger
 from elderlock.rollout.carrying import Carrier
 from elderlock.sim import rollouts
@@ -57,12 +57,12 @@
     assert heard and max(heard) <= 1000.0
 
 
-async def _always(self: Conductor, plan: object, unit: object) -> bool:
+async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
 def _grants_alone(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Keeper, "quorum", property(lambda self: 1))
+    patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
     patch.setattr(rollouts, "SETTLED_WITHIN", -400.0)  # what two ledgers come to is not waited for
 
 
@@ -90,7 +90,7 @@
         lambda played: played.doubled,
     ),
     "nobody asks whether it still stands": (
-        lambda patch: patch.setattr(Conductor, "_confirmed", _always),
+        lambda patch: patch.setattr(PlanCoordinator, "_confirmed", _always),
         replace(SMALL, sleeper=True),
         lambda played: played.after_fence,
     ),
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from elderlock.fleet.plans.coordinator import Conductor
+from elderlock.fleet.plans.coordinator import PlanCoordinator
 from elderlock.rollout import steps
 from elderlock.rollout.basing import Base
 from elderlock.sim import renewals
@@ -66,7 +66,7 @@
     patch.setattr(renewals, "SETTLED_WITHIN", 60.0)
 
 
-async def _always(self: Conductor, plan: object, unit: object) -> bool:
+async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
