--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -21,21 +21,23 @@
 
 import uvloop
 
-from elderlock.quota.book import Book
-from elderlock.quota.bound import Excess, Failures, stated
-from elderlock.quota.health import Mode
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counter_health import CounterMode
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
+from elderlock.quota.lease_book import LeaseBook
 from elderlock.standins.counters import Group
 from elderlock.standins.listener import Fault
 from elderlock.standins.programs import Program, programs
 
-HARD = Store(rate=13.0, burst=19.0, limiters=3, hard=True, slack=2.0)
-SOFT = Store(rate=7.0, burst=12.0, limiters=3)
+HARD = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
+SOFT = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
 BUSY = (12.0, 9.0, 15.0)
-WAYS: dict[str, Terms] = {
-    "lease": Terms(),
-    "even split": Terms(),
-    "one call a request": Terms(hold=0.0, ahead_share=0.0, free=0.0, calls=1e6),
+WAYS: dict[str, CounterTerms] = {
+    "lease": CounterTerms(),
+    "even split": CounterTerms(),
+    "one call a request": CounterTerms(
+        hold_ms=0.0, prefetch_fraction=0.0, unreported_fraction=0.0, max_calls_per_s=1e6
+    ),
 }
 
 
@@ -135,13 +137,13 @@
 }
 
 
-class Even(Book):
+class Even(LeaseBook):
     """Never asks the counter: the split that stands in until there is a reading."""
 
-    def ask(self, request: str, key: str, store: Store, units: float, now: float) -> bool | None:
-        return self.ledger(key, store, now)[1].spend_local(units, now)
+    def admit(self, request: str, key: str, store: SharedBucket, units: float, now: float) -> bool | None:
+        return self.ledger_for(key, store, now)[1].spend_local(units, now)
 
-    def calls(self, now: float) -> list[Any]:
+    def due_calls(self, now: float) -> list[Any]:
         return []
 
 
@@ -152,7 +154,11 @@
     if limiters != 3:
         grown = limiters / 3
         store = replace(
-            store, limiters=limiters, rate=store.rate * grown, burst=store.burst * grown, slack=store.slack * grown
+            store,
+            limiter_count=limiters,
+            rate_per_s=store.rate_per_s * grown,
+            burst_units=store.burst_units * grown,
+            slack_units=store.slack_units * grown,
         )
     rates = [BUSY[n % 3] for n in range(limiters)]
     group = Group(store, terms, seed, rates, per_s=max(500.0, 170.0 * limiters))
@@ -160,25 +166,25 @@
         group.books = [Even(terms, group.rng, group.clock(n)) for n in range(limiters)]
     begun = group.now
     SERIES[series](group)
-    allowed = store.burst + store.refill(group.now - begun)
+    allowed = store.burst_units + store.refill_units(group.now - begun)
     granted, asked = sum(group.granted.values()), sum(group.asked.values())
     return {
         "way": way,
         "series": series,
         "hard": hard,
         "limiters": limiters,
-        "worst": round(group.excess.worst, 2),
-        "bound": round(stated(store, terms, group.known_failures()), 2),
+        "worst": round(group.excess.worst_units, 2),
+        "bound": round(stated_error_units(store, terms, group.known_failures()), 2),
         "excess_share": round(max(0.0, granted - allowed) / allowed, 4),
         "unused_share": round(max(0.0, min(asked, allowed) - granted) / allowed, 4),
-        "calls_per_request": round(sum(book.made for book in group.books) / max(1, asked), 3),
+        "calls_per_request": round(sum(book.calls_made for book in group.books) / max(1, asked), 3),
         "slowest_ms": round(group.slowest, 1),
     }
 
 
 def recovery(seed: int) -> list[float]:
     """ms from the counter's return until each limiter draws again."""
-    group = Group(HARD, Terms(), seed, BUSY).play(3_000.0)
+    group = Group(HARD, CounterTerms(), seed, BUSY).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
@@ -186,21 +192,21 @@
     while len(found) < 3 and group.now - begun < 10_000.0:
         group.play(10.0)
         for number, book in enumerate(group.books):
-            if book.mode is Mode.SHARED:
+            if book.mode is CounterMode.SHARED:
                 found.setdefault(number, group.now - begun)
     return list(found.values())
 
 
-def light(store: Store, rate: float) -> float:
+def light(store: SharedBucket, rate: float) -> float:
     """Calls a request, but the sentinels', for customers far from their quota."""
-    group = Group(store, Terms(), 5, (rate,) * 3).play(60_000.0)
-    made = sum(book.made for book in group.books) - 3 * 60_000.0 / Terms().heartbeat
+    group = Group(store, CounterTerms(), 5, (rate,) * 3).play(60_000.0)
+    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterTerms().heartbeat_ms
     return max(0.0, made) / sum(group.asked.values())
 
 
 def near() -> float:
-    group = Group(SOFT, Terms(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
-    made = sum(book.made for book in group.books) - 3 * 60_000.0 / Terms().heartbeat
+    group = Group(SOFT, CounterTerms(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
+    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterTerms().heartbeat_ms
     return made / sum(group.asked.values())
 
 
@@ -260,7 +266,7 @@
 async def real() -> dict[str, Any]:
     """Three real limiters, most of the requests at one, through calm, a silence, an empty return and a counter that
     refuses and is started anew."""
-    store, begun = Store(30.0, 60.0, 3), time.monotonic()
+    store, begun = SharedBucket(30.0, 60.0, 3), time.monotonic()
     served: list[float] = []
     asked = 0
 
@@ -298,16 +304,16 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             calls = counter.calls
-    excess = Excess(store)
+    excess = ExcessMeter(store)
     for at in sorted(served):
-        excess.let_in(1.0, at)
+        excess.record(1.0, at)
     return {
         "real_served": len(served),
         "real_asked": asked,
         "real_calls": calls,
-        "real_quota_units": round(store.burst + store.refill((time.monotonic() - begun) * 1000.0), 1),
-        "real_worst_units": round(excess.worst, 2),
-        "real_bound_units": round(stated(store, Terms(), Failures(returns=2)), 2),
+        "real_quota_units": round(store.burst_units + store.refill_units((time.monotonic() - begun) * 1000.0), 1),
+        "real_worst_units": round(excess.worst_units, 2),
+        "real_bound_units": round(stated_error_units(store, CounterTerms(), FailureHistory(return_count=2)), 2),
     }
 
 
@@ -365,7 +371,7 @@
                 "call_each_excess_share": shares("one call a request", "excess_share"),
                 "calls_per_request": {
                     "far, burst 12": round(light(SOFT, 0.5), 3),
-                    "far, burst 400": round(light(Store(200.0, 400.0, 3), 12.0), 3),
+                    "far, burst 400": round(light(SharedBucket(200.0, 400.0, 3), 12.0), 3),
                     "near": round(near(), 3),
                     "far beyond": max(one["calls_per_request"] for one in lease if one["series"] == "calm"),
                     "far beyond, one call each": max(
--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -7,10 +7,10 @@
 from elderlock.control import messages as m
 from elderlock.decisions.limiter import Limiter
 from elderlock.gossip import ceilings
-from elderlock.gossip.evidence import ENOUGH, FRESH
+from elderlock.gossip.evidence_messages import server_key
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT, FRESH_MS
 from elderlock.gossip.limiter import SharedLimiter
-from elderlock.gossip.rumours import INTAKE_PART
-from elderlock.gossip.wire import key
+from elderlock.gossip.rumours import SEND_FRACTION
 from elderlock.state import Server
 
 MOST_SHOWN = 64  # servers whose evidence is shown at a look, those that most was heard of lately first
@@ -37,30 +37,33 @@
             heard=limiter.heard,
             refused=limiter.refused,
             told=limiter.told,
-            told_most=INTAKE_PART * limiter.context.settings.quota_sources.peer_messages_per_s,
+            told_most=SEND_FRACTION * limiter.context.settings.quota_sources.peer_messages_per_s,
             heard_age_ms=now - heard_at if heard_at > float("-inf") else -1.0,
-            counts_ms=FRESH,
+            counts_ms=FRESH_MS,
             servers=len(evidence),
-            disbelieved=tuple(evidence.disbelieved(len(limiter.endpoints.directory.ready), now)),
-            silent=evidence.doubts_itself(now),
+            disbelieved=tuple(evidence.distrusted_origins(len(limiter.endpoints.directory.ready), now)),
+            silent=evidence.distrusts_itself(now),
         )
 
     def shown(self) -> set[int]:
         """Keys of the servers whose evidence is shown."""
-        return set(self._limiter.evidence.latest(MOST_SHOWN))
+        return set(self._limiter.evidence.latest_servers(MOST_SHOWN))
 
     def health(self, uid: str, server: Server | None, shown: set[int], now: float) -> m.Health | None:
         held = self._limiter.outliers.held.get(server) if server is not None else None
-        rows = self._limiter.evidence.who(key(uid), now) if key(uid) in shown else []
+        rows = self._limiter.evidence.witnesses(server_key(uid), now) if server_key(uid) in shown else []
         if held is None and not rows:
             return None
         ready = len(self._limiter.endpoints.directory.ready)
         return m.Health(
-            self._limiter.evidence.failures(key(uid), ready, now),
-            ENOUGH,
+            self._limiter.evidence.failure_weight(server_key(uid), ready, now),
+            EJECTION_WEIGHT,
             now - held.since if held is not None else -1.0,
             held.origins if held is not None else (),
-            tuple(m.Witness(each.origin, self._zone(each.zone), each.failed_age, each.good_age) for each in rows),
+            tuple(
+                m.Witness(each.origin_index, self._zone(each.zone), each.failed_age_ms, each.answered_age_ms)
+                for each in rows
+            ),
         )
 
     def _zone(self, number: int) -> str:
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -14,9 +14,18 @@
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.outlier_detection import LEFT_OUT_FOR, LEFT_OUT_MOST, OUTLIER_AFTER, OutlierDetector
-from elderlock.gossip.evidence import ENOUGH, FRESH, Evidence
-from elderlock.gossip.rumours import Rumours
-from elderlock.gossip.wire import NO_ZONE, Kind, Observation, WireError, decode, encode, is_gossip, key
+from elderlock.gossip.evidence_messages import (
+    UNKNOWN_ZONE,
+    EvidenceMessageError,
+    Observation,
+    ObservationKind,
+    decode,
+    encode,
+    is_evidence,
+    server_key,
+)
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT, FRESH_MS, HealthEvidence
+from elderlock.gossip.rumours import RumourQueue
 from elderlock.interface import Outcome
 from elderlock.state import Server
 
@@ -80,14 +89,14 @@
 
     def __init__(self, settings: api.Settings, seed: int, now: float, source: type[Keepers] = Keepers) -> None:
         super().__init__(settings, seed, now, source)
-        zone = settings.zone if 0 <= settings.zone < NO_ZONE else NO_ZONE
-        self.evidence = Evidence(settings.limiter_index, zone)
+        zone = settings.zone if 0 <= settings.zone < UNKNOWN_ZONE else UNKNOWN_ZONE
+        self.evidence = HealthEvidence(settings.limiter_index, zone)
         # draws of its own: what is drawn for choices stays as it was
         intake, rng = settings.quota_sources.peer_messages_per_s, random.Random(seed ^ 0x5E)
-        self.rumours = Rumours(settings.limiter_index, settings.limiter_count, intake, rng, now)
+        self.rumours = RumourQueue(settings.limiter_index, settings.limiter_count, intake, rng, now)
         self.outliers = self.endpoints.outliers = SharedOutliers(self.context, self._failed_here)
         self._by_key: dict[int, Server] = {}
-        self._told: dict[tuple[int, Kind], float] = {}  # when we last told this of that server
+        self._told: dict[tuple[int, ObservationKind], float] = {}  # when we last told this of that server
         self._began = now  # ms, the attempt whose end is in work
         self.heard = self.refused = self.told = 0  # datagrams
         self.handlers[api.AttemptEnded] = self._ended
@@ -102,14 +111,14 @@
         before = {name: servers[name].entry.started_at_ms for name in names if name in servers}
         self.endpoints.listed(event)
         if event.kind is not api.ListKind.CHANGES:
-            self._by_key = {key(name): server for name, server in servers.items()}
+            self._by_key = {server_key(name): server for name, server in servers.items()}
         for name in names:
             if (server := servers.get(name)) is None:
-                self._by_key.pop(key(name), None)
+                self._by_key.pop(server_key(name), None)
                 continue
-            self._by_key[key(name)] = server
+            self._by_key[server_key(name)] = server
             if before.get(name, server.entry.started_at_ms) != server.entry.started_at_ms:
-                self.evidence.forget(key(name))
+                self.evidence.forget(server_key(name))
 
     def _ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request_id)
@@ -118,57 +127,59 @@
         self.attempts.ended(event)
         if request is None or server is None:
             return
-        name = key(event.server_id)
+        name = server_key(event.server_id)
         if event.outcome in (Outcome.OK, Outcome.ERROR):
-            self.evidence.tried(name, self.context.now_ms)
+            self.evidence.record_own_attempt(name, self.context.now_ms)
             # a good answer is told where failures still weigh or errors did: the first one of a zone undoes these there
             if event.outcome is Outcome.ERROR:
-                self._saw(server, Kind.ERROR)
+                self._saw(server, ObservationKind.ERROR)
             elif (
                 server.error_fraction > LEAST_WRONG
-                or self.evidence.failures(name, self.endpoints.load_estimator.ready_server_count, self.context.now_ms)
+                or self.evidence.failure_weight(
+                    name, self.endpoints.load_estimator.ready_server_count, self.context.now_ms
+                )
                 > 0.0
             ):
-                self._saw(server, Kind.GOOD)
+                self._saw(server, ObservationKind.ANSWERED)
         self._tell()
 
     def _failed_here(self, server: Server) -> None:
-        self.evidence.tried(key(server.entry.server_id), self.context.now_ms)
-        self._saw(server, Kind.FAILED)
+        self.evidence.record_own_attempt(server_key(server.entry.server_id), self.context.now_ms)
+        self._saw(server, ObservationKind.FAILED)
 
-    def _saw(self, server: Server, kind: Kind) -> None:
-        now, name = self.context.now_ms, key(server.entry.server_id)
+    def _saw(self, server: Server, kind: ObservationKind) -> None:
+        now, name = self.context.now_ms, server_key(server.entry.server_id)
         if self._began < server.entry.started_at_ms:
             return  # it tells of the process before
         observation = Observation(name, self.context.settings.limiter_index, self.evidence.zone, kind, self._began)
-        self.evidence.take(observation, now)
+        self.evidence.record(observation, now)
         if now - self._told.get((name, kind), float("-inf")) < TOLD_EVERY:
             return
-        if kind is Kind.GOOD or not self.evidence.doubts_itself(now):
+        if kind is ObservationKind.ANSWERED or not self.evidence.distrusts_itself(now):
             self._told[name, kind] = now
             self.rumours.add(observation)
 
     # What others say
 
     def _message(self, event: api.PeerMessage) -> None:
-        if not is_gossip(event.payload):
+        if not is_evidence(event.payload):
             return self.keepers.told(event)
         try:
             observations = decode(event.payload, self.context.now_ms, self.context.settings.limiter_count)
-        except WireError:
+        except EvidenceMessageError:
             self.refused += 1
             return
         self.heard += 1
         self.outliers.heard_at = self.context.now_ms
         ready = len(self.endpoints.directory.ready)
         for observation in observations:
-            server = self._by_key.get(observation.server)
-            if server is None or server.is_removed or observation.at < server.entry.started_at_ms:
+            server = self._by_key.get(observation.server_key)
+            if server is None or server.is_removed or observation.began_at_ms < server.entry.started_at_ms:
                 continue  # not ours to judge, or of the process before
-            ours = observation.origin == self.context.settings.limiter_index
-            if ours or not self.evidence.take(observation, self.context.now_ms):
+            ours = observation.origin_index == self.context.settings.limiter_index
+            if ours or not self.evidence.record(observation, self.context.now_ms):
                 continue
-            if not self.evidence.doubted(observation.origin, ready, self.context.now_ms):
+            if not self.evidence.is_distrusted(observation.origin_index, ready, self.context.now_ms):
                 self.rumours.add(observation)
                 self._learn(server, observation, ready)
         self._tell()
@@ -178,26 +189,29 @@
             return
         weight = 2 * LATENCY_WEIGHT  # as an answer of our own has in `Boxes.learn`
         match observation.kind:
-            case Kind.FAILED:
+            case ObservationKind.FAILED:
                 self._weigh(server, ready)
-            case Kind.ERROR:
+            case ObservationKind.ERROR:
                 server.error_fraction += weight * (1.0 - server.error_fraction)
                 server.error_fraction_at_ms = self.context.now_ms
-            case Kind.GOOD:
+            case ObservationKind.ANSWERED:
                 server.error_fraction *= 1.0 - weight
-                if server.is_ejected and observation.zone == self.evidence.zone:
+                if server.is_ejected and observation.origin_zone == self.evidence.zone:
                     self._place(server, lambda: self.outliers.good(server))
 
     def _weigh(self, server: Server, ready: int) -> None:
-        if self.evidence.failures(key(server.entry.server_id), ready, self.context.now_ms) < ENOUGH:
+        if (
+            self.evidence.failure_weight(server_key(server.entry.server_id), ready, self.context.now_ms)
+            < EJECTION_WEIGHT
+        ):
             return
         if server.is_ejected:  # somebody tried it in vain: we need not
             wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
             return self.outliers.put_off(server, max(wait, server.reinstate_at_ms - self.context.now_ms))
 
         name, out = server.entry.server_id, len(self.outliers.ejected) + 1
-        seen = self.evidence.who(key(name), self.context.now_ms)
-        origins = tuple(each.origin for each in seen if 0.0 <= each.failed_age <= FRESH)
+        seen = self.evidence.witnesses(server_key(name), self.context.now_ms)
+        origins = tuple(each.origin_index for each in seen if 0.0 <= each.failed_age_ms <= FRESH_MS)
 
         def blame() -> None:
             server.consecutive_failures = max(server.consecutive_failures, OUTLIER_AFTER - 1)
@@ -227,7 +241,7 @@
         if not len(self.rumours):
             return
         now = self.context.now_ms
-        for to, observations in self.rumours.due(now, FRESH):
+        for to, observations in self.rumours.due_datagrams(now, FRESH_MS):
             self.told += 1
             self.context.actions.append(api.SendPeerMessage(to, encode(observations, now)))
 
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -21,7 +21,7 @@
     from elderlock.authz.door import Door  # loads grpc: some 30 MB
     from elderlock.control import messages as m
     from elderlock.control.shared import SharedView
-    from elderlock.quota.attach import Quota, QuotaFile
+    from elderlock.quota.attach import CounterAttachment, QuotaOptions
 
     ShownCeilings = Callable[[], m.Ceilings | None]
 
@@ -34,8 +34,8 @@
         """Raises `ConfigError`."""
         self._path, self._file = path, read_operators(path)
         self._control: Control | None = None
-        self._quota_file: QuotaFile | None = None
-        self._quota: Quota | None = None
+        self._quota_file: QuotaOptions | None = None
+        self._quota: CounterAttachment | None = None
         self._door: Door | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -54,14 +54,14 @@
         if self._file.quota is None:
             return Keepers
         try:
-            from elderlock.quota.attach import QuotaFile
+            from elderlock.quota.attach import QuotaOptions
         except ModuleNotFoundError as error:
             raise ConfigError(f"{self._path}: [quota] needs the extra elderlock[quota]: {error}") from None
         import msgspec
 
         try:
-            self._quota_file = msgspec.convert(self._file.quota, QuotaFile)
-            return self._quota_file.source(limiters)
+            self._quota_file = msgspec.convert(self._file.quota, QuotaOptions)
+            return self._quota_file.coordinator_class(limiters)
         except (ConfigError, msgspec.ValidationError) as error:
             raise ConfigError(f"{self._path}: {error}") from None
 
@@ -89,15 +89,17 @@
     ) -> None:
         self._gateway, self._clients = gateway, clients
         if self._quota_file is not None:
-            from elderlock.quota.attach import Quota
+            from elderlock.quota.attach import CounterAttachment
 
             try:
-                self._quota = Quota(self._quota_file, Path(os.environ["PROXY_CONFIG"]), gateway, config.settings)
+                self._quota = CounterAttachment(
+                    self._quota_file, Path(os.environ["PROXY_CONFIG"]), gateway, config.settings
+                )
             except ConfigError as error:
                 raise ConfigError(f"{self._path}: {error}") from None
         if self._file.control is not None:
             path = os.environ["PROXY_CONFIG"]
-            counter = self._quota.view if self._quota is not None else None
+            counter = self._quota.status if self._quota is not None else None
             self._control = await attach(
                 self._file.control,
                 path,
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -1,4 +1,4 @@
-"""Gives a limiter its counter, as `[quota]` of its operators' file says. Loaded only where that is there."""
+"""Connects a limiter with its counter. Loaded only where the operators' file has `[quota]`."""
 
 from __future__ import annotations
 
@@ -7,150 +7,157 @@
 import logging
 from heapq import nlargest
 from pathlib import Path
-from typing import Annotated, Literal, Protocol
-
-import msgspec
 
 from elderlock import interface as api
 from elderlock.control import messages as m
 from elderlock.interface import Outcome
 from elderlock.net.config import ConfigError, address_of
 from elderlock.net.gateway import Gateway
-from elderlock.quota.book import Book, Call
-from elderlock.quota.bound import cut_off, shared, warnings
 from elderlock.quota.counted import Counted
-from elderlock.quota.health import Mode
-from elderlock.quota.tally import Tally
-from elderlock.quota.terms import SECOND, Store, Terms
-
-HEARTBEAT, HEARTBEAT_EACH = 500.0, 5.0  # ms between calls to sentinels, and for each limiter: 200 a second in all
+from elderlock.quota.counter_call import CounterCall
+from elderlock.quota.counter_health import CounterMode
+from elderlock.quota.counter_terms import SharedBucket
+from elderlock.quota.error_bound import cut_off_error_units, shared_error_units, slack_warnings
+from elderlock.quota.lease_book import LeaseBook
+from elderlock.quota.lease_ledger import LeaseLedger
+from elderlock.quota.options import QuotaOptions
+from elderlock.quota.store_client import StoreClient, StoreEvents
+from elderlock.quota.tally_client import TallyClient
+
+__all__ = ["CounterAttachment", "QuotaOptions"]  # one import that fails where the extra is missing
 log = logging.getLogger(__name__)
-Positive = Annotated[float, msgspec.Meta(gt=0.0)]
-
-
-class QuotaFile(msgspec.Struct, forbid_unknown_fields=True):
-    """`[quota]` of the operators' file. `store`: `tally` (the platform's), `redis` (one server) or `cluster`.
-    `addresses`: of the store; for `tally` the one that the configuration names, if empty. `prefix`: before each name
-    in Redis."""
-
-    store: Literal["tally", "redis", "cluster"] = "tally"
-    addresses: tuple[str, ...] = ()
-    prefix: str = "elderlock:"
-    answer_ms: Positive = 50.0
-    skew_ms: Annotated[float, msgspec.Meta(ge=0.0)] = 10.0
-    calls_per_s: Positive = 100.0
-    cut_most_s: Positive = 600.0
-
-    def terms(self, limiters: int) -> Terms:
-        """Raises `ConfigError`."""
-        try:
-            return Terms(
-                answer_within=self.answer_ms,
-                skew=self.skew_ms,
-                calls=self.calls_per_s,
-                cut_most=self.cut_most_s * SECOND,
-                heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * limiters),
-            )
-        except ValueError as error:
-            raise ConfigError(f"[quota] {error}") from None
-
-    def source(self, limiters: int) -> type[Counted]:
-        """What stands in the keepers' place in the decision module."""
-        return type("Counted", (Counted,), {"terms": self.terms(limiters)})
-
 
-class StoreClient(Protocol):
-    def send(self, calls: list[Call]) -> None: ...
 
-    def close(self) -> None: ...
-
-
-class Quota:
-    """Carries the module's calls to the store and what comes back to the module."""
-
-    def __init__(self, file: QuotaFile, config: Path, gateway: Gateway, settings: api.Settings) -> None:
-        """Raises `ConfigError`."""
-        self._file, self._config, self._gateway, self._settings = file, config, gateway, settings
-        keepers = gateway.limiter.keepers
-        assert isinstance(keepers, Counted)
-        self.book: Book = keepers.book
-        self._client = self._made(self._addresses())
+class CounterAttachment:
+    """Carries the decision module's calls to the store, and the store's answers to the decision module.
+
+    Attributes:
+        book: The limiter's ledgers.
+    """
+
+    def __init__(self, options: QuotaOptions, config_path: Path, gateway: Gateway, settings: api.Settings) -> None:
+        """Make the store's client and connect it with `gateway`.
+
+        Args:
+            options: `[quota]` of the operators' file.
+            config_path: The limiter's configuration, which names the platform's counter.
+            gateway: The limiter's gateway, whose coordinator is made by `options`.
+            settings: The limiter's settings.
+
+        Raises:
+            ConfigError: The store has no address, or its extra is not installed.
+        """
+        coordinator = gateway.limiter.keepers
+        assert isinstance(coordinator, Counted)
+        self.book: LeaseBook = coordinator.book
+        self._options = options
+        self._config_path = config_path
+        self._gateway = gateway
+        self._settings = settings
+        self._client = self._make_client(self._addresses())
         gateway.tally = self._send
-        for plan in settings.plans:
-            if plan.ceiling_rate_per_s > 0 and settings.limiter_count > 1:
-                store = keepers.store(plan, settings.limiter_count, True)
-                for text in warnings(plan.name, store, file.terms(settings.limiter_count)):
+        self._warn_of_small_slacks(coordinator)
+
+    def _warn_of_small_slacks(self, coordinator: Counted) -> None:
+        limiter_count = self._settings.limiter_count
+        if limiter_count <= 1:
+            return
+        terms = self._options.terms(limiter_count)
+        for plan in self._settings.plans:
+            if plan.ceiling_rate_per_s > 0:
+                for text in slack_warnings(plan.name, coordinator.store(plan, limiter_count, True), terms):
                     log.warning("%s", text)
 
     def _addresses(self) -> list[tuple[str, int]]:
         try:
-            if self._file.addresses:
-                return [address_of(text) for text in self._file.addresses]
-            if self._file.store != "tally":
-                raise ConfigError(f"[quota] store {self._file.store} needs addresses")
-            return [address_of(json.loads(self._config.read_text(encoding="utf-8"))["counter"])]
+            if self._options.addresses:
+                return [address_of(text) for text in self._options.addresses]
+            if self._options.store != "tally":
+                raise ConfigError(f"[quota] store {self._options.store} needs addresses")
+            return [address_of(json.loads(self._config_path.read_text(encoding="utf-8"))["counter"])]
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise ConfigError(f"[quota] has no counter's address to use: {error!r}") from None
 
-    def _made(self, addresses: list[tuple[str, int]]) -> StoreClient:
-        loop, within = asyncio.get_running_loop(), self._file.answer_ms
-        if self._file.store == "tally":
-            return Tally(loop, addresses[0], within, self._answered, self._unanswered, self._off)
+    def _make_client(self, addresses: list[tuple[str, int]]) -> StoreClient:
+        loop = asyncio.get_running_loop()
+        options = self._options
+        events = StoreEvents(self._answered, self._failed, self._connection_lost)
+        if options.store == "tally":
+            return TallyClient(loop, addresses[0], options.answer_ms, events)
         try:
-            from elderlock.quota.redis_store import RedisStore
+            from elderlock.quota.redis_client import RedisClient, RedisOptions
         except ModuleNotFoundError as error:
-            raise ConfigError(f"[quota] store {self._file.store} needs the extra elderlock[quota]: {error}") from None
-        cluster = self._file.store == "cluster"
-        return RedisStore(
-            loop, addresses, cluster, self._file.prefix, within, self._answered, self._unanswered, self._off
-        )
+            raise ConfigError(f"[quota] store {options.store} needs the extra elderlock[quota]: {error}") from None
+        redis_options = RedisOptions(tuple(addresses), options.store == "cluster", options.prefix)
+        return RedisClient(loop, redis_options, options.answer_ms, events)
 
-    def _send(self, token: int, name: str, amount: float, life: float) -> None:
-        self._client.send([Call(token, name, amount, life)])
+    def _send(self, token: int, name: str, amount_units: float, lifetime_ms: float) -> None:
+        self._client.send([CounterCall(token, name, amount_units, lifetime_ms)])
 
     def _answered(self, token: int, total: float) -> None:
         self._gateway.counted(api.CounterAnswered(token, Outcome.OK, total, 0.0))
 
-    def _unanswered(self, token: int, may_have_added: bool, busy: bool) -> None:
-        outcome = Outcome.FULL if busy else Outcome.RESET if may_have_added else Outcome.CONNECT_FAILED
+    def _failed(self, token: int, may_have_added: bool, is_busy: bool) -> None:
+        if is_busy:
+            outcome = Outcome.FULL
+        elif may_have_added:
+            outcome = Outcome.RESET
+        else:
+            outcome = Outcome.CONNECT_FAILED
         self._gateway.counted(api.CounterAnswered(token, outcome, 0.0, 0.0))
 
-    def _off(self) -> None:
-        self.book.off(self._gateway.now())
+    def _connection_lost(self) -> None:
+        self.book.connection_lost(self._gateway.now())
 
     def reload(self) -> None:
-        """The configuration may name another counter now; a bad file changes nothing."""
+        """Follow the counter to the address that the configuration names now. A bad file changes nothing."""
         try:
             addresses = self._addresses()
         except ConfigError as error:
-            return log.error("the counter stays where it was: %s", error)
-        if isinstance(self._client, Tally):
+            log.error("the counter stays where it was: %s", error)
+            return
+        if isinstance(self._client, TallyClient):
             self._client.follow(addresses[0])
 
-    def view(self, most: int) -> m.Counter:
-        """With the leases of the `most` customers that use most."""
-        book, terms, now = self.book, self._file.terms(self._settings.limiter_count), self._gateway.now()
-        off = now - book.health.changed_at if book.mode is not Mode.SHARED else 0.0
-        stores = [
-            Store(p.rate_per_s, p.burst_units, self._settings.limiter_count)
-            for p in self._settings.plans
-            if p.rate_per_s > 0
-        ]
-        errors = [shared(store, terms) + cut_off(store, terms, off) for store in stores]
-        busiest = nlargest(most, book.ledgers.values(), key=lambda ledger: ledger.rate_now(now))
+    def status(self, max_leases: int) -> m.Counter:
+        """Return the counter's state, with the leases of the `max_leases` customers that use most."""
+        book = self.book
+        now_ms = self._gateway.now()
+        busiest = nlargest(max_leases, book.ledgers.values(), key=lambda ledger: ledger.own_use.rate_per_s(now_ms))
         return m.Counter(
             mode=book.mode.value,
-            since_ms=now - book.health.changed_at,
+            since_ms=now_ms - book.health.changed_at_ms,
             generation=book.health.generation,
             accounts=len(book.ledgers),
-            calls=book.made,
-            calls_per_s=book.budget.rate,
-            error_units=max(errors, default=0.0),
-            leases=tuple(
-                m.Lease(one.key, one.level(now), one.store.burst, sum(lease.units for lease in one.leases), one.owed)
-                for one in busiest
-            ),
+            calls=book.calls_made,
+            calls_per_s=book.budget.rate_per_s,
+            error_units=self._largest_error_units(now_ms),
+            leases=tuple(self._lease_status(ledger, now_ms) for ledger in busiest),
+        )
+
+    def _largest_error_units(self, now_ms: float) -> float:
+        """Return the stated error of the plan where it is largest, with this limiter cut off for as long as it is."""
+        terms = self._options.terms(self._settings.limiter_count)
+        is_shared = self.book.mode is CounterMode.SHARED
+        cut_off_ms = 0.0 if is_shared else now_ms - self.book.health.changed_at_ms
+        buckets = [
+            SharedBucket(plan.rate_per_s, plan.burst_units, self._settings.limiter_count)
+            for plan in self._settings.plans
+            if plan.rate_per_s > 0
+        ]
+        errors = (shared_error_units(bucket, terms) + cut_off_error_units(bucket, cut_off_ms) for bucket in buckets)
+        return max(errors, default=0.0)
+
+    @staticmethod
+    def _lease_status(ledger: LeaseLedger, now_ms: float) -> m.Lease:
+        return m.Lease(
+            ledger.key,
+            ledger.level_units(now_ms),
+            ledger.bucket.burst_units,
+            ledger.leased_units(),
+            ledger.unreported_units,
         )
 
     def close(self) -> None:
+        """Close the store's client."""
         self._client.close()
--- a/elderlock/quota/counted.py
+++ b/elderlock/quota/counted.py
@@ -11,8 +11,8 @@
 from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import SLACK_PART, Quotas
 from elderlock.interface import Outcome
-from elderlock.quota.book import Book
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.lease_book import LeaseBook
 from elderlock.state import Account, OpenRequest
 
 STEP = 5.0  # ms between looks while anything waits
@@ -43,7 +43,7 @@
     """Invariant: every request that is read is decided once, by what was drawn for its customer, or by the even part
     while the counter is off. No more than the stated error (`bound.stated`) passes a ceiling that is drawn."""
 
-    terms = Terms()
+    terms = CounterTerms()
     quotas_of = CountedQuotas
 
     def __init__(
@@ -55,19 +55,19 @@
         decide: Callable[[OpenRequest, bool], None],
     ) -> None:
         super().__init__(core, quotas, load, requests, decide)
-        self.book = Book(self.terms, random.Random(core.rng.random()), core.now_ms)
-        self._stores: dict[tuple[str, int, bool], Store] = {}
+        self.book = LeaseBook(self.terms, random.Random(core.rng.random()), core.now_ms)
+        self._stores: dict[tuple[str, int, bool], SharedBucket] = {}
         core.schedule_timer(STEP, self._look_again())
 
     @staticmethod
     def _look_again() -> int:
         return -1  # a question's number that no question has
 
-    def store(self, plan: api.Plan, spread: int, hard: bool = False) -> Store:
+    def store(self, plan: api.Plan, spread: int, hard: bool = False) -> SharedBucket:
         found = self._stores.get((plan.name, spread, hard))
         if found is None:
             found = self._stores[plan.name, spread, hard] = (
-                Store(
+                SharedBucket(
                     plan.ceiling_rate_per_s,
                     plan.ceiling_burst_units,
                     spread,
@@ -75,7 +75,7 @@
                     SLACK_PART * plan.ceiling_slack_units,
                 )
                 if hard
-                else Store(plan.rate_per_s, plan.burst_units, spread)
+                else SharedBucket(plan.rate_per_s, plan.burst_units, spread)
             )
         return found
 
@@ -89,7 +89,7 @@
     def _ask_book(self, request: OpenRequest, hard: bool) -> None:
         account, event = request.account, request.arrival
         store, key = self.store(account.plan, account.limiter_count, hard), f"{account.key:x}{'!' * hard}"
-        said = self.book.ask(f"{event.request_id}{'!' * hard}", key, store, event.units, self.context.now_ms)
+        said = self.book.admit(f"{event.request_id}{'!' * hard}", key, store, event.units, self.context.now_ms)
         if said is not None:
             self._said(request, hard, said, 0.0)
 
@@ -114,33 +114,35 @@
     def _reading_of(self, account: Account) -> None:
         """The design's bucket is fed by the latest total."""
         key = f"{account.key:x}"
-        _, ledger = self.book.ledger(key, self.store(account.plan, account.limiter_count), self.context.now_ms)
-        if ledger.told is not None:
-            self.quotas.read_level(account, ledger.level(self.context.now_ms), ledger.others + account.own_rate_per_s)
+        _, ledger = self.book.ledger_for(key, self.store(account.plan, account.limiter_count), self.context.now_ms)
+        if ledger.others_reading is not None:
+            self.quotas.read_level(
+                account, ledger.level_units(self.context.now_ms), ledger.others_rate_per_s + account.own_rate_per_s
+            )
 
     def unanswered(self, number: int) -> None:
         if number >= 0:
             return super().unanswered(number)
-        busy = self.book.waiting
-        self.book.tick(self.context.now_ms)
+        busy = self.book.has_waiting
+        self.book.expire(self.context.now_ms)
         self._work()
         self.context.schedule_timer(STEP if busy else IDLE_STEP, self._look_again())
 
     def counted(self, event: api.CounterAnswered) -> None:
         if event.outcome is Outcome.OK:
-            self.book.answered(event.token, event.total, self.context.now_ms)
+            self.book.call_answered(event.token, event.total, self.context.now_ms)
         else:
             never = event.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED)
-            self.book.unanswered(event.token, not never, event.outcome is Outcome.FULL, self.context.now_ms)
+            self.book.call_failed(event.token, not never, event.outcome is Outcome.FULL, self.context.now_ms)
         self._work()
 
     def _work(self) -> None:
-        for call in self.book.calls(self.context.now_ms):
-            self.context.actions.append(api.AddToCounter(call.token, call.name, call.amount, call.life))
-        decided, self.book.decided = self.book.decided, []
+        for call in self.book.due_calls(self.context.now_ms):
+            self.context.actions.append(api.AddToCounter(call.token, call.name, call.amount_units, call.lifetime_ms))
+        decided, self.book.decisions = self.book.decisions, []
         for one in decided:
-            hard = one.request.endswith("!")
-            if (request := self.requests.get(one.request.removesuffix("!"))) is not None:
-                self._said(request, hard, one.granted, one.wait)
+            hard = one.request_id.endswith("!")
+            if (request := self.requests.get(one.request_id.removesuffix("!"))) is not None:
+                self._said(request, hard, one.is_granted, one.wait_ms)
         if decided:  # a quota's answer may have led to a question about a ceiling
             self._work()
--- /dev/null
+++ b/elderlock/quota/lease_ledger.py
@@ -0,0 +1,362 @@
+"""One shared bucket at one limiter: positions on a line, leased from a counter that can only add.
+
+The line is that of the generic cell rate algorithm (ITU-T I.371): a unit at position p may be spent once
+rate x time + burst has reached p. The counter's total is the end of the line. A draw adds what it wants; it also raises
+the line to rate x time where that has fallen behind, so that a bucket that rested holds one burst and no more.
+`docs/design/quota.md` has the reasons.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+from elderlock.quota.counter_draws import Draw, Lease, OthersReading
+from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms, SharedBucket
+from elderlock.quota.local_bucket import NEGLIGIBLE_UNITS, LocalBucket
+from elderlock.quota.position_line import PositionLine
+from elderlock.quota.use_meter import UseMeter
+
+OTHERS_READING_INTERVAL_MS = 200.0
+OTHERS_RATE_WEIGHT = 0.5  # of a new reading in the moving average
+ROUNDING_FRACTION = 2e-6  # of a total with seven digits
+
+
+class LeaseLedger:
+    """The leases and the accounts of one limiter for one bucket.
+
+    Invariant: a unit is spent only after a call that added it was answered, at a position that has come due, and is
+    never returned. What was admitted without a call stays in `unreported_units` until a call that reports it was
+    answered, or its customer has rested (`LeaseBook.expire`). One call is under way at a time.
+
+    Attributes:
+        key: The customer's name in the counter.
+        bucket: The shared bucket.
+        terms: The terms on which the counter is used.
+        generation: Generation of the counter that the leases belong to.
+        line: The positions of the current window.
+        unreported_units: Use that the counter was not told of.
+        surplus_units: Units to be returned to the counter.
+        leases: Units that were drawn and not spent, oldest first.
+        pending_draw: The call that is under way.
+        own_use: This limiter's recent use.
+        others_rate_per_s: Recent use by the other limiters, as totals show it.
+        others_reading: The reading that the next rate is computed from.
+        admitted_since_total_units: Units that were admitted without a call since the latest total.
+        exhausted_until_ms: Until when requests are rejected without a call.
+    """
+
+    def __init__(
+        self,
+        key: str,
+        bucket: SharedBucket,
+        terms: CounterTerms,
+        generation: int,
+        returned_at_ms: float,
+        now_ms: float,
+    ) -> None:
+        """Start with no leases.
+
+        Args:
+            key: The customer's name in the counter.
+            bucket: The shared bucket.
+            terms: The terms on which the counter is used.
+            generation: The counter's current generation.
+            returned_at_ms: Since when the counter is back; what a hard ceiling held before counts as used.
+            now_ms: The time now.
+        """
+        self.key = key
+        self.bucket = bucket
+        self.terms = terms
+        self.generation = generation
+        self.line = PositionLine(key, bucket, terms, now_ms)
+        self.unreported_units = 0.0
+        self.surplus_units = 0.0
+        self.leases: deque[Lease] = deque()
+        self.pending_draw: Draw | None = None
+        self.own_use = UseMeter(now_ms)
+        self.others_rate_per_s = 0.0
+        self.others_reading: OthersReading | None = None
+        self.admitted_since_total_units = 0.0
+        self.exhausted_until_ms = now_ms
+        self._local_bucket: LocalBucket | None = None
+        self.line.assume_empty_since(returned_at_ms)
+
+    def with_bucket(self, bucket: SharedBucket, generation: int, now_ms: float) -> LeaseLedger:
+        """Return a ledger of the same customer for a changed bucket. Leases of the old bucket are dropped."""
+        ledger = LeaseLedger(self.key, bucket, self.terms, generation, now_ms, now_ms)
+        ledger.unreported_units = self.unreported_units
+        ledger.pending_draw = self.pending_draw
+        ledger.own_use = self.own_use
+        return ledger
+
+    def _enter_window(self, now_ms: float) -> None:
+        """Enter the window of `now_ms`.
+
+        Draws of a window end before the next window is read, so that what is read is its end.
+        """
+        shift = self.line.enter_window(now_ms)
+        if shift is None:
+            return
+        for lease in self.leases:
+            lease.start_position -= shift
+        self._drop_surplus()
+
+    def _drop_surplus(self) -> None:
+        """Forget what belongs to a line that has ended."""
+        self.surplus_units = 0.0
+        self.others_reading = None
+
+    # Spending
+
+    def spend_leased(self, units: float, now_ms: float) -> bool:
+        """Spend `units` of the leases; return False, and spend nothing, where less has come due."""
+        self._enter_window(now_ms)
+        self._expire_leases(now_ms)
+        due = self.line.due_position(now_ms)
+        ready_units = sum(max(0.0, min(lease.units, due - lease.start_position)) for lease in self.leases)
+        if ready_units < units - NEGLIGIBLE_UNITS:
+            return False
+        left_units = units
+        for lease in list(self.leases):
+            taken_units = min(left_units, max(0.0, min(lease.units, due - lease.start_position)))
+            lease.units -= taken_units
+            lease.start_position += taken_units
+            left_units -= taken_units
+            if lease.units <= NEGLIGIBLE_UNITS:
+                self.leases.remove(lease)
+        self.own_use.record(units, now_ms)
+        return True
+
+    def _expire_leases(self, now_ms: float) -> None:
+        while self.leases and now_ms - self.leases[0].drawn_at_ms > self.terms.hold_time_ms(self.bucket):
+            self.surplus_units += self.leases.popleft().units
+
+    def spend_unreported(self, units: float, now_ms: float) -> bool:
+        """Spend `units` without a call, to be reported later; return False where use is near the quota."""
+        bucket = self.bucket
+        limit_units = self.terms.unreported_limit_units(bucket)
+        expected_rate_per_s = self.own_use.rate_per_s_with(units, now_ms) * bucket.limiter_count
+        is_low_use = expected_rate_per_s <= self.terms.low_use_fraction * bucket.rate_per_s
+        if bucket.is_hard_ceiling or not is_low_use or self.admitted_since_total_units + units > limit_units:
+            return False
+        self.admitted_since_total_units += units
+        self.unreported_units += units
+        self.own_use.record(units, now_ms)
+        return True
+
+    def spend_without_total(self, units: float, now_ms: float) -> bool:
+        """Spend `units` by the latest total, after a call was lost; a hard ceiling admits nothing."""
+        bucket = self.bucket
+        if bucket.is_hard_ceiling:
+            return False
+        level_units = self.level_units(now_ms) - self.unreported_units * bucket.limiter_count
+        if level_units < units or self.unreported_units + units > self.terms.unreported_limit_units(bucket):
+            return False
+        self.unreported_units += units
+        self.own_use.record(units, now_ms)
+        return True
+
+    def spend_local(self, units: float, now_ms: float) -> bool:
+        """Spend `units` of the even part, while the counter is unreachable; return False where it holds less."""
+        if self._local_bucket is None:
+            self._local_bucket = LocalBucket(self.bucket, self.terms, now_ms)
+        if not self._local_bucket.spend(units, now_ms):
+            return False
+        self.own_use.record(units, now_ms)
+        return True
+
+    def rejoin(self, generation: int, lost_counts: bool, returned_at_ms: float, now_ms: float) -> None:
+        """Go over to a new generation of the counter.
+
+        Args:
+            generation: The new generation.
+            lost_counts: Whether the counter lost its counts.
+            returned_at_ms: Since when the counter is back.
+            now_ms: The time now.
+        """
+        self._enter_window(now_ms)
+        if generation == self.generation:
+            return
+        self.generation = generation
+        self.pending_draw = None
+        self.others_reading = None
+        if self.bucket.is_hard_ceiling:
+            self.line.assume_empty_since(returned_at_ms)
+            self.leases.clear()
+            self.unreported_units = 0.0
+        elif self._local_bucket is not None:
+            self.unreported_units += self._local_bucket.reported_units()
+        if lost_counts:
+            self.line.forget_counts()
+            self.leases.clear()
+        self.surplus_units = 0.0
+        self._local_bucket = None
+
+    # Calls
+
+    def has_report(self) -> bool:
+        """Return whether there is use to report or a surplus to return."""
+        return self.unreported_units > NEGLIGIBLE_UNITS or self.surplus_units > NEGLIGIBLE_UNITS
+
+    def can_call(self, now_ms: float) -> bool:
+        """Return whether a call could begin now."""
+        self._enter_window(now_ms)
+        return self.pending_draw is None and not self.line.is_near_window_edge(now_ms)
+
+    def next_draw(self, needed_units: float, now_ms: float) -> Draw | None:
+        """Begin a call.
+
+        Args:
+            needed_units: Units that requests wait for; 0 for a call that only reports.
+            now_ms: The time now.
+
+        Returns:
+            What to ask of the counter, or None where nothing is to be asked now.
+        """
+        if not self.can_call(now_ms):
+            return None
+        if self.line.carried_position is None and needed_units:  # a report alone needs no position on the line
+            name = self.line.counter_name(self.line.window - 1)
+            self.pending_draw = Draw(name, 0.0, now_ms, self.line.window, self.generation, is_read=True)
+            return self.pending_draw
+        self._expire_leases(now_ms)
+        wanted_units = needed_units + (self._prefetch_units(now_ms) if needed_units else 0.0)
+        if not wanted_units and not self.has_report():
+            return None
+        raised_units = self._raised_units(now_ms) if wanted_units else 0.0
+        self.pending_draw = Draw(
+            name=self.line.counter_name(self.line.window),
+            amount_units=wanted_units + raised_units + self.unreported_units - self.surplus_units,
+            sent_at_ms=now_ms,
+            window=self.line.window,
+            generation=self.generation,
+            wanted_units=wanted_units,
+            raised_units=raised_units,
+            reported_units=self.unreported_units,
+            returned_units=self.surplus_units,
+        )
+        self.unreported_units = 0.0
+        self.surplus_units = 0.0
+        return self.pending_draw
+
+    def _prefetch_units(self, now_ms: float) -> float:
+        """Return what is drawn ahead of demand: own use over the hold time, once use nears the rate."""
+        own_rate_per_s = self.own_use.rate_per_s(now_ms)
+        if own_rate_per_s + self.others_rate_per_s < self.terms.low_use_fraction * self.bucket.rate_per_s:
+            return 0.0
+        used_while_held_units = own_rate_per_s * self.terms.hold_time_ms(self.bucket) / MS_PER_SECOND
+        return min(self.terms.prefetch_limit_units(self.bucket), used_while_held_units)
+
+    def _raised_units(self, now_ms: float) -> float:
+        """Return by how much the line's end has fallen behind rate x time."""
+        known_end = self.line.end + self.unreported_units - self.surplus_units
+        return max(0.0, self.line.lowest_start(now_ms) - known_end)
+
+    def accept_total(self, draw: Draw, total: float, now_ms: float) -> bool:
+        """Take in the counter's answer to `draw`.
+
+        Returns:
+            False where the total shows that the counter lost its counts.
+        """
+        if draw is not self.pending_draw:
+            return True  # of another generation: what it added belongs to nobody
+        self.pending_draw = None
+        self._enter_window(now_ms)
+        if draw.window != self.line.window:
+            return True
+        if draw.is_read:
+            self.line.carry_over(total)
+            return True
+        total_before = total - draw.amount_units
+        if total_before < self.line.own_added_units - self._rounding_units(total):
+            return False
+        base = total_before + draw.reported_units - draw.returned_units
+        if self.line.is_foreign(base, now_ms):
+            self._abandon_name(now_ms)
+            self.unreported_units += draw.reported_units
+            return True
+        self.line.own_added_units += draw.amount_units
+        self._learn_others_rate(total - self.line.own_added_units, now_ms)
+        self._lease(draw, base, now_ms)
+        self.admitted_since_total_units = 0.0
+        self.line.end = total
+        return True
+
+    def _abandon_name(self, now_ms: float) -> None:
+        self.line.abandon_name(now_ms)
+        self._drop_surplus()
+        self.leases.clear()
+
+    def _lease(self, draw: Draw, base: float, now_ms: float) -> None:
+        """Lease what `draw` wanted, from position `base` on, as far as it comes due while it may be held."""
+        start_position = max(base, self.line.lowest_start(draw.sent_at_ms))
+        surplus_units = draw.raised_units - (start_position - base)  # others raised the line at the same time
+        self.surplus_units += max(0.0, surplus_units)
+        self.unreported_units += max(0.0, -surplus_units) if draw.wanted_units else 0.0
+        hold_units = self.bucket.refill_units(self.terms.hold_time_ms(self.bucket))
+        leased_units = min(max(0.0, self.line.due_position(now_ms) + hold_units - start_position), draw.wanted_units)
+        if leased_units > NEGLIGIBLE_UNITS:
+            self.leases.append(Lease(leased_units, start_position, now_ms))
+        self.surplus_units += draw.wanted_units - leased_units
+
+    @staticmethod
+    def _rounding_units(total: float) -> float:
+        return max(NEGLIGIBLE_UNITS, abs(total) * ROUNDING_FRACTION)
+
+    def _learn_others_rate(self, others_units: float, now_ms: float) -> None:
+        reading = self.others_reading
+        if reading is None:
+            self.others_reading = OthersReading(others_units, now_ms)
+            return
+        elapsed_ms = now_ms - reading.read_at_ms
+        if elapsed_ms >= OTHERS_READING_INTERVAL_MS:
+            rate_per_s = max(0.0, others_units - reading.added_units) / elapsed_ms * MS_PER_SECOND
+            self.others_rate_per_s += OTHERS_RATE_WEIGHT * (rate_per_s - self.others_rate_per_s)
+            self.others_reading = OthersReading(others_units, now_ms)
+
+    def draw_failed(self, draw: Draw, may_have_added: bool) -> None:
+        """Take in that `draw` has no answer.
+
+        What it reported is reported again: counted twice, it errs on the safe side. What it returned is returned again
+        only if it was not added, as it would be available twice.
+        """
+        if draw is not self.pending_draw:
+            return
+        self.pending_draw = None
+        if draw.is_read:
+            self.line.carry_over_unknown()
+            return
+        self.unreported_units += draw.reported_units
+        if may_have_added:
+            self.line.own_added_units += min(0.0, draw.amount_units)
+        else:
+            self.surplus_units += draw.returned_units
+
+    def forget_draw(self, draw: Draw) -> None:
+        """Forget `draw`, a call of an older generation that has no answer."""
+        if self.pending_draw is draw:
+            self.pending_draw = None
+
+    # What is left
+
+    def leased_units(self) -> float:
+        """Return the units that were drawn and not spent."""
+        return sum(lease.units for lease in self.leases)
+
+    def level_units(self, now_ms: float) -> float:
+        """Return what the bucket holds by the latest total."""
+        used_position = max(self.line.end, self.line.lowest_start(now_ms))
+        return min(self.bucket.burst_units, self.line.due_position(now_ms) - used_position)
+
+    def wait_ms(self, units: float, now_ms: float) -> float:
+        """Return the time until `units` may be available to this limiter.
+
+        This counts the limiter's share of all use: were all to ask as soon as the units of one request have refilled,
+        most would ask in vain.
+        """
+        own_rate_per_s = self.own_use.rate_per_s(now_ms)
+        all_rate_per_s = own_rate_per_s + self.others_rate_per_s
+        share = own_rate_per_s / all_rate_per_s if all_rate_per_s > 0.0 else 1.0
+        share = max(share, 1.0 / self.bucket.limiter_count)
+        missing_units = units - self.level_units(now_ms)
+        return max(0.0, missing_units / ((self.bucket.rate_per_s or 1.0) * share) * MS_PER_SECOND)
--- /dev/null
+++ b/elderlock/quota/options.py
@@ -0,0 +1,69 @@
+"""`[quota]` of the operators' file."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+import msgspec
+
+from elderlock.net.config import ConfigError
+from elderlock.quota.counted import Counted
+from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms
+
+LEAST_HEARTBEAT_MS = 500.0
+HEARTBEAT_MS_PER_LIMITER = 5.0  # all limiters together call 200 sentinels a second at most
+
+PositiveFloat = Annotated[float, msgspec.Meta(gt=0.0)]
+NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0.0)]
+
+
+class QuotaOptions(msgspec.Struct, forbid_unknown_fields=True):
+    """The options of quotas through a counter. The fields are the operators' keys.
+
+    Attributes:
+        store: `tally` (the platform's counter), `redis` (one server) or `cluster`.
+        addresses: The store's; for `tally` the address that the configuration names, if empty.
+        prefix: Stands before each name in Redis.
+        answer_ms: How long an answer is waited for.
+        skew_ms: How far the limiters' clocks may lie apart.
+        calls_per_s: Calls of this limiter a second at most.
+        cut_most_s: How long a limiter that is cut off goes on filling its part of a hard ceiling.
+    """
+
+    store: Literal["tally", "redis", "cluster"] = "tally"
+    addresses: tuple[str, ...] = ()
+    prefix: str = "elderlock:"
+    answer_ms: PositiveFloat = 50.0
+    skew_ms: NonNegativeFloat = 10.0
+    calls_per_s: PositiveFloat = 100.0
+    cut_most_s: PositiveFloat = 600.0
+
+    def terms(self, limiter_count: int) -> CounterTerms:
+        """Return the terms of a group of `limiter_count` limiters.
+
+        Raises:
+            ConfigError: The options contradict one another.
+        """
+        try:
+            return CounterTerms(
+                answer_timeout_ms=self.answer_ms,
+                clock_skew_ms=self.skew_ms,
+                max_calls_per_s=self.calls_per_s,
+                max_cut_off_ms=self.cut_most_s * MS_PER_SECOND,
+                heartbeat_ms=heartbeat_ms(limiter_count),
+            )
+        except ValueError as error:
+            raise ConfigError(f"[quota] {error}") from None
+
+    def coordinator_class(self, limiter_count: int) -> type[Counted]:
+        """Return the class that takes the place of the quota coordinator in the decision module.
+
+        Raises:
+            ConfigError: The options contradict one another.
+        """
+        return type("Counted", (Counted,), {"terms": self.terms(limiter_count)})
+
+
+def heartbeat_ms(limiter_count: int) -> float:
+    """Return the interval between a limiter's calls to sentinels."""
+    return max(LEAST_HEARTBEAT_MS, HEARTBEAT_MS_PER_LIMITER * limiter_count)
--- /dev/null
+++ b/elderlock/quota/redis_client.py
@@ -0,0 +1,182 @@
+"""Redis or Valkey as the counter, one server or a cluster: one script adds, sets a lifetime and returns the total.
+
+The `redis` library speaks the protocol, follows a cluster's redirects and keeps its connections. Its retries are off:
+an addition that was sent twice counts twice.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from typing import Any
+
+from redis.asyncio import Redis, RedisCluster
+from redis.asyncio.cluster import ClusterNode
+from redis.asyncio.retry import Retry
+from redis.backoff import NoBackoff
+from redis.exceptions import (
+    BusyLoadingError,
+    ClusterDownError,
+    MasterDownError,
+    NoScriptError,
+    RedisError,
+    ResponseError,
+    TryAgainError,
+)
+from redis.exceptions import ConnectionError as RedisConnectionError
+
+from elderlock.quota.counter_call import CounterCall
+from elderlock.quota.store_client import StoreEvents
+
+# INCRBYFLOAT keeps a name's lifetime; a name that has none is new, or its lifetime was lost with a failover
+SCRIPT = """
+local total = redis.call('INCRBYFLOAT', KEYS[1], ARGV[1])
+if redis.call('PTTL', KEYS[1]) < 0 then redis.call('PEXPIRE', KEYS[1], ARGV[2]) end
+return total
+"""
+MS_PER_SECOND = 1000.0
+MAX_CALLS_UNDER_WAY = 256
+CALL_ANSWER_TIMEOUTS = 4.0  # after which a call is given up by the client as well
+LOAD_CALL_TIMEOUTS = 2.0
+BUSY_ERRORS = (BusyLoadingError, ClusterDownError, MasterDownError, TryAgainError)
+log = logging.getLogger(__name__)
+
+
+@dataclass(frozen=True, slots=True)
+class RedisOptions:
+    """Where a counter lies in Redis or Valkey.
+
+    Attributes:
+        addresses: Host and port of one server, or of the servers to ask for a cluster's slots.
+        is_cluster: Whether they are of a cluster.
+        name_prefix: Stands before each name.
+    """
+
+    addresses: tuple[tuple[str, int], ...]
+    is_cluster: bool
+    name_prefix: str
+
+
+class RedisClient:
+    """A client of one Redis server or of a cluster.
+
+    Attributes:
+        broken_connections: Number of calls that ended with a broken connection.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        options: RedisOptions,
+        answer_timeout_ms: float,
+        events: StoreEvents,
+    ) -> None:
+        """Start without a connection; the first call opens one."""
+        self.broken_connections = 0
+        self._loop = loop
+        self._options = options
+        self._events = events
+        self._call_timeout_s = CALL_ANSWER_TIMEOUTS * (answer_timeout_ms / MS_PER_SECOND)
+        self._client: Any = None
+        self._script_hash = ""
+        self._loading: asyncio.Task[None] | None = None
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def _open(self) -> Any:
+        no_retry = Retry(NoBackoff(), 0)
+        common: dict[str, Any] = {
+            "socket_connect_timeout": self._call_timeout_s,
+            "socket_timeout": self._call_timeout_s,
+            "protocol": 2,
+        }
+        if self._options.is_cluster:
+            nodes = [ClusterNode(host, port) for host, port in self._options.addresses]
+            return RedisCluster(startup_nodes=nodes, retry=no_retry, require_full_coverage=False, **common)
+        host, port = self._options.addresses[0]
+        return Redis(host=host, port=port, retry=no_retry, single_connection_client=False, **common)
+
+    def follow(self, addresses: Sequence[tuple[str, int]]) -> None:
+        """Go over to other addresses. Calls under way at the old ones grant nothing."""
+        if tuple(addresses) == self._options.addresses:
+            return
+        self._options = replace(self._options, addresses=tuple(addresses))
+        self._drop_client()
+        self._events.connection_lost()
+
+    def _drop_client(self) -> None:
+        client = self._client
+        self._client = None
+        self._script_hash = ""
+        if client is not None:
+            self._own_task(self._loop.create_task(self._close_client(client)))
+
+    @staticmethod
+    async def _close_client(client: Any) -> None:
+        try:
+            await client.aclose()
+        except RedisError as error:
+            log.debug("a connection to the counter did not end well: %s", error)
+
+    def _own_task(self, task: asyncio.Task[None]) -> None:
+        self._tasks.add(task)  # a task without a reference may be collected
+        task.add_done_callback(self._tasks.discard)
+
+    def send(self, calls: Sequence[CounterCall]) -> None:
+        """Send calls without waiting. A call that cannot be sent now fails as not added."""
+        if self._client is None:
+            self._client = self._open()
+        if not self._script_hash and self._loading is None:
+            self._loading = self._loop.create_task(self._load_script(self._client))
+        for call in calls:
+            if not self._script_hash or len(self._tasks) >= MAX_CALLS_UNDER_WAY:
+                self._events.failed(call.token, False, bool(self._script_hash))
+            else:
+                self._own_task(self._loop.create_task(self._call(self._client, call)))
+
+    async def _load_script(self, client: Any) -> None:
+        try:
+            async with asyncio.timeout(LOAD_CALL_TIMEOUTS * self._call_timeout_s):
+                if self._options.is_cluster:
+                    await client.initialize()
+                script_hash = await client.script_load(SCRIPT)
+            if client is self._client:
+                self._script_hash = script_hash if isinstance(script_hash, str) else bytes(script_hash).decode()
+        except (RedisError, OSError, TimeoutError) as error:
+            log.debug("the counter takes no script: %s", error)
+            if client is self._client:
+                self._drop_client()
+        finally:
+            self._loading = None
+
+    async def _call(self, client: Any, call: CounterCall) -> None:
+        name = f"{self._options.name_prefix}{call.name}"
+        try:
+            async with asyncio.timeout(self._call_timeout_s):
+                total = await client.evalsha(
+                    self._script_hash, 1, name, f"{call.amount_units:.9g}", f"{call.lifetime_ms:.0f}"
+                )
+            self._events.answered(call.token, float(total))
+        except NoScriptError:  # a server that restarted or has joined: nothing was added
+            self._script_hash = ""
+            self._events.failed(call.token, False, False)
+        except BUSY_ERRORS:
+            self._events.failed(call.token, False, True)
+        except (RedisConnectionError, OSError, TimeoutError) as error:
+            self._events.failed(call.token, True, False)
+            if client is self._client and not isinstance(error, TimeoutError):
+                self.broken_connections += 1
+                self._drop_client()
+                self._events.connection_lost()
+        except (ResponseError, ValueError, TypeError) as error:
+            log.warning("the counter answered %s with %s", call.name, error)
+            self._events.failed(call.token, True, False)
+
+    def close(self) -> None:
+        """Cancel all calls and close the connections."""
+        if self._loading is not None:
+            self._loading.cancel()
+        for task in list(self._tasks):
+            task.cancel()
+        self._drop_client()
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -19,9 +19,9 @@
 from elderlock.net.gateway import MARGIN
 from elderlock.net.servers import DIAL_AIMS, IDLE_PART
 from elderlock.net.targets import Target, TargetList
-from elderlock.quota.attach import HEARTBEAT, HEARTBEAT_EACH
 from elderlock.quota.counted import Counted
-from elderlock.quota.terms import Terms
+from elderlock.quota.counter_terms import CounterTerms
+from elderlock.quota.options import heartbeat_ms
 from elderlock.sim.virtual.processes import Machine
 from elderlock.standins.model import BoxModel, Word, Work
 
@@ -115,7 +115,7 @@
         self.connections = 0
         source: type[Keepers] = Keepers
         if world.scenario.settings.counter:
-            terms = Terms(heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * world.scenario.limiters))
+            terms = CounterTerms(heartbeat_ms=heartbeat_ms(world.scenario.limiters))
             source = type("Counted", (Counted,), {"terms": terms})
         settings = world.settings(number)
         wanted, peers = world.scenario.settings, settings.capabilities.can_message_peers
--- a/elderlock/standins/counters.py
+++ b/elderlock/standins/counters.py
@@ -8,9 +8,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from elderlock.quota.book import Book
-from elderlock.quota.bound import Excess, Failures
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.error_bound import ExcessMeter, FailureHistory
+from elderlock.quota.lease_book import LeaseBook
 from elderlock.standins.simulation import Simulation
 
 BUSY_QUEUE = 20.0  # ms of calls that a part lets wait
@@ -37,8 +37,8 @@
 
     def __init__(
         self,
-        store: Store,
-        terms: Terms,
+        store: SharedBucket,
+        terms: CounterTerms,
         seed: int,
         rates: Sequence[float],
         parts: int = 2,
@@ -57,8 +57,8 @@
         self.rates = list(rates)
         self.skews = [*skews, *[0.0] * (len(rates) - len(skews))]
         self.lines = [Line() for _ in rates]
-        self.books = [Book(terms, random.Random(f"book/{seed}/{n}"), self.clock(n)) for n in range(len(rates))]
-        self.excess = Excess(store)
+        self.books = [LeaseBook(terms, random.Random(f"book/{seed}/{n}"), self.clock(n)) for n in range(len(rates))]
+        self.excess = ExcessMeter(store)
         self.granted: Counts[int] = Counts()
         self.asked: Counts[int] = Counts()
         self.served_calls = self.busy = 0
@@ -108,7 +108,7 @@
             part.totals.clear()
         if told:
             for number, book in enumerate(self.books):
-                book.off(self.clock(number))
+                book.connection_lost(self.clock(number))
 
     def snapshot(self) -> list[dict[str, tuple[float, float]]]:
         return [dict(part.totals) for part in self.parts]
@@ -119,13 +119,13 @@
         for part, totals in zip(self.parts, kept, strict=True):
             part.totals = dict(totals)
         for number, book in enumerate(self.books):
-            book.off(self.clock(number))
+            book.connection_lost(self.clock(number))
 
     def restart(self, number: int) -> None:
         """Killed, with what it held, and back under its name."""
         self.returns += 1
         seed = self.rng.randrange(1 << 30)
-        self.books[number] = Book(self.terms, random.Random(seed), self.clock(number))
+        self.books[number] = LeaseBook(self.terms, random.Random(seed), self.clock(number))
 
     # Requests
 
@@ -138,7 +138,7 @@
         self.asked[number] += 1
         self.waits[name] = self.now
         key = self.rng.choice(self.accounts) if self.sets == 0 else f"set-{number // self.sets}"
-        said = self.books[number].ask(name, key, self.store, 1.0, self.clock(number))
+        said = self.books[number].admit(name, key, self.store, 1.0, self.clock(number))
         if said is not None:
             self._decided(number, name, said, key)
         self._work(number)
@@ -148,27 +148,29 @@
         if granted:
             self.granted[number] += 1
             if len(self.accounts) == 1:
-                self.excess.let_in(1.0, self.now)
+                self.excess.record(1.0, self.now)
 
     def _tick(self, number: int) -> None:
         self.after(5.0, self._tick, number)
-        self.books[number].tick(self.clock(number))
+        self.books[number].expire(self.clock(number))
         self._work(number)
 
     def _work(self, number: int) -> None:
         book = self.books[number]
-        for call in book.calls(self.clock(number)):
-            self.after(self._way(), self._come, number, book, call.token, call.name, call.amount, call.life)
-        for one in book.decided:
-            self._decided(number, one.request, one.granted, "")
-        book.decided.clear()
+        for call in book.due_calls(self.clock(number)):
+            self.after(
+                self._way(), self._come, number, book, call.token, call.name, call.amount_units, call.lifetime_ms
+            )
+        for one in book.decisions:
+            self._decided(number, one.request_id, one.is_granted, "")
+        book.decisions.clear()
 
     def _way(self) -> float:
         return self.rng.uniform(*self._delay)
 
     # The counter
 
-    def _come(self, number: int, book: Book, token: int, name: str, amount: float, life: float) -> None:
+    def _come(self, number: int, book: LeaseBook, token: int, name: str, amount: float, life: float) -> None:
         line = self.lines[number]
         if line.cut or self.down or self.rng.random() < line.loss:
             return
@@ -181,7 +183,7 @@
         part.free_at = max(part.free_at, self.now) + self._each
         self.after(part.free_at - self.now, self._add, number, book, token, part, name, amount, life)
 
-    def _add(self, number: int, book: Book, token: int, part: Part, name: str, amount: float, life: float) -> None:
+    def _add(self, number: int, book: LeaseBook, token: int, part: Part, name: str, amount: float, life: float) -> None:
         if self.down:
             return
         self.served_calls += 1
@@ -193,15 +195,15 @@
             return
         self.after(self._way(), self._answer, number, book, token, float(f"{total + amount:.7g}"))
 
-    def _answer(self, number: int, book: Book, token: int, total: float | None) -> None:
+    def _answer(self, number: int, book: LeaseBook, token: int, total: float | None) -> None:
         if self.lines[number].cut:
             return
         if total is None:
-            book.unanswered(token, False, True, self.clock(number))
+            book.call_failed(token, False, True, self.clock(number))
         else:
-            book.answered(token, total, self.clock(number))
+            book.call_answered(token, total, self.clock(number))
         if book is self.books[number]:
             self._work(number)
 
-    def known_failures(self) -> Failures:
-        return Failures(self.cut_ms, self.returns, self.unseen_losses)
+    def known_failures(self) -> FailureHistory:
+        return FailureHistory(self.cut_ms, self.returns, self.unseen_losses)
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -9,14 +9,15 @@
 
 from elderlock import peer_messages as peerwords
 from elderlock.control.framing import Framer, framed
-from elderlock.gossip import ceilings, wire
+from elderlock.gossip import ceilings
+from elderlock.gossip import evidence_messages as wire
 from elderlock.load import wire as load_wire
 from elderlock.net import clients, gateway, resp
 from elderlock.net.config import config_of
 from elderlock.net.discovery import Follower
 from elderlock.net.targets import TargetList
-from elderlock.quota import tally
-from elderlock.quota.book import Call
+from elderlock.quota import tally_client as tally
+from elderlock.quota.counter_call import CounterCall
 from elderlock.standins.boxes import Server
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import CUSTOMER, raw_config, target
@@ -55,24 +56,24 @@
 
 
 def test_a_servers_key_in_a_datagram_is_as_stored() -> None:
-    assert (wire.key("box-1"), wire.key("box-2")) == (0x6D835758, 0xF48A06E2)
+    assert (wire.server_key("box-1"), wire.server_key("box-2")) == (0x6D835758, 0xF48A06E2)
 
 
 def test_health_evidence_of_every_kind_is_written_as_stored() -> None:
     observations = [
-        wire.Observation(wire.key("box-1"), 2, 1, wire.Kind(0), 10_000.0),
-        wire.Observation(wire.key("box-2"), 65535, wire.NO_ZONE, wire.Kind(1), 9_000.0),
-        wire.Observation(MOST_KEY, 0, 0, wire.Kind(2), -90_000.0),  # older than an age can tell
+        wire.Observation(wire.server_key("box-1"), 2, 1, wire.ObservationKind(0), 10_000.0),
+        wire.Observation(wire.server_key("box-2"), 65535, wire.UNKNOWN_ZONE, wire.ObservationKind(1), 9_000.0),
+        wire.Observation(MOST_KEY, 0, 0, wire.ObservationKind(2), -90_000.0),  # older than an age can tell
     ]
     assert wire.encode(observations, NOW).hex() == EVIDENCE
 
 
 def test_stored_health_evidence_is_read_with_its_values() -> None:
-    assert wire.is_gossip(bytes.fromhex(EVIDENCE))
+    assert wire.is_evidence(bytes.fromhex(EVIDENCE))
     assert wire.decode(bytes.fromhex(EVIDENCE), NOW, 65536) == [
-        wire.Observation(0x6D835758, 2, 1, wire.Kind(0), NOW - 250.0),
-        wire.Observation(0xF48A06E2, 65535, 255, wire.Kind(1), NOW - 1250.0),
-        wire.Observation(MOST_KEY, 0, 0, wire.Kind(2), NOW - 65535.0),
+        wire.Observation(0x6D835758, 2, 1, wire.ObservationKind(0), NOW - 250.0),
+        wire.Observation(0xF48A06E2, 65535, 255, wire.ObservationKind(1), NOW - 1250.0),
+        wire.Observation(MOST_KEY, 0, 0, wire.ObservationKind(2), NOW - 65535.0),
     ]
 
 
@@ -163,7 +164,7 @@
 
 
 def test_a_call_to_the_shared_counter_is_written_as_stored() -> None:
-    assert tally.encoded(Call(1, "a:1:2", 2.5, 1500.0)) == (
+    assert tally.encode_call(CounterCall(1, "a:1:2", 2.5, 1500.0)) == (
         b"*4\r\n$5\r\nTALLY\r\n$5\r\na:1:2\r\n$3\r\n2.5\r\n$4\r\n1500\r\n"
     )
 
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -46,7 +46,7 @@
 from elderlock.load import report as load_report
 from elderlock.load import scenario as load_scenario
 from elderlock.load import trace as load_trace
-from elderlock.quota import attach as quota_attach
+from elderlock.quota import options as quota_options
 from elderlock.rollout import basing as rollout_basing
 from elderlock.rollout import budget as rollout_budget
 from elderlock.rollout import ledger as rollout_ledger
@@ -189,7 +189,7 @@
     "load-scenario.scenario": load_scenario.Scenario,
     "load-trace.row": load_trace.Row,
     "load-trace.header": load_trace._Header,
-    "quota-file.quota-file": quota_attach.QuotaFile,
+    "quota-file.quota-file": quota_options.QuotaOptions,
     "base-state.which": rollout_basing.Which,
     "base-state.to": rollout_basing.To,
     "base-state.held": rollout_basing.Held,
--- a/tests/gossip/test_evidence.py
+++ b/tests/gossip/test_evidence.py
@@ -6,30 +6,37 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderlock.gossip.evidence import DOUBTED_LEAST, ENOUGH, FRESH, MOST_ORIGINS, MOST_SERVERS, Evidence
-from elderlock.gossip.rumours import BURST, INTAKE_PART, MOST_KEPT, SPARE, Rumours
-from elderlock.gossip.wire import MOST_ROWS, Kind, Observation
+from elderlock.gossip.evidence_messages import MAX_ROWS, Observation, ObservationKind
+from elderlock.gossip.health_evidence import (
+    DISTRUST_MIN_SERVERS,
+    EJECTION_WEIGHT,
+    FRESH_MS,
+    MAX_ORIGINS_PER_SERVER,
+    MAX_SERVERS,
+    HealthEvidence,
+)
+from elderlock.gossip.rumours import BURST_DATAGRAMS, EXTRA_TRANSMISSIONS, MAX_RUMOURS, SEND_FRACTION, RumourQueue
 
 NOW, READY, HERE, THERE = 100_000.0, 40, 0, 1
 
 
 def failed(server: int, origin: int, at: float = NOW, zone: int = HERE) -> Observation:
-    return Observation(server, origin, zone, Kind.FAILED, at)
+    return Observation(server, origin, zone, ObservationKind.FAILED, at)
 
 
 def good(server: int, origin: int, at: float = NOW, zone: int = HERE) -> Observation:
-    return Observation(server, origin, zone, Kind.GOOD, at)
+    return Observation(server, origin, zone, ObservationKind.ANSWERED, at)
 
 
-def taken(*observations: Observation) -> Evidence:
-    evidence = Evidence(0, HERE)
+def taken(*observations: Observation) -> HealthEvidence:
+    evidence = HealthEvidence(0, HERE)
     for observation in observations:
-        evidence.take(observation, NOW)
+        evidence.record(observation, NOW)
     return evidence
 
 
-def state(evidence: Evidence) -> object:
-    return [sorted(evidence.who(server, NOW)) for server in range(4)]
+def state(evidence: HealthEvidence) -> object:
+    return [sorted(evidence.witnesses(server, NOW)) for server in range(4)]
 
 
 @given(
@@ -39,7 +46,7 @@
             st.integers(0, 3),
             st.integers(1, 8),
             st.integers(0, 1),
-            st.sampled_from(Kind),
+            st.sampled_from(ObservationKind),
             st.integers(0, 30).map(lambda step: NOW - 200.0 * step),
         ),
         max_size=30,
@@ -53,89 +60,94 @@
     assert state(one) == state(other)
     # an origin keeps the zone that it tells, so the weights agree too where each tells but one
     for origin in range(1, 9):
-        if len({o.zone for o in observations if o.origin == origin}) > 1:
+        if len({o.origin_zone for o in observations if o.origin_index == origin}) > 1:
             return
-    assert [one.failures(s, READY, NOW) for s in range(4)] == [other.failures(s, READY, NOW) for s in range(4)]
+    assert [one.failure_weight(s, READY, NOW) for s in range(4)] == [
+        other.failure_weight(s, READY, NOW) for s in range(4)
+    ]
 
 
 def test_one_limiter_never_weighs_more_than_one_failure_however_often_it_says_so() -> None:
     evidence = taken(*(failed(1, 5, NOW - 150.0 * step) for step in range(25)))
-    assert evidence.failures(1, READY, NOW) == 1.0 < ENOUGH
+    assert evidence.failure_weight(1, READY, NOW) == 1.0 < EJECTION_WEIGHT
 
 
 def test_three_limiters_that_saw_it_fail_are_enough_and_an_answer_since_undoes_them() -> None:
     evidence = taken(failed(1, 5, NOW - 900.0), failed(1, 6, NOW - 700.0), failed(1, 7, NOW - 500.0))
-    assert evidence.failures(1, READY, NOW) == ENOUGH
-    evidence.take(good(1, 8, NOW - 300.0), NOW)
-    assert evidence.failures(1, READY, NOW) == 0.0
-    assert evidence.failures(1, READY, NOW + FRESH) == 0.0
+    assert evidence.failure_weight(1, READY, NOW) == EJECTION_WEIGHT
+    evidence.record(good(1, 8, NOW - 300.0), NOW)
+    assert evidence.failure_weight(1, READY, NOW) == 0.0
+    assert evidence.failure_weight(1, READY, NOW + FRESH_MS) == 0.0
 
 
 def test_a_path_from_one_zone_alone_says_less_and_an_answer_there_nothing_of_here() -> None:
     elsewhere = [failed(1, origin, NOW - 500.0, THERE) for origin in (5, 6, 7)]
     evidence = taken(*elsewhere)
-    assert 0.0 < evidence.failures(1, READY, NOW) < ENOUGH
+    assert 0.0 < evidence.failure_weight(1, READY, NOW) < EJECTION_WEIGHT
     here = [failed(1, origin, NOW - 500.0) for origin in (8, 9, 10)]
     evidence = taken(*here, good(1, 11, NOW, THERE))
-    assert evidence.failures(1, READY, NOW) == ENOUGH  # it answers there, and not here
+    assert evidence.failure_weight(1, READY, NOW) == EJECTION_WEIGHT  # it answers there, and not here
     evidence = taken(*elsewhere, *here[:1], good(1, 12, NOW))
-    assert evidence.failures(1, READY, NOW) == 0.0  # one of our zone has just had an answer
+    assert evidence.failure_weight(1, READY, NOW) == 0.0  # one of our zone has just had an answer
 
 
 @pytest.mark.parametrize("liars", [1, 13])
 def test_whoever_calls_many_servers_bad_weighs_nothing(liars: int) -> None:
     evidence = taken(*(failed(server, 100 + liar) for liar in range(liars) for server in range(READY)))
-    assert [evidence.failures(server, READY, NOW) for server in range(READY)] == [0.0] * READY
-    few = DOUBTED_LEAST
+    assert [evidence.failure_weight(server, READY, NOW) for server in range(READY)] == [0.0] * READY
+    few = DISTRUST_MIN_SERVERS
     evidence = taken(*(failed(server, origin) for origin in (5, 6, 7) for server in range(few)))
-    assert [evidence.failures(server, READY, NOW) for server in range(few)] == [ENOUGH] * few
+    assert [evidence.failure_weight(server, READY, NOW) for server in range(few)] == [EJECTION_WEIGHT] * few
 
 
 def test_a_limiter_that_most_servers_fail_doubts_itself() -> None:
-    evidence = Evidence(3, HERE)
+    evidence = HealthEvidence(3, HERE)
     for server in range(6):
-        evidence.tried(server, NOW)
+        evidence.record_own_attempt(server, NOW)
     for server in range(2):
-        evidence.take(failed(server, 3), NOW)
-    assert not evidence.doubts_itself(NOW)
-    evidence.take(failed(2, 3), NOW)
-    assert evidence.doubts_itself(NOW)
-    assert not evidence.doubts_itself(NOW + FRESH)
+        evidence.record(failed(server, 3), NOW)
+    assert not evidence.distrusts_itself(NOW)
+    evidence.record(failed(2, 3), NOW)
+    assert evidence.distrusts_itself(NOW)
+    assert not evidence.distrusts_itself(NOW + FRESH_MS)
 
 
 def test_evidence_on_ten_thousand_servers_is_bounded_and_ages_out() -> None:
-    evidence = Evidence(0, HERE)
+    evidence = HealthEvidence(0, HERE)
     for server in range(10_000):
         for origin in range(1, 4):
-            evidence.take(failed(server, origin), NOW)
-    assert len(evidence) == MOST_SERVERS
-    assert evidence.failures(9_999, 100_000, NOW) == ENOUGH  # the latest is there
+            evidence.record(failed(server, origin), NOW)
+    assert len(evidence) == MAX_SERVERS
+    assert evidence.failure_weight(9_999, 100_000, NOW) == EJECTION_WEIGHT  # the latest is there
     for origin in range(200):
-        evidence.take(failed(9_999, origin, NOW + 1.0), NOW + 1.0)
-    assert len(evidence.who(9_999, NOW)) <= MOST_ORIGINS
-    evidence.age_out(NOW + 2 * FRESH)
+        evidence.record(failed(9_999, origin, NOW + 1.0), NOW + 1.0)
+    assert len(evidence.witnesses(9_999, NOW)) <= MAX_ORIGINS_PER_SERVER
+    evidence.age_out(NOW + 2 * FRESH_MS)
     assert len(evidence) == 0 and not evidence._accused and not evidence._tried
 
 
 def test_operators_are_shown_what_was_heard_of_last_and_who_is_not_believed() -> None:
     evidence = taken(*(failed(server, 7) for server in range(READY // 2)), failed(1, 2), good(0, 3))
-    assert evidence.latest(3) == [0, 1, READY // 2 - 1]
-    assert evidence.disbelieved(READY, NOW) == [7] and evidence.disbelieved(READY, NOW + FRESH) == []
-    told = evidence.who(0, NOW + 50.0)
-    assert [(each.origin, each.failed_age, each.good_age) for each in told] == [(7, 50.0, -1.0), (3, -1.0, 50.0)]
+    assert evidence.latest_servers(3) == [0, 1, READY // 2 - 1]
+    assert evidence.distrusted_origins(READY, NOW) == [7] and evidence.distrusted_origins(READY, NOW + FRESH_MS) == []
+    told = evidence.witnesses(0, NOW + 50.0)
+    assert [(each.origin_index, each.failed_age_ms, each.answered_age_ms) for each in told] == [
+        (7, 50.0, -1.0),
+        (3, -1.0, 50.0),
+    ]
 
 
 def test_what_is_old_or_ahead_of_our_clock_is_no_news() -> None:
-    evidence = Evidence(0, HERE)
-    assert not evidence.take(failed(1, 5, NOW - FRESH), NOW)
-    assert not evidence.take(failed(1, 5, NOW + 5_000.0), NOW)
-    assert evidence.take(failed(1, 5), NOW) and not evidence.take(failed(1, 5, NOW + 20.0), NOW)
+    evidence = HealthEvidence(0, HERE)
+    assert not evidence.record(failed(1, 5, NOW - FRESH_MS), NOW)
+    assert not evidence.record(failed(1, 5, NOW + 5_000.0), NOW)
+    assert evidence.record(failed(1, 5), NOW) and not evidence.record(failed(1, 5, NOW + 20.0), NOW)
 
 
 def test_a_process_that_started_anew_under_its_id_has_no_record() -> None:
     evidence = taken(failed(1, 5), failed(1, 6), failed(1, 7))
     evidence.forget(1)
-    assert evidence.failures(1, READY, NOW) == 0.0
+    assert evidence.failure_weight(1, READY, NOW) == 0.0
 
 
 # What is told
@@ -144,44 +156,44 @@
 @pytest.mark.parametrize("limiters", [2, 30, 500])
 def test_datagrams_stay_within_their_part_of_the_intake_under_a_flood_of_news(limiters: int) -> None:
     intake = 100.0
-    rumours = Rumours(0, limiters, intake, random.Random(1), NOW)
+    rumours = RumourQueue(0, limiters, intake, random.Random(1), NOW)
     sent, seconds = 0, 20
     for step in range(100 * seconds):
         now = NOW + 10.0 * step
         for server in range(20):
-            rumours.add(Observation(1000 * step + server, 5, HERE, Kind.FAILED, now))
-        for to, rows in rumours.due(now, FRESH):
+            rumours.add(Observation(1000 * step + server, 5, HERE, ObservationKind.FAILED, now))
+        for to, rows in rumours.due_datagrams(now, FRESH_MS):
             sent += 1
-            assert to != 0 and 0 < len(rows) <= MOST_ROWS
-        assert len(rumours) <= MOST_KEPT
-    assert sent <= BURST + INTAKE_PART * intake * seconds
+            assert to != 0 and 0 < len(rows) <= MAX_ROWS
+        assert len(rumours) <= MAX_RUMOURS
+    assert sent <= BURST_DATAGRAMS + SEND_FRACTION * intake * seconds
 
 
 def test_a_rumour_is_told_a_bounded_number_of_times_to_different_limiters_and_dies() -> None:
-    rumours = Rumours(0, 64, 100.0, random.Random(2), NOW)
+    rumours = RumourQueue(0, 64, 100.0, random.Random(2), NOW)
     rumours.add(failed(1, 0))
     told: list[int] = []
     for step in range(2000):
-        told += [to for to, _ in rumours.due(NOW + step, FRESH)]
-    assert len(told) == len(set(told)) == 3 + SPARE and len(rumours) == 0
+        told += [to for to, _ in rumours.due_datagrams(NOW + step, FRESH_MS)]
+    assert len(told) == len(set(told)) == 3 + EXTRA_TRANSMISSIONS and len(rumours) == 0
 
 
 @pytest.mark.parametrize("limiters", [2, 3, 8, 9])
 def test_in_a_small_group_whoever_saw_it_tells_each_of_the_others(limiters: int) -> None:
     """By the logarithm of so few, one that hears of it from nobody would be left over now and then."""
-    rumours = Rumours(0, limiters, 1000.0, random.Random(4), NOW)
+    rumours = RumourQueue(0, limiters, 1000.0, random.Random(4), NOW)
     rumours.add(failed(1, 0))
-    told = [to for n in range(40) for to, _ in rumours.due(NOW + 50.0 * n, FRESH)]
+    told = [to for n in range(40) for to, _ in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
     assert sorted(told) == list(range(1, limiters))
 
 
 def test_news_come_before_what_was_told_already_and_what_is_stale_is_not_told() -> None:
-    rumours = Rumours(0, 64, 100.0, random.Random(3), NOW)
-    for server in range(MOST_ROWS):
+    rumours = RumourQueue(0, 64, 100.0, random.Random(3), NOW)
+    for server in range(MAX_ROWS):
         rumours.add(failed(server, 0))
-    while rumours.due(NOW, FRESH):
+    while rumours.due_datagrams(NOW, FRESH_MS):
         pass  # its burst is spent
     rumours.add(failed(999, 0, NOW + 300.0))
-    (_, rows), *_ = rumours.due(NOW + 300.0, FRESH)
-    assert rows[0].server == 999
-    assert rumours.due(NOW + 2 * FRESH, FRESH) == [] and len(rumours) == 0
+    (_, rows), *_ = rumours.due_datagrams(NOW + 300.0, FRESH_MS)
+    assert rows[0].server_key == 999
+    assert rumours.due_datagrams(NOW + 2 * FRESH_MS, FRESH_MS) == [] and len(rumours) == 0
--- a/tests/gossip/test_fleets.py
+++ b/tests/gossip/test_fleets.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from elderlock.gossip.evidence import ENOUGH
+from elderlock.gossip.evidence_messages import Observation, ObservationKind, encode, server_key
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT
 from elderlock.gossip.limiter import HEARD_WITHIN, SharedLimiter
-from elderlock.gossip.wire import Kind, Observation, encode, key
 from elderlock.sim.decisions import DecisionWorld
 from elderlock.sim.scenario import Scenario
 from elderlock.state import Server
@@ -91,7 +91,10 @@
     def lie() -> None:
         now = world.schedule.time
         for liar in range(liars):
-            said = [Observation(key(f"s-{box:02d}"), liar, liar % 3, Kind.FAILED, now) for box in range(BOXES)]
+            said = [
+                Observation(server_key(f"s-{box:02d}"), liar, liar % 3, ObservationKind.FAILED, now)
+                for box in range(BOXES)
+            ]
             for other in range(LIMITERS):
                 for at in range(0, BOXES, 20):
                     world.tell_peer(world.nodes[liar], other, encode(said[at : at + 20], now))
@@ -138,11 +141,11 @@
 
     def weigh() -> None:
         left.extend(
-            limiter.evidence.failures(key("s-00"), BOXES, world.schedule.time)
+            limiter.evidence.failure_weight(server_key("s-00"), BOXES, world.schedule.time)
             for limiter in world.limiters()
             if world.server(limiter, 0).entry.started_at_ms > 0
         )
 
     world.at_s(7.4, weigh)
     assert world.play().good()
-    assert left and max(left) < ENOUGH
+    assert left and max(left) < EJECTION_WEIGHT
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -11,7 +11,7 @@
 from sharing import PROCESSES, WARM, Fleet
 
 from elderlock.decisions.outlier_detection import OUTLIER_AFTER
-from elderlock.gossip.evidence import ENOUGH
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT
 from elderlock.gossip.limiter import SharedLimiter
 from elderlock.interface import PeerMessage
 from elderlock.settings_reader import read_settings
@@ -20,7 +20,7 @@
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 
-WITNESSES = int(ENOUGH) + 2  # some to spare, as a datagram may be lost
+WITNESSES = int(EJECTION_WEIGHT) + 2  # some to spare, as a datagram may be lost
 
 
 async def witnessed(fleet: Fleet, count: int) -> None:
@@ -31,7 +31,7 @@
         for _ in range(WARM + 1):
             fleet.read(number)
     # where they share, the last of them may hear of it before its own request is out
-    least = ENOUGH if "true" in fleet.shared else count
+    least = EJECTION_WEIGHT if "true" in fleet.shared else count
     await until(lambda: sum(map(bool, map(fleet.bad.of, witnesses))) >= least)
     fleet.release.set()
     for number in witnesses:
--- a/tests/gossip/test_seen.py
+++ b/tests/gossip/test_seen.py
@@ -21,7 +21,7 @@
 from elderlock.fleet.explain import Explained, entries, explain
 from elderlock.fleet.operate import see
 from elderlock.fleet.seen import Seen, seen_of
-from elderlock.gossip.evidence import ENOUGH, FRESH
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT, FRESH_MS
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.limiters import box, state
 from elderlock.standins.waiting import run
@@ -92,7 +92,7 @@
                 if any(box["box"] == BOX and box["failed"] for box in shared["boxes"]):
                     break
             assert set(shared["limiters"]) == {f"n{n}" for n in range(LIMITERS)} and shared["shares_nothing"] == []
-            assert all(each["counts_ms"] == FRESH for each in shared["limiters"].values())
+            assert all(each["counts_ms"] == FRESH_MS for each in shared["limiters"].values())
             assert sum(each["told"] for each in shared["limiters"].values()) > 0
             _, text, _ = await command(ground, "explain", "box", BOX)
             assert text.splitlines()[0].endswith(f"of {LIMITERS} limiters") and "FAILED AT (AGO)" in text
@@ -178,7 +178,7 @@
                 return len(left_out(seen)) >= 2
 
             await until_seen(group, found)
-            assert all(weighed < ENOUGH for weighed in good)
+            assert all(weighed < EJECTION_WEIGHT for weighed in good)
             mend()
             back = await until_seen(group, lambda seen: [word.used for word in of(seen).words] == [True] * LIMITERS)
             assert left_out(back) == []
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from elderlock import peer_messages as peerwords
-from elderlock.gossip import wire
-from elderlock.gossip.wire import Kind, Observation, WireError, decode, encode
+from elderlock.gossip import evidence_messages as wire
+from elderlock.gossip.evidence_messages import EvidenceMessageError, Observation, ObservationKind, decode, encode
 
 NOW = 1_700_000_000_000.0
 LIMITERS = 200
@@ -17,7 +17,7 @@
     st.integers(0, 2**32 - 1),
     st.integers(0, LIMITERS - 1),
     st.integers(0, 255),
-    st.sampled_from(Kind),
+    st.sampled_from(ObservationKind),
     st.integers(0, 60_000).map(lambda age: NOW - age),
 )
 
@@ -25,25 +25,28 @@
 @given(st.lists(observations, max_size=40), st.integers(0, 100))
 def test_what_is_told_is_read_again_and_a_datagram_holds_no_more_than_it_may(rows: list[Observation], way: int) -> None:
     data = encode(rows, NOW)
-    assert len(data) <= wire.LONGEST and wire.is_gossip(data)
+    assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.is_evidence(data)
     read = decode(data, NOW + way, LIMITERS)
-    assert [(o.server, o.origin, o.zone, o.kind) for o in read] == [
-        (o.server, o.origin, o.zone, o.kind) for o in rows[: wire.MOST_ROWS]
+    assert [(o.server_key, o.origin_index, o.origin_zone, o.kind) for o in read] == [
+        (o.server_key, o.origin_index, o.origin_zone, o.kind) for o in rows[: wire.MAX_ROWS]
     ]
-    assert all(abs(o.at - row.at - way) <= 0.5 for o, row in zip(read, rows, strict=False))
+    assert all(abs(o.began_at_ms - row.began_at_ms - way) <= 0.5 for o, row in zip(read, rows, strict=False))
 
 
 @given(st.binary(max_size=300))
 def test_any_bytes_are_read_or_refused(data: bytes) -> None:
     try:
         read = decode(data, NOW, LIMITERS)
-    except WireError:
+    except EvidenceMessageError:
         return
-    assert encode(read, NOW)[wire.HEAD.size :] == data[wire.HEAD.size :]
+    assert encode(read, NOW)[wire.HEADER.size :] == data[wire.HEADER.size :]
 
 
 def good() -> bytes:
-    return encode([Observation(7, 3, 1, Kind.FAILED, NOW - 20.0), Observation(8, 4, 1, Kind.GOOD, NOW)], NOW)
+    return encode(
+        [Observation(7, 3, 1, ObservationKind.FAILED, NOW - 20.0), Observation(8, 4, 1, ObservationKind.ANSWERED, NOW)],
+        NOW,
+    )
 
 
 @pytest.mark.parametrize(
@@ -53,18 +56,18 @@
         good()[:4],
         good() + bytes(300),
         bytes([wire.FORMAT, wire.VERSION + 1]) + good()[2:],
-        encode([Observation(7, LIMITERS, 1, Kind.FAILED, NOW)], NOW),
+        encode([Observation(7, LIMITERS, 1, ObservationKind.FAILED, NOW)], NOW),
         good()[:-3] + b"\x09" + good()[-2:],
     ],
 )
 def test_what_is_wrong_is_refused_whole(wrong: bytes) -> None:
-    with pytest.raises(WireError):
+    with pytest.raises(EvidenceMessageError):
         decode(wrong, NOW, LIMITERS)
 
 
 @pytest.mark.parametrize("late", [3_000.0, 86_400_000.0, -3_000.0])
 def test_old_news_and_that_of_a_wrong_clock_is_refused(late: float) -> None:
-    with pytest.raises(WireError, match="ms ago"):
+    with pytest.raises(EvidenceMessageError, match="ms ago"):
         decode(good(), NOW + late, LIMITERS)
 
 
@@ -74,4 +77,4 @@
         data = peerwords.single(
             number % 256, random.Random(number).getrandbits(32), peerwords.ASK, 1, 8.0, 20.0, number
         )
-        assert not wire.is_gossip(data)
+        assert not wire.is_evidence(data)
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_bound.py
@@ -6,58 +6,68 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elderlock.quota.attach import QuotaFile
-from elderlock.quota.bound import Excess, Failures, cut_off, shared, stated, unseen_loss, warnings
-from elderlock.quota.health import Mode
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counter_health import CounterMode
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.error_bound import (
+    ExcessMeter,
+    FailureHistory,
+    cut_off_error_units,
+    shared_error_units,
+    slack_warnings,
+    stated_error_units,
+    unseen_loss_error_units,
+)
+from elderlock.quota.options import QuotaOptions
 from elderlock.standins.counters import Group
 
-HARD = Store(rate=13.0, burst=19.0, limiters=3, hard=True, slack=2.0)
-SOFT = Store(rate=7.0, burst=12.0, limiters=3)
-TERMS = Terms()
+HARD = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
+SOFT = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
+TERMS = CounterTerms()
 BUSY = (12.0, 9.0, 15.0)  # asked a second at each: nearly three times the ceiling
 
 
-def group(store: Store = HARD, seed: int = 1, rates: tuple[float, ...] = BUSY, **more: object) -> Group:
+def group(store: SharedBucket = HARD, seed: int = 1, rates: tuple[float, ...] = BUSY, **more: object) -> Group:
     return Group(store, TERMS, seed, rates, **more)  # type: ignore[arg-type]
 
 
 def held(played: Group) -> Group:
-    bound = stated(played.store, TERMS, played.known_failures())
-    assert played.excess.worst <= bound, (played.excess.worst, bound)
+    bound = stated_error_units(played.store, TERMS, played.known_failures())
+    assert played.excess.worst_units <= bound, (played.excess.worst_units, bound)
     return played
 
 
 def used_share(played: Group, lasts: float) -> float:
     """Of what the bucket's rate gave in that time."""
-    return sum(played.granted.values()) / (played.store.rate * lasts / 1000.0)
+    return sum(played.granted.values()) / (played.store.rate_per_s * lasts / 1000.0)
 
 
 def test_the_bucket_itself_is_what_histories_are_held_against() -> None:
-    excess = Excess(Store(rate=10.0, burst=5.0, limiters=1))
+    excess = ExcessMeter(SharedBucket(rate_per_s=10.0, burst_units=5.0, limiter_count=1))
     for n in range(5):
-        excess.let_in(1.0, float(n))
-    assert excess.worst <= 0.0
-    excess.let_in(2.0, 5.0)
-    assert excess.worst == pytest.approx(7.0 - 0.05 - 5.0)
-    excess.let_in(1.0, 10_000.0)
-    assert excess.level == 1.0 and excess.worst == pytest.approx(1.95)
+        excess.record(1.0, float(n))
+    assert excess.worst_units <= 0.0
+    excess.record(2.0, 5.0)
+    assert excess.worst_units == pytest.approx(7.0 - 0.05 - 5.0)
+    excess.record(1.0, 10_000.0)
+    assert excess.level_units == 1.0 and excess.worst_units == pytest.approx(1.95)
 
 
 @pytest.mark.parametrize("store", [HARD, SOFT])
-def test_with_the_counter_answering_the_store_is_used_and_not_passed(store: Store) -> None:
+def test_with_the_counter_answering_the_store_is_used_and_not_passed(store: SharedBucket) -> None:
     played = held(group(store).play(60_000.0))  # through two changes of window
     assert 0.85 < used_share(played, 60_000.0) < 1.1
-    assert played.slowest <= 2.0 * TERMS.answer_within + 5.0
+    assert played.slowest <= 2.0 * TERMS.answer_timeout_ms + 5.0
 
 
 def test_a_calm_account_costs_no_calls_and_a_busy_one_less_than_one_a_request() -> None:
     calm = group(SOFT, rates=(0.2, 0.2, 0.2)).play(30_000.0)
     assert sum(calm.granted.values()) == sum(calm.asked.values()) > 10
-    calls = sum(book.made for book in calm.books) - 3 * 30_000.0 / TERMS.heartbeat
+    calls = sum(book.calls_made for book in calm.books) - 3 * 30_000.0 / TERMS.heartbeat_ms
     assert calls < sum(calm.asked.values()) * 1.5
-    large = group(Store(rate=300.0, burst=600.0, limiters=3), rates=(90.0, 90.0, 90.0)).play(10_000.0)
-    assert sum(book.made for book in large.books) < 0.5 * sum(large.asked.values())
+    large = group(SharedBucket(rate_per_s=300.0, burst_units=600.0, limiter_count=3), rates=(90.0, 90.0, 90.0)).play(
+        10_000.0
+    )
+    assert sum(book.calls_made for book in large.books) < 0.5 * sum(large.asked.values())
 
 
 @pytest.mark.parametrize("empty", [False, True])
@@ -67,12 +77,12 @@
     for _ in range(times):
         played.set_down(True)
         played.play(15_000.0)
-        assert all(book.mode is not Mode.SHARED for book in played.books)
+        assert all(book.mode is not CounterMode.SHARED for book in played.books)
         if empty:
             played.lose()
         played.set_down(False)
         played.play(4_000.0)
-        assert all(book.mode is Mode.SHARED for book in played.books)
+        assert all(book.mode is CounterMode.SHARED for book in played.books)
     held(played)
     assert used_share(played, 7_000.0 + 19_000.0 * times) > 0.6
 
@@ -81,7 +91,7 @@
     played = group(seed=3).play(9_000.0)
     played.lose(told=False)
     before = [book.health.generation for book in played.books]
-    played.play(TERMS.heartbeat * TERMS.sentinels * 2.0)
+    played.play(TERMS.heartbeat_ms * TERMS.sentinel_count * 2.0)
     assert all(book.health.generation > was for book, was in zip(played.books, before, strict=True))
     held(played.play(10_000.0))
 
@@ -91,14 +101,14 @@
     played = group(seed=3).play(9_000.0)
     before = [book.health.generation for book in played.books]
     played.lose()
-    played.play(TERMS.heartbeat * TERMS.sentinels * 2.0)
+    played.play(TERMS.heartbeat_ms * TERMS.sentinel_count * 2.0)
     assert [book.health.generation for book in played.books] == [was + 1 for was in before]
 
 
 @pytest.mark.parametrize(("rate", "burst", "asks"), [(7.0, 12.0, 1.0), (3.7, 14.0, 0.7), (1.2, 6.0, 0.2)])
 def test_what_was_raised_in_vain_keeps_nobody_out(rate: float, burst: float, asks: float) -> None:
     """Held back till the next use, it left others an empty store: a fifth of what had room was refused."""
-    played = group(Store(rate, burst, 3), rates=(asks, asks, asks)).play(60_000.0)
+    played = group(SharedBucket(rate, burst, 3), rates=(asks, asks, asks)).play(60_000.0)
     assert sum(played.granted.values()) >= 0.985 * sum(played.asked.values())
 
 
@@ -121,7 +131,7 @@
     played.cut([2])
     played.rates = [2.0, 2.0, 40.0]
     played.play(12_000.0)
-    assert played.books[2].mode is not Mode.SHARED and played.books[0].mode is Mode.SHARED
+    assert played.books[2].mode is not CounterMode.SHARED and played.books[0].mode is CounterMode.SHARED
     played.heal()
     held(played.play(10_000.0))
 
@@ -149,9 +159,9 @@
 
 
 def test_clocks_that_lie_apart_by_what_is_stated() -> None:
-    terms = Terms(skew=200.0)
+    terms = CounterTerms(clock_skew_ms=200.0)
     played = Group(HARD, terms, 9, BUSY, skews=(0.0, 100.0, -100.0)).play(60_000.0)
-    assert played.excess.worst <= stated(HARD, terms, Failures())
+    assert played.excess.worst_units <= stated_error_units(HARD, terms, FailureHistory())
 
 
 def test_lost_answers_and_a_slow_way() -> None:
@@ -164,8 +174,8 @@
 
 
 def test_a_counter_that_is_busy_is_let_recover() -> None:
-    store = Store(rate=200.0, burst=200.0, limiters=8)
-    played = Group(store, Terms(calls=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
+    store = SharedBucket(rate_per_s=200.0, burst_units=200.0, limiter_count=8)
+    played = Group(store, CounterTerms(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
     played.accounts = tuple(f"a{n}" for n in range(40))
     played.play(10_000.0)
     busy, served = played.busy, played.served_calls
@@ -180,28 +190,28 @@
     now = played.now
     for n in range(10_000):
         now += 0.6
-        assert book.ask(f"r{n}", f"c{n}", SOFT, 1.0, now)
+        assert book.admit(f"r{n}", f"c{n}", SOFT, 1.0, now)
         if n % 50 == 0:
-            book.tick(now)
-            for call in book.calls(now):
-                book.answered(call.token, call.amount + rng.random(), now)
-    assert book.made < 2_000
+            book.expire(now)
+            for call in book.due_calls(now):
+                book.call_answered(call.token, call.amount_units + rng.random(), now)
+    assert book.calls_made < 2_000
     for _ in range(700):
         now += 100.0
-        book.tick(now)
-        for call in book.calls(now):
-            book.answered(call.token, call.amount + 1e6, now)
+        book.expire(now)
+        for call in book.due_calls(now):
+            book.call_answered(call.token, call.amount_units + 1e6, now)
     assert not book.ledgers
 
 
 def test_a_thousand_limiters_start_at_once_on_a_counter_that_serves_few_calls() -> None:
     """Each three share a customer, as sets do; their sentinels alone, each half second, would take four calls of five."""
-    terms = QuotaFile(calls_per_s=5.0).terms(999)
-    assert terms.heartbeat == 4_995.0
+    terms = QuotaOptions(calls_per_s=5.0).terms(999)
+    assert terms.heartbeat_ms == 4_995.0
     played = Group(HARD, terms, 13, [0.3] * 999, per_s=2500.0, parts=2)
     played.sets, played.accounts = 3, ("many", "of them")
     played.play(4_000.0)
-    assert sum(book.mode is Mode.SHARED for book in played.books) > 0.9 * 999
+    assert sum(book.mode is CounterMode.SHARED for book in played.books) > 0.9 * 999
     before = sum(played.granted.values()), sum(played.asked.values())
     played.play(1_500.0)
     granted, asked = sum(played.granted.values()) - before[0], sum(played.asked.values()) - before[1]
@@ -209,20 +219,20 @@
 
 
 @pytest.mark.parametrize("store", [HARD, SOFT])
-def test_a_counter_that_is_busy_for_seconds_is_as_good_as_off(store: Store) -> None:
+def test_a_counter_that_is_busy_for_seconds_is_as_good_as_off(store: SharedBucket) -> None:
     played = group(store, seed=19).play(6_000.0)
     played.refusing = True
     before = sum(played.granted.values())
     played.play(5_000.0)
-    assert all(book.mode is not Mode.SHARED for book in played.books)
-    assert sum(played.granted.values()) - before > 0.6 * store.refill(5_000.0)
+    assert all(book.mode is not CounterMode.SHARED for book in played.books)
+    assert sum(played.granted.values()) - before > 0.6 * store.refill_units(5_000.0)
     played.refusing = False
     played.returns += 1
     held(played.play(5_000.0))
 
 
 @pytest.mark.parametrize("store", [HARD, SOFT])
-def test_a_total_higher_than_all_can_have_added_is_someone_elses(store: Store) -> None:
+def test_a_total_higher_than_all_can_have_added_is_someone_elses(store: SharedBucket) -> None:
     """Believed, it would keep the customer out for the rest of the window."""
     played = group(store, seed=20).play(8_000.0)
     for part in played.parts:
@@ -232,7 +242,7 @@
     played.returns += 1
     before = sum(played.granted.values())
     played.play(8_000.0)
-    assert sum(played.granted.values()) - before > 0.6 * store.refill(8_000.0)
+    assert sum(played.granted.values()) - before > 0.6 * store.refill_units(8_000.0)
     held(played)
     held(played.play(20_000.0))  # and the next window begins as if it had not been
 
@@ -247,11 +257,11 @@
     book = group(rates=(0.0, 0.0, 0.0)).play(1_000.0).books[0]
     health, now = book.health, 10_001_000.0
     assert book.mode.value == "shared"
-    book.off(now)
+    book.connection_lost(now)
     generation = health.generation
     health.counts_lost(now)
     assert book.mode.value == "local" and health.generation == generation
-    name = next(name for step in range(100) if (name := health.sentinel(now + 50.0 * step)) is not None)
+    name = next(name for step in range(100) if (name := health.due_sentinel(now + 50.0 * step)) is not None)
     assert book.mode.value == "recovering"
     health.sentinel_answered(name, 1.0, now + 5_000.0)
     assert book.mode.value == "shared" and health.generation == generation + 1
@@ -261,9 +271,11 @@
     """One limiter was turned to a second counter, the others stay: each side holds to a whole store."""
     sides = [Group(HARD, TERMS, 15, (12.0, 9.0, 0.0)).play(9_000.0), Group(HARD, TERMS, 16, (15.0,)).play(9_000.0)]
     for side in sides:
-        assert side.excess.worst <= stated(HARD, TERMS, Failures())
+        assert side.excess.worst_units <= stated_error_units(HARD, TERMS, FailureHistory())
     total = sum(sum(side.granted.values()) for side in sides)
-    assert total <= 2 * (HARD.burst + HARD.refill(9_000.0) + stated(HARD, TERMS, Failures()))
+    assert total <= 2 * (
+        HARD.burst_units + HARD.refill_units(9_000.0) + stated_error_units(HARD, TERMS, FailureHistory())
+    )
 
 
 def test_a_name_that_the_counter_forgot_too_soon_is_told_as_a_loss() -> None:
@@ -279,7 +291,9 @@
 
 @pytest.mark.parametrize("limiters", [50])
 def test_the_bound_holds_at_many_limiters(limiters: int) -> None:
-    store = Store(rate=200.0, burst=300.0, limiters=limiters, hard=True, slack=30.0)
+    store = SharedBucket(
+        rate_per_s=200.0, burst_units=300.0, limiter_count=limiters, is_hard_ceiling=True, slack_units=30.0
+    )
     played = Group(store, TERMS, 18, [8.0] * limiters, per_s=20_000.0).play(4_000.0)
     played.cut(range(10))
     played.play(3_000.0)
@@ -290,31 +304,36 @@
 
 def test_a_plan_change_while_a_lease_is_out() -> None:
     played = group(seed=12).play(4_000.0)
-    played.store = Store(rate=5.0, burst=8.0, limiters=3, hard=True, slack=2.0)
-    played.excess = Excess(played.store)
+    played.store = SharedBucket(rate_per_s=5.0, burst_units=8.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
+    played.excess = ExcessMeter(played.store)
     held(played.play(20_000.0))
 
 
 def test_the_formulas_grow_with_what_they_name() -> None:
-    more = Store(HARD.rate * 2, HARD.burst, HARD.limiters, True, HARD.slack)
-    assert shared(more, TERMS) > shared(HARD, TERMS) > 0
-    assert cut_off(HARD, TERMS, 3000.0) == pytest.approx(13.0)
-    assert unseen_loss(HARD, TERMS) > HARD.burst
-    assert stated(SOFT, TERMS) > SOFT.burst > stated(HARD, TERMS)
+    more = SharedBucket(HARD.rate_per_s * 2, HARD.burst_units, HARD.limiter_count, True, HARD.slack_units)
+    assert shared_error_units(more, TERMS) > shared_error_units(HARD, TERMS) > 0
+    assert cut_off_error_units(HARD, 3000.0) == pytest.approx(13.0)
+    assert unseen_loss_error_units(HARD, TERMS) > HARD.burst_units
+    assert stated_error_units(SOFT, TERMS) > SOFT.burst_units > stated_error_units(HARD, TERMS)
 
 
 def test_settings_that_make_the_bound_larger_than_the_slack_are_warned_of() -> None:
-    found = warnings("enterprise", HARD, TERMS)
+    found = slack_warnings("enterprise", HARD, TERMS)
     assert [text.partition(":")[0] for text in found] == ["plan enterprise"] * len(found)
     assert any("cut off for 30 s" in text for text in found)
-    safe = Store(rate=1.0, burst=10.0, limiters=3, hard=True, slack=4.0)
-    assert warnings("calm", safe, Terms(cut_most=2_000.0)) == [] == warnings("soft", SOFT, TERMS)
+    safe = SharedBucket(rate_per_s=1.0, burst_units=10.0, limiter_count=3, is_hard_ceiling=True, slack_units=4.0)
+    assert (
+        slack_warnings("calm", safe, CounterTerms(max_cut_off_ms=2_000.0)) == [] == slack_warnings("soft", SOFT, TERMS)
+    )
 
 
-@pytest.mark.parametrize("wrong", [{"answer_within": 0.0}, {"life": 30_000.0}, {"calls": 0.0}, {"skew": -1.0}])
+@pytest.mark.parametrize(
+    "wrong",
+    [{"answer_timeout_ms": 0.0}, {"name_lifetime_ms": 30_000.0}, {"max_calls_per_s": 0.0}, {"clock_skew_ms": -1.0}],
+)
 def test_terms_that_cannot_hold_are_refused(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError):
-        Terms(**wrong)  # type: ignore[arg-type]
+        CounterTerms(**wrong)  # type: ignore[arg-type]
 
 
 Step = st.tuples(
@@ -327,7 +346,7 @@
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 999), st.lists(Step, max_size=12), st.sampled_from([HARD, SOFT]))
 def test_any_overlap_of_failures_stays_within_the_bound(
-    seed: int, steps: list[tuple[str, int, float]], store: Store
+    seed: int, steps: list[tuple[str, int, float]], store: SharedBucket
 ) -> None:
     played = group(store, seed=seed, skews=(0.0, 5.0, -5.0)).play(2_000.0)
     kept = played.snapshot()
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -16,11 +16,11 @@
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import ConfigError
-from elderlock.quota.attach import QuotaFile
-from elderlock.quota.bound import Excess, Failures, stated
 from elderlock.quota.counted import Counted, drawn
-from elderlock.quota.health import Mode
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counter_health import CounterMode
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
+from elderlock.quota.options import QuotaOptions
 from elderlock.standins.boxes import Server
 from elderlock.standins.counter import Counter
 from elderlock.standins.listener import Fault
@@ -56,7 +56,7 @@
 
 
 def counting(limiters: int = 3) -> Counting:
-    source = type("Counted", (Counted,), {"terms": Terms()})
+    source = type("Counted", (Counted,), {"terms": CounterTerms()})
     config = settings(limiters=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now=1_000.0)
     made.take(made.limiter.start(1_000.0))
@@ -89,7 +89,7 @@
     sent = rush(gate, 1200)
     held = 20.0 + 10.0 * (gate.now - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
-    assert book(gate).book.mode is Mode.SHARED
+    assert book(gate).book.mode is CounterMode.SHARED
 
 
 def test_far_from_the_quota_no_call_is_made_and_nothing_waits() -> None:
@@ -112,13 +112,13 @@
         waited.append(gate.now - asked)
         gate.end(name)
         gate.run(gate.now + 50.0)
-    assert max(waited) <= 2 * Terms().answer_within + 55.0
-    assert book(gate).book.mode is not Mode.SHARED
+    assert max(waited) <= 2 * CounterTerms().answer_timeout_ms + 55.0
+    assert book(gate).book.mode is not CounterMode.SHARED
     sent = len(rush(gate, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
     gate.there = True
     gate.run(gate.now + 2_000.0)
-    assert book(gate).book.mode is Mode.SHARED
+    assert book(gate).book.mode is CounterMode.SHARED
 
 
 def test_what_the_others_have_used_is_seen_in_the_total() -> None:
@@ -130,7 +130,9 @@
     gate.totals[name] += 500.0  # far beyond: others, or another counter's number
     gate.run(gate.now + 300.0)
     store = book(gate).store(settings().plans[0], 3)
-    held = Terms().lease(store) + Terms().free_part(store) + 1.0  # drawn before, or not to be told yet
+    held = (
+        CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
+    )  # drawn before, or not to be told yet
     assert len(rush(gate, 100)) <= held
     refused = gate.ask(customer="busy", spread=3)
     gate.run(gate.now + 120.0)
@@ -158,10 +160,10 @@
 
 
 def worst_over(taken: list[float]) -> float:
-    excess = Excess(Store(12.0, 24.0, 3, True, 2.4))
+    excess = ExcessMeter(SharedBucket(12.0, 24.0, 3, True, 2.4))
     for at in taken:
-        excess.let_in(1.0, at)
-    return excess.worst
+        excess.record(1.0, at)
+    return excess.worst_units
 
 
 def test_a_ceiling_is_drawn_too_and_does_not_bind_a_customer_of_whom_all_comes_here() -> None:
@@ -181,11 +183,13 @@
     gate.there = False
     taken += ceiled(gate, 600, 10.0)
     gate.totals.clear()
-    book(gate).book.off(gate.now)
+    book(gate).book.connection_lost(gate.now)
     gate.there = True
     taken += ceiled(gate, 600, 10.0)
-    assert worst_over(taken) <= stated(Store(12.0, 24.0, 3, True, 1.92), Terms(), Failures(returns=2))
-    assert len(taken) > 60 and book(gate).book.mode is Mode.SHARED
+    assert worst_over(taken) <= stated_error_units(
+        SharedBucket(12.0, 24.0, 3, True, 1.92), CounterTerms(), FailureHistory(return_count=2)
+    )
+    assert len(taken) > 60 and book(gate).book.mode is CounterMode.SHARED
 
 
 def test_where_work_beyond_the_quota_earns_the_ceiling_stays_split_evenly() -> None:
@@ -211,7 +215,7 @@
             gate.end(name)
     gate.run(gate.now + 5_000.0)
     assert all(bool(gate.where(name)) != (name in gate.finals) for name in names)
-    assert not gate.limiter.requests and not book(gate).book.waiting
+    assert not gate.limiter.requests and not book(gate).book.has_waiting
 
 
 @pytest.mark.parametrize(
@@ -242,8 +246,8 @@
     begin = path.read_text().index("# [quota]")
     lines = [line.removeprefix("# ") for line in path.read_text()[begin:].split("\n\n")[0].splitlines()]
     (tmp_path / "o.toml").write_text("\n".join(lines))
-    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaFile)
-    assert made == QuotaFile() and made.terms(3).calls == 100.0
+    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaOptions)
+    assert made == QuotaOptions() and made.terms(3).max_calls_per_s == 100.0
     with pytest.raises(ConfigError):
         replace_calls = msgspec.structs.replace(made, answer_ms=5000.0)
         replace_calls.terms(3)
--- a/tests/quota/test_redis.py
+++ b/tests/quota/test_redis.py
@@ -5,8 +5,9 @@
 
 import pytest
 
-from elderlock.quota.book import Call
-from elderlock.quota.redis_store import RedisStore
+from elderlock.quota.counter_call import CounterCall
+from elderlock.quota.redis_client import RedisClient, RedisOptions
+from elderlock.quota.store_client import StoreEvents
 from elderlock.standins.listener import Fault
 from elderlock.standins.redis import SLOTS, RedisCluster, RedisServer, slot_of
 from elderlock.standins.waiting import run, until
@@ -17,15 +18,15 @@
         self.totals: dict[int, list[float]] = {}
         self.none: dict[int, list[tuple[bool, bool]]] = {}
         self.off = 0
-        self.store = RedisStore(
+        self.store = RedisClient(
             asyncio.get_running_loop(),
-            addresses,
-            cluster,
-            "q:",
+            RedisOptions(tuple(addresses), cluster, "q:"),
             200.0,
-            lambda token, total: self.totals.setdefault(token, []).append(total),
-            lambda token, may, busy: self.none.setdefault(token, []).append((may, busy)),
-            self._off,
+            StoreEvents(
+                lambda token, total: self.totals.setdefault(token, []).append(total),
+                lambda token, may, busy: self.none.setdefault(token, []).append((may, busy)),
+                self._off,
+            ),
         )
         self.token = 1000
 
@@ -39,7 +40,7 @@
         """Asks again till there is one; what was not added may be asked again."""
         while True:
             self.token += 1
-            self.store.send([Call(self.token, name, amount, 60_000.0)])
+            self.store.send([CounterCall(self.token, name, amount, 60_000.0)])
             while not self.outcomes(self.token):
                 await asyncio.sleep(0.002)
             if self.token in self.totals:
@@ -64,7 +65,7 @@
         assert [await b.total("a:1", 2.5), await b.total("a:1", -0.5), await b.total("b:1", 1.0)] == [2.5, 2.0, 1.0]
         assert set(server.totals) == {b"q:a:1", b"q:b:1"}
         calls = server.calls
-        b.store.send([Call(n, "c", 1.0, 60_000.0) for n in range(100)])
+        b.store.send([CounterCall(n, "c", 1.0, 60_000.0) for n in range(100)])
         await until(lambda: all(b.outcomes(n) for n in range(100)))
         assert server.calls - calls == len(b.totals) - 3 and max(t[0] for t in b.totals.values()) == 100.0
         b.store.close()
@@ -91,12 +92,12 @@
         server, b = await alone()
         await b.total("a")
         server.loading = True
-        b.store.send([Call(1, "a", 1.0, 60_000.0)])
+        b.store.send([CounterCall(1, "a", 1.0, 60_000.0)])
         await until(lambda: 1 in b.none)
         assert b.none[1] == [(False, True)]
         server.loading = False
         await server.fail(Fault.SILENT)
-        b.store.send([Call(2, "a", 1.0, 60_000.0)])
+        b.store.send([CounterCall(2, "a", 1.0, 60_000.0)])
         await until(lambda: 2 in b.none)
         assert b.none[2] == [(True, False)]
         await server.fail(Fault.NONE)
@@ -115,7 +116,7 @@
         await b.total("a")
         calls = server.calls
         await server.fail(fault)
-        b.store.send([Call(1, "a", 1.0, 60_000.0)])
+        b.store.send([CounterCall(1, "a", 1.0, 60_000.0)])
         await until(lambda: 1 in b.none)
         assert b.none[1] == [(True, False)] and server.calls - calls <= 1 and b.off == 1
         await server.fail(Fault.NONE)
--- a/tests/quota/test_tally.py
+++ b/tests/quota/test_tally.py
@@ -5,8 +5,9 @@
 
 import pytest
 
-from elderlock.quota.book import Call
-from elderlock.quota.tally import Tally, encoded
+from elderlock.quota.counter_call import CounterCall
+from elderlock.quota.store_client import StoreEvents
+from elderlock.quota.tally_client import TallyClient, encode_call
 from elderlock.standins.counter import Counter, Spoil
 from elderlock.standins.listener import Fault
 from elderlock.standins.waiting import run, until
@@ -23,13 +24,15 @@
 
     async def __aenter__(self) -> "Bench":
         await self.counter.open(2)
-        self.tally = Tally(
+        self.tally = TallyClient(
             asyncio.get_running_loop(),
             self.address(0),
             50.0,
-            lambda token, total: self.told.setdefault(token, []).append(("total", total)),
-            lambda token, may, busy: self.told.setdefault(token, []).append(("none", (may, busy))),
-            self._off,
+            StoreEvents(
+                lambda token, total: self.told.setdefault(token, []).append(("total", total)),
+                lambda token, may, busy: self.told.setdefault(token, []).append(("none", (may, busy))),
+                self._off,
+            ),
         )
         return self
 
@@ -47,14 +50,14 @@
         """Calls till one is answered."""
         while not any(kind == "total" for kind, _ in self.told.get(self.token, [])):
             self.token += 1
-            self.tally.send([Call(self.token, "warm", 1.0, 60_000.0)])
+            self.tally.send([CounterCall(self.token, "warm", 1.0, 60_000.0)])
             await asyncio.sleep(0.01)
         await until(lambda: all(n in self.told for n in range(1_000_001, self.token + 1)))
         self.token += 1
         self.told[self.token] = []
 
     def send(self, *tokens: int) -> None:
-        self.tally.send([Call(token, f"n{token}", 2.5, 60_000.0) for token in tokens])
+        self.tally.send([CounterCall(token, f"n{token}", 2.5, 60_000.0) for token in tokens])
 
 
 def bench(test: Callable[[Bench], Awaitable[None]]) -> None:
@@ -66,7 +69,10 @@
 
 
 def test_a_call_is_written_as_the_protocol_has_it() -> None:
-    assert encoded(Call(1, "a:7", -2.5, 60_000.0)) == b"*4\r\n$5\r\nTALLY\r\n$3\r\na:7\r\n$4\r\n-2.5\r\n$5\r\n60000\r\n"
+    assert (
+        encode_call(CounterCall(1, "a:7", -2.5, 60_000.0))
+        == b"*4\r\n$5\r\nTALLY\r\n$3\r\na:7\r\n$4\r\n-2.5\r\n$5\r\n60000\r\n"
+    )
 
 
 def test_calls_go_one_behind_another_and_totals_come_back_in_order() -> None:
