--- a/elderlock/gossip/health_evidence.py
+++ b/elderlock/gossip/health_evidence.py
@@ -1,163 +1,230 @@
-"""Health evidence on servers from all limiters: what each saw last of which server, weighed into one question, whether
-a server is to be left out."""
+"""Health evidence on servers from all limiters, weighed into one question: whether a server is to be ejected."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Iterable
+from dataclasses import dataclass
 from itertools import islice
-from typing import NamedTuple
 
 from elderlock.gossip.evidence_messages import Observation, ObservationKind
 
-FRESH_MS = 4000.0  # ms that an observation counts
-SAME_ATTEMPT_MS = 100.0  # ms within which two of one origin, server and kind are one: hops on the way blur its age
-EJECTION_WEIGHT = 3.0  # weighed failures of different limiters, as many as one alone needs in a row
-OTHER_ZONE_WEIGHT = 0.5  # weight of a failure seen from another zone: the path from there may be at fault
-MAX_ORIGINS_PER_SERVER = 16  # kept for each server; the oldest gives way
-MAX_SERVERS = 512  # on which there is evidence; the one heard of longest ago gives way
-DISTRUST_FRACTION, DISTRUST_MIN_SERVERS = (
-    0.25,
-    3,
-)  # of the ready servers that one origin may say have failed, and at least
-SELF_DISTRUST_FRACTION, SELF_DISTRUST_MIN_SERVERS = (
-    0.5,
-    4,
-)  # failing of the servers tried lately, at which it is likelier us
+FRESH_MS = 4000.0  # for which an observation counts
+SAME_ATTEMPT_MS = 100.0  # observations of one origin, server and kind closer than this are one: hops blur the age
+EJECTION_WEIGHT = 3.0  # failures of different limiters, as many as one alone needs in a row
+SAME_ZONE_WEIGHT = 1.0
+OTHER_ZONE_WEIGHT = 0.5  # the path from another zone may be at fault
+MAX_ORIGINS_PER_SERVER = 16  # the one with the oldest observation gives way
+MAX_SERVERS = 512  # the one that was heard of longest ago gives way
+DISTRUST_FRACTION = 0.25  # of the ready servers; an origin that says that more failed is not believed
+DISTRUST_MIN_SERVERS = 3
+SELF_DISTRUST_FRACTION = 0.5  # of the servers tried lately; where as many failed, the limiter itself is at fault
+SELF_DISTRUST_MIN_SERVERS = 4
+NEVER_MS = float("-inf")
+NO_AGE_MS = -1.0
 
 
 class OriginRecord:
-    """What one origin saw last of one server: when an attempt began that failed, and one that was answered (ms)."""
+    """What one origin saw last of one server.
+
+    Attributes:
+        zone: The origin's zone.
+        failed_at_ms: When its latest attempt that failed began.
+        answered_at_ms: When its latest attempt that was answered began.
+    """
 
     __slots__ = ("answered_at_ms", "failed_at_ms", "zone")
 
     def __init__(self, zone: int) -> None:
+        """Start with nothing seen."""
         self.zone = zone
-        self.failed_at_ms = self.answered_at_ms = float("-inf")
+        self.failed_at_ms = NEVER_MS
+        self.answered_at_ms = NEVER_MS
 
     def latest_at_ms(self) -> float:
+        """Return when the latest attempt began."""
         return max(self.failed_at_ms, self.answered_at_ms)
 
+    def learn_zone(self, observation: Observation) -> None:
+        """Take the zone of the latest observation; of two at once the lower one, in whatever order they come."""
+        latest_at_ms = self.latest_at_ms()
+        if observation.began_at_ms > latest_at_ms + SAME_ATTEMPT_MS:
+            self.zone = observation.origin_zone
+        elif observation.began_at_ms >= latest_at_ms - SAME_ATTEMPT_MS:
+            self.zone = min(self.zone, observation.origin_zone)
+
+
+@dataclass(frozen=True, order=True, slots=True)
+class Witness:
+    """What an origin saw of a server, for operators.
 
-class Witness(NamedTuple):
-    """What an origin told of a server: ages (ms) of the last attempts that failed and were answered, -1 for none."""
+    Attributes:
+        origin_index: Number of the limiter.
+        zone: Its zone.
+        failed_age_ms: Age of its latest attempt that failed; -1 for none.
+        answered_age_ms: Age of its latest attempt that was answered; -1 for none.
+    """
 
     origin_index: int
     zone: int
     failed_age_ms: float
     answered_age_ms: float
 
+    def latest_age_ms(self) -> float:
+        """Return the age of the latest attempt; 0 for none."""
+        return min((age for age in (self.failed_age_ms, self.answered_age_ms) if age >= 0), default=0.0)
+
 
 class HealthEvidence:
-    """Invariant: the same observations give the same state in whatever order and however often they are taken, as long
-    as no bound was reached. No origin weighs more than one failure, and one that says that many servers failed
-    weighs nothing."""
+    """What all limiters saw of the servers within `FRESH_MS`.
+
+    Invariant: the same observations give the same state in whatever order and however often they are recorded, as long
+    as no bound was reached. No origin weighs more than one failure, and one that says that many servers failed weighs
+    nothing.
+
+    Attributes:
+        limiter_index: Number of this limiter.
+        zone: Its zone.
+    """
 
-    def __init__(self, number: int, zone: int) -> None:
-        self.limiter_index, self.zone = number, zone
-        self._seen: OrderedDict[int, dict[int, OriginRecord]] = OrderedDict()  # by server and origin
-        self._accused: dict[int, dict[int, float]] = {}  # by origin: servers it says failed, and when
-        self._tried: dict[int, float] = {}  # servers that answered us or failed us, and when
+    def __init__(self, limiter_index: int, zone: int) -> None:
+        """Start with no evidence."""
+        self.limiter_index = limiter_index
+        self.zone = zone
+        self._records: OrderedDict[int, dict[int, OriginRecord]] = OrderedDict()  # by server key and origin
+        self._accused: dict[int, dict[int, float]] = {}  # by origin and server key, when the failed attempt began
+        self._own_attempts: dict[int, float] = {}  # by server key, the time of our latest outcome
 
     def __len__(self) -> int:
-        return len(self._seen)
+        """Return the number of servers on which there is evidence."""
+        return len(self._records)
 
-    def record(self, observation: Observation, now: float) -> bool:
-        """Whether it is news that is still fresh."""
-        o = observation
-        if not now - FRESH_MS < o.began_at_ms <= now + SAME_ATTEMPT_MS:
+    def record(self, observation: Observation, now_ms: float) -> bool:
+        """Record an observation; return whether it is fresh and news."""
+        if not now_ms - FRESH_MS < observation.began_at_ms <= now_ms + SAME_ATTEMPT_MS:
             return False
-        origins = self._seen.get(o.server_key)
-        if origins is None:
-            if len(self._seen) >= MAX_SERVERS:
-                self._seen.popitem(last=False)
-            origins = self._seen[o.server_key] = {}
-        seen = origins.get(o.origin_index)
-        if seen is None:
-            if len(origins) >= MAX_ORIGINS_PER_SERVER:
-                del origins[min(origins, key=lambda origin: origins[origin].latest_at_ms())]
-            seen = origins[o.origin_index] = OriginRecord(o.origin_zone)
-        elif o.began_at_ms > seen.latest_at_ms() + SAME_ATTEMPT_MS:
-            seen.zone = o.origin_zone  # the latest says where it is now
-        elif o.began_at_ms >= seen.latest_at_ms() - SAME_ATTEMPT_MS:
-            seen.zone = min(seen.zone, o.origin_zone)  # told two ways at once: alike in whatever order
-        failed = o.kind is ObservationKind.FAILED
-        if o.began_at_ms <= (seen.failed_at_ms if failed else seen.answered_at_ms) + SAME_ATTEMPT_MS:
+        record = self._record_of(observation)
+        has_failed = observation.kind is ObservationKind.FAILED
+        known_at_ms = record.failed_at_ms if has_failed else record.answered_at_ms
+        if observation.began_at_ms <= known_at_ms + SAME_ATTEMPT_MS:
             return False
-        self._seen.move_to_end(o.server_key)
-        if failed:
-            seen.failed_at_ms = o.began_at_ms
-            self._accused.setdefault(o.origin_index, {})[o.server_key] = o.began_at_ms
+        self._records.move_to_end(observation.server_key)
+        if has_failed:
+            record.failed_at_ms = observation.began_at_ms
+            accused = self._accused.setdefault(observation.origin_index, {})
+            accused[observation.server_key] = observation.began_at_ms
         else:
-            seen.answered_at_ms = o.began_at_ms
+            record.answered_at_ms = observation.began_at_ms
         return True
 
-    def record_own_attempt(self, server: int, now: float) -> None:
-        """We had an outcome of it ourselves."""
-        self._tried[server] = now
-
-    def is_distrusted(self, origin: int, ready: int, now: float) -> bool:
-        """Whether it says that so many servers failed that its own way to them is likelier at fault."""
-        accused, most = self._accused.get(origin, {}), max(DISTRUST_MIN_SERVERS, DISTRUST_FRACTION * ready)
-        return len(accused) > most and sum(at > now - FRESH_MS for at in accused.values()) > most
-
-    def distrusts_itself(self, now: float) -> bool:
-        """Whether most of what we tried lately failed us: then we tell nobody of failures."""
-        tried = [server for server, at in self._tried.items() if at > now - FRESH_MS]
+    def _record_of(self, observation: Observation) -> OriginRecord:
+        """Return the origin's record of the server with its zone brought up to date; make room for a new one."""
+        origins = self._records.get(observation.server_key)
+        if origins is None:
+            if len(self._records) >= MAX_SERVERS:
+                self._records.popitem(last=False)
+            origins = self._records[observation.server_key] = {}
+        record = origins.get(observation.origin_index)
+        if record is None:
+            if len(origins) >= MAX_ORIGINS_PER_SERVER:
+                del origins[min(origins, key=lambda origin: origins[origin].latest_at_ms())]
+            record = origins[observation.origin_index] = OriginRecord(observation.origin_zone)
+        else:
+            record.learn_zone(observation)
+        return record
+
+    def record_own_attempt(self, server_key: int, now_ms: float) -> None:
+        """Record that an attempt of this limiter had an outcome."""
+        self._own_attempts[server_key] = now_ms
+
+    def is_distrusted(self, origin_index: int, ready_server_count: int, now_ms: float) -> bool:
+        """Return whether an origin says that so many servers failed that its own path to them is likelier at fault."""
+        accused = self._accused.get(origin_index, {})
+        limit = max(DISTRUST_MIN_SERVERS, DISTRUST_FRACTION * ready_server_count)
+        return len(accused) > limit and _count_fresh(accused.values(), now_ms) > limit
+
+    def distrusts_itself(self, now_ms: float) -> bool:
+        """Return whether so many servers that were tried lately failed this limiter that it is likelier at fault."""
+        fresh_from_ms = now_ms - FRESH_MS
+        tried = [key for key, tried_at_ms in self._own_attempts.items() if tried_at_ms > fresh_from_ms]
         accused = self._accused.get(self.limiter_index, {})
-        failing = sum(accused.get(server, float("-inf")) > now - FRESH_MS for server in tried)
+        failing = _count_fresh((accused.get(key, NEVER_MS) for key in tried), now_ms)
         return len(tried) >= SELF_DISTRUST_MIN_SERVERS and failing >= SELF_DISTRUST_FRACTION * len(tried)
 
-    def failure_weight(self, server: int, ready: int, now: float) -> float:
-        """Weighed failures since it last answered a limiter of the same zone as who saw them; 0 where a limiter of our
-        own zone had an answer later than all of them."""
-        origins = self._seen.get(server)
+    def failure_weight(self, server_key: int, ready_server_count: int, now_ms: float) -> float:
+        """Return how heavily a server's failures weigh.
+
+        An answer undoes the failures before it that were seen from its zone; an answer in this limiter's zone undoes
+        all failures before it. Origins that are not believed weigh nothing.
+        """
+        origins = self._records.get(server_key)
         if origins is None:
             return 0.0
-        good: dict[int, float] = {}
-        for seen in origins.values():
-            good[seen.zone] = max(good.get(seen.zone, float("-inf")), seen.answered_at_ms)
-        here = good.get(self.zone, float("-inf"))
-        weighed = 0.0
-        for origin, seen in origins.items():
-            since = max(now - FRESH_MS, good[seen.zone], here)
-            if seen.failed_at_ms > since and not self.is_distrusted(origin, ready, now):
-                weighed += 1.0 if seen.zone == self.zone else OTHER_ZONE_WEIGHT
-        return weighed
-
-    def forget(self, server: int) -> None:
-        """Another process runs under its id: what was seen was of the one before."""
-        self._seen.pop(server, None)
-
-    def witnesses(self, server: int, now: float) -> list[Witness]:
-        """For operators, the latest first."""
-        rows = [
+        answered_by_zone: dict[int, float] = {}
+        for record in origins.values():
+            answered_at_ms = answered_by_zone.get(record.zone, NEVER_MS)
+            answered_by_zone[record.zone] = max(answered_at_ms, record.answered_at_ms)
+        answered_here_at_ms = answered_by_zone.get(self.zone, NEVER_MS)
+        weight = 0.0
+        for origin_index, record in origins.items():
+            counts_from_ms = max(now_ms - FRESH_MS, answered_by_zone[record.zone], answered_here_at_ms)
+            if record.failed_at_ms > counts_from_ms and not self.is_distrusted(
+                origin_index, ready_server_count, now_ms
+            ):
+                weight += SAME_ZONE_WEIGHT if record.zone == self.zone else OTHER_ZONE_WEIGHT
+        return weight
+
+    def forget(self, server_key: int) -> None:
+        """Forget a server: another process runs under its id."""
+        self._records.pop(server_key, None)
+
+    def witnesses(self, server_key: int, now_ms: float) -> list[Witness]:
+        """Return what each origin saw of a server, the latest first."""
+        witnesses = [
             Witness(
-                origin,
-                seen.zone,
-                now - seen.failed_at_ms if seen.failed_at_ms > 0 else -1.0,
-                now - seen.answered_at_ms if seen.answered_at_ms > 0 else -1.0,
+                origin_index=origin_index,
+                zone=record.zone,
+                failed_age_ms=_age_ms(record.failed_at_ms, now_ms),
+                answered_age_ms=_age_ms(record.answered_at_ms, now_ms),
             )
-            for origin, seen in self._seen.get(server, {}).items()
+            for origin_index, record in self._records.get(server_key, {}).items()
         ]
-        return sorted(rows, key=lambda row: min((age for age in row[2:] if age >= 0), default=0.0))
-
-    def latest_servers(self, most: int) -> list[int]:
-        """The servers that were heard of last."""
-        return list(islice(reversed(self._seen), most))
-
-    def distrusted_origins(self, ready: int, now: float) -> list[int]:
-        return sorted(origin for origin in self._accused if self.is_distrusted(origin, ready, now))
-
-    def age_out(self, now: float) -> None:
-        old = now - FRESH_MS
-        for server in [
-            s for s, origins in self._seen.items() if all(o.latest_at_ms() <= old for o in origins.values())
-        ]:
-            del self._seen[server]
-        for origin, accused in list(self._accused.items()):
-            for server in [server for server, at in accused.items() if at <= now - FRESH_MS]:
-                del accused[server]
+        return sorted(witnesses, key=Witness.latest_age_ms)
+
+    def latest_servers(self, max_servers: int) -> list[int]:
+        """Return the keys of the servers that were heard of last, the latest first."""
+        return list(islice(reversed(self._records), max_servers))
+
+    def distrusted_origins(self, ready_server_count: int, now_ms: float) -> list[int]:
+        """Return the origins that are not believed."""
+        return sorted(
+            origin_index
+            for origin_index in self._accused
+            if self.is_distrusted(origin_index, ready_server_count, now_ms)
+        )
+
+    def age_out(self, now_ms: float) -> None:
+        """Forget what is no longer fresh."""
+        oldest_ms = now_ms - FRESH_MS
+        for server_key, origins in list(self._records.items()):
+            if all(record.latest_at_ms() <= oldest_ms for record in origins.values()):
+                del self._records[server_key]
+        for origin_index, accused in list(self._accused.items()):
+            _remove_until(accused, oldest_ms)
             if not accused:
-                del self._accused[origin]
-        for server in [server for server, at in self._tried.items() if at <= now - FRESH_MS]:
-            del self._tried[server]
+                del self._accused[origin_index]
+        _remove_until(self._own_attempts, oldest_ms)
+
+
+def _count_fresh(times_ms: Iterable[float], now_ms: float) -> int:
+    return sum(time_ms > now_ms - FRESH_MS for time_ms in times_ms)
+
+
+def _remove_until(times_ms: dict[int, float], oldest_ms: float) -> None:
+    """Remove the entries whose time is `oldest_ms` or before."""
+    for key in [key for key, time_ms in times_ms.items() if time_ms <= oldest_ms]:
+        del times_ms[key]
+
+
+def _age_ms(at_ms: float, now_ms: float) -> float:
+    return now_ms - at_ms if at_ms > 0 else NO_AGE_MS
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -241,9 +241,9 @@
         if not len(self.rumours):
             return
         now = self.context.now_ms
-        for to, observations in self.rumours.due_datagrams(now, FRESH_MS):
+        for datagram in self.rumours.due_datagrams(now, FRESH_MS):
             self.told += 1
-            self.context.actions.append(api.SendPeerMessage(to, encode(observations, now)))
+            self.context.actions.append(api.SendPeerMessage(datagram.peer_index, encode(datagram.observations, now)))
 
     def _rate(self, elapsed: float) -> None:
         super()._rate(elapsed)
--- a/tests/gossip/test_evidence.py
+++ b/tests/gossip/test_evidence.py
@@ -123,7 +123,7 @@
         evidence.record(failed(9_999, origin, NOW + 1.0), NOW + 1.0)
     assert len(evidence.witnesses(9_999, NOW)) <= MAX_ORIGINS_PER_SERVER
     evidence.age_out(NOW + 2 * FRESH_MS)
-    assert len(evidence) == 0 and not evidence._accused and not evidence._tried
+    assert len(evidence) == 0 and not evidence._accused and not evidence._own_attempts
 
 
 def test_operators_are_shown_what_was_heard_of_last_and_who_is_not_believed() -> None:
@@ -162,9 +162,9 @@
         now = NOW + 10.0 * step
         for server in range(20):
             rumours.add(Observation(1000 * step + server, 5, HERE, ObservationKind.FAILED, now))
-        for to, rows in rumours.due_datagrams(now, FRESH_MS):
+        for datagram in rumours.due_datagrams(now, FRESH_MS):
             sent += 1
-            assert to != 0 and 0 < len(rows) <= MAX_ROWS
+            assert datagram.peer_index != 0 and 0 < len(datagram.observations) <= MAX_ROWS
         assert len(rumours) <= MAX_RUMOURS
     assert sent <= BURST_DATAGRAMS + SEND_FRACTION * intake * seconds
 
@@ -174,7 +174,7 @@
     rumours.add(failed(1, 0))
     told: list[int] = []
     for step in range(2000):
-        told += [to for to, _ in rumours.due_datagrams(NOW + step, FRESH_MS)]
+        told += [datagram.peer_index for datagram in rumours.due_datagrams(NOW + step, FRESH_MS)]
     assert len(told) == len(set(told)) == 3 + EXTRA_TRANSMISSIONS and len(rumours) == 0
 
 
@@ -183,7 +183,7 @@
     """By the logarithm of so few, one that hears of it from nobody would be left over now and then."""
     rumours = RumourQueue(0, limiters, 1000.0, random.Random(4), NOW)
     rumours.add(failed(1, 0))
-    told = [to for n in range(40) for to, _ in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
+    told = [each.peer_index for n in range(40) for each in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
     assert sorted(told) == list(range(1, limiters))
 
 
@@ -194,6 +194,6 @@
     while rumours.due_datagrams(NOW, FRESH_MS):
         pass  # its burst is spent
     rumours.add(failed(999, 0, NOW + 300.0))
-    (_, rows), *_ = rumours.due_datagrams(NOW + 300.0, FRESH_MS)
+    rows = rumours.due_datagrams(NOW + 300.0, FRESH_MS)[0].observations
     assert rows[0].server_key == 999
     assert rumours.due_datagrams(NOW + 2 * FRESH_MS, FRESH_MS) == [] and len(rumours) == 0
