--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -209,11 +209,11 @@
     from decisions import Driven, settings
 
     from elderlock import interface as api
-    from elderlock.decisions.keepers import Keepers
     from elderlock.decisions.limiter import Limiter
+    from elderlock.decisions.quota_coordinator import QuotaCoordinator
     from elderlock.quota.counted import Counted
 
-    def cost(source: type[Keepers]) -> float:
+    def cost(source: type[QuotaCoordinator]) -> float:
         driven = Driven(8)
         driven.limiter = Limiter(settings(3, api.Routing()), 1, 0.0, source)
         driven.token = driven._token(driven.limiter.start(0.0))
@@ -242,7 +242,7 @@
                     coming.append((action.token, totals[action.counter_name]))
         return (time.process_time_ns() - begun) / 5000 / 1000.0
 
-    ratios = [cost(Counted) / cost(Keepers) for _ in range(5)]
+    ratios = [cost(Counted) / cost(QuotaCoordinator) for _ in range(5)]
     return statistics.median(ratios)
 
 
--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -13,8 +13,8 @@
 
 import uvloop
 
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError, load
 from elderlock.net.discovery import Discovery
@@ -68,7 +68,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    source, limiter = Keepers, Limiter
+    source, limiter = QuotaCoordinator, Limiter
     if (extras := _extras()) is not None:
         config = extras.routed(config)
         source, limiter = extras.source(config.settings.limiter_count), extras.limiter(config.settings)
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -150,11 +150,16 @@
                 for uid, told in sorted(self._overlay.told.items())
             ),
             throttle=m.Throttle(
-                throttle.phase.name.lower(), throttle.leak_rate, limiter.admit_rate, limiter.answer_rate
+                throttle.phase.name.lower(),
+                throttle.leak_rate_per_s,
+                limiter.admit_rate_per_s,
+                limiter.answer_rate_per_s,
             ),
             peers=tuple(
                 m.Peer(
-                    number, limiter.keepers.silent.get(number, NEVER_MS) > now, limiter.keepers.missed.get(number, 0)
+                    number,
+                    limiter.quota_coordinator.owners.silent_until_ms.get(number, NEVER_MS) > now,
+                    limiter.quota_coordinator.owners.missed_queries.get(number, 0),
                 )
                 for number in range(self._config.settings.limiter_count)
                 if number != self._config.settings.limiter_index
--- a/elderlock/decisions/endpoints.py
+++ b/elderlock/decisions/endpoints.py
@@ -7,11 +7,11 @@
 
 from elderlock import interface as api
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
-from elderlock.decisions.load_estimator import FRESH_FOR, LoadEstimator
+from elderlock.decisions.load_estimator import SAMPLE_LIFETIME_MS, LoadEstimator
 from elderlock.decisions.outlier_detection import OutlierDetector
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.subsetting import Subsetting
-from elderlock.decisions.throttle import CONTROL_PERIOD, GOAL_LOAD_LEVEL
+from elderlock.decisions.throttle import CONTROL_PERIOD_MS, GOAL_LOAD_LEVEL
 from elderlock.interface import ListKind, Outcome
 from elderlock.state import NEVER_MS, OpenRequest, Server
 from elderlock.structures.candidate_set import CandidateSet
@@ -124,7 +124,7 @@
         share, rules, count = self.coldness(server), core.settings.rules, core.settings.limiter_count
         if share >= 1.0:
             return 0.0
-        bears = max(self.warm_rate * server.entry.weight * count, self.load_estimator.least_rate * count)
+        bears = max(self.warm_rate * server.entry.weight * count, self.load_estimator.min_rate_per_server * count)
         budget = bears * share * rules.overload_multiple * rules.overload_window_ms / MS_PER_SECOND
         sharing = self.subsetting.sharing()
         spaced = budget - COLD_CHANCE * sqrt(sharing / 12.0)  # few limiters send evenly, many at random
@@ -135,7 +135,7 @@
             room = most if part >= 1.0 else room % 1.0 + (room % 1.0 < COLD_KEPT * part)
         server.warm_up_budget, server.warm_up_budget_at_ms = room, core.now_ms
         wait = ((most if room >= 1.0 - 1e-9 else 1.0) - room) / part * rules.overload_window_ms
-        return copysign(min(max(wait, COLD_LOOK), CONTROL_PERIOD / 4), 1.0 - 1e-9 - room)
+        return copysign(min(max(wait, COLD_LOOK), CONTROL_PERIOD_MS / 4), 1.0 - 1e-9 - room)
 
     def estimate(self, server: Server) -> float:
         """Its latency in aims: what is known of it as far as that is fresh, else what its kind takes."""
@@ -168,12 +168,12 @@
             server.full_plan_bits &= ~(1 << plan)
             usual = self.usual.get(server.entry.kind, event.duration_ms / aim)
             self.usual[server.entry.kind] = usual + LATENCY_WEIGHT / 2 * (event.duration_ms / aim - usual)
-            self.quotas.latency += LATENCY_WEIGHT / 2 * (event.duration_ms - self.quotas.latency)
+            self.quotas.mean_latency_ms += LATENCY_WEIGHT / 2 * (event.duration_ms - self.quotas.mean_latency_ms)
         elif outcome is Outcome.FULL:  # told to one plan alone it is no load: the plan goes elsewhere
             server.full_plan_bits |= 1 << plan
             server.full_at_ms = server.answered_at_ms = self.full_at[plan] = core.now_ms
             others = [at for other, at in self.full_at.items() if other != plan]
-            slow = len(core.settings.plans) == 1 or core.now_ms - max(others, default=NEVER_MS) < FRESH_FOR
+            slow = len(core.settings.plans) == 1 or core.now_ms - max(others, default=NEVER_MS) < SAMPLE_LIFETIME_MS
         if failed or outcome is Outcome.OK:
             for group in server.failure_domains():
                 before = self.failing.get(group, 0.0)
--- a/elderlock/gossip/ceilings.py
+++ b/elderlock/gossip/ceilings.py
@@ -14,8 +14,8 @@
 
 from elderlock import interface as api
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.decisions.quotas import Quotas
 from elderlock.state import Account, OpenRequest
 
@@ -126,8 +126,8 @@
             del self._away[account.key]
         return min(level + fill * (now - at), part - sum(units for _, units in away))
 
-    def give_back(self, request: OpenRequest) -> None:
-        super().give_back(request)
+    def refund(self, request: OpenRequest) -> None:
+        super().refund(request)
         account = request.account
         away = sum(units for _, units in self._away.get(account.key, ()))
         account.ceiling_units = min(
@@ -142,8 +142,8 @@
             self._want(account)
         return capped
 
-    def take(self, request: OpenRequest) -> None:
-        super().take(request)
+    def charge(self, request: OpenRequest) -> None:
+        super().charge(request)
         self._want(request.account)
 
     def _need(self, account: Account) -> float:
@@ -248,15 +248,15 @@
         account = self.accounts.get(want.key)
         if account is None and len(self._opened) < MOST_OPENED:
             account = self.accounts[want.key] = self._open_account(want.key, plan, want.spread, want.first)
-            self.aging.touch(want.key, self.context.now_ms)
+            self.idle_accounts.touch(want.key, self.context.now_ms)
             self._opened.add(want.key)
         alike = account is not None and account.plan is plan and account.limiter_count == want.spread
         return account if alike else None
 
     # Upkeep
 
-    def age_out(self) -> None:
-        super().age_out()
+    def expire_accounts(self) -> None:
+        super().expire_accounts()
         now, accounts = self.context.now_ms, self.accounts
         self._pending = {id: want for id, want in self._pending.items() if now - want.at < LIFE}
         self._answered = {want: at for want, at in self._answered.items() if now - at < 2 * LIFE}
@@ -271,8 +271,10 @@
 
     quotas: EscrowQuotas
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, source: type[Keepers] = Keepers) -> None:
-        super().__init__(settings, seed, now, type("Escrow", (source,), {"quotas_of": EscrowQuotas}))
+    def __init__(
+        self, settings: api.Settings, seed: int, now: float, source: type[QuotaCoordinator] = QuotaCoordinator
+    ) -> None:
+        super().__init__(settings, seed, now, type("Escrow", (source,), {"quotas_class": EscrowQuotas}))
         self._others_messages = self.handlers[api.PeerMessage]
         self.handlers[api.PeerMessage] = self._peer_message
 
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -11,9 +11,9 @@
 from elderlock import interface as api
 from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.endpoints import LATENCY_WEIGHT
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.outlier_detection import LEFT_OUT_FOR, LEFT_OUT_MOST, OUTLIER_AFTER, OutlierDetector
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.gossip.evidence import ENOUGH, FRESH, Evidence
 from elderlock.gossip.rumours import Rumours
 from elderlock.gossip.wire import NO_ZONE, Kind, Observation, WireError, decode, encode, is_gossip, key
@@ -78,7 +78,9 @@
     does; a wait that began before goes on, `PUT_OFF` times its own at most. What is shared leaves out no more servers
     than `Outliers` allows one limiter."""
 
-    def __init__(self, settings: api.Settings, seed: int, now: float, source: type[Keepers] = Keepers) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, now: float, source: type[QuotaCoordinator] = QuotaCoordinator
+    ) -> None:
         super().__init__(settings, seed, now, source)
         zone = settings.zone if 0 <= settings.zone < NO_ZONE else NO_ZONE
         self.evidence = Evidence(settings.limiter_index, zone)
@@ -115,7 +117,7 @@
         request = self.requests.get(event.request_id)
         server = self.endpoints.servers.get(event.server_id)
         self._began = self.context.now_ms - event.duration_ms
-        self.attempts.ended(event)
+        self.attempts.handle_attempt_end(event)
         if request is None or server is None:
             return
         name = key(event.server_id)
@@ -152,7 +154,7 @@
 
     def _message(self, event: api.PeerMessage) -> None:
         if not is_gossip(event.payload):
-            return self.keepers.told(event)
+            return self.quota_coordinator.handle_peer_message(event)
         try:
             observations = decode(event.payload, self.context.now_ms, self.context.settings.limiter_count)
         except WireError:
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -15,8 +15,8 @@
 from typing import Protocol
 
 from elderlock import interface as api
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import Config
 from elderlock.net.servers import Attempt, Servers
@@ -116,7 +116,7 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         clock: Clock,
-        source: type[Keepers] = Keepers,
+        source: type[QuotaCoordinator] = QuotaCoordinator,
         limiter: type[Limiter] = Limiter,
     ) -> None:
         """`source` tells of a customer's use, `limiter` decides."""
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -11,8 +11,8 @@
 
 from elderlock import interface as api
 from elderlock.control.attach import Control, attach, read_operators
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
@@ -49,10 +49,10 @@
             raise ConfigError(f"{self._path}: {error}") from None
         return replace(config, settings=replace(config.settings, routing=routing))
 
-    def source(self, limiters: int) -> type[Keepers]:
+    def source(self, limiters: int) -> type[QuotaCoordinator]:
         """What the decision module asks of a customer's use. Raises `ConfigError`."""
         if self._file.quota is None:
-            return Keepers
+            return QuotaCoordinator
         try:
             from elderlock.quota.attach import QuotaFile
         except ModuleNotFoundError as error:
--- a/elderlock/peer_messages.py
+++ b/elderlock/peer_messages.py
@@ -1,64 +1,255 @@
-"""What limiters tell one another, as bytes: questions and answers of one customer, and batches of many.
+"""Messages between limiters about customers' quotas, and their encoding as datagrams.
 
-A datagram holds 256 bytes at most. Each begins with its format and the sender's latest latency (`Load.latest_byte`).
-Parts of a burst are in 254ths, rates in 254 / 8ths of the plan's, units in quarters.
+A datagram holds 256 bytes at most. It begins with a format byte and the sender's latest latency sample
+(`LoadEstimator.encoded_latest_sample`), so that every message also carries a signal of load. Levels are in 254ths of
+the plan's burst, rates in 254ths of eight times the plan's rate, units in quarters.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import IntEnum
 from struct import Struct
 
-# A single: format, latest latency, then customer, what, plan, units or level, belief or rate, question.
-FORMAT, ENTRY = 0x5C, Struct(">BBIBBBBH")
-ASK, GRANTED, DENIED = range(3)
-# A batch: format, latest latency, what; of each customer then plan, units and belief, or level and rate.
-BATCH, HEAD, USE, LEVEL, MOST_USES = 0x5D, Struct(">BBB"), Struct(">IBBB"), Struct(">IBB"), 36
-REPORT, READINGS = range(2)
-UNKNOWN = 255  # a latency, or what is believed of a store
+SINGLE_FORMAT = 0x5C
+"""First byte of a datagram about one customer."""
+SINGLE = Struct(">BBIBBBBH")
+"""Format, latest latency, customer key, kind, plan, units or level, believed level or rate, query id."""
 
+BATCH_FORMAT = 0x5D
+"""First byte of a datagram about many customers."""
+BATCH_HEADER = Struct(">BBB")
+"""Format, latest latency, kind."""
+USAGE_ROW = Struct(">IBBB")
+"""Customer key, plan, units, believed level."""
+LEVEL_ROW = Struct(">IBB")
+"""Customer key, level, rate."""
+MAX_USAGE_ROWS = 36
+"""Rows of one usage report, bounded by the size of a datagram."""
+
+UNKNOWN = 255
+"""A latency sample or a believed level that the sender does not have."""
+MAX_FRACTION = 254
+"""The byte of a level that equals the burst."""
+MAX_RATE_RATIO = 8
+"""The rate over the plan's rate that `MAX_FRACTION` stands for."""
+STEPS_PER_UNIT = 4
+"""Units are sent in quarters."""
+
+
+class SingleKind(IntEnum):
+    """What a datagram about one customer is."""
+
+    QUERY = 0
+    GRANTED = 1
+    DENIED = 2
+
+
+class BatchKind(IntEnum):
+    """What a datagram about many customers is."""
+
+    USAGE_REPORT = 0
+    QUOTA_LEVELS = 1
+
+
+@dataclass(frozen=True, slots=True)
+class QuotaQuery:
+    """Asks the owner of a customer's quota for units.
+
+    Attributes:
+        key: The customer.
+        plan_index: The customer's plan, in the order of the settings.
+        unit_steps: The units wanted, in quarters.
+        believed_level: The asker's last reading of the ledger, or `UNKNOWN`; a new owner opens its ledger with it.
+        query_id: Comes back with the answer.
+    """
+
+    key: int
+    plan_index: int
+    unit_steps: float
+    believed_level: float
+    query_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class QuotaAnswer:
+    """The owner's answer to a `QuotaQuery`.
+
+    Attributes:
+        key: The customer.
+        is_granted: Whether the units were taken from the ledger for the asker.
+        plan_index: The customer's plan, in the order of the settings.
+        level: What the ledger holds now, encoded by `encode_level`.
+        rate: At what rate all limiters spend, encoded by `encode_rate`.
+        query_id: The query that this answers.
+    """
+
+    key: int
+    is_granted: bool
+    plan_index: int
+    level: float
+    rate: float
+    query_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class UsageRow:
+    """Units that a limiter admitted for one customer without a query.
+
+    Attributes:
+        key: The customer.
+        plan_index: The customer's plan, in the order of the settings.
+        unit_steps: The units, in quarters.
+        believed_level: The sender's last reading of the ledger, or `UNKNOWN`.
+    """
+
+    key: int
+    plan_index: int
+    unit_steps: int
+    believed_level: int
 
-def byte(value: float) -> int:
-    return min(255, max(0, int(value)))
+
+@dataclass(frozen=True, slots=True)
+class UsageReport:
+    """What a limiter admitted without queries since its last report.
+
+    Attributes:
+        rows: One a customer, at most `MAX_USAGE_ROWS`.
+    """
+
+    rows: tuple[UsageRow, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Single:
-    """`what`: ASK with units and belief, GRANTED or DENIED with level and rate, each as a byte."""
+class LevelRow:
+    """The state of one customer's ledger.
+
+    Attributes:
+        key: The customer.
+        level: What the ledger holds, encoded by `encode_level`.
+        rate: At what rate all limiters spend, encoded by `encode_rate`.
+    """
 
     key: int
-    what: int
-    plan: int
-    a: int
-    b: int
-    question: int
+    level: int
+    rate: int
 
 
 @dataclass(frozen=True, slots=True)
-class Batch:
-    """`rows`: of a REPORT customer, plan, units and belief; of READINGS customer, level and rate."""
+class QuotaLevels:
+    """The owner's answer to a `UsageReport`.
 
-    what: int
-    rows: tuple[tuple[int, ...], ...]
+    Attributes:
+        rows: One a customer of the report.
+    """
 
+    rows: tuple[LevelRow, ...]
 
-def single(latest: int, key: int, what: int, plan: int, a: float, b: float, question: int) -> bytes:
-    return ENTRY.pack(FORMAT, latest, key, what, plan % 256, byte(a), byte(b), question)
 
+Message = QuotaQuery | QuotaAnswer | UsageReport | QuotaLevels
 
-def batch(latest: int, what: int, rows: list[tuple[int, ...]]) -> bytes:
-    row = USE if what == REPORT else LEVEL
-    return HEAD.pack(BATCH, latest, what) + b"".join(row.pack(*fields) for fields in rows)
+
+@dataclass(frozen=True, slots=True)
+class Datagram:
+    """A decoded datagram.
+
+    Attributes:
+        latest_latency: The sender's latest latency sample in 64ths of the latency objective, or `UNKNOWN`.
+        message: What it says; None for a kind that this version does not know.
+    """
+
+    latest_latency: int
+    message: Message | None
+
+
+def clamp_byte(value: float) -> int:
+    """Round a number down to an integer that fits into a byte."""
+    return min(255, max(0, int(value)))
 
 
-def read(data: bytes) -> tuple[int, Single | Batch] | None:
-    """The sender's latest latency, and what it says; None for what is not of this form."""
-    if len(data) < HEAD.size:
+def encode_level(level_units: float, burst_units: float) -> int:
+    """Encode what a ledger holds as a fraction of the burst."""
+    return clamp_byte(level_units / (burst_units or 1.0) * MAX_FRACTION)
+
+
+def decode_level(level: float, burst_units: float) -> float:
+    """Return the units that an encoded level stands for."""
+    return level / MAX_FRACTION * burst_units
+
+
+def encode_rate(rate_per_s: float, plan_rate_per_s: float) -> int:
+    """Encode a rate as a ratio over the plan's rate."""
+    return clamp_byte(rate_per_s / (plan_rate_per_s or 1.0) * MAX_FRACTION / MAX_RATE_RATIO)
+
+
+def decode_rate(rate: float, plan_rate_per_s: float) -> float:
+    """Return the units per second that an encoded rate stands for."""
+    return rate / MAX_FRACTION * MAX_RATE_RATIO * plan_rate_per_s
+
+
+def encode(latest_latency: int, message: Message) -> bytes:
+    """Encode a message with the sender's latest latency sample as a datagram."""
+    match message:
+        case QuotaQuery(key, plan_index, unit_steps, believed_level, query_id):
+            return _encode_single(
+                latest_latency, key, SingleKind.QUERY, plan_index, unit_steps, believed_level, query_id
+            )
+        case QuotaAnswer(key, is_granted, plan_index, level, rate, query_id):
+            kind = SingleKind.GRANTED if is_granted else SingleKind.DENIED
+            return _encode_single(latest_latency, key, kind, plan_index, level, rate, query_id)
+        case UsageReport(rows):
+            return BATCH_HEADER.pack(BATCH_FORMAT, latest_latency, BatchKind.USAGE_REPORT) + b"".join(
+                USAGE_ROW.pack(row.key, row.plan_index, row.unit_steps, row.believed_level) for row in rows
+            )
+        case QuotaLevels(levels):
+            return BATCH_HEADER.pack(BATCH_FORMAT, latest_latency, BatchKind.QUOTA_LEVELS) + b"".join(
+                LEVEL_ROW.pack(row.key, row.level, row.rate) for row in levels
+            )
+
+
+def _encode_single(
+    latest_latency: int, key: int, kind: SingleKind, plan_index: int, first: float, second: float, query_id: int
+) -> bytes:
+    return SINGLE.pack(
+        SINGLE_FORMAT,
+        latest_latency,
+        key,
+        kind,
+        plan_index % 256,
+        clamp_byte(first),
+        clamp_byte(second),
+        query_id,
+    )
+
+
+def decode(payload: bytes) -> Datagram | None:
+    """Decode a datagram; None for what is not of either format."""
+    if len(payload) < BATCH_HEADER.size:
         return None
-    if data[0] == FORMAT and len(data) == ENTRY.size:
-        return data[1], Single(*ENTRY.unpack(data)[2:])
-    if data[0] == BATCH and data[2] in (REPORT, READINGS):
-        row, body = USE if data[2] == REPORT else LEVEL, data[HEAD.size :]
-        if len(body) % row.size == 0:
-            return data[1], Batch(data[2], tuple(row.iter_unpack(body)))
+    if payload[0] == SINGLE_FORMAT and len(payload) == SINGLE.size:
+        return _decode_single(payload)
+    if payload[0] == BATCH_FORMAT:
+        return _decode_batch(payload)
+    return None
+
+
+def _decode_single(payload: bytes) -> Datagram:
+    _, latest_latency, key, kind, plan_index, first, second, query_id = SINGLE.unpack(payload)
+    match kind:
+        case SingleKind.QUERY:
+            return Datagram(latest_latency, QuotaQuery(key, plan_index, first, second, query_id))
+        case SingleKind.GRANTED | SingleKind.DENIED:
+            is_granted = kind == SingleKind.GRANTED
+            return Datagram(latest_latency, QuotaAnswer(key, is_granted, plan_index, first, second, query_id))
+        case _:
+            return Datagram(latest_latency, None)
+
+
+def _decode_batch(payload: bytes) -> Datagram | None:
+    _, latest_latency, kind = BATCH_HEADER.unpack_from(payload)
+    body = payload[BATCH_HEADER.size :]
+    if kind == BatchKind.USAGE_REPORT and len(body) % USAGE_ROW.size == 0:
+        return Datagram(latest_latency, UsageReport(tuple(UsageRow(*row) for row in USAGE_ROW.iter_unpack(body))))
+    if kind == BatchKind.QUOTA_LEVELS and len(body) % LEVEL_ROW.size == 0:
+        return Datagram(latest_latency, QuotaLevels(tuple(LevelRow(*row) for row in LEVEL_ROW.iter_unpack(body))))
     return None
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -71,7 +71,7 @@
     def __init__(self, file: QuotaFile, config: Path, gateway: Gateway, settings: api.Settings) -> None:
         """Raises `ConfigError`."""
         self._file, self._config, self._gateway, self._settings = file, config, gateway, settings
-        keepers = gateway.limiter.keepers
+        keepers = gateway.limiter.quota_coordinator
         assert isinstance(keepers, Counted)
         self.book: Book = keepers.book
         self._client = self._made(self._addresses())
--- a/elderlock/quota/counted.py
+++ b/elderlock/quota/counted.py
@@ -7,9 +7,9 @@
 
 from elderlock import interface as api
 from elderlock.decisions.context import DecisionContext
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.load_estimator import LoadEstimator
-from elderlock.decisions.quotas import SLACK_PART, Quotas
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
+from elderlock.decisions.quotas import CEILING_SLACK_FRACTION, Quotas
 from elderlock.interface import Outcome
 from elderlock.quota.book import Book
 from elderlock.quota.terms import Store, Terms
@@ -39,12 +39,12 @@
         return not drawn(account) and super().exceeds_hard_ceiling(account, units)
 
 
-class Counted(Keepers):
+class Counted(QuotaCoordinator):
     """Invariant: every request that is read is decided once, by what was drawn for its customer, or by the even part
     while the counter is off. No more than the stated error (`bound.stated`) passes a ceiling that is drawn."""
 
     terms = Terms()
-    quotas_of = CountedQuotas
+    quotas_class = CountedQuotas
 
     def __init__(
         self,
@@ -72,17 +72,17 @@
                     plan.ceiling_burst_units,
                     spread,
                     True,
-                    SLACK_PART * plan.ceiling_slack_units,
+                    CEILING_SLACK_FRACTION * plan.ceiling_slack_units,
                 )
                 if hard
                 else Store(plan.rate_per_s, plan.burst_units, spread)
             )
         return found
 
-    def read(self, request: OpenRequest) -> None:
+    def request_reading(self, request: OpenRequest) -> None:
         account, plan = request.account, request.account.plan
         if plan.rate_per_s <= 0 or account.limiter_count <= 1:
-            return super().read(request)
+            return super().request_reading(request)
         self._ask_book(request, hard=False)
         self._work()
 
@@ -116,17 +116,19 @@
         key = f"{account.key:x}"
         _, ledger = self.book.ledger(key, self.store(account.plan, account.limiter_count), self.context.now_ms)
         if ledger.told is not None:
-            self.quotas.read_level(account, ledger.level(self.context.now_ms), ledger.others + account.own_rate_per_s)
+            self.quotas.apply_owner_reading(
+                account, ledger.level(self.context.now_ms), ledger.others + account.own_rate_per_s
+            )
 
-    def unanswered(self, number: int) -> None:
+    def handle_query_timeout(self, number: int) -> None:
         if number >= 0:
-            return super().unanswered(number)
+            return super().handle_query_timeout(number)
         busy = self.book.waiting
         self.book.tick(self.context.now_ms)
         self._work()
         self.context.schedule_timer(STEP if busy else IDLE_STEP, self._look_again())
 
-    def counted(self, event: api.CounterAnswered) -> None:
+    def handle_counter_answer(self, event: api.CounterAnswered) -> None:
         if event.outcome is Outcome.OK:
             self.book.answered(event.token, event.total, self.context.now_ms)
         else:
--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -207,7 +207,7 @@
     def _tell_off(self) -> None:
         """Its process ended, and each limiter's connections with it."""
         for node in self.world.nodes:
-            book = getattr(node.limiter.keepers, "book", None)
+            book = getattr(node.limiter.quota_coordinator, "book", None)
             if node.alive and book is not None:
                 book.off(node.now())
 
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -456,7 +456,7 @@
             limiter = node.limiter
             phases.add(limiter.throttle.phase.name + (" paused" if node.paused else ""))
             out = max(out, len(limiter.endpoints.outliers.ejected))
-            silent = max(silent, len(limiter.keepers.silent))
+            silent = max(silent, len(limiter.quota_coordinator.owners.silent_until_ms))
             requests += len(limiter.requests)
             timers += len(limiter.context.timers.heap)
             accounts += len(limiter.quotas.accounts)
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -12,7 +12,7 @@
 from elderlock import interface as api
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import Record, Records
-from elderlock.decisions.keepers import Keepers
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.gossip.sharing import limiter_of
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.load.schedule import Arrival
@@ -113,7 +113,7 @@
         self._number = 0
         self.idle: dict[str, list[float]] = {}  # when connections that stand were used last
         self.connections = 0
-        source: type[Keepers] = Keepers
+        source: type[QuotaCoordinator] = QuotaCoordinator
         if world.scenario.settings.counter:
             terms = Terms(heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * world.scenario.limiters))
             source = type("Counted", (Counted,), {"terms": terms})
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -97,12 +97,12 @@
 def knows_no_cold(patch: Patching) -> None:
     patch.setattr(Endpoints, "coldness", lambda self, server: 1.0)
     patch.setattr(Endpoints, "cold_wait", lambda self, server: 0.0)
-    patch.setattr(Throttle, "passes", lambda self, inside, value, now: True)
-    patch.setattr(LoadEstimator, "crowding", lambda self: 0.0)
+    patch.setattr(Throttle, "admits", lambda self, inside, value, now: True)
+    patch.setattr(LoadEstimator, "queue_pressure", lambda self: 0.0)
 
 
 def knows_no_ceiling(patch: Patching) -> None:
-    patch.setattr(Quotas, "capped", lambda self, account, units: False)
+    patch.setattr(Quotas, "exceeds_hard_ceiling", lambda self, account, units: False)
 
 
 def lies_of_drains(patch: Patching) -> None:
@@ -111,30 +111,30 @@
 
 
 def raises(patch: Patching) -> None:
-    kept = Attempts.ended
+    kept = Attempts.handle_attempt_end
 
     def ended(self: Attempts, event: api.AttemptEnded) -> None:
         if event.outcome is api.Outcome.ERROR:
             raise KeyError("an outcome that nobody thought of")
         kept(self, event)
 
-    patch.setattr(Attempts, "ended", ended)
+    patch.setattr(Attempts, "handle_attempt_end", ended)
 
 
 def never_lets_go(patch: Patching) -> None:
-    patch.setattr(Attempts, "_drop_if_over", lambda self, request: None)
+    patch.setattr(Attempts, "_forget_if_complete", lambda self, request: None)
 
 
 def forgets_no_timer(patch: Patching) -> None:
     """Each request leaves something that nobody takes away."""
-    kept = Attempts.first_sent
+    kept = Attempts.record_first_send
 
     def first_sent(self: Attempts) -> None:
         kept(self)
         for _ in range(3):
             self.context.timers.schedule(self.context.now_ms + 1e9, -7)
 
-    patch.setattr(Attempts, "first_sent", first_sent)
+    patch.setattr(Attempts, "record_first_send", first_sent)
 
 
 def hears_no_other(patch: Patching) -> None:
@@ -159,14 +159,14 @@
 
 def leaks_descriptors(patch: Patching) -> None:
     """Each request leaves some open for good."""
-    kept = Attempts.first_sent
+    kept = Attempts.record_first_send
 
     def first_sent(self: Attempts) -> None:
         kept(self)
         for _ in range(3):
             os.open(os.devnull, os.O_RDONLY)
 
-    patch.setattr(Attempts, "first_sent", first_sent)
+    patch.setattr(Attempts, "record_first_send", first_sent)
 
 
 def keeps_what_is_over(patch: Patching) -> None:
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from elderlock import peer_messages as peerwords
+from elderlock import peer_messages
 from elderlock.control.framing import Framer, framed
 from elderlock.gossip import ceilings, wire
 from elderlock.load import wire as load_wire
@@ -15,6 +15,16 @@
 from elderlock.net.config import config_of
 from elderlock.net.discovery import Follower
 from elderlock.net.targets import TargetList
+from elderlock.peer_messages import (
+    Datagram,
+    LevelRow,
+    Message,
+    QuotaAnswer,
+    QuotaLevels,
+    QuotaQuery,
+    UsageReport,
+    UsageRow,
+)
 from elderlock.quota import tally
 from elderlock.quota.book import Call
 from elderlock.standins.boxes import Server
@@ -26,32 +36,31 @@
 NOW = 10_250.4
 
 SINGLES = [
-    ("ask", (17, KEY, peerwords.ASK, 3, 40.7, 254.0, 0xBEEF), "5c1101020304000328febeef", (17, KEY, 0, 3, 40, 254, 0xBEEF)),
-    ("granted", (255, MOST_KEY, peerwords.GRANTED, 258, 300.0, -1.0, 1), "5cffffffffff0102ff000001", (255, MOST_KEY, 1, 2, 255, 0, 1)),
-    ("denied", (0, 7, peerwords.DENIED, 0, 12.0, 255.0, 65535), "5c000000000702000cffffff", (0, 7, 2, 0, 12, 255, 65535)),
+    ("query", 17, QuotaQuery(KEY, 3, 40.7, 254.0, 0xBEEF), "5c1101020304000328febeef", QuotaQuery(KEY, 3, 40, 254, 0xBEEF)),
+    ("granted", 255, QuotaAnswer(MOST_KEY, True, 258, 300.0, -1.0, 1), "5cffffffffff0102ff000001", QuotaAnswer(MOST_KEY, True, 2, 255, 0, 1)),
+    ("denied", 0, QuotaAnswer(7, False, 0, 12.0, 255.0, 65535), "5c000000000702000cffffff", QuotaAnswer(7, False, 0, 12, 255, 65535)),
 ]  # fmt: skip
 BATCHES = [
-    ("report", 17, peerwords.REPORT, [(KEY, 3, 40, 254), (7, 0, 255, 255)], "5d1100010203040328fe0000000700ffff"),
-    ("readings", 255, peerwords.READINGS, [(KEY, 40, 254), (7, 0, 1)], "5dff010102030428fe000000070001"),
-]
+    ("usage report", 17, UsageReport((UsageRow(KEY, 3, 40, 254), UsageRow(7, 0, 255, 255))), "5d1100010203040328fe0000000700ffff"),
+    ("quota levels", 255, QuotaLevels((LevelRow(KEY, 40, 254), LevelRow(7, 0, 1))), "5dff010102030428fe000000070001"),
+]  # fmt: skip
 EVIDENCE = "5e010000280a6d8357580002010000faf48a06e2ffffff0104e2ffffffff00000002ffff"
 
 
-@pytest.mark.parametrize(("kind", "values", "data", "read"), SINGLES)
+@pytest.mark.parametrize(("kind", "latest", "message", "data", "read"), SINGLES)
 def test_a_single_between_limiters_is_written_and_read_as_stored(
-    kind: str, values: tuple[int, int, int, int, float, float, int], data: str, read: tuple[int, ...]
+    kind: str, latest: int, message: Message, data: str, read: Message
 ) -> None:
-    assert peerwords.single(*values).hex() == data, kind
-    latest, *rest = read
-    assert peerwords.read(bytes.fromhex(data)) == (latest, peerwords.Single(*rest))
+    assert peer_messages.encode(latest, message).hex() == data, kind
+    assert peer_messages.decode(bytes.fromhex(data)) == Datagram(latest, read)
 
 
-@pytest.mark.parametrize(("kind", "latest", "what", "rows", "data"), BATCHES)
+@pytest.mark.parametrize(("kind", "latest", "message", "data"), BATCHES)
 def test_a_batch_between_limiters_is_written_and_read_as_stored(
-    kind: str, latest: int, what: int, rows: list[tuple[int, ...]], data: str
+    kind: str, latest: int, message: Message, data: str
 ) -> None:
-    assert peerwords.batch(latest, what, rows).hex() == data, kind
-    assert peerwords.read(bytes.fromhex(data)) == (latest, peerwords.Batch(what, tuple(rows)))
+    assert peer_messages.encode(latest, message).hex() == data, kind
+    assert peer_messages.decode(bytes.fromhex(data)) == Datagram(latest, message)
 
 
 def test_a_servers_key_in_a_datagram_is_as_stored() -> None:
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -379,7 +379,7 @@
 
 def test_two_thousand_that_time_out_at_one_instant_get_one_answer_each() -> None:
     gate = gateway(settings_for(limiters=1), names="".join(chr(0x4E00 + n) for n in range(1500)))
-    gate.limiter.attempts.extra = 0.0
+    gate.limiter.attempts.retry_budget = 0.0
     names = [gate.ask(customer=f"c{n}") for n in range(2000)]
     assert sum(bool(gate.where(name)) for name in names) == 2000
     gate.run(gate.now + 1100.0)
@@ -404,5 +404,5 @@
     for n in range(400):
         now += 100.0
         asks(f"b{n}", "busy")
-        limiter.quotas.age_out()
-    assert len(limiter.quotas.accounts) == 1 and not limiter.quotas.aging.postponed
+        limiter.quotas.expire_accounts()
+    assert len(limiter.quotas.accounts) == 1 and not limiter.quotas.idle_accounts.postponed
--- a/tests/gossip/test_ceilings.py
+++ b/tests/gossip/test_ceilings.py
@@ -67,7 +67,7 @@
         account = self.quotas.account(event)
         if self.quotas.exceeds_hard_ceiling(account, units):
             return False
-        self.quotas.take(OpenRequest(event, SAFE, account, now))
+        self.quotas.charge(OpenRequest(event, SAFE, account, now))
         account.in_flight -= 1
         return True
 
@@ -130,7 +130,7 @@
                     reference.spent(now, 1.0)
         if rng.random() < 0.02:
             node.core.now_ms = now
-            node.quotas.age_out()
+            node.quotas.expire_accounts()
         for other in list(group.values()):
             for to, data in other.due():
                 for _ in range(rng.choice((0, 1, 1, 1, 1, 2))):  # lost, or twice
@@ -300,7 +300,7 @@
         node.told(WARM + 1000.0 * key, FIRST, encode(Want(key, key, 0, MEMBERS, FIRST, 4.0)))
     assert len(node.quotas.accounts) == MOST_OPENED and len(node.due()) == MOST_OPENED
     node.core.now_ms += 1e9
-    node.quotas.age_out()
+    node.quotas.expire_accounts()
     assert not node.quotas.accounts
 
 
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderlock import peer_messages as peerwords
+from elderlock import peer_messages
 from elderlock.gossip import wire
 from elderlock.gossip.wire import Kind, Observation, WireError, decode, encode
 
@@ -69,9 +69,8 @@
 
 
 def test_a_version_that_knows_no_gossip_takes_it_for_nothing_of_its_own() -> None:
-    assert peerwords.read(good()) is None
+    assert peer_messages.decode(good()) is None
     for number in range(1000):  # nor is any message of quotas taken for gossip
-        data = peerwords.single(
-            number % 256, random.Random(number).getrandbits(32), peerwords.ASK, 1, 8.0, 20.0, number
-        )
+        query = peer_messages.QuotaQuery(random.Random(number).getrandbits(32), 1, 8.0, 20.0, number)
+        data = peer_messages.encode(number % 256, query)
         assert not wire.is_gossip(data)
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -66,7 +66,7 @@
 
 
 def book(gate: Counting) -> Counted:
-    keepers = gate.limiter.keepers
+    keepers = gate.limiter.quota_coordinator
     assert isinstance(keepers, Counted)
     return keepers
 
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -95,13 +95,13 @@
 
 def lose_one_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     """The planted bug: an attempt that was reset is forgotten."""
-    kept = Attempts.ended
+    kept = Attempts.handle_attempt_end
 
     def ended(self: Attempts, event: api.AttemptEnded) -> None:
         if event.outcome is not api.Outcome.RESET:
             kept(self, event)
 
-    monkeypatch.setattr(Attempts, "ended", ended)
+    monkeypatch.setattr(Attempts, "handle_attempt_end", ended)
 
 
 def test_a_planted_bug_is_found_and_cut_down_to_its_one_fault(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -179,7 +179,7 @@
     def wrong(self: Attempts, event: api.AttemptEnded) -> None:
         raise ZeroDivisionError("in the module")
 
-    monkeypatch.setattr(Attempts, "ended", wrong)
+    monkeypatch.setattr(Attempts, "handle_attempt_end", wrong)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
         assert result.ended == "finished" and j.Failures.name in result.rules()
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -4,7 +4,7 @@
 import pytest
 
 from elderlock import interface as api
-from elderlock.decisions import admission, attempts, keepers, limiter, quotas, throttle
+from elderlock.decisions import admission, attempts, limiter, quotas, throttle, usage_reports
 from elderlock.decisions import load_estimator as load
 from elderlock.decisions import outlier_detection as outliers
 from elderlock.decisions import server_selection as choice
@@ -48,15 +48,15 @@
         (choice, "DRAWN", 7),
         (outliers, "OUTLIER_AFTER", 4),
         (subset, "LEAST_HOLDERS", 3),
-        (attempts, "UNSEEN_COST", 0.5),
-        (quotas, "SLACK_PART", 0.7),
-        (quotas, "RATE_COUNT", 5.0),
-        (keepers, "COMFORT", 0.6),
+        (attempts, "UNEXECUTED_RETRY_COST", 0.5),
+        (quotas, "CEILING_SLACK_FRACTION", 0.7),
+        (quotas, "RATE_AVERAGING_SENDS", 5.0),
+        (usage_reports, "COMFORTABLE_BURST_FRACTION", 0.6),
         (choice, "SUSPECT", 7.0),
-        (throttle, "MOST_CUT", 0.7),
-        (load, "CALM_ANSWERS", 3),
-        (admission, "CHEAPEST", 0.6),
-        (limiter, "MAX_LEAK_OVER_DEMAND", 0.6),
+        (throttle, "MIN_RATE_FACTOR", 0.7),
+        (load, "PADDING_SAMPLES", 3),
+        (admission, "LOWEST_VALUE_PRESSURE_FRACTION", 0.6),
+        (limiter, "MAX_LEAK_DEMAND_RATIO", 0.6),
     ],
 )
 def test_a_small_change_of_the_decisions_shows(
@@ -78,10 +78,10 @@
             kinds.update(
                 name
                 for name, there in (
-                    ("held", self.admission.held),
-                    ("questions", self.keepers.questions),
-                    ("silent", self.keepers.silent),
-                    ("unreported", self.keepers.unreported),
+                    ("held", self.admission.waiting),
+                    ("questions", self.quota_coordinator.quota_client.pending_queries),
+                    ("silent", self.quota_coordinator.owners.silent_until_ms),
+                    ("unreported", self.quota_coordinator.usage_reports.unreported_units),
                     ("failing", self.endpoints.failing),
                     ("left out", self.endpoints.outliers.ejected),
                     ("parked", self.endpoints.parked),
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -11,18 +11,15 @@
 from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.peer_messages import (
-    ASK,
-    BATCH,
-    DENIED,
-    ENTRY,
-    FORMAT,
-    GRANTED,
-    HEAD,
-    LEVEL,
-    READINGS,
-    REPORT,
+    BATCH_FORMAT,
+    BATCH_HEADER,
+    LEVEL_ROW,
+    SINGLE,
+    SINGLE_FORMAT,
     UNKNOWN,
-    USE,
+    USAGE_ROW,
+    BatchKind,
+    SingleKind,
 )
 from elderlock.state import Account, ThrottlePhase
 
@@ -40,14 +37,14 @@
     account = account_of(gate)
     account.shared_units = 0.0
     account.own_rate_per_s, account.others_rate_per_s = 3.0, 5.0
-    assert gate.limiter.quotas.fill_rate(account, 1.0) == pytest.approx(3.0 + (10.0 - 8.0) / 2)
+    assert gate.limiter.quotas.fill_rate_per_s(account, 1.0) == pytest.approx(3.0 + (10.0 - 8.0) / 2)
     account.own_rate_per_s, account.others_rate_per_s = 3.0, 15.0
-    assert gate.limiter.quotas.fill_rate(account, 1.0) == 0.0  # never below nought
+    assert gate.limiter.quotas.fill_rate_per_s(account, 1.0) == 0.0  # never below nought
     account.own_rate_per_s, account.others_rate_per_s = 12.0, 0.0
-    assert gate.limiter.quotas.fill_rate(account, 1.0) == 10.0  # never above the quota
-    assert gate.limiter.quotas.fill_rate(account, 0.0) == 5.0  # the even split without a reading
+    assert gate.limiter.quotas.fill_rate_per_s(account, 1.0) == 10.0  # never above the quota
+    assert gate.limiter.quotas.fill_rate_per_s(account, 0.0) == 5.0  # the even split without a reading
     account.own_rate_per_s, account.others_rate_per_s = 3.0, 5.0
-    assert gate.limiter.quotas.fill_rate(account, 0.5) == pytest.approx(4.5)  # and smoothly between
+    assert gate.limiter.quotas.fill_rate_per_s(account, 0.5) == pytest.approx(4.5)  # and smoothly between
 
 
 def test_customer_beyond_its_quota_is_refused_at_once() -> None:
@@ -64,14 +61,14 @@
     gate.end(name, meter=101)
     account = account_of(gate)
     assert account.others_rate_per_s == pytest.approx(10.0, abs=0.5)
-    assert gate.limiter.quotas.trust(account) == 1.0
+    assert gate.limiter.quotas.reading_confidence(account) == 1.0
     account.averaging_ms = 4000.0  # requests are frequent: the reading lasts by the meter's period
     gate.run(6000.0)
-    assert gate.limiter.quotas.trust(account) == pytest.approx(0.5, abs=0.02)
+    assert gate.limiter.quotas.reading_confidence(account) == pytest.approx(0.5, abs=0.02)
     account.averaging_ms = 16000.0  # and by count where they are few
-    assert gate.limiter.quotas.trust(account) == pytest.approx(1.0)
+    assert gate.limiter.quotas.reading_confidence(account) == pytest.approx(1.0)
     gate.run(17000.0)
-    assert gate.limiter.quotas.trust(account) == 0.0
+    assert gate.limiter.quotas.reading_confidence(account) == 0.0
 
 
 def test_metered_store_is_split_as_far_as_others_spend_it_unseen() -> None:
@@ -81,7 +78,7 @@
         gate.end(gate.ask(spread=2), meter=meter)
         account = account_of(gate)
         account.shared_units = 8.0
-        depths.append(gate.limiter.quotas.depth(account, 1.0))
+        depths.append(gate.limiter.quotas.bucket_capacity_units(account, 1.0))
     assert depths[0] == pytest.approx(4.0, abs=0.3)
     assert depths[1] > 6.0
 
@@ -104,7 +101,7 @@
 def test_absent_meter_is_no_reading() -> None:
     gate = gateway(settings(meter=2000.0))
     gate.end(gate.ask(spread=2), meter=0)
-    assert gate.limiter.quotas.trust(account_of(gate)) == 0.0
+    assert gate.limiter.quotas.reading_confidence(account_of(gate)) == 0.0
 
 
 def test_settled_units_take_the_place_of_the_guess() -> None:
@@ -128,7 +125,7 @@
 def test_beyond_quota_is_sent_only_where_it_earns_and_there_is_room() -> None:
     gate = gateway()
     assert all(gate.serve(plan=3) for _ in range(6))
-    gate.limiter.throttle.enter(50.0, gate.now)
+    gate.limiter.throttle.start_throttling(50.0, gate.now)
     assert gate.finals[gate.ask(plan=3)] == ["Reject"]
 
 
@@ -164,11 +161,11 @@
 
 
 def tells(gate: Gateway) -> list[tuple[int, tuple[int, ...]]]:
-    return [(a.receiver_index, ENTRY.unpack(a.payload)) for _, a in gate.other if isinstance(a, api.SendPeerMessage)]
+    return [(a.receiver_index, SINGLE.unpack(a.payload)) for _, a in gate.other if isinstance(a, api.SendPeerMessage)]
 
 
 def mail(key: int, what: int, a: int = 4, b: int = UNKNOWN, number: int = 1, plan: int = 0) -> bytes:
-    return ENTRY.pack(FORMAT, UNKNOWN, key, what, plan, a, b, number)
+    return SINGLE.pack(SINGLE_FORMAT, UNKNOWN, key, what, plan, a, b, number)
 
 
 def asking_gate(spread: int = 3, limiters: int = 3) -> tuple[Gateway, str, int, tuple[int, ...]]:
@@ -182,9 +179,9 @@
 
 
 def test_granted_units_are_sent_and_denied_ones_refused() -> None:
-    for what, sent in ((GRANTED, True), (DENIED, False)):
+    for what, sent in ((SingleKind.GRANTED, True), (SingleKind.DENIED, False)):
         gate, name, keeper, asked = asking_gate()
-        assert asked[3] == ASK and asked[5] == 4
+        assert asked[3] == SingleKind.QUERY and asked[5] == 4
         gate.do(api.PeerMessage(keeper, mail(asked[2], what, a=0, number=asked[7])))
         assert bool(gate.where(name)) is sent
         assert (name in gate.finals) is not sent
@@ -194,19 +191,19 @@
 
 def test_answer_of_another_peer_or_to_no_question_changes_nothing() -> None:
     gate, name, keeper, asked = asking_gate()
-    gate.do(api.PeerMessage(keeper, mail(asked[2], GRANTED, number=asked[7] + 1)))
-    gate.do(api.PeerMessage(3 - keeper, mail(asked[2], GRANTED, number=asked[7])))
+    gate.do(api.PeerMessage(keeper, mail(asked[2], SingleKind.GRANTED, number=asked[7] + 1)))
+    gate.do(api.PeerMessage(3 - keeper, mail(asked[2], SingleKind.GRANTED, number=asked[7])))
     assert not gate.where(name) and name not in gate.finals
 
 
 def test_keeper_grants_the_store_once_over_all_that_ask() -> None:
     gate = gateway(settings(limiters=400, peers=True))
     for sender in range(1, 31):
-        gate.do(api.PeerMessage(sender, mail(7, ASK, number=sender)))
+        gate.do(api.PeerMessage(sender, mail(7, SingleKind.QUERY, number=sender)))
         gate.run(gate.now + 25.0)
     answers = [entry_told[3] for _, entry_told in tells(gate)]
     assert len(answers) == 30
-    assert 20 <= answers.count(GRANTED) <= 28  # 20 of burst and 10 a second for 0.75 s
+    assert 20 <= answers.count(SingleKind.GRANTED) <= 28  # 20 of burst and 10 a second for 0.75 s
     assert [receiver for receiver, _ in tells(gate)] == list(range(1, 31))
 
 
@@ -217,14 +214,14 @@
     gate.run(250.0)
     assert gate.where(name)  # by the even part
     customer = gate.limiter.quotas.accounts[asked[2]]
-    gate.limiter.keepers.unanswered(-1)
+    gate.limiter.quota_coordinator.handle_query_timeout(-1)
     for _ in range(3):
         gate.ask(customer=f"c{int(name[1:]) - 1}", spread=3)
         gate.run(gate.now + 250.0)
-    assert gate.now < gate.limiter.keepers.silent[keeper]
-    assert gate.limiter.keepers.keeper(customer) != keeper
-    gate.do(api.PeerMessage(keeper, mail(1, DENIED, number=9)))
-    assert gate.limiter.keepers.keeper(customer) == keeper
+    assert gate.now < gate.limiter.quota_coordinator.owners.silent_until_ms[keeper]
+    assert gate.limiter.quota_coordinator.owners.owner_of(customer) != keeper
+    gate.do(api.PeerMessage(keeper, mail(1, SingleKind.DENIED, number=9)))
+    assert gate.limiter.quota_coordinator.owners.owner_of(customer) == keeper
 
 
 def test_gateways_of_a_customer_agree_on_its_keeper_at_400_limiters() -> None:
@@ -232,21 +229,21 @@
     for number in (300, 301, 310, 380):
         gate = gateway(replace(settings(limiters=400, peers=True), limiter_index=number))
         gate.do(api.RequestArrived("r", 0, 0, "wide", 1.0, 4000.0, limiter_count=300, first_limiter=250))
-        keepers.append(gate.limiter.keepers.keeper(account_of(gate)) or 0)
+        keepers.append(gate.limiter.quota_coordinator.owners.owner_of(account_of(gate)) or 0)
     assert len(set(keepers)) == 1
     assert (keepers.pop() - 250) % 400 < 300
 
 
 def test_restarted_keeper_opens_a_store_as_it_was_last_heard_of() -> None:
     gate = gateway(settings(peers=True))
-    gate.do(api.PeerMessage(1, mail(7, ASK, b=0)))
-    assert tells(gate)[-1][1][3] == DENIED
+    gate.do(api.PeerMessage(1, mail(7, SingleKind.QUERY, b=0)))
+    assert tells(gate)[-1][1][3] == SingleKind.DENIED
 
 
 def test_peers_are_told_within_their_part_of_the_intake() -> None:
     gate = gateway(settings(limiters=400, peers=True))
     for i in range(2000):
-        gate.do(api.PeerMessage(1 + i % 399, mail(i, ASK)))
+        gate.do(api.PeerMessage(1 + i % 399, mail(i, SingleKind.QUERY)))
         gate.run(gate.now + 1.0)
     assert len(tells(gate)) <= 25 + 75 * 2.1
 
@@ -255,31 +252,41 @@
     """One question a request is more than peers take in on a busy day: answers were missing, and use was
     counted nowhere."""
     gate = gateway(settings(peers=True))
-    gate.limiter.keepers.mail_room = 10.0  # under half of its most, 25
+    gate.limiter.quota_coordinator.messenger.available_messages = 10.0  # under half of its most, 25
     assert all(gate.serve(customer=f"c{i}", spread=3) for i in range(60))
     assert not [a for _, a in gate.other if isinstance(a, api.SendPeerMessage)]
     gate.run(400.0)
     told = [a for _, a in gate.other if isinstance(a, api.SendPeerMessage)]
-    assert 2 <= len(told) <= 4 and all(len(a.payload) <= 256 and a.payload[0] == BATCH for a in told)
-    reported = [key for a in told for key, *_ in USE.iter_unpack(a.payload[HEAD.size :])]
-    assert len(reported) == len(set(reported)) == 60 - len(gate.limiter.keepers.ledgers)
-    assert not gate.limiter.keepers.unreported
+    assert 2 <= len(told) <= 4 and all(len(a.payload) <= 256 and a.payload[0] == BATCH_FORMAT for a in told)
+    reported = [key for a in told for key, *_ in USAGE_ROW.iter_unpack(a.payload[BATCH_HEADER.size :])]
+    assert len(reported) == len(set(reported)) == 60 - len(gate.limiter.quota_coordinator.quota_owner.ledgers)
+    assert not gate.limiter.quota_coordinator.usage_reports.unreported_units
 
 
 def test_a_keeper_takes_reported_use_from_the_store_and_tells_the_level() -> None:
     keeper, other = gateway(settings(peers=True)), gateway(settings(peers=True))
-    report = HEAD.pack(BATCH, UNKNOWN, REPORT) + USE.pack(7, 0, 60, UNKNOWN) + USE.pack(8, 200, 4, UNKNOWN)
+    report = (
+        BATCH_HEADER.pack(BATCH_FORMAT, UNKNOWN, BatchKind.USAGE_REPORT)
+        + USAGE_ROW.pack(7, 0, 60, UNKNOWN)
+        + USAGE_ROW.pack(8, 200, 4, UNKNOWN)
+    )
     keeper.do(api.PeerMessage(1, report))
     reply = next(a for _, a in keeper.other if isinstance(a, api.SendPeerMessage))
-    assert keeper.limiter.keepers.ledgers[7].level_units == pytest.approx(5.0)  # 20 of burst less 15 units
-    assert list(keeper.limiter.keepers.ledgers) == [7]
-    other.limiter.keepers.mail_room = 0.0
+    assert keeper.limiter.quota_coordinator.quota_owner.ledgers[7].level_units == pytest.approx(
+        5.0
+    )  # 20 of burst less 15 units
+    assert list(keeper.limiter.quota_coordinator.quota_owner.ledgers) == [7]
+    other.limiter.quota_coordinator.messenger.available_messages = 0.0
     other.ask(customer="c", spread=3)
     key = account_of(other).key
-    _, level, rate = LEVEL.unpack(reply.payload[HEAD.size :])
-    other.do(api.PeerMessage(1, HEAD.pack(BATCH, UNKNOWN, READINGS) + LEVEL.pack(key, level, rate)))
+    _, level, rate = LEVEL_ROW.unpack(reply.payload[BATCH_HEADER.size :])
+    other.do(
+        api.PeerMessage(
+            1, BATCH_HEADER.pack(BATCH_FORMAT, UNKNOWN, BatchKind.QUOTA_LEVELS) + LEVEL_ROW.pack(key, level, rate)
+        )
+    )
     assert account_of(other).shared_units == pytest.approx(
-        5.0 - other.limiter.keepers.unreported.get(key, 0.0), abs=0.1
+        5.0 - other.limiter.quota_coordinator.usage_reports.unreported_units.get(key, 0.0), abs=0.1
     )
     assert account_of(other).others_rate_per_s > 0.0
 
@@ -294,15 +301,15 @@
 
 
 TORN = [b"\x5d\xff\x00\x01", b"\x5d\xff\x01\x01", b"\x5d\xff\x07"]
-FOREIGN = [b"", *TORN, b"\x5c", b"abc", bytes([FORMAT]) + bytes(7), b"\x5a" + b"\xff" * (ENTRY.size - 1)]
+FOREIGN = [b"", *TORN, b"\x5c", b"abc", bytes([SINGLE_FORMAT]) + bytes(7), b"\x5a" + b"\xff" * (SINGLE.size - 1)]
 
 
-@pytest.mark.parametrize("data", [*FOREIGN, mail(5, ASK, plan=200), mail(5, 9)])
+@pytest.mark.parametrize("data", [*FOREIGN, mail(5, SingleKind.QUERY, plan=200), mail(5, 9)])
 def test_foreign_or_truncated_peer_bytes_change_nothing(data: bytes) -> None:
     gate = gateway(settings(peers=True))
     assert gate.do(api.PeerMessage(1, data)) == []
-    assert gate.do(api.PeerMessage(99, mail(5, ASK))) == []
-    assert not gate.limiter.quotas.accounts and not gate.limiter.keepers.ledgers
+    assert gate.do(api.PeerMessage(99, mail(5, SingleKind.QUERY))) == []
+    assert not gate.limiter.quotas.accounts and not gate.limiter.quota_coordinator.quota_owner.ledgers
 
 
 # Attempts and final answers
@@ -569,7 +576,7 @@
 def test_denied_customers_ask_again_after_their_share_of_the_refill() -> None:
     gate, name, keeper, asked = asking_gate()
     customer = gate.limiter.quotas.accounts[asked[2]]
-    gate.do(api.PeerMessage(keeper, mail(asked[2], DENIED, a=0, b=127, number=asked[7])))
+    gate.do(api.PeerMessage(keeper, mail(asked[2], SingleKind.DENIED, a=0, b=127, number=asked[7])))
     assert name in gate.finals
     wait = customer.exhausted_until_ms - gate.now
     assert wait == pytest.approx(3 * 1000.0 / customer.plan.rate_per_s)  # three limiters, one unit each in turn
@@ -579,10 +586,10 @@
     gate, name, _, asked = asking_gate()
     gate.end(name)
     for _ in range(20):
-        gate.limiter.keepers.mail_room = 10.0
+        gate.limiter.quota_coordinator.messenger.available_messages = 10.0
         gate.end(gate.ask(f"c{int(name[1:]) - 1}", spread=3))
     # a quarter of the burst of 20, where each of three would let in half of it between two reports
-    assert 2.0 <= gate.limiter.keepers.unreported[asked[2]] <= 5.0
+    assert 2.0 <= gate.limiter.quota_coordinator.usage_reports.unreported_units[asked[2]] <= 5.0
 
 
 def test_throttling_starts_ends_and_is_logged() -> None:
@@ -614,9 +621,16 @@
         gate.run(gate.now + 50.0)
     gate.run(gate.now + 90000.0)
     limiter = gate.limiter
-    assert len(limiter.quotas.accounts) == len(limiter.keepers.ledgers) == len(limiter.requests) == 0
+    assert (
+        len(limiter.quotas.accounts) == len(limiter.quota_coordinator.quota_owner.ledgers) == len(limiter.requests) == 0
+    )
     assert list(limiter.endpoints.servers) == ["n199"]
-    assert len(limiter.endpoints.failing) == len(limiter.keepers.questions) == len(limiter.admission.held) == 0
+    assert (
+        len(limiter.endpoints.failing)
+        == len(limiter.quota_coordinator.quota_client.pending_queries)
+        == len(limiter.admission.waiting)
+        == 0
+    )
     assert len(limiter.context.timers.heap) == 1
 
 
@@ -680,7 +694,7 @@
         gate.end(gate.ask(customer=f"c{gate.count}"), took=900.0)
     assert gate.limiter.load_estimator.load_level() > 0.4
     gate.run(3000.0)
-    assert gate.limiter.throttle.leak_rate > 0.0
+    assert gate.limiter.throttle.leak_rate_per_s > 0.0
     gate.run(8000.0)
     for _ in range(30):
         gate.end(gate.ask(customer=f"d{gate.count}"), took=50.0)
@@ -693,7 +707,7 @@
     for _ in range(400):
         gate.end(gate.ask(customer=f"c{gate.count}"), took=50.0)
         gate.run(gate.now + 50.0)
-    assert 0.6 * 20 <= gate.limiter.throttle.least_rate <= 0.8 * 20
+    assert 0.6 * 20 <= gate.limiter.throttle.min_leak_rate_per_s <= 0.8 * 20
 
 
 def test_three_slow_answers_are_load_and_one_is_not() -> None:
@@ -708,7 +722,7 @@
 def test_level_that_peers_tell_counts_where_own_answers_are_few() -> None:
     gate = gateway(settings(limiters=400, peers=True))
     for sender in range(1, 20):
-        gate.do(api.PeerMessage(sender, ENTRY.pack(FORMAT, 64, 1, DENIED, 0, 0, 0, 0)))
+        gate.do(api.PeerMessage(sender, SINGLE.pack(SINGLE_FORMAT, 64, 1, SingleKind.DENIED, 0, 0, 0, 0)))
     assert gate.limiter.load_estimator.load_level() > 0.8
     gate.run(5000.0)
     assert gate.limiter.load_estimator.load_level() < 0.4  # what was told is old
@@ -716,8 +730,8 @@
 
 def test_store_that_a_limiter_takes_over_opens_as_last_heard_of() -> None:
     gate, name, keeper, asked = asking_gate(spread=2, limiters=2)
-    gate.do(api.PeerMessage(keeper, mail(asked[2], DENIED, a=0, number=asked[7])))
-    gate.limiter.keepers.silent[keeper] = gate.now + 1e6
+    gate.do(api.PeerMessage(keeper, mail(asked[2], SingleKind.DENIED, a=0, number=asked[7])))
+    gate.limiter.quota_coordinator.owners.silent_until_ms[keeper] = gate.now + 1e6
     gate.limiter.quotas.accounts[asked[2]].exhausted_until_ms = gate.now
     again = gate.ask(customer=f"c{int(name[1:]) - 1}", spread=2)
     assert gate.finals[again] == ["Reject"]
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -11,7 +11,7 @@
 
 def throttled(rate: float = 20.0) -> Throttle:
     throttle = Throttle(random.Random(1), 0.0)
-    throttle.max_leak_rate = 100.0
+    throttle.max_leak_rate_per_s = 100.0
     throttle.update(1.0, 20.0, rate, 0.0)
     return throttle
 
@@ -21,15 +21,15 @@
     throttle.update(m.GOAL_LOAD_LEVEL - 0.01, 20.0, 20.0, 0.0)
     assert throttle.phase is ThrottlePhase.NOT_OVERLOADED
     throttle.update(m.GOAL_LOAD_LEVEL + 0.01, 20.0, 20.0, 50.0)
-    assert (throttle.phase, throttle.leak_rate) == (ThrottlePhase.OVERLOADED, 20.0)
+    assert (throttle.phase, throttle.leak_rate_per_s) == (ThrottlePhase.OVERLOADED, 20.0)
 
 
 def test_bucket_drains_at_the_leak_rate_and_gains_one_an_attempt() -> None:
     throttle = throttled()
-    throttle.fill, throttle.fill_at = 5.0, 0.0
+    throttle.fill, throttle.fill_at_ms = 5.0, 0.0
     throttle.leak(100.0)
     assert throttle.fill == pytest.approx(3.0)  # 20 a second for 0.1 s
-    assert throttle.passes(True, 1.0, 100.0)
+    assert throttle.admits(True, 1.0, 100.0)
     assert throttle.fill == pytest.approx(4.0)
     throttle.leak(10000.0)
     assert throttle.fill == 0.0
@@ -37,22 +37,22 @@
 
 def test_threshold_vector_orders_beyond_cheap_and_dear() -> None:
     throttle = throttled()
-    depth = 20.0 * m.BUCKET_SPAN / 1000.0
+    depth = 20.0 * m.BUCKET_DEPTH_MS / 1000.0
     assert throttle.threshold_vector(True, 1.0) == pytest.approx(1.0 + depth)
-    assert throttle.threshold_vector(True, 0.0) == pytest.approx(1.0 + m.INSIDE_THRESHOLD * depth)
-    assert throttle.threshold_vector(False, 1.0) == pytest.approx(1.0 + m.BEYOND_THRESHOLD * depth)
-    throttle.fill, throttle.fill_at = m.INSIDE_THRESHOLD * depth, 0.0
-    assert not throttle.passes(False, 1.0, 0.0)
-    assert not throttle.passes(True, 0.0, 0.0)
-    assert throttle.passes(True, 1.0, 0.0)
+    assert throttle.threshold_vector(True, 0.0) == pytest.approx(1.0 + m.LOWEST_VALUE_THRESHOLD_FRACTION * depth)
+    assert throttle.threshold_vector(False, 1.0) == pytest.approx(1.0 + m.OVER_QUOTA_THRESHOLD_FRACTION * depth)
+    throttle.fill, throttle.fill_at_ms = m.LOWEST_VALUE_THRESHOLD_FRACTION * depth, 0.0
+    assert not throttle.admits(False, 1.0, 0.0)
+    assert not throttle.admits(True, 0.0, 0.0)
+    assert throttle.admits(True, 1.0, 0.0)
 
 
 def test_fill_stays_bounded_and_moves_at_most_one_at_a_new_rate() -> None:
     throttle = throttled()
     for step in range(200):
         throttle.fill, before = 3.0, 3.0
-        throttle.fill_at = float(step)
-        throttle.set_rate(20.0, float(step))
+        throttle.fill_at_ms = float(step)
+        throttle.set_leak_rate(20.0, float(step))
         assert abs(throttle.fill - before) <= 1.0
         assert 0.0 <= throttle.fill <= 2.0 * throttle.threshold_vector(True, 1.0)
 
@@ -60,17 +60,17 @@
 def test_each_second_scales_the_rate_toward_the_goal_within_bounds() -> None:
     throttle = throttled(20.0)
     throttle.update(2 * m.GOAL_LOAD_LEVEL, 20.0, 20.0, 500.0)
-    assert throttle.leak_rate == 20.0
+    assert throttle.leak_rate_per_s == 20.0
     throttle.update(2 * m.GOAL_LOAD_LEVEL, 20.0, 20.0, 1000.0)
-    assert throttle.leak_rate == pytest.approx(20.0 * m.MOST_CUT)
+    assert throttle.leak_rate_per_s == pytest.approx(20.0 * m.MIN_RATE_FACTOR)
 
 
 def test_cut_stops_at_the_least_rate() -> None:
     throttle = throttled(20.0)
-    throttle.least_rate = 3.0
+    throttle.min_leak_rate_per_s = 3.0
     for at in range(1, 60):
         throttle.update(5.0, 20.0, 20.0, at * 1000.0)
-    assert throttle.leak_rate == 3.0
+    assert throttle.leak_rate_per_s == 3.0
 
 
 def pending() -> Throttle:
@@ -83,13 +83,13 @@
 def test_pending_grows_under_the_cap_and_reverts_without_more_arrivals() -> None:
     throttle = pending()
     throttle.update(0.1, 20.0, 20.0, 2000.0)
-    assert throttle.leak_rate == pytest.approx(20.0 * m.MOST_RISE)
+    assert throttle.leak_rate_per_s == pytest.approx(20.0 * m.MAX_RATE_FACTOR)
     throttle.update(0.1, 10.0, 20.0, 3000.0)
-    assert throttle.leak_rate == pytest.approx(20.0)
+    assert throttle.leak_rate_per_s == pytest.approx(20.0)
     capped = pending()
-    capped.max_leak_rate = 21.0
+    capped.max_leak_rate_per_s = 21.0
     capped.update(0.1, 20.0, 20.0, 2000.0)
-    assert capped.leak_rate == 21.0
+    assert capped.leak_rate_per_s == 21.0
 
 
 def test_pending_goes_back_to_overloaded_above_the_goal() -> None:
@@ -104,25 +104,25 @@
         at += 1000.0
         throttle.update(0.1, at, 20.0, at)
     assert throttle.phase is ThrottlePhase.RETURNING_TO_NOT_OVERLOADED
-    assert at - 1000.0 >= m.TERMINATION_PENDING_PERIOD
+    assert at - 1000.0 >= m.TERMINATION_PENDING_PERIOD_MS
     return throttle, at
 
 
 def test_returning_grows_by_the_factor_and_ends_at_the_most() -> None:
     throttle, at = returning()
-    rate = throttle.leak_rate
+    rate = throttle.leak_rate_per_s
     throttle.update(0.1, 99999.0, 20.0, at + 1000.0)
-    assert throttle.leak_rate == pytest.approx(rate * (1 + m.LEAK_RATE_GROWTH_FACTOR / 100))
+    assert throttle.leak_rate_per_s == pytest.approx(rate * (1 + m.LEAK_RATE_GROWTH_PERCENT / 100))
     for step in range(2, 40):
         throttle.update(0.1, 99999.0 + step, 20.0, at + step * 1000.0)
     assert throttle.phase is ThrottlePhase.NOT_OVERLOADED
-    assert throttle.passes(True, 0.0, at + 40000.0)
+    assert throttle.admits(True, 0.0, at + 40000.0)
 
 
 def test_returning_falls_back_to_overloaded_at_the_rate_of_its_entry() -> None:
     throttle, at = returning()
-    entered = throttle.leak_rate
+    entered = throttle.leak_rate_per_s
     throttle.update(0.1, 99999.0, 20.0, at + 1000.0)
-    assert throttle.leak_rate > entered
+    assert throttle.leak_rate_per_s > entered
     throttle.update(1.0, 99999.0, 77.0, at + 1100.0)
-    assert (throttle.phase, throttle.leak_rate) == (ThrottlePhase.OVERLOADED, entered)
+    assert (throttle.phase, throttle.leak_rate_per_s) == (ThrottlePhase.OVERLOADED, entered)
