--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -45,7 +45,7 @@
         )
         self.requests = requests
         self.quota_coordinator = source(core, quotas, load, requests, self.apply_quota_decision)
-        self.waiting: deque[str] = deque()
+        self.waiting_request_ids: deque[str] = deque()
         self.arrivals = self.offered = self.admitted = 0
         self.maintenance_interval_ms = MIN_MAINTENANCE_INTERVAL_MS
         settings = core.settings
@@ -112,7 +112,7 @@
         if self.quotas.exceeds_hard_ceiling(account, request.arrival.units) or (server is None and late):
             self.attempts.reject_or_fail(request)
         elif server is None:
-            self.waiting.append(request.arrival.request_id)
+            self.waiting_request_ids.append(request.arrival.request_id)
         else:
             self.admitted += 1
             self.quotas.charge(request)
@@ -120,5 +120,5 @@
             self.attempts.record_first_send()
 
     def retry_waiting(self) -> None:
-        for name in [n for n in (self.waiting.popleft() for _ in range(len(self.waiting))) if n in self.requests]:
+        for name in [n for n in (self.waiting_request_ids.popleft() for _ in range(len(self.waiting_request_ids))) if n in self.requests]:
             self.send_or_wait(self.requests[name])
--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -73,7 +73,7 @@
     def _handle_timer(self, event: api.TimerFired) -> None:
         for timer in self.context.timers.pop_due(event.token, self.context.now_ms):
             if timer.query_id is None:
-                self._tick()
+                self.maintain()
             else:
                 self.quota_coordinator.handle_query_timeout(timer.query_id)
 
@@ -87,13 +87,13 @@
 
     # Upkeep
 
-    def _tick(self) -> None:
+    def maintain(self) -> None:
         core, boxes = self.context, self.endpoints
         core.schedule_timer(self.admission.maintenance_interval_ms)
         elapsed, self.maintained_at_ms = core.now_ms - self.maintained_at_ms, core.now_ms
         self.admission.retry_waiting()
         if core.now_ms - self.rates_updated_at_ms >= CONTROL_PERIOD_MS:
-            self._rate((core.now_ms - self.rates_updated_at_ms) / MS_PER_SECOND)
+            self.end_control_period((core.now_ms - self.rates_updated_at_ms) / MS_PER_SECOND)
         self._control()
         self.quota_coordinator.maintain(elapsed)
         if (
@@ -103,7 +103,7 @@
             boxes.asked_at = core.now_ms  # well before old news would count against the drain rule
             core.actions += [api.Subscribe(True), api.FetchServerList()]
 
-    def _rate(self, elapsed: float) -> None:
+    def end_control_period(self, elapsed: float) -> None:
         """The rates of the control period that has passed; `elapsed` in s."""
         core, admission, attempts = self.context, self.admission, self.attempts
         self.rates_updated_at_ms, self.admit_rate_per_s = core.now_ms, admission.admitted / elapsed
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -221,8 +221,8 @@
 
     # Upkeep
 
-    def _tick(self) -> None:
-        super()._tick()
+    def maintain(self) -> None:
+        super().maintain()
         self._tell()
 
     def _tell(self) -> None:
@@ -233,8 +233,8 @@
             self.told += 1
             self.context.actions.append(api.SendPeerMessage(to, encode(observations, now)))
 
-    def _rate(self, elapsed: float) -> None:
-        super()._rate(elapsed)
+    def end_control_period(self, elapsed: float) -> None:
+        super().end_control_period(elapsed)
         self.evidence.age_out(self.context.now_ms)
         for told in [told for told, at in self._told.items() if at <= self.context.now_ms - TOLD_EVERY]:
             del self._told[told]
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -78,7 +78,7 @@
             kinds.update(
                 name
                 for name, there in (
-                    ("held", self.admission.waiting),
+                    ("held", self.admission.waiting_request_ids),
                     ("questions", self.quota_coordinator.quota_client.pending_queries),
                     ("silent", self.quota_coordinator.owners.silent_until_ms),
                     ("unreported", self.quota_coordinator.usage_reports.unreported_units),
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -628,7 +628,7 @@
     assert (
         len(limiter.endpoints.failing)
         == len(limiter.quota_coordinator.quota_client.pending_queries)
-        == len(limiter.admission.waiting)
+        == len(limiter.admission.waiting_request_ids)
         == 0
     )
     assert len(limiter.context.timers.heap) == 1
