--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -168,7 +168,7 @@
     def shares(group: list[Limiter]) -> list[dict[str, float]]:
         made = []
         for limiter in group:
-            limiter.endpoints.rate(0.0)
+            limiter.endpoints.update_rates(0.0)
             drawing = limiter.endpoints.candidates.all
             held = {server.entry.server_id: float(drawing.weight(server)) for server in drawing.members()}
             whole = sum(held.values())
@@ -264,7 +264,7 @@
     """The least latency alone."""
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
-        return self.endpoints.estimate(server) * (1.0 + 0.05 * self.context.rng.random())
+        return self.endpoints.health.latency_ratio(server) * (1.0 + 0.05 * self.context.rng.random())
 
 
 class Reports(ServerSelector):
@@ -279,7 +279,7 @@
         fresh = self.context.now_ms - at < 2 * self.tier.size.report_every + self.tier.size.report_late
         waiting = 1.0 + len(server.in_flight) + self.part * queue * fresh
         if self.latency:
-            waiting *= self.endpoints.estimate(server)
+            waiting *= self.endpoints.health.latency_ratio(server)
         return waiting * (1.0 + 0.05 * self.context.rng.random())
 
 
@@ -310,7 +310,7 @@
 def way(named: tuple[str, str, int, bool]) -> dict[str, Any]:
     """A way to choose, `drawn` at a time, in a field; with `lies` a tenth of the boxes reports 0 always."""
     name, where, drawn, lies = named
-    choosing.DRAWN, choosing.WHOLE = drawn, max(drawn, 2)
+    choosing.SAMPLE_COUNT, choosing.FULL_SCAN_MAX_SERVERS = drawn, max(drawn, 2)
     tier = Tier(FIELDS[where], 5)
     for limiter in tier.limiters:
         made = WAYS[name](limiter.context, limiter.endpoints)
@@ -327,7 +327,7 @@
 # Constants
 
 
-UNITS = ("SECOND", "MASS")
+UNITS = ("MS_PER_SECOND", "WEIGHT_UNIT_MILLI")
 
 
 def constants() -> list[tuple[str, str, float]]:
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -76,7 +76,7 @@
         nonlocal looks, left_out
         now = world.at()
         for node in world.nodes:
-            out = [server.entry.server_id for server in node.limiter.endpoints.outliers.ejected]
+            out = [server.entry.server_id for server in node.limiter.endpoints.outlier_detector.ejected]
             for name in out:
                 if name in bad and now <= (AT_S + FOR_S) * 1000.0:
                     found.setdefault((node.number, name), now - AT_S * 1000.0)
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -227,4 +227,4 @@
         return f"{server.consecutive_failures} failures in a row, back in {wait_s:.1f} s"
     if server.is_on_probation:
         return "on trial, one request at a time"
-    return "" if boxes.subsetting.holds(server.entry.server_id) else "not in this limiter's subset"
+    return "" if boxes.subsetting.includes(server.entry.server_id) else "not in this limiter's subset"
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -45,7 +45,7 @@
         core = self.context
         server.in_flight[request.arrival.request_id, len(request.attempts)] = core.now_ms
         request.attempts.append(Attempt(server, core.now_ms))
-        self.endpoints.sent(server)
+        self.endpoints.record_attempt(server)
         self.load_estimator.in_flight += 1
         asked = type(request.arrival) is api.PermitRequested
         action = api.Permit if asked else api.SendAttempt
@@ -68,7 +68,7 @@
         attempt.has_ended = True
         self.load_estimator.in_flight -= 1
         attempt.may_have_run = event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
-        self.endpoints.learn(attempt.server, request, event)
+        self.endpoints.record_outcome(attempt.server, request, event)
         self.quotas.metered(account, event.meter)
         if event.settled_units > 0 and request.is_within_quota and self.context.settings.quota_sources.cost_known_after:
             self.quotas.settle(account, event.settled_units - request.arrival.units)
--- a/elderlock/decisions/endpoints.py
+++ b/elderlock/decisions/endpoints.py
@@ -1,219 +1,196 @@
-"""The servers and what is believed of them: who takes new work, how fast, how cold, how suspect."""
+"""Endpoints: which servers may be selected for an attempt."""
 
 from __future__ import annotations
 
 import heapq
-from math import copysign, exp, sqrt
+from typing import NamedTuple
 
 from elderlock import interface as api
-from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
-from elderlock.decisions.load_estimator import FRESH_FOR, LoadEstimator
+from elderlock.decisions.context import DecisionContext
+from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.outlier_detection import OutlierDetector
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.server_health import ServerHealth
+from elderlock.decisions.slow_start import SlowStart
 from elderlock.decisions.subsetting import Subsetting
-from elderlock.decisions.throttle import CONTROL_PERIOD, GOAL_LOAD_LEVEL
 from elderlock.interface import ListKind, Outcome
-from elderlock.state import NEVER_MS, OpenRequest, Server
+from elderlock.state import OpenRequest, Server
 from elderlock.structures.candidate_set import CandidateSet
 from elderlock.structures.server_directory import WEIGHT_UNIT_MILLI, ServerDirectory
 
-LATENCY_WEIGHT = 0.15  # of one answer in an average
-KNOWN_FOR, FULL_FOR = 5000.0, 8000.0  # ms that a server's latency and a 'full' to a plan tell
-COLD_CHANCE, COLD_PART = 2.5, 0.65  # deviations of chance left below a cold budget; part used of it
-COLD_KEPT, COLD_LOOK = 0.5, 10.0  # fall windows that its calls are kept, lest each limiter has one after a pause; ms
-FAILURE = 4.0  # aims a failure counts as: the server is left alone till that fades or is averaged out
 
+class _Review(NamedTuple):
+    """When a server that is warming up is looked at again; `sequence_number` keeps equal times in order."""
+
+    due_at_ms: float
+    sequence_number: int
+    server: Server
 
-class Endpoints:
-    """Invariant: `open` holds just those that may be sent a new request now: running by the latest list, ours, not
-    left out, with room in their cold budget. Only what changes is looked at: no step walks all boxes but
-    one that the whole list, or a new size of the subset, calls for."""
 
-    def __init__(self, core: DecisionContext, load: LoadEstimator, quotas: Quotas) -> None:
-        self.context, self.load_estimator, self.quotas = core, load, quotas
-        settings = core.settings
+class Endpoints:
+    """The servers of the latest list, and those of them that may be selected.
+
+    Invariant: `candidates` holds just the servers that may be sent a new attempt now: running by the latest list, in
+    this limiter's subset, not ejected, not on probation with an attempt in flight, and within their warm-up budget.
+    Only what changes is looked at: no step walks all servers but one that a complete list or a new size of the subset
+    calls for.
+
+    Attributes:
+        directory: The servers as the lists name them.
+        servers: All known servers by id.
+        candidates: The servers that may be selected, with their weights.
+        subsetting: Which servers this limiter connects to.
+        outlier_detector: Which servers are ejected.
+        slow_start: What a server that is warming up may get.
+        health: What the outcomes of attempts tell of the servers.
+        usable_count_by_rank: How many ready servers are not ejected, by this limiter's rank for them.
+        review_queue: The servers that are warming up, as a heap by the time of their next review.
+        list_requested_at_ms: When the server list was last asked for or received.
+    """
+
+    def __init__(self, context: DecisionContext, load_estimator: LoadEstimator, quotas: Quotas) -> None:
+        """Create an empty set of servers."""
+        self.context = context
+        self.load_estimator = load_estimator
+        settings = context.settings
         self.subsetting = Subsetting(settings.limiter_index, settings.limiter_count, settings.routing.subset_size)
-        self.outliers = OutlierDetector(core)
+        self.outlier_detector = OutlierDetector(context)
+        self.slow_start = SlowStart(context, load_estimator, self.subsetting)
+        self.health = ServerHealth(context, load_estimator, quotas)
         self.directory = ServerDirectory(settings.rules.warm_up_ms)
         self.servers = self.directory.servers
-        self.by_rank = [0] * settings.limiter_count  # ready ones that are not left out, by our rank in the subset
+        self.usable_count_by_rank = [0] * settings.limiter_count
         self.candidates = CandidateSet()
-        self.parked: list[tuple[float, int, Server]] = []  # cold ones, by when they are looked at
-        self.parkings = 0
-        self.usual: dict[int, float] = {}  # latency of each kind in aims
-        self.failing: dict[tuple[str, int], float] = {}  # averaged failures of zones, kinds and cells
-        self.full_at: dict[int, float] = {}  # when a plan was last told 'full'
-        self.warm_rate, self.asked_at = 0.0, core.now_ms  # answers a second of a warm server of weight one
+        self.review_queue: list[_Review] = []
+        self.list_requested_at_ms = context.now_ms
+        self._last_review_number = 0
 
-    # The list
+    # The server list
 
-    def listed(self, event: api.ServerList) -> None:
-        core, ranking = self.context, self.subsetting.ranking
+    def apply_server_list(self, event: api.ServerList) -> None:
+        """Take over a server list; a refused one changes nothing."""
         if event.kind is ListKind.REFUSED:
             return
-        self.asked_at = core.now_ms
-        left, joined = self.directory.apply(event, core.now_ms, core.rng)
-        for server in left:
-            self.by_rank[ranking.rank(server.entry.server_id)] -= not server.is_ejected
-            ranking.remove(server.entry.server_id)
-            self.outliers.forget(server)
-            self.candidates.set_weight(server, 0)
-        for server in joined:
+        self.list_requested_at_ms = self.context.now_ms
+        changes = self.directory.apply(event, self.context.now_ms, self.context.rng)
+        for server in changes.left:
+            self._remove(server)
+        for server in changes.joined:
             self.subsetting.add(server.entry.server_id, server.weight_milli)
-            self._let_in(server)
-        for server in self.outliers.trim(self.directory.total_weight_milli):
-            self._let_in(server)
-        self.resize()
+            self.reinstate(server)
+        for server in self.outlier_detector.reinstate_excess(self.directory.total_weight_milli):
+            self.reinstate(server)
+        self.update_subset()
         self.load_estimator.ready_server_count = len(self.directory.ready)
 
-    def resize(self) -> None:
-        if self.subsetting.resize(self.by_rank):
+    def _remove(self, server: Server) -> None:
+        ranking = self.subsetting.ranking
+        self.usable_count_by_rank[ranking.rank(server.entry.server_id)] -= not server.is_ejected
+        ranking.remove(server.entry.server_id)
+        self.outlier_detector.forget(server)
+        self.candidates.set_weight(server, 0)
+
+    def update_subset(self) -> None:
+        """Adjust the size of the subset, and reposition all ready servers if it changes."""
+        if self.subsetting.update(self.usable_count_by_rank):
             for server in self.directory.ready.values():
-                self.place(server)
-
-    # Who may be drawn
-
-    def place(self, server: Server) -> None:
-        """Puts it where it belongs after whatever changed of it."""
-        name, weight = server.entry.server_id, 0
-        if self.subsetting.holds(name) and not (
-            server.is_draining or server.is_ejected or (server.is_on_probation and server.in_flight)
-        ):
-            if (wait := self.cold_wait(server)) <= 0.0:
-                weight = self.subsetting.weight(name, server.weight_milli * self.coldness(server))
-            if name in self.directory.warming_up and not server.awaits_review:
-                server.awaits_review = True
-                self.parkings += 1
-                heapq.heappush(self.parked, (self.context.now_ms + max(abs(wait), COLD_LOOK), self.parkings, server))
+                self.reposition(server)
+
+    # The candidates
+
+    def is_selectable(self, server: Server) -> bool:
+        """Return whether a server may be sent a new attempt now."""
+        return server in self.candidates.all
+
+    def reposition(self, server: Server) -> None:
+        """Add a server to the candidates or remove it, after whatever has changed of it."""
+        server_id = server.entry.server_id
+        weight = 0
+        is_barred = server.is_draining or server.is_ejected or (server.is_on_probation and server.in_flight)
+        if self.subsetting.includes(server_id) and not is_barred:
+            budget = self.slow_start.check_budget(server)
+            if budget.allows_attempt:
+                weight_milli = server.weight_milli * self.slow_start.capacity_fraction(server)
+                weight = self.subsetting.selection_weight(server_id, weight_milli)
+            if server_id in self.directory.warming_up and not server.awaits_review:
+                self._schedule_review(server, budget.review_after_ms)
         self.candidates.set_weight(server, weight)
 
-    def settle(self) -> None:
-        """Before a choice: whoever's time has come may be drawn again."""
-        while self.parked and self.parked[0][0] <= self.context.now_ms:
-            server = heapq.heappop(self.parked)[2]
+    def reinstate(self, server: Server) -> None:
+        """Count a server that has joined, or whose ejection has ended, as usable."""
+        self.usable_count_by_rank[self.subsetting.ranking.rank(server.entry.server_id)] += 1
+        self.reposition(server)
+
+    def update_ejection(self, server: Server, was_ejected: bool) -> None:
+        """Count and reposition a server that may have been ejected or reinstated.
+
+        Args:
+            server: The server.
+            was_ejected: Whether it was ejected before.
+        """
+        rank = self.subsetting.ranking.rank(server.entry.server_id)
+        self.usable_count_by_rank[rank] += was_ejected - server.is_ejected
+        self.reposition(server)
+
+    def _schedule_review(self, server: Server, delay_ms: float) -> None:
+        server.awaits_review = True
+        self._last_review_number += 1
+        due_at_ms = self.context.now_ms + delay_ms
+        heapq.heappush(self.review_queue, _Review(due_at_ms, self._last_review_number, server))
+
+    def review_due_servers(self) -> None:
+        """Bring the candidates up to date before a selection: warm-up budgets grow, and ejections end."""
+        while self.review_queue and self.review_queue[0].due_at_ms <= self.context.now_ms:
+            server = heapq.heappop(self.review_queue).server
             server.awaits_review = False
-            self.place(server)
-        for server in self.outliers.back():
-            self._let_in(server)
-
-    def _let_in(self, server: Server) -> None:
-        self.by_rank[self.subsetting.ranking.rank(server.entry.server_id)] += 1
-        self.place(server)
-
-    def sent(self, server: Server) -> None:
-        """An attempt went there."""
-        if self.coldness(server) < 1.0 or server.is_on_probation:
-            server.warm_up_budget -= 1.0  # which a warm one is not asked for
-            self.place(server)
-
-    # Beliefs
-
-    def coldness(self, server: Server) -> float:
-        """The least share of its capacity that a young server has; 1 when it is warm."""
-        rules, age = self.context.settings.rules, self.context.now_ms - server.entry.started_at_ms
-        if server.entry.started_at_ms <= 0 or age >= rules.warm_up_ms:
-            return 1.0
-        return (
-            rules.warm_up_initial_fraction + (1.0 - rules.warm_up_initial_fraction) * max(0.0, age) / rules.warm_up_ms
-        )
-
-    def cold_wait(self, server: Server) -> float:
-        """How long (ms) till our part of a cold server's budget has room for one more, or till that is worth a look:
-        what warm ones bear of all, less what chance may add. Where it has room, not above 0: till that may lapse."""
-        core = self.context
-        share, rules, count = self.coldness(server), core.settings.rules, core.settings.limiter_count
-        if share >= 1.0:
-            return 0.0
-        bears = max(self.warm_rate * server.entry.weight * count, self.load_estimator.least_rate * count)
-        budget = bears * share * rules.overload_multiple * rules.overload_window_ms / MS_PER_SECOND
-        sharing = self.subsetting.sharing()
-        spaced = budget - COLD_CHANCE * sqrt(sharing / 12.0)  # few limiters send evenly, many at random
-        random_part = (sqrt(COLD_CHANCE**2 / 4.0 + budget) - COLD_CHANCE / 2.0) ** 2
-        part = max(COLD_PART * max(spaced, random_part) / sharing, 1e-6)
-        room = server.warm_up_budget + part / rules.overload_window_ms * (core.now_ms - server.warm_up_budget_at_ms)
-        if room > (most := max(1.0 + COLD_KEPT * part, part)):
-            room = most if part >= 1.0 else room % 1.0 + (room % 1.0 < COLD_KEPT * part)
-        server.warm_up_budget, server.warm_up_budget_at_ms = room, core.now_ms
-        wait = ((most if room >= 1.0 - 1e-9 else 1.0) - room) / part * rules.overload_window_ms
-        return copysign(min(max(wait, COLD_LOOK), CONTROL_PERIOD / 4), 1.0 - 1e-9 - room)
-
-    def estimate(self, server: Server) -> float:
-        """Its latency in aims: what is known of it as far as that is fresh, else what its kind takes."""
-        usual = self.usual.get(server.entry.kind, GOAL_LOAD_LEVEL / 2)
-        return usual + exp((server.latency_ratio_at_ms - self.context.now_ms) / KNOWN_FOR) * (
-            server.latency_ratio - usual
-        )
-
-    def learn(self, server: Server, request: OpenRequest, event: api.AttemptEnded) -> None:
-        """What the end of an attempt tells of its server, its kind and its neighbours."""
-        core = self.context
+            self.reposition(server)
+        for server in self.outlier_detector.reinstate_due():
+            self.reinstate(server)
+
+    # Attempts
+
+    def record_attempt(self, server: Server) -> None:
+        """Record that an attempt was sent to a server."""
+        if self.slow_start.capacity_fraction(server) < 1.0 or server.is_on_probation:
+            self.slow_start.record_attempt(server)
+            self.reposition(server)
+
+    def record_outcome(self, server: Server, request: OpenRequest, event: api.AttemptEnded) -> None:
+        """Record the end of an attempt, and eject or reinstate the server if that is due."""
         server.in_flight.pop((event.request_id, event.attempt_index), None)
-        aim, outcome, plan = request.request_class.latency_objective_ms, event.outcome, request.arrival.plan_index
-        # one that answered others while this waited is slow, not dead: held for dead, each server that
-        # fell behind would be left by all at once, and the rest would fall behind in turn
-        silent = outcome is Outcome.TIMEOUT and server.answered_at_ms <= core.now_ms - event.duration_ms
-        failed = silent or outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
-        if outcome in (Outcome.OK, Outcome.ERROR):
-            # an error tells nothing of speed, and all servers may give some alike: taken for a latency it
-            # would leave out all but those that erred longest ago, and these few would drown
-            before = server.error_fraction * exp((server.error_fraction_at_ms - core.now_ms) / KNOWN_FOR)
-            wrong = outcome is Outcome.ERROR
-            server.error_fraction, server.error_fraction_at_ms = (
-                before + 2 * LATENCY_WEIGHT * (wrong - before),
-                core.now_ms,
-            )
-        slow = outcome is Outcome.TIMEOUT
-        if outcome is Outcome.OK:
-            server.answered_at_ms = core.now_ms
-            server.full_plan_bits &= ~(1 << plan)
-            usual = self.usual.get(server.entry.kind, event.duration_ms / aim)
-            self.usual[server.entry.kind] = usual + LATENCY_WEIGHT / 2 * (event.duration_ms / aim - usual)
-            self.quotas.latency += LATENCY_WEIGHT / 2 * (event.duration_ms - self.quotas.latency)
-        elif outcome is Outcome.FULL:  # told to one plan alone it is no load: the plan goes elsewhere
-            server.full_plan_bits |= 1 << plan
-            server.full_at_ms = server.answered_at_ms = self.full_at[plan] = core.now_ms
-            others = [at for other, at in self.full_at.items() if other != plan]
-            slow = len(core.settings.plans) == 1 or core.now_ms - max(others, default=NEVER_MS) < FRESH_FOR
-        if failed or outcome is Outcome.OK:
-            for group in server.failure_domains():
-                before = self.failing.get(group, 0.0)
-                if failed or before:  # empty on a calm day, when nobody has to look into it
-                    self.failing[group] = before + 2 * LATENCY_WEIGHT * (failed - before)
-        if failed or slow or (outcome is Outcome.OK and not request.is_streaming):  # errors are no health
-            stretch = max(event.duration_ms / aim, float(slow))
-            before, server.latency_ratio_at_ms = self.estimate(server), core.now_ms
-            weight = LATENCY_WEIGHT * (1 + failed)
-            server.latency_ratio = before + weight * (max(stretch, FAILURE * failed) - before)
-            if slow or not failed:
-                self.load_estimator.add_sample(stretch)
-        if failed or server.consecutive_failures or server.is_on_probation:
-            self._weigh_out(server, failed, outcome)
-
-    def _weigh_out(self, server: Server, failed: bool, outcome: Outcome) -> None:
-        if server.is_draining:
+        has_failed = self.health.record_outcome(server, request, event)
+        if server.is_draining or not (has_failed or server.consecutive_failures or server.is_on_probation):
             return
-        before = server.is_ejected
-        if failed:
-            for other in self.outliers.failed(server, len(self.directory.ready), self.directory.total_weight_milli):
-                self._let_in(other)
-        elif outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):  # an answer, of whatever kind
-            self.outliers.good(server)
-        self.by_rank[self.subsetting.ranking.rank(server.entry.server_id)] += before - server.is_ejected
-        self.place(server)
-
-    # Upkeep
-
-    def rate(self, answer_rate: float) -> None:
-        """Once a control period: `answer_rate` good answers a second come back over all servers."""
+        was_ejected = server.is_ejected
+        if has_failed:
+            self._record_failure(server)
+        elif event.outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):  # an answer of any kind
+            self.outlier_detector.record_success(server)
+        self.update_ejection(server, was_ejected)
+
+    def _record_failure(self, server: Server) -> None:
+        ready_count = len(self.directory.ready)
+        ready_weight_milli = self.directory.total_weight_milli
+        for reinstated in self.outlier_detector.record_failure(server, ready_count, ready_weight_milli):
+            self.reinstate(reinstated)
+
+    # Maintenance
+
+    def update_rates(self, answers_per_s: float) -> None:
+        """Do what is due once a control period.
+
+        Args:
+            answers_per_s: Good answers per second to this limiter, over all servers.
+        """
         for server in list(self.directory.warming_up.values()):
-            if self.coldness(server) >= 1.0:
+            if self.slow_start.capacity_fraction(server) >= 1.0:
                 self.directory.mark_warm(server)
-            self.place(server)
-        if self.subsetting.size:
-            self.resize()
+            self.reposition(server)
+        if self.subsetting.subset_size:
+            self.update_subset()
             for server in self.candidates.all.members():
-                self.place(server)
-        warm = self.directory.warm_weight_milli / WEIGHT_UNIT_MILLI
-        self.warm_rate = answer_rate / warm if warm else self.warm_rate
-        if self.failing:
-            self.failing = {group: 0.8 * share for group, share in self.failing.items() if share > 1e-3}
+                self.reposition(server)
+        warm_weight = self.directory.warm_weight_milli / WEIGHT_UNIT_MILLI
+        if warm_weight:
+            self.slow_start.warm_answers_per_s = answers_per_s / warm_weight
+        self.health.decay_domain_failures()
--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -42,7 +42,7 @@
             api.PermitRequested: self.admission.arrived,
             api.AttemptEnded: self.attempts.ended,
             api.TimerFired: self._due,
-            api.ServerList: self.endpoints.listed,
+            api.ServerList: self.endpoints.apply_server_list,
             api.PeerMessage: self.keepers.told,
             api.CounterAnswered: self.keepers.counted,
             api.ClientDisconnected: self._gone,
@@ -93,9 +93,9 @@
         self.keepers.report_if_due()
         if (
             core.settings.subscribes_to_list
-            and core.now_ms - boxes.asked_at >= core.settings.rules.list_refresh_within_ms / 2
+            and core.now_ms - boxes.list_requested_at_ms >= core.settings.rules.list_refresh_within_ms / 2
         ):
-            boxes.asked_at = core.now_ms  # well before old news would count against the drain rule
+            boxes.list_requested_at_ms = core.now_ms  # well before old news would count against the drain rule
             core.actions += [api.Subscribe(True), api.FetchServerList()]
 
     def _rate(self, elapsed: float) -> None:
@@ -110,7 +110,7 @@
         gap = MS_PER_SECOND / max(admission.arrivals / elapsed, 0.1)
         admission.tick = min(max(TICK, 0.75 * admission.tick + gap / 16), MOST_TICK)
         admission.offered = admission.admitted = admission.arrivals = attempts.answers = 0
-        self.endpoints.rate(self.answer_rate)
+        self.endpoints.update_rates(self.answer_rate)
         self.quotas.age_out()
         self.keepers.age_out()
         self.endpoints.directory.forget_removed()
--- a/elderlock/decisions/server_selection.py
+++ b/elderlock/decisions/server_selection.py
@@ -1,84 +1,148 @@
-"""Choice: which box an attempt goes to, at a cost that does not grow with their number."""
+"""Server selection: which server an attempt goes to, at a cost that does not grow with the number of servers."""
 
 from __future__ import annotations
 
-from math import exp, inf
+from math import inf
 
 from elderlock.decisions.context import DecisionContext
-from elderlock.decisions.endpoints import FULL_FOR, KNOWN_FOR, Endpoints
+from elderlock.decisions.endpoints import Endpoints
+from elderlock.decisions.server_health import FULL_VALID_MS
 from elderlock.interface import DeduplicationScope, Idempotency
 from elderlock.state import OpenRequest, Server
+from elderlock.structures.weighted_sampler import WeightedSampler
 
-WHOLE = 16  # up to so many all are weighed
-DRAWN = 8  # of more: the least cost of so many, drawn by weight, leaves no queue that a full look would see
-SUSPECT = 8.0  # times the cost of a server whose zone, kind or cell has failed throughout
-AVOIDED = 10.0  # times the cost of one that was tried, or told this plan 'full'
+FULL_SCAN_MAX_SERVERS = 16  # up to this many, the costs of all are compared
+SAMPLE_COUNT = 8  # of more servers, this many are sampled by weight
+FAULT_COST_FACTOR = 8.0  # on the cost of a server whose failure domain fails throughout, on top of its own cost
+AVOIDED_COST_FACTOR = 10.0  # on the cost of a server that was tried before, or was full for this plan
+TIE_BREAK_FRACTION = 0.05  # of the cost, at random
 
 
 class ServerSelector:
-    """Invariant: a further attempt of a request that may have run goes only where the second rule lets it."""
+    """Power of d choices (Mitzenmacher, 2001): the server of the least cost among a few sampled by weight.
 
-    def __init__(self, core: DecisionContext, boxes: Endpoints) -> None:
-        self.context, self.endpoints = core, boxes
-        self.away = core.settings.routing.cross_zone_penalty
+    Invariant: an attempt after one that may have run goes only where the idempotency rule allows it; see
+    `_permitted_servers`.
+    """
+
+    def __init__(self, context: DecisionContext, endpoints: Endpoints) -> None:
+        """Create a selector over the candidates of `endpoints`."""
+        self.context = context
+        self.endpoints = endpoints
+        self.cross_zone_penalty = context.settings.routing.cross_zone_penalty
 
     def choose(self, request: OpenRequest) -> Server | None:
-        """The cheapest of those drawn; None where no box may be sent to now."""
-        self.endpoints.settle()
-        tried = {a.server.entry.server_id for a in request.attempts}
-        best, least = None, inf
-        for server in self._pool(request):  # the first of the cheapest, as min() would give
-            cost = self.cost(server, request, tried, least)
-            if cost < least:
-                best, least = server, cost
+        """Return the server of the least cost for the next attempt, or None if no server may be sent to now."""
+        self.endpoints.review_due_servers()
+        tried_ids = {attempt.server.entry.server_id for attempt in request.attempts}
+        best: Server | None = None
+        least_cost = inf
+        for server in self._pool(request):  # the first of equal costs, as min() would return
+            cost = self.cost(server, request, tried_ids, least_cost)
+            if cost < least_cost:
+                best = server
+                least_cost = cost
         return best
 
     def _pool(self, request: OpenRequest) -> list[Server]:
-        roster = self.endpoints.candidates
-        source = roster.all
-        run, rclass = [a for a in request.attempts if a.may_have_run], request.request_class
-        if run and rclass.idempotency is not Idempotency.IDEMPOTENT:  # the second rule
-            window = (
-                rclass.deduplication_window_ms
-                - self.context.settings.clock_tick_ms
-                - self.context.settings.capabilities.connect_timeout_ms
-            )
-            if rclass.idempotency is Idempotency.NOT_IDEMPOTENT or self.context.now_ms - run[0].sent_at_ms >= window:
-                return []
-            first = run[0].server.entry
-            if rclass.deduplication_scope is DeduplicationScope.CELL:
-                return list(roster.cells.get(first.cell, ()))
-            if rclass.deduplication_scope is DeduplicationScope.ZONE:
-                if first.zone not in roster.zones:
-                    return []
-                source = roster.zones[first.zone]
-        if len(source) <= WHOLE:
-            return source.members()
+        """Return the servers whose costs are compared.
+
+        These are all permitted servers where they are few, or are bound to a cell; else `SAMPLE_COUNT` of them, sampled
+        by weight. Where leaving the limiter's zone costs, as many again are sampled in that zone, so that the cost
+        decides whether one of these is still the better.
+        """
+        candidates = self.endpoints.candidates
+        permitted = candidates.all
+        if request.attempts:
+            bound = self._permitted_servers(request)
+            if isinstance(bound, list):
+                return bound
+            permitted = bound
+        if len(permitted) <= FULL_SCAN_MAX_SERVERS:
+            return permitted.members()
         rng = self.context.rng
-        pool = [source.sample(rng) for _ in range(DRAWN)]
-        home = roster.zones.get(self.context.settings.zone) if self.away and source is roster.all else None
-        if home:  # as many again at home: the cost says whether one of them is still the better
-            pool += [home.sample(rng) for _ in range(DRAWN)]
+        pool = [permitted.sample(rng) for _ in range(SAMPLE_COUNT)]
+        if self.cross_zone_penalty and permitted is candidates.all:
+            own_zone = candidates.by_zone.get(self.context.settings.zone)
+            if own_zone:
+                pool += [own_zone.sample(rng) for _ in range(SAMPLE_COUNT)]
         return pool
 
-    def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = inf) -> float:
-        """What is zero on a calm day is not computed, nor what would only add to one that is no longer the `least`."""
-        core, boxes, under_way = self.context, self.endpoints, 1.0 + len(server.in_flight)
-        stretch = boxes.estimate(server)
-        if self.away and server.entry.zone != core.settings.zone:
-            stretch += self.away
-        if stretch * under_way >= least:
+    def _permitted_servers(self, request: OpenRequest) -> WeightedSampler | list[Server]:
+        """Return the candidates that the idempotency rule permits for a retry of a request.
+
+        The idempotency rule: a request that may have run is sent again only
+
+        - anywhere, if its class is idempotent;
+        - within the scope in which the servers deduplicate (zone or cell of the first such attempt, or everywhere),
+          and while their deduplication window is open, if its class has an idempotency key;
+        - nowhere otherwise.
+        """
+        candidates = self.endpoints.candidates
+        request_class = request.request_class
+        attempts_that_may_have_run = [attempt for attempt in request.attempts if attempt.may_have_run]
+        if not attempts_that_may_have_run or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return candidates.all
+        first = attempts_that_may_have_run[0]
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT or not self._is_deduplicated(
+            request_class.deduplication_window_ms, first.sent_at_ms
+        ):
+            return []
+        entry = first.server.entry
+        if request_class.deduplication_scope is DeduplicationScope.CELL:
+            return list(candidates.by_cell.get(entry.cell, ()))
+        if request_class.deduplication_scope is DeduplicationScope.ZONE:
+            return candidates.by_zone.get(entry.zone, [])
+        return candidates.all
+
+    def _is_deduplicated(self, window_ms: float, first_sent_at_ms: float) -> bool:
+        """Return whether an attempt sent now reaches its server within the deduplication window of the first one.
+
+        Args:
+            window_ms: How long the servers remember an idempotency key.
+            first_sent_at_ms: When the first attempt that may have run was sent.
+        """
+        settings = self.context.settings
+        usable_ms = window_ms - settings.clock_tick_ms - settings.capabilities.connect_timeout_ms
+        return self.context.now_ms - first_sent_at_ms < usable_ms
+
+    def cost(self, server: Server, request: OpenRequest, tried_ids: set[str], least_cost: float = inf) -> float:
+        """Return the cost of sending an attempt to a server.
+
+        The cost is the expected latency ratio times one more than the attempts in flight there. Leaving the limiter's
+        zone adds `cross_zone_penalty` to the ratio; a server that owes answers for longer than the ratio says has the
+        ratio of that time. Suspicion raises the cost, and so do an earlier attempt at the server and its having been
+        full for the plan.
+
+        Args:
+            server: The server.
+            request: The request that the attempt is for.
+            tried_ids: The servers that earlier attempts of the request went to.
+            least_cost: The least cost so far; for a server that cannot be below it the result is infinite.
+        """
+        context = self.context
+        load = 1.0 + len(server.in_flight)
+        health = self.endpoints.health
+        latency_ratio = health.latency_ratio(server)
+        if self.cross_zone_penalty and server.entry.zone != context.settings.zone:
+            latency_ratio += self.cross_zone_penalty
+        if latency_ratio * load >= least_cost:
             return inf
-        suspicion = 0.0
         if server.in_flight:
-            stretch = max(stretch, server.unanswered_ms(core.now_ms) / core.latency_objective_ms)
-        if boxes.failing:
-            suspicion = max(boxes.failing.get(group, 0.0) for group in server.failure_domains())
-        if server.error_fraction:
-            suspicion = max(
-                suspicion, server.error_fraction * exp((server.error_fraction_at_ms - core.now_ms) / KNOWN_FOR)
-            )
-        cost = stretch * under_way * (1.0 + SUSPECT * suspicion**2 + 0.05 * core.rng.random())
-        if server.full_plan_bits >> request.arrival.plan_index & 1 and core.now_ms - server.full_at_ms < FULL_FOR:
-            return cost * AVOIDED
-        return cost * AVOIDED if tried and server.entry.server_id in tried else cost
+            latency_ratio = max(latency_ratio, server.unanswered_ms(context.now_ms) / context.latency_objective_ms)
+        suspicion = 0.0
+        if health.failure_fraction_by_domain or server.error_fraction:
+            suspicion = health.suspicion(server)
+        cost = (
+            latency_ratio * load * (1.0 + FAULT_COST_FACTOR * suspicion**2 + TIE_BREAK_FRACTION * context.rng.random())
+        )
+        if (server.full_plan_bits and self._was_full(server, request)) or (
+            tried_ids and server.entry.server_id in tried_ids
+        ):
+            return cost * AVOIDED_COST_FACTOR
+        return cost
+
+    def _was_full(self, server: Server, request: OpenRequest) -> bool:
+        """Return whether the server has lately had no capacity for the request's plan."""
+        is_full = server.full_plan_bits >> request.arrival.plan_index & 1
+        return bool(is_full) and self.context.now_ms - server.full_at_ms < FULL_VALID_MS
--- a/elderlock/gossip/limiter.py
+++ b/elderlock/gossip/limiter.py
@@ -3,17 +3,20 @@
 
 from __future__ import annotations
 
-import heapq
 import random
 from collections.abc import Callable
 from typing import NamedTuple
 
 from elderlock import interface as api
 from elderlock.decisions.context import DecisionContext
-from elderlock.decisions.endpoints import LATENCY_WEIGHT
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.decisions.outlier_detection import LEFT_OUT_FOR, LEFT_OUT_MOST, OUTLIER_AFTER, OutlierDetector
+from elderlock.decisions.outlier_detection import (
+    BASE_EJECTION_MS,
+    FAILURES_BEFORE_EJECTION,
+    MAX_EJECTION_MS,
+    OutlierDetector,
+)
 from elderlock.gossip.evidence import ENOUGH, FRESH, Evidence
 from elderlock.gossip.rumours import Rumours
 from elderlock.gossip.wire import NO_ZONE, Kind, Observation, WireError, decode, encode, is_gossip, key
@@ -43,34 +46,32 @@
         self.heard_at = float("-inf")  # when another limiter was last heard of
         self.held: dict[Server, Held] = {}  # those left out
 
-    def failed(self, server: Server, ready: int, mass: int) -> list[Server]:
+    def record_failure(self, server: Server, ready: int, mass: int) -> list[Server]:
         self._failed_here(server)
         return self.blamed(server, ready, mass, (self.context.settings.limiter_index,))
 
     def blamed(self, server: Server, ready: int, mass: int, origins: tuple[int, ...]) -> list[Server]:
         """A failure, ours or others' that weigh as much."""
         out_before = server.is_ejected
-        let_in = super().failed(server, ready, mass)
+        let_in = super().record_failure(server, ready, mass)
         if server.is_ejected and not out_before:
             self.held[server] = Held(self.context.now_ms, origins)
             self._wait(server)
         return let_in
 
-    def _let_in(self, server: Server) -> None:
-        super()._let_in(server)
+    def _reinstate(self, server: Server) -> None:
+        super()._reinstate(server)
         self.held.pop(server, None)
 
     def _wait(self, server: Server) -> None:
         core, limiters = self.context, self.context.settings.limiter_count
-        wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
+        wait = min(BASE_EJECTION_MS * 2.0 ** (server.consecutive_ejections - 1), MAX_EJECTION_MS)
         first = core.rng.random() * limiters < TRIALS or core.now_ms - self.heard_at > HEARD_WITHIN
         self.put_off(server, wait * core.rng.uniform(0.8, 1.2) * (1.0 if first else PUT_OFF))
 
     def put_off(self, server: Server, wait: float) -> None:
         """Left out for `wait` ms from now; what `back` had noted for it is passed over."""
-        self._number += 1
-        server.reinstate_at_ms = self.context.now_ms + wait
-        heapq.heappush(self._back, (server.reinstate_at_ms, self._number, server))
+        self.schedule_reinstatement(server, wait)
 
 
 class SharedLimiter(Limiter):
@@ -85,7 +86,7 @@
         # draws of its own: what is drawn for choices stays as it was
         intake, rng = settings.quota_sources.peer_messages_per_s, random.Random(seed ^ 0x5E)
         self.rumours = Rumours(settings.limiter_index, settings.limiter_count, intake, rng, now)
-        self.outliers = self.endpoints.outliers = SharedOutliers(self.context, self._failed_here)
+        self.outliers = self.endpoints.outlier_detector = SharedOutliers(self.context, self._failed_here)
         self._by_key: dict[int, Server] = {}
         self._told: dict[tuple[int, Kind], float] = {}  # when we last told this of that server
         self._began = now  # ms, the attempt whose end is in work
@@ -100,7 +101,7 @@
         """At the cost of what the list names: a change does not walk all servers."""
         servers, names = self.endpoints.servers, [entry.server_id for entry in event.entries]
         before = {name: servers[name].entry.started_at_ms for name in names if name in servers}
-        self.endpoints.listed(event)
+        self.endpoints.apply_server_list(event)
         if event.kind is not api.ListKind.CHANGES:
             self._by_key = {key(name): server for name, server in servers.items()}
         for name in names:
@@ -176,23 +177,21 @@
     def _learn(self, server: Server, observation: Observation, ready: int) -> None:
         if server.is_draining:
             return
-        weight = 2 * LATENCY_WEIGHT  # as an answer of our own has in `Boxes.learn`
         match observation.kind:
             case Kind.FAILED:
                 self._weigh(server, ready)
             case Kind.ERROR:
-                server.error_fraction += weight * (1.0 - server.error_fraction)
-                server.error_fraction_at_ms = self.context.now_ms
+                self.endpoints.health.record_peer_error(server)
             case Kind.GOOD:
-                server.error_fraction *= 1.0 - weight
+                self.endpoints.health.record_peer_success(server)
                 if server.is_ejected and observation.zone == self.evidence.zone:
-                    self._place(server, lambda: self.outliers.good(server))
+                    self._place(server, lambda: self.outliers.record_success(server))
 
     def _weigh(self, server: Server, ready: int) -> None:
         if self.evidence.failures(key(server.entry.server_id), ready, self.context.now_ms) < ENOUGH:
             return
         if server.is_ejected:  # somebody tried it in vain: we need not
-            wait = min(LEFT_OUT_FOR * 2.0 ** (server.consecutive_ejections - 1), LEFT_OUT_MOST)
+            wait = min(BASE_EJECTION_MS * 2.0 ** (server.consecutive_ejections - 1), MAX_EJECTION_MS)
             return self.outliers.put_off(server, max(wait, server.reinstate_at_ms - self.context.now_ms))
 
         name, out = server.entry.server_id, len(self.outliers.ejected) + 1
@@ -200,22 +199,19 @@
         origins = tuple(each.origin for each in seen if 0.0 <= each.failed_age <= FRESH)
 
         def blame() -> None:
-            server.consecutive_failures = max(server.consecutive_failures, OUTLIER_AFTER - 1)
+            server.consecutive_failures = max(server.consecutive_failures, FAILURES_BEFORE_EJECTION - 1)
             for other in self.outliers.blamed(server, ready, self.endpoints.directory.total_weight_milli, origins):
-                self.endpoints._let_in(other)
+                self.endpoints.reinstate(other)
 
         self._place(server, blame)
         if server.is_ejected:
             who = ", ".join(map(str, origins))
-            self.core.actions.append(api.Log(f"{name} is left out, one of {out}: it failed at limiters {who}"))
+            self.context.actions.append(api.Log(f"{name} is left out, one of {out}: it failed at limiters {who}"))
 
     def _place(self, server: Server, change: Callable[[], None]) -> None:
         before = server.is_ejected
         change()
-        self.endpoints.by_rank[self.endpoints.subsetting.ranking.rank(server.entry.server_id)] += (
-            before - server.is_ejected
-        )
-        self.endpoints.place(server)
+        self.endpoints.update_ejection(server, before)
 
     # Upkeep
 
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -455,7 +455,7 @@
                 continue
             limiter = node.limiter
             phases.add(limiter.throttle.phase.name + (" paused" if node.paused else ""))
-            out = max(out, len(limiter.endpoints.outliers.ejected))
+            out = max(out, len(limiter.endpoints.outlier_detector.ejected))
             silent = max(silent, len(limiter.keepers.silent))
             requests += len(limiter.requests)
             timers += len(limiter.context.timers.heap)
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -534,7 +534,7 @@
                     continue
                 limiter = gateway.limiter
                 phases.add(limiter.throttle.phase.name + ("" if not process.paused else " paused"))
-                outliers: OutlierDetector = limiter.endpoints.outliers
+                outliers: OutlierDetector = limiter.endpoints.outlier_detector
                 out = max(out, min(3, len(outliers.ejected)))
                 self.growth.counted(f"{name}'s descriptors", len(process.holds))
                 self.growth.counted(f"{name}'s tasks", len(process.tasks))
--- a/elderlock/structures/__init__.py
+++ b/elderlock/structures/__init__.py
@@ -1,1 +1,4 @@
-"""Data structures under the decisions, which decide nothing: each costs what changes, not what it holds."""
+"""Data structures used by the decisions.
+
+They decide nothing, and an operation costs by what it changes rather than by how much the structure holds.
+"""
--- a/elderlock/structures/candidate_set.py
+++ b/elderlock/structures/candidate_set.py
@@ -1,4 +1,4 @@
-"""The boxes that may be drawn, all together and by what a further attempt may be bound to."""
+"""The servers that may be selected, as a whole and by zone and cell."""
 
 from __future__ import annotations
 
@@ -7,34 +7,44 @@
 
 
 class CandidateSet:
-    """Invariant: a box stands in `all`, in its zone and in its cell, or in none of them."""
+    """Weighted servers, indexed by zone and by cell, which a retry may be bound to.
+
+    Invariant: a server stands in `all`, in its zone and in its cell, or in none of them.
+
+    Attributes:
+        all: All candidates.
+        by_zone: The candidates of each zone that has any.
+        by_cell: The candidates of each cell that has any; the dictionary of a cell is an ordered set.
+    """
 
     def __init__(self) -> None:
+        """Create an empty set."""
         self.all = WeightedSampler()
-        self.zones: dict[int, WeightedSampler] = {}
-        self.cells: dict[int, dict[Server, None]] = {}
-        self._where: dict[Server, tuple[int, int]] = {}  # as it was put, whatever its entry says by now
+        self.by_zone: dict[int, WeightedSampler] = {}
+        self.by_cell: dict[int, dict[Server, None]] = {}
+        self._indexed_under: dict[Server, tuple[int, int]] = {}  # zone and cell, which the server's entry may change
 
     def set_weight(self, server: Server, weight: int) -> None:
-        """Weight 0 takes it out."""
-        where = server.entry.zone, server.entry.cell
-        before = self._where.get(server)
-        if before is not None and (before != where or not weight):
-            self._put(server, *before, 0)
-            del self._where[server]
+        """Add a server or change its weight, zone or cell; a weight of 0 removes the server."""
+        location = server.entry.zone, server.entry.cell
+        previous = self._indexed_under.get(server)
+        if previous is not None and (previous != location or not weight):
+            self._set_weight_at(server, *previous, 0)
+            del self._indexed_under[server]
         if weight:
-            self._where[server] = where
-            self._put(server, *where, weight)
+            self._indexed_under[server] = location
+            self._set_weight_at(server, *location, weight)
 
-    def _put(self, server: Server, zone: int, cell: int, weight: int) -> None:
+    def _set_weight_at(self, server: Server, zone: int, cell: int, weight: int) -> None:
         self.all.set_weight(server, weight)
-        drawing, members = self.zones.setdefault(zone, WeightedSampler()), self.cells.setdefault(cell, {})
-        drawing.set_weight(server, weight)
+        zone_sampler = self.by_zone.setdefault(zone, WeightedSampler())
+        cell_members = self.by_cell.setdefault(cell, {})
+        zone_sampler.set_weight(server, weight)
         if weight:
-            members[server] = None
+            cell_members[server] = None
             return
-        del members[server]
-        if not members:
-            del self.cells[cell]
-        if not len(drawing):
-            del self.zones[zone]
+        del cell_members[server]
+        if not cell_members:
+            del self.by_cell[cell]
+        if not len(zone_sampler):
+            del self.by_zone[zone]
--- a/elderlock/structures/rendezvous.py
+++ b/elderlock/structures/rendezvous.py
@@ -1,67 +1,94 @@
-"""A ranking of the limiters for each box, the same at every limiter, whatever it has heard of the other boxes."""
+"""A ranking of the limiters for each server that all limiters agree on, whatever each knows of other servers."""
 
 from __future__ import annotations
 
 from array import array
 from hashlib import shake_128
 
+HASH_BYTES = 4  # of the sort key of each limiter
 
-def rank_limiters(name: str, limiters: int) -> array[int]:
-    """The limiters in the box's order."""
-    # the digest's first bytes are the same for more limiters, so these change no one's place but by theirs
-    keys = array("I", shake_128(name.encode()).digest(4 * limiters))
-    return array("H", sorted(range(limiters), key=keys.__getitem__))
+
+def rank_limiters(server_id: str, limiter_count: int) -> array[int]:
+    """Return the indices of all limiters in the order in which a server prefers them."""
+    # A longer digest begins with the shorter one, so that a further limiter leaves the order of the others as it is.
+    keys = array("I", shake_128(server_id.encode()).digest(HASH_BYTES * limiter_count))
+    return array("H", sorted(range(limiter_count), key=keys.__getitem__))
 
 
 class RendezvousRanking:
-    """Rendezvous hashing (Thaler and Ravishankar, 1998): a box ranks the limiters by a hash of its name, and its first
-    `holders` hold it. One more limiter or box moves just what it must, and a larger `holders` only adds.
-    A box costs O(limiters) once, when it is added.
+    """Rendezvous hashing (Thaler and Ravishankar, 1998) of servers to limiters.
+
+    Each server ranks the limiters by a hash of its id, and the first `holder_count` of them hold it. One limiter or
+    server more moves as few assignments as possible, and a larger `holder_count` only adds some. Adding a server costs
+    O(limiters).
 
-    Invariant: `masses[n]` is what limiter n holds of the boxes that are in; where all hold all, `mass` is that of each
-    and no sum is kept."""
+    Invariant: `weight_milli_by_limiter[n]` is the weight of the servers that limiter n holds; it stays 0 where all
+    limiters hold all servers. `total_weight_milli` is the weight of all servers.
 
-    def __init__(self, number: int, limiters: int) -> None:
-        self.limiter_index, self.limiter_count, self.holder_count = number, limiters, limiters
+    Attributes:
+        limiter_index: The index of this limiter.
+        limiter_count: How many limiters there are.
+        holder_count: How many limiters hold each server.
+        total_weight_milli: The weight of all servers, in thousandths.
+        weight_milli_by_limiter: The weight of the servers that each limiter holds, in thousandths.
+    """
+
+    def __init__(self, limiter_index: int, limiter_count: int) -> None:
+        """Create a ranking without servers, in which all limiters hold all servers."""
+        self.limiter_index = limiter_index
+        self.limiter_count = limiter_count
+        self.holder_count = limiter_count
         self.total_weight_milli = 0
-        self.weight_milli_by_limiter = [0] * limiters
-        self._order: dict[str, array[int]] = {}
-        self._rank: dict[str, int] = {}  # our own
-        self._mass: dict[str, int] = {}
+        self.weight_milli_by_limiter = [0] * limiter_count
+        self._limiter_order: dict[str, array[int]] = {}
+        self._own_rank: dict[str, int] = {}
+        self._weight_milli: dict[str, int] = {}
 
     def __len__(self) -> int:
-        return len(self._order)
+        return len(self._limiter_order)
 
-    def add(self, name: str, mass: int) -> None:
-        order = self._order[name] = rank_limiters(name, self.limiter_count)
-        self._mass[name], self._rank[name] = mass, order.index(self.limiter_index)
-        self._count(name, mass)
+    def add(self, server_id: str, weight_milli: int) -> None:
+        """Add a server that is not in the ranking."""
+        order = rank_limiters(server_id, self.limiter_count)
+        self._limiter_order[server_id] = order
+        self._weight_milli[server_id] = weight_milli
+        self._own_rank[server_id] = order.index(self.limiter_index)
+        self._add_weight(server_id, weight_milli)
 
-    def remove(self, name: str) -> None:
-        if name in self._order:
-            self._count(name, -self._mass.pop(name))
-            del self._order[name], self._rank[name]
+    def remove(self, server_id: str) -> None:
+        """Remove a server, if it is in the ranking."""
+        if server_id in self._limiter_order:
+            self._add_weight(server_id, -self._weight_milli.pop(server_id))
+            del self._limiter_order[server_id]
+            del self._own_rank[server_id]
 
-    def rank(self, name: str) -> int:
-        """Our own place; 0 for a box that is not in."""
-        return self._rank.get(name, 0)
+    def rank(self, server_id: str) -> int:
+        """Return this limiter's rank for a server, from 0; 0 for a server that is not in the ranking."""
+        return self._own_rank.get(server_id, 0)
 
-    def set_holder_count(self, holders: int) -> None:
-        self.holder_count, self.total_weight_milli = holders, 0
+    def set_holder_count(self, holder_count: int) -> None:
+        """Change how many limiters hold each server."""
+        self.holder_count = holder_count
+        self.total_weight_milli = 0
         self.weight_milli_by_limiter = [0] * self.limiter_count
-        for name, mass in self._mass.items():
-            self._count(name, mass)
-
-    def _count(self, name: str, mass: int) -> None:
-        self.total_weight_milli += mass
-        if self.holder_count < self.limiter_count:  # else a first list of many boxes would walk all limiters for each
-            for limiter in self._order[name][: self.holder_count]:
-                self.weight_milli_by_limiter[limiter] += mass
-
-    def balance_factor(self, name: str) -> float:
-        """More than 1 for a box whose holders hold much: one step of iterative proportional fitting, by which each
-        box gets its part though limiters that hold less send as much. Only where not all hold all."""
+        for server_id, weight_milli in self._weight_milli.items():
+            self._add_weight(server_id, weight_milli)
+
+    def _add_weight(self, server_id: str, weight_milli: int) -> None:
+        self.total_weight_milli += weight_milli
+        if self.holder_count < self.limiter_count:  # saves a first list of many servers the walk over all limiters
+            for limiter_index in self._limiter_order[server_id][: self.holder_count]:
+                self.weight_milli_by_limiter[limiter_index] += weight_milli
+
+    def balance_factor(self, server_id: str) -> float:
+        """Return the factor on a server's weight that evens out how much its holders hold.
+
+        This is one step of iterative proportional fitting: a server whose holders hold more than the mean gets a factor
+        above 1, so that each server gets its part though all limiters send equally much. It is defined only while
+        `holder_count` is less than `limiter_count`.
+        """
         mean = self.total_weight_milli * self.holder_count / self.limiter_count
         return self.holder_count / sum(
-            mean / max(1, self.weight_milli_by_limiter[n]) for n in self._order[name][: self.holder_count]
+            mean / max(1, self.weight_milli_by_limiter[limiter_index])
+            for limiter_index in self._limiter_order[server_id][: self.holder_count]
         )
--- a/elderlock/structures/server_directory.py
+++ b/elderlock/structures/server_directory.py
@@ -1,83 +1,133 @@
-"""The servers as the lists name them, with sums that are kept as the lists change."""
+"""The servers as the server lists name them, with sums that follow each change of the list."""
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass, field
 
 from elderlock import interface as api
 from elderlock.interface import ListKind, ServerState
 from elderlock.state import Server
 
-WEIGHT_UNIT_MILLI = 1000  # of a server of weight one
+WEIGHT_UNIT_MILLI = 1000  # weight of a server of weight one, in thousandths
+
+
+@dataclass(slots=True)
+class DirectoryChanges:
+    """What a server list changed.
+
+    Attributes:
+        left: Servers that were ready before and are not ready any more, or whose entry changed.
+        joined: Servers that are ready now and were not before, or whose entry changed.
+    """
+
+    left: list[Server] = field(default_factory=list)
+    joined: list[Server] = field(default_factory=list)
 
 
 class ServerDirectory:
-    """Invariant: `ready` holds just those that the latest list lets new work go to, `young` those of them that may
-    still be cold, `mass` and `warm_mass` are the sums over the ready and over those that are not young."""
+    """All servers that the lists have named, until they are removed and have no attempt in flight.
+
+    Invariant: `ready` holds just the servers that the latest list allows new work for; `warming_up` holds those of
+    them that may still be warming up; the weights are the sums over the ready servers and over those that are not in
+    `warming_up`.
+
+    Attributes:
+        servers: All known servers by id.
+        ready: The running servers by id.
+        warming_up: The running servers that may still be warming up, by id.
+        total_weight_milli: The weight of all ready servers, in thousandths.
+        warm_weight_milli: The weight of the ready servers that are not in `warming_up`, in thousandths.
+    """
 
-    def __init__(self, cold_time: float) -> None:
-        self._cold_time = cold_time  # ms
+    def __init__(self, warm_up_ms: float) -> None:
+        """Create an empty directory of servers that warm up for `warm_up_ms` after their start."""
+        self._warm_up_ms = warm_up_ms
         self.servers: dict[str, Server] = {}
         self.ready: dict[str, Server] = {}
         self.warming_up: dict[str, Server] = {}
-        self.total_weight_milli = self.warm_weight_milli = 0
-        self._gone: set[str] = set()
-
-    def apply(self, event: api.ServerList, now: float, rng: random.Random) -> tuple[list[Server], list[Server]]:
-        """Which servers leave and which join, also those whose entry changed. A cold one begins at a random place
-        of its budget, so that limiters do not come at once."""
-        left, joined = [], []
-        if event.kind is not ListKind.CHANGES:  # what a whole list does not name is gone
-            named = {entry.server_id for entry in event.entries}
-            for server in [s for name, s in self.servers.items() if name not in named]:
-                left += self._leave(server)
-                server.is_removed = server.is_draining = True
-                self._gone.add(server.entry.server_id)
+        self.total_weight_milli = 0
+        self.warm_weight_milli = 0
+        self._removed_ids: set[str] = set()
+
+    def apply(self, event: api.ServerList, now_ms: float, rng: random.Random) -> DirectoryChanges:
+        """Take over a server list and return what it changed.
+
+        Args:
+            event: The list, either complete or with changes only.
+            now_ms: The current time.
+            rng: Draws how full the warm-up budget of each new server starts, so that limiters do not spend their
+                budgets at the same time.
+        """
+        changes = DirectoryChanges()
+        if event.kind is not ListKind.CHANGES:
+            self._remove_missing(event, changes)
         for entry in event.entries:
-            known = self.servers.get(entry.server_id)
-            if known is not None and known.entry == entry and not known.is_removed:
-                continue
-            server = known or Server(entry, now, rng.random())
-            left += self._leave(server)
-            if server.entry.started_at_ms != entry.started_at_ms:  # a new process: nothing known of it holds
-                server.is_draining = True
-                server = Server(entry, now, rng.random(), in_flight=server.in_flight)
-            server.entry, server.is_draining = entry, entry.state is not ServerState.RUNNING
-            server.weight_milli, server.is_removed = (
-                max(1, int(entry.weight * WEIGHT_UNIT_MILLI)),
-                entry.state is ServerState.REMOVED,
-            )
-            self.servers[entry.server_id] = server
-            (self._gone.add if server.is_removed else self._gone.discard)(entry.server_id)
-            if not server.is_draining:
-                self._join(server, now)
-                joined.append(server)
-        return left, joined
-
-    def _join(self, server: Server, now: float) -> None:
-        name, started_at = server.entry.server_id, server.entry.started_at_ms
-        self.ready[name] = server
+            self._apply_entry(entry, now_ms, rng, changes)
+        return changes
+
+    def _remove_missing(self, event: api.ServerList, changes: DirectoryChanges) -> None:
+        """Remove the servers that a complete list does not name."""
+        listed_ids = {entry.server_id for entry in event.entries}
+        missing = [server for server_id, server in self.servers.items() if server_id not in listed_ids]
+        for server in missing:
+            self._leave(server, changes)
+            server.is_removed = True
+            server.is_draining = True
+            self._removed_ids.add(server.entry.server_id)
+
+    def _apply_entry(
+        self, entry: api.ServerEntry, now_ms: float, rng: random.Random, changes: DirectoryChanges
+    ) -> None:
+        known = self.servers.get(entry.server_id)
+        if known is not None and known.entry == entry and not known.is_removed:
+            return
+        server = known or Server(entry, now_ms, rng.random())
+        self._leave(server, changes)
+        if server.entry.started_at_ms != entry.started_at_ms:  # a new process, of which nothing is known
+            server.is_draining = True
+            server = Server(entry, now_ms, rng.random(), in_flight=server.in_flight)
+        server.entry = entry
+        server.is_draining = entry.state is not ServerState.RUNNING
+        server.is_removed = entry.state is ServerState.REMOVED
+        server.weight_milli = max(1, int(entry.weight * WEIGHT_UNIT_MILLI))
+        self.servers[entry.server_id] = server
+        if server.is_removed:
+            self._removed_ids.add(entry.server_id)
+        else:
+            self._removed_ids.discard(entry.server_id)
+        if not server.is_draining:
+            self._join(server, now_ms, changes)
+
+    def _join(self, server: Server, now_ms: float, changes: DirectoryChanges) -> None:
+        server_id = server.entry.server_id
+        started_at_ms = server.entry.started_at_ms
+        self.ready[server_id] = server
         self.total_weight_milli += server.weight_milli
-        if started_at > 0 and now - started_at < self._cold_time:
-            self.warming_up[name] = server
+        if started_at_ms > 0 and now_ms - started_at_ms < self._warm_up_ms:
+            self.warming_up[server_id] = server
         else:
             self.warm_weight_milli += server.weight_milli
+        changes.joined.append(server)
 
-    def _leave(self, server: Server) -> list[Server]:
-        name = server.entry.server_id
-        if self.ready.pop(name, None) is None:
-            return []
+    def _leave(self, server: Server, changes: DirectoryChanges) -> None:
+        """Take a server out of the ready ones; without effect on one that is not ready."""
+        server_id = server.entry.server_id
+        if self.ready.pop(server_id, None) is None:
+            return
         self.total_weight_milli -= server.weight_milli
-        if self.warming_up.pop(name, None) is None:
+        if self.warming_up.pop(server_id, None) is None:
             self.warm_weight_milli -= server.weight_milli
-        return [server]
+        changes.left.append(server)
 
     def mark_warm(self, server: Server) -> None:
+        """Record that a server has warmed up."""
         del self.warming_up[server.entry.server_id]
         self.warm_weight_milli += server.weight_milli
 
     def forget_removed(self) -> None:
-        """Forgets who is gone and has nothing out."""
-        for name in [name for name in self._gone if not self.servers[name].in_flight]:
-            del self.servers[name]
-            self._gone.discard(name)
+        """Forget the removed servers that have no attempt in flight."""
+        idle_ids = [server_id for server_id in self._removed_ids if not self.servers[server_id].in_flight]
+        for server_id in idle_ids:
+            del self.servers[server_id]
+            self._removed_ids.discard(server_id)
--- a/elderlock/structures/weighted_sampler.py
+++ b/elderlock/structures/weighted_sampler.py
@@ -1,4 +1,4 @@
-"""Draws in proportion to weights that change one by one, at a cost that does not grow with the members."""
+"""Random sampling in proportion to weights that change one at a time."""
 
 from __future__ import annotations
 
@@ -8,84 +8,105 @@
 
 
 class _Level:
-    __slots__ = ("members", "total", "weights")
+    """The members whose weights have the same number of bits."""
+
+    __slots__ = ("members", "total_weight", "weights")
 
     def __init__(self) -> None:
         self.members: list[Server] = []
         self.weights: list[int] = []
-        self.total = 0
+        self.total_weight = 0
 
 
 class WeightedSampler:
-    """Members by the power of two above their weight (Matias, Vitter and Ni, Dynamic Generation of Discrete Random
-    Variates, 2003): a draw picks a level, then a member, taken with the chance of its weight over the power, so
-    two tries at most on average. Weights are whole numbers from 1, so that sums never drift.
+    """A dynamic discrete distribution: constant cost of a change and of a sample, whatever the number of members.
+
+    After Matias, Vitter and Ni, "Dynamic Generation of Discrete Random Variates" (2003): members are grouped into
+    levels by the power of two above their weight. A sample picks a level by its total weight, then members of the
+    level uniformly until one is accepted, with the probability of its weight over the power. As each weight is at least
+    half of the power, this takes two tries on average at most. Weights are integers, so that the sums never drift.
+
+    Invariant: a member stands in one level once, and `total_weight` is the sum of all weights.
 
-    Invariant: a member stands in one level once, and `total` is the sum of all weights."""
+    Attributes:
+        total_weight: The sum of all weights.
+    """
 
     def __init__(self) -> None:
-        self.total = 0
-        self._levels: dict[int, _Level] = {}
-        self._places: dict[Server, tuple[int, int]] = {}  # level and index
+        """Create an empty sampler."""
+        self.total_weight = 0
+        self._levels: dict[int, _Level] = {}  # by the number of bits of the weights
+        self._positions: dict[Server, tuple[int, int]] = {}  # level and index in it
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     def __contains__(self, server: Server) -> bool:
-        return server in self._places
+        return server in self._positions
 
     def members(self) -> list[Server]:
-        return list(self._places)
+        """Return all members, in the order in which they were added."""
+        return list(self._positions)
 
     def weight(self, server: Server) -> int:
-        """0 for one that is not in."""
-        place = self._places.get(server)
-        return self._levels[place[0]].weights[place[1]] if place is not None else 0
+        """Return the weight of a server; 0 if it is no member."""
+        position = self._positions.get(server)
+        if position is None:
+            return 0
+        bit_count, index = position
+        return self._levels[bit_count].weights[index]
 
     def set_weight(self, server: Server, weight: int) -> None:
-        """Weight 0 takes it out."""
-        power, place = weight.bit_length(), self._places.get(server)
-        if place is not None:
-            level, index = self._levels[place[0]], place[1]
-            if place[0] == power:
-                more = weight - level.weights[index]
+        """Add a server or change its weight; a weight of 0 removes the server."""
+        bit_count = weight.bit_length()
+        position = self._positions.get(server)
+        if position is not None:
+            previous_bit_count, index = position
+            if previous_bit_count == bit_count:
+                level = self._levels[bit_count]
+                change = weight - level.weights[index]
                 level.weights[index] = weight
-                level.total += more
-                self.total += more
+                level.total_weight += change
+                self.total_weight += change
                 return
-            self._take_out(server, place[0], index)
+            self._remove(server, previous_bit_count, index)
         if weight > 0:
-            level = self._levels.setdefault(power, _Level())
-            self._places[server] = power, len(level.members)
+            level = self._levels.setdefault(bit_count, _Level())
+            self._positions[server] = bit_count, len(level.members)
             level.members.append(server)
             level.weights.append(weight)
-            level.total += weight
-            self.total += weight
-
-    def _take_out(self, server: Server, power: int, index: int) -> None:
-        level = self._levels[power]
-        weight, last = level.weights[index], level.members[-1]
-        level.members[index], level.weights[index] = last, level.weights[-1]
-        self._places[last] = power, index
+            level.total_weight += weight
+            self.total_weight += weight
+
+    def _remove(self, server: Server, bit_count: int, index: int) -> None:
+        """Remove a member from its level by moving the level's last member into its place."""
+        level = self._levels[bit_count]
+        weight = level.weights[index]
+        last_member = level.members[-1]
+        level.members[index] = last_member
+        level.weights[index] = level.weights[-1]
+        self._positions[last_member] = bit_count, index
         level.members.pop()
         level.weights.pop()
-        level.total -= weight
-        self.total -= weight
-        del self._places[server]
+        level.total_weight -= weight
+        self.total_weight -= weight
+        del self._positions[server]
         if not level.members:
-            del self._levels[power]
+            del self._levels[bit_count]
 
     def sample(self, rng: random.Random) -> Server:
-        """One member, by weight; there must be one."""
-        at = rng.random() * self.total
-        for power, level in self._levels.items():  # a handful
-            most = 1 << power
-            if at < level.total:
+        """Return one member with the probability of its weight over the total; there must be a member."""
+        remainder = rng.random() * self.total_weight
+        for bit_count, level in self._levels.items():
+            weight_limit = 1 << bit_count
+            if remainder < level.total_weight:
                 break
-            at -= level.total
-        members, weights, count = level.members, level.weights, len(level.members)
+            remainder -= level.total_weight
+        members = level.members
+        weights = level.weights
+        count = len(members)
         while True:
-            at = rng.random() * count
-            index = int(at)
-            if (at - index) * most < weights[index]:
+            position = rng.random() * count
+            index = int(position)
+            if (position - index) * weight_limit < weights[index]:
                 return members[index]
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -16,6 +16,7 @@
 from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.server_selection import ServerSelector
+from elderlock.decisions.slow_start import UNLIMITED, SlowStart
 from elderlock.decisions.throttle import Throttle
 from elderlock.net.gateway import BUSY, Gateway
 from elderlock.net.targets import TargetList
@@ -67,7 +68,7 @@
 
 def keeps_sending(patch: Patching) -> None:
     """Lists that say that a box drains are not read."""
-    kept = Endpoints.listed
+    kept = Endpoints.apply_server_list
 
     def listed(self: Endpoints, event: api.ServerList) -> None:
         entries = tuple(
@@ -90,19 +91,19 @@
         kept_list(self, replace(listed, targets=targets), kind)
 
     kept_list = Gateway._list
-    patch.setattr(Endpoints, "listed", listed)
+    patch.setattr(Endpoints, "apply_server_list", listed)
     patch.setattr(Gateway, "_list", told)
 
 
 def knows_no_cold(patch: Patching) -> None:
-    patch.setattr(Endpoints, "coldness", lambda self, server: 1.0)
-    patch.setattr(Endpoints, "cold_wait", lambda self, server: 0.0)
+    patch.setattr(SlowStart, "capacity_fraction", lambda self, server: 1.0)
+    patch.setattr(SlowStart, "check_budget", lambda self, server: UNLIMITED)
     patch.setattr(Throttle, "passes", lambda self, inside, value, now: True)
-    patch.setattr(LoadEstimator, "crowding", lambda self: 0.0)
+    patch.setattr(LoadEstimator, "queue_pressure", lambda self: 0.0)
 
 
 def knows_no_ceiling(patch: Patching) -> None:
-    patch.setattr(Quotas, "capped", lambda self, account, units: False)
+    patch.setattr(Quotas, "exceeds_hard_ceiling", lambda self, account, units: False)
 
 
 def lies_of_drains(patch: Patching) -> None:
--- a/tests/control/test_socket.py
+++ b/tests/control/test_socket.py
@@ -102,10 +102,10 @@
     server = boxes.servers["c"]
     assert routed_away(boxes, server, gate.now) == ""
     for _ in range(3):
-        boxes.outliers.failed(server, 8, boxes.directory.total_weight_milli)
+        boxes.outlier_detector.record_failure(server, 8, boxes.directory.total_weight_milli)
     assert routed_away(boxes, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
     gate.now = boxes.context.now_ms = server.reinstate_at_ms
-    boxes.settle()
+    boxes.review_due_servers()
     assert routed_away(boxes, server, gate.now) == "on trial, one request at a time"
     config = replace(settings(limiters=6), routing=Routing(subset_size=4))
     boxes = gateway(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
--- a/tests/decisions/test_routing.py
+++ b/tests/decisions/test_routing.py
@@ -15,7 +15,13 @@
 from elderlock.decisions import server_selection as choice
 from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.limiter import Limiter
-from elderlock.decisions.outlier_detection import LEFT_OUT_MOST, LEFT_OUT_PART, OUTLIER_AFTER, PANIC, OutlierDetector
+from elderlock.decisions.outlier_detection import (
+    FAILURES_BEFORE_EJECTION,
+    MAX_EJECTED_WEIGHT_FRACTION,
+    MAX_EJECTION_MS,
+    PANIC_THRESHOLD_FRACTION,
+    OutlierDetector,
+)
 from elderlock.interface import ListKind, Outcome, Routing, ServerState
 from elderlock.standins.tier import Size, Tier
 from elderlock.state import Server
@@ -82,7 +88,7 @@
             name = gate.ask(customer=f"c{gate.count}", kind=kind)
             for server in gate.where(name)[:1]:  # a first send goes where it may
                 told = gate.limiter.endpoints.directory.ready[server]
-                assert gate.limiter.endpoints.subsetting.holds(server) and not told.is_ejected
+                assert gate.limiter.endpoints.subsetting.includes(server) and not told.is_ejected
 
     @rule(outcome=ENDS, count=st.integers(1, 20))
     def ends(self, outcome: Outcome, count: int) -> None:
@@ -103,25 +109,25 @@
         listing, core = boxes.directory, boxes.context
         for server in listing.servers.values():
             drawn = server in boxes.candidates.all
-            barred = server.is_draining or server.is_ejected or not boxes.subsetting.holds(server.entry.server_id)
+            barred = server.is_draining or server.is_ejected or not boxes.subsetting.includes(server.entry.server_id)
             if drawn:
                 assert not barred and not (server.is_on_probation and server.in_flight), server
-                assert boxes.coldness(server) >= 1.0 or server.warm_up_budget >= 1.0 - 1e-9
+                assert boxes.slow_start.capacity_fraction(server) >= 1.0 or server.warm_up_budget >= 1.0 - 1e-9
             elif not barred and not (server.is_on_probation and server.in_flight):
-                assert server.awaits_review and any(one is server for _, _, one in boxes.parked), server
+                assert server.awaits_review and any(one is server for _, _, one in boxes.review_queue), server
         drawn_ones = set(boxes.candidates.all.members())
         assert drawn_ones <= set(listing.ready.values())
-        assert {s for zone in boxes.candidates.zones.values() for s in zone.members()} == drawn_ones
-        assert {s for cell in boxes.candidates.cells.values() for s in cell} == drawn_ones
-        out = boxes.outliers
+        assert {s for zone in boxes.candidates.by_zone.values() for s in zone.members()} == drawn_ones
+        assert {s for cell in boxes.candidates.by_cell.values() for s in cell} == drawn_ones
+        out = boxes.outlier_detector
         assert set(out.ejected) == {s for s in listing.ready.values() if s.is_ejected}
         assert (
             out.ejected_weight_milli
             == sum(s.weight_milli for s in out.ejected)
-            <= LEFT_OUT_PART * listing.total_weight_milli
+            <= MAX_EJECTED_WEIGHT_FRACTION * listing.total_weight_milli
         )
         ranks = Counter(boxes.subsetting.ranking.rank(n) for n, s in listing.ready.items() if not s.is_ejected)
-        assert boxes.by_rank == [ranks[rank] for rank in range(core.settings.limiter_count)]
+        assert boxes.usable_count_by_rank == [ranks[rank] for rank in range(core.settings.limiter_count)]
         assert boxes.load_estimator.ready_server_count == len(listing.ready)
 
 
@@ -145,7 +151,7 @@
     names = [chr(97 + n) for n in range(20)]
     gate = gateway(settings_for(limiters=1), names="".join(names))
     went = failing(gate, set(names[1:]), 600)
-    outliers = gate.limiter.endpoints.outliers
+    outliers = gate.limiter.endpoints.outlier_detector
     assert len(outliers.ejected) <= 10
     assert went[-200:].count("a") > 150
 
@@ -159,12 +165,12 @@
         name = gate.ask(customer=f"c{gate.count}")
         while name not in gate.ended:
             gate.end(name, Outcome.CONNECT_FAILED)
-        most = max(most, len(boxes.outliers.ejected))
+        most = max(most, len(boxes.outlier_detector.ejected))
         gate.run(gate.now + 20.0)
-        if boxes.outliers.panic(20):
+        if boxes.outlier_detector.is_panicking(20):
             break
-    assert most == 10 and len(boxes.outliers.failing) > PANIC * 20
-    assert not boxes.outliers.ejected and len(boxes.candidates.all) == 20
+    assert most == 10 and len(boxes.outlier_detector.failing_server_ids) > PANIC_THRESHOLD_FRACTION * 20
+    assert not boxes.outlier_detector.ejected and len(boxes.candidates.all) == 20
 
 
 def test_a_box_that_is_back_is_tried_with_one_request_at_a_time() -> None:
@@ -172,7 +178,7 @@
     server = gate.limiter.endpoints.servers["b"]
     while not server.is_ejected:
         failing(gate, {"b"}, 20)
-    assert server.consecutive_failures == OUTLIER_AFTER
+    assert server.consecutive_failures == FAILURES_BEFORE_EJECTION
     while server.is_ejected:  # what it was known for fades meanwhile
         assert "b" not in failing(gate, set(), 1)
     names = [gate.ask(customer=f"d{n}") for n in range(30)]
@@ -195,13 +201,13 @@
     one, waits = Server(entry("a"), 0.0, 0.0, weight_milli=10), []
     for _ in range(8):
         while not one.is_ejected:
-            assert outliers.failed(one, 4, 40) == []
+            assert outliers.record_failure(one, 4, 40) == []
         waits.append(one.reinstate_at_ms - outliers.context.now_ms)
         outliers.context.now_ms = one.reinstate_at_ms
-        assert outliers.back() == [one] and one.is_on_probation
+        assert outliers.reinstate_due() == [one] and one.is_on_probation
     assert all(later > 1.2 * earlier for earlier, later in pairwise(waits[:4]))
-    assert max(waits) <= LEFT_OUT_MOST * 1.2
-    outliers.good(one)
+    assert max(waits) <= MAX_EJECTION_MS * 1.2
+    outliers.record_success(one)
     assert (one.consecutive_failures, one.consecutive_ejections, one.is_on_probation) == (0, 0, False)
 
 
@@ -209,13 +215,13 @@
     gate = gateway(settings_for(limiters=1), names="abcdefgh")
     boxes = gate.limiter.endpoints
     for name in "abcd":
-        for _ in range(OUTLIER_AFTER):
-            boxes.outliers.failed(boxes.servers[name], 8, boxes.directory.total_weight_milli)
-        boxes.by_rank[0] -= 1
-        boxes.place(boxes.servers[name])
-    assert len(boxes.outliers.ejected) == 4 and len(boxes.candidates.all) == 4
+        for _ in range(FAILURES_BEFORE_EJECTION):
+            boxes.outlier_detector.record_failure(boxes.servers[name], 8, boxes.directory.total_weight_milli)
+        boxes.usable_count_by_rank[0] -= 1
+        boxes.reposition(boxes.servers[name])
+    assert len(boxes.outlier_detector.ejected) == 4 and len(boxes.candidates.all) == 4
     gate.servers(*(entry(n, state=ServerState.REMOVED) for n in "efg"), kind=ListKind.CHANGES)
-    assert len(boxes.outliers.ejected) == 2 and len(boxes.candidates.all) == 3
+    assert len(boxes.outlier_detector.ejected) == 2 and len(boxes.candidates.all) == 3
 
 
 def played(size: Size, seed: int = 1, warm: float = 2000.0) -> Tier:
@@ -334,11 +340,11 @@
 
 def test_small_changes_of_the_number_of_boxes_do_not_flap_the_subset() -> None:
     limiter = connected(10, 100, 25)[0]
-    holders = limiter.endpoints.subsetting.holders
+    holders = limiter.endpoints.subsetting.holder_count
     for turn in range(20):
         state = ServerState.REMOVED if turn % 2 else ServerState.RUNNING
         limiter.handle(api.ServerList(2, ListKind.CHANGES, tuple(entry(f"x-{n}", state=state) for n in range(6))), 9.0)
-        assert limiter.endpoints.subsetting.holders == holders
+        assert limiter.endpoints.subsetting.holder_count == holders
 
 
 def test_home_comes_first_while_it_has_room_and_spill_rises_with_load() -> None:
@@ -374,7 +380,7 @@
     Looks.seen = 0
     for n in range(50):
         limiter.handle(api.RequestArrived(f"r{n}", 0, 0, f"c{n}", 1.0, 900.0, 1, 0), 100.0)
-    assert Looks.seen == 50 * choice.DRAWN
+    assert Looks.seen == 50 * choice.SAMPLE_COUNT
 
 
 def test_two_thousand_that_time_out_at_one_instant_get_one_answer_each() -> None:
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -10,7 +10,7 @@
 import pytest
 from sharing import PROCESSES, WARM, Fleet
 
-from elderlock.decisions.outlier_detection import OUTLIER_AFTER
+from elderlock.decisions.outlier_detection import FAILURES_BEFORE_EJECTION
 from elderlock.gossip.evidence import ENOUGH
 from elderlock.gossip.limiter import SharedLimiter
 from elderlock.interface import PeerMessage
@@ -52,7 +52,7 @@
                 for _ in range(10):
                     assert await fleet.ask(number) == b"value"
             # alone, each would have found out by as many failures of its own
-            assert all(fleet.bad.of(number) < OUTLIER_AFTER for number in others)
+            assert all(fleet.bad.of(number) < FAILURES_BEFORE_EJECTION for number in others)
         finally:
             await fleet.close()
 
--- a/tests/structures/test_structures.py
+++ b/tests/structures/test_structures.py
@@ -30,10 +30,10 @@
         drawing.set_weight(servers[index], weight)
         model[index] = weight
         held = {n: w for n, w in model.items() if w}
-        assert drawing.total == sum(held.values()) and len(drawing) == len(held)
+        assert drawing.total_weight == sum(held.values()) and len(drawing) == len(held)
         assert {s: drawing.weight(s) for s in drawing.members()} == {servers[n]: w for n, w in held.items()}
     rng = random.Random(seed)
-    if drawing.total:
+    if drawing.total_weight:
         assert all(model[servers.index(drawing.sample(rng))] for _ in range(20))
 
 
@@ -85,10 +85,10 @@
         if weight:
             model[one] = zone, cell
     assert set(roster.all.members()) == set(model)
-    assert {z: set(d.members()) for z, d in roster.zones.items()} == {
+    assert {z: set(d.members()) for z, d in roster.by_zone.items()} == {
         z: {s for s, at in model.items() if at[0] == z} for z in {at[0] for at in model.values()}
     }
-    assert {c: set(members) for c, members in roster.cells.items()} == {
+    assert {c: set(members) for c, members in roster.by_cell.items()} == {
         c: {s for s, at in model.items() if at[1] == c} for c in {at[1] for at in model.values()}
     }
 
@@ -245,7 +245,7 @@
 def test_a_listing_says_who_is_ready_young_and_how_much_that_is(
     lists: list[tuple[bool, list[tuple[int, ServerState, float, int]]]],
 ) -> None:
-    listing, rng = ServerDirectory(cold_time=50.0), random.Random(1)
+    listing, rng = ServerDirectory(warm_up_ms=50.0), random.Random(1)
     model: dict[str, api.ServerEntry] = {}
     ready: dict[str, Server] = {}
     for whole, rows in lists:
@@ -257,10 +257,10 @@
             model.clear()
         model.update({one.server_id: one for one in entries})
         kind = ListKind.COMPLETE if whole else ListKind.CHANGES
-        left, joined = listing.apply(api.ServerList(1, kind, entries), 100.0, rng)
-        for one in left:
+        changes = listing.apply(api.ServerList(1, kind, entries), 100.0, rng)
+        for one in changes.left:
             del ready[one.entry.server_id]
-        for one in joined:
+        for one in changes.joined:
             assert one.entry.server_id not in ready
             ready[one.entry.server_id] = one
         expected = {name for name, one in model.items() if one.state is ServerState.RUNNING}
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -15,7 +15,9 @@
     "load_estimator",
     "outlier_detection",
     "quotas",
+    "server_health",
     "server_selection",
+    "slow_start",
     "subsetting",
     "throttle",
 )
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -45,14 +45,14 @@
 @pytest.mark.parametrize(
     ("where", "name", "value"),
     [
-        (choice, "DRAWN", 7),
-        (outliers, "OUTLIER_AFTER", 4),
-        (subset, "LEAST_HOLDERS", 3),
+        (choice, "SAMPLE_COUNT", 7),
+        (outliers, "FAILURES_BEFORE_EJECTION", 4),
+        (subset, "MIN_HOLDER_COUNT", 3),
         (attempts, "UNSEEN_COST", 0.5),
         (quotas, "SLACK_PART", 0.7),
         (quotas, "RATE_COUNT", 5.0),
         (keepers, "COMFORT", 0.6),
-        (choice, "SUSPECT", 7.0),
+        (choice, "FAULT_COST_FACTOR", 7.0),
         (throttle, "MOST_CUT", 0.7),
         (load, "CALM_ANSWERS", 3),
         (admission, "CHEAPEST", 0.6),
@@ -82,10 +82,10 @@
                     ("questions", self.keepers.questions),
                     ("silent", self.keepers.silent),
                     ("unreported", self.keepers.unreported),
-                    ("failing", self.endpoints.failing),
-                    ("left out", self.endpoints.outliers.ejected),
-                    ("parked", self.endpoints.parked),
-                    ("subset", self.endpoints.subsetting.holders < self.context.settings.limiter_count),
+                    ("failing", self.endpoints.health.failure_fraction_by_domain),
+                    ("left out", self.endpoints.outlier_detector.ejected),
+                    ("parked", self.endpoints.review_queue),
+                    ("subset", self.endpoints.subsetting.holder_count < self.context.settings.limiter_count),
                 )
                 if there
             )
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -453,7 +453,7 @@
         bad = ord(gate.where(name)[0]) % 2
         gate.end(name, Outcome.CONNECT_FAILED if bad else Outcome.OK)
         gate.run(gate.now + 50.0)
-    share = gate.limiter.endpoints.failing  # one that never failed need not stand there
+    share = gate.limiter.endpoints.health.failure_fraction_by_domain  # one that never failed need not stand there
     assert share["zone", 0] > share.get(("zone", 1), 0.0)
     servers = gate.limiter.endpoints.servers
     request = gate.limiter.requests[gate.ask(customer="x")]
@@ -616,7 +616,12 @@
     limiter = gate.limiter
     assert len(limiter.quotas.accounts) == len(limiter.keepers.ledgers) == len(limiter.requests) == 0
     assert list(limiter.endpoints.servers) == ["n199"]
-    assert len(limiter.endpoints.failing) == len(limiter.keepers.questions) == len(limiter.admission.held) == 0
+    assert (
+        len(limiter.endpoints.health.failure_fraction_by_domain)
+        == len(limiter.keepers.questions)
+        == len(limiter.admission.held)
+        == 0
+    )
     assert len(limiter.context.timers.heap) == 1
 
 
--- a/tests/test_permissions.py
+++ b/tests/test_permissions.py
@@ -84,7 +84,9 @@
     def most(doors: tuple[bool, ...]) -> int:
         g = gateway(settings(limiters=1), names="")
         g.now = 1000.0
-        g.limiter.endpoints.warm_rate = 30.0  # answers a second of a warm box, as seen before the others went
+        g.limiter.endpoints.slow_start.warm_answers_per_s = (
+            30.0  # answers a second of a warm box, as seen before the others went
+        )
         g.servers(entry("cold", state=RUNNING, at=1000.0))
         for n in range(60):
             g.end(g.ask(f"c{n}", permission=doors[n % len(doors)], left=20.0))
