--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -120,5 +120,9 @@
             self.attempts.record_first_send()
 
     def retry_waiting(self) -> None:
-        for name in [n for n in (self.waiting_request_ids.popleft() for _ in range(len(self.waiting_request_ids))) if n in self.requests]:
+        for name in [
+            n
+            for n in (self.waiting_request_ids.popleft() for _ in range(len(self.waiting_request_ids)))
+            if n in self.requests
+        ]:
             self.send_or_wait(self.requests[name])
--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -48,7 +48,7 @@
             api.PermitRequested: self.admission.handle_arrival,
             api.AttemptEnded: self.attempts.handle_attempt_end,
             api.TimerFired: self._handle_timer,
-            api.ServerList: self.endpoints.listed,
+            api.ServerList: self.endpoints.apply_server_list,
             api.PeerMessage: self.quota_coordinator.handle_peer_message,
             api.CounterAnswered: self.quota_coordinator.handle_counter_answer,
             api.ClientDisconnected: self._handle_client_disconnect,
@@ -98,9 +98,9 @@
         self.quota_coordinator.maintain(elapsed)
         if (
             core.settings.subscribes_to_list
-            and core.now_ms - boxes.asked_at >= core.settings.rules.list_refresh_within_ms / 2
+            and core.now_ms - boxes.list_requested_at_ms >= core.settings.rules.list_refresh_within_ms / 2
         ):
-            boxes.asked_at = core.now_ms  # well before old news would count against the drain rule
+            boxes.list_requested_at_ms = core.now_ms  # well before old news would count against the drain rule
             core.actions += [api.Subscribe(True), api.FetchServerList()]
 
     def end_control_period(self, elapsed: float) -> None:
@@ -118,7 +118,7 @@
             MAX_MAINTENANCE_INTERVAL_MS,
         )
         admission.offered = admission.admitted = admission.arrivals = attempts.timely_answer_count = 0
-        self.endpoints.rate(self.answer_rate_per_s)
+        self.endpoints.update_rates(self.answer_rate_per_s)
         self.quotas.expire_accounts()
         self.quota_coordinator.expire_ledgers()
         self.endpoints.directory.forget_removed()
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -45,14 +45,14 @@
 @pytest.mark.parametrize(
     ("where", "name", "value"),
     [
-        (choice, "DRAWN", 7),
-        (outliers, "OUTLIER_AFTER", 4),
-        (subset, "LEAST_HOLDERS", 3),
+        (choice, "SAMPLE_COUNT", 7),
+        (outliers, "FAILURES_BEFORE_EJECTION", 4),
+        (subset, "MIN_HOLDER_COUNT", 3),
         (attempts, "UNEXECUTED_RETRY_COST", 0.5),
         (quotas, "CEILING_SLACK_FRACTION", 0.7),
         (quotas, "RATE_AVERAGING_SENDS", 5.0),
         (usage_reports, "COMFORTABLE_BURST_FRACTION", 0.6),
-        (choice, "SUSPECT", 7.0),
+        (choice, "FAULT_COST_FACTOR", 7.0),
         (throttle, "MIN_RATE_FACTOR", 0.7),
         (load, "PADDING_SAMPLES", 3),
         (admission, "LOWEST_VALUE_PRESSURE_FRACTION", 0.6),
@@ -82,10 +82,10 @@
                     ("questions", self.quota_coordinator.quota_client.pending_queries),
                     ("silent", self.quota_coordinator.owners.silent_until_ms),
                     ("unreported", self.quota_coordinator.usage_reports.unreported_units),
-                    ("failing", self.endpoints.failing),
-                    ("left out", self.endpoints.outliers.ejected),
-                    ("parked", self.endpoints.parked),
-                    ("subset", self.endpoints.subsetting.holders < self.context.settings.limiter_count),
+                    ("failing", self.endpoints.health.failure_fraction_by_domain),
+                    ("left out", self.endpoints.outlier_detector.ejected),
+                    ("parked", self.endpoints.review_queue),
+                    ("subset", self.endpoints.subsetting.holder_count < self.context.settings.limiter_count),
                 )
                 if there
             )
--- a/tests/test_limiter.py
+++ b/tests/test_limiter.py
@@ -460,7 +460,7 @@
         bad = ord(gate.where(name)[0]) % 2
         gate.end(name, Outcome.CONNECT_FAILED if bad else Outcome.OK)
         gate.run(gate.now + 50.0)
-    share = gate.limiter.endpoints.failing  # one that never failed need not stand there
+    share = gate.limiter.endpoints.health.failure_fraction_by_domain  # one that never failed need not stand there
     assert share["zone", 0] > share.get(("zone", 1), 0.0)
     servers = gate.limiter.endpoints.servers
     request = gate.limiter.requests[gate.ask(customer="x")]
@@ -626,7 +626,7 @@
     )
     assert list(limiter.endpoints.servers) == ["n199"]
     assert (
-        len(limiter.endpoints.failing)
+        len(limiter.endpoints.health.failure_fraction_by_domain)
         == len(limiter.quota_coordinator.quota_client.pending_queries)
         == len(limiter.admission.waiting_request_ids)
         == 0
