--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from elderlock.gossip.limiter import SharedLimiter
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
 from elderlock.sim.decisions import DecisionWorld
 from elderlock.sim.judges import Ceilings
 from elderlock.sim.scenario import Scenario
@@ -76,7 +76,7 @@
         nonlocal looks, left_out
         now = world.at()
         for node in world.nodes:
-            out = [server.entry.server_id for server in node.limiter.endpoints.outliers.ejected]
+            out = [server.entry.server_id for server in node.limiter.endpoints.outlier_detector.ejected]
             for name in out:
                 if name in bad and now <= (AT_S + FOR_S) * 1000.0:
                     found.setdefault((node.number, name), now - AT_S * 1000.0)
@@ -89,7 +89,7 @@
     result = world.play()
     wall = time.perf_counter() - began
     times = [found.get((number, name), FOR_S * 1000.0) for number in range(limiters) for name in bad]
-    heard = sum(node.limiter.heard for node in world.nodes if isinstance(node.limiter, SharedLimiter))
+    heard = sum(node.limiter.received_datagrams for node in world.nodes if isinstance(node.limiter, EvidenceLimiter))
     return Played(
         result.figures.outcomes.get("failed", 0),
         result.figures.sends_per_request - 1.0,
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -11,8 +11,8 @@
 
 from elderlock import interface as api
 from elderlock.control.attach import Control, attach, read_operators
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
@@ -49,10 +49,10 @@
             raise ConfigError(f"{self._path}: {error}") from None
         return replace(config, settings=replace(config.settings, routing=routing))
 
-    def source(self, limiters: int) -> type[Keepers]:
+    def source(self, limiters: int) -> type[QuotaCoordinator]:
         """What the decision module asks of a customer's use. Raises `ConfigError`."""
         if self._file.quota is None:
-            return Keepers
+            return QuotaCoordinator
         try:
             from elderlock.quota.attach import QuotaOptions
         except ModuleNotFoundError as error:
@@ -75,9 +75,9 @@
             raise ConfigError(f"{self._path}: [shared] {on[0]}: the settings do not let limiters talk to one another")
         if "ceilings" in on and self._file.quota is not None:
             raise ConfigError(f"{self._path}: [shared] ceilings: with [quota] the counter holds them")
-        from elderlock.gossip.sharing import limiter_of
+        from elderlock.gossip.options import limiter_class
 
-        return limiter_of("evidence" in on, "ceilings" in on)
+        return limiter_class("evidence" in on, "ceilings" in on)
 
     async def prepare(
         self,
@@ -117,10 +117,10 @@
         if self._file.shared is None:
             return ()
         from elderlock.control.shared import SharedView, ceilings_of
-        from elderlock.gossip.limiter import SharedLimiter
+        from elderlock.gossip.evidence_limiter import EvidenceLimiter
 
         limiter, zones = gateway.limiter, config.socket_settings.zones
-        view = SharedView(limiter, zones) if isinstance(limiter, SharedLimiter) else None
+        view = SharedView(limiter, zones) if isinstance(limiter, EvidenceLimiter) else None
         return view, lambda: ceilings_of(limiter)
 
     async def open(self) -> None:
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -13,7 +13,7 @@
 from elderlock.interface import Outcome
 from elderlock.net.config import ConfigError, address_of
 from elderlock.net.gateway import Gateway
-from elderlock.quota.counted import Counted
+from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.quota.counter_call import CounterCall
 from elderlock.quota.counter_health import CounterMode
 from elderlock.quota.counter_terms import SharedBucket
@@ -47,8 +47,8 @@
         Raises:
             ConfigError: The store has no address, or its extra is not installed.
         """
-        coordinator = gateway.limiter.keepers
-        assert isinstance(coordinator, Counted)
+        coordinator = gateway.limiter.quota_coordinator
+        assert isinstance(coordinator, CountedCoordinator)
         self.book: LeaseBook = coordinator.book
         self._options = options
         self._config_path = config_path
@@ -58,14 +58,14 @@
         gateway.tally = self._send
         self._warn_of_small_slacks(coordinator)
 
-    def _warn_of_small_slacks(self, coordinator: Counted) -> None:
+    def _warn_of_small_slacks(self, coordinator: CountedCoordinator) -> None:
         limiter_count = self._settings.limiter_count
         if limiter_count <= 1:
             return
         terms = self._options.terms(limiter_count)
         for plan in self._settings.plans:
             if plan.ceiling_rate_per_s > 0:
-                for text in slack_warnings(plan.name, coordinator.store(plan, limiter_count, True), terms):
+                for text in slack_warnings(plan.name, coordinator.ceiling_bucket(plan, limiter_count), terms):
                     log.warning("%s", text)
 
     def _addresses(self) -> list[tuple[str, int]]:
--- a/elderlock/quota/options.py
+++ b/elderlock/quota/options.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from elderlock.net.config import ConfigError
-from elderlock.quota.counted import Counted
+from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms
 
 LEAST_HEARTBEAT_MS = 500.0
@@ -55,13 +55,13 @@
         except ValueError as error:
             raise ConfigError(f"[quota] {error}") from None
 
-    def coordinator_class(self, limiter_count: int) -> type[Counted]:
+    def coordinator_class(self, limiter_count: int) -> type[CountedCoordinator]:
         """Return the class that takes the place of the quota coordinator in the decision module.
 
         Raises:
             ConfigError: The options contradict one another.
         """
-        return type("Counted", (Counted,), {"terms": self.terms(limiter_count)})
+        return type("Counted", (CountedCoordinator,), {"terms": self.terms(limiter_count)})
 
 
 def heartbeat_ms(limiter_count: int) -> float:
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -455,8 +455,8 @@
                 continue
             limiter = node.limiter
             phases.add(limiter.throttle.phase.name + (" paused" if node.paused else ""))
-            out = max(out, len(limiter.endpoints.outliers.ejected))
-            silent = max(silent, len(limiter.keepers.silent))
+            out = max(out, len(limiter.endpoints.outlier_detector.ejected))
+            silent = max(silent, len(limiter.quota_coordinator.owners.silent_until_ms))
             requests += len(limiter.requests)
             timers += len(limiter.context.timers.heap)
             accounts += len(limiter.quotas.accounts)
--- a/tests/gossip/test_ceilings.py
+++ b/tests/gossip/test_ceilings.py
@@ -19,23 +19,18 @@
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.quotas import Quotas
-from elderlock.gossip.ceilings import (
-    AGAIN,
-    BURST,
-    FORMAT,
-    INTAKE_PART,
-    LIFE,
-    MOST_OPENED,
-    VERSION,
-    CeilingLimiter,
+from elderlock.gossip.escrow_limiter import EscrowLimiter
+from elderlock.gossip.escrow_messages import FORMAT, VERSION, EscrowGrant, EscrowRequest, decode, encode
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
+from elderlock.gossip.options import EvidenceAndEscrowLimiter
+from elderlock.gossip.quota_escrow import (
+    BURST_DATAGRAMS,
+    MAX_OPENED_ACCOUNTS,
+    REQUEST_INTERVAL_MS,
+    REQUEST_LIFETIME_MS,
+    SEND_FRACTION,
     EscrowQuotas,
-    Grant,
-    Want,
-    decode,
-    encode,
 )
-from elderlock.gossip.limiter import SharedLimiter
-from elderlock.gossip.sharing import SharingLimiter
 from elderlock.net.config import ConfigError
 from elderlock.operators import Extras
 from elderlock.sim import scenario as sim
@@ -67,18 +62,20 @@
         account = self.quotas.account(event)
         if self.quotas.exceeds_hard_ceiling(account, units):
             return False
-        self.quotas.take(OpenRequest(event, SAFE, account, now))
+        self.quotas.charge(OpenRequest(event, SAFE, account, now))
         account.in_flight -= 1
         return True
 
     def due(self) -> list[tuple[int, bytes]]:
-        return self.quotas.due() if isinstance(self.quotas, EscrowQuotas) else []
+        if not isinstance(self.quotas, EscrowQuotas):
+            return []
+        return [(datagram.peer_index, datagram.payload) for datagram in self.quotas.due_datagrams()]
 
     def told(self, now: float, sender: int, data: bytes) -> None:
         self.core.now_ms = now
         message = decode(data)
         if message is not None and isinstance(self.quotas, EscrowQuotas):
-            self.quotas.told(sender, message)
+            self.quotas.handle_message(sender, message)
 
     def level(self) -> float:
         (account,) = self.quotas.accounts.values()
@@ -116,10 +113,10 @@
             busy = rng.choice(list(group))
         node = group[number]
         if rng.random() < 0.01:
-            moved += getattr(node.quotas, "taken", 0.0)
+            moved += getattr(node.quotas, "taken_units", 0.0)
             group[number] = node = Node(number, now, rng.randrange(1 << 30), kind)
         if rng.random() < 0.03:
-            asleep[number] = now + rng.choice((100.0, LIFE, 4000.0, 60_000.0))
+            asleep[number] = now + rng.choice((100.0, REQUEST_LIFETIME_MS, 4000.0, 60_000.0))
         units = rng.choice((1.0, 1.0, 2.5, 4.0))
         for _ in range(rng.choice((1, 1, 3, 12))):
             if now >= asleep.get(number, 0.0) and node.ask(now, units):
@@ -130,11 +127,18 @@
                     reference.spent(now, 1.0)
         if rng.random() < 0.02:
             node.core.now_ms = now
-            node.quotas.age_out()
+            node.quotas.expire_accounts()
         for other in list(group.values()):
             for to, data in other.due():
                 for _ in range(rng.choice((0, 1, 1, 1, 1, 2))):  # lost, or twice
-                    flying.append((now + rng.choice((0.0, 1.0, 3.0, LIFE - 1.0, LIFE, 2500.0)), other.number, to, data))
+                    flying.append(
+                        (
+                            now + rng.choice((0.0, 1.0, 3.0, REQUEST_LIFETIME_MS - 1.0, REQUEST_LIFETIME_MS, 2500.0)),
+                            other.number,
+                            to,
+                            data,
+                        )
+                    )
         if flown and rng.random() < 0.1:
             flying.append((now, *rng.choice(flown)))  # played again
         rng.shuffle(flying)
@@ -143,7 +147,7 @@
             _, sender, to, data = each
             flown.append((sender, to, data))
             group[to].told(now, sender, data)
-    moved += sum(getattr(node.quotas, "taken", 0.0) for node in group.values())
+    moved += sum(getattr(node.quotas, "taken_units", 0.0) for node in group.values())
     return reference.least, moved
 
 
@@ -156,28 +160,28 @@
 class TakesTwice(EscrowQuotas):
     """A grant counts as often as it comes."""
 
-    def _granted(self, sender: int, grant: Grant) -> None:
-        super()._granted(sender, grant)
-        if grant.id in self._pending:
-            self._pending[grant.id].asked.add(sender)
+    def _handle_grant(self, sender: int, grant: EscrowGrant) -> None:
+        super()._handle_grant(sender, grant)
+        if grant.request_id in self._pending:
+            self._pending[grant.request_id].asked_peers.add(sender)
 
 
 class TakesLate(EscrowQuotas):
     """A grant counts however late it comes."""
 
-    def _granted(self, sender: int, grant: Grant) -> None:
-        if grant.id in self._pending:
-            self._pending[grant.id].at = self.context.now_ms
-        super()._granted(sender, grant)
+    def _handle_grant(self, sender: int, grant: EscrowGrant) -> None:
+        if grant.request_id in self._pending:
+            self._pending[grant.request_id].sent_at_ms = self.context.now_ms
+        super()._handle_grant(sender, grant)
 
 
 class GivesAndKeeps(EscrowQuotas):
     """Who gives does not take it off."""
 
-    def _wanted(self, sender: int, want: Want) -> None:
-        super()._wanted(sender, want)
+    def _handle_request(self, sender: int, want: EscrowRequest) -> None:
+        super()._handle_request(sender, want)
         for account in self.accounts.values():
-            account.ceiling_units += sum(units for _, units in self._away.pop(account.key, []))
+            account.ceiling_units += sum(each.units for each in self._in_transit.pop(account.key, []))
 
 
 @pytest.mark.parametrize("flawed", [TakesTwice, TakesLate, GivesAndKeeps])
@@ -226,7 +230,7 @@
     return found
 
 
-def test_a_grant_is_taken_once_in_time_and_from_whom_it_was_wanted() -> None:
+def test_a_grant_is_taken_once_in_time_and_from_whom_it_was_handle_request() -> None:
     group, now, wants = granted()
     assert sorted(to for to, _ in wants) == [0, 5]
     (giver, data), *_ = given = answers(group, now, wants)
@@ -240,9 +244,9 @@
     group[FIRST].told(now + 1.0, giver, data)
     assert group[FIRST].level() == after
     other, late = given[1]
-    group[FIRST].told(now + LIFE, other, late)
-    group[FIRST].ask(now + LIFE, 1000.0)  # only looks: so much no bucket holds
-    assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (LIFE - 1.0) / MS_PER_SECOND)
+    group[FIRST].told(now + REQUEST_LIFETIME_MS, other, late)
+    group[FIRST].ask(now + REQUEST_LIFETIME_MS, 1000.0)  # only looks: so much no bucket holds
+    assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (REQUEST_LIFETIME_MS - 1.0) / MS_PER_SECOND)
 
 
 def test_a_process_that_begins_anew_takes_no_grant_of_the_one_before() -> None:
@@ -261,28 +265,28 @@
     answers(group, now, wants)
     giver, part = group[5], FULL / MEMBERS
     left = giver.level()
-    giver.ask(now + LIFE - 1.0, 1000.0)
-    assert giver.level() <= part - (part - left) + RATE / MEMBERS * LIFE / MS_PER_SECOND
-    giver.ask(now + LIFE + WARM, 1000.0)
+    giver.ask(now + REQUEST_LIFETIME_MS - 1.0, 1000.0)
+    assert giver.level() <= part - (part - left) + RATE / MEMBERS * REQUEST_LIFETIME_MS / MS_PER_SECOND
+    giver.ask(now + REQUEST_LIFETIME_MS + WARM, 1000.0)
     assert giver.level() == pytest.approx(part)
 
 
 def test_a_want_is_answered_once_and_only_where_both_hold_a_part_alike() -> None:
     group, now, wants = granted()
     want = decode(wants[0][1])
-    assert isinstance(want, Want)
+    assert isinstance(want, EscrowRequest)
     to = wants[0][0]
     assert len(answers(group, now, [wants[0]])) == 1 and answers(group, now, [wants[0]]) == []
     wrong = [
-        want._replace(id=1, plan=3),
-        want._replace(id=2, spread=2),
-        want._replace(id=3, spread=LIMITERS + 1),
-        want._replace(id=4, first=0),
-        want._replace(id=5, spread=0),
+        replace(want, request_id=1, plan_index=3),
+        replace(want, request_id=2, limiter_count=2),
+        replace(want, request_id=3, limiter_count=LIMITERS + 1),
+        replace(want, request_id=4, first_limiter=0),
+        replace(want, request_id=5, limiter_count=0),
     ]
     for each in wrong:
         assert answers(group, now, [(to, encode(each))]) == []
-    group[to].told(now, 3, encode(want._replace(id=6)))  # not one of those that the ceiling is split by
+    group[to].told(now, 3, encode(replace(want, request_id=6)))  # not one of those that the ceiling is split by
     assert group[to].due() == []
 
 
@@ -296,11 +300,11 @@
 
 def test_a_customer_that_nobody_asked_it_about_has_a_part_there_too_within_a_bound() -> None:
     node = Node(5, 0.0, 1)
-    for key in range(MOST_OPENED + 50):
-        node.told(WARM + 1000.0 * key, FIRST, encode(Want(key, key, 0, MEMBERS, FIRST, 4.0)))
-    assert len(node.quotas.accounts) == MOST_OPENED and len(node.due()) == MOST_OPENED
+    for key in range(MAX_OPENED_ACCOUNTS + 50):
+        node.told(WARM + 1000.0 * key, FIRST, encode(EscrowRequest(key, key, 0, MEMBERS, FIRST, 4.0)))
+    assert len(node.quotas.accounts) == MAX_OPENED_ACCOUNTS and len(node.due()) == MAX_OPENED_ACCOUNTS
     node.core.now_ms += 1e9
-    node.quotas.age_out()
+    node.quotas.expire_accounts()
     assert not node.quotas.accounts
 
 
@@ -312,13 +316,13 @@
             while node.ask(now, 4.0, f"c{customer}"):
                 pass
         sent += len(node.due())
-    assert 0 < sent <= BURST + INTAKE_PART * 100.0 * (seconds + WARM / MS_PER_SECOND)
+    assert 0 < sent <= BURST_DATAGRAMS + SEND_FRACTION * 100.0 * (seconds + WARM / MS_PER_SECOND)
 
 
 def test_what_it_wants_again_waits_a_moment() -> None:
     group, now, wants = granted()
-    assert wants and not group[FIRST].ask(now + AGAIN - 1.0, 50.0) and group[FIRST].due() == []
-    assert not group[FIRST].ask(now + AGAIN, 50.0) and group[FIRST].due() != []
+    assert wants and not group[FIRST].ask(now + REQUEST_INTERVAL_MS - 1.0, 50.0) and group[FIRST].due() == []
+    assert not group[FIRST].ask(now + REQUEST_INTERVAL_MS, 50.0) and group[FIRST].due() != []
 
 
 @pytest.mark.parametrize(
@@ -329,8 +333,8 @@
         bytes([FORMAT, VERSION]),
         bytes([FORMAT, VERSION + 1, 0]) + bytes(19),
         bytes([FORMAT, VERSION, 2]) + bytes(8),
-        encode(Grant(1, 2.0))[:-1],
-        encode(Want(1, 2, 0, 3, 4, 5.0)) + b"\0",
+        encode(EscrowGrant(1, 2.0))[:-1],
+        encode(EscrowRequest(1, 2, 0, 3, 4, 5.0)) + b"\0",
         b"\x5c" * 12,
     ],
 )
@@ -339,9 +343,9 @@
 
 
 def test_units_are_told_rounded_down() -> None:
-    told = decode(encode(Grant(7, 1.999)))
-    assert isinstance(told, Grant) and 1.99 < told.units <= 1.999
-    assert decode(encode(Want(7, 8, 1, 3, 4, 5.5))) == Want(7, 8, 1, 3, 4, 5.5)
+    told = decode(encode(EscrowGrant(7, 1.999)))
+    assert isinstance(told, EscrowGrant) and 1.99 < told.units <= 1.999
+    assert decode(encode(EscrowRequest(7, 8, 1, 3, 4, 5.5))) == EscrowRequest(7, 8, 1, 3, 4, 5.5)
 
 
 # What operators say of it
@@ -351,9 +355,9 @@
     "text, kind",
     [
         ("[shared]", Limiter),
-        ("[shared]\nevidence = true", SharedLimiter),
-        ("[shared]\nceilings = true", CeilingLimiter),
-        ("[shared]\nevidence = true\nceilings = true", SharingLimiter),
+        ("[shared]\nevidence = true", EvidenceLimiter),
+        ("[shared]\nceilings = true", EscrowLimiter),
+        ("[shared]\nevidence = true\nceilings = true", EvidenceAndEscrowLimiter),
     ],
 )
 def test_the_operators_file_says_what_is_shared(text: str, kind: type[Limiter], tmp_path: Path) -> None:
@@ -379,15 +383,15 @@
 
 
 def test_operators_see_what_went_where() -> None:
-    limiter = CeilingLimiter(replace(settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
-    want = encode(Want(9, 77, 0, MEMBERS, FIRST, 3.0))
+    limiter = EscrowLimiter(replace(settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
+    want = encode(EscrowRequest(9, 77, 0, MEMBERS, FIRST, 3.0))
     (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
     assert (
         isinstance(answer, api.SendPeerMessage)
-        and decode(answer.payload) == Grant(9, 3.0)
+        and decode(answer.payload) == EscrowGrant(9, 3.0)
         and answer.receiver_index == FIRST
     )
-    assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=INTAKE_PART * 100.0)
+    assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=SEND_FRACTION * 100.0)
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
     assert ceilings_of(Limiter(settings(peers=True), 1, 0.0)) is None
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_processes.py
@@ -10,9 +10,9 @@
 import pytest
 from sharing import PROCESSES, WARM, Fleet
 
-from elderlock.decisions.outlier_detection import OUTLIER_AFTER
+from elderlock.decisions.outlier_detection import FAILURES_BEFORE_EJECTION
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
 from elderlock.gossip.health_evidence import EJECTION_WEIGHT
-from elderlock.gossip.limiter import SharedLimiter
 from elderlock.interface import PeerMessage
 from elderlock.settings_reader import read_settings
 from elderlock.spawning import spawn
@@ -52,7 +52,7 @@
                 for _ in range(10):
                     assert await fleet.ask(number) == b"value"
             # alone, each would have found out by as many failures of its own
-            assert all(fleet.bad.of(number) < OUTLIER_AFTER for number in others)
+            assert all(fleet.bad.of(number) < FAILURES_BEFORE_EJECTION for number in others)
         finally:
             await fleet.close()
 
@@ -137,8 +137,8 @@
 def test_noise_in_the_place_of_evidence_changes_nothing(data: bytes) -> None:
     """From a peer's own address: a stranger's datagrams are not taken at all."""
     settings = read_settings({**facts(peers=True), "peers-total": PROCESSES})
-    limiter = SharedLimiter(settings, 1, 0.0)
+    limiter = EvidenceLimiter(settings, 1, 0.0)
     limiter.start(0.0)
     for at in range(1000):
         assert limiter.handle(PeerMessage(1, data), float(at)) == []
-    assert limiter.refused == (1000 if data else 0) and len(limiter.evidence) == 0
+    assert limiter.refused_datagrams == (1000 if data else 0) and len(limiter.evidence) == 0
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -16,7 +16,7 @@
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import ConfigError
-from elderlock.quota.counted import Counted, drawn
+from elderlock.quota.counted_quotas import CountedCoordinator, is_ceiling_counted
 from elderlock.quota.counter_health import CounterMode
 from elderlock.quota.counter_terms import CounterTerms, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
@@ -56,7 +56,7 @@
 
 
 def counting(limiters: int = 3) -> Counting:
-    source = type("Counted", (Counted,), {"terms": CounterTerms()})
+    source = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
     config = settings(limiters=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now=1_000.0)
     made.take(made.limiter.start(1_000.0))
@@ -65,9 +65,9 @@
     return made
 
 
-def book(gate: Counting) -> Counted:
-    keepers = gate.limiter.keepers
-    assert isinstance(keepers, Counted)
+def book(gate: Counting) -> CountedCoordinator:
+    keepers = gate.limiter.quota_coordinator
+    assert isinstance(keepers, CountedCoordinator)
     return keepers
 
 
@@ -129,7 +129,7 @@
     ).counter_name
     gate.totals[name] += 500.0  # far beyond: others, or another counter's number
     gate.run(gate.now + 300.0)
-    store = book(gate).store(settings().plans[0], 3)
+    store = book(gate).quota_bucket(settings().plans[0], 3)
     held = (
         CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
     )  # drawn before, or not to be told yet
@@ -196,11 +196,11 @@
     gate = counting()
     plan = replace(settings().plans[1], over_quota_value=1.0)
     account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now, 4000.0)
-    assert not drawn(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    assert not is_ceiling_counted(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.plan = settings().plans[1]
-    assert drawn(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    assert is_ceiling_counted(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.limiter_count = 1
-    assert not drawn(account)
+    assert not is_ceiling_counted(account)
 
 
 def test_every_request_has_one_final_answer_through_the_counters_coming_and_going() -> None:
