--- /dev/null
+++ b/tests/gossip/test_escrow_limiters.py
@@ -0,0 +1,149 @@
+"""Limiters and fleets whose parts of ceilings move by demand, and what operators see of them."""
+
+from __future__ import annotations
+
+import re
+from dataclasses import replace
+from pathlib import Path
+
+import msgspec
+import pytest
+from escrow_histories import FIRST, LIMITERS, MEMBERS, PLAN, WARM
+from helpers import settings
+from playing import played
+
+from elderlock import interface as api
+from elderlock.control import messages as m
+from elderlock.control.shared import ceilings_of
+from elderlock.decisions.limiter import Limiter
+from elderlock.gossip.escrow_limiter import EscrowLimiter
+from elderlock.gossip.escrow_messages import EscrowGrant, EscrowRequest, decode, encode
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
+from elderlock.gossip.options import EvidenceAndEscrowLimiter
+from elderlock.gossip.quota_escrow import (
+    SEND_FRACTION,
+)
+from elderlock.net.config import ConfigError
+from elderlock.operators import Extras
+from elderlock.sim import scenario as sim
+from elderlock.sim.decisions import DecisionWorld
+from elderlock.sim.scenario import Fault, Scenario
+
+
+@pytest.mark.parametrize(
+    "text, kind",
+    [
+        ("[shared]", Limiter),
+        ("[shared]\nevidence = true", EvidenceLimiter),
+        ("[shared]\nceilings = true", EscrowLimiter),
+        ("[shared]\nevidence = true\nceilings = true", EvidenceAndEscrowLimiter),
+    ],
+)
+def test_the_operators_file_selects_the_limiter_class(text: str, kind: type[Limiter], tmp_path: Path) -> None:
+    path = tmp_path / "operators.toml"
+    path.write_text(text)
+    assert Extras(path).limiter(settings(peers=True)) is kind
+
+
+@pytest.mark.parametrize(
+    "text, why",
+    [
+        ("[shared]\nceilings = true\n[quota]\nstore = 'tally'", "with [quota] the counter holds them"),
+        ("[shared]\nceilings = 3", "bool"),
+        ("[shared]\nceiling = true", "ceiling"),
+    ],
+)
+def test_bad_sharing_options_are_refused_with_one_line(text: str, why: str, tmp_path: Path) -> None:
+    path = tmp_path / "operators.toml"
+    path.write_text(text)
+    with pytest.raises(ConfigError, match=re.escape(why)) as error:
+        Extras(path).limiter(settings(peers=True))
+    assert str(path) in str(error.value) and "\n" not in str(error.value)
+
+
+def test_operators_see_units_given_and_in_transit() -> None:
+    limiter = EscrowLimiter(replace(settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
+    want = encode(EscrowRequest(9, 77, 0, MEMBERS, FIRST, 3.0))
+    (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
+    assert (
+        isinstance(answer, api.SendPeerMessage)
+        and decode(answer.payload) == EscrowGrant(9, 3.0)
+        and answer.receiver_index == FIRST
+    )
+    assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=SEND_FRACTION * 100.0)
+    assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
+    assert ceilings_of(Limiter(settings(peers=True), 1, 0.0)) is None
+
+
+# Fleets
+
+
+def scenario(shared: bool, limiters: int, spread: int, rate: float) -> Scenario:
+    raw = {
+        "name": "ceilings",
+        "lasts_s": 20.0,
+        "limiters": limiters,
+        "boxes": 24,
+        "floors": 3,
+        "plan": [
+            {
+                "name": "shop",
+                "rate": 14.0,
+                "burst": 28.0,
+                "ceiling_rate": 15.0,
+                "ceiling_burst": 30.0,
+                "ceiling_slack": 4.0,
+                "over_worth": 0.5,
+                "over_cost": 0.1,
+            }
+        ],
+        "service": [{"name": "lookup", "aim_ms": 300.0}],
+        "stream": [
+            {
+                "name": "a",
+                "plan": "shop",
+                "deadline_ms": 1200.0,
+                "spread": spread,
+                "accounts": {"count": 6},
+                "shape": [{"kind": "steady", "rate": rate}],
+            }
+        ],
+        "settings": {"shared_ceilings": shared},
+    }
+    return msgspec.convert(raw, Scenario)
+
+
+@pytest.mark.parametrize("limiters, spread, rate", [(12, 4, 80.0), (60, 8, 40.0), (60, 8, 80.0)])
+def test_a_fleet_rejects_less_and_stays_within_its_ceilings(limiters: int, spread: int, rate: float) -> None:
+    """Near the ceiling, where the even parts are at times too small by chance alone."""
+    refused = {False: 0, True: 0}
+    for shared in refused:
+        for seed in (1, 2):
+            result = DecisionWorld(scenario(shared, limiters, spread, rate), seed).play()
+            assert result.good()
+            refused[shared] += result.figures.outcomes.get("refused", 0)
+    assert refused[True] < 0.9 * refused[False], refused
+
+
+def test_ceilings_hold_on_real_processes_under_datagram_faults_a_pause_a_kill_and_a_cut() -> None:
+    plan = sim.Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
+    given = sim.Scenario(
+        "ceilings",
+        lasts_s=6.0,
+        warm_s=0.5,
+        rest_s=0.5,
+        limiters=4,
+        boxes=6,
+        plan=(plan,),
+        settings=sim.Settings(shared_ceilings=True),
+        fault=(
+            Fault(0.2, "loss", "peers", 5.0, 0.3),
+            Fault(0.2, "reorder", "peers", 5.0),
+            Fault(0.2, "duplicate", "peers", 5.0, 0.5),
+            Fault(1.0, "pause", "limiter:1", 1.5),
+            Fault(2.0, "kill", "limiter:2"),
+            Fault(3.0, "cut", "way:limiter:0>limiter:3", 2.0),
+        ),
+    )
+    outcome = played(sim.of_load(0.4, given, 2))
+    assert outcome.verdict() != "broken", outcome.text()
--- a/tests/gossip/test_fleets.py
+++ b/tests/gossip/test_evidence_fleets.py
@@ -57,7 +57,7 @@
         self.schedule.after(at * 1000.0, do)
 
 
-def test_a_fleet_that_shares_finds_silent_boxes_with_fewer_failures() -> None:
+def test_a_fleet_that_shares_evidence_ejects_silent_servers_with_fewer_failures() -> None:
     failed = {False: 0, True: 0}
     for seed in (1, 2):
         for shared in failed:
@@ -67,14 +67,14 @@
     assert failed[True] < MOST_PART * failed[False], failed
 
 
-def test_with_nothing_wrong_nothing_is_told_and_nobody_is_left_out() -> None:
+def test_without_faults_no_datagram_is_sent_and_no_server_is_ejected() -> None:
     world = World(scenario(True), 1)
     assert world.play().good()
     assert [limiter.received_datagrams for limiter in world.limiters()] == [0] * LIMITERS
     assert not any(limiter.outlier_detector.ejected for limiter in world.limiters())
 
 
-def test_limiters_that_hear_nobody_act_on_their_own_evidence() -> None:
+def test_limiters_that_hear_no_other_act_on_their_own_evidence() -> None:
     deaf = {"at_s": 0.0, "what": "loss", "target": "peers", "for_s": 14.0, "by": 1.0}
     alone = DecisionWorld(scenario(False, SILENT, deaf), 1).play()
     world = World(scenario(True, SILENT, deaf), 1)
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("liars", [1, LIMITERS // 3])
-def test_limiters_that_call_all_boxes_bad_take_none_from_the_others(liars: int) -> None:
+def test_limiters_that_report_all_servers_as_failed_eject_none_at_the_others(liars: int) -> None:
     world = World(scenario(True), 1)
 
     def lie() -> None:
@@ -113,7 +113,7 @@
     assert result.good() and seen == [0, 0, 0, 0] and result.figures.served_in_time > 0.99
 
 
-def test_old_news_played_again_after_a_heal_leave_nobody_out() -> None:
+def test_datagrams_replayed_after_recovery_eject_no_server() -> None:
     world = World(scenario(True, {**SILENT, "for_s": 2.0}), 1)
     kept: list[tuple[int, int, bytes]] = []
     tell = world.tell_peer
@@ -138,7 +138,7 @@
     assert kept and after[0] <= before[0]
 
 
-def test_a_box_that_restarts_under_its_id_is_judged_anew() -> None:
+def test_failures_before_a_servers_restart_weigh_nothing_after_it() -> None:
     world = World(scenario(True, SILENT, {"at_s": 7.0, "what": "restart", "target": "box:0-4"}), 1)
     left: list[float] = []
 
--- a/tests/gossip/test_wire.py
+++ b/tests/gossip/test_evidence_messages.py
@@ -23,7 +23,7 @@
 
 
 @given(st.lists(observations, max_size=40), st.integers(0, 100))
-def test_what_is_told_is_read_again_and_a_datagram_holds_no_more_than_it_may(rows: list[Observation], way: int) -> None:
+def test_observations_survive_encoding_and_a_datagram_keeps_to_its_size(rows: list[Observation], way: int) -> None:
     data = encode(rows, NOW)
     assert len(data) <= wire.MAX_DATAGRAM_BYTES and wire.is_evidence(data)
     read = decode(data, NOW + way, LIMITERS)
@@ -34,7 +34,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_any_bytes_are_decoded_or_refused(data: bytes) -> None:
     try:
         read = decode(data, NOW, LIMITERS)
     except EvidenceMessageError:
@@ -60,18 +60,18 @@
         good()[:-3] + b"\x09" + good()[-2:],
     ],
 )
-def test_what_is_wrong_is_refused_whole(wrong: bytes) -> None:
+def test_a_datagram_that_is_wrong_in_one_place_is_refused_entirely(wrong: bytes) -> None:
     with pytest.raises(EvidenceMessageError):
         decode(wrong, NOW, LIMITERS)
 
 
 @pytest.mark.parametrize("late", [3_000.0, 86_400_000.0, -3_000.0])
-def test_old_news_and_that_of_a_wrong_clock_is_refused(late: float) -> None:
+def test_old_datagrams_and_those_of_a_wrong_clock_are_refused(late: float) -> None:
     with pytest.raises(EvidenceMessageError, match="ms ago"):
         decode(good(), NOW + late, LIMITERS)
 
 
-def test_a_version_that_knows_no_gossip_takes_it_for_nothing_of_its_own() -> None:
+def test_evidence_datagrams_and_quota_messages_are_not_taken_for_one_another() -> None:
     assert peer_messages.decode(good()) is None
     for number in range(1000):  # nor is any message of quotas taken for gossip
         query = peer_messages.QuotaQuery(random.Random(number).getrandbits(32), 1, 8.0, 20.0, number)
--- a/tests/gossip/test_evidence.py
+++ b/tests/gossip/test_health_evidence.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderlock.gossip.evidence_messages import MAX_ROWS, Observation, ObservationKind
+from elderlock.gossip.evidence_messages import Observation, ObservationKind
 from elderlock.gossip.health_evidence import (
     DISTRUST_MIN_SERVERS,
     EJECTION_WEIGHT,
@@ -15,7 +15,6 @@
     MAX_SERVERS,
     HealthEvidence,
 )
-from elderlock.gossip.rumours import BURST_DATAGRAMS, EXTRA_TRANSMISSIONS, MAX_RUMOURS, SEND_FRACTION, RumourQueue
 
 NOW, READY, HERE, THERE = 100_000.0, 40, 0, 1
 
@@ -53,7 +52,7 @@
     ),
     st.randoms(use_true_random=False),
 )
-def test_order_and_repetition_do_not_matter(observations: list[Observation], rng: random.Random) -> None:
+def test_state_does_not_depend_on_order_or_repetition(observations: list[Observation], rng: random.Random) -> None:
     again = observations * 2
     rng.shuffle(again)
     one, other = taken(*observations), taken(*again)
@@ -67,12 +66,12 @@
     ]
 
 
-def test_one_limiter_never_weighs_more_than_one_failure_however_often_it_says_so() -> None:
+def test_one_limiter_weighs_one_failure_at_most() -> None:
     evidence = taken(*(failed(1, 5, NOW - 150.0 * step) for step in range(25)))
     assert evidence.failure_weight(1, READY, NOW) == 1.0 < EJECTION_WEIGHT
 
 
-def test_three_limiters_that_saw_it_fail_are_enough_and_an_answer_since_undoes_them() -> None:
+def test_failures_at_three_limiters_eject_and_a_later_answer_undoes_them() -> None:
     evidence = taken(failed(1, 5, NOW - 900.0), failed(1, 6, NOW - 700.0), failed(1, 7, NOW - 500.0))
     assert evidence.failure_weight(1, READY, NOW) == EJECTION_WEIGHT
     evidence.record(good(1, 8, NOW - 300.0), NOW)
@@ -80,7 +79,7 @@
     assert evidence.failure_weight(1, READY, NOW + FRESH_MS) == 0.0
 
 
-def test_a_path_from_one_zone_alone_says_less_and_an_answer_there_nothing_of_here() -> None:
+def test_failures_from_another_zone_weigh_half_and_an_answer_there_undoes_none_here() -> None:
     elsewhere = [failed(1, origin, NOW - 500.0, THERE) for origin in (5, 6, 7)]
     evidence = taken(*elsewhere)
     assert 0.0 < evidence.failure_weight(1, READY, NOW) < EJECTION_WEIGHT
@@ -92,7 +91,7 @@
 
 
 @pytest.mark.parametrize("liars", [1, 13])
-def test_whoever_calls_many_servers_bad_weighs_nothing(liars: int) -> None:
+def test_a_limiter_that_reports_failures_of_many_servers_weighs_nothing(liars: int) -> None:
     evidence = taken(*(failed(server, 100 + liar) for liar in range(liars) for server in range(READY)))
     assert [evidence.failure_weight(server, READY, NOW) for server in range(READY)] == [0.0] * READY
     few = DISTRUST_MIN_SERVERS
@@ -100,7 +99,7 @@
     assert [evidence.failure_weight(server, READY, NOW) for server in range(few)] == [EJECTION_WEIGHT] * few
 
 
-def test_a_limiter_that_most_servers_fail_doubts_itself() -> None:
+def test_a_limiter_that_most_servers_fail_distrusts_itself() -> None:
     evidence = HealthEvidence(3, HERE)
     for server in range(6):
         evidence.record_own_attempt(server, NOW)
@@ -126,7 +125,7 @@
     assert len(evidence) == 0 and not evidence._accused and not evidence._own_attempts
 
 
-def test_operators_are_shown_what_was_heard_of_last_and_who_is_not_believed() -> None:
+def test_operators_see_the_latest_servers_and_the_distrusted_origins() -> None:
     evidence = taken(*(failed(server, 7) for server in range(READY // 2)), failed(1, 2), good(0, 3))
     assert evidence.latest_servers(3) == [0, 1, READY // 2 - 1]
     assert evidence.distrusted_origins(READY, NOW) == [7] and evidence.distrusted_origins(READY, NOW + FRESH_MS) == []
@@ -137,63 +136,17 @@
     ]
 
 
-def test_what_is_old_or_ahead_of_our_clock_is_no_news() -> None:
+def test_observations_that_are_old_or_ahead_of_the_clock_are_not_recorded() -> None:
     evidence = HealthEvidence(0, HERE)
     assert not evidence.record(failed(1, 5, NOW - FRESH_MS), NOW)
     assert not evidence.record(failed(1, 5, NOW + 5_000.0), NOW)
     assert evidence.record(failed(1, 5), NOW) and not evidence.record(failed(1, 5, NOW + 20.0), NOW)
 
 
-def test_a_process_that_started_anew_under_its_id_has_no_record() -> None:
+def test_a_restarted_server_has_no_record() -> None:
     evidence = taken(failed(1, 5), failed(1, 6), failed(1, 7))
     evidence.forget(1)
     assert evidence.failure_weight(1, READY, NOW) == 0.0
 
 
 # What is told
-
-
-@pytest.mark.parametrize("limiters", [2, 30, 500])
-def test_datagrams_stay_within_their_part_of_the_intake_under_a_flood_of_news(limiters: int) -> None:
-    intake = 100.0
-    rumours = RumourQueue(0, limiters, intake, random.Random(1), NOW)
-    sent, seconds = 0, 20
-    for step in range(100 * seconds):
-        now = NOW + 10.0 * step
-        for server in range(20):
-            rumours.add(Observation(1000 * step + server, 5, HERE, ObservationKind.FAILED, now))
-        for datagram in rumours.due_datagrams(now, FRESH_MS):
-            sent += 1
-            assert datagram.peer_index != 0 and 0 < len(datagram.observations) <= MAX_ROWS
-        assert len(rumours) <= MAX_RUMOURS
-    assert sent <= BURST_DATAGRAMS + SEND_FRACTION * intake * seconds
-
-
-def test_a_rumour_is_told_a_bounded_number_of_times_to_different_limiters_and_dies() -> None:
-    rumours = RumourQueue(0, 64, 100.0, random.Random(2), NOW)
-    rumours.add(failed(1, 0))
-    told: list[int] = []
-    for step in range(2000):
-        told += [datagram.peer_index for datagram in rumours.due_datagrams(NOW + step, FRESH_MS)]
-    assert len(told) == len(set(told)) == 3 + EXTRA_TRANSMISSIONS and len(rumours) == 0
-
-
-@pytest.mark.parametrize("limiters", [2, 3, 8, 9])
-def test_in_a_small_group_whoever_saw_it_tells_each_of_the_others(limiters: int) -> None:
-    """By the logarithm of so few, one that hears of it from nobody would be left over now and then."""
-    rumours = RumourQueue(0, limiters, 1000.0, random.Random(4), NOW)
-    rumours.add(failed(1, 0))
-    told = [each.peer_index for n in range(40) for each in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
-    assert sorted(told) == list(range(1, limiters))
-
-
-def test_news_come_before_what_was_told_already_and_what_is_stale_is_not_told() -> None:
-    rumours = RumourQueue(0, 64, 100.0, random.Random(3), NOW)
-    for server in range(MAX_ROWS):
-        rumours.add(failed(server, 0))
-    while rumours.due_datagrams(NOW, FRESH_MS):
-        pass  # its burst is spent
-    rumours.add(failed(999, 0, NOW + 300.0))
-    rows = rumours.due_datagrams(NOW + 300.0, FRESH_MS)[0].observations
-    assert rows[0].server_key == 999
-    assert rumours.due_datagrams(NOW + 2 * FRESH_MS, FRESH_MS) == [] and len(rumours) == 0
--- a/tests/gossip/test_seen.py
+++ b/tests/gossip/test_shared_status.py
@@ -73,7 +73,7 @@
     return process.returncode or 0, json.loads(out) if "--json" in words and out else out.decode(), err.decode()
 
 
-def test_operators_see_who_leaves_a_server_out_and_by_whose_failures() -> None:
+def test_operators_see_which_limiters_eject_a_server_and_by_whose_failures() -> None:
     async def test() -> None:
         async with ground_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
@@ -111,7 +111,7 @@
     run(test(), within=120.0)
 
 
-def test_where_nobody_shares_it_says_so_and_explains_all_the_same() -> None:
+def test_without_sharing_the_status_says_so_and_servers_are_still_explained() -> None:
     boxes = [box("s-0"), box("s-1", left_out="drained by an", drained_by="an", generation=7)]
     drained = Record("box", "s-1", True, 7, "o", "an", 1000.0, "fan is loud")
     status = [
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("trouble", TROUBLES.values(), ids=TROUBLES)
-def test_a_server_that_falls_silent_is_left_out_and_used_again_whatever_limiters_hear(trouble: list[Fault]) -> None:
+def test_a_silent_server_is_ejected_and_reinstated_under_each_link_fault(trouble: list[Fault]) -> None:
     """Some leave it out, no other server is ever held against by shared evidence, all use it again once it answers, and
     no rule is broken on the way."""
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_sharing_processes.py
@@ -39,7 +39,7 @@
             assert await fleet.clients[number].answer() == b"value"  # what was broken off went on to another server
 
 
-def test_what_some_processes_saw_of_a_server_keeps_the_others_off_it(tmp_path: Path) -> None:
+def test_failures_at_some_processes_eject_the_server_at_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet(tmp_path, "evidence = true")
         await fleet.open()
@@ -59,7 +59,7 @@
     run(test(), within=90.0)
 
 
-def test_it_is_off_unless_the_operators_say_so_and_refused_where_limiters_may_not_talk(tmp_path: Path) -> None:
+def test_sharing_is_off_by_default_and_refused_without_datagrams_between_limiters(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet(tmp_path, "evidence = false")
         await fleet.open()
@@ -103,9 +103,7 @@
 
 
 @pytest.mark.parametrize("evidence", ["false", "true"])
-def test_of_three_processes_the_one_that_is_asked_gets_the_others_parts_of_a_ceiling(
-    evidence: str, tmp_path: Path
-) -> None:
+def test_of_three_processes_the_busy_one_is_given_the_others_parts_of_a_ceiling(evidence: str, tmp_path: Path) -> None:
     """Asked without a pause till it has sent on far more than its even part can have filled meanwhile; all the while no more
     than the whole ceiling allows."""
 
@@ -134,7 +132,7 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x5e", b"\x5e\x01" + bytes(300), b"\x5e\x09" + bytes(13), b"\x5e\x01" + bytes(13)]
 )
-def test_noise_in_the_place_of_evidence_changes_nothing(data: bytes) -> None:
+def test_random_bytes_in_an_evidence_datagram_change_nothing(data: bytes) -> None:
     """From a peer's own address: a stranger's datagrams are not taken at all."""
     settings = read_settings({**facts(peers=True), "peers-total": PROCESSES})
     limiter = EvidenceLimiter(settings, 1, 0.0)
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted_quotas.py
@@ -71,7 +71,7 @@
     return keepers
 
 
-def rush(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
+def send_many(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
     sent = []
     for _ in range(count):
         name = gate.ask(customer="busy", plan=plan, spread=3)
@@ -82,17 +82,17 @@
     return sent
 
 
-def test_a_limiter_alone_takes_what_the_store_holds_and_no_more() -> None:
+def test_a_limiter_with_all_requests_serves_the_entire_quota_and_no_more() -> None:
     """Of three limiters the other two ask nothing: the even split would give a third."""
     gate = counting()
     begun = gate.now
-    sent = rush(gate, 1200)
+    sent = send_many(gate, 1200)
     held = 20.0 + 10.0 * (gate.now - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
     assert book(gate).book.mode is CounterMode.SHARED
 
 
-def test_far_from_the_quota_no_call_is_made_and_nothing_waits() -> None:
+def test_low_use_makes_no_call_and_waits_for_nothing() -> None:
     gate = counting()
     before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
@@ -100,9 +100,9 @@
     assert [call for call in gate.calls if not call.counter_name.startswith("sentinel")] == before
 
 
-def test_without_an_answer_the_even_part_decides_in_time() -> None:
+def test_without_answers_the_even_part_decides_in_time() -> None:
     gate = counting()
-    rush(gate, 40)
+    send_many(gate, 40)
     gate.there = False
     waited = []
     for _ in range(200):
@@ -114,16 +114,16 @@
         gate.run(gate.now + 50.0)
     assert max(waited) <= 2 * CounterTerms().answer_timeout_ms + 55.0
     assert book(gate).book.mode is not CounterMode.SHARED
-    sent = len(rush(gate, 400, 25.0))
+    sent = len(send_many(gate, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
     gate.there = True
     gate.run(gate.now + 2_000.0)
     assert book(gate).book.mode is CounterMode.SHARED
 
 
-def test_what_the_others_have_used_is_seen_in_the_total() -> None:
+def test_use_by_other_limiters_is_read_from_the_total() -> None:
     gate = counting()
-    rush(gate, 60)
+    send_many(gate, 60)
     name = max(
         (call for call in gate.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
     ).counter_name
@@ -133,7 +133,7 @@
     held = (
         CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
     )  # drawn before, or not to be told yet
-    assert len(rush(gate, 100)) <= held
+    assert len(send_many(gate, 100)) <= held
     refused = gate.ask(customer="busy", spread=3)
     gate.run(gate.now + 120.0)
     assert gate.finals[refused] == ["Reject"]
@@ -166,7 +166,7 @@
     return excess.worst_units
 
 
-def test_a_ceiling_is_drawn_too_and_does_not_bind_a_customer_of_whom_all_comes_here() -> None:
+def test_a_counted_ceiling_does_not_bind_below_its_rate_at_one_limiter() -> None:
     """Split evenly, it let in 4 a second where the quota alone let in 10."""
     gate = counting()
     gate.run(gate.now + 5_000.0)
@@ -176,7 +176,7 @@
     assert worst_over(taken) <= 2.4
 
 
-def test_a_ceiling_holds_through_silence_and_a_return_that_is_empty() -> None:
+def test_a_counted_ceiling_holds_through_silence_and_an_empty_return() -> None:
     gate = counting()
     gate.run(gate.now + 3_000.0)
     taken = ceiled(gate, 400, 10.0)
@@ -192,7 +192,7 @@
     assert len(taken) > 60 and book(gate).book.mode is CounterMode.SHARED
 
 
-def test_where_work_beyond_the_quota_earns_the_ceiling_stays_split_evenly() -> None:
+def test_a_ceiling_stays_split_evenly_where_requests_over_quota_earn() -> None:
     gate = counting()
     plan = replace(settings().plans[1], over_quota_value=1.0)
     account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now, 4000.0)
@@ -203,7 +203,7 @@
     assert not is_ceiling_counted(account)
 
 
-def test_every_request_has_one_final_answer_through_the_counters_coming_and_going() -> None:
+def test_every_request_has_one_final_answer_while_the_counter_comes_and_goes() -> None:
     gate = counting()
     names = []
     for turn in range(600):
@@ -229,7 +229,7 @@
         ("calls = 5.0", "unknown field `calls`"),
     ],
 )
-def test_a_wrong_quota_part_ends_the_start_with_one_line(text: str, message: str, tmp_path: Path) -> None:
+def test_bad_quota_options_end_the_start_with_one_line(text: str, message: str, tmp_path: Path) -> None:
     async def test() -> None:
         program = Program(tmp_path)
         program.operators.write_text(f"[quota]\n{text}\n")
@@ -241,7 +241,7 @@
     run(test())
 
 
-def test_the_example_part_can_be_read(tmp_path: Path) -> None:
+def test_the_example_quota_options_can_be_read(tmp_path: Path) -> None:
     path = Path(__file__).parent.parent.parent / "deploy" / "operators.example.toml"
     begin = path.read_text().index("# [quota]")
     lines = [line.removeprefix("# ") for line in path.read_text()[begin:].split("\n\n")[0].splitlines()]
@@ -253,7 +253,7 @@
         replace_calls.terms(3)
 
 
-def test_the_program_counts_and_goes_on_when_the_counter_is_silent(tmp_path: Path) -> None:
+def test_the_program_uses_the_counter_and_goes_on_when_it_is_silent(tmp_path: Path) -> None:
     async def test() -> None:
         counter, server = Counter(), await Server().start()
         await counter.open()
--- a/tests/quota/test_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -20,17 +20,17 @@
 from elderlock.quota.options import QuotaOptions
 from elderlock.standins.counters import Group
 
-HARD = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
-SOFT = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
+CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
+QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
 TERMS = CounterTerms()
 BUSY = (12.0, 9.0, 15.0)  # asked a second at each: nearly three times the ceiling
 
 
-def group(store: SharedBucket = HARD, seed: int = 1, rates: tuple[float, ...] = BUSY, **more: object) -> Group:
+def group(store: SharedBucket = CEILING, seed: int = 1, rates: tuple[float, ...] = BUSY, **more: object) -> Group:
     return Group(store, TERMS, seed, rates, **more)  # type: ignore[arg-type]
 
 
-def held(played: Group) -> Group:
+def within_bound(played: Group) -> Group:
     bound = stated_error_units(played.store, TERMS, played.known_failures())
     assert played.excess.worst_units <= bound, (played.excess.worst_units, bound)
     return played
@@ -41,7 +41,7 @@
     return sum(played.granted.values()) / (played.store.rate_per_s * lasts / 1000.0)
 
 
-def test_the_bucket_itself_is_what_histories_are_held_against() -> None:
+def test_the_excess_meter_measures_units_above_the_bucket() -> None:
     excess = ExcessMeter(SharedBucket(rate_per_s=10.0, burst_units=5.0, limiter_count=1))
     for n in range(5):
         excess.record(1.0, float(n))
@@ -52,15 +52,15 @@
     assert excess.level_units == 1.0 and excess.worst_units == pytest.approx(1.95)
 
 
-@pytest.mark.parametrize("store", [HARD, SOFT])
-def test_with_the_counter_answering_the_store_is_used_and_not_passed(store: SharedBucket) -> None:
-    played = held(group(store).play(60_000.0))  # through two changes of window
+@pytest.mark.parametrize("store", [CEILING, QUOTA])
+def test_with_the_counter_answering_the_bucket_is_used_up_and_not_exceeded(store: SharedBucket) -> None:
+    played = within_bound(group(store).play(60_000.0))  # through two changes of window
     assert 0.85 < used_share(played, 60_000.0) < 1.1
     assert played.slowest <= 2.0 * TERMS.answer_timeout_ms + 5.0
 
 
-def test_a_calm_account_costs_no_calls_and_a_busy_one_less_than_one_a_request() -> None:
-    calm = group(SOFT, rates=(0.2, 0.2, 0.2)).play(30_000.0)
+def test_low_use_costs_few_calls_and_a_large_bucket_less_than_one_a_request() -> None:
+    calm = group(QUOTA, rates=(0.2, 0.2, 0.2)).play(30_000.0)
     assert sum(calm.granted.values()) == sum(calm.asked.values()) > 10
     calls = sum(book.calls_made for book in calm.books) - 3 * 30_000.0 / TERMS.heartbeat_ms
     assert calls < sum(calm.asked.values()) * 1.5
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("empty", [False, True])
 @pytest.mark.parametrize("times", [1, 2])
-def test_silence_of_fifteen_seconds_and_return_with_counts_or_empty(empty: bool, times: int) -> None:
+def test_the_bound_holds_through_silences_and_returns_with_counts_or_empty(empty: bool, times: int) -> None:
     played = group(seed=2).play(7_000.0)
     for _ in range(times):
         played.set_down(True)
@@ -83,20 +83,20 @@
         played.set_down(False)
         played.play(4_000.0)
         assert all(book.mode is CounterMode.SHARED for book in played.books)
-    held(played)
+    within_bound(played)
     assert used_share(played, 7_000.0 + 19_000.0 * times) > 0.6
 
 
-def test_a_return_with_no_connection_broken_is_found_out_by_the_heartbeat() -> None:
+def test_a_loss_of_counts_without_a_broken_connection_is_found_by_the_heartbeat() -> None:
     played = group(seed=3).play(9_000.0)
     played.lose(told=False)
     before = [book.health.generation for book in played.books]
     played.play(TERMS.heartbeat_ms * TERMS.sentinel_count * 2.0)
     assert all(book.health.generation > was for book, was in zip(played.books, before, strict=True))
-    held(played.play(10_000.0))
+    within_bound(played.play(10_000.0))
 
 
-def test_a_loss_is_told_once_though_every_sentinel_shows_it() -> None:
+def test_a_loss_of_counts_is_one_generation_although_every_sentinel_shows_it() -> None:
     """Told four times, a hard store would be taken as used four times over."""
     played = group(seed=3).play(9_000.0)
     before = [book.health.generation for book in played.books]
@@ -106,37 +106,39 @@
 
 
 @pytest.mark.parametrize(("rate", "burst", "asks"), [(7.0, 12.0, 1.0), (3.7, 14.0, 0.7), (1.2, 6.0, 0.2)])
-def test_what_was_raised_in_vain_keeps_nobody_out(rate: float, burst: float, asks: float) -> None:
+def test_a_surplus_is_returned_soon_enough_that_few_requests_are_rejected(
+    rate: float, burst: float, asks: float
+) -> None:
     """Held back till the next use, it left others an empty store: a fifth of what had room was refused."""
     played = group(SharedBucket(rate, burst, 3), rates=(asks, asks, asks)).play(60_000.0)
     assert sum(played.granted.values()) >= 0.985 * sum(played.asked.values())
 
 
-def test_a_swap_for_a_fresh_one_while_calls_are_out() -> None:
+def test_the_bound_holds_through_a_swap_for_an_empty_counter_with_calls_under_way() -> None:
     played = group(seed=4).play(8_003.0)
     played.lose(told=True)
-    held(played.play(12_000.0))
+    within_bound(played.play(12_000.0))
 
 
-def test_a_restored_old_snapshot() -> None:
+def test_the_bound_holds_through_a_restored_old_snapshot() -> None:
     played = group(seed=5).play(5_000.0)
     kept = played.snapshot()
     played.play(9_000.0)
     played.restore(kept)
-    held(played.play(10_000.0))
+    within_bound(played.play(10_000.0))
 
 
-def test_a_floor_cut_off_with_its_traffic_and_the_busiest_accounts_move_there() -> None:
+def test_the_bound_holds_with_a_zone_cut_off_and_the_busiest_customers_moving_there() -> None:
     played = group(seed=6).play(6_000.0)
     played.cut([2])
     played.rates = [2.0, 2.0, 40.0]
     played.play(12_000.0)
     assert played.books[2].mode is not CounterMode.SHARED and played.books[0].mode is CounterMode.SHARED
     played.heal()
-    held(played.play(10_000.0))
+    within_bound(played.play(10_000.0))
 
 
-def test_a_cut_that_heals_one_way_first() -> None:
+def test_the_bound_holds_through_a_cut_that_heals_one_way_first() -> None:
     """Calls arrive and answers do not: what they added is counted, and granted to nobody."""
     played = group(seed=7).play(6_000.0)
     played.cut([1])
@@ -146,34 +148,34 @@
     played.play(5_000.0)
     played.lines[1].silent = False
     played.heal()
-    held(played.play(8_000.0))
+    within_bound(played.play(8_000.0))
 
 
-def test_a_limiter_killed_with_what_it_held_and_back_under_its_name() -> None:
+def test_the_bound_holds_through_restarts_of_a_limiter_that_held_leases() -> None:
     played = group(seed=8).play(6_000.0)
     for _ in range(5):
         played.restart(0)
         played.play(3_000.0)
-    held(played)
+    within_bound(played)
     assert used_share(played, 21_000.0) > 0.6  # nobody's units are missing for long
 
 
-def test_clocks_that_lie_apart_by_what_is_stated() -> None:
+def test_the_bound_holds_with_clocks_apart_by_the_stated_skew() -> None:
     terms = CounterTerms(clock_skew_ms=200.0)
-    played = Group(HARD, terms, 9, BUSY, skews=(0.0, 100.0, -100.0)).play(60_000.0)
-    assert played.excess.worst_units <= stated_error_units(HARD, terms, FailureHistory())
+    played = Group(CEILING, terms, 9, BUSY, skews=(0.0, 100.0, -100.0)).play(60_000.0)
+    assert played.excess.worst_units <= stated_error_units(CEILING, terms, FailureHistory())
 
 
-def test_lost_answers_and_a_slow_way() -> None:
+def test_the_bound_holds_with_lost_answers_on_a_slow_link() -> None:
     played = group(seed=10, delay=(1.0, 40.0))
     for line in played.lines:
         line.loss = 0.1
     played.play(30_000.0)
     played.cut_ms += 3 * 30_000.0  # each may be off at any time
-    held(played)
+    within_bound(played)
 
 
-def test_a_counter_that_is_busy_is_let_recover() -> None:
+def test_limiters_let_a_busy_counter_recover() -> None:
     store = SharedBucket(rate_per_s=200.0, burst_units=200.0, limiter_count=8)
     played = Group(store, CounterTerms(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
     played.accounts = tuple(f"a{n}" for n in range(40))
@@ -183,14 +185,14 @@
     assert played.served_calls - served > 700 and played.busy - busy < 0.5 * (played.served_calls - served)
 
 
-def test_a_hundred_thousand_accounts_in_a_minute_are_forgotten_again() -> None:
-    played = group(SOFT, rates=(0.0, 0.0, 0.0))
+def test_ledgers_of_many_resting_customers_are_forgotten() -> None:
+    played = group(QUOTA, rates=(0.0, 0.0, 0.0))
     book, rng = played.books[0], random.Random(1)
     played.play(1_000.0)
     now = played.now
     for n in range(10_000):
         now += 0.6
-        assert book.admit(f"r{n}", f"c{n}", SOFT, 1.0, now)
+        assert book.admit(f"r{n}", f"c{n}", QUOTA, 1.0, now)
         if n % 50 == 0:
             book.expire(now)
             for call in book.due_calls(now):
@@ -208,7 +210,7 @@
     """Each three share a customer, as sets do; their sentinels alone, each half second, would take four calls of five."""
     terms = QuotaOptions(calls_per_s=5.0).terms(999)
     assert terms.heartbeat_ms == 4_995.0
-    played = Group(HARD, terms, 13, [0.3] * 999, per_s=2500.0, parts=2)
+    played = Group(CEILING, terms, 13, [0.3] * 999, per_s=2500.0, parts=2)
     played.sets, played.accounts = 3, ("many", "of them")
     played.play(4_000.0)
     assert sum(book.mode is CounterMode.SHARED for book in played.books) > 0.9 * 999
@@ -218,8 +220,8 @@
     assert granted > 0.7 * asked
 
 
-@pytest.mark.parametrize("store", [HARD, SOFT])
-def test_a_counter_that_is_busy_for_seconds_is_as_good_as_off(store: SharedBucket) -> None:
+@pytest.mark.parametrize("store", [CEILING, QUOTA])
+def test_a_counter_that_is_busy_for_seconds_counts_as_unreachable(store: SharedBucket) -> None:
     played = group(store, seed=19).play(6_000.0)
     played.refusing = True
     before = sum(played.granted.values())
@@ -228,11 +230,11 @@
     assert sum(played.granted.values()) - before > 0.6 * store.refill_units(5_000.0)
     played.refusing = False
     played.returns += 1
-    held(played.play(5_000.0))
+    within_bound(played.play(5_000.0))
 
 
-@pytest.mark.parametrize("store", [HARD, SOFT])
-def test_a_total_higher_than_all_can_have_added_is_someone_elses(store: SharedBucket) -> None:
+@pytest.mark.parametrize("store", [CEILING, QUOTA])
+def test_a_total_above_what_all_can_have_added_is_abandoned(store: SharedBucket) -> None:
     """Believed, it would keep the customer out for the rest of the window."""
     played = group(store, seed=20).play(8_000.0)
     for part in played.parts:
@@ -243,16 +245,16 @@
     before = sum(played.granted.values())
     played.play(8_000.0)
     assert sum(played.granted.values()) - before > 0.6 * store.refill_units(8_000.0)
-    held(played)
-    held(played.play(20_000.0))  # and the next window begins as if it had not been
+    within_bound(played)
+    within_bound(played.play(20_000.0))  # and the next window begins as if it had not been
 
 
-def test_names_that_collide_share_one_store_and_pass_neither() -> None:
+def test_customers_whose_names_collide_share_one_bucket() -> None:
     """Two customers, each as busy, whose keys are alike: on the safe side, they share."""
-    held(group(seed=14, rates=tuple(2.0 * rate for rate in BUSY)).play(10_000.0))
+    within_bound(group(seed=14, rates=tuple(2.0 * rate for rate in BUSY)).play(10_000.0))
 
 
-def test_an_answer_that_shows_a_loss_once_the_counter_is_off_does_not_bring_it_back() -> None:
+def test_an_answer_that_shows_a_loss_does_not_bring_back_an_unreachable_counter() -> None:
     """Units would be drawn before a sentinel was asked."""
     book = group(rates=(0.0, 0.0, 0.0)).play(1_000.0).books[0]
     health, now = book.health, 10_001_000.0
@@ -267,18 +269,21 @@
     assert book.mode.value == "shared" and health.generation == generation + 1
 
 
-def test_two_counters_that_both_answer_cost_one_store_more_and_no_more() -> None:
+def test_two_counters_that_both_answer_cost_one_bucket_more_at_most() -> None:
     """One limiter was turned to a second counter, the others stay: each side holds to a whole store."""
-    sides = [Group(HARD, TERMS, 15, (12.0, 9.0, 0.0)).play(9_000.0), Group(HARD, TERMS, 16, (15.0,)).play(9_000.0)]
+    sides = [
+        Group(CEILING, TERMS, 15, (12.0, 9.0, 0.0)).play(9_000.0),
+        Group(CEILING, TERMS, 16, (15.0,)).play(9_000.0),
+    ]
     for side in sides:
-        assert side.excess.worst_units <= stated_error_units(HARD, TERMS, FailureHistory())
+        assert side.excess.worst_units <= stated_error_units(CEILING, TERMS, FailureHistory())
     total = sum(sum(side.granted.values()) for side in sides)
     assert total <= 2 * (
-        HARD.burst_units + HARD.refill_units(9_000.0) + stated_error_units(HARD, TERMS, FailureHistory())
+        CEILING.burst_units + CEILING.refill_units(9_000.0) + stated_error_units(CEILING, TERMS, FailureHistory())
     )
 
 
-def test_a_name_that_the_counter_forgot_too_soon_is_told_as_a_loss() -> None:
+def test_a_name_that_the_counter_forgot_too_soon_counts_as_a_loss() -> None:
     played = group(seed=17).play(6_000.0)
     before = sum(book.health.generation for book in played.books)
     for part in played.parts:
@@ -286,7 +291,7 @@
     played.unseen_losses = 1
     played.play(3_000.0)
     assert sum(book.health.generation for book in played.books) > before
-    held(played.play(5_000.0))
+    within_bound(played.play(5_000.0))
 
 
 @pytest.mark.parametrize("limiters", [50])
@@ -299,31 +304,31 @@
     played.play(3_000.0)
     played.heal()
     played.lose()
-    held(played.play(4_000.0))
+    within_bound(played.play(4_000.0))
 
 
-def test_a_plan_change_while_a_lease_is_out() -> None:
+def test_the_bound_holds_through_a_plan_change_with_leases_held() -> None:
     played = group(seed=12).play(4_000.0)
     played.store = SharedBucket(rate_per_s=5.0, burst_units=8.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
     played.excess = ExcessMeter(played.store)
-    held(played.play(20_000.0))
+    within_bound(played.play(20_000.0))
 
 
-def test_the_formulas_grow_with_what_they_name() -> None:
-    more = SharedBucket(HARD.rate_per_s * 2, HARD.burst_units, HARD.limiter_count, True, HARD.slack_units)
-    assert shared_error_units(more, TERMS) > shared_error_units(HARD, TERMS) > 0
-    assert cut_off_error_units(HARD, 3000.0) == pytest.approx(13.0)
-    assert unseen_loss_error_units(HARD, TERMS) > HARD.burst_units
-    assert stated_error_units(SOFT, TERMS) > SOFT.burst_units > stated_error_units(HARD, TERMS)
+def test_error_formulas_grow_with_their_inputs() -> None:
+    more = SharedBucket(CEILING.rate_per_s * 2, CEILING.burst_units, CEILING.limiter_count, True, CEILING.slack_units)
+    assert shared_error_units(more, TERMS) > shared_error_units(CEILING, TERMS) > 0
+    assert cut_off_error_units(CEILING, 3000.0) == pytest.approx(13.0)
+    assert unseen_loss_error_units(CEILING, TERMS) > CEILING.burst_units
+    assert stated_error_units(QUOTA, TERMS) > QUOTA.burst_units > stated_error_units(CEILING, TERMS)
 
 
-def test_settings_that_make_the_bound_larger_than_the_slack_are_warned_of() -> None:
-    found = slack_warnings("enterprise", HARD, TERMS)
+def test_a_stated_error_above_the_slack_is_warned_of() -> None:
+    found = slack_warnings("enterprise", CEILING, TERMS)
     assert [text.partition(":")[0] for text in found] == ["plan enterprise"] * len(found)
     assert any("cut off for 30 s" in text for text in found)
     safe = SharedBucket(rate_per_s=1.0, burst_units=10.0, limiter_count=3, is_hard_ceiling=True, slack_units=4.0)
     assert (
-        slack_warnings("calm", safe, CounterTerms(max_cut_off_ms=2_000.0)) == [] == slack_warnings("soft", SOFT, TERMS)
+        slack_warnings("calm", safe, CounterTerms(max_cut_off_ms=2_000.0)) == [] == slack_warnings("soft", QUOTA, TERMS)
     )
 
 
@@ -331,7 +336,7 @@
     "wrong",
     [{"answer_timeout_ms": 0.0}, {"name_lifetime_ms": 30_000.0}, {"max_calls_per_s": 0.0}, {"clock_skew_ms": -1.0}],
 )
-def test_terms_that_cannot_hold_are_refused(wrong: dict[str, float]) -> None:
+def test_contradictory_terms_are_refused(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError):
         CounterTerms(**wrong)  # type: ignore[arg-type]
 
@@ -344,7 +349,7 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.integers(0, 999), st.lists(Step, max_size=12), st.sampled_from([HARD, SOFT]))
+@given(st.integers(0, 999), st.lists(Step, max_size=12), st.sampled_from([CEILING, QUOTA]))
 def test_any_overlap_of_failures_stays_within_the_bound(
     seed: int, steps: list[tuple[str, int, float]], store: SharedBucket
 ) -> None:
@@ -375,4 +380,4 @@
                 played.restore(kept)
         played.play(wait)
     played.heal()
-    held(played)
+    within_bound(played)
--- a/tests/quota/test_redis.py
+++ b/tests/quota/test_redis_client.py
@@ -59,7 +59,7 @@
     assert slot_of(b"foo{}{bar}") == slot_of(b"foo{}{bar}") != slot_of(b"bar")
 
 
-def test_one_step_adds_sets_a_life_and_returns_the_total() -> None:
+def test_one_call_adds_sets_a_lifetime_and_returns_the_total() -> None:
     async def test() -> None:
         server, b = await alone()
         assert [await b.total("a:1", 2.5), await b.total("a:1", -0.5), await b.total("b:1", 1.0)] == [2.5, 2.0, 1.0]
@@ -74,7 +74,7 @@
     run(test())
 
 
-def test_a_server_started_anew_is_noticed_and_nothing_is_added_twice() -> None:
+def test_a_restarted_server_is_noticed_and_nothing_is_added_twice() -> None:
     async def test() -> None:
         server, b = await alone()
         assert await b.total("a") == 1.0
@@ -87,7 +87,7 @@
     run(test())
 
 
-def test_loading_is_busy_and_silence_is_told_once() -> None:
+def test_loading_counts_as_busy_and_a_silent_call_fails_once() -> None:
     async def test() -> None:
         server, b = await alone()
         await b.total("a")
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.RESET, Fault.EMPTY])
-def test_a_break_before_the_answer_may_have_added_and_is_not_sent_again(fault: Fault) -> None:
+def test_a_call_whose_connection_breaks_may_have_added_and_is_not_retried(fault: Fault) -> None:
     async def test() -> None:
         server, b = await alone()
         await b.total("a")
@@ -126,7 +126,7 @@
     run(test())
 
 
-def test_a_cluster_is_asked_by_slot_and_its_redirects_are_followed() -> None:
+def test_cluster_calls_go_by_slot_and_follow_redirects() -> None:
     async def test() -> None:
         cluster = await RedisCluster(3).open()
         b = Bench(cluster.addresses[:1], True)
@@ -143,7 +143,7 @@
     run(test(), within=60.0)
 
 
-def test_a_failover_that_loses_the_last_writes_is_told_by_the_break() -> None:
+def test_a_failover_reports_a_lost_connection() -> None:
     async def test() -> None:
         cluster = await RedisCluster(2).open()
         b = Bench(cluster.addresses, True)
@@ -160,7 +160,7 @@
     run(test(), within=60.0)
 
 
-def test_another_address_is_turned_to() -> None:
+def test_the_client_follows_another_address() -> None:
     async def test() -> None:
         server, b = await alone()
         other = RedisServer()
--- a/tests/quota/test_tally.py
+++ b/tests/quota/test_tally_client.py
@@ -12,14 +12,14 @@
 from elderlock.standins.listener import Fault
 from elderlock.standins.waiting import run, until
 
-Told = tuple[str, float | tuple[bool, bool]]
+Outcome = tuple[str, float | tuple[bool, bool]]
 
 
 class Bench:
-    """A client, what it told of each call, and how often it said that the counter is off."""
+    """A client, the outcomes of each call, and how often it said that the counter is off."""
 
     def __init__(self) -> None:
-        self.counter, self.told, self.off = Counter(), dict[int, list[Told]](), 0
+        self.counter, self.outcomes, self.off = Counter(), dict[int, list[Outcome]](), 0
         self.token = 1_000_000
 
     async def __aenter__(self) -> "Bench":
@@ -29,8 +29,8 @@
             self.address(0),
             50.0,
             StoreEvents(
-                lambda token, total: self.told.setdefault(token, []).append(("total", total)),
-                lambda token, may, busy: self.told.setdefault(token, []).append(("none", (may, busy))),
+                lambda token, total: self.outcomes.setdefault(token, []).append(("total", total)),
+                lambda token, may, busy: self.outcomes.setdefault(token, []).append(("none", (may, busy))),
                 self._off,
             ),
         )
@@ -48,13 +48,13 @@
 
     async def opened(self) -> None:
         """Calls till one is answered."""
-        while not any(kind == "total" for kind, _ in self.told.get(self.token, [])):
+        while not any(kind == "total" for kind, _ in self.outcomes.get(self.token, [])):
             self.token += 1
             self.tally.send([CounterCall(self.token, "warm", 1.0, 60_000.0)])
             await asyncio.sleep(0.01)
-        await until(lambda: all(n in self.told for n in range(1_000_001, self.token + 1)))
+        await until(lambda: all(n in self.outcomes for n in range(1_000_001, self.token + 1)))
         self.token += 1
-        self.told[self.token] = []
+        self.outcomes[self.token] = []
 
     def send(self, *tokens: int) -> None:
         self.tally.send([CounterCall(token, f"n{token}", 2.5, 60_000.0) for token in tokens])
@@ -68,70 +68,70 @@
     run(work())
 
 
-def test_a_call_is_written_as_the_protocol_has_it() -> None:
+def test_a_call_is_encoded_as_a_resp2_array() -> None:
     assert (
         encode_call(CounterCall(1, "a:7", -2.5, 60_000.0))
         == b"*4\r\n$5\r\nTALLY\r\n$3\r\na:7\r\n$4\r\n-2.5\r\n$5\r\n60000\r\n"
     )
 
 
-def test_calls_go_one_behind_another_and_totals_come_back_in_order() -> None:
+def test_calls_are_pipelined_and_totals_come_back_in_order() -> None:
     async def test(b: Bench) -> None:
         b.send(1)
-        assert b.told[1] == [("none", (False, False))]  # no connection yet: it was not made
+        assert b.outcomes[1] == [("none", (False, False))]  # no connection yet: it was not made
         await b.opened()
         b.send(*range(10, 40))
-        await until(lambda: len(b.told.get(39, [])) == 1)
-        assert all(b.told[n] == [("total", 2.5)] for n in range(10, 40))
+        await until(lambda: len(b.outcomes.get(39, [])) == 1)
+        assert all(b.outcomes[n] == [("total", 2.5)] for n in range(10, 40))
         b.send(10)
-        await until(lambda: len(b.told[10]) == 2)
-        assert b.told[10][1] == ("total", 5.0) and b.counter.accepted == 1
+        await until(lambda: len(b.outcomes[10]) == 2)
+        assert b.outcomes[10][1] == ("total", 5.0) and b.counter.accepted == 1
 
     bench(test)
 
 
-def test_busy_is_not_added() -> None:
+def test_a_busy_reply_fails_the_call_as_not_added() -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         b.counter.busy = True
         b.send(1, 2)
-        await until(lambda: 2 in b.told)
-        assert b.told[1] == b.told[2] == [("none", (False, True))] and b.off == 0
+        await until(lambda: 2 in b.outcomes)
+        assert b.outcomes[1] == b.outcomes[2] == [("none", (False, True))] and b.off == 0
 
     bench(test)
 
 
 @pytest.mark.parametrize("spoil", [Spoil.NOISE, Spoil.TEXT, Spoil.MERGED, Spoil.CUT])
-def test_an_answer_that_is_none_ends_the_connection_and_all_behind_it_may_have_been_added(spoil: Spoil) -> None:
+def test_a_garbled_reply_ends_the_connection_and_calls_behind_it_may_have_been_added(spoil: Spoil) -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         b.counter.spoil = spoil
         b.send(1, 2, 3)
-        await until(lambda: all(n in b.told for n in (1, 2, 3)))
-        assert [b.told[n] for n in (1, 2, 3)] == [[("none", (True, False))]] * 3
+        await until(lambda: all(n in b.outcomes for n in (1, 2, 3)))
+        assert [b.outcomes[n] for n in (1, 2, 3)] == [[("none", (True, False))]] * 3
         await until(lambda: b.off == 1)
         await b.opened()  # it goes on with a new one
 
     bench(test)
 
 
-def test_one_answer_too_many_ends_the_connection_before_it_is_taken_for_the_next_calls() -> None:
+def test_a_surplus_reply_ends_the_connection_before_the_next_call() -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         b.counter.spoil = Spoil.DOUBLED
         b.send(1)
         await until(lambda: b.off == 1)
-        assert b.told[1] == [("total", 2.5)]
+        assert b.outcomes[1] == [("total", 2.5)]
         await b.opened()
         b.send(2)
-        await until(lambda: 2 in b.told)
-        assert b.told[2] == [("total", 2.5)]
+        await until(lambda: 2 in b.outcomes)
+        assert b.outcomes[2] == [("total", 2.5)]
 
     bench(test)
 
 
 @pytest.mark.parametrize("fault", [Fault.RESET, Fault.EMPTY, Fault.HALF])
-def test_a_connection_that_breaks_tells_each_call_once(fault: Fault) -> None:
+def test_a_broken_connection_fails_each_call_once(fault: Fault) -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         await b.counter.fail(fault, [0])
@@ -139,13 +139,13 @@
         if fault is Fault.HALF:
             await asyncio.sleep(0.0)
             b.counter.reset()
-        await until(lambda: all(n in b.told for n in (1, 2, 3)))
-        assert [len(b.told[n]) for n in (1, 2, 3)] == [1, 1, 1] and b.off == 1
+        await until(lambda: all(n in b.outcomes for n in (1, 2, 3)))
+        assert [len(b.outcomes[n]) for n in (1, 2, 3)] == [1, 1, 1] and b.off == 1
 
     bench(test)
 
 
-def test_one_that_hangs_is_given_up_by_the_next_call_that_comes_late_enough() -> None:
+def test_a_hanging_connection_is_closed_by_a_late_enough_call() -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         await b.counter.fail(Fault.SILENT, [0])
@@ -155,21 +155,21 @@
             b.send(token)
             token += 1
             await asyncio.sleep(0.01)
-        assert b.told[1] == [("none", (True, False))]
+        assert b.outcomes[1] == [("none", (True, False))]
         await b.counter.fail(Fault.NONE, [0])
         await b.opened()
 
     bench(test)
 
 
-def test_a_new_address_is_turned_to_at_once_and_the_old_one_grants_nothing_more() -> None:
+def test_a_new_address_is_followed_at_once_and_calls_to_the_old_one_fail() -> None:
     async def test(b: Bench) -> None:
         await b.opened()
         await b.counter.fail(Fault.SILENT, [0])
         b.send(1)
         b.tally.follow(b.address(1))
-        await until(lambda: 1 in b.told)
-        assert b.told[1] == [("none", (True, False))] and b.off >= 1
+        await until(lambda: 1 in b.outcomes)
+        assert b.outcomes[1] == [("none", (True, False))] and b.off >= 1
         await b.opened()
         assert not b.counter.doors[0].writers or b.counter.doors[1].writers
         off = b.off
@@ -179,19 +179,19 @@
     bench(test)
 
 
-def test_a_counter_that_is_not_there_is_dialled_now_and_then_and_costs_no_time() -> None:
+def test_an_absent_counter_is_dialled_at_intervals_without_delaying_calls() -> None:
     async def test(b: Bench) -> None:
         await b.counter.fail(Fault.REFUSING, [0])
         for n in range(200):
             b.send(n)
-        assert all(b.told[n] == [("none", (False, False))] for n in range(200))
+        assert all(b.outcomes[n] == [("none", (False, False))] for n in range(200))
         await b.counter.fail(Fault.NONE, [0])
         await b.opened()
 
     bench(test)
 
 
-def test_the_thirty_third_connection_is_reset_and_ours_is_one() -> None:
+def test_the_client_keeps_to_one_connection_where_the_counter_resets_the_thirty_third() -> None:
     async def test(b: Bench) -> None:
         others = [await asyncio.open_connection(*b.address(0)) for _ in range(32)]
         for n in range(3):
