--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -29,10 +29,10 @@
 from elderlock.standins.listener import Fault
 from elderlock.standins.programs import Program, programs
 
-HARD = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
-SOFT = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
+CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
+QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
 BUSY = (12.0, 9.0, 15.0)
-WAYS: dict[str, CounterTerms] = {
+QUOTA_METHODS: dict[str, CounterTerms] = {
     "lease": CounterTerms(),
     "even split": CounterTerms(),
     "one call a request": CounterTerms(
@@ -92,9 +92,9 @@
 
 def snapshot(group: Group) -> None:
     group.play(5_000.0)
-    kept = group.snapshot()
+    saved = group.snapshot()
     group.play(8_000.0)
-    group.restore(kept)
+    group.restore(saved)
     group.play(8_000.0)
 
 
@@ -150,7 +150,7 @@
 def play(case: tuple[str, str, bool, int, int]) -> dict[str, Any]:
     """One of the series, by one of the ways, for a hard store or not, at a number of limiters."""
     way, series, hard, limiters, seed = case
-    terms, store = WAYS[way], HARD if hard else SOFT
+    terms, store = QUOTA_METHODS[way], CEILING if hard else QUOTA
     if limiters != 3:
         grown = limiters / 3
         store = replace(
@@ -167,7 +167,7 @@
     begun = group.now
     SERIES[series](group)
     allowed = store.burst_units + store.refill_units(group.now - begun)
-    granted, asked = sum(group.granted.values()), sum(group.asked.values())
+    granted, requested = sum(group.granted.values()), sum(group.asked.values())
     return {
         "way": way,
         "series": series,
@@ -176,15 +176,15 @@
         "worst": round(group.excess.worst_units, 2),
         "bound": round(stated_error_units(store, terms, group.known_failures()), 2),
         "excess_share": round(max(0.0, granted - allowed) / allowed, 4),
-        "unused_share": round(max(0.0, min(asked, allowed) - granted) / allowed, 4),
-        "calls_per_request": round(sum(book.calls_made for book in group.books) / max(1, asked), 3),
+        "unused_share": round(max(0.0, min(requested, allowed) - granted) / allowed, 4),
+        "calls_per_request": round(sum(book.calls_made for book in group.books) / max(1, requested), 3),
         "slowest_ms": round(group.slowest, 1),
     }
 
 
 def recovery(seed: int) -> list[float]:
     """ms from the counter's return until each limiter draws again."""
-    group = Group(HARD, CounterTerms(), seed, BUSY).play(3_000.0)
+    group = Group(CEILING, CounterTerms(), seed, BUSY).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
@@ -205,7 +205,7 @@
 
 
 def near() -> float:
-    group = Group(SOFT, CounterTerms(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
+    group = Group(QUOTA, CounterTerms(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
     made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterTerms().heartbeat_ms
     return made / sum(group.asked.values())
 
@@ -268,14 +268,14 @@
     refuses and is started anew."""
     store, begun = SharedBucket(30.0, 60.0, 3), time.monotonic()
     served: list[float] = []
-    asked = 0
+    requested = 0
 
     async def asks(program: Program, every: float, name: str) -> None:
-        nonlocal asked
+        nonlocal requested
         client, n = await program.client(), 0
         while True:
             n += 1
-            asked += 1
+            requested += 1
             if isinstance(await client.ask(f"{name}-{n}", t="enterprise", spread=3), bytes):
                 served.append((time.monotonic() - begun) * 1000.0)
             await asyncio.sleep(every)
@@ -309,7 +309,7 @@
         excess.record(1.0, at)
     return {
         "real_served": len(served),
-        "real_asked": asked,
+        "real_asked": requested,
         "real_calls": calls,
         "real_quota_units": round(store.burst_units + store.refill_units((time.monotonic() - begun) * 1000.0), 1),
         "real_worst_units": round(excess.worst_units, 2),
@@ -323,7 +323,7 @@
     options = parser.parse_args()
     cases = [
         (way, series, hard, 3, seed)
-        for way in WAYS
+        for way in QUOTA_METHODS
         for series in SERIES
         for hard in (True, False)
         for seed in range(options.seeds)
@@ -370,7 +370,7 @@
                 "call_each_unused_share": shares("one call a request", "unused_share"),
                 "call_each_excess_share": shares("one call a request", "excess_share"),
                 "calls_per_request": {
-                    "far, burst 12": round(light(SOFT, 0.5), 3),
+                    "far, burst 12": round(light(QUOTA, 0.5), 3),
                     "far, burst 400": round(light(SharedBucket(200.0, 400.0, 3), 12.0), 3),
                     "near": round(near(), 3),
                     "far beyond": max(one["calls_per_request"] for one in lease if one["series"] == "calm"),
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -24,18 +24,18 @@
 from elderlock.sim.judges import Ceilings
 from elderlock.sim.scenario import Scenario
 
-BOXES, BAD, RATE = 80, 10, 800.0
+SERVERS, BAD_SERVERS, RATE = 80, 10, 800.0
 AT_S, FOR_S, LASTS_S = 6.0, 8.0, 20.0
-STEP = 50.0  # ms between looks at who leaves out what
+LOOK_INTERVAL_MS = 50.0  # ms between looks at who ejects what
 
 
 @dataclass
 class Played:
     failed: int
-    vain: float  # sends beyond one a request
+    extra_attempts: float  # a request, above one
     found_ms: float
-    good_left_out: float  # share of limiters, good boxes and looks
-    words: float  # datagrams of evidence a limiter and second while boxes are bad
+    good_ejected_fraction: float  # of limiters, good servers and looks
+    datagrams_per_s: float  # of evidence, by limiter, while servers are bad
     wall_s: float
     broken: int
 
@@ -45,7 +45,7 @@
         "name": "shared-state",
         "lasts_s": LASTS_S,
         "limiters": limiters,
-        "boxes": BOXES,
+        "boxes": SERVERS,
         "floors": 4,
         "plan": [{"name": "shop"}],
         "service": [{"name": "lookup", "aim_ms": 300.0}],
@@ -62,40 +62,40 @@
         "settings": {"shared": shared},
     }
     if what:
-        raw["fault"] = [{"at_s": AT_S, "what": what, "target": f"box:0-{BAD - 1}", "for_s": FOR_S}]
+        raw["fault"] = [{"at_s": AT_S, "what": what, "target": f"box:0-{BAD_SERVERS - 1}", "for_s": FOR_S}]
     return msgspec.convert(raw, Scenario)
 
 
 def play(limiters: int, what: str, shared: bool, seed: int) -> Played:
     world = DecisionWorld(scenario(limiters, what, shared), seed)
-    bad = [f"s-{number:02d}" for number in range(BAD)] if what else []
+    bad = [f"s-{number:02d}" for number in range(BAD_SERVERS)] if what else []
     found: dict[tuple[int, str], float] = {}
-    looks = left_out = 0
+    looks = ejected = 0
 
     def look() -> None:
-        nonlocal looks, left_out
+        nonlocal looks, ejected
         now = world.at()
         for node in world.nodes:
             out = [server.entry.server_id for server in node.limiter.endpoints.outlier_detector.ejected]
             for name in out:
                 if name in bad and now <= (AT_S + FOR_S) * 1000.0:
                     found.setdefault((node.number, name), now - AT_S * 1000.0)
-            looks += BOXES - len(bad)
-            left_out += sum(name not in bad for name in out)
-        world.schedule.after(STEP, look)
+            looks += SERVERS - len(bad)
+            ejected += sum(name not in bad for name in out)
+        world.schedule.after(LOOK_INTERVAL_MS, look)
 
     world.schedule.after(AT_S * 1000.0, look)
     began = time.perf_counter()
     result = world.play()
     wall = time.perf_counter() - began
     times = [found.get((number, name), FOR_S * 1000.0) for number in range(limiters) for name in bad]
-    heard = sum(node.limiter.received_datagrams for node in world.nodes if isinstance(node.limiter, EvidenceLimiter))
+    received = sum(node.limiter.received_datagrams for node in world.nodes if isinstance(node.limiter, EvidenceLimiter))
     return Played(
         result.figures.outcomes.get("failed", 0),
         result.figures.sends_per_request - 1.0,
         statistics.median(times) if times else 0.0,
-        left_out / max(1, looks),
-        heard / limiters / FOR_S,
+        ejected / max(1, looks),
+        received / limiters / FOR_S,
         wall,
         0 if result.good() else 1,
     )
@@ -137,7 +137,7 @@
     }
     world = DecisionWorld(msgspec.convert(raw, Scenario), seed)
     result = world.play()
-    worst = max(judge.worst for judge in world.bench.judges if isinstance(judge, Ceilings))
+    worst = max(checker.worst for checker in world.bench.judges if isinstance(checker, Ceilings))
     return result.figures.outcomes.get("refused", 0), worst, 0 if result.good() else 1
 
 
@@ -155,9 +155,10 @@
                 runs[limiters, what, shared] = made
                 print(
                     f"{limiters:4d} limiters, {what or 'calm':6s} {'shared' if shared else 'alone ':6s}: "
-                    f"failed {sum(p.failed for p in made)}, in vain {statistics.mean(p.vain for p in made):.4f}, "
+                    f"failed {sum(p.failed for p in made)}, "
+                    f"in vain {statistics.mean(p.extra_attempts for p in made):.4f}, "
                     f"found after {statistics.median(p.found_ms for p in made):.0f} ms, "
-                    f"words {statistics.mean(p.words for p in made):.2f}/s",
+                    f"words {statistics.mean(p.datagrams_per_s for p in made):.2f}/s",
                     flush=True,
                 )
 
@@ -185,22 +186,24 @@
                 "found_ratio": round(found / alone, 3),
                 "failed_200_alone": mean(200, "silent", False, "failed"),
                 "failed_200_shared": mean(200, "silent", True, "failed"),
-                "in_vain_200_alone": round(mean(200, "errs", False, "vain"), 4),
-                "in_vain_200_shared": round(mean(200, "errs", True, "vain"), 4),
+                "in_vain_200_alone": round(mean(200, "errs", False, "extra_attempts"), 4),
+                "in_vain_200_shared": round(mean(200, "errs", True, "extra_attempts"), 4),
                 "good_box_left_out_share": round(
                     max(
-                        mean(limiters, what, True, "good_left_out")
+                        mean(limiters, what, True, "good_ejected_fraction")
                         for limiters in sizes
                         for what in ("", "silent", "errs")
                     ),
                     5,
                 ),
                 "words_per_limiter_s": {
-                    limiters: round(mean(limiters, "silent", True, "words"), 2) for limiters in sizes
+                    limiters: round(mean(limiters, "silent", True, "datagrams_per_s"), 2) for limiters in sizes
                 },
-                "words_growth": round(mean(sizes[-1], "silent", True, "words") / mean(30, "silent", True, "words"), 3),
+                "words_growth": round(
+                    mean(sizes[-1], "silent", True, "datagrams_per_s") / mean(30, "silent", True, "datagrams_per_s"), 3
+                ),
                 "words_growth_at": sizes[-1],
-                "words_calm": max(mean(limiters, "", True, "words") for limiters in sizes),
+                "words_calm": max(mean(limiters, "", True, "datagrams_per_s") for limiters in sizes),
                 "cpu_ratio_on_off_calm": round(mean(200, "", True, "wall_s") / mean(200, "", False, "wall_s"), 3),
             }
         )
--- a/tests/escrow_histories.py
+++ b/tests/escrow_histories.py
@@ -50,7 +50,7 @@
             return []
         return [(datagram.peer_index, datagram.payload) for datagram in self.quotas.due_datagrams()]
 
-    def told(self, now: float, sender: int, data: bytes) -> None:
+    def receive(self, now: float, sender: int, data: bytes) -> None:
         self.core.now_ms = now
         message = decode(data)
         if message is not None and isinstance(self.quotas, EscrowQuotas):
@@ -125,6 +125,6 @@
             flying.remove(each)
             _, sender, to, data = each
             flown.append((sender, to, data))
-            group[to].told(now, sender, data)
+            group[to].receive(now, sender, data)
     moved += sum(getattr(node.quotas, "taken_units", 0.0) for node in group.values())
     return reference.least, moved
--- a/tests/gossip/test_escrow_histories.py
+++ b/tests/gossip/test_escrow_histories.py
@@ -59,7 +59,7 @@
         for _ in range(2):
             for node in group.values():
                 for to, data in node.due():
-                    group[to].told(now + 2.0, node.number, data)
+                    group[to].receive(now + 2.0, node.number, data)
         assert step < 2000
     return count
 
--- a/tests/gossip/test_escrow_quotas.py
+++ b/tests/gossip/test_escrow_quotas.py
@@ -31,7 +31,7 @@
 def answers(group: dict[int, Node], now: float, wants: list[tuple[int, bytes]]) -> list[tuple[int, bytes]]:
     found = []
     for to, data in wants:
-        group[to].told(now, FIRST, data)
+        group[to].receive(now, FIRST, data)
         found += [(to, answer) for _, answer in group[to].due()]
     return found
 
@@ -42,15 +42,15 @@
     (giver, data), *_ = given = answers(group, now, wants)
     assert len(given) == 2
     before = group[FIRST].level()
-    group[FIRST].told(now, 3, data)  # it was not asked
+    group[FIRST].receive(now, 3, data)  # it was not asked
     assert group[FIRST].level() == before
-    group[FIRST].told(now + 1.0, giver, data)
+    group[FIRST].receive(now + 1.0, giver, data)
     after = group[FIRST].level()
     assert after > before + 0.5
-    group[FIRST].told(now + 1.0, giver, data)
+    group[FIRST].receive(now + 1.0, giver, data)
     assert group[FIRST].level() == after
     other, late = given[1]
-    group[FIRST].told(now + REQUEST_LIFETIME_MS, other, late)
+    group[FIRST].receive(now + REQUEST_LIFETIME_MS, other, late)
     group[FIRST].ask(now + REQUEST_LIFETIME_MS, 1000.0)  # only looks: so much no bucket holds
     assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (REQUEST_LIFETIME_MS - 1.0) / MS_PER_SECOND)
 
@@ -62,7 +62,7 @@
     assert not anew.ask(now, 4.0)
     before = anew.level()
     for giver, data in given:
-        anew.told(now + 1.0, giver, data)
+        anew.receive(now + 1.0, giver, data)
     assert anew.level() == before
 
 
@@ -92,7 +92,7 @@
     ]
     for each in wrong:
         assert answers(group, now, [(to, encode(each))]) == []
-    group[to].told(now, 3, encode(replace(want, request_id=6)))  # not one of those that the ceiling is split by
+    group[to].receive(now, 3, encode(replace(want, request_id=6)))  # not one of those that the ceiling is split by
     assert group[to].due() == []
 
 
@@ -107,7 +107,7 @@
 def test_a_limiter_gives_for_customers_it_has_not_seen_up_to_a_bound() -> None:
     node = Node(5, 0.0, 1)
     for key in range(MAX_OPENED_ACCOUNTS + 50):
-        node.told(WARM + 1000.0 * key, FIRST, encode(EscrowRequest(key, key, 0, MEMBERS, FIRST, 4.0)))
+        node.receive(WARM + 1000.0 * key, FIRST, encode(EscrowRequest(key, key, 0, MEMBERS, FIRST, 4.0)))
     assert len(node.quotas.accounts) == MAX_OPENED_ACCOUNTS and len(node.due()) == MAX_OPENED_ACCOUNTS
     node.core.now_ms += 1e9
     node.quotas.expire_accounts()
@@ -149,6 +149,6 @@
 
 
 def test_units_are_sent_rounded_down() -> None:
-    told = decode(encode(EscrowGrant(7, 1.999)))
-    assert isinstance(told, EscrowGrant) and 1.99 < told.units <= 1.999
+    message = decode(encode(EscrowGrant(7, 1.999)))
+    assert isinstance(message, EscrowGrant) and 1.99 < message.units <= 1.999
     assert decode(encode(EscrowRequest(7, 8, 1, 3, 4, 5.5))) == EscrowRequest(7, 8, 1, 3, 4, 5.5)
--- a/tests/gossip/test_evidence_fleets.py
+++ b/tests/gossip/test_evidence_fleets.py
@@ -13,7 +13,7 @@
 from elderlock.sim.scenario import Scenario
 from elderlock.state import Server
 
-LIMITERS, BOXES, BAD = 60, 40, range(5)
+LIMITERS, SERVERS, BAD = 60, 40, range(5)
 MOST_PART = 0.7  # of the failures without sharing, which sharing has to stay under
 
 
@@ -22,7 +22,7 @@
         "name": "evidence",
         "lasts_s": 14.0,
         "limiters": LIMITERS,
-        "boxes": BOXES,
+        "boxes": SERVERS,
         "floors": 3,
         "plan": [{"name": "shop"}],
         "service": [{"name": "lookup", "aim_ms": 300.0}],
@@ -94,10 +94,10 @@
         for liar in range(liars):
             said = [
                 Observation(server_key(f"s-{box:02d}"), liar, liar % 3, ObservationKind.FAILED, now)
-                for box in range(BOXES)
+                for box in range(SERVERS)
             ]
             for other in range(LIMITERS):
-                for at in range(0, BOXES, 20):
+                for at in range(0, SERVERS, 20):
                     world.tell_peer(world.nodes[liar], other, encode(said[at : at + 20], now))
         if world.schedule.time < 1.7e12 + 9_000.0:
             world.schedule.after(1000.0, lie)
@@ -115,17 +115,17 @@
 
 def test_datagrams_replayed_after_recovery_eject_no_server() -> None:
     world = World(scenario(True, {**SILENT, "for_s": 2.0}), 1)
-    kept: list[tuple[int, int, bytes]] = []
+    saved: list[tuple[int, int, bytes]] = []
     tell = world.tell_peer
 
     def keeping(node: Any, receiver: int, data: bytes) -> None:
-        kept.append((node.number, receiver, data))
+        saved.append((node.number, receiver, data))
         tell(node, receiver, data)
 
     world.tell_peer = keeping  # type: ignore[method-assign]
 
     def replay() -> None:
-        again = list(kept)
+        again = list(saved)
         for sender, receiver, data in again:
             world._peer(receiver, sender, data)
 
@@ -135,20 +135,20 @@
     world.at_s(12.001, replay)
     world.at_s(12.1, lambda: after.append(sum(len(limiter.outlier_detector.ejected) for limiter in world.limiters())))
     assert world.play().good()
-    assert kept and after[0] <= before[0]
+    assert saved and after[0] <= before[0]
 
 
 def test_failures_before_a_servers_restart_weigh_nothing_after_it() -> None:
     world = World(scenario(True, SILENT, {"at_s": 7.0, "what": "restart", "target": "box:0-4"}), 1)
     left: list[float] = []
 
-    def weigh() -> None:
+    def record_weights() -> None:
         left.extend(
-            limiter.evidence.failure_weight(server_key("s-00"), BOXES, world.schedule.time)
+            limiter.evidence.failure_weight(server_key("s-00"), SERVERS, world.schedule.time)
             for limiter in world.limiters()
             if world.server(limiter, 0).entry.started_at_ms > 0
         )
 
-    world.at_s(7.4, weigh)
+    world.at_s(7.4, record_weights)
     assert world.play().good()
     assert left and max(left) < EJECTION_WEIGHT
--- a/tests/gossip/test_rumours.py
+++ b/tests/gossip/test_rumours.py
@@ -40,10 +40,10 @@
 def test_a_rumour_is_sent_to_a_bounded_number_of_different_limiters_and_then_dropped() -> None:
     rumours = RumourQueue(0, 64, 100.0, random.Random(2), NOW)
     rumours.add(failed(1, 0))
-    told: list[int] = []
+    receivers: list[int] = []
     for step in range(2000):
-        told += [datagram.peer_index for datagram in rumours.due_datagrams(NOW + step, FRESH_MS)]
-    assert len(told) == len(set(told)) == 3 + EXTRA_TRANSMISSIONS and len(rumours) == 0
+        receivers += [datagram.peer_index for datagram in rumours.due_datagrams(NOW + step, FRESH_MS)]
+    assert len(receivers) == len(set(receivers)) == 3 + EXTRA_TRANSMISSIONS and len(rumours) == 0
 
 
 @pytest.mark.parametrize("limiters", [2, 3, 8, 9])
@@ -51,8 +51,8 @@
     """By the logarithm of so few, one that hears of it from nobody would be left over now and then."""
     rumours = RumourQueue(0, limiters, 1000.0, random.Random(4), NOW)
     rumours.add(failed(1, 0))
-    told = [each.peer_index for n in range(40) for each in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
-    assert sorted(told) == list(range(1, limiters))
+    receivers = [each.peer_index for n in range(40) for each in rumours.due_datagrams(NOW + 50.0 * n, FRESH_MS)]
+    assert sorted(receivers) == list(range(1, limiters))
 
 
 def test_unsent_rumours_go_first_and_stale_ones_are_dropped() -> None:
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -33,7 +33,7 @@
 SILENT = Fault(0.0, "silent", "box:0", FOREVER)
 
 
-def ground_of_six(**changes: Any) -> Any:
+def harness_of_six(**changes: Any) -> Any:
     return standing(0.7, limiters=LIMITERS, agents=2, settings=Settings(shared=True), **changes)
 
 
@@ -51,8 +51,8 @@
     return explain(seen, BOX, time.time() * 1000.0)
 
 
-def left_out(seen: Seen) -> list[str]:
-    """Limiters that leave the box out."""
+def ejecting_limiters(seen: Seen) -> list[str]:
+    """Return the limiters that eject the server."""
     return [word.limiter for word in of(seen).words if word.health is not None and word.health.left_out_ms >= 0.0]
 
 
@@ -75,7 +75,7 @@
 
 def test_operators_see_which_limiters_eject_a_server_and_by_whose_failures() -> None:
     async def test() -> None:
-        async with ground_of_six() as ground:
+        async with harness_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
             ground.ask()
             faults.begin(0, SILENT)
@@ -144,7 +144,7 @@
 
 ZONE = [0, 3]  # limiters of the first of three floors
 OTHERS = [n for n in range(LIMITERS) if n not in ZONE]
-TROUBLES: dict[str, list[Fault]] = {
+LINK_FAULTS: dict[str, list[Fault]] = {
     "datagrams are lost, late, repeated and out of order, and one sleeps and wakes": [
         Fault(0.0, "loss", "peers", FOREVER, 0.5),
         Fault(0.0, "reorder", "peers", FOREVER),
@@ -159,29 +159,29 @@
 }
 
 
-@pytest.mark.parametrize("trouble", TROUBLES.values(), ids=TROUBLES)
-def test_a_silent_server_is_ejected_and_reinstated_under_each_link_fault(trouble: list[Fault]) -> None:
-    """Some leave it out, no other server is ever held against by shared evidence, all use it again once it answers, and
-    no rule is broken on the way."""
+@pytest.mark.parametrize("link_faults", LINK_FAULTS.values(), ids=LINK_FAULTS)
+def test_a_silent_server_is_ejected_and_reinstated_under_each_link_fault(link_faults: list[Fault]) -> None:
+    """Some eject it, evidence counts against no other server, all use it again once it answers, and no invariant is
+    broken."""
 
     async def test() -> None:
-        async with ground_of_six() as ground:
+        async with harness_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
             ground.ask()
-            for number, fault in enumerate(trouble):
+            for number, fault in enumerate(link_faults):
                 faults.begin(number, fault)
             mend = faults.silence(ground.listing.boxes[BOX].uid)
             good: list[float] = []
 
             def found(seen: Seen) -> bool:
                 good.extend(entry.weighed for entry in entries(seen.states()) if entry.box != BOX)
-                return len(left_out(seen)) >= 2
+                return len(ejecting_limiters(seen)) >= 2
 
             await until_seen(group, found)
             assert all(weighed < EJECTION_WEIGHT for weighed in good)
             mend()
             back = await until_seen(group, lambda seen: [word.used for word in of(seen).words] == [True] * LIMITERS)
-            assert left_out(back) == []
+            assert ejecting_limiters(back) == []
             assert judged(ground).broken == []
             group.close()
 
--- a/tests/gossip/test_sharing_processes.py
+++ b/tests/gossip/test_sharing_processes.py
@@ -46,7 +46,7 @@
         try:
             await witnessed(fleet, WITNESSES)
             others = range(WITNESSES, PROCESSES)
-            await until(lambda: all(map(fleet.told, others)))  # none of them has sent it anything
+            await until(lambda: all(map(fleet.has_ejected_bad_server, others)))  # none of them has sent it anything
             assert not any(map(fleet.bad.of, others))
             for number in others:
                 for _ in range(10):
@@ -65,7 +65,7 @@
         await fleet.open()
         try:
             await witnessed(fleet, PROCESSES)  # each finds out by itself
-            assert not any(map(fleet.told, range(PROCESSES)))
+            assert not any(map(fleet.has_ejected_bad_server, range(PROCESSES)))
         finally:
             await fleet.close()
         raw = raw_config(fleet.listens[0], "127.0.0.1:1")
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -1,4 +1,4 @@
-"""The counter in the keepers' place: requests wait for one answer, and go by the even part without it."""
+"""The counter in the coordinator' place: requests wait for one answer, and go by the even part without it."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
                 self.do(api.CounterAnswered(due[1], Outcome.OK, due[2], self.delay))
 
 
-def counting(limiters: int = 3) -> Counting:
+def counting_gateway(limiters: int = 3) -> Counting:
     source = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
     config = settings(limiters=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now=1_000.0)
@@ -65,10 +65,10 @@
     return made
 
 
-def book(gate: Counting) -> CountedCoordinator:
-    keepers = gate.limiter.quota_coordinator
-    assert isinstance(keepers, CountedCoordinator)
-    return keepers
+def coordinator_of(gate: Counting) -> CountedCoordinator:
+    coordinator = gate.limiter.quota_coordinator
+    assert isinstance(coordinator, CountedCoordinator)
+    return coordinator
 
 
 def send_many(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
@@ -84,16 +84,16 @@
 
 def test_a_limiter_with_all_requests_serves_the_entire_quota_and_no_more() -> None:
     """Of three limiters the other two ask nothing: the even split would give a third."""
-    gate = counting()
+    gate = counting_gateway()
     begun = gate.now
     sent = send_many(gate, 1200)
     held = 20.0 + 10.0 * (gate.now - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
-    assert book(gate).book.mode is CounterMode.SHARED
+    assert coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
 def test_low_use_makes_no_call_and_waits_for_nothing() -> None:
-    gate = counting()
+    gate = counting_gateway()
     before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
         assert gate.serve(customer=f"c{n}", spread=3)
@@ -101,7 +101,7 @@
 
 
 def test_without_answers_the_even_part_decides_in_time() -> None:
-    gate = counting()
+    gate = counting_gateway()
     send_many(gate, 40)
     gate.there = False
     waited = []
@@ -113,23 +113,23 @@
         gate.end(name)
         gate.run(gate.now + 50.0)
     assert max(waited) <= 2 * CounterTerms().answer_timeout_ms + 55.0
-    assert book(gate).book.mode is not CounterMode.SHARED
+    assert coordinator_of(gate).book.mode is not CounterMode.SHARED
     sent = len(send_many(gate, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
     gate.there = True
     gate.run(gate.now + 2_000.0)
-    assert book(gate).book.mode is CounterMode.SHARED
+    assert coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
 def test_use_by_other_limiters_is_read_from_the_total() -> None:
-    gate = counting()
+    gate = counting_gateway()
     send_many(gate, 60)
     name = max(
         (call for call in gate.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
     ).counter_name
     gate.totals[name] += 500.0  # far beyond: others, or another counter's number
     gate.run(gate.now + 300.0)
-    store = book(gate).quota_bucket(settings().plans[0], 3)
+    store = coordinator_of(gate).quota_bucket(settings().plans[0], 3)
     held = (
         CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
     )  # drawn before, or not to be told yet
@@ -140,7 +140,7 @@
 
 
 def test_a_customer_of_one_limiter_needs_no_counter() -> None:
-    gate = counting()
+    gate = counting_gateway()
     before = len([c for c in gate.calls if not c.counter_name.startswith("sentinel")])
     for _ in range(30):
         gate.serve(customer="mine", spread=1)
@@ -168,7 +168,7 @@
 
 def test_a_counted_ceiling_does_not_bind_below_its_rate_at_one_limiter() -> None:
     """Split evenly, it let in 4 a second where the quota alone let in 10."""
-    gate = counting()
+    gate = counting_gateway()
     gate.run(gate.now + 5_000.0)
     begun = gate.now
     taken = ceiled(gate, 1500, 10.0)
@@ -177,23 +177,23 @@
 
 
 def test_a_counted_ceiling_holds_through_silence_and_an_empty_return() -> None:
-    gate = counting()
+    gate = counting_gateway()
     gate.run(gate.now + 3_000.0)
     taken = ceiled(gate, 400, 10.0)
     gate.there = False
     taken += ceiled(gate, 600, 10.0)
     gate.totals.clear()
-    book(gate).book.connection_lost(gate.now)
+    coordinator_of(gate).book.connection_lost(gate.now)
     gate.there = True
     taken += ceiled(gate, 600, 10.0)
     assert worst_over(taken) <= stated_error_units(
         SharedBucket(12.0, 24.0, 3, True, 1.92), CounterTerms(), FailureHistory(return_count=2)
     )
-    assert len(taken) > 60 and book(gate).book.mode is CounterMode.SHARED
+    assert len(taken) > 60 and coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
 def test_a_ceiling_stays_split_evenly_where_requests_over_quota_earn() -> None:
-    gate = counting()
+    gate = counting_gateway()
     plan = replace(settings().plans[1], over_quota_value=1.0)
     account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now, 4000.0)
     assert not is_ceiling_counted(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
@@ -204,7 +204,7 @@
 
 
 def test_every_request_has_one_final_answer_while_the_counter_comes_and_goes() -> None:
-    gate = counting()
+    gate = counting_gateway()
     names = []
     for turn in range(600):
         gate.there = (turn // 60) % 2 == 0
@@ -215,7 +215,7 @@
             gate.end(name)
     gate.run(gate.now + 5_000.0)
     assert all(bool(gate.where(name)) != (name in gate.finals) for name in names)
-    assert not gate.limiter.requests and not book(gate).book.has_waiting
+    assert not gate.limiter.requests and not coordinator_of(gate).book.has_waiting
 
 
 @pytest.mark.parametrize(
--- a/tests/quota/test_error_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -122,9 +122,9 @@
 
 def test_the_bound_holds_through_a_restored_old_snapshot() -> None:
     played = group(seed=5).play(5_000.0)
-    kept = played.snapshot()
+    snapshot = played.snapshot()
     played.play(9_000.0)
-    played.restore(kept)
+    played.restore(snapshot)
     within_bound(played.play(10_000.0))
 
 
@@ -354,7 +354,7 @@
     seed: int, steps: list[tuple[str, int, float]], store: SharedBucket
 ) -> None:
     played = group(store, seed=seed, skews=(0.0, 5.0, -5.0)).play(2_000.0)
-    kept = played.snapshot()
+    snapshot = played.snapshot()
     for what, number, wait in steps:
         match what:
             case "down":
@@ -375,9 +375,9 @@
                 played.returns += played.refusing
                 played.refusing = False
             case "snapshot":
-                kept = played.snapshot()
+                snapshot = played.snapshot()
             case "restore":
-                played.restore(kept)
+                played.restore(snapshot)
         played.play(wait)
     played.heal()
     within_bound(played)
--- a/tests/quota/test_redis_client.py
+++ b/tests/quota/test_redis_client.py
@@ -13,7 +13,7 @@
 from elderlock.standins.waiting import run, until
 
 
-class Bench:
+class RedisHarness:
     def __init__(self, addresses: Sequence[tuple[str, int]], cluster: bool) -> None:
         self.totals: dict[int, list[float]] = {}
         self.none: dict[int, list[tuple[bool, bool]]] = {}
@@ -48,10 +48,10 @@
             await asyncio.sleep(0.01)
 
 
-async def alone() -> tuple[RedisServer, Bench]:
+async def alone() -> tuple[RedisServer, RedisHarness]:
     server = RedisServer()
     await server.open()
-    return server, Bench([("127.0.0.1", server.doors[0].port)], False)
+    return server, RedisHarness([("127.0.0.1", server.doors[0].port)], False)
 
 
 def test_the_slot_of_a_key_is_the_published_one() -> None:
@@ -129,7 +129,7 @@
 def test_cluster_calls_go_by_slot_and_follow_redirects() -> None:
     async def test() -> None:
         cluster = await RedisCluster(3).open()
-        b = Bench(cluster.addresses[:1], True)
+        b = RedisHarness(cluster.addresses[:1], True)
         for n in range(30):
             assert await b.total(f"a{n}", 2.0) == 2.0
         assert all(server.totals for server in cluster.servers)
@@ -146,7 +146,7 @@
 def test_a_failover_reports_a_lost_connection() -> None:
     async def test() -> None:
         cluster = await RedisCluster(2).open()
-        b = Bench(cluster.addresses, True)
+        b = RedisHarness(cluster.addresses, True)
         name = next(f"a{n}" for n in range(99) if cluster.owner[slot_of(b"q:a%d" % n)] == 1)
         assert await b.total(name) == 1.0
         kept = dict(cluster.servers[1].totals)
--- a/tests/quota/test_tally_client.py
+++ b/tests/quota/test_tally_client.py
@@ -15,14 +15,14 @@
 Outcome = tuple[str, float | tuple[bool, bool]]
 
 
-class Bench:
+class TallyHarness:
     """A client, the outcomes of each call, and how often it said that the counter is off."""
 
     def __init__(self) -> None:
         self.counter, self.outcomes, self.off = Counter(), dict[int, list[Outcome]](), 0
         self.token = 1_000_000
 
-    async def __aenter__(self) -> "Bench":
+    async def __aenter__(self) -> "TallyHarness":
         await self.counter.open(2)
         self.tally = TallyClient(
             asyncio.get_running_loop(),
@@ -60,9 +60,9 @@
         self.tally.send([CounterCall(token, f"n{token}", 2.5, 60_000.0) for token in tokens])
 
 
-def bench(test: Callable[[Bench], Awaitable[None]]) -> None:
+def run_with_harness(test: Callable[[TallyHarness], Awaitable[None]]) -> None:
     async def work() -> None:
-        async with Bench() as made:
+        async with TallyHarness() as made:
             await test(made)
 
     run(work())
@@ -76,7 +76,7 @@
 
 
 def test_calls_are_pipelined_and_totals_come_back_in_order() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         b.send(1)
         assert b.outcomes[1] == [("none", (False, False))]  # no connection yet: it was not made
         await b.opened()
@@ -87,23 +87,23 @@
         await until(lambda: len(b.outcomes[10]) == 2)
         assert b.outcomes[10][1] == ("total", 5.0) and b.counter.accepted == 1
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_a_busy_reply_fails_the_call_as_not_added() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         b.counter.busy = True
         b.send(1, 2)
         await until(lambda: 2 in b.outcomes)
         assert b.outcomes[1] == b.outcomes[2] == [("none", (False, True))] and b.off == 0
 
-    bench(test)
+    run_with_harness(test)
 
 
 @pytest.mark.parametrize("spoil", [Spoil.NOISE, Spoil.TEXT, Spoil.MERGED, Spoil.CUT])
 def test_a_garbled_reply_ends_the_connection_and_calls_behind_it_may_have_been_added(spoil: Spoil) -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         b.counter.spoil = spoil
         b.send(1, 2, 3)
@@ -112,11 +112,11 @@
         await until(lambda: b.off == 1)
         await b.opened()  # it goes on with a new one
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_a_surplus_reply_ends_the_connection_before_the_next_call() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         b.counter.spoil = Spoil.DOUBLED
         b.send(1)
@@ -127,12 +127,12 @@
         await until(lambda: 2 in b.outcomes)
         assert b.outcomes[2] == [("total", 2.5)]
 
-    bench(test)
+    run_with_harness(test)
 
 
 @pytest.mark.parametrize("fault", [Fault.RESET, Fault.EMPTY, Fault.HALF])
 def test_a_broken_connection_fails_each_call_once(fault: Fault) -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         await b.counter.fail(fault, [0])
         b.send(1, 2, 3)
@@ -142,11 +142,11 @@
         await until(lambda: all(n in b.outcomes for n in (1, 2, 3)))
         assert [len(b.outcomes[n]) for n in (1, 2, 3)] == [1, 1, 1] and b.off == 1
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_a_hanging_connection_is_closed_by_a_late_enough_call() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         await b.counter.fail(Fault.SILENT, [0])
         b.send(1)
@@ -159,11 +159,11 @@
         await b.counter.fail(Fault.NONE, [0])
         await b.opened()
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_a_new_address_is_followed_at_once_and_calls_to_the_old_one_fail() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.opened()
         await b.counter.fail(Fault.SILENT, [0])
         b.send(1)
@@ -176,11 +176,11 @@
         b.tally.follow(b.address(1))
         assert b.off == off  # where it is already
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_an_absent_counter_is_dialled_at_intervals_without_delaying_calls() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         await b.counter.fail(Fault.REFUSING, [0])
         for n in range(200):
             b.send(n)
@@ -188,11 +188,11 @@
         await b.counter.fail(Fault.NONE, [0])
         await b.opened()
 
-    bench(test)
+    run_with_harness(test)
 
 
 def test_the_client_keeps_to_one_connection_where_the_counter_resets_the_thirty_third() -> None:
-    async def test(b: Bench) -> None:
+    async def test(b: TallyHarness) -> None:
         others = [await asyncio.open_connection(*b.address(0)) for _ in range(32)]
         for n in range(3):
             b.send(n)
@@ -203,4 +203,4 @@
         await b.opened()
         assert len(b.counter.doors[0].writers) <= 1 + 32
 
-    bench(test)
+    run_with_harness(test)
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -1,4 +1,4 @@
-"""A few real limiters on loopback that share what the operators' file says, over servers that a test holds and breaks."""
+"""Real limiters on loopback that share what the operators' file says, over servers that a test holds and breaks."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self.good, self.bad = [Server(self._answer) for _ in range(WARM)], Breaking()
         self.processes: list[asyncio.subprocess.Process] = []
         self.clients: list[Client] = []
-        self.said: list[list[str]] = [[] for _ in range(self.count)]
+        self.log_lines: list[list[str]] = [[] for _ in range(self.count)]
         self.readers: list[asyncio.Task[None]] = []
 
     async def open(self) -> None:
@@ -100,7 +100,7 @@
         stderr = self.processes[number].stderr
         assert stderr is not None
         async for line in stderr:
-            self.said[number].append(line.decode())
+            self.log_lines[number].append(line.decode())
 
     def read(self, number: int, spread: int = 1) -> None:
         self.clients[number].read(f"{number}-{time.monotonic_ns():x}", first=number, spread=spread, d=int(PATIENCE))
@@ -109,8 +109,8 @@
         self.read(number, spread)
         return await self.clients[number].answer()
 
-    def told(self, number: int) -> bool:
-        return any("bad is left out" in line for line in self.said[number])
+    def has_ejected_bad_server(self, number: int) -> bool:
+        return any("bad is left out" in line for line in self.log_lines[number])
 
     async def close(self) -> None:
         for client in self.clients:
