--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -152,8 +152,8 @@
             throttle=m.Throttle(
                 throttle.phase.name.lower(),
                 throttle.leak_rate_per_s,
-                limiter.admit_rate_per_s,
-                limiter.answer_rate_per_s,
+                limiter.maintenance.admit_rate_per_s,
+                limiter.maintenance.answer_rate_per_s,
             ),
             peers=tuple(
                 m.Peer(
--- a/elderlock/decisions/__init__.py
+++ b/elderlock/decisions/__init__.py
@@ -1,5 +1,6 @@
-"""All that is decided for a request, one file a concern, without I/O: `limiter` turns events into calls.
+"""All decisions about requests, without I/O.
 
-What the files share is `core`: the settings, this event's time and actions, the one generator of random numbers.
-Times are milliseconds, rates are a second.
+`limiter.Limiter` turns events into actions and dispatches them to one module for each concern. What these share is in
+`context`: the settings, the time and the actions of the event being handled, and the one generator of random numbers.
+Times are in milliseconds, rates per second.
 """
--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -1,128 +1,184 @@
-"""Admission: whether a request is let in, beyond its quota or inside, and held while no server has room."""
+"""Admission: whether a request is served, within its quota or over it, and how long it waits for a server."""
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 from elderlock import interface as api
 from elderlock.decisions.attempts import Attempts
 from elderlock.decisions.context import DecisionContext
-from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quota_coordinator import QuotaCoordinator
-from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.throttle import Throttle
 from elderlock.state import OpenRequest, ThrottlePhase
 
-MAX_QUEUE_PRESSURE = 0.6  # aims of work out over what comes back, at which even the dearest work is held off
-LOWEST_VALUE_PRESSURE_FRACTION = (
-    0.7  # of that for worthless work: a gentle slope, as the plan that fares worst counts by itself
-)
-MAX_WAIT_LATENCY_RATIO = 0.25  # aims that a request may wait for a server with room
-MIN_MAINTENANCE_INTERVAL_MS = 50.0  # ms between rounds of upkeep at the least
+MAX_QUEUE_PRESSURE = 0.6  # at which even requests of the highest value are rejected
+LOWEST_VALUE_PRESSURE_FRACTION = 0.7  # of the maximum, for requests without value
+OVER_QUOTA_PRESSURE_FRACTION = 0.5  # of the maximum for the same value within quota
+MAX_WAIT_LATENCY_RATIO = 0.25  # of the latency objective that a request may wait for a server
+MIN_MAINTENANCE_INTERVAL_MS = 50.0
+MIN_VALUE = 1e-9  # so that values can be divided by the highest one
+
+
+@dataclass(frozen=True, slots=True)
+class PeriodCounts:
+    """Requests of one control period.
+
+    Attributes:
+        arrivals: All that were of a known plan and class.
+        offered: Those within their quota, admitted or not.
+        admitted: Those of which a first attempt was sent.
+    """
+
+    arrivals: int
+    offered: int
+    admitted: int
 
 
 class Admission:
-    """Invariant: each request that arrives is sent, held, asked about or closed; units are taken at its first send
-    alone, and never while its customer's ceiling does not hold them. The counts are since the last control
-    period."""
+    """Decides about new requests.
+
+    Invariant: each request that arrives is sent, waits for a server or for the quota's owner, or gets its final
+    answer. Units are charged with the first attempt alone, and never while the customer's hard ceiling does not hold
+    them.
+
+    Attributes:
+        context: What the parts of a limiter share.
+        throttle: Limits the rate of admission under overload.
+        attempts: Sends what is admitted.
+        quota_coordinator: Tells whether a request is within its quota.
+        waiting_request_ids: The requests that wait for a server, in the order of their arrival.
+        maintenance_interval_ms: Time between two rounds of maintenance, in which waiting requests are retried.
+    """
 
     def __init__(
         self,
-        core: DecisionContext,
+        context: DecisionContext,
         throttle: Throttle,
-        load: LoadEstimator,
-        quotas: Quotas,
         attempts: Attempts,
-        requests: dict[str, OpenRequest],
-        source: type[QuotaCoordinator],
+        coordinator_class: type[QuotaCoordinator],
     ) -> None:
-        self.context, self.throttle, self.load_estimator, self.quotas, self.attempts = (
-            core,
-            throttle,
-            load,
-            quotas,
-            attempts,
+        """Build the quota coordinator, whose decisions come back here.
+
+        Args:
+            context: What the parts of a limiter share.
+            throttle: Limits the rate of admission under overload.
+            attempts: Sends what is admitted.
+            coordinator_class: `QuotaCoordinator`, or what takes its place.
+        """
+        self.context = context
+        self.throttle = throttle
+        self.attempts = attempts
+        self._load_estimator = attempts.load_estimator
+        self._quotas = attempts.quotas
+        self._requests = attempts.requests
+        self.quota_coordinator = coordinator_class(
+            context, self._quotas, self._load_estimator, self._requests, self.apply_quota_decision
         )
-        self.requests = requests
-        self.quota_coordinator = source(core, quotas, load, requests, self.apply_quota_decision)
         self.waiting_request_ids: deque[str] = deque()
-        self.arrivals = self.offered = self.admitted = 0
         self.maintenance_interval_ms = MIN_MAINTENANCE_INTERVAL_MS
-        settings = core.settings
-        self.max_value = max(
-            [c.priority_weight * p.price_weight for c in settings.request_classes for p in settings.plans] + [1e-9]
-        )
+        self._arrivals = 0
+        self._offered = 0
+        self._admitted = 0
+        settings = context.settings
+        values = [
+            request_class.priority_weight * plan.price_weight
+            for request_class in settings.request_classes
+            for plan in settings.plans
+        ]
+        self._max_value = max([*values, MIN_VALUE])
 
     def handle_arrival(self, event: api.RequestArrived) -> None:
-        core = self.context
-        name, settings, kinds = event.request_id, core.settings, range(len(core.settings.request_classes))
-        if event.plan_index not in range(len(settings.plans)) or event.class_index not in kinds:
-            core.actions.append(api.Reject(name))
-        if name in self.requests or core.actions:
+        """Admit a request, have its quota read, or reject it."""
+        context = self.context
+        settings = context.settings
+        is_known_plan = 0 <= event.plan_index < len(settings.plans)
+        is_known_class = 0 <= event.class_index < len(settings.request_classes)
+        if not is_known_plan or not is_known_class:
+            context.actions.append(api.Reject(event.request_id))
+            return
+        if event.request_id in self._requests:
             return
-        account, rclass = self.quotas.account(event), settings.request_classes[event.class_index]
-        self.arrivals += 1
-        request = self.requests[name] = OpenRequest(event, rclass, account, core.now_ms)
-        if self.quotas.exceeds_hard_ceiling(account, event.units):
+        account = self._quotas.account(event)
+        request_class = settings.request_classes[event.class_index]
+        self._arrivals += 1
+        request = OpenRequest(event, request_class, account, context.now_ms)
+        self._requests[event.request_id] = request
+        if self._quotas.exceeds_hard_ceiling(account, event.units):
             self.attempts.reject_or_fail(request)
-        elif core.now_ms < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
+        elif context.now_ms < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
             self._handle_over_quota(request)
-        elif self._passes_throttle(request, True):
+        elif self._passes_overload_checks(request, is_within_quota=True):
             self.quota_coordinator.request_reading(request)
 
+    def apply_quota_decision(self, request: OpenRequest, is_within_quota: bool) -> None:
+        """Go on with a request once it is known whether it is within its quota."""
+        request.is_within_quota = is_within_quota
+        if is_within_quota:
+            self._offered += 1
+            self._send_or_wait(request)
+        else:
+            # It passed the throttle as a request within its quota, which it was not.
+            self.throttle.remove_attempt()
+            self._handle_over_quota(request)
+
+    def retry_waiting(self) -> None:
+        """Try to send each request that waits for a server."""
+        request_ids = list(self.waiting_request_ids)
+        self.waiting_request_ids.clear()
+        for request in [self._requests[request_id] for request_id in request_ids if request_id in self._requests]:
+            self._send_or_wait(request)
+
+    def take_period_counts(self) -> PeriodCounts:
+        """Return the counts since the last call, and begin anew."""
+        counts = PeriodCounts(self._arrivals, self._offered, self._admitted)
+        self._arrivals = 0
+        self._offered = 0
+        self._admitted = 0
+        return counts
+
     def _handle_over_quota(self, request: OpenRequest) -> None:
-        plan, calm = request.account.plan, self.throttle.phase is ThrottlePhase.NOT_OVERLOADED
-        if not (calm and plan.over_quota_value > plan.over_quota_cost):
+        """Serve a request over its quota only where that earns more than it costs, and no overload is near."""
+        plan = request.account.plan
+        is_overloaded = self.throttle.phase is not ThrottlePhase.NOT_OVERLOADED
+        if is_overloaded or plan.over_quota_value <= plan.over_quota_cost:
             self.attempts.reject_or_fail(request)
-        elif self._passes_throttle(request, False):
-            self.send_or_wait(request)
-
-    def _passes_throttle(self, request: OpenRequest, inside: bool) -> bool:
-        """Else it is refused. Crowding acts where load jumps."""
-        value = request.request_class.priority_weight * request.account.plan.price_weight / self.max_value
-        most = (
-            MAX_QUEUE_PRESSURE
-            * (LOWEST_VALUE_PRESSURE_FRACTION + (1.0 - LOWEST_VALUE_PRESSURE_FRACTION) * value)
-            * (1.0 if inside else 0.5)
-        )
-        passes = self.load_estimator.queue_pressure() <= most and self.throttle.admits(
-            inside, value, self.context.now_ms
+        elif self._passes_overload_checks(request, is_within_quota=False):
+            self._send_or_wait(request)
+
+    def _passes_overload_checks(self, request: OpenRequest, *, is_within_quota: bool) -> bool:
+        """Check the queue pressure, which sees a load spike first, and the throttle; reject what does not pass."""
+        value = request.request_class.priority_weight * request.account.plan.price_weight / self._max_value
+        value_factor = LOWEST_VALUE_PRESSURE_FRACTION + (1.0 - LOWEST_VALUE_PRESSURE_FRACTION) * value
+        max_pressure = MAX_QUEUE_PRESSURE * value_factor * (1.0 if is_within_quota else OVER_QUOTA_PRESSURE_FRACTION)
+        passes = self._load_estimator.queue_pressure() <= max_pressure and self.throttle.admits(
+            is_within_quota, value, self.context.now_ms
         )
         if not passes:
-            self.offered += inside
+            self._offered += is_within_quota
             self.attempts.reject_or_fail(request)
         return passes
 
-    def apply_quota_decision(self, request: OpenRequest, inside: bool) -> None:
-        """What a reading, or the bucket without one, says of it."""
-        request.is_within_quota = inside
-        if inside:
-            self.offered += 1
-            return self.send_or_wait(request)
-        # work beyond the quota is no demand, and takes no room of the throttle's bucket
-        self.throttle.fill = max(0.0, self.throttle.fill - 1.0)
-        self._handle_over_quota(request)
-
-    def send_or_wait(self, request: OpenRequest) -> None:
-        account, server = request.account, self.attempts.server_selector.choose(request)
-        self.quotas.refresh(account)
-        left = request.arrival.deadline_ms - request.arrived_at_ms - 2 * self.maintenance_interval_ms
-        wait = min(MAX_WAIT_LATENCY_RATIO * request.request_class.latency_objective_ms, left)
-        late = self.context.now_ms - request.arrived_at_ms >= wait
-        if self.quotas.exceeds_hard_ceiling(account, request.arrival.units) or (server is None and late):
+    def _send_or_wait(self, request: OpenRequest) -> None:
+        """Send the first attempt; without a server that takes it the request waits for a short while."""
+        account = request.account
+        server = self.attempts.server_selector.choose(request)
+        self._quotas.refresh(account)
+        if self._quotas.exceeds_hard_ceiling(account, request.arrival.units):
             self.attempts.reject_or_fail(request)
-        elif server is None:
-            self.waiting_request_ids.append(request.arrival.request_id)
-        else:
-            self.admitted += 1
-            self.quotas.charge(request)
+        elif server is not None:
+            self._admitted += 1
+            self._quotas.charge(request)
             self.attempts.send(request, server)
-            self.attempts.record_first_send()
+            self.attempts.retry_policy.record_first_send()
+        elif self._has_waited_long_enough(request):
+            self.attempts.reject_or_fail(request)
+        else:
+            self.waiting_request_ids.append(request.arrival.request_id)
 
-    def retry_waiting(self) -> None:
-        for name in [
-            n
-            for n in (self.waiting_request_ids.popleft() for _ in range(len(self.waiting_request_ids)))
-            if n in self.requests
-        ]:
-            self.send_or_wait(self.requests[name])
+    def _has_waited_long_enough(self, request: OpenRequest) -> bool:
+        """Whether a rejection now is better than another round of waiting."""
+        total_ms = request.arrival.deadline_ms - request.arrived_at_ms
+        before_deadline_ms = total_ms - 2 * self.maintenance_interval_ms
+        max_wait_ms = min(MAX_WAIT_LATENCY_RATIO * request.request_class.latency_objective_ms, before_deadline_ms)
+        return self.context.now_ms - request.arrived_at_ms >= max_wait_ms
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: for how long, whether again, and the one final answer."""
+"""The course of a request's attempts: sending, ending, retrying, and the one final answer."""
 
 from __future__ import annotations
 
@@ -7,150 +7,157 @@
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.retry_policy import RetryPolicy
 from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.throttle import CONTROL_PERIOD_MS
-from elderlock.interface import Idempotency, Outcome
+from elderlock.interface import Outcome
 from elderlock.state import Account, Attempt, OpenRequest, Server
 
-RETRIES_EARNED_PER_REQUEST, MAX_RETRY_BUDGET = (
-    0.15,
-    12.0,
-)  # further attempts earned by each first send, and kept at most
-UNREACHED_RETRY_TIME_FRACTION = (
-    0.4  # of a request's time in which it may still go on, where no attempt has reached a server
-)
-UNEXECUTED_RETRY_COST = 0.25  # of a further attempt, where the last one never ran
+UNEXECUTED_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
+"""Outcomes of attempts that surely never ran at their server."""
 
 
 class Attempts:
-    """Invariant: a request gets one final answer, and none is refused of which an attempt may have run."""
+    """Sends attempts and gives each request its final answer.
+
+    Invariant: a request gets one final answer, and none is rejected of which an attempt may have run.
+
+    Attributes:
+        context: What the parts of a limiter share.
+        load_estimator: Counts the attempts in flight.
+        quotas: The accounts that the cost of requests goes to.
+        endpoints: The servers, which learn from outcomes.
+        requests: The open requests by id.
+        server_selector: Chooses the server of an attempt.
+        retry_policy: Decides about retries.
+    """
 
     def __init__(
         self,
-        core: DecisionContext,
-        load: LoadEstimator,
+        context: DecisionContext,
+        load_estimator: LoadEstimator,
         quotas: Quotas,
-        boxes: Endpoints,
+        endpoints: Endpoints,
         requests: dict[str, OpenRequest],
     ) -> None:
-        self.context, self.load_estimator, self.quotas, self.endpoints, self.requests = (
-            core,
-            load,
-            quotas,
-            boxes,
-            requests,
-        )
-        self.server_selector = ServerSelector(core, boxes)
-        self.retry_budget = MAX_RETRY_BUDGET / 2
-        self.timely_answer_count = 0  # good ones within their aim, since the last control period
-
-    # Their course
+        """Start with no attempt in flight."""
+        self.context = context
+        self.load_estimator = load_estimator
+        self.quotas = quotas
+        self.endpoints = endpoints
+        self.requests = requests
+        self.server_selector = ServerSelector(context, endpoints)
+        self.retry_policy = RetryPolicy(context)
+        self._timely_answer_count = 0
 
     def send(self, request: OpenRequest, server: Server) -> None:
-        core = self.context
-        server.in_flight[request.arrival.request_id, len(request.attempts)] = core.now_ms
-        request.attempts.append(Attempt(server, core.now_ms))
+        """Send an attempt, or permit the one attempt of a request whose client sends it."""
+        context = self.context
+        request_id = request.arrival.request_id
+        server.in_flight[request_id, len(request.attempts)] = context.now_ms
+        request.attempts.append(Attempt(server, context.now_ms))
         self.endpoints.record_attempt(server)
         self.load_estimator.in_flight += 1
-        asked = type(request.arrival) is api.PermitRequested
-        action = api.Permit if asked else api.SendAttempt
-        core.actions.append(action(request.arrival.request_id, server.entry.server_id, self._timeout_ms(request)))
-        request.is_answered = asked  # a permission is the one final answer: no further attempt is ours to make
-
-    def record_first_send(self) -> None:
-        self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_EARNED_PER_REQUEST)
+        is_permit = type(request.arrival) is api.PermitRequested
+        action = api.Permit if is_permit else api.SendAttempt
+        timeout_ms = self.retry_policy.timeout_ms(request)
+        context.actions.append(action(request_id, server.entry.server_id, timeout_ms))
+        request.is_answered = is_permit  # a permit is the final answer: a retry would be the client's
 
     def handle_attempt_end(self, event: api.AttemptEnded) -> None:
+        """Learn from an attempt's outcome, and give its request the next attempt or the final answer.
+
+        Attempts that are not known, or have ended already, change nothing.
+        """
         request = self.requests.get(event.request_id)
-        named = (
-            request.attempts[event.attempt_index : event.attempt_index + 1]
-            if request and event.attempt_index >= 0
-            else []
-        )
-        if request is None or not named or named[0].has_ended:
+        if request is None or not 0 <= event.attempt_index < len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt_index]
+        if attempt.has_ended:
             return
-        attempt, account = named[0], request.account
         attempt.has_ended = True
+        attempt.may_have_run = event.outcome not in UNEXECUTED_OUTCOMES
         self.load_estimator.in_flight -= 1
-        attempt.may_have_run = event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
         self.endpoints.record_outcome(attempt.server, request, event)
-        self.quotas.apply_meter_reading(account, event.meter)
-        if event.settled_units > 0 and request.is_within_quota and self.context.settings.quota_sources.cost_known_after:
-            self.quotas.settle_units(account, event.settled_units - request.arrival.units)
+        self._apply_cost(request, event)
         if type(request.arrival) is api.PermitRequested:
-            self.timely_answer_count += (
-                event.outcome is Outcome.OK and event.duration_ms <= request.request_class.latency_objective_ms
-            )
+            self._count_if_timely(request, event)
             if event.outcome is Outcome.NOT_FORWARDED:
                 self.quotas.refund(request)
             self._forget_if_complete(request)
         elif event.is_answered and not request.is_answered:
-            self.timely_answer_count += (
-                event.outcome is Outcome.OK and event.duration_ms <= request.request_class.latency_objective_ms
-            )
+            self._count_if_timely(request, event)
             self.finish(request)
         elif not request.is_answered and not request.has_attempt_in_flight():
             self._retry_or_close(request, attempt.may_have_run)
         else:
             self._forget_if_complete(request)
 
-    def _retry_or_close(self, request: OpenRequest, ran: bool) -> None:
-        """No attempt is out and none has answered: try another server, or give the final answer."""
-        core = self.context
-        in_time = self._timeout_ms(request) > 2 * core.settings.clock_tick_ms and not request.is_streaming
-        if not any(a.may_have_run for a in request.attempts):
-            # a refusal is worth more to a client while it has time to ask elsewhere
-            time = request.arrival.deadline_ms - request.arrived_at_ms
-            in_time = in_time and core.now_ms - request.arrived_at_ms < UNREACHED_RETRY_TIME_FRACTION * time
-        fewer = self.retry_budget >= 1.0 and len(request.attempts) < core.settings.capabilities.max_attempts
-        server = self.server_selector.choose(request) if in_time and fewer else None
-        if server is None:
-            return self.reject_or_fail(request)
-        self.retry_budget -= 1.0 if ran else UNEXECUTED_RETRY_COST
-        self.send(request, server)
-
-    def _timeout_ms(self, request: OpenRequest) -> float:
-        """How long an answer is waited for: past the aim it may earn nothing and keep others waiting."""
-        left, rclass = request.arrival.deadline_ms - self.context.now_ms, request.request_class
-        early = (
-            rclass.idempotency is Idempotency.IDEMPOTENT
-            and rclass.late_priority_weight <= 0
-            and not rclass.is_streaming
-        )
-        return max(
-            1.0, min(left, request.arrived_at_ms + rclass.latency_objective_ms - self.context.now_ms) if early else left
-        )
-
     def reject_or_fail(self, request: OpenRequest) -> None:
-        """The one final answer: a refusal where no attempt can have run, else a failure."""
-        if not request.is_answered and not request.is_streaming:
-            name, allow = request.arrival.request_id, self.context.settings.capabilities
-            run = any(a.may_have_run for a in request.attempts)
-            wait = self._retry_after_ms(request.account) if allow.can_send_retry_after else 0.0
-            self.context.actions.append(api.Fail(name) if run else api.Reject(name, wait))
-            self.finish(request)
-
-    def _retry_after_ms(self, account: Account) -> float:
-        """When to come back: once the quota has room by what its keeper told, else after a control period."""
-        settings = self.context.settings
-        wait = account.exhausted_until_ms - self.context.now_ms
-        wait = max(wait, settings.clock_tick_ms) if wait > 0 else CONTROL_PERIOD_MS
-        return min(wait, settings.capabilities.max_retry_after_ms)
+        """Give the final answer to a request that cannot be served: a rejection if no attempt can have run."""
+        if request.is_answered or request.is_streaming:
+            return
+        request_id = request.arrival.request_id
+        if request.may_have_run():
+            self.context.actions.append(api.Fail(request_id))
+        else:
+            self.context.actions.append(api.Reject(request_id, self._retry_after_ms(request.account)))
+        self.finish(request)
 
     def finish(self, request: OpenRequest) -> None:
+        """Mark a request as answered, and cancel its attempts in flight where the settings allow it."""
         if not request.is_answered and self.context.settings.capabilities.can_cancel:
-            for number, attempt in enumerate(request.attempts):
+            for index, attempt in enumerate(request.attempts):
                 if not attempt.has_ended:
-                    self.context.actions.append(api.CancelAttempt(request.arrival.request_id, number))
+                    self.context.actions.append(api.CancelAttempt(request.arrival.request_id, index))
         request.is_answered = True
         self._forget_if_complete(request)
 
+    def take_timely_answer_count(self) -> int:
+        """Return how many good answers came within their latency objective since the last call."""
+        count = self._timely_answer_count
+        self._timely_answer_count = 0
+        return count
+
+    def _apply_cost(self, request: OpenRequest, event: api.AttemptEnded) -> None:
+        """Take in what the answer tells of the customer's use and of the request's true cost."""
+        self.quotas.apply_meter_reading(request.account, event.meter)
+        is_cost_known_after = self.context.settings.quota_sources.cost_known_after
+        if event.settled_units > 0 and request.is_within_quota and is_cost_known_after:
+            self.quotas.settle_units(request.account, event.settled_units - request.arrival.units)
+
+    def _count_if_timely(self, request: OpenRequest, event: api.AttemptEnded) -> None:
+        objective_ms = request.request_class.latency_objective_ms
+        if event.outcome is Outcome.OK and event.duration_ms <= objective_ms:
+            self._timely_answer_count += 1
+
+    def _retry_or_close(self, request: OpenRequest, last_may_have_run: bool) -> None:
+        """Try another server, or give the final answer. No attempt is in flight and none has answered."""
+        server = None
+        if self.retry_policy.allows_retry(request):
+            server = self.server_selector.choose(request)
+        if server is None:
+            self.reject_or_fail(request)
+            return
+        self.retry_policy.record_retry(last_may_have_run)
+        self.send(request, server)
+
+    def _retry_after_ms(self, account: Account) -> float:
+        """Return when a rejected client should come back; 0 where clients do not know of it.
+
+        Once the quota has units again by the owner's last reading, or else after a control period.
+        """
+        settings = self.context.settings
+        if not settings.capabilities.can_send_retry_after:
+            return 0.0
+        exhausted_ms = account.exhausted_until_ms - self.context.now_ms
+        wait_ms = max(exhausted_ms, settings.clock_tick_ms) if exhausted_ms > 0 else CONTROL_PERIOD_MS
+        return min(wait_ms, settings.capabilities.max_retry_after_ms)
+
     def _forget_if_complete(self, request: OpenRequest) -> None:
-        if (
-            not request.is_answered
-            or request.has_attempt_in_flight()
-            or self.requests.pop(request.arrival.request_id, None) is None
-        ):
+        """Forget a request that is answered and has no attempt in flight."""
+        if not request.is_answered or request.has_attempt_in_flight():
             return
-        if request.attempts:
+        forgotten = self.requests.pop(request.arrival.request_id, None)
+        if forgotten is not None and request.attempts:
             request.account.in_flight = max(0, request.account.in_flight - 1)
--- a/elderlock/decisions/quotas.py
+++ b/elderlock/decisions/quotas.py
@@ -1,4 +1,13 @@
-"""A customer's quota here: the design's bucket, the store as believed, and the part of a hard ceiling."""
+"""A customer's quota at this limiter: its bucket, the estimate of the shared quota, and its part of the hard ceiling.
+
+A plan allows `rate_per_s` with a burst of `burst_units` over all limiters. Each limiter keeps two figures of it:
+
+* the estimate of what the shared quota holds (`Account.shared_units`), corrected by readings of the owner or the meter;
+* a bucket of its own (`Account.bucket_units`), which decides where no reading can be had. It fills with the limiter's
+  own rate and its share of what is left.
+
+The hard ceiling is split evenly: each limiter holds its part of the rate and of the burst, whatever the readings say.
+"""
 
 from __future__ import annotations
 
@@ -10,162 +19,246 @@
 from elderlock.state import Account, OpenRequest
 from elderlock.structures.expiry_queue import ExpiryQueue
 
-RATE_AVERAGING_MS, RATE_AVERAGING_SENDS = (
-    4000.0,
-    4.0,
-)  # ms over which send rates are averaged, or so many sends if longer
-ACCOUNT_IDLE_MS = 15000.0  # ms without a request until a customer is aged out, if its stores are full by then
-CEILING_SLACK_FRACTION = 0.8  # of the ceiling's slack that is used; the rest is for rounding
+RATE_AVERAGING_MS = 4000.0  # over which rates are averaged, or ...
+RATE_AVERAGING_SENDS = 4.0  # ... so many requests if these take longer
+ACCOUNT_IDLE_MS = 15000.0  # without a request until an account may be forgotten
+CEILING_SLACK_FRACTION = 0.8  # of the hard ceiling's slack that is used; the rest is for rounding
+MEAN_REQUEST_WEIGHT = 0.1  # of a request in the mean of units
+MIN_READING_INTERVAL_MS = MS_PER_SECOND / 2
+CONCURRENCY_ROUNDING = 0.5  # the estimate of requests in flight elsewhere is rounded
 
 
 class Quotas:
-    """Invariant: a bucket lies between what one request may owe and the believed store, and a ceiling's part never
-    holds more than its share of the burst."""
+    """The accounts of the customers that this limiter serves.
 
-    def __init__(self, core: DecisionContext) -> None:
-        self.context = core
+    Invariant: a bucket holds no more than the estimate of the shared quota and owes one request at most, and a part of
+    a hard ceiling never holds more than its share of the burst.
+
+    Attributes:
+        context: What the parts of a limiter share.
+        accounts: By customer key.
+        idle_accounts: The customers by their last request.
+        mean_latency_ms: The latency of good answers, averaged.
+    """
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Start without accounts."""
+        self.context = context
         self.accounts: dict[int, Account] = {}
         self.idle_accounts = ExpiryQueue(ACCOUNT_IDLE_MS)
-        self.mean_latency_ms = 0.0  # ms, of good answers, averaged
+        self.mean_latency_ms = 0.0
 
     def account(self, event: api.RequestArrived) -> Account:
+        """Return the account of a request's customer, refilled for this moment; open it where there is none."""
         settings = self.context.settings
         key = zlib.crc32(event.customer_id.encode())
-        plan, known = settings.plans[event.plan_index], self.accounts.get(key)
-        spread = min(max(1, event.limiter_count), settings.limiter_count)
-        account = known or self._open_account(key, plan, spread, event.first_limiter)
-        if known is None:
+        plan = settings.plans[event.plan_index]
+        limiter_count = min(max(1, event.limiter_count), settings.limiter_count)
+        account = self.accounts.get(key)
+        if account is None:
+            account = self._open_account(key, plan, limiter_count, event.first_limiter)
             self.accounts[key] = account
         self.idle_accounts.touch(key, self.context.now_ms)
         if account.plan is not plan:
-            account.plan, account.ceiling_units = plan, -CEILING_SLACK_FRACTION * plan.ceiling_slack_units
-        account.limiter_count = max(spread, account.limiter_count if plan.ceiling_rate_per_s else 1)
+            account.plan = plan
+            account.ceiling_units = -CEILING_SLACK_FRACTION * plan.ceiling_slack_units
+        # The part of a hard ceiling never grows: the other limiters may still use theirs.
+        account.limiter_count = max(limiter_count, account.limiter_count if plan.ceiling_rate_per_s else 1)
         account.first_limiter = event.first_limiter
         self.refresh(account)
         return account
 
-    def _open_account(self, key: int, plan: api.Plan, spread: int, first: int) -> Account:
-        """A ceiling's part fills from our start on: what came before, an earlier self may have used."""
-        core = self.context
-        filled = (
-            core.now_ms - core.started_at_ms
-        ) / MS_PER_SECOND * plan.ceiling_rate_per_s - CEILING_SLACK_FRACTION * plan.ceiling_slack_units
-        ceiling = min(filled, plan.ceiling_burst_units) / spread
-        burst, part = plan.burst_units, plan.burst_units / spread
-        return Account(key, plan, spread, first, burst, part, ceiling, core.now_ms, RATE_AVERAGING_MS)
+    def _open_account(self, key: int, plan: api.Plan, limiter_count: int, first_limiter: int) -> Account:
+        """Open an account.
+
+        The part of the hard ceiling has filled since the process started: what it held before, the process before
+        may have used.
+        """
+        context = self.context
+        uptime_s = (context.now_ms - context.started_at_ms) / MS_PER_SECOND
+        filled_units = uptime_s * plan.ceiling_rate_per_s - CEILING_SLACK_FRACTION * plan.ceiling_slack_units
+        return Account(
+            key=key,
+            plan=plan,
+            limiter_count=limiter_count,
+            first_limiter=first_limiter,
+            shared_units=plan.burst_units,
+            bucket_units=plan.burst_units / limiter_count,
+            ceiling_units=min(filled_units, plan.ceiling_burst_units) / limiter_count,
+            refreshed_at_ms=context.now_ms,
+            averaging_ms=RATE_AVERAGING_MS,
+        )
 
     def reading_confidence(self, account: Account) -> float:
-        """How far the latest reading can be relied on, 0 to 1: by time, or by count if requests are few."""
-        span = 2.0 * max(
+        """Return how far the latest reading can be relied on, 0 to 1.
+
+        It is 1 for one interval between readings and falls to 0 over the next one. The interval is that of the meter,
+        or that of the customer's requests where they are rare.
+        """
+        interval_ms = max(
             self.context.settings.quota_sources.meter_period_ms,
-            MS_PER_SECOND / 2,
+            MIN_READING_INTERVAL_MS,
             account.averaging_ms / RATE_AVERAGING_SENDS,
         )
-        return min(1.0, max(0.0, 2.0 - (self.context.now_ms - account.reading_at_ms) / span))
+        age_intervals = (self.context.now_ms - account.reading_at_ms) / (2.0 * interval_ms)
+        return min(1.0, max(0.0, 2.0 - age_intervals))
+
+    def bucket_capacity_units(self, account: Account, confidence: float) -> float:
+        """Return what the bucket may hold: the shared quota, less what others may spend of it before we know.
 
-    def bucket_capacity_units(self, account: Account, trust: float) -> float:
-        """The store as believed, less what others may spend of it before we are told; at least a part."""
-        busy = min(1.0, account.others_rate_per_s / (account.plan.rate_per_s or 1.0))
-        contested = 1.0 - trust * (1.0 - busy)
-        return (1.0 - contested * (1.0 - 1.0 / account.limiter_count)) * max(account.shared_units, 0.0)
+        Without a reading that is this limiter's even part; with a fresh one it is more, the less the others spend.
+        """
+        others_use_fraction = min(1.0, account.others_rate_per_s / (account.plan.rate_per_s or 1.0))
+        contested_fraction = 1.0 - confidence * (1.0 - others_use_fraction)
+        others_part = 1.0 - 1.0 / account.limiter_count
+        return (1.0 - contested_fraction * others_part) * max(account.shared_units, 0.0)
 
-    def fill_rate_per_s(self, account: Account, trust: float) -> float:
-        """The design's: own rate plus our part of the room or excess; the even split where none is known."""
-        rate = account.plan.rate_per_s
-        room = rate - account.own_rate_per_s - account.others_rate_per_s
-        told = min(max(0.0, account.own_rate_per_s + room / account.limiter_count), rate)
-        return trust * told + (1.0 - trust) * rate / account.limiter_count
+    def fill_rate_per_s(self, account: Account, confidence: float) -> float:
+        """Return the rate at which the bucket fills.
+
+        By a reading that is the own rate and an even part of what the plan's rate leaves, or lacks; without one an
+        even part of the plan's rate.
+        """
+        plan_rate_per_s = account.plan.rate_per_s
+        remaining_per_s = plan_rate_per_s - account.own_rate_per_s - account.others_rate_per_s
+        own_and_part_per_s = account.own_rate_per_s + remaining_per_s / account.limiter_count
+        by_reading_per_s = min(max(0.0, own_and_part_per_s), plan_rate_per_s)
+        return confidence * by_reading_per_s + (1.0 - confidence) * plan_rate_per_s / account.limiter_count
 
     def refresh(self, account: Account) -> None:
-        now = self.context.now_ms
-        elapsed, account.refreshed_at_ms = (now - account.refreshed_at_ms) / MS_PER_SECOND, now
-        plan, trust = account.plan, self.reading_confidence(account)
-        if elapsed == 0.0:  # again within one event: nothing has filled, what was read is taken in
+        """Refill an account up to this moment."""
+        now_ms = self.context.now_ms
+        plan = account.plan
+        elapsed_s = (now_ms - account.refreshed_at_ms) / MS_PER_SECOND
+        account.refreshed_at_ms = now_ms
+        confidence = self.reading_confidence(account)
+        ceiling_capacity_units = plan.ceiling_burst_units / account.limiter_count
+        if elapsed_s == 0.0:  # nothing has filled, but a reading may have lowered the bounds
             account.shared_units = min(plan.burst_units, account.shared_units)
-            account.bucket_units = min(account.bucket_units, self.bucket_capacity_units(account, trust))
-            account.ceiling_units = min(account.ceiling_units, plan.ceiling_burst_units / account.limiter_count)
+            account.bucket_units = min(account.bucket_units, self.bucket_capacity_units(account, confidence))
+            account.ceiling_units = min(account.ceiling_units, ceiling_capacity_units)
             return
-        unknown = (1.0 - trust) * (plan.rate_per_s - plan.rate_per_s / account.limiter_count)
-        store = account.shared_units + (plan.rate_per_s - trust * account.others_rate_per_s - unknown) * elapsed
-        account.shared_units = min(plan.burst_units, max(store, min(account.shared_units, 0.0)))
-        filled = account.bucket_units + self.fill_rate_per_s(account, trust) * elapsed
-        account.bucket_units = min(filled, self.bucket_capacity_units(account, trust))
-        account.own_rate_per_s *= exp(-elapsed * MS_PER_SECOND / account.averaging_ms)
-        ceiling = account.ceiling_units + plan.ceiling_rate_per_s / account.limiter_count * elapsed
-        account.ceiling_units = min(ceiling, plan.ceiling_burst_units / account.limiter_count)
+        # As far as the others' use is not known, they are taken to use all but our even part.
+        unknown_use_per_s = (1.0 - confidence) * (plan.rate_per_s - plan.rate_per_s / account.limiter_count)
+        net_fill_per_s = plan.rate_per_s - confidence * account.others_rate_per_s - unknown_use_per_s
+        shared_units = account.shared_units + net_fill_per_s * elapsed_s
+        account.shared_units = min(plan.burst_units, max(shared_units, min(account.shared_units, 0.0)))
+        bucket_units = account.bucket_units + self.fill_rate_per_s(account, confidence) * elapsed_s
+        account.bucket_units = min(bucket_units, self.bucket_capacity_units(account, confidence))
+        account.own_rate_per_s *= exp(-elapsed_s * MS_PER_SECOND / account.averaging_ms)
+        ceiling_units = account.ceiling_units + plan.ceiling_rate_per_s / account.limiter_count * elapsed_s
+        account.ceiling_units = min(ceiling_units, ceiling_capacity_units)
 
     def is_within_quota(self, account: Account, units: float) -> bool:
-        """By the bucket alone. A part below a request may go into debt by one, else none would ever pass."""
+        """Whether the bucket alone allows a request of `units`.
+
+        A bucket whose part of the burst is smaller than a request may go into debt by one request, as otherwise none
+        would ever pass.
+        """
         plan = account.plan
-        need = min(max(0.0, 2.0 * plan.burst_units / account.limiter_count - units), units)
-        if plan.rate_per_s > 0 and account.bucket_units < need:
+        part_units = 2.0 * plan.burst_units / account.limiter_count
+        needed_units = min(max(0.0, part_units - units), units)
+        if plan.rate_per_s > 0 and account.bucket_units < needed_units:
             return False
-        elsewhere = (
+        # Little's law: the others' rate times the latency
+        in_flight_elsewhere = (
             account.others_rate_per_s / account.mean_request_units * self.mean_latency_ms / MS_PER_SECOND
-        )  # Little's law
-        return plan.concurrency_limit <= 0 or account.in_flight + elsewhere <= plan.concurrency_limit - 0.5
+        )
+        in_flight = account.in_flight + in_flight_elsewhere
+        return plan.concurrency_limit <= 0 or in_flight <= plan.concurrency_limit - CONCURRENCY_ROUNDING
 
     def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
-        slack = CEILING_SLACK_FRACTION * account.plan.ceiling_slack_units / account.limiter_count
-        return account.plan.ceiling_rate_per_s > 0 and account.ceiling_units + slack < units
+        """Whether `units` are more than this limiter's part of the customer's hard ceiling still holds.
+
+        A plan without a hard ceiling is never exceeded.
+        """
+        plan = account.plan
+        if plan.ceiling_rate_per_s <= 0:
+            return False
+        slack_units = CEILING_SLACK_FRACTION * plan.ceiling_slack_units / account.limiter_count
+        return account.ceiling_units + slack_units < units
 
     def charge(self, request: OpenRequest) -> None:
-        account, units, now = request.account, request.arrival.units, self.context.now_ms
+        """Take an admitted request's units, and update the rates of its customer."""
+        account = request.account
+        units = request.arrival.units
+        now_ms = self.context.now_ms
         account.ceiling_units -= units
         account.in_flight += 1
-        gap = min(max(now - account.sent_at_ms, 0.0), 2 * ACCOUNT_IDLE_MS)
-        account.averaging_ms = max(
-            RATE_AVERAGING_MS,
-            account.averaging_ms + (RATE_AVERAGING_SENDS * gap - account.averaging_ms) / RATE_AVERAGING_SENDS,
-        )
-        account.sent_at_ms = now
+        gap_ms = min(max(now_ms - account.sent_at_ms, 0.0), 2 * ACCOUNT_IDLE_MS)
+        averaging_step_ms = (RATE_AVERAGING_SENDS * gap_ms - account.averaging_ms) / RATE_AVERAGING_SENDS
+        account.averaging_ms = max(RATE_AVERAGING_MS, account.averaging_ms + averaging_step_ms)
+        account.sent_at_ms = now_ms
         account.own_rate_per_s += units * MS_PER_SECOND / account.averaging_ms
-        account.mean_request_units += 0.1 * (units - account.mean_request_units)
-        account.shared_units -= units * request.is_within_quota
-        account.bucket_units -= units * request.is_within_quota
+        account.mean_request_units += MEAN_REQUEST_WEIGHT * (units - account.mean_request_units)
+        if request.is_within_quota:
+            account.shared_units -= units
+            account.bucket_units -= units
 
     def refund(self, request: OpenRequest) -> None:
-        """What a permission took and its asker did not use. Its keeper is not told: the safe side."""
-        account, units, plan = request.account, request.arrival.units, request.account.plan
+        """Return the units of a permit that its client did not use.
+
+        The owner of the quota is not informed: its ledger then holds too little, never too much.
+        """
+        account = request.account
+        units = request.arrival.units
+        plan = account.plan
         self.refresh(account)
         account.ceiling_units = min(account.ceiling_units + units, plan.ceiling_burst_units / account.limiter_count)
         account.own_rate_per_s = max(0.0, account.own_rate_per_s - units * MS_PER_SECOND / account.averaging_ms)
-        account.shared_units = min(plan.burst_units, account.shared_units + units * request.is_within_quota)
-        account.bucket_units = min(account.bucket_units + units * request.is_within_quota, plan.burst_units)
+        quota_units = units if request.is_within_quota else 0.0
+        account.shared_units = min(plan.burst_units, account.shared_units + quota_units)
+        account.bucket_units = min(account.bucket_units + quota_units, plan.burst_units)
 
-    def settle_units(self, account: Account, more: float) -> None:
-        account.shared_units = min(account.plan.burst_units, account.shared_units - more)
-        account.bucket_units -= more
-        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more * MS_PER_SECOND / account.averaging_ms)
+    def settle_units(self, account: Account, more_units: float) -> None:
+        """Charge what a request cost beyond its estimate; a negative figure is returned."""
+        account.shared_units = min(account.plan.burst_units, account.shared_units - more_units)
+        account.bucket_units -= more_units
+        more_per_s = more_units * MS_PER_SECOND / account.averaging_ms
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more_per_s)
 
     def apply_meter_reading(self, account: Account, meter: int) -> None:
-        if meter > 0 and self.context.settings.quota_sources.meter_period_ms:
-            self.refresh(account)
-            account.others_rate_per_s = max(0.0, (meter - 1) / 100.0 * account.plan.rate_per_s - account.own_rate_per_s)
-            account.reading_at_ms = self.context.now_ms
+        """Take in a server's reading of the customer's use.
+
+        Args:
+            account: The customer's account.
+            meter: One more than the percentage of the plan's rate that all limiters use; 0 for no reading.
+        """
+        if meter <= 0 or not self.context.settings.quota_sources.meter_period_ms:
+            return
+        self.refresh(account)
+        total_per_s = (meter - 1) / 100.0 * account.plan.rate_per_s
+        account.others_rate_per_s = max(0.0, total_per_s - account.own_rate_per_s)
+        account.reading_at_ms = self.context.now_ms
 
-    def apply_owner_reading(self, account: Account, level: float, rate: float) -> None:
-        """Takes in what a keeper told: the store's level, and the rate of all in units a second."""
+    def apply_owner_reading(self, account: Account, level_units: float, rate_per_s: float) -> None:
+        """Take in what the owner's ledger holds, and the rate at which all limiters spend."""
         self.refresh(account)
-        account.shared_units, account.reading_at_ms = level, self.context.now_ms
-        account.others_rate_per_s = max(0.0, rate - account.own_rate_per_s)
+        account.shared_units = level_units
+        account.reading_at_ms = self.context.now_ms
+        account.others_rate_per_s = max(0.0, rate_per_s - account.own_rate_per_s)
         account.bucket_units = min(account.bucket_units, self.bucket_capacity_units(account, 1.0))
 
     def expire_accounts(self) -> None:
-        """Forgets who is full again: new customers come all day."""
-        now = self.context.now_ms
-        for key in self.idle_accounts.pop_expired(now):
-            if (account := self.accounts.get(key)) is None:
+        """Forget idle accounts that are full again, as a new one would be: new customers come all day."""
+        now_ms = self.context.now_ms
+        for key in self.idle_accounts.pop_expired(now_ms):
+            account = self.accounts.get(key)
+            if account is None:
                 continue
-            p = account.plan  # once every store is full again, so that nothing is won by it
-            owed = max(p.burst_units, p.burst_units - account.bucket_units * account.limiter_count) / (
-                p.rate_per_s or 1.0
-            )
-            full_at = (
-                account.refreshed_at_ms
-                + max(owed, p.ceiling_burst_units / (p.ceiling_rate_per_s or 1.0)) * MS_PER_SECOND
-            )
-            if account.in_flight or now <= full_at:
-                self.idle_accounts.postpone(key, max(full_at, now + ACCOUNT_IDLE_MS * bool(account.in_flight)) + 1.0)
+            full_at_ms = _full_at_ms(account)
+            if account.in_flight:
+                self.idle_accounts.postpone(key, max(full_at_ms, now_ms + ACCOUNT_IDLE_MS) + 1.0)
+            elif now_ms <= full_at_ms:
+                self.idle_accounts.postpone(key, full_at_ms + 1.0)
             else:
                 del self.accounts[key]
+
+
+def _full_at_ms(account: Account) -> float:
+    """Return when the shared quota, the bucket and the part of the hard ceiling are full at the latest."""
+    plan = account.plan
+    bucket_units = plan.burst_units - account.bucket_units * account.limiter_count
+    quota_s = max(plan.burst_units, bucket_units) / (plan.rate_per_s or 1.0)
+    ceiling_s = plan.ceiling_burst_units / (plan.ceiling_rate_per_s or 1.0)
+    return account.refreshed_at_ms + max(quota_s, ceiling_s) * MS_PER_SECOND
--- a/elderlock/decisions/throttle.py
+++ b/elderlock/decisions/throttle.py
@@ -1,4 +1,9 @@
-"""The control adaptor and the class-threshold leaky bucket, as ETSI ES 283 039-4 has them."""
+"""The throttle: a control adaptor and a leaky bucket with a threshold for each class, by ETSI ES 283 039-4.
+
+The adaptor sets the leak rate by the load level. Requests of a class are admitted while the bucket's fill is below the
+threshold of the class, so that under overload the least valuable ones are rejected first. Load is the latency over the
+latency objective of the request's class, so load levels are ratios.
+"""
 
 from __future__ import annotations
 
@@ -7,110 +12,172 @@
 from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.state import ThrottlePhase
 
-# Load is latency over the class's aim, so the levels are shares of the aim.
-GOAL_LOAD_LEVEL = 0.4  # with the median answer at this share a queue stands, and a slow tenth misses the aim
-CONTROL_PERIOD_MS = 1000.0  # ms between updates of the leak rate, as in the design
-MIN_RATE_FACTOR, MAX_RATE_FACTOR = 0.75, 1.15  # bounds of one update, so that one noisy reading cannot swing the rate
-TERMINATION_PENDING_PERIOD_MS = 3000.0  # ms of load below the goal before the return begins
-LEAK_RATE_GROWTH_PERCENT = 25.0  # percent a period while returning
-RATE_INCREMENT_PERIOD_MS = 1000.0  # ms between its rises
-BUCKET_DEPTH_MS = 500.0  # ms of leak that the largest threshold holds
-MIN_BUCKET_DEPTH = 4.0  # attempts: below it the randomised fill would drown the thresholds
-OVER_QUOTA_THRESHOLD_FRACTION, LOWEST_VALUE_THRESHOLD_FRACTION = (
-    0.3,
-    0.75,
-)  # of the depth: beyond quota; cheapest inside; dearest 1
+GOAL_LOAD_LEVEL = 0.4  # latency ratio; with the median there a queue stands, and a slow tenth misses the objective
+CONTROL_PERIOD_MS = 1000.0  # between updates of the leak rate
+MIN_RATE_FACTOR = 0.75  # of one update, so that one noisy reading cannot swing the rate
+MAX_RATE_FACTOR = 1.15  # the same
+MIN_LOAD_LEVEL = 1e-3  # to divide by
+TERMINATION_PENDING_PERIOD_MS = 3000.0  # of load below the goal before the return begins
+LEAK_RATE_GROWTH_PERCENT = 25.0  # each period while returning
+RATE_INCREMENT_PERIOD_MS = 1000.0  # between the increments
+BUCKET_DEPTH_MS = 500.0  # of leak that the largest threshold holds
+MIN_BUCKET_DEPTH = 4.0  # attempts; with less the randomised fill would hide the thresholds
+OVER_QUOTA_THRESHOLD_FRACTION = 0.3  # of the depth
+LOWEST_VALUE_THRESHOLD_FRACTION = 0.75  # of the depth, for requests within quota; the highest value has all of it
 
 
 class Throttle:
-    """Invariant: the fill never falls below nothing, and while throttled no leak rate lies below `least_rate`."""
-
-    def __init__(self, rng: random.Random, now: float) -> None:
-        self.rng, self.phase = rng, ThrottlePhase.NOT_OVERLOADED
-        self.fill_at_ms = self.updated_at_ms = self.phase_since_ms = now
-        self.leak_rate_per_s = self.fill = self.entry_rate_per_s = self.max_leak_rate_per_s = (
-            self.min_leak_rate_per_s
-        ) = 0.0
+    """Limits the rate of admission under overload.
+
+    Invariant: the fill never falls below 0, and while throttled the leak rate is never below the minimum.
+
+    Attributes:
+        phase: The state of the adaptor.
+        phase_since_ms: When the phase was entered.
+        fill: Attempts in the bucket.
+        fill_at_ms: When the fill was last updated.
+        leak_rate_per_s: Attempts per second that leak out of the bucket.
+        entry_rate_per_s: The leak rate with which throttling starts again after a return that came too early.
+        max_leak_rate_per_s: MaxLeakRate; with a higher rate the bucket does not bind.
+        min_leak_rate_per_s: The leak rate below which no update goes.
+        updated_at_ms: When the leak rate was last adapted.
+        previous_rate_per_s: The leak rate before the last rise while termination is pending, if there was one.
+        previous_admit_rate_per_s: The rate of admitted attempts at the last update.
+    """
+
+    def __init__(self, rng: random.Random, now_ms: float) -> None:
+        """Start without throttling."""
+        self._rng = rng
+        self.phase = ThrottlePhase.NOT_OVERLOADED
+        self.phase_since_ms = now_ms
+        self.fill = 0.0
+        self.fill_at_ms = now_ms
+        self.leak_rate_per_s = 0.0
+        self.entry_rate_per_s = 0.0
+        self.max_leak_rate_per_s = 0.0
+        self.min_leak_rate_per_s = 0.0
+        self.updated_at_ms = now_ms
         self.previous_rate_per_s: float | None = None
         self.previous_admit_rate_per_s = 0.0
 
-    def threshold_vector(self, inside: bool, value: float) -> float:
-        """The threshold of a class; `value` is its worth over the dearest one's."""
-        share = (
-            LOWEST_VALUE_THRESHOLD_FRACTION + (1.0 - LOWEST_VALUE_THRESHOLD_FRACTION) * value
-            if inside
-            else OVER_QUOTA_THRESHOLD_FRACTION
-        )
-        return 1.0 + share * max(MIN_BUCKET_DEPTH, self.leak_rate_per_s * BUCKET_DEPTH_MS / MS_PER_SECOND)
-
-    def leak(self, now: float) -> None:
-        self.fill = max(0.0, self.fill - self.leak_rate_per_s * (now - self.fill_at_ms) / MS_PER_SECOND)
-        self.fill_at_ms = now
-
-    def admits(self, inside: bool, value: float, now: float) -> bool:
-        self.leak(now)
-        passes = 1.0 + self.fill < self.threshold_vector(inside, value)
-        self.fill += passes
-        return passes or self.phase is ThrottlePhase.NOT_OVERLOADED
-
-    def set_leak_rate(self, rate: float, now: float) -> None:
-        """Randomises the fill at each new rate, so that limiters do not run in step; it stays bounded."""
-        self.leak(now)
-        self.leak_rate_per_s = max(rate, self.min_leak_rate_per_s)
-        fill = self.fill + self.rng.uniform(-1.0, 1.0)
+    def threshold_vector(self, is_within_quota: bool, value: float) -> float:
+        """Return the threshold of a class in attempts.
+
+        Args:
+            is_within_quota: Whether the request is within its customer's quota.
+            value: The class's value over the highest value, 0 to 1.
+        """
+        if is_within_quota:
+            depth_fraction = LOWEST_VALUE_THRESHOLD_FRACTION + (1.0 - LOWEST_VALUE_THRESHOLD_FRACTION) * value
+        else:
+            depth_fraction = OVER_QUOTA_THRESHOLD_FRACTION
+        depth = max(MIN_BUCKET_DEPTH, self.leak_rate_per_s * BUCKET_DEPTH_MS / MS_PER_SECOND)
+        return 1.0 + depth_fraction * depth
+
+    def leak(self, now_ms: float) -> None:
+        """Drain the bucket for the time since it was last drained."""
+        leaked = self.leak_rate_per_s * (now_ms - self.fill_at_ms) / MS_PER_SECOND
+        self.fill = max(0.0, self.fill - leaked)
+        self.fill_at_ms = now_ms
+
+    def admits(self, is_within_quota: bool, value: float, now_ms: float) -> bool:
+        """Decide about an attempt of a class, and add it to the bucket if it fits.
+
+        The bucket is filled without overload too, so that throttling starts with its true fill.
+
+        Args:
+            is_within_quota: Whether the request is within its customer's quota.
+            value: The class's value over the highest value, 0 to 1.
+            now_ms: The time.
+        """
+        self.leak(now_ms)
+        fits = 1.0 + self.fill < self.threshold_vector(is_within_quota, value)
+        self.fill += fits
+        return fits or self.phase is ThrottlePhase.NOT_OVERLOADED
+
+    def remove_attempt(self) -> None:
+        """Take an attempt out of the bucket that was admitted and will not be sent."""
+        self.fill = max(0.0, self.fill - 1.0)
+
+    def set_leak_rate(self, rate_per_s: float, now_ms: float) -> None:
+        """Set the leak rate, and randomise the fill so that limiters do not run in step."""
+        self.leak(now_ms)
+        self.leak_rate_per_s = max(rate_per_s, self.min_leak_rate_per_s)
+        fill = self.fill + self._rng.uniform(-1.0, 1.0)
         self.fill = min(max(0.0, fill), 2.0 * self.threshold_vector(True, 1.0))
 
-    def start_throttling(self, rate: float, now: float) -> None:
+    def start_throttling(self, rate_per_s: float, now_ms: float) -> None:
+        """Enter `OVERLOADED` with a leak rate."""
         if self.phase is ThrottlePhase.NOT_OVERLOADED:
-            self.leak_rate_per_s, self.fill_at_ms = rate, now
+            self.leak_rate_per_s = rate_per_s
+            self.fill_at_ms = now_ms
             self.fill = self.threshold_vector(True, 0.0)
-        self.entry_rate_per_s = rate
-        self.set_leak_rate(rate, now)
-        self.enter_phase(ThrottlePhase.OVERLOADED, now)
-        self.updated_at_ms = now
-
-    def enter_phase(self, phase: ThrottlePhase, now: float) -> None:
-        self.phase, self.phase_since_ms, self.previous_rate_per_s = phase, now, None
-
-    def update(self, level: float, attempts: float, entry: float, now: float) -> None:
-        """One look at the load level, `attempts` a second being let through."""
-        over = level > GOAL_LOAD_LEVEL
-        if over and self.phase in (ThrottlePhase.NOT_OVERLOADED, ThrottlePhase.RETURNING_TO_NOT_OVERLOADED):
-            self.start_throttling(entry if self.phase is ThrottlePhase.NOT_OVERLOADED else self.entry_rate_per_s, now)
-        elif over and self.phase is ThrottlePhase.TERMINATION_PENDING:
-            self.enter_phase(ThrottlePhase.OVERLOADED, now)
-        if self.phase is ThrottlePhase.NOT_OVERLOADED or now - self.updated_at_ms < CONTROL_PERIOD_MS:
+        self.entry_rate_per_s = rate_per_s
+        self.set_leak_rate(rate_per_s, now_ms)
+        self.enter_phase(ThrottlePhase.OVERLOADED, now_ms)
+        self.updated_at_ms = now_ms
+
+    def enter_phase(self, phase: ThrottlePhase, now_ms: float) -> None:
+        """Change the state of the adaptor."""
+        self.phase = phase
+        self.phase_since_ms = now_ms
+        self.previous_rate_per_s = None
+
+    def update(self, load_level: float, admit_rate_per_s: float, entry_rate_per_s: float, now_ms: float) -> None:
+        """Run the control adaptor once.
+
+        A load level above the goal acts at once; the leak rate is adapted once every `CONTROL_PERIOD_MS`.
+
+        Args:
+            load_level: The load level.
+            admit_rate_per_s: Attempts per second that are admitted now.
+            entry_rate_per_s: The leak rate with which throttling starts.
+            now_ms: The time.
+        """
+        is_overloaded = load_level > GOAL_LOAD_LEVEL
+        if is_overloaded:
+            self._react_to_overload(entry_rate_per_s, now_ms)
+        if self.phase is ThrottlePhase.NOT_OVERLOADED or now_ms - self.updated_at_ms < CONTROL_PERIOD_MS:
             return
-        self.updated_at_ms = now
-        factor = min(max(GOAL_LOAD_LEVEL / max(level, 1e-3), MIN_RATE_FACTOR), MAX_RATE_FACTOR)
+        self.updated_at_ms = now_ms
+        factor = min(max(GOAL_LOAD_LEVEL / max(load_level, MIN_LOAD_LEVEL), MIN_RATE_FACTOR), MAX_RATE_FACTOR)
         if self.phase is ThrottlePhase.RETURNING_TO_NOT_OVERLOADED:
-            self._update_returning(now)
+            self._update_returning(now_ms)
         elif self.phase is ThrottlePhase.TERMINATION_PENDING:
-            self._update_termination_pending(factor, attempts, now)
-        elif over:
-            self.set_leak_rate(self.leak_rate_per_s * factor, now)
+            self._update_termination_pending(factor, admit_rate_per_s, now_ms)
+        elif is_overloaded:
+            self.set_leak_rate(self.leak_rate_per_s * factor, now_ms)
         else:
-            self.enter_phase(ThrottlePhase.TERMINATION_PENDING, now)
-        self.previous_admit_rate_per_s = attempts
+            self.enter_phase(ThrottlePhase.TERMINATION_PENDING, now_ms)
+        self.previous_admit_rate_per_s = admit_rate_per_s
+
+    def _react_to_overload(self, entry_rate_per_s: float, now_ms: float) -> None:
+        if self.phase is ThrottlePhase.NOT_OVERLOADED:
+            self.start_throttling(entry_rate_per_s, now_ms)
+        elif self.phase is ThrottlePhase.RETURNING_TO_NOT_OVERLOADED:
+            self.start_throttling(self.entry_rate_per_s, now_ms)
+        elif self.phase is ThrottlePhase.TERMINATION_PENDING:
+            self.enter_phase(ThrottlePhase.OVERLOADED, now_ms)
 
-    def _update_termination_pending(self, factor: float, attempts: float, now: float) -> None:
-        if self.previous_rate_per_s is not None and attempts < self.previous_admit_rate_per_s:
-            self.set_leak_rate(self.previous_rate_per_s, now)
+    def _update_termination_pending(self, factor: float, admit_rate_per_s: float, now_ms: float) -> None:
+        """Raise the leak rate, or take a rise back after which no more attempts were admitted."""
+        if self.previous_rate_per_s is not None and admit_rate_per_s < self.previous_admit_rate_per_s:
+            self.set_leak_rate(self.previous_rate_per_s, now_ms)
             self.previous_rate_per_s = None
         else:
             self.previous_rate_per_s = self.leak_rate_per_s
-            self.set_leak_rate(
-                max(self.leak_rate_per_s, min(self.leak_rate_per_s * factor, self.max_leak_rate_per_s)), now
-            )
-        if now - self.phase_since_ms >= TERMINATION_PENDING_PERIOD_MS:
-            self.enter_phase(ThrottlePhase.RETURNING_TO_NOT_OVERLOADED, now)
+            raised_per_s = min(self.leak_rate_per_s * factor, self.max_leak_rate_per_s)
+            self.set_leak_rate(max(self.leak_rate_per_s, raised_per_s), now_ms)
+        if now_ms - self.phase_since_ms >= TERMINATION_PENDING_PERIOD_MS:
+            self.enter_phase(ThrottlePhase.RETURNING_TO_NOT_OVERLOADED, now_ms)
             self.entry_rate_per_s = self.leak_rate_per_s
 
-    def _update_returning(self, now: float) -> None:
-        rate = self.leak_rate_per_s * (1.0 + LEAK_RATE_GROWTH_PERCENT / 100.0)
-        if now - self.phase_since_ms < RATE_INCREMENT_PERIOD_MS:
+    def _update_returning(self, now_ms: float) -> None:
+        """Raise the leak rate step by step, and end throttling at the maximum."""
+        if now_ms - self.phase_since_ms < RATE_INCREMENT_PERIOD_MS:
             return
-        if rate >= self.max_leak_rate_per_s:
-            self.enter_phase(ThrottlePhase.NOT_OVERLOADED, now)
+        raised_per_s = self.leak_rate_per_s * (1.0 + LEAK_RATE_GROWTH_PERCENT / 100.0)
+        if raised_per_s >= self.max_leak_rate_per_s:
+            self.enter_phase(ThrottlePhase.NOT_OVERLOADED, now_ms)
         else:
-            self.set_leak_rate(rate, now)
+            self.set_leak_rate(raised_per_s, now_ms)
--- a/elderlock/peer_messages.py
+++ b/elderlock/peer_messages.py
@@ -190,13 +190,11 @@
 def encode(latest_latency: int, message: Message) -> bytes:
     """Encode a message with the sender's latest latency sample as a datagram."""
     match message:
-        case QuotaQuery(key, plan_index, unit_steps, believed_level, query_id):
-            return _encode_single(
-                latest_latency, key, SingleKind.QUERY, plan_index, unit_steps, believed_level, query_id
-            )
-        case QuotaAnswer(key, is_granted, plan_index, level, rate, query_id):
-            kind = SingleKind.GRANTED if is_granted else SingleKind.DENIED
-            return _encode_single(latest_latency, key, kind, plan_index, level, rate, query_id)
+        case QuotaQuery(unit_steps=unit_steps, believed_level=believed_level):
+            return _encode_single(latest_latency, SingleKind.QUERY, message, unit_steps, believed_level)
+        case QuotaAnswer(level=level, rate=rate):
+            kind = SingleKind.GRANTED if message.is_granted else SingleKind.DENIED
+            return _encode_single(latest_latency, kind, message, level, rate)
         case UsageReport(rows):
             return BATCH_HEADER.pack(BATCH_FORMAT, latest_latency, BatchKind.USAGE_REPORT) + b"".join(
                 USAGE_ROW.pack(row.key, row.plan_index, row.unit_steps, row.believed_level) for row in rows
@@ -208,17 +206,17 @@
 
 
 def _encode_single(
-    latest_latency: int, key: int, kind: SingleKind, plan_index: int, first: float, second: float, query_id: int
+    latest_latency: int, kind: SingleKind, message: QuotaQuery | QuotaAnswer, first: float, second: float
 ) -> bytes:
     return SINGLE.pack(
         SINGLE_FORMAT,
         latest_latency,
-        key,
+        message.key,
         kind,
-        plan_index % 256,
+        message.plan_index % 256,
         clamp_byte(first),
         clamp_byte(second),
-        query_id,
+        message.query_id,
     )
 
 
--- a/elderlock/settings_reader.py
+++ b/elderlock/settings_reader.py
@@ -1,4 +1,7 @@
-"""Reads the settings object, which the simulator's first message and a limiter's configuration share."""
+"""Reading the settings object, which the simulator's first message and a limiter's configuration file share.
+
+The keys of the object are fixed outside; this module alone maps them to the names of `elderlock.interface`.
+"""
 
 from __future__ import annotations
 
@@ -15,9 +18,22 @@
 }
 
 
+DEFAULT_MAX_OPEN_REQUESTS = 20000
+DEFAULT_LARGEST_REQUEST_UNITS = 1e6
+
+
 def read_number(raw: Any, name: str, default: float | None = None) -> float:
-    """The figure of that name, `default` where there is none. Raises `KeyError` for one that is missing, `ValueError`
-    for one that is no number, below nought or without end: no setting has any use for it."""
+    """Return the number under a key.
+
+    Args:
+        raw: The object that holds the key.
+        name: The key.
+        default: What to return where the key is missing; without one the key is required.
+
+    Raises:
+        KeyError: The key is missing and there is no default.
+        ValueError: The value is no number, negative, infinite or not a number at all (NaN).
+    """
     value = raw[name] if default is None else raw.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ValueError(f"{name} is {value!r}, a number is wanted")
@@ -27,7 +43,12 @@
 
 
 def read_positive(raw: Any, name: str) -> float:
-    """As `figure`, for what is divided by. Raises `ValueError` for nought."""
+    """Return the number under a required key, which must not be 0.
+
+    Raises:
+        KeyError: The key is missing.
+        ValueError: As with `read_number`, and for 0.
+    """
     value = read_number(raw, name)
     if not value:
         raise ValueError(f"{name} is {value}, a number above 0 is wanted")
@@ -35,108 +56,151 @@
 
 
 def read_integer(raw: Any, name: str, default: int | None = None) -> int:
-    """As `figure`, and whole. Raises `ValueError` for a fraction."""
+    """Return the integer under a key, with `default` where it is missing.
+
+    Raises:
+        KeyError: The key is missing and there is no default.
+        ValueError: As with `read_number`, and for a fraction.
+    """
     value = read_number(raw, name, default)
     if value != int(value):
         raise ValueError(f"{name} is {value}, a whole number is wanted")
     return int(value)
 
 
-def _read_idempotency(raw: Any) -> api.Idempotency:
-    if raw["effect"] not in IDEMPOTENCY_BY_NAME:
-        raise ValueError(f"effect {raw['effect']!r} is not known: it is one of {', '.join(IDEMPOTENCY_BY_NAME)}")
-    return IDEMPOTENCY_BY_NAME[raw["effect"]]
-
-
 @dataclass(frozen=True, slots=True)
 class SocketSettings:
-    """What the settings say of connections and of the names in use on them; times in milliseconds."""
+    """The part of the settings that concerns connections and the names that are used on them.
+
+    Attributes:
+        zones: The names of the zones, in the order of their numbers.
+        kinds: The names of the kinds of servers, in the order of their numbers.
+        connect_timeout_ms: How long a connection to a server may take to be established.
+        keepalive_ms: How long a connection may be idle.
+        max_open_requests: How many requests may be open at once.
+        largest_request_units: The most units that one request may cost.
+        longest_deadline_ms: The longest deadline of all classes; infinite where no class has one.
+    """
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     connect_timeout_ms: float
     keepalive_ms: float
     max_open_requests: int
-    largest_request_units: float  # units of one request
-    longest_deadline_ms: float  # of all classes
+    largest_request_units: float
+    longest_deadline_ms: float
 
 
 def read_socket_settings(facts: Any) -> SocketSettings:
+    """Read what concerns connections; keys that are not known are ignored.
+
+    Raises:
+        KeyError: A required key is missing.
+        ValueError: A value cannot be used.
+    """
     limits = facts["policy-limits"]
     return SocketSettings(
         zones=tuple(str(name) for name in facts["zones"]),
         kinds=tuple(str(name) for name in facts["kinds"]),
         connect_timeout_ms=read_number(limits, "dial-timeout"),
         keepalive_ms=read_number(limits, "keepalive"),
-        max_open_requests=read_integer(limits, "max-open", 20000),
-        largest_request_units=read_number(facts["family-info"], "largest", 1e6),
+        max_open_requests=read_integer(limits, "max-open", DEFAULT_MAX_OPEN_REQUESTS),
+        largest_request_units=read_number(facts["family-info"], "largest", DEFAULT_LARGEST_REQUEST_UNITS),
         longest_deadline_ms=max(
-            (read_number(c, "deadline") for c in facts["services"] if "deadline" in c), default=inf
+            (read_number(raw, "deadline") for raw in facts["services"] if "deadline" in raw), default=inf
         ),
     )
 
 
 def read_settings(facts: Any) -> api.Settings:
-    """Reads the start-up settings; keys that are not known are ignored. Raises `KeyError` for what is missing,
-    `ValueError` or `TypeError` for what cannot be used."""
-    rules, limits = facts["rules"], facts["policy-limits"]
+    """Read the settings of the decisions; keys that are not known are ignored.
+
+    Raises:
+        KeyError: A required key is missing.
+        ValueError: A value cannot be used.
+        TypeError: A value is of another type.
+    """
+    rules = facts["rules"]
+    limits = facts["policy-limits"]
     family = facts["family-info"]
-    classes = tuple(
-        api.RequestClass(
-            name=str(c["name"]),
-            latency_objective_ms=read_positive(c, "goal-time"),
-            idempotency=_read_idempotency(c),
-            deduplication_scope=api.DeduplicationScope(c.get("dedup-scope", "all")),
-            deduplication_window_ms=read_number(c, "memory-span", 0.0),
-            priority_weight=read_number(c, "credit", 1.0),
-            late_priority_weight=read_number(c, "late-worth", 0.0),
-            is_streaming=bool(c.get("stream", False)),
-        )
-        for c in facts["services"]
-    )
-    plans = tuple(
-        api.Plan(
-            name=str(p["name"]),
-            price_weight=read_number(p, "price", 1.0),
-            rate_per_s=read_number(p, "quota-rate", 0.0),
-            burst_units=read_number(p, "burst", 0.0),
-            concurrency_limit=read_integer(p, "parallel", 0),
-            over_quota_value=read_number(p, "beyond-earns", 0.0),
-            over_quota_cost=read_number(p, "beyond-costs", 0.0),
-            ceiling_rate_per_s=read_number(p, "hard-rate", 0.0),
-            ceiling_burst_units=read_number(p, "never-over-depth", 0.0),
-            ceiling_slack_units=read_number(p, "hard-slack", 0.0),
-        )
-        for p in facts["plans"]
-    )
-    number, limiters = read_integer(facts, "ordinal"), read_integer(facts, "peers-total")
-    if number >= limiters:
-        raise ValueError(f"ordinal is {number} where peers-total is {limiters}")
+    request_classes = tuple(_read_request_class(raw) for raw in facts["services"])
+    plans = tuple(_read_plan(raw) for raw in facts["plans"])
+    limiter_index = read_integer(facts, "ordinal")
+    limiter_count = read_integer(facts, "peers-total")
+    if limiter_index >= limiter_count:
+        raise ValueError(f"ordinal is {limiter_index} where peers-total is {limiter_count}")
     return api.Settings(
-        limiter_index=number,
-        limiter_count=limiters,
+        limiter_index=limiter_index,
+        limiter_count=limiter_count,
         clock_tick_ms=read_number(facts, "quantum"),
         zone=int(facts["zone"]),
-        request_classes=classes,
+        request_classes=request_classes,
         plans=plans,
-        rules=api.ServiceRules(
-            warm_up_initial_fraction=read_number(rules, "cold-share"),
-            warm_up_ms=read_number(rules, "cold"),
-            overload_multiple=read_number(rules, "tip-multiple"),
-            overload_window_ms=read_positive(rules, "fall"),
-            list_refresh_within_ms=read_number(rules, "ask-every", 0.0),
-        ),
-        capabilities=api.Capabilities(
-            max_attempts=read_integer(limits, "most-tries"),
-            can_cancel=bool(limits.get("may-cancel", False)),
-            can_message_peers=bool(limits.get("peers", False)),
-            can_send_retry_after=bool(limits.get("retry-after", False)),
-            max_retry_after_ms=read_number(limits, "max-retry-after", 0.0),
-        ),
-        quota_sources=api.QuotaSources(
-            meter_period_ms=read_number(family, "metering", 0.0),
-            peer_messages_per_s=read_number(family, "peer-intake", 0.0),
-            cost_known_after=bool(family.get("cost-after", False)),
-        ),
+        rules=_read_rules(rules),
+        capabilities=_read_capabilities(limits),
+        quota_sources=_read_quota_sources(family),
         subscribes_to_list=facts["membership-mode"] == "subscribe",
     )
+
+
+def _read_request_class(raw: Any) -> api.RequestClass:
+    return api.RequestClass(
+        name=str(raw["name"]),
+        latency_objective_ms=read_positive(raw, "goal-time"),
+        idempotency=_read_idempotency(raw),
+        deduplication_scope=api.DeduplicationScope(raw.get("dedup-scope", "all")),
+        deduplication_window_ms=read_number(raw, "memory-span", 0.0),
+        priority_weight=read_number(raw, "credit", 1.0),
+        late_priority_weight=read_number(raw, "late-worth", 0.0),
+        is_streaming=bool(raw.get("stream", False)),
+    )
+
+
+def _read_idempotency(raw: Any) -> api.Idempotency:
+    name = raw["effect"]
+    if name not in IDEMPOTENCY_BY_NAME:
+        raise ValueError(f"effect {name!r} is not known: it is one of {', '.join(IDEMPOTENCY_BY_NAME)}")
+    return IDEMPOTENCY_BY_NAME[name]
+
+
+def _read_plan(raw: Any) -> api.Plan:
+    return api.Plan(
+        name=str(raw["name"]),
+        price_weight=read_number(raw, "price", 1.0),
+        rate_per_s=read_number(raw, "quota-rate", 0.0),
+        burst_units=read_number(raw, "burst", 0.0),
+        concurrency_limit=read_integer(raw, "parallel", 0),
+        over_quota_value=read_number(raw, "beyond-earns", 0.0),
+        over_quota_cost=read_number(raw, "beyond-costs", 0.0),
+        ceiling_rate_per_s=read_number(raw, "hard-rate", 0.0),
+        ceiling_burst_units=read_number(raw, "never-over-depth", 0.0),
+        ceiling_slack_units=read_number(raw, "hard-slack", 0.0),
+    )
+
+
+def _read_rules(raw: Any) -> api.ServiceRules:
+    return api.ServiceRules(
+        warm_up_initial_fraction=read_number(raw, "cold-share"),
+        warm_up_ms=read_number(raw, "cold"),
+        overload_multiple=read_number(raw, "tip-multiple"),
+        overload_window_ms=read_positive(raw, "fall"),
+        list_refresh_within_ms=read_number(raw, "ask-every", 0.0),
+    )
+
+
+def _read_capabilities(raw: Any) -> api.Capabilities:
+    return api.Capabilities(
+        max_attempts=read_integer(raw, "most-tries"),
+        can_cancel=bool(raw.get("may-cancel", False)),
+        can_message_peers=bool(raw.get("peers", False)),
+        can_send_retry_after=bool(raw.get("retry-after", False)),
+        max_retry_after_ms=read_number(raw, "max-retry-after", 0.0),
+    )
+
+
+def _read_quota_sources(raw: Any) -> api.QuotaSources:
+    return api.QuotaSources(
+        meter_period_ms=read_number(raw, "metering", 0.0),
+        peer_messages_per_s=read_number(raw, "peer-intake", 0.0),
+        cost_known_after=bool(raw.get("cost-after", False)),
+    )
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -15,6 +15,7 @@
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.retry_policy import RetryPolicy
 from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.slow_start import UNLIMITED, SlowStart
 from elderlock.decisions.throttle import Throttle
@@ -128,14 +129,14 @@
 
 def forgets_no_timer(patch: Patching) -> None:
     """Each request leaves something that nobody takes away."""
-    kept = Attempts.record_first_send
+    kept = RetryPolicy.record_first_send
 
-    def first_sent(self: Attempts) -> None:
+    def first_sent(self: RetryPolicy) -> None:
         kept(self)
         for _ in range(3):
             self.context.timers.schedule(self.context.now_ms + 1e9, -7)
 
-    patch.setattr(Attempts, "record_first_send", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", first_sent)
 
 
 def hears_no_other(patch: Patching) -> None:
@@ -160,14 +161,14 @@
 
 def leaks_descriptors(patch: Patching) -> None:
     """Each request leaves some open for good."""
-    kept = Attempts.record_first_send
+    kept = RetryPolicy.record_first_send
 
-    def first_sent(self: Attempts) -> None:
+    def first_sent(self: RetryPolicy) -> None:
         kept(self)
         for _ in range(3):
             os.open(os.devnull, os.O_RDONLY)
 
-    patch.setattr(Attempts, "record_first_send", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", first_sent)
 
 
 def keeps_what_is_over(patch: Patching) -> None:
--- a/tests/decisions/test_routing_at_scale.py
+++ b/tests/decisions/test_routing_at_scale.py
@@ -129,7 +129,7 @@
 
 def test_two_thousand_requests_that_time_out_at_once_get_one_answer_each() -> None:
     limiter_gateway = gateway(limiter_settings(limiters=1), names="".join(chr(0x4E00 + n) for n in range(1500)))
-    limiter_gateway.limiter.attempts.retry_budget = 0.0
+    limiter_gateway.limiter.attempts.retry_policy.retry_budget = 0.0
     names = [limiter_gateway.ask(customer=f"c{n}") for n in range(2000)]
     assert sum(bool(limiter_gateway.where(name)) for name in names) == 2000
     limiter_gateway.run(limiter_gateway.now + 1100.0)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -4,7 +4,7 @@
 import pytest
 
 from elderlock import interface as api
-from elderlock.decisions import admission, attempts, limiter, quotas, throttle, usage_reports
+from elderlock.decisions import admission, maintenance, quotas, retry_policy, throttle, usage_reports
 from elderlock.decisions import load_estimator as load
 from elderlock.decisions import outlier_detection as outliers
 from elderlock.decisions import server_selection as choice
@@ -48,7 +48,7 @@
         (choice, "SAMPLE_COUNT", 7),
         (outliers, "FAILURES_BEFORE_EJECTION", 4),
         (subset, "MIN_HOLDER_COUNT", 3),
-        (attempts, "UNEXECUTED_RETRY_COST", 0.5),
+        (retry_policy, "UNEXECUTED_RETRY_COST", 0.5),
         (quotas, "CEILING_SLACK_FRACTION", 0.7),
         (quotas, "RATE_AVERAGING_SENDS", 5.0),
         (usage_reports, "COMFORTABLE_BURST_FRACTION", 0.6),
@@ -56,7 +56,7 @@
         (throttle, "MIN_RATE_FACTOR", 0.7),
         (load, "PADDING_SAMPLES", 3),
         (admission, "LOWEST_VALUE_PRESSURE_FRACTION", 0.6),
-        (limiter, "MAX_LEAK_DEMAND_RATIO", 0.6),
+        (maintenance, "MAX_LEAK_DEMAND_RATIO", 0.6),
     ],
 )
 def test_a_small_change_of_the_decisions_shows(
