--- a/tests/control/test_socket.py
+++ b/tests/control/test_socket.py
@@ -11,7 +11,7 @@
 
 import msgspec
 import pytest
-from helpers import gateway, settings
+from helpers import limiter_settings, start_harness
 from programs import Program, look
 
 from elderlock.control import messages as m
@@ -97,18 +97,18 @@
 
 
 def test_it_shows_why_a_box_that_failed_gets_nothing() -> None:
-    gate = gateway(settings(limiters=6), names="abcdefgh")
+    gate = start_harness(limiter_settings(limiters=6), names="abcdefgh")
     boxes = gate.limiter.endpoints
     server = boxes.servers["c"]
-    assert routed_away(boxes, server, gate.now) == ""
+    assert routed_away(boxes, server, gate.now_ms) == ""
     for _ in range(3):
         boxes.outlier_detector.record_failure(server, 8, boxes.directory.total_weight_milli)
     assert routed_away(boxes, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
-    gate.now = boxes.context.now_ms = server.reinstate_at_ms
+    gate.now_ms = boxes.context.now_ms = server.reinstate_at_ms
     boxes.review_due_servers()
-    assert routed_away(boxes, server, gate.now) == "on trial, one request at a time"
-    config = replace(settings(limiters=6), routing=Routing(subset_size=4))
-    boxes = gateway(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
+    assert routed_away(boxes, server, gate.now_ms) == "on trial, one request at a time"
+    config = replace(limiter_settings(limiters=6), routing=Routing(subset_size=4))
+    boxes = start_harness(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
     told = {name: routed_away(boxes, one, 0.0) for name, one in boxes.servers.items()}
     assert {name for name, why in told.items() if not why} == {
         one.entry.server_id for one in boxes.candidates.all.members()
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -3,8 +3,8 @@
 from collections import Counter
 from dataclasses import replace
 
-from helpers import Gateway, gateway
-from helpers import settings as limiter_settings
+from helpers import LimiterHarness, start_harness
+from helpers import limiter_settings as limiter_settings
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.gateway: Gateway | None = None
+        self.gateway: LimiterHarness | None = None
 
-    def start(self, subset: int, limiters: int) -> Gateway:
+    def start(self, subset: int, limiters: int) -> LimiterHarness:
         config = replace(
             limiter_settings(limiters=limiters, peers=False),
             routing=Routing(subset_size=subset, cross_zone_penalty=0.1),
         )
-        self.gateway = gateway(config, names="")
+        self.gateway = start_harness(config, names="")
         return self.gateway
 
     @rule(subset=st.sampled_from([0, 0, 4, 9]), limiters=st.integers(1, 9))
@@ -64,30 +64,32 @@
     def apply_list(self, rows: list[tuple[int, ServerState, int, float, float]], is_complete: bool) -> None:
         limiter_gateway = self.gateway or self.start(0, 3)
         entries = tuple(
-            api.ServerEntry(SERVER_IDS[n], zone, 0, n // 4, state, weight, limiter_gateway.now + at if at else 0.0)
+            api.ServerEntry(SERVER_IDS[n], zone, 0, n // 4, state, weight, limiter_gateway.now_ms + at if at else 0.0)
             for n, state, zone, at, weight in {row[0]: row for row in rows}.values()
         )
-        limiter_gateway.servers(*entries, kind=ListKind.COMPLETE if is_complete else ListKind.CHANGES)
+        limiter_gateway.apply_list(*entries, kind=ListKind.COMPLETE if is_complete else ListKind.CHANGES)
 
     @rule(count=st.integers(1, 20), kind=st.sampled_from([0, 0, 1, 2]))
     def send_requests(self, count: int, kind: int) -> None:
         limiter_gateway = self.gateway or self.start(0, 3)
         for _ in range(count):
-            name = limiter_gateway.ask(customer=f"c{limiter_gateway.count}", kind=kind)
-            for server in limiter_gateway.where(name)[:1]:  # the first attempt goes to a server that may be selected
+            name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}", kind=kind)
+            for server in limiter_gateway.attempted_servers(name)[
+                :1
+            ]:  # the first attempt goes to a server that may be selected
                 ready_server = limiter_gateway.limiter.endpoints.directory.ready[server]
                 assert limiter_gateway.limiter.endpoints.subsetting.includes(server) and not ready_server.is_ejected
 
     @rule(outcome=OUTCOMES, count=st.integers(1, 20))
     def end_attempts(self, outcome: Outcome, count: int) -> None:
-        for name, _, _ in list((self.gateway or self.start(0, 3)).out)[:count]:
+        for name, _, _ in list((self.gateway or self.start(0, 3)).attempts_in_flight)[:count]:
             assert self.gateway is not None
-            self.gateway.end(name, outcome)
+            self.gateway.end_attempt(name, outcome)
 
     @rule(wait=st.sampled_from([5.0, 60.0, 900.0, 5000.0]))
     def wait(self, wait: float) -> None:
         limiter_gateway = self.gateway or self.start(0, 3)
-        limiter_gateway.run(limiter_gateway.now + wait)
+        limiter_gateway.run_until(limiter_gateway.now_ms + wait)
 
     @invariant()
     def candidates_are_those_that_the_rules_allow(self) -> None:
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -2,8 +2,8 @@
 
 from itertools import pairwise
 
-from helpers import Gateway, entry, gateway
-from helpers import settings as limiter_settings
+from helpers import LimiterHarness, server_entry, start_harness
+from helpers import limiter_settings as limiter_settings
 
 from elderlock.decisions.context import DecisionContext
 from elderlock.decisions.outlier_detection import (
@@ -16,23 +16,23 @@
 from elderlock.state import Server
 
 
-def ask_with_failing_servers(limiter_gateway: Gateway, failing: set[str], rounds: int) -> list[str]:
+def ask_with_failing_servers(limiter_gateway: LimiterHarness, failing: set[str], rounds: int) -> list[str]:
     """Send `rounds` requests while the `failing` servers refuse connections; return where the first attempts went."""
     first_servers = []
     for _ in range(rounds):
-        name = limiter_gateway.ask(customer=f"c{limiter_gateway.count}")
-        first_servers += limiter_gateway.where(name)[:1]
-        while name not in limiter_gateway.ended:
-            limiter_gateway.end(
-                name, Outcome.CONNECT_FAILED if limiter_gateway.where(name)[-1] in failing else Outcome.OK
+        name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}")
+        first_servers += limiter_gateway.attempted_servers(name)[:1]
+        while name not in limiter_gateway.answered_ids:
+            limiter_gateway.end_attempt(
+                name, Outcome.CONNECT_FAILED if limiter_gateway.attempted_servers(name)[-1] in failing else Outcome.OK
             )
-        limiter_gateway.run(limiter_gateway.now + 20.0)
+        limiter_gateway.run_until(limiter_gateway.now_ms + 20.0)
     return first_servers
 
 
 def test_at_most_half_the_weight_is_ejected_and_the_one_good_server_serves() -> None:
     names = [chr(97 + n) for n in range(20)]
-    limiter_gateway = gateway(limiter_settings(limiters=1), names="".join(names))
+    limiter_gateway = start_harness(limiter_settings(limiters=1), names="".join(names))
     first_servers = ask_with_failing_servers(limiter_gateway, set(names[1:]), 600)
     detector = limiter_gateway.limiter.endpoints.outlier_detector
     assert len(detector.ejected) <= 10
@@ -41,15 +41,15 @@
 
 def test_panic_mode_reinstates_all_servers_when_nearly_all_fail() -> None:
     names = [chr(97 + n) for n in range(20)]
-    limiter_gateway = gateway(limiter_settings(limiters=1), names="".join(names))
+    limiter_gateway = start_harness(limiter_settings(limiters=1), names="".join(names))
     endpoints = limiter_gateway.limiter.endpoints
     max_ejected = 0
     for _ in range(400):
-        name = limiter_gateway.ask(customer=f"c{limiter_gateway.count}")
-        while name not in limiter_gateway.ended:
-            limiter_gateway.end(name, Outcome.CONNECT_FAILED)
+        name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}")
+        while name not in limiter_gateway.answered_ids:
+            limiter_gateway.end_attempt(name, Outcome.CONNECT_FAILED)
         max_ejected = max(max_ejected, len(endpoints.outlier_detector.ejected))
-        limiter_gateway.run(limiter_gateway.now + 20.0)
+        limiter_gateway.run_until(limiter_gateway.now_ms + 20.0)
         if endpoints.outlier_detector.is_panicking(20):
             break
     assert max_ejected == 10 and len(endpoints.outlier_detector.failing_server_ids) > PANIC_THRESHOLD_FRACTION * 20
@@ -57,21 +57,23 @@
 
 
 def test_a_reinstated_server_gets_one_request_at_a_time_until_it_answers() -> None:
-    limiter_gateway = gateway(limiter_settings(limiters=1), names="abcd")
+    limiter_gateway = start_harness(limiter_settings(limiters=1), names="abcd")
     server = limiter_gateway.limiter.endpoints.servers["b"]
     while not server.is_ejected:
         ask_with_failing_servers(limiter_gateway, {"b"}, 20)
     assert server.consecutive_failures == FAILURES_BEFORE_EJECTION
     while server.is_ejected:
         assert "b" not in ask_with_failing_servers(limiter_gateway, set(), 1)
-    names = [limiter_gateway.ask(customer=f"d{n}") for n in range(30)]
-    first_servers = [limiter_gateway.where(name)[0] for name in names if limiter_gateway.where(name)]
+    names = [limiter_gateway.send_request(customer=f"d{n}") for n in range(30)]
+    first_servers = [
+        limiter_gateway.attempted_servers(name)[0] for name in names if limiter_gateway.attempted_servers(name)
+    ]
     assert len(first_servers) > 5 and first_servers.count("b") <= 1 and server.is_on_probation
     while not server.in_flight:
         ask_with_failing_servers(limiter_gateway, set(), 1)
-        names.append(limiter_gateway.ask(customer=f"e{limiter_gateway.count}"))
+        names.append(limiter_gateway.send_request(customer=f"e{limiter_gateway.request_count}"))
     assert server not in limiter_gateway.limiter.endpoints.candidates.all
-    limiter_gateway.end(next(iter(server.in_flight))[0], Outcome.OK)
+    limiter_gateway.end_attempt(next(iter(server.in_flight))[0], Outcome.OK)
     assert (
         not server.is_on_probation
         and not server.consecutive_failures
@@ -81,7 +83,7 @@
 
 def test_each_further_ejection_lasts_longer_up_to_the_maximum() -> None:
     detector = OutlierDetector(DecisionContext(limiter_settings(limiters=1), 1, 0.0))
-    server, waits = Server(entry("a"), 0.0, 0.0, weight_milli=10), []
+    server, waits = Server(server_entry("a"), 0.0, 0.0, weight_milli=10), []
     for _ in range(8):
         while not server.is_ejected:
             assert detector.record_failure(server, 4, 40) == []
@@ -95,7 +97,7 @@
 
 
 def test_servers_are_reinstated_when_a_shrinking_list_makes_the_ejected_ones_too_many() -> None:
-    limiter_gateway = gateway(limiter_settings(limiters=1), names="abcdefgh")
+    limiter_gateway = start_harness(limiter_settings(limiters=1), names="abcdefgh")
     endpoints = limiter_gateway.limiter.endpoints
     for name in "abcd":
         for _ in range(FAILURES_BEFORE_EJECTION):
@@ -105,5 +107,5 @@
         endpoints.usable_count_by_rank[0] -= 1
         endpoints.reposition(endpoints.servers[name])
     assert len(endpoints.outlier_detector.ejected) == 4 and len(endpoints.candidates.all) == 4
-    limiter_gateway.servers(*(entry(n, state=ServerState.REMOVED) for n in "efg"), kind=ListKind.CHANGES)
+    limiter_gateway.apply_list(*(server_entry(n, state=ServerState.REMOVED) for n in "efg"), kind=ListKind.CHANGES)
     assert len(endpoints.outlier_detector.ejected) == 2 and len(endpoints.candidates.all) == 3
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -8,7 +8,7 @@
 from math import sqrt
 
 import pytest
-from helpers import RULES, RUNNING, Gateway, entry, settings
+from helpers import RULES, RUNNING, LimiterHarness, limiter_settings, server_entry
 
 from elderlock import interface as api
 from elderlock.decisions.limiter import Limiter
@@ -32,10 +32,12 @@
     def __init__(self, limiters: int, peers: bool, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.settings = replace(settings(limiters=limiters, peers=peers), plans=(UNLIMITED_PLAN,), rules=WARM_UP_RULES)
+        self.settings = replace(
+            limiter_settings(limiters=limiters, peers=peers), plans=(UNLIMITED_PLAN,), rules=WARM_UP_RULES
+        )
         self.sent_at_ms: list[float] = []
-        self.entries = [entry(f"w{n}", n % 2) for n in range(WARM_SERVER_COUNT)]
-        self.limiters: list[Gateway] = []
+        self.entries = [server_entry(f"w{n}", n % 2) for n in range(WARM_SERVER_COUNT)]
+        self.limiters: list[LimiterHarness] = []
         self.restart()
 
     def restart(self) -> None:
@@ -44,17 +46,17 @@
         self.answers_due: list[tuple[float, int, str]] = []
         self.apply_list(self.entries)
 
-    def start_limiter(self, number: int) -> Gateway:
+    def start_limiter(self, number: int) -> LimiterHarness:
         limiter = Limiter(replace(self.settings, limiter_index=number), self.rng.getrandbits(32), self.now)
-        limiter_gateway = Gateway(limiter, now=self.now)
-        limiter_gateway.take(limiter.start(self.now))
+        limiter_gateway = LimiterHarness(limiter, now_ms=self.now)
+        limiter_gateway.carry_out(limiter.start(self.now))
         return limiter_gateway
 
     def apply_list(self, entries: list[api.ServerEntry]) -> None:
         self.entries = entries
         for limiter in self.limiters:
-            limiter.run(self.now)
-            limiter.servers(*entries)
+            limiter.run_until(self.now)
+            limiter.apply_list(*entries)
 
     def play(self, until: float, rate: Callable[[float], float]) -> None:
         """Play until `until`, with `rate(now)` requests per second over all limiters."""
@@ -62,17 +64,17 @@
             self.now += STEP_MS
             while self.answers_due and self.answers_due[0][0] <= self.now:
                 _, number, name = heapq.heappop(self.answers_due)
-                self.limiters[number].run(self.now)
-                self.limiters[number].end(name, took=ANSWER_MS)
+                self.limiters[number].run_until(self.now)
+                self.limiters[number].end_attempt(name, took=ANSWER_MS)
                 self.record_sends(number)
             for number, limiter in enumerate(self.limiters):
-                limiter.run(self.now)
+                limiter.run_until(self.now)
                 if self.rng.random() < rate(self.now) / len(self.limiters) * STEP_MS / 1000.0:
-                    limiter.ask(customer=f"c{self.rng.randrange(50)}")
+                    limiter.send_request(customer=f"c{self.rng.randrange(50)}")
                 self.record_sends(number)
 
     def record_sends(self, number: int) -> None:
-        sent = self.limiters[number].sent
+        sent = self.limiters[number].sent_attempts
         for at, send in sent[self.seen_counts[number] :]:
             if send.server_id == "new":
                 self.sent_at_ms.append(at)
@@ -108,7 +110,7 @@
 
 
 def with_new_server(*entries: api.ServerEntry) -> list[api.ServerEntry]:
-    return [*entries, entry("new", 1, RUNNING, STARTED_AT_MS)]
+    return [*entries, server_entry("new", 1, RUNNING, STARTED_AT_MS)]
 
 
 @pytest.mark.parametrize("peers", [True, False])
@@ -148,11 +150,11 @@
 
 def test_a_server_that_has_just_warmed_up_is_reviewed_a_bounded_number_of_times() -> None:
     """Until the next control period it has no budget to wait for and still stands among those that warm up."""
-    limiter_settings = replace(settings(), rules=WARM_UP_RULES)
-    limiter_gateway = Gateway(Limiter(limiter_settings, 7, 100_000.0), now=100_000.0)
-    limiter_gateway.take(limiter_gateway.limiter.start(100_000.0))
-    limiter_gateway.servers(entry("new", at=100_500.0 - WARM_UP_RULES.warm_up_ms))
+    config = replace(limiter_settings(), rules=WARM_UP_RULES)
+    limiter_gateway = LimiterHarness(Limiter(config, 7, 100_000.0), now_ms=100_000.0)
+    limiter_gateway.carry_out(limiter_gateway.limiter.start(100_000.0))
+    limiter_gateway.apply_list(server_entry("new", at=100_500.0 - WARM_UP_RULES.warm_up_ms))
     for _ in range(40):
-        limiter_gateway.run(limiter_gateway.now + 50.0)
-        limiter_gateway.serve()
-    assert limiter_gateway.where("r40") == ["new"]
+        limiter_gateway.run_until(limiter_gateway.now_ms + 50.0)
+        limiter_gateway.is_served()
+    assert limiter_gateway.attempted_servers("r40") == ["new"]
--- a/tests/gossip/test_ceilings.py
+++ b/tests/gossip/test_ceilings.py
@@ -10,7 +10,7 @@
 
 import msgspec
 import pytest
-from helpers import SAFE, settings
+from helpers import IDEMPOTENT_CLASS, limiter_settings
 from playing import played
 
 from elderlock import interface as api
@@ -56,7 +56,7 @@
     """A limiter's quotas with a clock of their own, which may stand still beside the world's."""
 
     def __init__(self, number: int, now: float, seed: int, kind: type[Quotas] = EscrowQuotas) -> None:
-        given = settings(LIMITERS, peers=True)
+        given = limiter_settings(LIMITERS, peers=True)
         self.number, self.core = number, DecisionContext(replace(given, limiter_index=number, plans=(PLAN,)), seed, now)
         self.quotas = kind(self.core)
 
@@ -67,7 +67,7 @@
         account = self.quotas.account(event)
         if self.quotas.exceeds_hard_ceiling(account, units):
             return False
-        self.quotas.charge(OpenRequest(event, SAFE, account, now))
+        self.quotas.charge(OpenRequest(event, IDEMPOTENT_CLASS, account, now))
         account.in_flight -= 1
         return True
 
@@ -359,7 +359,7 @@
 def test_the_operators_file_says_what_is_shared(text: str, kind: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert Extras(path).limiter(settings(peers=True)) is kind
+    assert Extras(path).limiter(limiter_settings(peers=True)) is kind
 
 
 @pytest.mark.parametrize(
@@ -374,12 +374,12 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(why)) as error:
-        Extras(path).limiter(settings(peers=True))
+        Extras(path).limiter(limiter_settings(peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
 def test_operators_see_what_went_where() -> None:
-    limiter = CeilingLimiter(replace(settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
+    limiter = CeilingLimiter(replace(limiter_settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
     want = encode(Want(9, 77, 0, MEMBERS, FIRST, 3.0))
     (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
     assert (
@@ -389,7 +389,7 @@
     )
     assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=INTAKE_PART * 100.0)
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
-    assert ceilings_of(Limiter(settings(peers=True), 1, 0.0)) is None
+    assert ceilings_of(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
 
 
 # Fleets
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -8,12 +8,12 @@
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import Outcome
 
-SAFE = api.RequestClass("read", latency_objective_ms=1000.0)
-KEYED = api.RequestClass(
+IDEMPOTENT_CLASS = api.RequestClass("read", latency_objective_ms=1000.0)
+KEYED_CLASS = api.RequestClass(
     "put", 1000.0, api.Idempotency.WITH_KEY, api.DeduplicationScope.ZONE, deduplication_window_ms=2000.0
 )
-UNSAFE = api.RequestClass("pay", 1000.0, api.Idempotency.NOT_IDEMPOTENT)
-STREAM = api.RequestClass("watch", 1000.0, is_streaming=True)
+NOT_IDEMPOTENT_CLASS = api.RequestClass("pay", 1000.0, api.Idempotency.NOT_IDEMPOTENT)
+STREAM_CLASS = api.RequestClass("watch", 1000.0, is_streaming=True)
 RULES = api.ServiceRules(
     warm_up_initial_fraction=0.2,
     warm_up_ms=10000.0,
@@ -21,13 +21,15 @@
     overload_window_ms=1000.0,
     list_refresh_within_ms=8000.0,
 )
-PLAIN = api.Plan("plain", price_weight=1.0, rate_per_s=10.0, burst_units=20.0)
-CEILED = api.Plan("ceiled", 1.0, 10.0, 20.0, ceiling_rate_per_s=12.0, ceiling_burst_units=24.0, ceiling_slack_units=2.4)
-CAPPED = api.Plan("capped", 1.0, 100.0, 100.0, concurrency_limit=2)
-EARNING = api.Plan("earning", 0.5, 1.0, 2.0, over_quota_value=0.2)
+PLAIN_PLAN = api.Plan("plain", price_weight=1.0, rate_per_s=10.0, burst_units=20.0)
+CEILING_PLAN = api.Plan(
+    "ceiled", 1.0, 10.0, 20.0, ceiling_rate_per_s=12.0, ceiling_burst_units=24.0, ceiling_slack_units=2.4
+)
+CONCURRENCY_PLAN = api.Plan("capped", 1.0, 100.0, 100.0, concurrency_limit=2)
+OVER_QUOTA_PLAN = api.Plan("earning", 0.5, 1.0, 2.0, over_quota_value=0.2)
 
 
-def settings(
+def limiter_settings(
     limiters: int = 3,
     peers: bool = False,
     meter: float = 0.0,
@@ -40,8 +42,8 @@
         limiter_count=limiters,
         clock_tick_ms=4.0,
         zone=0,
-        request_classes=(SAFE, KEYED, UNSAFE, STREAM),
-        plans=(PLAIN, CEILED, CAPPED, EARNING),
+        request_classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, STREAM_CLASS),
+        plans=(PLAIN_PLAN, CEILING_PLAN, CONCURRENCY_PLAN, OVER_QUOTA_PLAN),
         rules=RULES,
         capabilities=api.Capabilities(max_attempts=4, can_cancel=cancel, can_message_peers=peers),
         quota_sources=api.QuotaSources(
@@ -56,80 +58,82 @@
 RUNNING = api.ServerState.RUNNING
 
 
-def entry(name: str, zone: int = 0, state: api.ServerState = RUNNING, at: float = 0.0) -> api.ServerEntry:
+def server_entry(name: str, zone: int = 0, state: api.ServerState = RUNNING, at: float = 0.0) -> api.ServerEntry:
     return api.ServerEntry(name, zone, 0, zone, state, 1.0, at)
 
 
 @dataclass
-class Gateway:
+class LimiterHarness:
     """Runs a limiter on a clock of its own."""
 
     limiter: Limiter
-    now: float = 0.0
+    now_ms: float = 0.0
     timers: list[tuple[float, int]] = field(default_factory=list)
-    sent: list[tuple[float, api.SendAttempt]] = field(default_factory=list)
-    finals: dict[str, list[str]] = field(default_factory=dict)
-    ended: set[str] = field(default_factory=set)
-    attempts: dict[str, int] = field(default_factory=dict)
-    out: list[tuple[str, int, str]] = field(default_factory=list)
-    other: list[tuple[float, api.Action]] = field(default_factory=list)
-    limits: list[tuple[float, tuple[str, int, str]]] = field(default_factory=list)  # of attempts
+    sent_attempts: list[tuple[float, api.SendAttempt]] = field(default_factory=list)
+    final_answers: dict[str, list[str]] = field(default_factory=dict)
+    answered_ids: set[str] = field(default_factory=set)
+    attempt_counts: dict[str, int] = field(default_factory=dict)
+    attempts_in_flight: list[tuple[str, int, str]] = field(default_factory=list)
+    other_actions: list[tuple[float, api.Action]] = field(default_factory=list)
+    attempt_timeouts: list[tuple[float, tuple[str, int, str]]] = field(default_factory=list)  # of attempts
     permits: list[tuple[float, api.Permit]] = field(default_factory=list)
-    count: int = 0
+    request_count: int = 0
 
-    def do(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded | api.ClientDisconnected) and getattr(event, "is_answered", True):
-            self.ended.add(event.request_id)
+            self.answered_ids.add(event.request_id)
         if isinstance(event, api.StreamStarted):
-            self.limits = [limit for limit in self.limits if limit[1][:2] != (event.request_id, event.attempt_index)]
-        actions = self.limiter.handle(event, self.now)
-        self.take(actions)
+            self.attempt_timeouts = [
+                limit for limit in self.attempt_timeouts if limit[1][:2] != (event.request_id, event.attempt_index)
+            ]
+        actions = self.limiter.handle(event, self.now_ms)
+        self.carry_out(actions)
         return actions
 
-    def take(self, actions: list[api.Action]) -> None:
+    def carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + max(action.delay_ms, 4.0), action.token))
+                self.timers.append((self.now_ms + max(action.delay_ms, 4.0), action.token))
             elif isinstance(action, api.SendAttempt):
-                assert action.request_id not in self.ended, "sent after the final answer"
-                number = self.attempts.get(action.request_id, 0)
-                self.attempts[action.request_id] = number + 1
-                self.out.append((action.request_id, number, action.server_id))
-                self.sent.append((self.now, action))
+                assert action.request_id not in self.answered_ids, "sent after the final answer"
+                number = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = number + 1
+                self.attempts_in_flight.append((action.request_id, number, action.server_id))
+                self.sent_attempts.append((self.now_ms, action))
                 if action.timeout_ms > 0:
-                    self.limits.append((self.now + action.timeout_ms, self.out[-1]))
+                    self.attempt_timeouts.append((self.now_ms + action.timeout_ms, self.attempts_in_flight[-1]))
             elif isinstance(action, api.Permit):
-                assert action.request_id not in self.ended, "answered twice"
-                self.ended.add(action.request_id)
-                self.finals.setdefault(action.request_id, []).append("Permit")
-                self.out.append((action.request_id, 0, action.server_id))
-                self.permits.append((self.now, action))
+                assert action.request_id not in self.answered_ids, "answered twice"
+                self.answered_ids.add(action.request_id)
+                self.final_answers.setdefault(action.request_id, []).append("Permit")
+                self.attempts_in_flight.append((action.request_id, 0, action.server_id))
+                self.permits.append((self.now_ms, action))
             elif isinstance(action, api.Reject | api.Fail):
-                assert action.request_id not in self.ended, "answered twice"
-                self.ended.add(action.request_id)
-                self.finals.setdefault(action.request_id, []).append(type(action).__name__)
+                assert action.request_id not in self.answered_ids, "answered twice"
+                self.answered_ids.add(action.request_id)
+                self.final_answers.setdefault(action.request_id, []).append(type(action).__name__)
             else:
-                self.other.append((self.now, action))
+                self.other_actions.append((self.now_ms, action))
 
-    def run(self, until: float) -> None:
+    def run_until(self, until: float) -> None:
         """Timers and time-outs of attempts come as they fall due."""
         while True:
-            self.limits = [limit for limit in self.limits if limit[1] in self.out]
-            due = min((t[0] for t in [*self.timers, *self.limits] if t[0] <= until), default=None)
+            self.attempt_timeouts = [limit for limit in self.attempt_timeouts if limit[1] in self.attempts_in_flight]
+            due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until), default=None)
             if due is None:
                 break
-            self.now = max(self.now, due)
-            for at, attempt in [limit for limit in self.limits if limit[0] <= self.now]:
-                self.limits.remove((at, attempt))
-                self.out.remove(attempt)
-                answered = attempt[0] in self.ended
-                self.do(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, answered))
-            for timer in [t for t in self.timers if t[0] <= self.now]:
+            self.now_ms = max(self.now_ms, due)
+            for at, attempt in [limit for limit in self.attempt_timeouts if limit[0] <= self.now_ms]:
+                self.attempt_timeouts.remove((at, attempt))
+                self.attempts_in_flight.remove(attempt)
+                answered = attempt[0] in self.answered_ids
+                self.handle(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, answered))
+            for timer in [t for t in self.timers if t[0] <= self.now_ms]:
                 self.timers.remove(timer)
-                self.do(api.TimerFired(timer[1]))
-        self.now = max(self.now, until)
+                self.handle(api.TimerFired(timer[1]))
+        self.now_ms = max(self.now_ms, until)
 
-    def ask(
+    def send_request(
         self,
         customer: str = "c",
         plan: int = 0,
@@ -139,13 +143,13 @@
         left: float = 4000.0,
         permission: bool = False,
     ) -> str:
-        self.count += 1
-        name = f"r{self.count}"
+        self.request_count += 1
+        name = f"r{self.request_count}"
         event = api.PermitRequested if permission else api.RequestArrived
-        self.do(event(name, kind, plan, customer, units, self.now + left, spread, 0))
+        self.handle(event(name, kind, plan, customer, units, self.now_ms + left, spread, 0))
         return name
 
-    def end(
+    def end_attempt(
         self,
         name: str,
         outcome: api.Outcome = api.Outcome.OK,
@@ -154,29 +158,29 @@
         true: float = 0.0,
     ) -> list[api.Action]:
         """The oldest attempt of a request that is out comes to its end."""
-        found = next((o for o in self.out if o[0] == name), None)
+        found = next((o for o in self.attempts_in_flight if o[0] == name), None)
         if found is None:
             return []
-        self.out.remove(found)
-        answered = outcome is api.Outcome.OK or name in self.ended
-        return self.do(api.AttemptEnded(name, found[1], found[2], outcome, took, answered, meter, true))
+        self.attempts_in_flight.remove(found)
+        answered = outcome is api.Outcome.OK or name in self.answered_ids
+        return self.handle(api.AttemptEnded(name, found[1], found[2], outcome, took, answered, meter, true))
 
-    def serve(self, customer: str = "c", plan: int = 0, units: float = 1.0, spread: int = 1) -> bool:
+    def is_served(self, customer: str = "c", plan: int = 0, units: float = 1.0, spread: int = 1) -> bool:
         """Asks and lets the first attempt answer; tells whether it was sent."""
-        name = self.ask(customer, plan, units, spread=spread)
-        self.end(name)
-        return bool(self.where(name))
+        name = self.send_request(customer, plan, units, spread=spread)
+        self.end_attempt(name)
+        return bool(self.attempted_servers(name))
 
-    def servers(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
-        self.do(api.ServerList(1, kind, entries))
+    def apply_list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
+        self.handle(api.ServerList(1, kind, entries))
 
-    def where(self, name: str) -> list[str]:
-        return [s.server_id for _, s in self.sent if s.request_id == name]
+    def attempted_servers(self, name: str) -> list[str]:
+        return [s.server_id for _, s in self.sent_attempts if s.request_id == name]
 
 
-def gateway(config: api.Settings | None = None, names: str = "abcdef", start: float = 0.0) -> Gateway:
-    config = config or settings()
-    made = Gateway(Limiter(config, 7, start), now=start)
-    made.take(made.limiter.start(start))
-    made.servers(*(entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
+def start_harness(config: api.Settings | None = None, names: str = "abcdef", start: float = 0.0) -> LimiterHarness:
+    config = config or limiter_settings()
+    made = LimiterHarness(Limiter(config, 7, start), now_ms=start)
+    made.carry_out(made.limiter.start(start))
+    made.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
     return made
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -7,7 +7,7 @@
 
 import msgspec
 import pytest
-from helpers import Gateway, entry, settings
+from helpers import LimiterHarness, limiter_settings, server_entry
 from programs import Program, look
 
 from elderlock import interface as api
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Counting(Gateway):
+class Counting(LimiterHarness):
     """Answers the module's calls after `delay` ms, while it is there."""
 
     totals: dict[str, float] = field(default_factory=dict)
@@ -38,30 +38,30 @@
     delay: float = 3.0
     coming: list[tuple[float, int, float]] = field(default_factory=list)
 
-    def take(self, actions: list[api.Action]) -> None:
+    def carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.AddToCounter):
                 self.calls.append(action)
                 if self.there:
                     total = self.totals[action.counter_name] = self.totals.get(action.counter_name, 0.0) + action.amount
-                    self.coming.append((self.now + self.delay, action.token, total))
-        super().take(actions)
+                    self.coming.append((self.now_ms + self.delay, action.token, total))
+        super().carry_out(actions)
 
-    def run(self, until: float) -> None:
-        while self.now < until:
-            super().run(min(until, self.now + 1.0))
-            for due in [one for one in self.coming if one[0] <= self.now]:
+    def run_until(self, until: float) -> None:
+        while self.now_ms < until:
+            super().run_until(min(until, self.now_ms + 1.0))
+            for due in [one for one in self.coming if one[0] <= self.now_ms]:
                 self.coming.remove(due)
-                self.do(api.CounterAnswered(due[1], Outcome.OK, due[2], self.delay))
+                self.handle(api.CounterAnswered(due[1], Outcome.OK, due[2], self.delay))
 
 
 def counting(limiters: int = 3) -> Counting:
     source = type("Counted", (Counted,), {"terms": Terms()})
-    config = settings(limiters=limiters)
-    made = Counting(Limiter(config, 7, 1_000.0, source), now=1_000.0)
-    made.take(made.limiter.start(1_000.0))
-    made.servers(*(entry(n) for n in "abcdef"), kind=ListKind.CACHED)
-    made.run(1_100.0)
+    config = limiter_settings(limiters=limiters)
+    made = Counting(Limiter(config, 7, 1_000.0, source), now_ms=1_000.0)
+    made.carry_out(made.limiter.start(1_000.0))
+    made.apply_list(*(server_entry(n) for n in "abcdef"), kind=ListKind.CACHED)
+    made.run_until(1_100.0)
     return made
 
 
@@ -74,20 +74,20 @@
 def rush(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
     sent = []
     for _ in range(count):
-        name = gate.ask(customer="busy", plan=plan, spread=3)
-        gate.run(gate.now + every)
-        if gate.where(name):
+        name = gate.send_request(customer="busy", plan=plan, spread=3)
+        gate.run_until(gate.now_ms + every)
+        if gate.attempted_servers(name):
             sent.append(name)
-            gate.end(name)
+            gate.end_attempt(name)
     return sent
 
 
 def test_a_limiter_alone_takes_what_the_store_holds_and_no_more() -> None:
     """Of three limiters the other two ask nothing: the even split would give a third."""
     gate = counting()
-    begun = gate.now
+    begun = gate.now_ms
     sent = rush(gate, 1200)
-    held = 20.0 + 10.0 * (gate.now - begun) / 1000.0
+    held = 20.0 + 10.0 * (gate.now_ms - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
     assert book(gate).book.mode is Mode.SHARED
 
@@ -96,7 +96,7 @@
     gate = counting()
     before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
-        assert gate.serve(customer=f"c{n}", spread=3)
+        assert gate.is_served(customer=f"c{n}", spread=3)
     assert [call for call in gate.calls if not call.counter_name.startswith("sentinel")] == before
 
 
@@ -106,18 +106,18 @@
     gate.there = False
     waited = []
     for _ in range(200):
-        name, asked = gate.ask(customer="busy", spread=3), gate.now
-        while not gate.where(name) and name not in gate.finals:
-            gate.run(gate.now + 1.0)
-        waited.append(gate.now - asked)
-        gate.end(name)
-        gate.run(gate.now + 50.0)
+        name, asked = gate.send_request(customer="busy", spread=3), gate.now_ms
+        while not gate.attempted_servers(name) and name not in gate.final_answers:
+            gate.run_until(gate.now_ms + 1.0)
+        waited.append(gate.now_ms - asked)
+        gate.end_attempt(name)
+        gate.run_until(gate.now_ms + 50.0)
     assert max(waited) <= 2 * Terms().answer_within + 55.0
     assert book(gate).book.mode is not Mode.SHARED
     sent = len(rush(gate, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
     gate.there = True
-    gate.run(gate.now + 2_000.0)
+    gate.run_until(gate.now_ms + 2_000.0)
     assert book(gate).book.mode is Mode.SHARED
 
 
@@ -128,20 +128,20 @@
         (call for call in gate.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
     ).counter_name
     gate.totals[name] += 500.0  # far beyond: others, or another counter's number
-    gate.run(gate.now + 300.0)
-    store = book(gate).store(settings().plans[0], 3)
+    gate.run_until(gate.now_ms + 300.0)
+    store = book(gate).store(limiter_settings().plans[0], 3)
     held = Terms().lease(store) + Terms().free_part(store) + 1.0  # drawn before, or not to be told yet
     assert len(rush(gate, 100)) <= held
-    refused = gate.ask(customer="busy", spread=3)
-    gate.run(gate.now + 120.0)
-    assert gate.finals[refused] == ["Reject"]
+    refused = gate.send_request(customer="busy", spread=3)
+    gate.run_until(gate.now_ms + 120.0)
+    assert gate.final_answers[refused] == ["Reject"]
 
 
 def test_a_customer_of_one_limiter_needs_no_counter() -> None:
     gate = counting()
     before = len([c for c in gate.calls if not c.counter_name.startswith("sentinel")])
     for _ in range(30):
-        gate.serve(customer="mine", spread=1)
+        gate.is_served(customer="mine", spread=1)
     assert len([c for c in gate.calls if not c.counter_name.startswith("sentinel")]) == before
 
 
@@ -149,11 +149,11 @@
     """When a customer with a ceiling (12 a second, 24 at once; quota 10 and 20) was served."""
     taken = []
     for _ in range(count):
-        name = gate.ask(customer="ceiled", plan=1, spread=3)
-        gate.run(gate.now + every)
-        if gate.where(name):
-            taken.append(gate.now)
-            gate.end(name)
+        name = gate.send_request(customer="ceiled", plan=1, spread=3)
+        gate.run_until(gate.now_ms + every)
+        if gate.attempted_servers(name):
+            taken.append(gate.now_ms)
+            gate.end_attempt(name)
     return taken
 
 
@@ -167,21 +167,21 @@
 def test_a_ceiling_is_drawn_too_and_does_not_bind_a_customer_of_whom_all_comes_here() -> None:
     """Split evenly, it let in 4 a second where the quota alone let in 10."""
     gate = counting()
-    gate.run(gate.now + 5_000.0)
-    begun = gate.now
+    gate.run_until(gate.now_ms + 5_000.0)
+    begun = gate.now_ms
     taken = ceiled(gate, 1500, 10.0)
-    assert len(taken) > 0.8 * 10.0 * (gate.now - begun) / 1000.0
+    assert len(taken) > 0.8 * 10.0 * (gate.now_ms - begun) / 1000.0
     assert worst_over(taken) <= 2.4
 
 
 def test_a_ceiling_holds_through_silence_and_a_return_that_is_empty() -> None:
     gate = counting()
-    gate.run(gate.now + 3_000.0)
+    gate.run_until(gate.now_ms + 3_000.0)
     taken = ceiled(gate, 400, 10.0)
     gate.there = False
     taken += ceiled(gate, 600, 10.0)
     gate.totals.clear()
-    book(gate).book.off(gate.now)
+    book(gate).book.off(gate.now_ms)
     gate.there = True
     taken += ceiled(gate, 600, 10.0)
     assert worst_over(taken) <= stated(Store(12.0, 24.0, 3, True, 1.92), Terms(), Failures(returns=2))
@@ -190,10 +190,10 @@
 
 def test_where_work_beyond_the_quota_earns_the_ceiling_stays_split_evenly() -> None:
     gate = counting()
-    plan = replace(settings().plans[1], over_quota_value=1.0)
-    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now, 4000.0)
+    plan = replace(limiter_settings().plans[1], over_quota_value=1.0)
+    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now_ms, 4000.0)
     assert not drawn(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
-    account.plan = settings().plans[1]
+    account.plan = limiter_settings().plans[1]
     assert drawn(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.limiter_count = 1
     assert not drawn(account)
@@ -205,12 +205,12 @@
     for turn in range(600):
         gate.there = (turn // 60) % 2 == 0
         gate.delay = 3.0 if turn % 7 else 45.0
-        names.append(gate.ask(customer=f"c{turn % 3}", spread=3))
-        gate.run(gate.now + 13.0)
-        for name in list({out[0] for out in gate.out}):
-            gate.end(name)
-    gate.run(gate.now + 5_000.0)
-    assert all(bool(gate.where(name)) != (name in gate.finals) for name in names)
+        names.append(gate.send_request(customer=f"c{turn % 3}", spread=3))
+        gate.run_until(gate.now_ms + 13.0)
+        for name in list({out[0] for out in gate.attempts_in_flight}):
+            gate.end_attempt(name)
+    gate.run_until(gate.now_ms + 5_000.0)
+    assert all(bool(gate.attempted_servers(name)) != (name in gate.final_answers) for name in names)
     assert not gate.limiter.requests and not book(gate).book.waiting
 
 
--- a/tests/structures/test_candidate_set.py
+++ b/tests/structures/test_candidate_set.py
@@ -1,6 +1,6 @@
 """The candidate set against a dictionary of zones and cells."""
 
-from helpers import entry
+from helpers import server_entry
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -11,7 +11,7 @@
 
 
 def new_server(server_id: str = "a", zone: int = 0) -> Server:
-    return Server(entry(server_id, zone), 0.0, 1.0)
+    return Server(server_entry(server_id, zone), 0.0, 1.0)
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 2), st.integers(0, 2), st.integers(0, 3)), max_size=40))
--- a/tests/structures/test_weighted_sampler.py
+++ b/tests/structures/test_weighted_sampler.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 import pytest
-from helpers import entry
+from helpers import server_entry
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -13,7 +13,7 @@
 
 
 def new_server(server_id: str = "a", zone: int = 0) -> Server:
-    return Server(entry(server_id, zone), 0.0, 1.0)
+    return Server(server_entry(server_id, zone), 0.0, 1.0)
 
 
 @given(st.lists(st.tuples(st.integers(0, 11), st.integers(0, 5000)), max_size=60), st.integers(0, 99))
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -5,7 +5,7 @@
 
 import hiredis
 import pytest
-from helpers import KEYED, gateway, settings
+from helpers import KEYED_CLASS, limiter_settings, start_harness
 
 from elderlock.interface import Outcome
 from elderlock.net.config import config_of
@@ -111,13 +111,13 @@
 @pytest.mark.parametrize(("left", "again"), [(251.0, True), (249.0, False)])
 def test_a_keyed_request_is_sent_again_only_where_that_begins_within_its_window(left: float, again: bool) -> None:
     """A further attempt may have to wait for its connection; a server that gets it after the window runs it anew."""
-    base = settings()
-    gate = gateway(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
-    name = gate.ask(kind=1)
-    gate.run(KEYED.deduplication_window_ms - base.clock_tick_ms - left)
-    gate.end(name, Outcome.RESET)
-    assert len(gate.where(name)) == 1 + again
-    assert gate.finals.get(name, []) == ([] if again else ["Fail"])
+    base = limiter_settings()
+    gate = start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
+    name = gate.send_request(kind=1)
+    gate.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - left)
+    gate.end_attempt(name, Outcome.RESET)
+    assert len(gate.attempted_servers(name)) == 1 + again
+    assert gate.final_answers.get(name, []) == ([] if again else ["Fail"])
 
 
 def test_the_dial_time_of_the_settings_is_kept_back() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from dataclasses import replace
 
-from helpers import KEYED, Gateway, entry, gateway, settings
+from helpers import KEYED_CLASS, LimiterHarness, limiter_settings, server_entry, start_harness
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
@@ -29,7 +29,7 @@
 class Watch:
     """Keeps what each rule needs to be checked beside a gateway."""
 
-    def __init__(self, gate: Gateway) -> None:
+    def __init__(self, gate: LimiterHarness) -> None:
         self.gate = gate
         self.left: dict[str, float] = {}
         self.ran: dict[str, list[tuple[float, str]]] = {}
@@ -38,7 +38,7 @@
         self.seen = 0
 
     def check_sends(self) -> None:
-        for at, send in self.gate.sent[self.seen :]:
+        for at, send in self.gate.sent_attempts[self.seen :]:
             left = self.left.get(send.server_id)
             assert left is None or at - left <= 250.0, "sent to a server that drains"
             ran = self.ran.setdefault(send.request_id, [])
@@ -48,93 +48,97 @@
             if ran and kind == 1:  # also where a connection has to come up first
                 assert (
                     at - ran[0][0] + self.gate.limiter.context.settings.capabilities.connect_timeout_ms
-                    <= KEYED.deduplication_window_ms
+                    <= KEYED_CLASS.deduplication_window_ms
                 )
                 assert "abcdef".index(ran[0][1]) % 2 == "abcdef".index(send.server_id) % 2
             ran.append((at, send.server_id))
-        self.seen = len(self.gate.sent)
-        for name, finals in self.gate.finals.items():
+        self.seen = len(self.gate.sent_attempts)
+        for name, finals in self.gate.final_answers.items():
             if self.kinds[name] in (1, 2) and "Reject" in finals:
                 assert not self.ran.get(name), "refused, so that its client asks again, though it may have run"
-        out = Counter(name for name, _, _ in self.gate.out)
+        out = Counter(name for name, _, _ in self.gate.attempts_in_flight)
         assert all(count <= 1 for count in out.values()), "two attempts of one request are out"
 
 
-def play(gate: Gateway, steps: list[tuple[object, ...]]) -> None:
+def play(gate: LimiterHarness, steps: list[tuple[object, ...]]) -> None:
     watch = Watch(gate)
     for step in steps:
         match step:
             case ("ask", int(kind), int(plan), int(units), int(left)):
-                name = f"r{gate.count + 1}"
-                watch.kinds[name], watch.deadline[name] = kind, gate.now + left
-                gate.ask(f"c{plan}", plan, float(units), kind, 2, float(left))
-            case ("end", int(index), Outcome() as outcome, int(took)) if gate.out:
-                name = gate.out[index % len(gate.out)][0]
-                number = next(o for o in gate.out if o[0] == name)
+                name = f"r{gate.request_count + 1}"
+                watch.kinds[name], watch.deadline[name] = kind, gate.now_ms + left
+                gate.send_request(f"c{plan}", plan, float(units), kind, 2, float(left))
+            case ("end", int(index), Outcome() as outcome, int(took)) if gate.attempts_in_flight:
+                name = gate.attempts_in_flight[index % len(gate.attempts_in_flight)][0]
+                number = next(o for o in gate.attempts_in_flight if o[0] == name)
                 if outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED):
                     ran = watch.ran.get(name, [])
                     watch.ran[name] = [r for r in ran if r[1] != number[2]]
-                gate.end(name, outcome, float(took))
+                gate.end_attempt(name, outcome, float(took))
             case ("wait", int(ms)):
-                gate.run(gate.now + ms)
+                gate.run_until(gate.now_ms + ms)
             case ("list", int(index), ServerState() as state, bool(cold)):
                 server = "abcdef"[index]
-                started = gate.now if cold else 0.0
-                gate.servers(entry(server, index % 2, state, started), kind=ListKind.CHANGES)
+                started = gate.now_ms if cold else 0.0
+                gate.apply_list(server_entry(server, index % 2, state, started), kind=ListKind.CHANGES)
                 if state is ServerState.RUNNING:
                     watch.left.pop(server, None)
                 else:
-                    watch.left.setdefault(server, gate.now)
-            case ("gone", int(index)) if gate.out:
-                name = gate.out[index % len(gate.out)][0]
-                if name not in gate.ended:
-                    gate.do(api.ClientDisconnected(name))
+                    watch.left.setdefault(server, gate.now_ms)
+            case ("gone", int(index)) if gate.attempts_in_flight:
+                name = gate.attempts_in_flight[index % len(gate.attempts_in_flight)][0]
+                if name not in gate.answered_ids:
+                    gate.handle(api.ClientDisconnected(name))
             case ("peer", bytes(data)):
-                gate.do(api.PeerMessage(1, data))
+                gate.handle(api.PeerMessage(1, data))
         watch.check_sends()
-    gate.run(gate.now + 5000.0)
+    gate.run_until(gate.now_ms + 5000.0)
     watch.check_sends()
     for name in watch.kinds:
-        assert name in gate.ended, "a request has no final answer"
-        assert len(gate.finals.get(name, [])) <= 1
+        assert name in gate.answered_ids, "a request has no final answer"
+        assert len(gate.final_answers.get(name, [])) <= 1
 
 
 @given(STEPS)
 @hypothesis_settings(max_examples=150, derandomize=True, deadline=None)
 def test_rules_hold_in_any_order(steps: list[tuple[object, ...]]) -> None:
-    play(gateway(settings(peers=True)), steps)
+    play(start_harness(limiter_settings(peers=True)), steps)
 
 
 @given(STEPS)
 @hypothesis_settings(max_examples=150, derandomize=True, deadline=None)
 def test_rules_hold_in_any_order_where_sends_begin_late(steps: list[tuple[object, ...]]) -> None:
-    base = settings(peers=True)
-    play(gateway(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0))), steps)
+    base = limiter_settings(peers=True)
+    play(start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0))), steps)
 
 
 @given(STEPS)
 @hypothesis_settings(max_examples=30, derandomize=True, deadline=None)
 def test_same_events_give_the_same_actions(steps: list[tuple[object, ...]]) -> None:
-    first, second = gateway(settings(peers=True)), gateway(settings(peers=True))
+    first, second = start_harness(limiter_settings(peers=True)), start_harness(limiter_settings(peers=True))
     play(first, steps)
     play(second, steps)
-    assert (first.sent, first.finals, first.other) == (second.sent, second.finals, second.other)
+    assert (first.sent_attempts, first.final_answers, first.other_actions) == (
+        second.sent_attempts,
+        second.final_answers,
+        second.other_actions,
+    )
 
 
 @given(st.lists(st.tuples(st.integers(1, 200), st.integers(1, 6), st.booleans()), max_size=120))
 @hypothesis_settings(max_examples=60, derandomize=True, deadline=None)
 def test_ceiling_part_is_kept_through_restarts(steps: list[tuple[int, int, bool]]) -> None:
-    gate = gateway(names="abc")
+    gate = start_harness(names="abc")
     level, at = 12.0, 0.0  # this limiter's part of burst 24 at rate 12, split over two
     for wait, units, restart in steps:
-        gate.run(gate.now + wait)
+        gate.run_until(gate.now_ms + wait)
         if restart:
-            count = gate.count
-            gate = gateway(names="abc", start=gate.now)
-            gate.count = count
-        level, at = min(12.0, level + 6.0 * (gate.now - at) / 1000.0), gate.now
-        name = gate.ask("c", 1, float(units), spread=2)
-        if gate.where(name):
+            count = gate.request_count
+            gate = start_harness(names="abc", start=gate.now_ms)
+            gate.request_count = count
+        level, at = min(12.0, level + 6.0 * (gate.now_ms - at) / 1000.0), gate.now_ms
+        name = gate.send_request("c", 1, float(units), spread=2)
+        if gate.attempted_servers(name):
             level -= units
-            gate.end(name)
+            gate.end_attempt(name)
         assert level >= -1e-6
