--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,6 +7,7 @@
 from elderlock import interface as api
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import Outcome
+from elderlock.state import Account
 
 IDEMPOTENT_CLASS = api.RequestClass("read", latency_objective_ms=1000.0)
 KEYED_CLASS = api.RequestClass(
@@ -184,3 +185,7 @@
     made.carry_out(made.limiter.start(start))
     made.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
     return made
+
+
+def account_of(harness: LimiterHarness, index: int = 0) -> Account:
+    return list(harness.limiter.quotas.accounts.values())[index]
--- /dev/null
+++ b/tests/quota_messages.py
@@ -0,0 +1,54 @@
+"""Datagrams about one customer's quota, for tests of the limiters that send and receive them."""
+
+from typing import NamedTuple
+
+from helpers import LimiterHarness, limiter_settings, start_harness
+
+from elderlock import interface as api
+from elderlock.peer_messages import SINGLE, SINGLE_FORMAT, UNKNOWN
+
+
+class SentSingle(NamedTuple):
+    """A datagram about one customer, field by field."""
+
+    format: int
+    latest_latency: int
+    key: int
+    kind: int
+    plan_index: int
+    first: int
+    second: int
+    query_id: int
+
+
+def sent_singles(harness: LimiterHarness) -> list[tuple[int, SentSingle]]:
+    """The receivers and datagrams that a limiter sent so far."""
+    return [
+        (action.receiver_index, SentSingle(*SINGLE.unpack(action.payload)))
+        for _, action in harness.other_actions
+        if isinstance(action, api.SendPeerMessage)
+    ]
+
+
+def single(key: int, kind: int, first: int = 4, second: int = UNKNOWN, query_id: int = 1, plan_index: int = 0) -> bytes:
+    """A datagram as another limiter would send it."""
+    return SINGLE.pack(SINGLE_FORMAT, UNKNOWN, key, kind, plan_index, first, second, query_id)
+
+
+class HarnessWithQuery(NamedTuple):
+    """A limiter with a request that waits for the answer of the quota's owner."""
+
+    harness: LimiterHarness
+    request_id: str
+    owner: int
+    query: SentSingle
+
+
+def harness_with_pending_query(spread: int = 3, limiters: int = 3) -> HarnessWithQuery:
+    """A limiter that has asked another one for the units of a request."""
+    harness = start_harness(limiter_settings(limiters=limiters, peers=True))
+    for i in range(100):
+        name = harness.send_request(customer=f"c{i}", spread=spread)
+        if not harness.attempted_servers(name):
+            return HarnessWithQuery(harness, name, *sent_singles(harness)[-1])
+    raise AssertionError("no customer has another owner")
