--- a/tests/escrow_histories.py
+++ b/tests/escrow_histories.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import replace
 
-from helpers import SAFE, settings
+from helpers import IDEMPOTENT_CLASS, limiter_settings
 
 from elderlock import interface as api
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
@@ -30,7 +30,7 @@
     """A limiter's quotas with a clock of their own, which may stand still beside the world's."""
 
     def __init__(self, number: int, now: float, seed: int, kind: type[Quotas] = EscrowQuotas) -> None:
-        given = settings(LIMITERS, peers=True)
+        given = limiter_settings(LIMITERS, peers=True)
         self.number, self.core = number, DecisionContext(replace(given, limiter_index=number, plans=(PLAN,)), seed, now)
         self.quotas = kind(self.core)
 
@@ -41,7 +41,7 @@
         account = self.quotas.account(event)
         if self.quotas.exceeds_hard_ceiling(account, units):
             return False
-        self.quotas.charge(OpenRequest(event, SAFE, account, now))
+        self.quotas.charge(OpenRequest(event, IDEMPOTENT_CLASS, account, now))
         account.in_flight -= 1
         return True
 
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from escrow_histories import FIRST, LIMITERS, MEMBERS, PLAN, WARM
-from helpers import settings
+from helpers import limiter_settings
 from playing import played
 
 from elderlock import interface as api
@@ -42,7 +42,7 @@
 def test_the_operators_file_selects_the_limiter_class(text: str, kind: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert Extras(path).limiter(settings(peers=True)) is kind
+    assert Extras(path).limiter(limiter_settings(peers=True)) is kind
 
 
 @pytest.mark.parametrize(
@@ -57,12 +57,12 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(why)) as error:
-        Extras(path).limiter(settings(peers=True))
+        Extras(path).limiter(limiter_settings(peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
 def test_operators_see_units_given_and_in_transit() -> None:
-    limiter = EscrowLimiter(replace(settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
+    limiter = EscrowLimiter(replace(limiter_settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
     want = encode(EscrowRequest(9, 77, 0, MEMBERS, FIRST, 3.0))
     (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
     assert (
@@ -72,7 +72,7 @@
     )
     assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=SEND_FRACTION * 100.0)
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
-    assert ceilings_of(Limiter(settings(peers=True), 1, 0.0)) is None
+    assert ceilings_of(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
 
 
 # Fleets
