--- a/elderlock/quota/counter_terms.py
+++ b/elderlock/quota/counter_terms.py
@@ -8,7 +8,7 @@
 
 
 class CounterTermsError(ValueError):
-    """Terms that cannot be kept to; the text names the terms and what was wanted of them."""
+    """Terms that contradict one another; the text says which, and what was wanted."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/elderlock/quota/lease_ledger.py
+++ b/elderlock/quota/lease_ledger.py
@@ -34,7 +34,7 @@
         terms: The terms on which the counter is used.
         generation: Generation of the counter that the leases belong to.
         line: The positions of the current window.
-        unreported_units: Use that the counter was not told of.
+        unreported_units: Use that was not reported to the counter.
         surplus_units: Units to be returned to the counter.
         leases: Units that were drawn and not spent, oldest first.
         pending_draw: The call that is under way.
--- a/elderlock/quota/tally_client.py
+++ b/elderlock/quota/tally_client.py
@@ -40,7 +40,7 @@
 class _TallyConnection(asyncio.Protocol):
     """One connection. Answers come in the order of the calls.
 
-    An answer that cannot be read ends the connection, as those behind it cannot be told apart any more.
+    An answer that cannot be read ends the connection, as those behind it can no longer be matched to their calls.
     """
 
     def __init__(self, owner: TallyClient) -> None:
