--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from elderlock.gossip.limiter import SharedLimiter
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
 from elderlock.sim.decisions import DecisionWorld
 from elderlock.sim.judges import Ceilings
 from elderlock.sim.scenario import Scenario
@@ -89,7 +89,7 @@
     result = world.play()
     wall = time.perf_counter() - began
     times = [found.get((number, name), FOR_S * 1000.0) for number in range(limiters) for name in bad]
-    heard = sum(node.limiter.heard for node in world.nodes if isinstance(node.limiter, SharedLimiter))
+    heard = sum(node.limiter.received_datagrams for node in world.nodes if isinstance(node.limiter, EvidenceLimiter))
     return Played(
         result.figures.outcomes.get("failed", 0),
         result.figures.sends_per_request - 1.0,
--- a/elderlock/gossip/rumours.py
+++ b/elderlock/gossip/rumours.py
@@ -1,58 +1,115 @@
-"""Rumours: which observations are told to whom, within a budget of datagrams (epidemic algorithms, Demers et al. 1987:
-push, and counters that make a rumour die)."""
+"""Dissemination of observations by epidemic algorithms.
+
+Published as rumour mongering (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987), in its
+push form with counters: a limiter that has learnt of a rumour sends it a bounded number of times, then no more.
+
+Bound: a limiter sends a rumour half the binary logarithm of the limiters and `EXTRA_TRANSMISSIONS` times, or in a group
+of up to `SMALL_GROUP_PEERS` + 1 to each of the others once, and in all no more datagrams than its budget holds.
+"""
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 from math import ceil, log2
 
-from elderlock.gossip.wire import MOST_ROWS, Observation
+from elderlock.gossip.evidence_messages import MAX_ROWS, Observation
+
+MS_PER_SECOND = 1000.0
+MAX_RUMOURS = 256  # the oldest gives way
+SMALL_GROUP_PEERS = 8
+EXTRA_TRANSMISSIONS = 2  # with them one of 400 limiters does not learn of a rumour among 200
+SEND_FRACTION = 0.05  # of what a limiter takes in; quota messages have the rest
+BURST_DATAGRAMS = 8.0
+
+
+@dataclass(frozen=True, slots=True)
+class RumourDatagram:
+    """What to send to one peer.
+
+    Attributes:
+        peer_index: Number of the limiter to send to.
+        observations: What to send, `MAX_ROWS` at most.
+    """
+
+    peer_index: int
+    observations: list[Observation]
 
-MOST_KEPT = 256  # rumours at once; the one heard longest ago gives way
-FEW = 8  # others, up to which each is told by whoever saw it
-SPARE = 2  # times a rumour is told beyond half the binary logarithm of the limiters: of 200, one in 400 misses it
-INTAKE_PART, BURST = 0.05, 8.0  # of what one takes in that each sends, a second, and datagrams at once
 
+class RumourQueue:
+    """The observations that are still to be sent, and the budget of datagrams.
 
-class Rumours:
-    """Invariant: a rumour is told a bounded number of times by each that has heard it, and no more than `BURST` and
-    `INTAKE_PART` of the intake a second are sent whatever there is to tell: questions of quotas have the rest."""
+    Invariant: each limiter sends a rumour a bounded number of times, and no more than `BURST_DATAGRAMS` at once and
+    `SEND_FRACTION` of the intake a second, whatever there is to send.
+    """
 
-    def __init__(self, number: int, limiters: int, intake: float, rng: random.Random, now: float) -> None:
-        """`intake`: datagrams a second that a limiter takes in."""
-        self._others = [other for other in range(limiters) if other != number]
-        rng.shuffle(self._others)  # told in turn: by chance alone, some would be told often and others never
-        self._next = 0
-        few = len(self._others) <= FEW
-        self._times = len(self._others) if few else ceil(log2(limiters) / 2) + SPARE
-        self._told: dict[Observation, int] = {}  # how often
-        self._rate = INTAKE_PART * intake
-        self._room, self._room_at = BURST, now
+    def __init__(
+        self, limiter_index: int, limiter_count: int, intake_per_s: float, rng: random.Random, now_ms: float
+    ) -> None:
+        """Start with nothing to send.
+
+        Args:
+            limiter_index: Number of this limiter.
+            limiter_count: Number of limiters.
+            intake_per_s: Datagrams that a limiter takes in a second.
+            rng: Randomness for the order of the peers.
+            now_ms: The time now.
+        """
+        self._peers = [peer for peer in range(limiter_count) if peer != limiter_index]
+        rng.shuffle(self._peers)  # in turn: by chance alone some would be sent much and others nothing
+        self._next_peer = 0
+        is_small_group = len(self._peers) <= SMALL_GROUP_PEERS
+        self._max_transmissions = (
+            len(self._peers) if is_small_group else ceil(log2(limiter_count) / 2) + EXTRA_TRANSMISSIONS
+        )
+        self._transmissions: dict[Observation, int] = {}
+        self._rate_per_s = SEND_FRACTION * intake_per_s
+        self._available_datagrams = BURST_DATAGRAMS
+        self._updated_at_ms = now_ms
 
     def __len__(self) -> int:
-        return len(self._told)
+        """Return the number of rumours."""
+        return len(self._transmissions)
 
     def add(self, observation: Observation) -> None:
-        if len(self._told) >= MOST_KEPT:
-            del self._told[next(iter(self._told))]
-        self._told[observation] = 0
-
-    def due(self, now: float, fresh: float) -> list[tuple[int, list[Observation]]]:
-        """Whom to tell what, now; observations older than `fresh` ms are told no more."""
-        self._room = min(BURST, self._room + self._rate * (now - self._room_at) / 1000.0)
-        self._room_at = now
-        out: list[tuple[int, list[Observation]]] = []
-        while self._told and self._others and self._room >= 1.0:
-            for old in [o for o in self._told if o.at <= now - fresh]:
-                del self._told[old]
-            rows = sorted(self._told, key=lambda o: (self._told[o], -o.at))[:MOST_ROWS]
-            if not rows:
+        """Add an observation that is news."""
+        if len(self._transmissions) >= MAX_RUMOURS:
+            del self._transmissions[next(iter(self._transmissions))]
+        self._transmissions[observation] = 0
+
+    def due_datagrams(self, now_ms: float, fresh_ms: float) -> list[RumourDatagram]:
+        """Return what to send now. Observations that are older than `fresh_ms` are dropped."""
+        self._refill_budget(now_ms)
+        datagrams: list[RumourDatagram] = []
+        while self._transmissions and self._peers and self._available_datagrams >= 1.0:
+            self._drop_older_than(now_ms - fresh_ms)
+            observations = self._least_sent()
+            if not observations:
                 break
-            for row in rows:
-                self._told[row] += 1
-                if self._told[row] >= self._times:
-                    del self._told[row]
-            self._room -= 1.0
-            out.append((self._others[self._next % len(self._others)], rows))
-            self._next += 1
-        return out
+            self._count_transmission(observations)
+            self._available_datagrams -= 1.0
+            peer_index = self._peers[self._next_peer % len(self._peers)]
+            datagrams.append(RumourDatagram(peer_index, observations))
+            self._next_peer += 1
+        return datagrams
+
+    def _refill_budget(self, now_ms: float) -> None:
+        refilled_datagrams = self._rate_per_s * (now_ms - self._updated_at_ms) / MS_PER_SECOND
+        self._available_datagrams = min(BURST_DATAGRAMS, self._available_datagrams + refilled_datagrams)
+        self._updated_at_ms = now_ms
+
+    def _drop_older_than(self, oldest_ms: float) -> None:
+        for observation in [known for known in self._transmissions if known.began_at_ms <= oldest_ms]:
+            del self._transmissions[observation]
+
+    def _least_sent(self) -> list[Observation]:
+        """Return the observations of the next datagram: those sent least often, of these the latest."""
+        transmissions = self._transmissions
+        by_need = sorted(transmissions, key=lambda known: (transmissions[known], -known.began_at_ms))
+        return by_need[:MAX_ROWS]
+
+    def _count_transmission(self, observations: list[Observation]) -> None:
+        for observation in observations:
+            self._transmissions[observation] += 1
+            if self._transmissions[observation] >= self._max_transmissions:
+                del self._transmissions[observation]
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted_quotas.py
@@ -16,11 +16,11 @@
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import ConfigError
-from elderlock.quota.attach import QuotaFile
-from elderlock.quota.bound import Excess, Failures, stated
-from elderlock.quota.counted import Counted, drawn
-from elderlock.quota.health import Mode
-from elderlock.quota.terms import Store, Terms
+from elderlock.quota.counted_quotas import CountedCoordinator, is_ceiling_counted
+from elderlock.quota.counter_health import CounterMode
+from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
+from elderlock.quota.options import QuotaOptions
 from elderlock.standins.boxes import Server
 from elderlock.standins.counter import Counter
 from elderlock.standins.listener import Fault
@@ -56,7 +56,7 @@
 
 
 def counting(limiters: int = 3) -> Counting:
-    source = type("Counted", (Counted,), {"terms": Terms()})
+    source = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
     config = limiter_settings(limiters=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now_ms=1_000.0)
     made.carry_out(made.limiter.start(1_000.0))
@@ -65,153 +65,157 @@
     return made
 
 
-def book(gate: Counting) -> Counted:
-    keepers = gate.limiter.quota_coordinator
-    assert isinstance(keepers, Counted)
+def book(harness: Counting) -> CountedCoordinator:
+    keepers = harness.limiter.quota_coordinator
+    assert isinstance(keepers, CountedCoordinator)
     return keepers
 
 
-def rush(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
+def send_many(harness: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
     sent = []
     for _ in range(count):
-        name = gate.send_request(customer="busy", plan=plan, spread=3)
-        gate.run_until(gate.now_ms + every)
-        if gate.attempted_servers(name):
+        name = harness.send_request(customer="busy", plan=plan, spread=3)
+        harness.run_until(harness.now_ms + every)
+        if harness.attempted_servers(name):
             sent.append(name)
-            gate.end_attempt(name)
+            harness.end_attempt(name)
     return sent
 
 
-def test_a_limiter_alone_takes_what_the_store_holds_and_no_more() -> None:
+def test_a_limiter_with_all_requests_serves_the_entire_quota_and_no_more() -> None:
     """Of three limiters the other two ask nothing: the even split would give a third."""
-    gate = counting()
-    begun = gate.now_ms
-    sent = rush(gate, 1200)
-    held = 20.0 + 10.0 * (gate.now_ms - begun) / 1000.0
+    harness = counting()
+    begun = harness.now_ms
+    sent = send_many(harness, 1200)
+    held = 20.0 + 10.0 * (harness.now_ms - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
-    assert book(gate).book.mode is Mode.SHARED
+    assert book(harness).book.mode is CounterMode.SHARED
 
 
-def test_far_from_the_quota_no_call_is_made_and_nothing_waits() -> None:
-    gate = counting()
-    before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
+def test_low_use_makes_no_call_and_waits_for_nothing() -> None:
+    harness = counting()
+    before = [call for call in harness.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
-        assert gate.is_served(customer=f"c{n}", spread=3)
-    assert [call for call in gate.calls if not call.counter_name.startswith("sentinel")] == before
+        assert harness.is_served(customer=f"c{n}", spread=3)
+    assert [call for call in harness.calls if not call.counter_name.startswith("sentinel")] == before
 
 
-def test_without_an_answer_the_even_part_decides_in_time() -> None:
-    gate = counting()
-    rush(gate, 40)
-    gate.there = False
+def test_without_answers_the_even_part_decides_in_time() -> None:
+    harness = counting()
+    send_many(harness, 40)
+    harness.there = False
     waited = []
     for _ in range(200):
-        name, asked = gate.send_request(customer="busy", spread=3), gate.now_ms
-        while not gate.attempted_servers(name) and name not in gate.final_answers:
-            gate.run_until(gate.now_ms + 1.0)
-        waited.append(gate.now_ms - asked)
-        gate.end_attempt(name)
-        gate.run_until(gate.now_ms + 50.0)
-    assert max(waited) <= 2 * Terms().answer_within + 55.0
-    assert book(gate).book.mode is not Mode.SHARED
-    sent = len(rush(gate, 400, 25.0))
+        name, asked = harness.send_request(customer="busy", spread=3), harness.now_ms
+        while not harness.attempted_servers(name) and name not in harness.final_answers:
+            harness.run_until(harness.now_ms + 1.0)
+        waited.append(harness.now_ms - asked)
+        harness.end_attempt(name)
+        harness.run_until(harness.now_ms + 50.0)
+    assert max(waited) <= 2 * CounterTerms().answer_timeout_ms + 55.0
+    assert book(harness).book.mode is not CounterMode.SHARED
+    sent = len(send_many(harness, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
-    gate.there = True
-    gate.run_until(gate.now_ms + 2_000.0)
-    assert book(gate).book.mode is Mode.SHARED
+    harness.there = True
+    harness.run_until(harness.now_ms + 2_000.0)
+    assert book(harness).book.mode is CounterMode.SHARED
 
 
-def test_what_the_others_have_used_is_seen_in_the_total() -> None:
-    gate = counting()
-    rush(gate, 60)
+def test_use_by_other_limiters_is_read_from_the_total() -> None:
+    harness = counting()
+    send_many(harness, 60)
     name = max(
-        (call for call in gate.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
+        (call for call in harness.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
     ).counter_name
-    gate.totals[name] += 500.0  # far beyond: others, or another counter's number
-    gate.run_until(gate.now_ms + 300.0)
-    store = book(gate).store(limiter_settings().plans[0], 3)
-    held = Terms().lease(store) + Terms().free_part(store) + 1.0  # drawn before, or not to be told yet
-    assert len(rush(gate, 100)) <= held
-    refused = gate.send_request(customer="busy", spread=3)
-    gate.run_until(gate.now_ms + 120.0)
-    assert gate.final_answers[refused] == ["Reject"]
+    harness.totals[name] += 500.0  # far beyond: others, or another counter's number
+    harness.run_until(harness.now_ms + 300.0)
+    store = book(harness).quota_bucket(limiter_settings().plans[0], 3)
+    held = (
+        CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
+    )  # drawn before, or not to be told yet
+    assert len(send_many(harness, 100)) <= held
+    refused = harness.send_request(customer="busy", spread=3)
+    harness.run_until(harness.now_ms + 120.0)
+    assert harness.final_answers[refused] == ["Reject"]
 
 
 def test_a_customer_of_one_limiter_needs_no_counter() -> None:
-    gate = counting()
-    before = len([c for c in gate.calls if not c.counter_name.startswith("sentinel")])
+    harness = counting()
+    before = len([c for c in harness.calls if not c.counter_name.startswith("sentinel")])
     for _ in range(30):
-        gate.is_served(customer="mine", spread=1)
-    assert len([c for c in gate.calls if not c.counter_name.startswith("sentinel")]) == before
+        harness.is_served(customer="mine", spread=1)
+    assert len([c for c in harness.calls if not c.counter_name.startswith("sentinel")]) == before
 
 
-def ceiled(gate: Counting, count: int, every: float) -> list[float]:
+def ceiled(harness: Counting, count: int, every: float) -> list[float]:
     """When a customer with a ceiling (12 a second, 24 at once; quota 10 and 20) was served."""
     taken = []
     for _ in range(count):
-        name = gate.send_request(customer="ceiled", plan=1, spread=3)
-        gate.run_until(gate.now_ms + every)
-        if gate.attempted_servers(name):
-            taken.append(gate.now_ms)
-            gate.end_attempt(name)
+        name = harness.send_request(customer="ceiled", plan=1, spread=3)
+        harness.run_until(harness.now_ms + every)
+        if harness.attempted_servers(name):
+            taken.append(harness.now_ms)
+            harness.end_attempt(name)
     return taken
 
 
 def worst_over(taken: list[float]) -> float:
-    excess = Excess(Store(12.0, 24.0, 3, True, 2.4))
+    excess = ExcessMeter(SharedBucket(12.0, 24.0, 3, True, 2.4))
     for at in taken:
-        excess.let_in(1.0, at)
-    return excess.worst
+        excess.record(1.0, at)
+    return excess.worst_units
 
 
-def test_a_ceiling_is_drawn_too_and_does_not_bind_a_customer_of_whom_all_comes_here() -> None:
+def test_a_counted_ceiling_does_not_bind_below_its_rate_at_one_limiter() -> None:
     """Split evenly, it let in 4 a second where the quota alone let in 10."""
-    gate = counting()
-    gate.run_until(gate.now_ms + 5_000.0)
-    begun = gate.now_ms
-    taken = ceiled(gate, 1500, 10.0)
-    assert len(taken) > 0.8 * 10.0 * (gate.now_ms - begun) / 1000.0
+    harness = counting()
+    harness.run_until(harness.now_ms + 5_000.0)
+    begun = harness.now_ms
+    taken = ceiled(harness, 1500, 10.0)
+    assert len(taken) > 0.8 * 10.0 * (harness.now_ms - begun) / 1000.0
     assert worst_over(taken) <= 2.4
 
 
-def test_a_ceiling_holds_through_silence_and_a_return_that_is_empty() -> None:
-    gate = counting()
-    gate.run_until(gate.now_ms + 3_000.0)
-    taken = ceiled(gate, 400, 10.0)
-    gate.there = False
-    taken += ceiled(gate, 600, 10.0)
-    gate.totals.clear()
-    book(gate).book.off(gate.now_ms)
-    gate.there = True
-    taken += ceiled(gate, 600, 10.0)
-    assert worst_over(taken) <= stated(Store(12.0, 24.0, 3, True, 1.92), Terms(), Failures(returns=2))
-    assert len(taken) > 60 and book(gate).book.mode is Mode.SHARED
-
-
-def test_where_work_beyond_the_quota_earns_the_ceiling_stays_split_evenly() -> None:
-    gate = counting()
+def test_a_counted_ceiling_holds_through_silence_and_an_empty_return() -> None:
+    harness = counting()
+    harness.run_until(harness.now_ms + 3_000.0)
+    taken = ceiled(harness, 400, 10.0)
+    harness.there = False
+    taken += ceiled(harness, 600, 10.0)
+    harness.totals.clear()
+    book(harness).book.connection_lost(harness.now_ms)
+    harness.there = True
+    taken += ceiled(harness, 600, 10.0)
+    assert worst_over(taken) <= stated_error_units(
+        SharedBucket(12.0, 24.0, 3, True, 1.92), CounterTerms(), FailureHistory(return_count=2)
+    )
+    assert len(taken) > 60 and book(harness).book.mode is CounterMode.SHARED
+
+
+def test_a_ceiling_stays_split_evenly_where_requests_over_quota_earn() -> None:
+    harness = counting()
     plan = replace(limiter_settings().plans[1], over_quota_value=1.0)
-    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now_ms, 4000.0)
-    assert not drawn(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, harness.now_ms, 4000.0)
+    assert not is_ceiling_counted(account) and harness.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.plan = limiter_settings().plans[1]
-    assert drawn(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    assert is_ceiling_counted(account) and not harness.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.limiter_count = 1
-    assert not drawn(account)
+    assert not is_ceiling_counted(account)
 
 
-def test_every_request_has_one_final_answer_through_the_counters_coming_and_going() -> None:
-    gate = counting()
+def test_every_request_has_one_final_answer_while_the_counter_comes_and_goes() -> None:
+    harness = counting()
     names = []
     for turn in range(600):
-        gate.there = (turn // 60) % 2 == 0
-        gate.delay = 3.0 if turn % 7 else 45.0
-        names.append(gate.send_request(customer=f"c{turn % 3}", spread=3))
-        gate.run_until(gate.now_ms + 13.0)
-        for name in list({out[0] for out in gate.attempts_in_flight}):
-            gate.end_attempt(name)
-    gate.run_until(gate.now_ms + 5_000.0)
-    assert all(bool(gate.attempted_servers(name)) != (name in gate.final_answers) for name in names)
-    assert not gate.limiter.requests and not book(gate).book.waiting
+        harness.there = (turn // 60) % 2 == 0
+        harness.delay = 3.0 if turn % 7 else 45.0
+        names.append(harness.send_request(customer=f"c{turn % 3}", spread=3))
+        harness.run_until(harness.now_ms + 13.0)
+        for name in list({out[0] for out in harness.attempts_in_flight}):
+            harness.end_attempt(name)
+    harness.run_until(harness.now_ms + 5_000.0)
+    assert all(bool(harness.attempted_servers(name)) != (name in harness.final_answers) for name in names)
+    assert not harness.limiter.requests and not book(harness).book.has_waiting
 
 
 @pytest.mark.parametrize(
@@ -225,7 +229,7 @@
         ("calls = 5.0", "unknown field `calls`"),
     ],
 )
-def test_a_wrong_quota_part_ends_the_start_with_one_line(text: str, message: str, tmp_path: Path) -> None:
+def test_bad_quota_options_end_the_start_with_one_line(text: str, message: str, tmp_path: Path) -> None:
     async def test() -> None:
         program = Program(tmp_path)
         program.operators.write_text(f"[quota]\n{text}\n")
@@ -237,19 +241,19 @@
     run(test())
 
 
-def test_the_example_part_can_be_read(tmp_path: Path) -> None:
+def test_the_example_quota_options_can_be_read(tmp_path: Path) -> None:
     path = Path(__file__).parent.parent.parent / "deploy" / "operators.example.toml"
     begin = path.read_text().index("# [quota]")
     lines = [line.removeprefix("# ") for line in path.read_text()[begin:].split("\n\n")[0].splitlines()]
     (tmp_path / "o.toml").write_text("\n".join(lines))
-    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaFile)
-    assert made == QuotaFile() and made.terms(3).calls == 100.0
+    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaOptions)
+    assert made == QuotaOptions() and made.terms(3).max_calls_per_s == 100.0
     with pytest.raises(ConfigError):
         replace_calls = msgspec.structs.replace(made, answer_ms=5000.0)
         replace_calls.terms(3)
 
 
-def test_the_program_counts_and_goes_on_when_the_counter_is_silent(tmp_path: Path) -> None:
+def test_the_program_uses_the_counter_and_goes_on_when_it_is_silent(tmp_path: Path) -> None:
     async def test() -> None:
         counter, server = Counter(), await Server().start()
         await counter.open()
