--- a/tests/decisions/test_throttle.py
+++ b/tests/decisions/test_throttle.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from elderlock.decisions import throttle as m
+from elderlock.decisions import throttle as throttle_module
 from elderlock.decisions.throttle import Throttle
 from elderlock.state import ThrottlePhase
 
@@ -16,15 +16,15 @@
     return throttle
 
 
-def test_starts_above_the_goal_at_the_entry_rate() -> None:
+def test_throttling_starts_above_the_goal_at_the_entry_rate() -> None:
     throttle = Throttle(random.Random(1), 0.0)
-    throttle.update(m.GOAL_LOAD_LEVEL - 0.01, 20.0, 20.0, 0.0)
+    throttle.update(throttle_module.GOAL_LOAD_LEVEL - 0.01, 20.0, 20.0, 0.0)
     assert throttle.phase is ThrottlePhase.NOT_OVERLOADED
-    throttle.update(m.GOAL_LOAD_LEVEL + 0.01, 20.0, 20.0, 50.0)
+    throttle.update(throttle_module.GOAL_LOAD_LEVEL + 0.01, 20.0, 20.0, 50.0)
     assert (throttle.phase, throttle.leak_rate_per_s) == (ThrottlePhase.OVERLOADED, 20.0)
 
 
-def test_bucket_drains_at_the_leak_rate_and_gains_one_an_attempt() -> None:
+def test_the_bucket_drains_at_the_leak_rate_and_gains_one_an_attempt() -> None:
     throttle = throttled()
     throttle.fill, throttle.fill_at_ms = 5.0, 0.0
     throttle.leak(100.0)
@@ -35,19 +35,23 @@
     assert throttle.fill == 0.0
 
 
-def test_threshold_vector_orders_beyond_cheap_and_dear() -> None:
+def test_thresholds_rise_from_over_quota_to_the_highest_value() -> None:
     throttle = throttled()
-    depth = 20.0 * m.BUCKET_DEPTH_MS / 1000.0
+    depth = 20.0 * throttle_module.BUCKET_DEPTH_MS / 1000.0
     assert throttle.threshold_vector(True, 1.0) == pytest.approx(1.0 + depth)
-    assert throttle.threshold_vector(True, 0.0) == pytest.approx(1.0 + m.LOWEST_VALUE_THRESHOLD_FRACTION * depth)
-    assert throttle.threshold_vector(False, 1.0) == pytest.approx(1.0 + m.OVER_QUOTA_THRESHOLD_FRACTION * depth)
-    throttle.fill, throttle.fill_at_ms = m.LOWEST_VALUE_THRESHOLD_FRACTION * depth, 0.0
+    assert throttle.threshold_vector(True, 0.0) == pytest.approx(
+        1.0 + throttle_module.LOWEST_VALUE_THRESHOLD_FRACTION * depth
+    )
+    assert throttle.threshold_vector(False, 1.0) == pytest.approx(
+        1.0 + throttle_module.OVER_QUOTA_THRESHOLD_FRACTION * depth
+    )
+    throttle.fill, throttle.fill_at_ms = throttle_module.LOWEST_VALUE_THRESHOLD_FRACTION * depth, 0.0
     assert not throttle.admits(False, 1.0, 0.0)
     assert not throttle.admits(True, 0.0, 0.0)
     assert throttle.admits(True, 1.0, 0.0)
 
 
-def test_fill_stays_bounded_and_moves_at_most_one_at_a_new_rate() -> None:
+def test_a_new_leak_rate_moves_the_fill_by_one_attempt_at_most() -> None:
     throttle = throttled()
     for step in range(200):
         throttle.fill, before = 3.0, 3.0
@@ -57,15 +61,15 @@
         assert 0.0 <= throttle.fill <= 2.0 * throttle.threshold_vector(True, 1.0)
 
 
-def test_each_second_scales_the_rate_toward_the_goal_within_bounds() -> None:
+def test_each_control_period_scales_the_leak_rate_within_bounds() -> None:
     throttle = throttled(20.0)
-    throttle.update(2 * m.GOAL_LOAD_LEVEL, 20.0, 20.0, 500.0)
+    throttle.update(2 * throttle_module.GOAL_LOAD_LEVEL, 20.0, 20.0, 500.0)
     assert throttle.leak_rate_per_s == 20.0
-    throttle.update(2 * m.GOAL_LOAD_LEVEL, 20.0, 20.0, 1000.0)
-    assert throttle.leak_rate_per_s == pytest.approx(20.0 * m.MIN_RATE_FACTOR)
+    throttle.update(2 * throttle_module.GOAL_LOAD_LEVEL, 20.0, 20.0, 1000.0)
+    assert throttle.leak_rate_per_s == pytest.approx(20.0 * throttle_module.MIN_RATE_FACTOR)
 
 
-def test_cut_stops_at_the_least_rate() -> None:
+def test_cuts_stop_at_the_minimum_leak_rate() -> None:
     throttle = throttled(20.0)
     throttle.min_leak_rate_per_s = 3.0
     for at in range(1, 60):
@@ -80,10 +84,10 @@
     return throttle
 
 
-def test_pending_grows_under_the_cap_and_reverts_without_more_arrivals() -> None:
+def test_while_termination_is_pending_the_rate_rises_to_the_maximum_and_reverts_without_more_arrivals() -> None:
     throttle = pending()
     throttle.update(0.1, 20.0, 20.0, 2000.0)
-    assert throttle.leak_rate_per_s == pytest.approx(20.0 * m.MAX_RATE_FACTOR)
+    assert throttle.leak_rate_per_s == pytest.approx(20.0 * throttle_module.MAX_RATE_FACTOR)
     throttle.update(0.1, 10.0, 20.0, 3000.0)
     assert throttle.leak_rate_per_s == pytest.approx(20.0)
     capped = pending()
@@ -92,7 +96,7 @@
     assert capped.leak_rate_per_s == 21.0
 
 
-def test_pending_goes_back_to_overloaded_above_the_goal() -> None:
+def test_pending_termination_ends_above_the_goal() -> None:
     throttle = pending()
     throttle.update(1.0, 20.0, 20.0, 1500.0)
     assert throttle.phase is ThrottlePhase.OVERLOADED
@@ -104,22 +108,22 @@
         at += 1000.0
         throttle.update(0.1, at, 20.0, at)
     assert throttle.phase is ThrottlePhase.RETURNING_TO_NOT_OVERLOADED
-    assert at - 1000.0 >= m.TERMINATION_PENDING_PERIOD_MS
+    assert at - 1000.0 >= throttle_module.TERMINATION_PENDING_PERIOD_MS
     return throttle, at
 
 
-def test_returning_grows_by_the_factor_and_ends_at_the_most() -> None:
+def test_returning_raises_the_rate_by_the_growth_factor_and_ends_at_the_maximum() -> None:
     throttle, at = returning()
     rate = throttle.leak_rate_per_s
     throttle.update(0.1, 99999.0, 20.0, at + 1000.0)
-    assert throttle.leak_rate_per_s == pytest.approx(rate * (1 + m.LEAK_RATE_GROWTH_PERCENT / 100))
+    assert throttle.leak_rate_per_s == pytest.approx(rate * (1 + throttle_module.LEAK_RATE_GROWTH_PERCENT / 100))
     for step in range(2, 40):
         throttle.update(0.1, 99999.0 + step, 20.0, at + step * 1000.0)
     assert throttle.phase is ThrottlePhase.NOT_OVERLOADED
     assert throttle.admits(True, 0.0, at + 40000.0)
 
 
-def test_returning_falls_back_to_overloaded_at_the_rate_of_its_entry() -> None:
+def test_overload_while_returning_starts_again_at_the_entry_rate() -> None:
     throttle, at = returning()
     entered = throttle.leak_rate_per_s
     throttle.update(0.1, 99999.0, 20.0, at + 1000.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small gateway for the tests: it feeds a limiter, keeps its timers and checks the rules as it goes."""
+"""A harness for tests of a limiter: it carries out the actions on a clock of its own and checks rules as it goes."""
 
 from __future__ import annotations
 
@@ -38,6 +38,7 @@
     cancel: bool = True,
     settled: bool = False,
 ) -> api.Settings:
+    """Return the settings of a small group of limiters."""
     return api.Settings(
         limiter_index=0,
         limiter_count=limiters,
@@ -60,12 +61,28 @@
 
 
 def server_entry(name: str, zone: int = 0, state: api.ServerState = RUNNING, at: float = 0.0) -> api.ServerEntry:
+    """Return an entry of the server list."""
     return api.ServerEntry(name, zone, 0, zone, state, 1.0, at)
 
 
 @dataclass
 class LimiterHarness:
-    """Runs a limiter on a clock of its own."""
+    """Runs a limiter on a clock of its own.
+
+    Attributes:
+        limiter: The limiter under test.
+        now_ms: The time.
+        timers: When each timer fires, and its token.
+        sent_attempts: When each attempt was sent, and its action.
+        final_answers: The names of the final actions of each request.
+        answered_ids: The requests that have their final answer.
+        attempt_counts: How many attempts of each request were sent.
+        attempts_in_flight: The request, index and server of each attempt without an outcome.
+        other_actions: When each other action came.
+        attempt_timeouts: When each attempt in flight times out.
+        permits: When each permit came.
+        request_count: How many requests were sent.
+    """
 
     limiter: Limiter
     now_ms: float = 0.0
@@ -76,11 +93,12 @@
     attempt_counts: dict[str, int] = field(default_factory=dict)
     attempts_in_flight: list[tuple[str, int, str]] = field(default_factory=list)
     other_actions: list[tuple[float, api.Action]] = field(default_factory=list)
-    attempt_timeouts: list[tuple[float, tuple[str, int, str]]] = field(default_factory=list)  # of attempts
+    attempt_timeouts: list[tuple[float, tuple[str, int, str]]] = field(default_factory=list)
     permits: list[tuple[float, api.Permit]] = field(default_factory=list)
     request_count: int = 0
 
     def handle(self, event: api.Event) -> list[api.Action]:
+        """Give an event to the limiter, and carry out its actions."""
         if isinstance(event, api.AttemptEnded | api.ClientDisconnected) and getattr(event, "is_answered", True):
             self.answered_ids.add(event.request_id)
         if isinstance(event, api.StreamStarted):
@@ -92,6 +110,7 @@
         return actions
 
     def carry_out(self, actions: list[api.Action]) -> None:
+        """Note the actions; a second final answer of a request fails the test."""
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now_ms + max(action.delay_ms, 4.0), action.token))
@@ -117,7 +136,7 @@
                 self.other_actions.append((self.now_ms, action))
 
     def run_until(self, until: float) -> None:
-        """Timers and time-outs of attempts come as they fall due."""
+        """Let timers and time-outs of attempts come as they fall due."""
         while True:
             self.attempt_timeouts = [limit for limit in self.attempt_timeouts if limit[1] in self.attempts_in_flight]
             due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until), default=None)
@@ -144,6 +163,17 @@
         left: float = 4000.0,
         permission: bool = False,
     ) -> str:
+        """Send a request, or ask for a permit, and return its id.
+
+        Args:
+            customer: The customer's id.
+            plan: The index of the plan.
+            units: The units of the request.
+            kind: The index of the class.
+            spread: How many limiters serve the customer.
+            left: Time until the deadline in ms.
+            permission: Whether a permit is asked for.
+        """
         self.request_count += 1
         name = f"r{self.request_count}"
         event = api.PermitRequested if permission else api.RequestArrived
@@ -158,7 +188,7 @@
         meter: int = 0,
         true: float = 0.0,
     ) -> list[api.Action]:
-        """The oldest attempt of a request that is out comes to its end."""
+        """End the oldest attempt in flight of a request."""
         found = next((o for o in self.attempts_in_flight if o[0] == name), None)
         if found is None:
             return []
@@ -167,25 +197,29 @@
         return self.handle(api.AttemptEnded(name, found[1], found[2], outcome, took, answered, meter, true))
 
     def is_served(self, customer: str = "c", plan: int = 0, units: float = 1.0, spread: int = 1) -> bool:
-        """Asks and lets the first attempt answer; tells whether it was sent."""
+        """Send a request whose first attempt is answered, and return whether an attempt was sent."""
         name = self.send_request(customer, plan, units, spread=spread)
         self.end_attempt(name)
         return bool(self.attempted_servers(name))
 
     def apply_list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
+        """Give a server list to the limiter."""
         self.handle(api.ServerList(1, kind, entries))
 
     def attempted_servers(self, name: str) -> list[str]:
-        return [s.server_id for _, s in self.sent_attempts if s.request_id == name]
+        """Return the servers that attempts of a request were sent to."""
+        return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == name]
 
 
 def start_harness(config: api.Settings | None = None, names: str = "abcdef", start: float = 0.0) -> LimiterHarness:
+    """Start a limiter that knows servers of the given names."""
     config = config or limiter_settings()
-    made = LimiterHarness(Limiter(config, 7, start), now_ms=start)
-    made.carry_out(made.limiter.start(start))
-    made.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
-    return made
+    harness = LimiterHarness(Limiter(config, 7, start), now_ms=start)
+    harness.carry_out(harness.limiter.start(start))
+    harness.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
+    return harness
 
 
 def account_of(harness: LimiterHarness, index: int = 0) -> Account:
+    """Return an account of the limiter, in the order in which they were opened."""
     return list(harness.limiter.quotas.accounts.values())[index]
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,4 +1,4 @@
-"""Classes that may not simply be repeated, over loopback: they are served, and run no second time."""
+"""Requests that are not idempotent, over loopback: they are served, and run no second time."""
 
 import asyncio
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\r\n$-1\r\n", BODY], ids=["empty", "a null", "the longest"])
-def test_a_write_is_served_and_its_command_and_body_go_on_unchanged(body: bytes) -> None:
+def test_a_write_is_served_and_forwarded_unchanged(body: bytes) -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -38,7 +38,7 @@
     run(test())
 
 
-def test_a_safe_class_may_be_written_and_an_unsafe_one_is_not_read() -> None:
+def test_an_idempotent_class_may_be_written_and_one_that_is_not_is_no_read() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -54,7 +54,7 @@
 @pytest.mark.parametrize(
     "parts", [(CUSTOMER, "id", terms(c="pay")), (CUSTOMER, "id", terms(c="pay"), "body", "more"), ()]
 )
-def test_a_write_of_another_shape_is_answered_and_not_sent_on(parts: tuple[str, ...]) -> None:
+def test_a_write_with_wrong_arguments_is_answered_and_not_forwarded(parts: tuple[str, ...]) -> None:
     async def test() -> None:
         server = await Server().start()
         client = await (await Limiter.start(server)).client()
@@ -67,7 +67,7 @@
     run(test())
 
 
-def test_a_body_beyond_the_longest_is_told_before_it_is_taken_in() -> None:
+def test_a_body_over_the_limit_is_rejected_before_it_is_read() -> None:
     async def test() -> None:
         client = await (await Limiter.start(await Server().start())).client()
         start: bytes = hiredis.pack_command(("API.WRITE", CUSTOMER, "id", terms(c="pay")))  # type: ignore[arg-type]
@@ -78,7 +78,7 @@
     run(test())
 
 
-def test_an_unsafe_request_whose_connection_breaks_is_failed_and_runs_no_second_time() -> None:
+def test_a_request_that_is_not_idempotent_fails_when_its_connection_breaks() -> None:
     async def test() -> None:
         async def behave(command: list[bytes]) -> Answer:
             for server in both:
@@ -90,13 +90,13 @@
         limiter = await Limiter.start(*both)
         client = await limiter.client()
         write(client, "once")
-        assert str(await client.answer()) == "ERR failed"  # no refusal: it may have run
+        assert str(await client.answer()) == "ERR failed"  # not rejected: it may have run
         assert sum(len(server.commands) for server in both) == 1
 
     run(test())
 
 
-def test_an_unsafe_request_that_surely_never_ran_goes_to_another_server() -> None:
+def test_a_request_that_surely_never_ran_goes_to_another_server() -> None:
     async def test() -> None:
         full = [await Server(answers(b"-BUSY queue=9\r\n")).start() for _ in range(2)]
         limiter = await Limiter.start(*full)
@@ -109,18 +109,18 @@
 
 
 @pytest.mark.parametrize(("left", "again"), [(251.0, True), (249.0, False)])
-def test_a_keyed_request_is_sent_again_only_where_that_begins_within_its_window(left: float, again: bool) -> None:
-    """A further attempt may have to wait for its connection; a server that gets it after the window runs it anew."""
+def test_a_keyed_request_is_retried_only_within_its_deduplication_window(left: float, again: bool) -> None:
+    """A retry may have to wait for its connection; a server that gets it after the window runs it again."""
     base = limiter_settings()
-    gate = start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
-    name = gate.send_request(kind=1)
-    gate.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - left)
-    gate.end_attempt(name, Outcome.RESET)
-    assert len(gate.attempted_servers(name)) == 1 + again
-    assert gate.final_answers.get(name, []) == ([] if again else ["Fail"])
+    harness = start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
+    name = harness.send_request(kind=1)
+    harness.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - left)
+    harness.end_attempt(name, Outcome.RESET)
+    assert len(harness.attempted_servers(name)) == 1 + again
+    assert harness.final_answers.get(name, []) == ([] if again else ["Fail"])
 
 
-def test_the_dial_time_of_the_settings_is_kept_back() -> None:
+def test_the_connect_timeout_of_the_settings_is_applied() -> None:
     raw = raw_config()
     raw["settings"]["policy-limits"]["dial-timeout"] = 130.0
     assert config_of(raw).settings.capabilities.connect_timeout_ms == 130.0
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,5 +1,8 @@
-"""The same events give the same actions, from one version of the decisions to the next: a digest over closed
-histories of a small group. A change that is meant to decide otherwise records new ones and says so."""
+"""The same events give the same actions from one version of the decisions to the next.
+
+A digest is taken over closed histories of a small group. A change that is meant to decide otherwise records new digests
+and says so.
+"""
 
 import pytest
 
@@ -13,10 +16,7 @@
 from elderlock.standins.histories import History, digests
 
 EVENTS = 8_000
-# since calls of a cold budget lapse, and a server on trial is put in its place by one step with a cold one; before that,
-# since a choice draws at a flat cost, outliers are left out and questions share one timer; before that, the decisions
-# gave the same actions for a million events in one class and split into files (benchmarks/decisions.py --split)
-KEPT = {
+RECORDED_DIGESTS = {
     0: "e15b88549abba86bd04cddb7",
     1: "cd743f64e4e81b830eae90a3",
     2: "c5e2adc722819bb18738c178",
@@ -32,12 +32,12 @@
 }
 
 
-@pytest.mark.parametrize("seed", sorted(KEPT))
-def test_the_decisions_are_those_that_were_kept(seed: int) -> None:
-    assert dict(digests(Limiter, EVENTS, iter([seed]))) == {seed: KEPT[seed]}
+@pytest.mark.parametrize("seed", sorted(RECORDED_DIGESTS))
+def test_decisions_match_the_recorded_digests(seed: int) -> None:
+    assert dict(digests(Limiter, EVENTS, iter([seed]))) == {seed: RECORDED_DIGESTS[seed]}
 
 
-def test_a_history_is_the_same_again_and_another_for_another_seed() -> None:
+def test_a_history_depends_on_its_seed_alone() -> None:
     found = [History(seed, Limiter).play(2_000) for seed in (1, 1, 2)]
     assert found[0] == found[1] != found[2]
 
@@ -59,14 +59,16 @@
         (maintenance, "MAX_LEAK_DEMAND_RATIO", 0.6),
     ],
 )
-def test_a_small_change_of_the_decisions_shows(
+def test_a_small_change_of_a_constant_changes_a_digest(
     where: object, name: str, value: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(where, name, value)
-    assert any(digest != KEPT[seed] for seed, digest in digests(Limiter, EVENTS, iter(sorted(KEPT))))
+    assert any(
+        digest != RECORDED_DIGESTS[seed] for seed, digest in digests(Limiter, EVENTS, iter(sorted(RECORDED_DIGESTS)))
+    )
 
 
-def test_histories_reach_what_matters() -> None:
+def test_histories_reach_all_phases_actions_and_states() -> None:
     """Throttling, questions, reports, holds, retries, permissions, ceilings: a history without them keeps nothing."""
     kinds: set[str] = set()
 
