--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -40,7 +40,7 @@
         settings: api.Settings,
         seed: int,
         now: float,
-        source: type[QuotaCoordinator] = QuotaCoordinator,
+        coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Build the parts; nothing is decided before `start`.
 
@@ -48,16 +48,16 @@
             settings: The limiter's settings.
             seed: Seeds all random numbers.
             now: The time in ms.
-            source: The class of the quota coordinator, which also names the class of the accounts.
+            coordinator_class: The class of the quota coordinator, which also names the class of the accounts.
         """
         self.context = DecisionContext(settings, seed, now)
         self.requests: dict[str, OpenRequest] = {}
         self.throttle = Throttle(self.context.rng, now)
         self.load_estimator = LoadEstimator(self.context)
-        self.quotas = source.quotas_class(self.context)
+        self.quotas = coordinator_class.quotas_class(self.context)
         self.endpoints = Endpoints(self.context, self.load_estimator, self.quotas)
         self.attempts = Attempts(self.context, self.load_estimator, self.quotas, self.endpoints, self.requests)
-        self.admission = Admission(self.context, self.throttle, self.attempts, source)
+        self.admission = Admission(self.context, self.throttle, self.attempts, coordinator_class)
         self.quota_coordinator = self.admission.quota_coordinator
         self.maintenance = Maintenance(self.admission, self.endpoints)
         self.handlers: dict[type, Callable[..., None]] = {
