--- a/elderlock/gossip/escrow_limiter.py
+++ b/elderlock/gossip/escrow_limiter.py
@@ -19,10 +19,14 @@
     quotas: EscrowQuotas
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: float, source: type[QuotaCoordinator] = QuotaCoordinator
+        self,
+        settings: api.Settings,
+        seed: int,
+        now: float,
+        coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Put `EscrowQuotas` in the place of the coordinator's accounts; see `Limiter`."""
-        super().__init__(settings, seed, now, type("Escrow", (source,), {"quotas_class": EscrowQuotas}))
+        super().__init__(settings, seed, now, type("Escrow", (coordinator_class,), {"quotas_class": EscrowQuotas}))
         self._handle_other_message = self.handlers[api.PeerMessage]
         self.handlers[api.PeerMessage] = self._handle_escrow_message
 
--- a/elderlock/gossip/evidence_limiter.py
+++ b/elderlock/gossip/evidence_limiter.py
@@ -50,10 +50,14 @@
     """
 
     def __init__(
-        self, settings: api.Settings, seed: int, now: float, source: type[QuotaCoordinator] = QuotaCoordinator
+        self,
+        settings: api.Settings,
+        seed: int,
+        now: float,
+        coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Start with no evidence; see `Limiter`."""
-        super().__init__(settings, seed, now, source)
+        super().__init__(settings, seed, now, coordinator_class)
         zone = settings.zone if 0 <= settings.zone < UNKNOWN_ZONE else UNKNOWN_ZONE
         self.evidence = HealthEvidence(settings.limiter_index, zone)
         self.rumours = RumourQueue(
