--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -150,11 +150,16 @@
                 for uid, told in sorted(self._overlay.told.items())
             ),
             throttle=m.Throttle(
-                throttle.phase.name.lower(), throttle.leak_rate, limiter.admit_rate, limiter.answer_rate
+                throttle.phase.name.lower(),
+                throttle.leak_rate_per_s,
+                limiter.maintenance.admit_rate_per_s,
+                limiter.maintenance.answer_rate_per_s,
             ),
             peers=tuple(
                 m.Peer(
-                    number, limiter.keepers.silent.get(number, NEVER_MS) > now, limiter.keepers.missed.get(number, 0)
+                    number,
+                    limiter.quota_coordinator.owners.silent_until_ms.get(number, NEVER_MS) > now,
+                    limiter.quota_coordinator.owners.missed_queries.get(number, 0),
                 )
                 for number in range(self._config.settings.limiter_count)
                 if number != self._config.settings.limiter_index
@@ -227,4 +232,4 @@
         return f"{server.consecutive_failures} failures in a row, back in {wait_s:.1f} s"
     if server.is_on_probation:
         return "on trial, one request at a time"
-    return "" if boxes.subsetting.holds(server.entry.server_id) else "not in this limiter's subset"
+    return "" if boxes.subsetting.includes(server.entry.server_id) else "not in this limiter's subset"
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -11,8 +11,8 @@
 
 from elderlock import interface as api
 from elderlock.control.attach import Control, attach, read_operators
-from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
@@ -21,7 +21,7 @@
     from elderlock.authz.door import Door  # loads grpc: some 30 MB
     from elderlock.control import messages as m
     from elderlock.control.shared import SharedView
-    from elderlock.quota.attach import Quota, QuotaFile
+    from elderlock.quota.attach import CounterAttachment, QuotaOptions
 
     ShownCeilings = Callable[[], m.Ceilings | None]
 
@@ -34,8 +34,8 @@
         """Raises `ConfigError`."""
         self._path, self._file = path, read_operators(path)
         self._control: Control | None = None
-        self._quota_file: QuotaFile | None = None
-        self._quota: Quota | None = None
+        self._quota_file: QuotaOptions | None = None
+        self._quota: CounterAttachment | None = None
         self._door: Door | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -49,19 +49,19 @@
             raise ConfigError(f"{self._path}: {error}") from None
         return replace(config, settings=replace(config.settings, routing=routing))
 
-    def source(self, limiters: int) -> type[Keepers]:
+    def source(self, limiters: int) -> type[QuotaCoordinator]:
         """What the decision module asks of a customer's use. Raises `ConfigError`."""
         if self._file.quota is None:
-            return Keepers
+            return QuotaCoordinator
         try:
-            from elderlock.quota.attach import QuotaFile
+            from elderlock.quota.attach import QuotaOptions
         except ModuleNotFoundError as error:
             raise ConfigError(f"{self._path}: [quota] needs the extra elderlock[quota]: {error}") from None
         import msgspec
 
         try:
-            self._quota_file = msgspec.convert(self._file.quota, QuotaFile)
-            return self._quota_file.source(limiters)
+            self._quota_file = msgspec.convert(self._file.quota, QuotaOptions)
+            return self._quota_file.coordinator_class(limiters)
         except (ConfigError, msgspec.ValidationError) as error:
             raise ConfigError(f"{self._path}: {error}") from None
 
@@ -75,9 +75,9 @@
             raise ConfigError(f"{self._path}: [shared] {on[0]}: the settings do not let limiters talk to one another")
         if "ceilings" in on and self._file.quota is not None:
             raise ConfigError(f"{self._path}: [shared] ceilings: with [quota] the counter holds them")
-        from elderlock.gossip.sharing import limiter_of
+        from elderlock.gossip.options import limiter_class
 
-        return limiter_of("evidence" in on, "ceilings" in on)
+        return limiter_class("evidence" in on, "ceilings" in on)
 
     async def prepare(
         self,
@@ -89,15 +89,17 @@
     ) -> None:
         self._gateway, self._clients = gateway, clients
         if self._quota_file is not None:
-            from elderlock.quota.attach import Quota
+            from elderlock.quota.attach import CounterAttachment
 
             try:
-                self._quota = Quota(self._quota_file, Path(os.environ["PROXY_CONFIG"]), gateway, config.settings)
+                self._quota = CounterAttachment(
+                    self._quota_file, Path(os.environ["PROXY_CONFIG"]), gateway, config.settings
+                )
             except ConfigError as error:
                 raise ConfigError(f"{self._path}: {error}") from None
         if self._file.control is not None:
             path = os.environ["PROXY_CONFIG"]
-            counter = self._quota.view if self._quota is not None else None
+            counter = self._quota.status if self._quota is not None else None
             self._control = await attach(
                 self._file.control,
                 path,
@@ -115,10 +117,10 @@
         if self._file.shared is None:
             return ()
         from elderlock.control.shared import SharedView, ceilings_of
-        from elderlock.gossip.limiter import SharedLimiter
+        from elderlock.gossip.evidence_limiter import EvidenceLimiter
 
         limiter, zones = gateway.limiter, config.socket_settings.zones
-        view = SharedView(limiter, zones) if isinstance(limiter, SharedLimiter) else None
+        view = SharedView(limiter, zones) if isinstance(limiter, EvidenceLimiter) else None
         return view, lambda: ceilings_of(limiter)
 
     async def open(self) -> None:
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -12,16 +12,16 @@
 from elderlock import interface as api
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import Record, Records
-from elderlock.decisions.keepers import Keepers
-from elderlock.gossip.sharing import limiter_of
+from elderlock.decisions.quota_coordinator import QuotaCoordinator
+from elderlock.gossip.options import limiter_class
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.load.schedule import Arrival
 from elderlock.net.gateway import MARGIN
 from elderlock.net.servers import DIAL_AIMS, IDLE_PART
 from elderlock.net.targets import Target, TargetList
-from elderlock.quota.attach import HEARTBEAT, HEARTBEAT_EACH
-from elderlock.quota.counted import Counted
-from elderlock.quota.terms import Terms
+from elderlock.quota.counted_quotas import CountedCoordinator
+from elderlock.quota.counter_terms import CounterTerms
+from elderlock.quota.options import heartbeat_ms
 from elderlock.sim.virtual.processes import Machine
 from elderlock.standins.model import BoxModel, Word, Work
 
@@ -113,13 +113,13 @@
         self._number = 0
         self.idle: dict[str, list[float]] = {}  # when connections that stand were used last
         self.connections = 0
-        source: type[Keepers] = Keepers
+        source: type[QuotaCoordinator] = QuotaCoordinator
         if world.scenario.settings.counter:
-            terms = Terms(heartbeat=max(HEARTBEAT, HEARTBEAT_EACH * world.scenario.limiters))
-            source = type("Counted", (Counted,), {"terms": terms})
+            terms = CounterTerms(heartbeat_ms=heartbeat_ms(world.scenario.limiters))
+            source = type("Counted", (CountedCoordinator,), {"terms": terms})
         settings = world.settings(number)
         wanted, peers = world.scenario.settings, settings.capabilities.can_message_peers
-        kind = limiter_of(wanted.shared and peers, wanted.shared_ceilings and peers and not wanted.counter)
+        kind = limiter_class(wanted.shared and peers, wanted.shared_ceilings and peers and not wanted.counter)
         self.limiter = kind(settings, seed, self.now(), source)
         self.overlay = Overlay() if world.scenario.agents else None
         self.records: Records = Records()
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -15,7 +15,9 @@
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.decisions.load_estimator import LoadEstimator
 from elderlock.decisions.quotas import Quotas
+from elderlock.decisions.retry_policy import RetryPolicy
 from elderlock.decisions.server_selection import ServerSelector
+from elderlock.decisions.slow_start import UNLIMITED, SlowStart
 from elderlock.decisions.throttle import Throttle
 from elderlock.net.gateway import BUSY, Gateway
 from elderlock.net.targets import TargetList
@@ -67,7 +69,7 @@
 
 def keeps_sending(patch: Patching) -> None:
     """Lists that say that a box drains are not read."""
-    kept = Endpoints.listed
+    kept = Endpoints.apply_server_list
 
     def listed(self: Endpoints, event: api.ServerList) -> None:
         entries = tuple(
@@ -90,19 +92,19 @@
         kept_list(self, replace(listed, targets=targets), kind)
 
     kept_list = Gateway._list
-    patch.setattr(Endpoints, "listed", listed)
+    patch.setattr(Endpoints, "apply_server_list", listed)
     patch.setattr(Gateway, "_list", told)
 
 
 def knows_no_cold(patch: Patching) -> None:
-    patch.setattr(Endpoints, "coldness", lambda self, server: 1.0)
-    patch.setattr(Endpoints, "cold_wait", lambda self, server: 0.0)
-    patch.setattr(Throttle, "passes", lambda self, inside, value, now: True)
-    patch.setattr(LoadEstimator, "crowding", lambda self: 0.0)
+    patch.setattr(SlowStart, "capacity_fraction", lambda self, server: 1.0)
+    patch.setattr(SlowStart, "check_budget", lambda self, server: UNLIMITED)
+    patch.setattr(Throttle, "admits", lambda self, inside, value, now: True)
+    patch.setattr(LoadEstimator, "queue_pressure", lambda self: 0.0)
 
 
 def knows_no_ceiling(patch: Patching) -> None:
-    patch.setattr(Quotas, "capped", lambda self, account, units: False)
+    patch.setattr(Quotas, "exceeds_hard_ceiling", lambda self, account, units: False)
 
 
 def lies_of_drains(patch: Patching) -> None:
@@ -111,30 +113,30 @@
 
 
 def raises(patch: Patching) -> None:
-    kept = Attempts.ended
+    kept = Attempts.handle_attempt_end
 
     def ended(self: Attempts, event: api.AttemptEnded) -> None:
         if event.outcome is api.Outcome.ERROR:
             raise KeyError("an outcome that nobody thought of")
         kept(self, event)
 
-    patch.setattr(Attempts, "ended", ended)
+    patch.setattr(Attempts, "handle_attempt_end", ended)
 
 
 def never_lets_go(patch: Patching) -> None:
-    patch.setattr(Attempts, "_drop_if_over", lambda self, request: None)
+    patch.setattr(Attempts, "_forget_if_complete", lambda self, request: None)
 
 
 def forgets_no_timer(patch: Patching) -> None:
     """Each request leaves something that nobody takes away."""
-    kept = Attempts.first_sent
+    kept = RetryPolicy.record_first_send
 
-    def first_sent(self: Attempts) -> None:
+    def first_sent(self: RetryPolicy) -> None:
         kept(self)
         for _ in range(3):
             self.context.timers.schedule(self.context.now_ms + 1e9, -7)
 
-    patch.setattr(Attempts, "first_sent", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", first_sent)
 
 
 def hears_no_other(patch: Patching) -> None:
@@ -159,14 +161,14 @@
 
 def leaks_descriptors(patch: Patching) -> None:
     """Each request leaves some open for good."""
-    kept = Attempts.first_sent
+    kept = RetryPolicy.record_first_send
 
-    def first_sent(self: Attempts) -> None:
+    def first_sent(self: RetryPolicy) -> None:
         kept(self)
         for _ in range(3):
             os.open(os.devnull, os.O_RDONLY)
 
-    patch.setattr(Attempts, "first_sent", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", first_sent)
 
 
 def keeps_what_is_over(patch: Patching) -> None:
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -7,16 +7,27 @@
 
 import pytest
 
-from elderlock import peer_messages as peerwords
+from elderlock import peer_messages
 from elderlock.control.framing import Framer, framed
-from elderlock.gossip import ceilings, wire
+from elderlock.gossip import escrow_messages as ceilings
+from elderlock.gossip import evidence_messages as wire
 from elderlock.load import wire as load_wire
 from elderlock.net import clients, gateway, resp
 from elderlock.net.config import config_of
 from elderlock.net.discovery import Follower
 from elderlock.net.targets import TargetList
-from elderlock.quota import tally
-from elderlock.quota.book import Call
+from elderlock.peer_messages import (
+    Datagram,
+    LevelRow,
+    Message,
+    QuotaAnswer,
+    QuotaLevels,
+    QuotaQuery,
+    UsageReport,
+    UsageRow,
+)
+from elderlock.quota import tally_client as tally
+from elderlock.quota.counter_call import CounterCall
 from elderlock.standins.boxes import Server
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import CUSTOMER, raw_config, target
@@ -26,53 +37,52 @@
 NOW = 10_250.4
 
 SINGLES = [
-    ("ask", (17, KEY, peerwords.ASK, 3, 40.7, 254.0, 0xBEEF), "5c1101020304000328febeef", (17, KEY, 0, 3, 40, 254, 0xBEEF)),
-    ("granted", (255, MOST_KEY, peerwords.GRANTED, 258, 300.0, -1.0, 1), "5cffffffffff0102ff000001", (255, MOST_KEY, 1, 2, 255, 0, 1)),
-    ("denied", (0, 7, peerwords.DENIED, 0, 12.0, 255.0, 65535), "5c000000000702000cffffff", (0, 7, 2, 0, 12, 255, 65535)),
+    ("query", 17, QuotaQuery(KEY, 3, 40.7, 254.0, 0xBEEF), "5c1101020304000328febeef", QuotaQuery(KEY, 3, 40, 254, 0xBEEF)),
+    ("granted", 255, QuotaAnswer(MOST_KEY, True, 258, 300.0, -1.0, 1), "5cffffffffff0102ff000001", QuotaAnswer(MOST_KEY, True, 2, 255, 0, 1)),
+    ("denied", 0, QuotaAnswer(7, False, 0, 12.0, 255.0, 65535), "5c000000000702000cffffff", QuotaAnswer(7, False, 0, 12, 255, 65535)),
 ]  # fmt: skip
 BATCHES = [
-    ("report", 17, peerwords.REPORT, [(KEY, 3, 40, 254), (7, 0, 255, 255)], "5d1100010203040328fe0000000700ffff"),
-    ("readings", 255, peerwords.READINGS, [(KEY, 40, 254), (7, 0, 1)], "5dff010102030428fe000000070001"),
-]
+    ("usage report", 17, UsageReport((UsageRow(KEY, 3, 40, 254), UsageRow(7, 0, 255, 255))), "5d1100010203040328fe0000000700ffff"),
+    ("quota levels", 255, QuotaLevels((LevelRow(KEY, 40, 254), LevelRow(7, 0, 1))), "5dff010102030428fe000000070001"),
+]  # fmt: skip
 EVIDENCE = "5e010000280a6d8357580002010000faf48a06e2ffffff0104e2ffffffff00000002ffff"
 
 
-@pytest.mark.parametrize(("kind", "values", "data", "read"), SINGLES)
+@pytest.mark.parametrize(("kind", "latest", "message", "data", "read"), SINGLES)
 def test_a_single_between_limiters_is_written_and_read_as_stored(
-    kind: str, values: tuple[int, int, int, int, float, float, int], data: str, read: tuple[int, ...]
+    kind: str, latest: int, message: Message, data: str, read: Message
 ) -> None:
-    assert peerwords.single(*values).hex() == data, kind
-    latest, *rest = read
-    assert peerwords.read(bytes.fromhex(data)) == (latest, peerwords.Single(*rest))
+    assert peer_messages.encode(latest, message).hex() == data, kind
+    assert peer_messages.decode(bytes.fromhex(data)) == Datagram(latest, read)
 
 
-@pytest.mark.parametrize(("kind", "latest", "what", "rows", "data"), BATCHES)
+@pytest.mark.parametrize(("kind", "latest", "message", "data"), BATCHES)
 def test_a_batch_between_limiters_is_written_and_read_as_stored(
-    kind: str, latest: int, what: int, rows: list[tuple[int, ...]], data: str
+    kind: str, latest: int, message: Message, data: str
 ) -> None:
-    assert peerwords.batch(latest, what, rows).hex() == data, kind
-    assert peerwords.read(bytes.fromhex(data)) == (latest, peerwords.Batch(what, tuple(rows)))
+    assert peer_messages.encode(latest, message).hex() == data, kind
+    assert peer_messages.decode(bytes.fromhex(data)) == Datagram(latest, message)
 
 
 def test_a_servers_key_in_a_datagram_is_as_stored() -> None:
-    assert (wire.key("box-1"), wire.key("box-2")) == (0x6D835758, 0xF48A06E2)
+    assert (wire.server_key("box-1"), wire.server_key("box-2")) == (0x6D835758, 0xF48A06E2)
 
 
 def test_health_evidence_of_every_kind_is_written_as_stored() -> None:
     observations = [
-        wire.Observation(wire.key("box-1"), 2, 1, wire.Kind(0), 10_000.0),
-        wire.Observation(wire.key("box-2"), 65535, wire.NO_ZONE, wire.Kind(1), 9_000.0),
-        wire.Observation(MOST_KEY, 0, 0, wire.Kind(2), -90_000.0),  # older than an age can tell
+        wire.Observation(wire.server_key("box-1"), 2, 1, wire.ObservationKind(0), 10_000.0),
+        wire.Observation(wire.server_key("box-2"), 65535, wire.UNKNOWN_ZONE, wire.ObservationKind(1), 9_000.0),
+        wire.Observation(MOST_KEY, 0, 0, wire.ObservationKind(2), -90_000.0),  # older than an age can tell
     ]
     assert wire.encode(observations, NOW).hex() == EVIDENCE
 
 
 def test_stored_health_evidence_is_read_with_its_values() -> None:
-    assert wire.is_gossip(bytes.fromhex(EVIDENCE))
+    assert wire.is_evidence(bytes.fromhex(EVIDENCE))
     assert wire.decode(bytes.fromhex(EVIDENCE), NOW, 65536) == [
-        wire.Observation(0x6D835758, 2, 1, wire.Kind(0), NOW - 250.0),
-        wire.Observation(0xF48A06E2, 65535, 255, wire.Kind(1), NOW - 1250.0),
-        wire.Observation(MOST_KEY, 0, 0, wire.Kind(2), NOW - 65535.0),
+        wire.Observation(0x6D835758, 2, 1, wire.ObservationKind(0), NOW - 250.0),
+        wire.Observation(0xF48A06E2, 65535, 255, wire.ObservationKind(1), NOW - 1250.0),
+        wire.Observation(MOST_KEY, 0, 0, wire.ObservationKind(2), NOW - 65535.0),
     ]
 
 
@@ -81,7 +91,7 @@
 
 
 def test_a_want_of_ceiling_units_is_written_and_read_as_stored() -> None:
-    want = ceilings.Want(KEY, 0xA0B0C0D0, 2, 5, 4, 12.5)
+    want = ceilings.EscrowRequest(KEY, 0xA0B0C0D0, 2, 5, 4, 12.5)
     data = "5f010001020304a0b0c0d0020005000400000c80"
     assert ceilings.encode(want).hex() == data
     assert ceilings.decode(bytes.fromhex(data)) == want
@@ -89,8 +99,8 @@
 
 def test_a_grant_of_ceiling_units_is_rounded_down_and_read_as_stored() -> None:
     data = "5f01010102030400000340"
-    assert ceilings.encode(ceilings.Grant(KEY, 3.2509765625)).hex() == data
-    assert ceilings.decode(bytes.fromhex(data)) == ceilings.Grant(KEY, 3.25)
+    assert ceilings.encode(ceilings.EscrowGrant(KEY, 3.2509765625)).hex() == data
+    assert ceilings.decode(bytes.fromhex(data)) == ceilings.EscrowGrant(KEY, 3.25)
 
 
 def test_a_read_goes_on_to_a_server_as_stored() -> None:
@@ -163,7 +173,7 @@
 
 
 def test_a_call_to_the_shared_counter_is_written_as_stored() -> None:
-    assert tally.encoded(Call(1, "a:1:2", 2.5, 1500.0)) == (
+    assert tally.encode_call(CounterCall(1, "a:1:2", 2.5, 1500.0)) == (
         b"*4\r\n$5\r\nTALLY\r\n$5\r\na:1:2\r\n$3\r\n2.5\r\n$4\r\n1500\r\n"
     )
 
--- a/tests/gossip/test_processes.py
+++ b/tests/gossip/test_sharing_processes.py
@@ -10,9 +10,9 @@
 import pytest
 from sharing import PROCESSES, WARM, Fleet
 
-from elderlock.decisions.outlier_detection import OUTLIER_AFTER
-from elderlock.gossip.evidence import ENOUGH
-from elderlock.gossip.limiter import SharedLimiter
+from elderlock.decisions.outlier_detection import FAILURES_BEFORE_EJECTION
+from elderlock.gossip.evidence_limiter import EvidenceLimiter
+from elderlock.gossip.health_evidence import EJECTION_WEIGHT
 from elderlock.interface import PeerMessage
 from elderlock.settings_reader import read_settings
 from elderlock.spawning import spawn
@@ -20,7 +20,7 @@
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 
-WITNESSES = int(ENOUGH) + 2  # some to spare, as a datagram may be lost
+WITNESSES = int(EJECTION_WEIGHT) + 2  # some to spare, as a datagram may be lost
 
 
 async def witnessed(fleet: Fleet, count: int) -> None:
@@ -31,7 +31,7 @@
         for _ in range(WARM + 1):
             fleet.read(number)
     # where they share, the last of them may hear of it before its own request is out
-    least = ENOUGH if "true" in fleet.shared else count
+    least = EJECTION_WEIGHT if "true" in fleet.shared else count
     await until(lambda: sum(map(bool, map(fleet.bad.of, witnesses))) >= least)
     fleet.release.set()
     for number in witnesses:
@@ -39,33 +39,33 @@
             assert await fleet.clients[number].answer() == b"value"  # what was broken off went on to another server
 
 
-def test_what_some_processes_saw_of_a_server_keeps_the_others_off_it(tmp_path: Path) -> None:
+def test_failures_at_some_processes_eject_the_server_at_the_others(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet(tmp_path, "evidence = true")
         await fleet.open()
         try:
             await witnessed(fleet, WITNESSES)
             others = range(WITNESSES, PROCESSES)
-            await until(lambda: all(map(fleet.told, others)))  # none of them has sent it anything
+            await until(lambda: all(map(fleet.has_ejected_bad_server, others)))  # none of them has sent it anything
             assert not any(map(fleet.bad.of, others))
             for number in others:
                 for _ in range(10):
                     assert await fleet.ask(number) == b"value"
             # alone, each would have found out by as many failures of its own
-            assert all(fleet.bad.of(number) < OUTLIER_AFTER for number in others)
+            assert all(fleet.bad.of(number) < FAILURES_BEFORE_EJECTION for number in others)
         finally:
             await fleet.close()
 
     run(test(), within=90.0)
 
 
-def test_it_is_off_unless_the_operators_say_so_and_refused_where_limiters_may_not_talk(tmp_path: Path) -> None:
+def test_sharing_is_off_by_default_and_refused_without_datagrams_between_limiters(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet(tmp_path, "evidence = false")
         await fleet.open()
         try:
             await witnessed(fleet, PROCESSES)  # each finds out by itself
-            assert not any(map(fleet.told, range(PROCESSES)))
+            assert not any(map(fleet.has_ejected_bad_server, range(PROCESSES)))
         finally:
             await fleet.close()
         raw = raw_config(fleet.listens[0], "127.0.0.1:1")
@@ -103,9 +103,7 @@
 
 
 @pytest.mark.parametrize("evidence", ["false", "true"])
-def test_of_three_processes_the_one_that_is_asked_gets_the_others_parts_of_a_ceiling(
-    evidence: str, tmp_path: Path
-) -> None:
+def test_of_three_processes_the_busy_one_is_given_the_others_parts_of_a_ceiling(evidence: str, tmp_path: Path) -> None:
     """Asked without a pause till it has sent on far more than its even part can have filled meanwhile; all the while no more
     than the whole ceiling allows."""
 
@@ -134,11 +132,11 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\x5e", b"\x5e\x01" + bytes(300), b"\x5e\x09" + bytes(13), b"\x5e\x01" + bytes(13)]
 )
-def test_noise_in_the_place_of_evidence_changes_nothing(data: bytes) -> None:
+def test_random_bytes_in_an_evidence_datagram_change_nothing(data: bytes) -> None:
     """From a peer's own address: a stranger's datagrams are not taken at all."""
     settings = read_settings({**facts(peers=True), "peers-total": PROCESSES})
-    limiter = SharedLimiter(settings, 1, 0.0)
+    limiter = EvidenceLimiter(settings, 1, 0.0)
     limiter.start(0.0)
     for at in range(1000):
         assert limiter.handle(PeerMessage(1, data), float(at)) == []
-    assert limiter.refused == (1000 if data else 0) and len(limiter.evidence) == 0
+    assert limiter.refused_datagrams == (1000 if data else 0) and len(limiter.evidence) == 0
