--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -1,4 +1,4 @@
-"""The counter in the keepers' place: requests wait for one answer, and go by the even part without it."""
+"""The counter in the coordinator' place: requests wait for one answer, and go by the even part without it."""
 
 import asyncio
 import json
@@ -55,7 +55,7 @@
                 self.handle(api.CounterAnswered(due[1], Outcome.OK, due[2], self.delay))
 
 
-def counting(limiters: int = 3) -> Counting:
+def counting_gateway(limiters: int = 3) -> Counting:
     source = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
     config = limiter_settings(limiters=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now_ms=1_000.0)
@@ -65,97 +65,97 @@
     return made
 
 
-def book(harness: Counting) -> CountedCoordinator:
-    keepers = harness.limiter.quota_coordinator
-    assert isinstance(keepers, CountedCoordinator)
-    return keepers
+def coordinator_of(gate: Counting) -> CountedCoordinator:
+    coordinator = gate.limiter.quota_coordinator
+    assert isinstance(coordinator, CountedCoordinator)
+    return coordinator
 
 
-def send_many(harness: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
+def send_many(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
     sent = []
     for _ in range(count):
-        name = harness.send_request(customer="busy", plan=plan, spread=3)
-        harness.run_until(harness.now_ms + every)
-        if harness.attempted_servers(name):
+        name = gate.send_request(customer="busy", plan=plan, spread=3)
+        gate.run_until(gate.now_ms + every)
+        if gate.attempted_servers(name):
             sent.append(name)
-            harness.end_attempt(name)
+            gate.end_attempt(name)
     return sent
 
 
 def test_a_limiter_with_all_requests_serves_the_entire_quota_and_no_more() -> None:
     """Of three limiters the other two ask nothing: the even split would give a third."""
-    harness = counting()
-    begun = harness.now_ms
-    sent = send_many(harness, 1200)
-    held = 20.0 + 10.0 * (harness.now_ms - begun) / 1000.0
+    gate = counting_gateway()
+    begun = gate.now_ms
+    sent = send_many(gate, 1200)
+    held = 20.0 + 10.0 * (gate.now_ms - begun) / 1000.0
     assert 0.85 * held <= len(sent) <= held + 10.0 * 0.2 + 0.25 * 20.0 + 1.0
-    assert book(harness).book.mode is CounterMode.SHARED
+    assert coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
 def test_low_use_makes_no_call_and_waits_for_nothing() -> None:
-    harness = counting()
-    before = [call for call in harness.calls if not call.counter_name.startswith("sentinel")]
+    gate = counting_gateway()
+    before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
-        assert harness.is_served(customer=f"c{n}", spread=3)
-    assert [call for call in harness.calls if not call.counter_name.startswith("sentinel")] == before
+        assert gate.is_served(customer=f"c{n}", spread=3)
+    assert [call for call in gate.calls if not call.counter_name.startswith("sentinel")] == before
 
 
 def test_without_answers_the_even_part_decides_in_time() -> None:
-    harness = counting()
-    send_many(harness, 40)
-    harness.there = False
+    gate = counting_gateway()
+    send_many(gate, 40)
+    gate.there = False
     waited = []
     for _ in range(200):
-        name, asked = harness.send_request(customer="busy", spread=3), harness.now_ms
-        while not harness.attempted_servers(name) and name not in harness.final_answers:
-            harness.run_until(harness.now_ms + 1.0)
-        waited.append(harness.now_ms - asked)
-        harness.end_attempt(name)
-        harness.run_until(harness.now_ms + 50.0)
+        name, asked = gate.send_request(customer="busy", spread=3), gate.now_ms
+        while not gate.attempted_servers(name) and name not in gate.final_answers:
+            gate.run_until(gate.now_ms + 1.0)
+        waited.append(gate.now_ms - asked)
+        gate.end_attempt(name)
+        gate.run_until(gate.now_ms + 50.0)
     assert max(waited) <= 2 * CounterTerms().answer_timeout_ms + 55.0
-    assert book(harness).book.mode is not CounterMode.SHARED
-    sent = len(send_many(harness, 400, 25.0))
+    assert coordinator_of(gate).book.mode is not CounterMode.SHARED
+    sent = len(send_many(gate, 400, 25.0))
     assert 0.6 * 33 <= sent <= 1.4 * 33  # a third of 10 a second for 10 s
-    harness.there = True
-    harness.run_until(harness.now_ms + 2_000.0)
-    assert book(harness).book.mode is CounterMode.SHARED
+    gate.there = True
+    gate.run_until(gate.now_ms + 2_000.0)
+    assert coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
 def test_use_by_other_limiters_is_read_from_the_total() -> None:
-    harness = counting()
-    send_many(harness, 60)
+    gate = counting_gateway()
+    send_many(gate, 60)
     name = max(
-        (call for call in harness.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
+        (call for call in gate.calls if not call.counter_name.startswith("sentinel")), key=lambda c: c.token
     ).counter_name
-    harness.totals[name] += 500.0  # far beyond: others, or another counter's number
-    harness.run_until(harness.now_ms + 300.0)
-    store = book(harness).quota_bucket(limiter_settings().plans[0], 3)
+    gate.totals[name] += 500.0  # far beyond: others, or another counter's number
+    gate.run_until(gate.now_ms + 300.0)
+    store = coordinator_of(gate).quota_bucket(limiter_settings().plans[0], 3)
     held = (
         CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
     )  # drawn before, or not to be told yet
-    assert len(send_many(harness, 100)) <= held
-    refused = harness.send_request(customer="busy", spread=3)
-    harness.run_until(harness.now_ms + 120.0)
-    assert harness.final_answers[refused] == ["Reject"]
+    assert len(send_many(gate, 100)) <= held
+    refused = gate.send_request(customer="busy", spread=3)
+    gate.run_until(gate.now_ms + 120.0)
+    assert gate.final_answers[refused] == ["Reject"]
 
 
 def test_a_customer_of_one_limiter_needs_no_counter() -> None:
-    harness = counting()
-    before = len([c for c in harness.calls if not c.counter_name.startswith("sentinel")])
+    gate = counting_gateway()
+    before = len([c for c in gate.calls if not c.counter_name.startswith("sentinel")])
     for _ in range(30):
-        harness.is_served(customer="mine", spread=1)
-    assert len([c for c in harness.calls if not c.counter_name.startswith("sentinel")]) == before
+        gate.is_served(customer="mine", spread=1)
+    assert len([c for c in gate.calls if not c.counter_name.startswith("sentinel")]) == before
 
 
-def ceiled(harness: Counting, count: int, every: float) -> list[float]:
+def ceiled(gate: Counting, count: int, every: float) -> list[float]:
     """When a customer with a ceiling (12 a second, 24 at once; quota 10 and 20) was served."""
     taken = []
     for _ in range(count):
-        name = harness.send_request(customer="ceiled", plan=1, spread=3)
-        harness.run_until(harness.now_ms + every)
-        if harness.attempted_servers(name):
-            taken.append(harness.now_ms)
-            harness.end_attempt(name)
+        name = gate.send_request(customer="ceiled", plan=1, spread=3)
+        gate.run_until(gate.now_ms + every)
+        if gate.attempted_servers(name):
+            taken.append(gate.now_ms)
+            gate.end_attempt(name)
     return taken
 
 
@@ -168,54 +168,54 @@
 
 def test_a_counted_ceiling_does_not_bind_below_its_rate_at_one_limiter() -> None:
     """Split evenly, it let in 4 a second where the quota alone let in 10."""
-    harness = counting()
-    harness.run_until(harness.now_ms + 5_000.0)
-    begun = harness.now_ms
-    taken = ceiled(harness, 1500, 10.0)
-    assert len(taken) > 0.8 * 10.0 * (harness.now_ms - begun) / 1000.0
+    gate = counting_gateway()
+    gate.run_until(gate.now_ms + 5_000.0)
+    begun = gate.now_ms
+    taken = ceiled(gate, 1500, 10.0)
+    assert len(taken) > 0.8 * 10.0 * (gate.now_ms - begun) / 1000.0
     assert worst_over(taken) <= 2.4
 
 
-def test_a_counted_ceiling_holds_through_silence_and_an_empty_return() -> None:
-    harness = counting()
-    harness.run_until(harness.now_ms + 3_000.0)
-    taken = ceiled(harness, 400, 10.0)
-    harness.there = False
-    taken += ceiled(harness, 600, 10.0)
-    harness.totals.clear()
-    book(harness).book.connection_lost(harness.now_ms)
-    harness.there = True
-    taken += ceiled(harness, 600, 10.0)
+def test_a_ceiling_holds_through_silence_and_a_return_that_is_empty() -> None:
+    gate = counting_gateway()
+    gate.run_until(gate.now_ms + 3_000.0)
+    taken = ceiled(gate, 400, 10.0)
+    gate.there = False
+    taken += ceiled(gate, 600, 10.0)
+    gate.totals.clear()
+    coordinator_of(gate).book.connection_lost(gate.now_ms)
+    gate.there = True
+    taken += ceiled(gate, 600, 10.0)
     assert worst_over(taken) <= stated_error_units(
         SharedBucket(12.0, 24.0, 3, True, 1.92), CounterTerms(), FailureHistory(return_count=2)
     )
-    assert len(taken) > 60 and book(harness).book.mode is CounterMode.SHARED
+    assert len(taken) > 60 and coordinator_of(gate).book.mode is CounterMode.SHARED
 
 
-def test_a_ceiling_stays_split_evenly_where_requests_over_quota_earn() -> None:
-    harness = counting()
+def test_where_work_beyond_the_quota_earns_the_ceiling_stays_split_evenly() -> None:
+    gate = counting_gateway()
     plan = replace(limiter_settings().plans[1], over_quota_value=1.0)
-    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, harness.now_ms, 4000.0)
-    assert not is_ceiling_counted(account) and harness.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    account = Account(1, plan, 3, 0, 20.0, 6.0, 0.0, gate.now_ms, 4000.0)
+    assert not is_ceiling_counted(account) and gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.plan = limiter_settings().plans[1]
-    assert is_ceiling_counted(account) and not harness.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
+    assert is_ceiling_counted(account) and not gate.limiter.quotas.exceeds_hard_ceiling(account, 1.0)
     account.limiter_count = 1
     assert not is_ceiling_counted(account)
 
 
 def test_every_request_has_one_final_answer_while_the_counter_comes_and_goes() -> None:
-    harness = counting()
+    gate = counting_gateway()
     names = []
     for turn in range(600):
-        harness.there = (turn // 60) % 2 == 0
-        harness.delay = 3.0 if turn % 7 else 45.0
-        names.append(harness.send_request(customer=f"c{turn % 3}", spread=3))
-        harness.run_until(harness.now_ms + 13.0)
-        for name in list({out[0] for out in harness.attempts_in_flight}):
-            harness.end_attempt(name)
-    harness.run_until(harness.now_ms + 5_000.0)
-    assert all(bool(harness.attempted_servers(name)) != (name in harness.final_answers) for name in names)
-    assert not harness.limiter.requests and not book(harness).book.has_waiting
+        gate.there = (turn // 60) % 2 == 0
+        gate.delay = 3.0 if turn % 7 else 45.0
+        names.append(gate.send_request(customer=f"c{turn % 3}", spread=3))
+        gate.run_until(gate.now_ms + 13.0)
+        for name in list({out[0] for out in gate.attempts_in_flight}):
+            gate.end_attempt(name)
+    gate.run_until(gate.now_ms + 5_000.0)
+    assert all(bool(gate.attempted_servers(name)) != (name in gate.final_answers) for name in names)
+    assert not gate.limiter.requests and not coordinator_of(gate).book.has_waiting
 
 
 @pytest.mark.parametrize(
