--- a/elderlock/decisions/owner_selection.py
+++ b/elderlock/decisions/owner_selection.py
@@ -40,7 +40,7 @@
         return None
 
     def record_message(self, sender: int) -> None:
-        """Note that a limiter was heard of: it is no longer passed over."""
+        """Note that a limiter sent a message: it is no longer passed over."""
         self.missed_queries.pop(sender, None)
         self.silent_until_ms.pop(sender, None)
 
--- a/elderlock/decisions/quota_owner.py
+++ b/elderlock/decisions/quota_owner.py
@@ -36,7 +36,7 @@
         Args:
             key: The customer.
             plan: The customer's plan; a ledger of another plan is replaced.
-            believed_level: What the asking limiter last heard of the ledger from a previous owner, as encoded by
+            believed_level: What the asking limiter last read of the ledger at a previous owner, as encoded by
                 `peer_messages.encode_level`; with `UNKNOWN` a new ledger is full.
         """
         ledger = self.ledgers.get(key)
--- a/elderlock/state.py
+++ b/elderlock/state.py
@@ -113,7 +113,7 @@
         averaging_ms: The time over which the own rate is averaged.
         own_rate_per_s: Units per second admitted here, averaged.
         others_rate_per_s: Units per second admitted by the other limiters, by the latest reading.
-        reading_at_ms: When the owner or the meter last told of the use.
+        reading_at_ms: When the owner or the meter last gave the rate of all limiters.
         sent_at_ms: When a request was last admitted.
         mean_request_units: Units of a request, averaged.
         in_flight: Requests that were admitted and are not complete.
--- a/tests/decisions/test_load_estimator.py
+++ b/tests/decisions/test_load_estimator.py
@@ -55,4 +55,4 @@
         harness.handle(api.PeerMessage(sender, SINGLE.pack(SINGLE_FORMAT, 64, 1, SingleKind.DENIED, 0, 0, 0, 0)))
     assert harness.limiter.load_estimator.load_level() > 0.8
     harness.run_until(5000.0)
-    assert harness.limiter.load_estimator.load_level() < 0.4  # what was told is old
+    assert harness.limiter.load_estimator.load_level() < 0.4  # the samples are old
--- a/tests/decisions/test_usage_reports.py
+++ b/tests/decisions/test_usage_reports.py
@@ -16,9 +16,9 @@
     assert all(harness.is_served(customer=f"c{i}", spread=3) for i in range(60))
     assert not [a for _, a in harness.other_actions if isinstance(a, api.SendPeerMessage)]
     harness.run_until(400.0)
-    told = [a for _, a in harness.other_actions if isinstance(a, api.SendPeerMessage)]
-    assert 2 <= len(told) <= 4 and all(len(a.payload) <= 256 and a.payload[0] == BATCH_FORMAT for a in told)
-    reported = [key for a in told for key, *_ in USAGE_ROW.iter_unpack(a.payload[BATCH_HEADER.size :])]
+    sent = [a for _, a in harness.other_actions if isinstance(a, api.SendPeerMessage)]
+    assert 2 <= len(sent) <= 4 and all(len(a.payload) <= 256 and a.payload[0] == BATCH_FORMAT for a in sent)
+    reported = [key for a in sent for key, *_ in USAGE_ROW.iter_unpack(a.payload[BATCH_HEADER.size :])]
     assert len(reported) == len(set(reported)) == 60 - len(harness.limiter.quota_coordinator.quota_owner.ledgers)
     assert not harness.limiter.quota_coordinator.usage_reports.unreported_units
 
@@ -57,5 +57,5 @@
     for _ in range(20):
         harness.limiter.quota_coordinator.messenger.available_messages = 10.0
         harness.end_attempt(harness.send_request(f"c{int(name[1:]) - 1}", spread=3))
-    # a quarter of the burst of 20, where each of three would let in half of it between two reports
+    # a quarter of the burst of 20, where each of three would admit half of it between two reports
     assert 2.0 <= harness.limiter.quota_coordinator.usage_reports.unreported_units[asked.key] <= 5.0
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -146,7 +146,7 @@
         release.set()
         assert (await first.answer(), await second.answer()) == (b"value", b"value")
         write(second, "another", BODY)
-        assert await second.answer() == b"value"  # the first one's room is free again
+        assert await second.answer() == b"value"  # the first one's memory is free again
         assert limiter.gateway._room == 3.0 * len(BODY)
 
     run(test())
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -85,7 +85,7 @@
                     ("silent", self.quota_coordinator.owners.silent_until_ms),
                     ("unreported", self.quota_coordinator.usage_reports.unreported_units),
                     ("failing", self.endpoints.health.failure_fraction_by_domain),
-                    ("left out", self.endpoints.outlier_detector.ejected),
+                    ("ejected", self.endpoints.outlier_detector.ejected),
                     ("parked", self.endpoints.review_queue),
                     ("subset", self.endpoints.subsetting.holder_count < self.context.settings.limiter_count),
                 )
@@ -112,7 +112,7 @@
         "silent",
         "unreported",
         "failing",
-        "left out",
+        "ejected",
         "parked",
         "subset",
     }, kinds
