--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -15,43 +15,43 @@
 
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.net.clients import Clients
-from elderlock.net.config import Config, ConfigError, load
+from elderlock.net.clients import ClientListener
+from elderlock.net.config import Config, ConfigError, load_config
 from elderlock.net.discovery import Discovery
 from elderlock.net.gateway import Clock, Gateway
-from elderlock.net.peers import Peers
+from elderlock.net.peers import PeerTransport
 
 if TYPE_CHECKING:
     from elderlock.operators import Extras
 
-ACCEPT_FOR = 0.5  # s after SIGTERM: the front may send new connections for 0.4 s
+ACCEPT_AFTER_SIGTERM_S = 0.5  # s after SIGTERM: the front may send new connections for 0.4 s
 # s after SIGTERM: SIGKILL comes 0.7 s after the longest deadline, or after 3 s where that is longer, at the soonest
-KILLED_AFTER, LONGEST_KEPT = 0.7, 3.0
-LAST_WORDS = 0.3  # s before that in which what is still open is failed, and the answers leave
-FRESH_LIST_WITHIN = 1.0  # s that the fresh list is waited for, where one is known from before
+KILL_DELAY_S, MAX_DEADLINE_S = 0.7, 3.0
+FINAL_ANSWERS_S = 0.3  # s before that in which what is still open is failed, and the answers leave
+FIRST_LIST_TIMEOUT_S = 1.0  # s that the fresh list is waited for, where one is known from before
 
 
 def reload(discovery: Discovery, extras: Extras | None = None) -> None:
     """Turns to what the replaced file names. Open requests, pools and the listener know nothing of it.
     It is one step of the loop, so that signals close together are taken one after the other."""
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
     except ConfigError as error:  # a half-written or wrong file must not end a limiter that serves
         logging.error("the configuration stays as it was: %s", error)
         return
-    discovery.follow(config.discovery)
+    discovery.follow(config.discovery_address)
     if extras is not None:
         extras.reload()
-    logging.info("discovery is at %s:%d", *config.discovery)
+    logging.info("discovery is at %s:%d", *config.discovery_address)
 
 
-def exit_within(config: Config) -> float:
+def drain_time_limit_s(config: Config) -> float:
     """Seconds from SIGTERM to the end: what is still open then would be cut off by SIGKILL."""
-    longest = min(config.socket_settings.longest_deadline_ms / 1000.0, LONGEST_KEPT)
-    return longest + KILLED_AFTER - LAST_WORDS
+    longest = min(config.socket_settings.longest_deadline_ms / 1000.0, MAX_DEADLINE_S)
+    return longest + KILL_DELAY_S - FINAL_ANSWERS_S
 
 
-def _extras() -> Extras | None:
+def _load_optional_features() -> Extras | None:
     """What the operators' file switches on; not loaded, and not paid for, where there is none."""
     path = os.environ.get("ELDERLOCK_OPERATORS")
     if not path:
@@ -69,46 +69,48 @@
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     source, limiter = Keepers, Limiter
-    if (extras := _extras()) is not None:
+    if (extras := _load_optional_features()) is not None:
         config = extras.routed(config)
         source, limiter = extras.source(config.settings.limiter_count), extras.limiter(config.settings)
     gateway = Gateway(loop, config, Clock(), source, limiter)
-    discovery = Discovery(config.socket_settings, gateway.listed)
+    discovery = Discovery(config.socket_settings, gateway.server_list_received)
     loop.add_signal_handler(signal.SIGHUP, reload, discovery)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     peers = None
-    if config.peer_listen is not None:
+    if config.peer_listen_address is not None:
         intake = config.settings.quota_sources.peer_messages_per_s
-        peers = Peers(config.peers, config.peers_all, intake, gateway.told, gateway.now)
-        await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen)
-        gateway.tell_peer = peers.send
-    clients = Clients(loop, gateway, config.sockets)
+        peers = PeerTransport(
+            config.peer_addresses, config.broadcast_address, intake, gateway.peer_message_received, gateway.now_ms
+        )
+        await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen_address)
+        gateway.send_peer_message = peers.send
+    clients = ClientListener(loop, gateway, config.max_descriptors)
     if extras is not None:
         loop.add_signal_handler(signal.SIGHUP, reload, discovery, extras)
         await extras.prepare(gateway, clients, config, discovery.address, stop.set)
     gateway.start()
-    discovery.follow(config.discovery)
+    discovery.follow(config.discovery_address)
     try:
         # what is known from before may be old: serving from it is for when discovery is silent
-        async with asyncio.timeout(FRESH_LIST_WITHIN):
-            await gateway.fresh.wait()
+        async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
+            await gateway.list_received.wait()
     except TimeoutError:
         logging.warning("no list from discovery yet")
-    await clients.listen(*config.listen)
+    await clients.listen(*config.listen_address)
     if extras is not None:
         await extras.open()
     gc.collect()
     gc.freeze()  # what start-up made stays: the collector need not walk it again and again
-    logging.info("%s listens at %s:%d", config.name, *config.listen)
+    logging.info("%s listens at %s:%d", config.name, *config.listen_address)
     await stop.wait()
     logging.info("%s stops", config.name)
     if extras is not None:
-        await asyncio.gather(clients.drain(ACCEPT_FOR, exit_within(config)), extras.leave())
+        await asyncio.gather(clients.drain(ACCEPT_AFTER_SIGTERM_S, drain_time_limit_s(config)), extras.leave())
     else:
-        await clients.drain(ACCEPT_FOR, exit_within(config))
+        await clients.drain(ACCEPT_AFTER_SIGTERM_S, drain_time_limit_s(config))
     discovery.stop()
-    gateway.servers.close()
+    gateway.server_pools.close()
     if peers is not None:
         peers.close()
     if extras is not None:
@@ -118,7 +120,7 @@
 def main() -> int:
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
     except ConfigError as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -13,7 +13,7 @@
 from elderlock.decisions.limiter import Limiter
 from elderlock.settings_reader import read_settings
 
-OUTCOMES = {
+OUTCOMES_BY_STATUS = {
     0: api.Outcome.OK,
     255: api.Outcome.ERROR,
     254: api.Outcome.FULL,
@@ -23,18 +23,18 @@
     250: api.Outcome.CANCELLED,
     249: api.Outcome.NOT_FORWARDED,
 }
-STATES = {
+SERVER_STATES_BY_NAME = {
     "Running": api.ServerState.RUNNING,
     "Stopping": api.ServerState.DRAINING,
     "Deleted": api.ServerState.REMOVED,
 }
-LISTS = {
+LIST_KINDS_BY_NAME = {
     "changes": api.ListKind.CHANGES,
     "all": api.ListKind.COMPLETE,
     "remembered": api.ListKind.CACHED,
     "refused": api.ListKind.REFUSED,
 }
-TEXT_FIELDS = {"born": "facts"}
+FREE_TEXT_FIELDS = {"born": "facts"}
 T = TypeVar("T")
 
 
@@ -42,13 +42,13 @@
     """The input does not follow the wire."""
 
 
-class Fields:
+class LineFields:
     """The name=value pairs of one line, read with their types."""
 
     def __init__(self, line: str) -> None:
         self.message, _, rest = line.partition(" ")
         self._values: dict[str, str] = {}
-        text_field = TEXT_FIELDS.get(self.message)
+        text_field = FREE_TEXT_FIELDS.get(self.message)
         if text_field is not None:
             head, found, text = (" " + rest).partition(f" {text_field}=")
             if found:
@@ -74,11 +74,11 @@
     def text(self, name: str) -> str:
         return self._typed(name, str, None)
 
-    def whole(self, name: str, default: int | None = None) -> int:
+    def integer(self, name: str, default: int | None = None) -> int:
         return self._typed(name, int, default)
 
     def number(self, name: str, default: float | None = None) -> float:
-        return self._typed(name, finite, default)
+        return self._typed(name, parse_finite_number, default)
 
     def flag(self, name: str) -> bool:
         return self._typed(name, lambda value: {"0": False, "1": True}[value], False)
@@ -90,69 +90,69 @@
         return self._typed(name, lambda value: table[value], None)
 
     def outcome(self) -> api.Outcome:
-        return self._typed("status", lambda value: OUTCOMES[int(value)], None)
+        return self._typed("status", lambda value: OUTCOMES_BY_STATUS[int(value)], None)
 
 
-def finite(value: str) -> float:
+def parse_finite_number(value: str) -> float:
     number = float(value)
     if number != number or number in (float("inf"), float("-inf")):
         raise ValueError(value)
     return number
 
 
-def entry_of(f: Fields) -> api.ServerEntry:
+def decode_server_entry(f: LineFields) -> api.ServerEntry:
     return api.ServerEntry(
         server_id=f.text("server"),
-        zone=f.whole("hall"),
-        kind=f.whole("family-type"),
-        cell=f.whole("cluster"),
-        state=f.choice("stage-state", STATES),
+        zone=f.integer("hall"),
+        kind=f.integer("family-type"),
+        cell=f.integer("cluster"),
+        state=f.choice("stage-state", SERVER_STATES_BY_NAME),
         weight=f.number("power-hint"),
         started_at_ms=f.number("ready-at", 0.0),
     )
 
 
-def request_of(f: Fields) -> api.RequestArrived:
+def decode_request(f: LineFields) -> api.RequestArrived:
     return api.RequestArrived(
         request_id=f.text("ref"),
-        class_index=f.whole("grade"),
-        plan_index=f.whole("plan"),
+        class_index=f.integer("grade"),
+        plan_index=f.integer("plan"),
         customer_id=f.text("caller"),
         units=f.number("cost-units"),
         deadline_ms=f.number("give-up-at"),
-        limiter_count=f.whole("width"),
-        first_limiter=f.whole("from-no"),
+        limiter_count=f.integer("width"),
+        first_limiter=f.integer("from-no"),
     )
 
 
-def ended_of(f: Fields) -> api.AttemptEnded:
+def decode_attempt_ended(f: LineFields) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=f.text("ref"),
-        attempt_index=f.whole("shot"),
+        attempt_index=f.integer("shot"),
         server_id=f.text("server"),
         outcome=f.outcome(),
         duration_ms=f.number("spent"),
         is_answered=f.flag("finished"),
-        meter=f.whole("seen-use", 0),
+        meter=f.integer("seen-use", 0),
         settled_units=f.number("charged", 0.0),
     )
 
 
-EVENTS: dict[str, Callable[[Fields], api.Event]] = {
-    "inbound": request_of,
-    "settled": ended_of,
-    "established": lambda f: api.StreamStarted(f.text("ref"), f.whole("shot"), f.text("server"), f.number("spent")),
+EVENT_DECODERS: dict[str, Callable[[LineFields], api.Event]] = {
+    "inbound": decode_request,
+    "settled": decode_attempt_ended,
+    "established": lambda f: api.StreamStarted(f.text("ref"), f.integer("shot"), f.text("server"), f.number("spent")),
     "timed_out_client": lambda f: api.ClientDisconnected(f.text("ref")),
     "check_result": lambda f: api.HealthCheckEnded(f.text("server"), f.outcome(), f.number("spent")),
-    "mail": lambda f: api.PeerMessage(f.whole("author"), f.data("payload")),
+    "mail": lambda f: api.PeerMessage(f.integer("author"), f.data("payload")),
     "count_result": lambda f: api.CounterAnswered(
-        f.whole("name"), f.outcome(), f.number("result-value", 0.0), f.number("spent", 0.0)
+        f.integer("name"), f.outcome(), f.number("result-value", 0.0), f.number("spent", 0.0)
     ),
-    "due": lambda f: api.TimerFired(f.whole("tag")),
+    "due": lambda f: api.TimerFired(f.integer("tag")),
 }
 
 
-def line_of(action: api.Action) -> str:
+def encode_action(action: api.Action) -> str:
     match action:
         case api.SendAttempt(request, server, timeout):
             return f"send ref={request} server={server} patience={timeout:.3f}"
@@ -181,32 +181,32 @@
 
     def __init__(self) -> None:
         self._limiters: dict[int, Limiter] = {}
-        self._lists: dict[int, tuple[api.ServerEntry, ...]] = {}
+        self._lists_by_slot: dict[int, tuple[api.ServerEntry, ...]] = {}
         self._target: int | None = None
         self._replies: list[tuple[int, str]] = []
 
-    def batch(self, lines: list[str]) -> list[str]:
+    def answer_batch(self, lines: list[str]) -> list[str]:
         """Answers one batch, from its `mark` line to the line before `eof_batch`."""
-        mark = Fields(lines[0])
+        mark = LineFields(lines[0])
         if mark.message != "mark":
             raise WireError(f"expected mark, got {mark.message!r}")
-        now, serial = mark.number("at-time"), mark.whole("serial")
+        now, serial = mark.number("at-time"), mark.integer("serial")
         self._target, self._replies = None, []
         at = 1
         while at < len(lines):
-            fields = Fields(lines[at])
+            fields = LineFields(lines[at])
             at += 1
             if fields.message == "list":
-                slot, rows = fields.whole("slot"), fields.whole("rows")
-                items = [Fields(line) for line in lines[at : at + rows]]
+                slot, rows = fields.integer("slot"), fields.integer("rows")
+                items = [LineFields(line) for line in lines[at : at + rows]]
                 if len(items) != rows or any(i.message != "item" for i in items):
                     raise WireError(f"list: field 'rows' says {rows}, that many item lines do not follow")
-                self._lists[slot] = tuple(entry_of(i) for i in items)
+                self._lists_by_slot[slot] = tuple(decode_server_entry(i) for i in items)
                 at += rows
             elif fields.message == "target_instance":
-                self._target = fields.whole("limiter")
+                self._target = fields.integer("limiter")
             else:
-                self._event(fields, now)
+                self._handle_event(fields, now)
         reply, target = [], None
         for instance, line in self._replies:
             if instance != target:
@@ -215,7 +215,7 @@
             reply.append(line)
         return [*reply, f"done serial={serial}"]
 
-    def _event(self, fields: Fields, now: float) -> None:
+    def _handle_event(self, fields: LineFields, now: float) -> None:
         if self._target is None:
             raise WireError(f"{fields.message}: no target_instance before it")
         try:
@@ -223,10 +223,10 @@
         except WireError as error:
             raise WireError(f"instance {self._target}: {error}") from None
 
-    def _deliver(self, target: int, fields: Fields, now: float) -> None:
+    def _deliver(self, target: int, fields: LineFields, now: float) -> None:
         message = fields.message
         if message == "born":
-            seed, facts = fields.whole("seed"), fields.text("facts")
+            seed, facts = fields.integer("seed"), fields.text("facts")
             try:
                 settings = read_settings(json.loads(facts))
             except json.JSONDecodeError as error:
@@ -237,33 +237,33 @@
                 raise WireError(f"born: field 'facts' is ill-typed: {error}") from None
             limiter = Limiter(settings, seed, now)
             self._limiters[target] = limiter
-            self._keep(target, limiter.start(now))
+            self._queue_actions(target, limiter.start(now))
             return
         if message == "power_off":
             self._limiters.pop(target, None)
             return
         if message == "endpoints":
-            event: api.Event = self._list_of(fields)
-        elif message in EVENTS:
-            event = EVENTS[message](fields)
+            event: api.Event = self._decode_list(fields)
+        elif message in EVENT_DECODERS:
+            event = EVENT_DECODERS[message](fields)
         else:
             raise WireError(f"message {message!r} is not known")
         running = self._limiters.get(target)
         if running is None:
             raise WireError(f"{message}: the instance is not running")
-        self._keep(target, running.handle(event, now))
+        self._queue_actions(target, running.handle(event, now))
 
-    def _list_of(self, fields: Fields) -> api.ServerList:
-        kind = fields.choice("form", LISTS)
+    def _decode_list(self, fields: LineFields) -> api.ServerList:
+        kind = fields.choice("form", LIST_KINDS_BY_NAME)
         if kind is api.ListKind.REFUSED:
-            return api.ServerList(fields.whole("rev", 0), kind)
-        slot = fields.whole("slot")
-        if slot not in self._lists:
+            return api.ServerList(fields.integer("rev", 0), kind)
+        slot = fields.integer("slot")
+        if slot not in self._lists_by_slot:
             raise WireError(f"endpoints: field 'slot' names list {slot}, which has not come")
-        return api.ServerList(fields.whole("rev"), kind, self._lists[slot])
+        return api.ServerList(fields.integer("rev"), kind, self._lists_by_slot[slot])
 
-    def _keep(self, target: int, actions: list[api.Action]) -> None:
-        self._replies.extend((target, line_of(action)) for action in actions)
+    def _queue_actions(self, target: int, actions: list[api.Action]) -> None:
+        self._replies.extend((target, encode_action(action)) for action in actions)
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
@@ -274,7 +274,7 @@
         if line == "eof_batch":
             if not batch:
                 raise WireError("eof_batch: no batch has begun")
-            sink.write("\n".join(adapter.batch(batch)) + "\n")
+            sink.write("\n".join(adapter.answer_batch(batch)) + "\n")
             sink.flush()
             batch = []
         elif line:
--- a/elderlock/authz/door.py
+++ b/elderlock/authz/door.py
@@ -104,7 +104,7 @@
             return denied(code_pb2.INVALID_ARGUMENT, 400, (), {"error": str(error)})
         except NotTheirs as error:
             return denied(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
-        if command.wait <= 0:
+        if command.wait_ms <= 0:
             await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "the deadline has passed")
         verdict = await door.questions.ask(command)
         if verdict.kind == "permitted":
@@ -150,7 +150,9 @@
                 # together or not at all: what the others took is given back, also where the asker has gone
                 for command, verdict in zip(commands, verdicts, strict=False):
                     if verdict.kind == "permitted":
-                        door.questions.report(command.name, command.customer, Outcome.NOT_FORWARDED, 0.0, b"")
+                        door.questions.report(
+                            command.client_request_id, command.customer_id, Outcome.NOT_FORWARDED, 0.0, b""
+                        )
         last = verdicts[-1]
         if last.kind not in ("permitted", "refused"):
             await door.abort(context, last)
@@ -224,7 +226,7 @@
         """Raises `AuthzError`."""
         self.file, self._folder, self.gateway = file, folder, gateway
         self._at = file.check()
-        self.terms = Terms(file, gateway.settings, gateway.largest)
+        self.terms = Terms(file, gateway.settings, gateway.max_request_units)
         self.questions = Questions(gateway, file.bounds.kept, file.bounds.questions)
         self._health = health.aio.HealthServicer()
         self._server: Any = None
@@ -299,13 +301,13 @@
     # What the services share
 
     def remaining(self, command: Command) -> int:
-        return self.gateway.remaining(command.customer)
+        return self.gateway.remaining_units(command.customer_id)
 
     def permission(self, command: Command, verdict: Verdict) -> list[base_pb2.HeaderValueOption]:
         return [
             header(BOX, verdict.box),
             header(ENDPOINT, verdict.endpoint),
-            header(PERMISSION, command.name.decode()),
+            header(PERMISSION, command.client_request_id.decode()),
             header(LIFE, str(int(verdict.life))),
             header(REMAINING, str(self.remaining(command))),
         ]
--- a/elderlock/authz/mapping.py
+++ b/elderlock/authz/mapping.py
@@ -70,12 +70,12 @@
         return Command(
             class_index=_index(self._classes, self._text(asked, m.request_class, "class"), "class"),
             plan_index=_index(self._plans, self._text(asked, m.plan, "plan"), "plan"),
-            customer=account,
-            name=request.encode(),
-            wait=wait,
+            customer_id=account,
+            client_request_id=request.encode(),
+            wait_ms=wait,
             units=_number(self._text(asked, m.units, "units"), "units", DECIMAL, 1e-9, self._largest),
-            spread=int(_number(self._text(asked, m.spread, "spread"), "spread", WHOLE, 1, self._limiters)),
-            first=int(_number(self._text(asked, m.first, "first"), "first", WHOLE, 0, self._limiters - 1)),
+            limiter_count=int(_number(self._text(asked, m.spread, "spread"), "spread", WHOLE, 1, self._limiters)),
+            first_limiter=int(_number(self._text(asked, m.first, "first"), "first", WHOLE, 0, self._limiters - 1)),
             encode=_never,
         )
 
--- a/elderlock/authz/permissions.py
+++ b/elderlock/authz/permissions.py
@@ -46,7 +46,7 @@
 def key_of(command: Command) -> tuple[object, ...]:
     """What must be the same in a repeated question; how long it waits may differ."""
     c = command
-    return c.customer, c.class_index, c.plan_index, c.units, c.spread, c.first
+    return c.customer_id, c.class_index, c.plan_index, c.units, c.limiter_count, c.first_limiter
 
 
 class Permissions:
@@ -65,12 +65,12 @@
         """A number for `leave`, and the entry where it is new and has to be put to the module. What is known
         already is answered at once."""
         self._last += 1
-        entry = self._entries.get(command.name)
+        entry = self._entries.get(command.client_request_id)
         if entry is None:
             if len(self._entries) >= self._most:
                 answer(CROWDED)
                 return self._last, None
-            entry = self._entries[command.name] = Entry(key_of(command))
+            entry = self._entries[command.client_request_id] = Entry(key_of(command))
             entry.waiting[self._last] = answer
             return self._last, entry
         if entry.key != key_of(command):
--- a/elderlock/authz/questions.py
+++ b/elderlock/authz/questions.py
@@ -29,9 +29,9 @@
             return 0
         number, entry = self._permissions.ask(command, answer)
         if entry is not None:
-            id = command.name
+            id = command.client_request_id
             self.undecided += 1
-            entry.name = self._gateway.asked(
+            entry.name = self._gateway.permit_requested(
                 command,
                 refused=lambda line: self._decided(id, refusal_of(line)),
                 permitted=lambda box, endpoint, life: self._decided(id, Verdict("permitted", 0.0, box, endpoint, life)),
@@ -53,7 +53,7 @@
         if name is not None:
             self.undecided -= 1
             self._count("left")
-            self._gateway.client_gone(name)
+            self._gateway.client_disconnected(name)
 
     async def ask(self, command: Command) -> Verdict:
         """The verdict; a cancelled wait leaves."""
@@ -70,12 +70,12 @@
             return await future
         finally:
             if not future.done() or future.cancelled():
-                self.leave(command.name, number)
+                self.leave(command.client_request_id, number)
 
     def report(self, id: bytes, customer: str, outcome: Outcome, took: float, load_report: bytes) -> bool:
         """How a permitted lookup ended; False where it is not out."""
         name = self._permissions.out(id, customer)
-        return name is not None and self._gateway.reported_end(name, outcome, took, load_report)
+        return name is not None and self._gateway.permitted_request_ended(name, outcome, took, load_report)
 
 
 def refusal_of(line: bytes) -> Verdict:
--- a/elderlock/authz/router.py
+++ b/elderlock/authz/router.py
@@ -24,14 +24,14 @@
 from elderlock.authz.mapping import Asked, NotTheirs, Terms, Unreadable
 from elderlock.authz.routing import Fate, Next, Router, after
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
-from elderlock.net.config import load
+from elderlock.net.config import load_config
 
 CONNECT_WITHIN = 0.25  # s that one limiter may take to be connected to
 TRY_PART = 0.5  # of what is left, for one try: an answer may still be fetched then
 KEPT = 50_000  # permissions whose limiter is remembered, the oldest forgotten first
 RECONNECT_MS = 100
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class LimiterAt(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -99,7 +99,7 @@
             raise AuthzError("authz: each limiter stands there once, with a number of its own from 0")
         self._at = self._file.door.check()
         self._folder, self._usable = folder, usable
-        config = load({"PROXY_CONFIG": str(folder / self._file.config)})
+        config = load_config({"PROXY_CONFIG": str(folder / self._file.config)})
         self._terms = Terms(self._file.door, config.settings, config.socket_settings.largest_request_units)
         self._router = Router(dict(zip(names, numbers, strict=True)), rng)
         self._targets: dict[str, _Target] = {}
@@ -235,16 +235,16 @@
             return denied(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
         try:
             name, answer = await self._pass(
-                command.spread,
-                command.first,
-                command.wait,
+                command.limiter_count,
+                command.first_limiter,
+                command.wait_ms,
                 True,
                 lambda target, left: target.auth.Check(request, timeout=left),
             )
         except _NobodyError as error:
             await context.abort(error.code, str(error))
         if answer.HasField("ok_response") and any(o.header.key == BOX for o in answer.ok_response.headers):
-            self._remember(command.name.decode(), name)
+            self._remember(command.client_request_id.decode(), name)
         return answer
 
     async def ShouldRateLimit(self, request: rls.RateLimitRequest, context: Any) -> rls.RateLimitResponse:  # noqa: N802
@@ -259,7 +259,7 @@
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
         except NotTheirs as error:
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
-        sets = {(command.spread, command.first) for command in commands}
+        sets = {(command.limiter_count, command.first_limiter) for command in commands}
         if len(sets) != 1:
             text = "a question has one descriptor at least, and all are of accounts with the same limiters"
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, text)
@@ -267,9 +267,9 @@
         named = all(any(e.key == "request" for e in d.entries) for d in request.descriptors)
         try:
             name, answer = await self._pass(
-                first.spread,
-                first.first,
-                first.wait,
+                first.limiter_count,
+                first.first_limiter,
+                first.wait_ms,
                 named,
                 lambda target, left: target.rls.ShouldRateLimit(request, timeout=left),
             )
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -19,7 +19,7 @@
 from elderlock.control.transport import Bounds, Connection, FrameServer
 from elderlock.control.view import View, config_digests
 from elderlock.decisions.context import MS_PER_SECOND
-from elderlock.net.clients import Clients
+from elderlock.net.clients import ClientListener
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
 
@@ -132,7 +132,7 @@
     wanted: ControlFile,
     config_path: str,
     gateway: Gateway,
-    clients: Clients,
+    clients: ClientListener,
     config: Config,
     discovery: Callable[[], str],
     stop: Callable[[], None],
@@ -149,11 +149,11 @@
 
     digests = config_digests(config_path)
     view = View(gateway, clients, config, build(), discovery, stop_soon, digests, counter, shared, ceilings)
-    gateway.watched_by(view)
+    gateway.set_observer(view)
     desk = Desk(view, records)
     view.records = lambda: (tuple(desk.records), desk.records.digest())
     view.owner = lambda: (desk.owner, desk.owner_epoch)
-    control = Control(desk, Path(wanted.socket), gateway.now)
+    control = Control(desk, Path(wanted.socket), gateway.now_ms)
     await control.listen()
     log.info("control at %s, %d records of drains", control.path, len(desk.records))
     return control
--- a/elderlock/control/overlay.py
+++ b/elderlock/control/overlay.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from elderlock.interface import ServerState
-from elderlock.net.targets import Target, TargetList
+from elderlock.net.targets import EndpointList, ListedServer
 
 
 class Overlay:
@@ -19,34 +19,34 @@
 
     def __init__(self, drained: Iterable[str] = ()) -> None:
         self._drained = frozenset(drained)
-        self._told: dict[str, Target] = {}  # as discovery told last
+        self._told: dict[str, ListedServer] = {}  # as discovery told last
         self.version = 0
 
     @property
-    def told(self) -> dict[str, Target]:
+    def told(self) -> dict[str, ListedServer]:
         return self._told
 
-    def _over(self, target: Target) -> Target:
+    def _over(self, target: ListedServer) -> ListedServer:
         entry = target.entry
         if entry.server_id not in self._drained or entry.state is not ServerState.RUNNING:
             return target
         return replace(target, entry=replace(entry, state=ServerState.DRAINING))
 
-    def listed(self, listed: TargetList) -> TargetList:
+    def listed(self, listed: EndpointList) -> EndpointList:
         """The list as the limiter shall take it."""
-        if listed.complete:
+        if listed.is_complete:
             self._told = {}
         self.version = listed.version
-        for target in listed.targets:
+        for target in listed.servers:
             if target.entry.state is ServerState.REMOVED:
                 self._told.pop(target.entry.server_id, None)
             else:
                 self._told[target.entry.server_id] = target
-        return replace(listed, targets=tuple(self._over(target) for target in listed.targets))
+        return replace(listed, servers=tuple(self._over(target) for target in listed.servers))
 
-    def drain(self, drained: Iterable[str]) -> TargetList:
+    def drain(self, drained: Iterable[str]) -> EndpointList:
         """Holds exactly these from now on; returns what that changes of the list as it was told."""
         before, self._drained = self._drained, frozenset(drained)
         changed = before ^ self._drained
         targets = tuple(self._over(t) for uid, t in self._told.items() if uid in changed)
-        return TargetList(self.version, False, targets)
+        return EndpointList(self.version, False, targets)
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -16,10 +16,10 @@
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import Record
 from elderlock.decisions.endpoints import Endpoints
-from elderlock.net.clients import Clients
+from elderlock.net.clients import ClientListener
 from elderlock.net.config import Config
 from elderlock.net.gateway import Command, Gateway
-from elderlock.net.targets import Target, TargetList
+from elderlock.net.targets import EndpointList, ListedServer
 from elderlock.state import NEVER_MS, Server
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     def __init__(
         self,
         gateway: Gateway,
-        clients: Clients,
+        clients: ClientListener,
         config: Config,
         build: str,
         discovery: Callable[[], str],
@@ -62,7 +62,7 @@
         self._gateway, self._clients, self._config = gateway, clients, config
         self._discovery, self._stop = discovery, stop
         self.name, self.build, self.pid = config.name, build, os.getpid()
-        self.started_at = gateway.now()
+        self.started_at = gateway.now_ms()
         self.digests, self._counter, self._shared, self._ceilings = digests, counter, shared, ceilings
         self._figures = Figures([plan.name for plan in config.settings.plans])
         self._overlay = Overlay()
@@ -75,27 +75,27 @@
 
     # What the gateway tells
 
-    def listed(self, listed: TargetList) -> TargetList:
-        self._list_at = self._gateway.now()
+    def listed(self, listed: EndpointList) -> EndpointList:
+        self._list_at = self._gateway.now_ms()
         over = self._overlay.listed(listed)
         if len(self._reports) > len(self._overlay.told):
             self._reports = {u: r for u, r in self._reports.items() if u in self._overlay.told}
         return over
 
     def answered(self, command: Command, took: float, answer: bytes | None) -> None:
-        self._figures.answered(command.plan_index, command.customer, took, answer)
+        self._figures.answered(command.plan_index, command.customer_id, took, answer)
 
     def reported(self, server: str, report: bytes) -> None:
         if report:
-            self._reports[server] = (report, self._gateway.now())
+            self._reports[server] = (report, self._gateway.now_ms())
 
     # What the desk wants
 
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
         self._drained = boxes
         changes = self._overlay.drain(boxes)
-        if changes.targets:
-            self._gateway.changed(changes)
+        if changes.servers:
+            self._gateway.apply_list_changes(changes)
         if limiter != self._cordoned:
             self._cordoned = limiter
             if limiter:
@@ -108,19 +108,19 @@
         return {uid: len(servers[uid].in_flight) for uid in boxes if uid in servers}
 
     def open_requests(self) -> int:
-        return self._gateway.open_requests
+        return self._gateway.open_request_count
 
     def stop(self) -> None:
         self._stop()
 
     def state(self, id: int, accounts: int) -> m.State:
         gateway, limiter, figures = self._gateway, self._gateway.limiter, self._figures
-        now, throttle = gateway.now(), limiter.throttle
+        now, throttle = gateway.now_ms(), limiter.throttle
         records, records_digest = self.records()
         owner, owner_epoch = self.owner()
-        endpoints = gateway.servers.endpoints()
+        endpoints = gateway.server_pools.endpoints()
         evident = self._shared.shown() if self._shared is not None else set()
-        host, port = self._config.listen
+        host, port = self._config.listen_address
         return m.State(
             id=id,
             limiter=self.name,
@@ -135,7 +135,7 @@
             list_age_ms=now - self._list_at if self._list_at > NEVER_MS else -1.0,
             ready=gateway.has_list and not self._cordoned,
             drained=self._cordoned,
-            open=gateway.open_requests,
+            open=gateway.open_request_count,
             clients=len(self._clients),
             counts=figures.all,
             plans=figures.plans,
@@ -169,7 +169,7 @@
         )
 
     def _box(
-        self, uid: str, told: Target, server: Server | None, connections: int, evident: set[int], now: float
+        self, uid: str, told: ListedServer, server: Server | None, connections: int, evident: set[int], now: float
     ) -> m.Box:
         entry, record = told.entry, self._drained.get(uid)
         zones, kinds = self._config.socket_settings.zones, self._config.socket_settings.kinds
--- a/elderlock/fleet/agent.py
+++ b/elderlock/fleet/agent.py
@@ -39,7 +39,7 @@
 RETIRE_EVERY = 60.0  # s
 RETIRE_AFTER = 24 * 3600 * 1000.0  # ms after which a record that says nothing any more is forgotten
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Agent:
--- a/elderlock/fleet/api.py
+++ b/elderlock/fleet/api.py
@@ -27,7 +27,7 @@
 MOST_PENDING = 64  # requests of one connection in work at once
 MOST_WITHIN = 5.0  # s that a command may ask limiters to be waited for
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Visitor:
--- a/elderlock/fleet/base.py
+++ b/elderlock/fleet/base.py
@@ -23,7 +23,7 @@
 
 LONGEST = 1 << 16  # bytes of a word
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Running:
--- a/elderlock/fleet/based.py
+++ b/elderlock/fleet/based.py
@@ -16,7 +16,7 @@
 
 ENVIRON = "ELDERLOCK_BASE"
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Started(msgspec.Struct, frozen=True):
--- a/elderlock/fleet/charge.py
+++ b/elderlock/fleet/charge.py
@@ -28,7 +28,7 @@
 STOP_ANSWER_WITHIN = 0.5  # s; then SIGTERM says the same
 HELD_BACK = 1.0  # s between tries to start one whose drains could not be written
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Charge:
--- a/elderlock/fleet/conductor.py
+++ b/elderlock/fleet/conductor.py
@@ -45,7 +45,7 @@
 GO_AGAIN = 2.0  # s after which the base is asked again for a version that it did not go to
 ASK_WITHIN = 1.0  # s that another agent has to answer
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Owner(Protocol):
--- a/elderlock/fleet/keeper.py
+++ b/elderlock/fleet/keeper.py
@@ -37,7 +37,7 @@
 UNUSED_AFTER = 10.0  # s after which a permit without a record is taken back
 TEND_APART = 2.0  # s that an agent leaves a permit to each that stands before it in the group's file
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Owner(Protocol):
--- a/elderlock/fleet/lending.py
+++ b/elderlock/fleet/lending.py
@@ -19,7 +19,7 @@
 MOST_ANSWERED = 8 << 20  # bytes of frames in one answer; an agent's message has a bound
 WORKER = ("-m", "elderlock.load.worker")
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class _Lent:
--- a/elderlock/fleet/peers.py
+++ b/elderlock/fleet/peers.py
@@ -16,7 +16,7 @@
 EXCHANGE_EVERY = 1.0  # s between words to each other agent
 PEER_WITHIN = 1.0  # s that another agent has to answer
 
-log = logs.get(__name__)
+log = logs.get_logger(__name__)
 
 
 class Speaker(Protocol):
--- a/elderlock/logs.py
+++ b/elderlock/logs.py
@@ -9,8 +9,8 @@
 
 import structlog
 
-Format = Literal["text", "json"]
-FORMATS: tuple[Format, ...] = ("text", "json")
+LogFormat = Literal["text", "json"]
+LOG_FORMATS: tuple[LogFormat, ...] = ("text", "json")
 
 
 # until a command says how: into the standard library's logging, for whoever embeds this or tests it
@@ -25,7 +25,7 @@
 )
 
 
-def configure(form: Format, level: int = logging.INFO) -> None:
+def configure(form: LogFormat, level: int = logging.INFO) -> None:
     """To standard error. What other rooms and libraries log the plain way comes out in the same form."""
     shared: list[Any] = [
         structlog.contextvars.merge_contextvars,
@@ -58,6 +58,6 @@
     )
 
 
-def get(name: str) -> structlog.stdlib.BoundLogger:
+def get_logger(name: str) -> structlog.stdlib.BoundLogger:
     logger: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger(name)
     return logger
--- a/elderlock/net/config.py
+++ b/elderlock/net/config.py
@@ -11,7 +11,7 @@
 from elderlock import interface as api
 from elderlock.settings_reader import SocketSettings, read_settings, read_socket_settings
 
-LEAST_SOCKETS = 64  # below it there would be no room left for clients beside the servers
+MIN_SOCKETS = 64  # below it there would be no room left for clients beside the servers
 
 Address = tuple[str, int]
 
@@ -24,34 +24,34 @@
 class Config:
     name: str
     seed: int
-    listen: Address
-    discovery: Address
-    sockets: int
-    memory: float  # MB
-    peer_listen: Address | None
-    peers: tuple[Address, ...]
-    peers_all: Address | None
-    known: Any  # in discovery's form, read as any other list
+    listen_address: Address
+    discovery_address: Address
+    max_descriptors: int
+    memory_mb: float  # MB
+    peer_listen_address: Address | None
+    peer_addresses: tuple[Address, ...]
+    broadcast_address: Address | None
+    cached_list: Any  # in discovery's form, read as any other list
     settings: api.Settings
     socket_settings: SocketSettings
 
 
-def address_of(text: Any) -> Address:
+def parse_address(text: Any) -> Address:
     host, found, port = str(text).rpartition(":")
     if not found or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is not an address like 10.0.0.4:6379")
     return host, int(port)
 
 
-def _optional_address(value: Any) -> Address | None:
-    return None if value is None else address_of(value)
+def _parse_optional_address(value: Any) -> Address | None:
+    return None if value is None else parse_address(value)
 
 
-def _not_finite(name: str) -> None:
+def _reject_non_finite(name: str) -> None:
     raise ValueError(f"{name} is no number to be used")
 
 
-def config_of(raw: Any) -> Config:
+def parse_config(raw: Any) -> Config:
     settings, socket_settings = read_settings(raw["settings"]), read_socket_settings(raw["settings"])
     # `-BUSY MS` can always say when to come back, also where the simulator's clients are not told
     settings = replace(
@@ -60,36 +60,36 @@
             settings.capabilities, can_send_retry_after=True, connect_timeout_ms=socket_settings.connect_timeout_ms
         ),
     )
-    peers = tuple(address_of(peer) for peer in raw.get("peers", ()))
+    peers = tuple(parse_address(peer) for peer in raw.get("peers", ()))
     sockets = int(raw["limits"]["sockets"])
-    if sockets < LEAST_SOCKETS:
-        raise ValueError(f"limits.sockets is {sockets}, {LEAST_SOCKETS} are needed")
+    if sockets < MIN_SOCKETS:
+        raise ValueError(f"limits.sockets is {sockets}, {MIN_SOCKETS} are needed")
     if settings.capabilities.can_message_peers and len(peers) != settings.limiter_count:
         raise ValueError(f"peers names {len(peers)} limiters, the settings say {settings.limiter_count}")
     return Config(
         name=str(raw["name"]),
         seed=int(raw["seed"], 16),
-        listen=address_of(raw["listen"]),
-        discovery=address_of(raw["discovery"]),
-        sockets=sockets,
-        memory=float(raw["limits"]["memory_mb"]),
-        peer_listen=_optional_address(raw.get("peer_listen")),
-        peers=peers,
-        peers_all=_optional_address(raw.get("peers_all")),
-        known=raw.get("known"),
+        listen_address=parse_address(raw["listen"]),
+        discovery_address=parse_address(raw["discovery"]),
+        max_descriptors=sockets,
+        memory_mb=float(raw["limits"]["memory_mb"]),
+        peer_listen_address=_parse_optional_address(raw.get("peer_listen")),
+        peer_addresses=peers,
+        broadcast_address=_parse_optional_address(raw.get("peers_all")),
+        cached_list=raw.get("known"),
         settings=settings,
         socket_settings=socket_settings,
     )
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load_config(environ: Mapping[str, str]) -> Config:
     """Reads the file; whatever is wrong with it comes out as a `ConfigError`."""
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
     try:
         text = Path(path).read_text(encoding="utf-8")
-        return config_of(json.loads(text, parse_constant=_not_finite))
+        return parse_config(json.loads(text, parse_constant=_reject_non_finite))
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except KeyError as error:
--- a/elderlock/net/peers.py
+++ b/elderlock/net/peers.py
@@ -8,10 +8,10 @@
 
 from elderlock.net.config import Address
 
-LONGEST = 256  # bytes; the limit between limiters
+MAX_DATAGRAM_BYTES = 256  # bytes; the limit between limiters
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerTransport(asyncio.DatagramProtocol):
     """Loss is normal here: whatever cannot be sent or is not wanted is dropped without a word."""
 
     def __init__(
@@ -36,7 +36,7 @@
         self._room_at = now
         sender = self._numbers.get((addr[0], addr[1]))
         # a stranger must not speak for a peer, nor a flood of datagrams take the CPU from requests
-        if sender is None or len(data) > LONGEST or self._room < 1.0:
+        if sender is None or len(data) > MAX_DATAGRAM_BYTES or self._room < 1.0:
             return
         self._room -= 1.0
         self._told(sender, data)
@@ -46,7 +46,7 @@
 
     def send(self, receiver: int, data: bytes) -> None:
         address = self._everyone if receiver < 0 else self._peers[receiver]
-        if self._transport is not None and address is not None and len(data) <= LONGEST:
+        if self._transport is not None and address is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self._transport.sendto(data, address)
 
     def close(self) -> None:
--- a/elderlock/net/servers.py
+++ b/elderlock/net/servers.py
@@ -12,19 +12,19 @@
 
 from elderlock.interface import Outcome, ServerEntry, ServerState
 from elderlock.net.resp import AnswerReader, ProtocolError
-from elderlock.net.targets import Target, TargetList
+from elderlock.net.targets import EndpointList, ListedServer
 from elderlock.settings_reader import SocketSettings
 
-SERVER_SHARE = 0.3  # of the descriptors: the rest is for clients, discovery and peers
-MOST_PER_SERVER = 0.5  # of those: one server that hangs must not take the connections of all others
-IDLE_PART = 0.8  # of the keepalive: a request written when that has run out ends as a reset
-SETTLE = 20.0  # ms before a connection is used again: what comes right behind an answer is seen first
-DIAL_AIMS = 0.15  # aims that a dial may take before its request goes elsewhere
-STALL_AIMS = 0.1  # aims between the first byte of an answer and its last
-RECEIVE = 1 << 14  # bytes read at once, whatever a server sends
-OUR_OWN = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM)
+SERVER_DESCRIPTOR_FRACTION = 0.3  # of the descriptors: the rest is for clients, discovery and peers
+MAX_PER_SERVER_FRACTION = 0.5  # of those: one server that hangs must not take the connections of all others
+IDLE_KEEPALIVE_FRACTION = 0.8  # of the keepalive: a request written when that has run out ends as a reset
+REUSE_DELAY_MS = 20.0  # ms before a connection is used again: what comes right behind an answer is seen first
+CONNECT_OBJECTIVE_FRACTION = 0.15  # aims that a dial may take before its request goes elsewhere
+STALL_OBJECTIVE_FRACTION = 0.1  # aims between the first byte of an answer and its last
+RECEIVE_BUFFER_BYTES = 1 << 14  # bytes read at once, whatever a server sends
+LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM)
 
-Ended = Callable[["Attempt", Outcome, bytes | None], None]
+AttemptEndedCallback = Callable[["Attempt", Outcome, bytes | None], None]
 
 log = logging.getLogger(__name__)
 
@@ -33,103 +33,103 @@
     """One copy of a request at one server. It has exactly one outcome, given by `end`."""
 
     __slots__ = (
-        "_ended",
+        "_on_end",
+        "attempt_index",
         "connection",
         "encode",
-        "expires",
-        "number",
-        "over",
-        "pool",
-        "request",
-        "sent",
-        "server",
-        "started",
+        "expires_at_ms",
+        "is_ended",
+        "is_sent",
+        "request_id",
+        "server_id",
+        "started_at_ms",
         "timer",
     )
 
-    def __init__(self, request: str, number: int, server: str, encode: Callable[[float], bytes], ended: Ended) -> None:
-        self.request, self.number, self.server = request, number, server
-        self.encode, self._ended = encode, ended
-        self.started = self.expires = 0.0
-        self.sent = self.over = False
+    def __init__(
+        self, request: str, number: int, server: str, encode: Callable[[float], bytes], ended: AttemptEndedCallback
+    ) -> None:
+        self.request_id, self.attempt_index, self.server_id = request, number, server
+        self.encode, self._on_end = encode, ended
+        self.started_at_ms = self.expires_at_ms = 0.0
+        self.is_sent = self.is_ended = False
         self.connection: ServerConnection | None = None
-        self.pool: Pool | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, outcome: Outcome, value: bytes | None = None) -> None:
-        if self.over:
+        if self.is_ended:
             return
-        self.over = True
+        self.is_ended = True
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self._ended(self, outcome, value)
+        self._on_end(self, outcome, value)
 
-    def give_up(self, outcome: Outcome) -> None:
+    def abandon(self, outcome: Outcome) -> None:
         """Stops waiting. Closing the connection tells the server; a dial goes on, as it is paid for."""
         connection = self.connection
         if connection is not None:
             connection.drop()
         self.end(outcome)
 
-    def timed_out(self) -> None:
+    def time_out(self) -> None:
         # what was not written to a connection that never came up has not run
-        self.give_up(Outcome.TIMEOUT if self.sent else Outcome.CONNECT_FAILED)
+        self.abandon(Outcome.TIMEOUT if self.is_sent else Outcome.CONNECT_FAILED)
 
 
 class ServerConnection(asyncio.BufferedProtocol):
     """A connection that carries one attempt at a time: answers come in order, so a second one would
     wait behind a slow first."""
 
-    __slots__ = ("_reader", "_servers", "_stall", "_transport", "adopted", "attempt", "idle_at", "pool")
+    __slots__ = ("_pools", "_reader", "_stall_timer", "_transport", "adopted", "attempt", "idle_since_ms", "pool")
 
-    def __init__(self, servers: Servers, pool: Pool) -> None:
-        self._servers, self.pool = servers, pool
+    def __init__(self, servers: ServerPools, pool: ServerPool) -> None:
+        self._pools, self.pool = servers, pool
         self.attempt: Attempt | None = None
         self.adopted = False  # its dial has ended well; until then the dial counts it
-        self.idle_at = 0.0
+        self.idle_since_ms = 0.0
         self._reader = AnswerReader()
-        self._stall: asyncio.TimerHandle | None = None
+        self._stall_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop has no common base class
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    def carry(self, attempt: Attempt, now: float) -> None:
+    def send(self, attempt: Attempt, now: float) -> None:
         assert self._transport is not None
         self.attempt, attempt.connection = attempt, self
         # from here on it may run: a break before the last byte left is not told apart from one after
-        attempt.sent = True
-        self._transport.write(attempt.encode(attempt.expires - now))
+        attempt.is_sent = True
+        self._transport.write(attempt.encode(attempt.expires_at_ms - now))
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._servers.received  # one for all: what is read is taken out before the next read
+        return self._pools.receive_buffer  # one for all: what is read is taken out before the next read
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.attempt is None:
             # nothing was asked: a second copy or noise, which must not answer the next request
             return self.abort()
-        self._reader.feed(self._servers.received[:nbytes])
+        self._reader.feed(self._pools.receive_buffer[:nbytes])
         try:
-            answer = self._reader.next()
+            answer = self._reader.next_message()
         except ProtocolError:
-            return self._spoiled()
+            return self._fail_on_bad_answer()
         if answer is None:
-            if self._stall is None:  # a length that was too long is waited for in vain
-                self._stall = self._servers.later(self._servers.stall, self._spoiled)
+            if self._stall_timer is None:  # a length that was too long is waited for in vain
+                self._stall_timer = self._pools.call_later(self._pools.stall_timeout_s, self._fail_on_bad_answer)
             return
-        attempt = self._let_go()
-        if self._reader.pending():  # more than belongs to it: the answer is good, the connection is not
+        attempt = self._detach_attempt()
+        if self._reader.pending_bytes():  # more than belongs to it: the answer is good, the connection is not
             self.abort()
         else:
             self.pool.release(self)
         if attempt is not None:
             value, text = answer
-            if self._servers.reported is not None:
-                self._servers.reported(attempt.server, text)
+            if self._pools.on_load_report is not None:
+                self._pools.on_load_report(attempt.server_id, text)
             if value is not None:
                 attempt.end(Outcome.OK, value)
             else:
@@ -137,19 +137,19 @@
 
     def drop(self) -> None:
         """Stops waiting for the answer, which the server hears of by the end of its connection."""
-        self._let_go()
+        self._detach_attempt()
         self.abort()
 
-    def _let_go(self) -> Attempt | None:
+    def _detach_attempt(self) -> Attempt | None:
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.connection = None
-        if self._stall is not None:
-            self._stall.cancel()
-            self._stall = None
+        if self._stall_timer is not None:
+            self._stall_timer.cancel()
+            self._stall_timer = None
         return attempt
 
-    def _spoiled(self) -> None:
+    def _fail_on_bad_answer(self) -> None:
         """What came is no answer: the request may have run, and nothing more can be read here."""
         attempt = self.attempt
         self.drop()
@@ -157,9 +157,9 @@
             attempt.end(Outcome.ERROR)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        attempt = self._let_go()
+        attempt = self._detach_attempt()
         if self.adopted:
-            self.pool.lost(self)
+            self.pool.connection_lost(self)
         if attempt is not None:
             attempt.end(Outcome.RESET)
 
@@ -168,60 +168,60 @@
             self._transport.abort()
 
 
-class Pool:
+class ServerPool:
     """The connections to one process at one address; a process that restarted gets a new pool."""
 
-    __slots__ = ("_servers", "address", "closed", "count", "entry", "idle", "leaving")
+    __slots__ = ("_pools", "address", "connection_count", "entry", "idle", "is_closed", "is_draining")
 
-    def __init__(self, servers: Servers, target: Target) -> None:
-        self._servers = servers
+    def __init__(self, servers: ServerPools, target: ListedServer) -> None:
+        self._pools = servers
         self.address, self.entry = target.address, target.entry
         self.idle: list[ServerConnection] = []  # the most recently used last
-        self.count = 0  # open ones and dials
-        self.leaving = self.closed = False
+        self.connection_count = 0  # open ones and dials
+        self.is_draining = self.is_closed = False
 
     def release(self, connection: ServerConnection) -> None:
-        if self.leaving or self.closed:
+        if self.is_draining or self.is_closed:
             connection.abort()
-        elif connection.usable():
-            connection.idle_at = self._servers.now()
+        elif connection.is_usable():
+            connection.idle_since_ms = self._pools.now_ms()
             self.idle.append(connection)
-            self._servers.idle[connection] = None
+            self._pools.idle_connections[connection] = None
 
-    def lost(self, connection: ServerConnection) -> None:
-        self.count -= 1
-        self._servers.count -= 1
-        if connection in self._servers.idle:
-            self.forget(connection)
+    def connection_lost(self, connection: ServerConnection) -> None:
+        self.connection_count -= 1
+        self._pools.connection_count -= 1
+        if connection in self._pools.idle_connections:
+            self.remove_idle(connection)
 
-    def forget(self, connection: ServerConnection) -> None:
+    def remove_idle(self, connection: ServerConnection) -> None:
         """One that stands idle does so no more."""
         self.idle.remove(connection)
-        del self._servers.idle[connection]
+        del self._pools.idle_connections[connection]
 
-    def take(self) -> ServerConnection | None:
+    def take_idle(self) -> ServerConnection | None:
         """The one used last that has stood long enough for whatever came behind its answer to show: a
         copy that arrives once it carries the next request would be that one's answer."""
-        now = self._servers.now()
+        now = self._pools.now_ms()
         for at in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[at]
-            if now - connection.idle_at < self._servers.settle:
+            if now - connection.idle_since_ms < self._pools.reuse_delay_ms:
                 continue
             del self.idle[at]
-            del self._servers.idle[connection]
-            if connection.usable() and now - connection.idle_at < self._servers.idle_for:
+            del self._pools.idle_connections[connection]
+            if connection.is_usable() and now - connection.idle_since_ms < self._pools.idle_limit_ms:
                 return connection
             connection.abort()
         return None
 
-    def drop_idle(self) -> None:
+    def close_idle(self) -> None:
         idle, self.idle = self.idle, []
         for connection in idle:
-            del self._servers.idle[connection]
+            del self._pools.idle_connections[connection]
             connection.abort()
 
 
-class Servers:
+class ServerPools:
     """All pools, bounded together. `ended` hears the one outcome of every attempt."""
 
     def __init__(
@@ -231,35 +231,35 @@
         aim: float,
         sockets: int,
         now: Callable[[], float],
-        ended: Ended,
+        ended: AttemptEndedCallback,
     ) -> None:
-        self._loop, self._ended, self.now = loop, ended, now
-        self._dial_timeout = settings.connect_timeout_ms / 1000.0
-        self._dial_within = min(settings.connect_timeout_ms, DIAL_AIMS * aim)
-        self.stall = STALL_AIMS * aim / 1000.0
-        self.idle_for = settings.keepalive_ms * IDLE_PART
-        self.settle = SETTLE
-        self._most = int(sockets * SERVER_SHARE)
-        self._most_each = max(1, int(self._most * MOST_PER_SERVER))
-        self.count = 0
-        self.received = memoryview(bytearray(RECEIVE))
-        self.later = loop.call_later
-        self.reported: Callable[[str, bytes], None] | None = None  # hears the load reports, if anyone does
-        self._pools: dict[str, Pool] = {}
-        self._by_address: dict[tuple[str, int], Pool] = {}
+        self._loop, self._on_attempt_end, self.now_ms = loop, ended, now
+        self._connect_timeout_s = settings.connect_timeout_ms / 1000.0
+        self._connect_wait_ms = min(settings.connect_timeout_ms, CONNECT_OBJECTIVE_FRACTION * aim)
+        self.stall_timeout_s = STALL_OBJECTIVE_FRACTION * aim / 1000.0
+        self.idle_limit_ms = settings.keepalive_ms * IDLE_KEEPALIVE_FRACTION
+        self.reuse_delay_ms = REUSE_DELAY_MS
+        self._max_connections = int(sockets * SERVER_DESCRIPTOR_FRACTION)
+        self._max_per_server = max(1, int(self._max_connections * MAX_PER_SERVER_FRACTION))
+        self.connection_count = 0
+        self.receive_buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
+        self.call_later = loop.call_later
+        self.on_load_report: Callable[[str, bytes], None] | None = None  # hears the load reports, if anyone does
+        self._pools: dict[str, ServerPool] = {}
+        self._by_address: dict[tuple[str, int], ServerPool] = {}
         # of all pools, the longest idle first; a plain dict would step over those deleted at its front each time
-        self.idle: OrderedDict[ServerConnection, None] = OrderedDict()
-        self._dials: set[asyncio.Task[None]] = set()  # a task that nothing holds may be collected
+        self.idle_connections: OrderedDict[ServerConnection, None] = OrderedDict()
+        self._connect_tasks: set[asyncio.Task[None]] = set()  # a task that nothing holds may be collected
 
-    def update(self, listed: TargetList) -> list[ServerEntry]:
+    def apply_list(self, listed: EndpointList) -> list[ServerEntry]:
         """Takes in a list. Returns those that it names but whose address another has by now, as gone:
         what went there under the old name would come to a process that nobody meant, a cold one."""
-        if listed.complete:
-            named = {target.entry.server_id for target in listed.targets}
+        if listed.is_complete:
+            named = {target.entry.server_id for target in listed.servers}
             for server in [name for name in self._pools if name not in named]:
                 self._remove(server)
         replaced = []
-        for target in listed.targets:
+        for target in listed.servers:
             server, pool = target.entry.server_id, self._pools.get(target.entry.server_id)
             if target.entry.state is ServerState.REMOVED:
                 if pool is not None:
@@ -279,15 +279,15 @@
             if pool is not None and moved:  # connections of the process before are dead or soon will be
                 self._remove(server)
             if pool is None or moved:
-                pool = self._pools[server] = self._by_address[target.address] = Pool(self, target)
-            pool.leaving = target.entry.state is not ServerState.RUNNING
-            if pool.leaving:
-                pool.drop_idle()
+                pool = self._pools[server] = self._by_address[target.address] = ServerPool(self, target)
+            pool.is_draining = target.entry.state is not ServerState.RUNNING
+            if pool.is_draining:
+                pool.close_idle()
         return replaced
 
     def endpoints(self) -> dict[str, tuple[str, int]]:
         """Where the connections to each server go, and how many there are, dials included."""
-        return {name: ("%s:%d" % pool.address, pool.count) for name, pool in self._pools.items()}
+        return {name: ("%s:%d" % pool.address, pool.connection_count) for name, pool in self._pools.items()}
 
     def _remove(self, server: str) -> None:
         pool = self._pools.pop(server)
@@ -295,81 +295,83 @@
             del self._by_address[pool.address]
         self._close(pool)
 
-    def _close(self, pool: Pool) -> None:
-        pool.closed = True
-        pool.drop_idle()
+    def _close(self, pool: ServerPool) -> None:
+        pool.is_closed = True
+        pool.close_idle()
 
-    def send(self, request: str, number: int, server: str, timeout: float, encode: Callable[[float], bytes]) -> Attempt:
+    def start_attempt(
+        self, request: str, number: int, server: str, timeout: float, encode: Callable[[float], bytes]
+    ) -> Attempt:
         """Starts an attempt; its time-out runs from now, a dial included."""
-        attempt = Attempt(request, number, server, encode, self._ended)
-        attempt.started = self.now()
-        attempt.expires = attempt.started + timeout
-        pool = attempt.pool = self._pools.get(server)
-        if pool is None or pool.leaving:
+        attempt = Attempt(request, number, server, encode, self._on_attempt_end)
+        attempt.started_at_ms = self.now_ms()
+        attempt.expires_at_ms = attempt.started_at_ms + timeout
+        pool = self._pools.get(server)
+        if pool is None or pool.is_draining:
             attempt.end(Outcome.NOT_FORWARDED)
             return attempt
-        connection = pool.take()
+        connection = pool.take_idle()
         if connection is not None:
-            self._carry(attempt, connection)
-        elif pool.count >= self._most_each or not self._make_room():
+            self._send_on(attempt, connection)
+        elif pool.connection_count >= self._max_per_server or not self._reserve_connection():
             attempt.end(Outcome.NOT_FORWARDED)  # it is us who have no room: nothing is learnt of the server
         else:
             # a dial that hangs must leave time for another server; it goes on, for whoever comes next
-            within = min(timeout, self._dial_within)
-            attempt.timer = self.later(max(within, 0.0) / 1000.0, attempt.timed_out)
-            pool.count += 1
-            self.count += 1
-            task = self._loop.create_task(self._dial(pool, attempt))
-            self._dials.add(task)
-            task.add_done_callback(self._dials.discard)
+            within = min(timeout, self._connect_wait_ms)
+            attempt.timer = self.call_later(max(within, 0.0) / 1000.0, attempt.time_out)
+            pool.connection_count += 1
+            self.connection_count += 1
+            task = self._loop.create_task(self._connect(pool, attempt))
+            self._connect_tasks.add(task)
+            task.add_done_callback(self._connect_tasks.discard)
         return attempt
 
-    def _carry(self, attempt: Attempt, connection: ServerConnection) -> None:
-        now = self.now()
+    def _send_on(self, attempt: Attempt, connection: ServerConnection) -> None:
+        now = self.now_ms()
         if attempt.timer is not None:
             attempt.timer.cancel()
-        attempt.timer = self.later(max(attempt.expires - now, 0.0) / 1000.0, attempt.timed_out)
-        connection.carry(attempt, now)
+        attempt.timer = self.call_later(max(attempt.expires_at_ms - now, 0.0) / 1000.0, attempt.time_out)
+        connection.send(attempt, now)
 
-    def _make_room(self) -> bool:
+    def _reserve_connection(self) -> bool:
         """Whether one more may be opened; at the bound, one that has stood idle longest gives way."""
-        if self.count < self._most:
+        if self.connection_count < self._max_connections:
             return True
-        if not self.idle:
+        if not self.idle_connections:
             return False
-        oldest = next(iter(self.idle))
-        oldest.pool.forget(oldest)
+        oldest = next(iter(self.idle_connections))
+        oldest.pool.remove_idle(oldest)
         oldest.abort()
         return True
 
-    async def _dial(self, pool: Pool, attempt: Attempt) -> None:
+    async def _connect(self, pool: ServerPool, attempt: Attempt) -> None:
         host, port = pool.address
         connection, failed = ServerConnection(self, pool), Outcome.CONNECT_FAILED
         try:
-            async with asyncio.timeout(self._dial_timeout):
+            async with asyncio.timeout(self._connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, host, port)
         except (OSError, TimeoutError) as error:
             connection.abort()  # it may have come up in the same moment
-            if isinstance(error, OSError) and error.errno in OUR_OWN:
+            if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS:
                 failed = Outcome.NOT_FORWARDED
-        connection.adopted = connection.usable()
+        connection.adopted = connection.is_usable()
         if not connection.adopted:  # counted down here alone, whether or not it was up for a moment
-            pool.count -= 1
-            self.count -= 1
+            pool.connection_count -= 1
+            self.connection_count -= 1
             attempt.end(failed)
-        elif attempt.over:  # cancelled or timed out meanwhile: nothing may be written for it any more
+        elif attempt.is_ended:  # cancelled or timed out meanwhile: nothing may be written for it any more
             pool.release(connection)
-        elif pool.leaving or pool.closed:  # heard of the drain while dialling
+        elif pool.is_draining or pool.is_closed:  # heard of the drain while dialling
             pool.release(connection)
             attempt.end(Outcome.NOT_FORWARDED)
         else:
-            self._carry(attempt, connection)
+            self._send_on(attempt, connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Closes what has stood idle, before the servers do so under a request just written."""
-        before = self.now() - self.idle_for
-        while self.idle and (oldest := next(iter(self.idle))).idle_at < before:
-            oldest.pool.forget(oldest)
+        before = self.now_ms() - self.idle_limit_ms
+        while self.idle_connections and (oldest := next(iter(self.idle_connections))).idle_since_ms < before:
+            oldest.pool.remove_idle(oldest)
             oldest.abort()
 
     def close(self) -> None:
--- a/elderlock/net/targets.py
+++ b/elderlock/net/targets.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from elderlock import interface as api
-from elderlock.net.config import Address, address_of
+from elderlock.net.config import Address, parse_address
 from elderlock.settings_reader import SocketSettings
 
-STATES = {
+SERVER_STATES = {
     "up": api.ServerState.RUNNING,
     "draining": api.ServerState.DRAINING,
     "removed": api.ServerState.REMOVED,
@@ -21,19 +21,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class ListedServer:
     entry: api.ServerEntry
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
-class TargetList:
+class EndpointList:
     version: int
-    complete: bool
-    targets: tuple[Target, ...]
+    is_complete: bool
+    servers: tuple[ListedServer, ...]
 
 
-def _target_of(raw: Any, settings: SocketSettings) -> Target:
+def _parse_server(raw: Any, settings: SocketSettings) -> ListedServer:
     zone, kind = str(raw.get("az")), str(raw.get("model"))
     weight, started = float(raw.get("capacity_hint", 1.0)), float(raw.get("boot_ms", 0))
     if not (isfinite(weight) and isfinite(started)):
@@ -43,20 +43,20 @@
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
         kind=settings.kinds.index(kind) if kind in settings.kinds else -1,
         cell=int(raw.get("pod_group", 0)),
-        state=STATES[raw["state"]],
+        state=SERVER_STATES[raw["state"]],
         weight=weight,
         started_at_ms=started,  # Unix time, as the module's clock counts
     )
-    return Target(entry, address_of(raw["endpoint"]))
+    return ListedServer(entry, parse_address(raw["endpoint"]))
 
 
-def parse_list(raw: Any, settings: SocketSettings) -> TargetList:
+def parse_endpoint_list(raw: Any, settings: SocketSettings) -> EndpointList:
     """One list or line of changes. An entry that cannot be read spoils only itself, so that one bad
     server in discovery does not blind the limiter to the others."""
     targets = []
     for item in raw["targets"]:
         try:
-            targets.append(_target_of(item, settings))
+            targets.append(_parse_server(item, settings))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
             log.warning("discovery: an entry is dropped: %r", error)
-    return TargetList(int(raw["rev"]), bool(raw["all"]), tuple(targets))
+    return EndpointList(int(raw["rev"]), bool(raw["all"]), tuple(targets))
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -13,7 +13,7 @@
 from elderlock.control.attach import Control, attach, read_operators
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.net.clients import Clients
+from elderlock.net.clients import ClientListener
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
 
@@ -82,7 +82,7 @@
     async def prepare(
         self,
         gateway: Gateway,
-        clients: Clients,
+        clients: ClientListener,
         config: Config,
         discovery: Callable[[], str],
         stop: Callable[[], None],
@@ -140,7 +140,7 @@
             raise ConfigError(f"{self._path}: {error}") from None
         self._door = door
         self._clients.on_cordon = self._cordon_changed
-        self._cordon_changed(self._clients.cordoned)
+        self._cordon_changed(self._clients.is_cordoned)
 
     def _cordon_changed(self, cordoned: bool) -> None:
         """A limiter that an operator drained tells gateways to stay away, as it tells the front by PING."""
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -14,7 +14,7 @@
 from elderlock import interface as api
 from elderlock.control import messages as m
 from elderlock.interface import Outcome
-from elderlock.net.config import ConfigError, address_of
+from elderlock.net.config import ConfigError, parse_address
 from elderlock.net.gateway import Gateway
 from elderlock.quota.book import Book, Call
 from elderlock.quota.bound import cut_off, shared, warnings
@@ -75,7 +75,7 @@
         assert isinstance(keepers, Counted)
         self.book: Book = keepers.book
         self._client = self._made(self._addresses())
-        gateway.tally = self._send
+        gateway.add_to_counter = self._send
         for plan in settings.plans:
             if plan.ceiling_rate_per_s > 0 and settings.limiter_count > 1:
                 store = keepers.store(plan, settings.limiter_count, True)
@@ -85,10 +85,10 @@
     def _addresses(self) -> list[tuple[str, int]]:
         try:
             if self._file.addresses:
-                return [address_of(text) for text in self._file.addresses]
+                return [parse_address(text) for text in self._file.addresses]
             if self._file.store != "tally":
                 raise ConfigError(f"[quota] store {self._file.store} needs addresses")
-            return [address_of(json.loads(self._config.read_text(encoding="utf-8"))["counter"])]
+            return [parse_address(json.loads(self._config.read_text(encoding="utf-8"))["counter"])]
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise ConfigError(f"[quota] has no counter's address to use: {error!r}") from None
 
@@ -109,14 +109,14 @@
         self._client.send([Call(token, name, amount, life)])
 
     def _answered(self, token: int, total: float) -> None:
-        self._gateway.counted(api.CounterAnswered(token, Outcome.OK, total, 0.0))
+        self._gateway.counter_answered(api.CounterAnswered(token, Outcome.OK, total, 0.0))
 
     def _unanswered(self, token: int, may_have_added: bool, busy: bool) -> None:
         outcome = Outcome.FULL if busy else Outcome.RESET if may_have_added else Outcome.CONNECT_FAILED
-        self._gateway.counted(api.CounterAnswered(token, outcome, 0.0, 0.0))
+        self._gateway.counter_answered(api.CounterAnswered(token, outcome, 0.0, 0.0))
 
     def _off(self) -> None:
-        self.book.off(self._gateway.now())
+        self.book.off(self._gateway.now_ms())
 
     def reload(self) -> None:
         """The configuration may name another counter now; a bad file changes nothing."""
@@ -129,7 +129,7 @@
 
     def view(self, most: int) -> m.Counter:
         """With the leases of the `most` customers that use most."""
-        book, terms, now = self.book, self._file.terms(self._settings.limiter_count), self._gateway.now()
+        book, terms, now = self.book, self._file.terms(self._settings.limiter_count), self._gateway.now_ms()
         off = now - book.health.changed_at if book.mode is not Mode.SHARED else 0.0
         stores = [
             Store(p.rate_per_s, p.burst_units, self._settings.limiter_count)
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -16,9 +16,9 @@
 from elderlock.gossip.sharing import limiter_of
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.load.schedule import Arrival
-from elderlock.net.gateway import MARGIN
-from elderlock.net.servers import DIAL_AIMS, IDLE_PART
-from elderlock.net.targets import Target, TargetList
+from elderlock.net.gateway import DEADLINE_MARGIN_MS
+from elderlock.net.servers import CONNECT_OBJECTIVE_FRACTION, IDLE_KEEPALIVE_FRACTION
+from elderlock.net.targets import EndpointList, ListedServer
 from elderlock.quota.attach import HEARTBEAT, HEARTBEAT_EACH
 from elderlock.quota.counted import Counted
 from elderlock.quota.terms import Terms
@@ -178,9 +178,9 @@
             return
         self.version += 1
         if self.overlay is not None:
-            targets = tuple(Target(entry, ("", 0)) for entry in entries)
-            over = self.overlay.listed(TargetList(self.version, kind is ListKind.COMPLETE, targets))
-            entries = tuple(target.entry for target in over.targets)
+            targets = tuple(ListedServer(entry, ("", 0)) for entry in entries)
+            over = self.overlay.listed(EndpointList(self.version, kind is ListKind.COMPLETE, targets))
+            entries = tuple(target.entry for target in over.servers)
         self.world.heard(self, kind, entries)
         self.happened(api.ServerList(self.version, kind, entries))
 
@@ -193,8 +193,8 @@
         changes = self.overlay.drain(drained)
         mine = self.records.get("limiter", self.name)
         self.drained = mine is not None and mine.drained
-        if changes.targets:
-            entries = tuple(target.entry for target in changes.targets)
+        if changes.servers:
+            entries = tuple(target.entry for target in changes.servers)
             self.world.heard(self, ListKind.CHANGES, entries)
             self.happened(api.ServerList(self.version, ListKind.CHANGES, entries))
 
@@ -207,7 +207,7 @@
         name = f"r{self._number}"
         held = self.requests[name] = Open(name, ask, tag, self.now())
         plan, service = world.plans[arrival.plan], world.services[arrival.class_name]
-        wait = max(left - MARGIN, left / 2.0)
+        wait = max(left - DEADLINE_MARGIN_MS, left / 2.0)
         world.schedule.after(wait, self._overdue, held)
         world.bench.asked(
             world.at(), tag, self.name, world.at() + left, arrival.account, world.scenario.service[service].effect
@@ -289,7 +289,7 @@
         there = world.ways.delay(self.machine, box.machine)
         cut = world.ways.cut(self.machine, box.machine) or world.ways.cut(box.machine, self.machine)
         if not self._connected(uid):
-            dial = world.scenario.service[0].aim_ms * DIAL_AIMS
+            dial = world.scenario.service[0].aim_ms * CONNECT_OBJECTIVE_FRACTION
             if cut or box.model.silent:
                 schedule.after(min(dial, timeout), self._ended, each, Outcome.CONNECT_FAILED)
                 return
@@ -302,7 +302,7 @@
     def _connected(self, uid: str) -> bool:
         """Whether a connection stands that may be used; the one used last, as the pools have it."""
         idle = self.idle.get(uid)
-        least = self.world.schedule.time - IDLE_PART * self.world.scenario.settings.keepalive_ms
+        least = self.world.schedule.time - IDLE_KEEPALIVE_FRACTION * self.world.scenario.settings.keepalive_ms
         while idle:
             if idle.pop() >= least:
                 return True
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -25,9 +25,9 @@
 from elderlock.fleet import agent as agents
 from elderlock.interface import ServerState
 from elderlock.load.wire import Request
-from elderlock.net.config import ConfigError, load
+from elderlock.net.config import ConfigError, load_config
 from elderlock.net.gateway import Gateway
-from elderlock.net.targets import TargetList
+from elderlock.net.targets import EndpointList
 from elderlock.sim import judges as j
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.clients import Clients
@@ -344,7 +344,7 @@
 
         async def main() -> int:
             try:
-                await program.serve(load(os.environ))
+                await program.serve(load_config(os.environ))
             except (OSError, ConfigError) as error:
                 self.trace.event(self.at(), name, f"ends: {type(error).__name__}")
                 return 2
@@ -474,10 +474,10 @@
                 self.process_name = process.name if process is not None else ""
                 world.gateways[self.process_name] = self
 
-            def listed(self, listed: TargetList) -> None:
+            def server_list_received(self, listed: EndpointList) -> None:
                 # under a name that the gateway does not call, the judges of drains and cold boxes heard nothing here
                 world.heard_list(self.process_name, listed)
-                super().listed(listed)
+                super().server_list_received(listed)
 
         return Seen
 
@@ -491,15 +491,15 @@
 
         return Seen
 
-    def heard_list(self, limiter: str, listed: TargetList) -> None:
+    def heard_list(self, limiter: str, listed: EndpointList) -> None:
         at = self.at()
         named = set()
-        for target in listed.targets:
+        for target in listed.servers:
             entry = target.entry
             named.add(entry.server_id)
             started = entry.started_at_ms - EPOCH * 1000.0 if entry.started_at_ms > 0 else 0.0
             self.bench.told(at, limiter, entry.server_id, STATES[entry.state], started)
-        if listed.complete:
+        if listed.is_complete:
             for uid in [*self.listing.boxes, *self.listing.dead]:
                 if uid not in named:
                     self.bench.told(at, limiter, uid, "gone", 0.0)
@@ -510,7 +510,7 @@
         for name, gateway in self.gateways.items():
             process = self.limiters[int(name[1:])]
             if process is not None and process.alive and not process.paused:
-                left[f"requests open at {name}"] = gateway.open_requests
+                left[f"requests open at {name}"] = gateway.open_request_count
                 left[f"requests that {name}'s module has not let go"] = len(gateway.limiter.requests)
         return left
 
--- a/elderlock/standins/parts.py
+++ b/elderlock/standins/parts.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import Any
 
-from elderlock.net.clients import Clients
-from elderlock.net.config import Config, config_of
+from elderlock.net.clients import ClientListener
+from elderlock.net.config import Config, parse_config
 from elderlock.net.gateway import Clock, Gateway
-from elderlock.net.targets import TargetList, parse_list
+from elderlock.net.targets import EndpointList, parse_endpoint_list
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
 from elderlock.standins.settings import raw_config, target
@@ -18,11 +18,11 @@
     """The program's parts wired as `__main__` does, with lists told by the test in place of discovery."""
 
     def __init__(self, **limits: Any) -> None:
-        self.config: Config = config_of(raw_config(**limits))
+        self.config: Config = parse_config(raw_config(**limits))
         loop = asyncio.get_running_loop()
         self.clock = Clock()
         self.gateway = Gateway(loop, self.config, self.clock)
-        self.clients = Clients(loop, self.gateway, self.config.sockets)
+        self.clients = ClientListener(loop, self.gateway, self.config.max_descriptors)
         self.port = 0
         self.version = 0
 
@@ -38,8 +38,8 @@
     def tell(self, *targets: dict[str, Any], complete: bool = True) -> None:
         self.version += 1
         raw = {"rev": self.version, "all": complete, "targets": list(targets)}
-        listed: TargetList = parse_list(raw, self.config.socket_settings)
-        self.gateway.listed(listed)
+        listed: EndpointList = parse_endpoint_list(raw, self.config.socket_settings)
+        self.gateway.server_list_received(listed)
 
     async def client(self) -> Client:
         return await Client.connect(self.port)
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -17,8 +17,8 @@
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.throttle import Throttle
-from elderlock.net.gateway import BUSY, Gateway
-from elderlock.net.targets import TargetList
+from elderlock.net.gateway import BUSY_ANSWER, Gateway
+from elderlock.net.targets import EndpointList
 from elderlock.state import OpenRequest
 
 
@@ -47,7 +47,7 @@
             kept(self, name, text)
 
     patch.setattr(Gateway, "_answer", answer)
-    patch.setattr(Gateway, "_overdue", lambda self, request: None)
+    patch.setattr(Gateway, "_deadline_passed", lambda self, request: None)
 
 
 def tries_all_again(patch: Patching) -> None:
@@ -80,18 +80,18 @@
         )
         kept(self, api.ServerList(event.version, event.kind, entries))
 
-    def told(self: Gateway, listed: TargetList, kind: api.ListKind) -> None:
+    def told(self: Gateway, listed: EndpointList, kind: api.ListKind) -> None:
         targets = tuple(
             t
             if t.entry.state is not api.ServerState.DRAINING
             else replace(t, entry=replace(t.entry, state=api.ServerState.RUNNING))
-            for t in listed.targets
+            for t in listed.servers
         )
-        kept_list(self, replace(listed, targets=targets), kind)
+        kept_list(self, replace(listed, servers=targets), kind)
 
-    kept_list = Gateway._list
+    kept_list = Gateway._apply_list
     patch.setattr(Endpoints, "listed", listed)
-    patch.setattr(Gateway, "_list", told)
+    patch.setattr(Gateway, "_apply_list", told)
 
 
 def knows_no_cold(patch: Patching) -> None:
@@ -177,8 +177,8 @@
         kept(self, request, answer)
         self._open.add(name)
 
-    kept = Gateway._end
-    patch.setattr(Gateway, "_end", over)
+    kept = Gateway._finish
+    patch.setattr(Gateway, "_finish", over)
 
 
 def keeps_nothing(patch: Patching) -> None:
@@ -227,21 +227,21 @@
 
 def refuses_all(patch: Patching) -> None:
     def take(self: Gateway, command: Any, reply: Any, asked: Any) -> None:
-        if self._watcher is not None:
-            self._watcher.answered(command, 0.2, BUSY)
-        reply(BUSY)
+        if self._observer is not None:
+            self._observer.answered(command, 0.2, BUSY_ANSWER)
+        reply(BUSY_ANSWER)
 
-    patch.setattr(Gateway, "_take", take)
+    patch.setattr(Gateway, "_accept", take)
 
 
 def slower_by_a_fifth(patch: Patching) -> None:
-    kept = Gateway._ended
+    kept = Gateway._attempt_ended
 
     def ended(self: Gateway, attempt: Any, outcome: Any, value: Any) -> None:
-        took = self.now() - attempt.started
+        took = self.now_ms() - attempt.started
         self._loop.call_later(0.2 * took / 1000.0, kept, self, attempt, outcome, value)
 
-    patch.setattr(Gateway, "_ended", ended)
+    patch.setattr(Gateway, "_attempt_ended", ended)
 
 
 def refuses_its_agent(patch: Patching) -> None:
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -91,7 +91,7 @@
     gateway = here.limiter.gateway
     del gateway._limiter.handle
     for event in held:
-        gateway._happened(event)
+        gateway._submit(event)
 
 
 def test_a_permission_names_the_box_and_takes_its_units_once() -> None:
--- a/tests/authz/test_door_rules.py
+++ b/tests/authz/test_door_rules.py
@@ -14,11 +14,11 @@
 from elderlock.authz.permissions import Permissions, Verdict
 from elderlock.authz.questions import refusal_of
 from elderlock.control.attach import read_operators
-from elderlock.net.config import config_of
+from elderlock.net.config import parse_config
 from elderlock.net.gateway import Command
 from elderlock.standins.settings import CUSTOMER, raw_config
 
-SETTINGS = config_of(raw_config()).settings
+SETTINGS = parse_config(raw_config()).settings
 GOOD = {"account": CUSTOMER, "plan": "team", "class": "lookup", "request": "q1", "spread": "1", "first": "0"}
 ANYONE = AuthzFile("127.0.0.1:0", askers=(Asker(("*",)),))
 
@@ -59,11 +59,11 @@
 
 
 def test_the_earlier_of_both_deadlines_holds_and_the_doors_own_bounds_both() -> None:
-    assert command().wait == ANYONE.longest_ms
-    assert command(deadline_ms="300").wait == 300.0
-    assert command(deadline_ms="300", within=120.0).wait == 120.0
-    assert command(within=500.0).wait == 500.0
-    assert command(deadline_ms="9000", within=8000.0).wait == ANYONE.longest_ms
+    assert command().wait_ms == ANYONE.longest_ms
+    assert command(deadline_ms="300").wait_ms == 300.0
+    assert command(deadline_ms="300", within=120.0).wait_ms == 120.0
+    assert command(within=500.0).wait_ms == 500.0
+    assert command(deadline_ms="9000", within=8000.0).wait_ms == ANYONE.longest_ms
 
 
 def test_parts_come_from_headers_the_path_the_query_or_a_fixed_value() -> None:
@@ -80,7 +80,7 @@
     terms = Terms(file, SETTINGS, 4.0)
     path = f"/v1/{CUSTOMER}/tickets?id=q7&x=1"
     read = terms.command(Asked({}, {"x-plan": "tiny"}, path, (), None))
-    assert (read.customer, read.name, read.plan_index, read.units) == (CUSTOMER, b"q7", 1, 1.0)
+    assert (read.customer_id, read.client_request_id, read.plan_index, read.units) == (CUSTOMER, b"q7", 1, 1.0)
     with pytest.raises(Unreadable, match="more than once"):
         terms.command(Asked({}, {"x-plan": "tiny"}, path + "&id=q8", (), None))
     with pytest.raises(Unreadable, match="account is missing"):
@@ -92,8 +92,8 @@
     other = "0000000000000007"
     file = AuthzFile("127.0.0.1:0", tls, (Asker((CUSTOMER,), "shop-a"), Asker(("*",), "ops")))
     file.check()
-    assert command(file, ("shop-a",)).customer == CUSTOMER
-    assert command(file, ("shop-a", "ops"), account=other).customer == other
+    assert command(file, ("shop-a",)).customer_id == CUSTOMER
+    assert command(file, ("shop-a", "ops"), account=other).customer_id == other
     for subjects, account in ((("shop-a",), other), (("stranger",), CUSTOMER), ((), CUSTOMER)):
         with pytest.raises(NotTheirs):
             command(file, subjects, account=account)
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -12,9 +12,9 @@
 from elderlock.gossip import ceilings, wire
 from elderlock.load import wire as load_wire
 from elderlock.net import clients, gateway, resp
-from elderlock.net.config import config_of
-from elderlock.net.discovery import Follower
-from elderlock.net.targets import TargetList
+from elderlock.net.config import parse_config
+from elderlock.net.discovery import ListFollower
+from elderlock.net.targets import EndpointList
 from elderlock.quota import tally
 from elderlock.quota.book import Call
 from elderlock.standins.boxes import Server
@@ -95,7 +95,7 @@
 
 def test_a_read_goes_on_to_a_server_as_stored() -> None:
     parts = [b"API.READ", CUSTOMER.encode(), b"9b1f", b"c=lookup,t=team,d=3000,units=1,spread=1,first=0,r=1"]
-    assert _reader().command(parts).encode(812.7) == (
+    assert _reader().parse(parts).encode(812.7) == (
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n"
         b"$50\r\nc=lookup,t=team,d=812,units=1,spread=1,first=0,r=1\r\n"
     )
@@ -103,31 +103,31 @@
 
 def test_a_write_goes_on_to_a_server_with_its_body_as_stored() -> None:
     parts = [b"API.WRITE", CUSTOMER.encode(), b"9b1f", b"c=pay,t=tiny,d=3000,units=2.5,spread=1,first=0", b"bo\r\ndy"]
-    assert _reader().command(parts).encode(0.2) == (
+    assert _reader().parse(parts).encode(0.2) == (
         b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n"
         b"$43\r\nc=pay,t=tiny,d=1,units=2.5,spread=1,first=0\r\n$6\r\nbo\r\ndy\r\n"
     )
 
 
-def _reader() -> clients.Reader:
-    config = config_of(raw_config())
-    return clients.Reader(config.settings, config.socket_settings.largest_request_units)
+def _reader() -> clients.CommandParser:
+    config = parse_config(raw_config())
+    return clients.CommandParser(config.settings, config.socket_settings.largest_request_units)
 
 
 def test_a_servers_stored_answers_are_read_with_value_and_report() -> None:
     reader = resp.AnswerReader()
     reader.feed(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\nqueue=2\r\n")
-    assert reader.next() == (b"value", b"queue=2")
+    assert reader.next_message() == (b"value", b"queue=2")
     reader.feed(b"*3\r\n$5\r\nvalue\r\n:12\r\n$-1\r\n")
-    assert reader.next() == (b"value", b"")
+    assert reader.next_message() == (b"value", b"")
     reader.feed(b"-ERR broken\r\n")
-    assert reader.next() == (None, b"ERR broken")
+    assert reader.next_message() == (None, b"ERR broken")
 
 
 def test_the_limiters_fixed_answers_are_as_stored() -> None:
-    assert gateway.FAILED == b"-ERR failed\r\n"
-    assert gateway.BUSY == b"-BUSY\r\n"
-    assert gateway.REPEATED == b"-ERR a request of this id is open\r\n"
+    assert gateway.FAILED_ANSWER == b"-ERR failed\r\n"
+    assert gateway.BUSY_ANSWER == b"-BUSY\r\n"
+    assert gateway.DUPLICATE_ANSWER == b"-ERR a request of this id is open\r\n"
 
 
 def test_a_client_of_the_limiter_gets_answers_as_stored() -> None:
@@ -149,7 +149,7 @@
             b"$47\r\nc=lookup,t=team,d=3000,units=1,spread=1,first=0\r\n",
             b"$5\r\nvalue\r\n",
         )
-        limiter.clients.cordoned = True
+        limiter.clients.is_cordoned = True
         await asked(b"*1\r\n$4\r\nPING\r\n", b"-LOADING drained by an operator\r\n")
         writer.transport.abort()
 
@@ -188,9 +188,9 @@
 
         listener = await asyncio.start_server(answer, "127.0.0.1", 0)
         port = listener.sockets[0].getsockname()[1]
-        told: list[TargetList] = []
-        settings = config_of(raw_config()).socket_settings
-        follower = Follower(("127.0.0.1", port), settings, 30.0, lambda _, listed: told.append(listed))
+        told: list[EndpointList] = []
+        settings = parse_config(raw_config()).socket_settings
+        follower = ListFollower(("127.0.0.1", port), settings, 30.0, lambda _, listed: told.append(listed))
         await both.wait()
         follower.stop()
         listener.close()
@@ -200,7 +200,7 @@
             b"GET /discovery/hosts?watch=1&after=7 HTTP/1.1\r\n" + host,
         ]
         (listed,) = told
-        assert (listed.version, listed.complete, listed.targets[0].entry.server_id) == (7, True, "s-0")
-        assert listed.targets[0].address == ("127.0.0.1", 1)
+        assert (listed.version, listed.is_complete, listed.servers[0].entry.server_id) == (7, True, "s-0")
+        assert listed.servers[0].address == ("127.0.0.1", 1)
 
     run(test())
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -20,7 +20,7 @@
 from elderlock.load import report, trace
 from elderlock.load.figures import Totals
 from elderlock.load.scenario import Ramp, Scenario, Steady, Truth
-from elderlock.net.config import load
+from elderlock.net.config import load_config
 from elderlock.rollout import ledger
 from elderlock.rollout.basing import Held, Which
 from elderlock.rollout.plans import Plan, Terms, Unit
@@ -144,11 +144,11 @@
 
 
 def test_a_limiters_configuration_is_read_with_its_values() -> None:
-    config = load({"PROXY_CONFIG": str(DATA / "limiter_config.json")})
+    config = load_config({"PROXY_CONFIG": str(DATA / "limiter_config.json")})
     assert (config.name, config.seed) == ("n0", 0x8C1F30D27A5BE964)
-    assert (config.listen, config.discovery) == (("127.0.0.1", 7001), ("127.0.0.1", 7002))
-    assert (config.peer_listen, config.peers_all) == (("127.0.0.1", 7003), ("127.0.0.1", 7005))
-    assert (config.sockets, config.memory) == (1024, 192.0)
+    assert (config.listen_address, config.discovery_address) == (("127.0.0.1", 7001), ("127.0.0.1", 7002))
+    assert (config.peer_listen_address, config.broadcast_address) == (("127.0.0.1", 7003), ("127.0.0.1", 7005))
+    assert (config.max_descriptors, config.memory_mb) == (1024, 192.0)
     assert [plan.name for plan in config.settings.plans] == ["team", "tiny"]
     assert [each.name for each in config.settings.request_classes] == ["lookup", "pay"]
     assert (config.socket_settings.zones, config.socket_settings.kinds) == (("a", "b"), ("m1",))
--- a/tests/control/test_overlay.py
+++ b/tests/control/test_overlay.py
@@ -7,14 +7,14 @@
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import MOST_RECORDS, Offer, Record, Records
 from elderlock.interface import ServerEntry, ServerState
-from elderlock.net.targets import Target, TargetList
+from elderlock.net.targets import EndpointList, ListedServer
 
 UIDS = ["s-1", "s-2", "s-3"]
 STATES = list(ServerState)
 
 
-def target(uid: str, state: ServerState = ServerState.RUNNING, port: int = 1, started: float = 0.0) -> Target:
-    return Target(ServerEntry(uid, 0, 0, 0, state, 1.0, started), ("127.0.0.1", port))
+def target(uid: str, state: ServerState = ServerState.RUNNING, port: int = 1, started: float = 0.0) -> ListedServer:
+    return ListedServer(ServerEntry(uid, 0, 0, 0, state, 1.0, started), ("127.0.0.1", port))
 
 
 def record(target: str, generation: int, origin: str = "a", drained: bool = True, at: float = 0.0) -> Record:
@@ -32,10 +32,10 @@
         self.taken: dict[str, ServerState] = {}  # as a limiter that follows the overlay holds it
         self.version = 0
 
-    def take(self, listed: TargetList) -> None:
-        if listed.complete:
+    def take(self, listed: EndpointList) -> None:
+        if listed.is_complete:
             self.taken.clear()
-        for each in listed.targets:
+        for each in listed.servers:
             if each.entry.state is ServerState.REMOVED:
                 self.taken.pop(each.entry.server_id, None)
             else:
@@ -51,7 +51,7 @@
             self.told.clear()
         self.told.update(entries)
         self.told = {u: s for u, s in self.told.items() if s is not ServerState.REMOVED}
-        listed = TargetList(self.version, complete, tuple(target(u, s) for u, s in entries.items()))
+        listed = EndpointList(self.version, complete, tuple(target(u, s) for u, s in entries.items()))
         self.take(self.overlay.listed(listed))
 
     @rule(drained=st.sets(st.sampled_from(UIDS)))
@@ -73,19 +73,19 @@
 
 def test_a_new_box_at_the_address_of_a_drained_one_is_not_drained() -> None:
     overlay = Overlay(["s-old"])
-    assert overlay.listed(TargetList(1, True, (target("s-old"),))).targets[0].entry.state is (ServerState.DRAINING)
-    listed = overlay.listed(TargetList(2, True, (target("s-new", started=5.0),)))
-    assert listed.targets[0].entry.state is ServerState.RUNNING
+    assert overlay.listed(EndpointList(1, True, (target("s-old"),))).servers[0].entry.state is (ServerState.DRAINING)
+    listed = overlay.listed(EndpointList(2, True, (target("s-new", started=5.0),)))
+    assert listed.servers[0].entry.state is ServerState.RUNNING
 
 
 def test_a_drain_outlives_the_boxs_removal_and_return() -> None:
     overlay = Overlay(["s-1"])
-    overlay.listed(TargetList(1, True, (target("s-1"),)))
-    overlay.listed(TargetList(2, False, (target("s-1", ServerState.REMOVED),)))
-    back = overlay.listed(TargetList(3, False, (target("s-1", started=9.0),)))
-    assert back.targets[0].entry.state is ServerState.DRAINING
+    overlay.listed(EndpointList(1, True, (target("s-1"),)))
+    overlay.listed(EndpointList(2, False, (target("s-1", ServerState.REMOVED),)))
+    back = overlay.listed(EndpointList(3, False, (target("s-1", started=9.0),)))
+    assert back.servers[0].entry.state is ServerState.DRAINING
     changes = overlay.drain(())
-    assert [t.entry.state for t in changes.targets] == [ServerState.RUNNING]
+    assert [t.entry.state for t in changes.servers] == [ServerState.RUNNING]
 
 
 records = st.builds(record, st.sampled_from(UIDS), st.integers(1, 5), st.sampled_from(["a", "b", "c"]), st.booleans())
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -161,7 +161,7 @@
     given = scenario_of("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
     mended = shells.play(given, 1)
     assert mended.good() and mended.figures.served_in_time > 0.98, mended.text()
-    monkeypatch.setattr(clients, "KEPT_SHARE", 1.0)
+    monkeypatch.setattr(clients, "IDLE_DESCRIPTOR_FRACTION", 1.0)
     before = shells.play(given, 1)
     assert before.figures.served_in_time < 0.5, before.text()
 
@@ -191,16 +191,16 @@
 
 LEAKS = {
     "the order of a set": (
-        "from elderlock.net.peers import Peers; kept = Peers.send\n"
-        "Peers.send = lambda self, to, data: kept(self, to, data + next(iter({b'%d' % n for n in range(99)})))"
+        "from elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: kept(self, to, data + next(iter({b'%d' % n for n in range(99)})))"
     ),
     "the machine's clock": (
-        "import time; clock = time.time\nfrom elderlock.net.peers import Peers; kept = Peers.send\n"
-        "Peers.send = lambda self, to, data: kept(self, to, data + b'%d' % int(clock() * 1e6))"
+        "import time; clock = time.time\nfrom elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: kept(self, to, data + b'%d' % int(clock() * 1e6))"
     ),
     "chance without a seed": (
-        "import _random; rng = _random.Random()\nfrom elderlock.net.peers import Peers; kept = Peers.send\n"
-        "Peers.send = lambda self, to, data: kept(self, to, data + b'%d' % rng.getrandbits(30))"
+        "import _random; rng = _random.Random()\nfrom elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: kept(self, to, data + b'%d' % rng.getrandbits(30))"
     ),
 }
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -8,10 +8,10 @@
 import hiredis
 import pytest
 
-from elderlock.net.config import config_of
+from elderlock.net.config import parse_config
 from elderlock.net.discovery import Discovery as Watcher
-from elderlock.net.peers import Peers
-from elderlock.net.targets import TargetList
+from elderlock.net.peers import PeerTransport
+from elderlock.net.targets import EndpointList
 from elderlock.standins import boxes
 from elderlock.standins.boxes import MISSING, OLD, STD, Box, Server
 from elderlock.standins.counter import Counter
@@ -157,16 +157,16 @@
         for box in boxes:
             await box.open(2)
         registry.add(boxes[0])
-        told: list[TargetList] = []
-        watcher = Watcher(config_of(raw_config()).socket_settings, told.append)
+        told: list[EndpointList] = []
+        watcher = Watcher(parse_config(raw_config()).socket_settings, told.append)
         watcher.follow(("127.0.0.1", registry.discovery.doors[1].port))
         await until(lambda: bool(told))
         await until(lambda: bool(registry.discovery.watching))  # changes before it would come as a whole list
-        assert told[0].complete and told[0].targets[0].address[1] == boxes[0].doors[1].port
+        assert told[0].is_complete and told[0].servers[0].address[1] == boxes[0].doors[1].port
         registry.add(boxes[1])
         registry.remove("s-0")
         await until(lambda: told[-1].version == registry.discovery.rev)
-        names = [(t.entry.server_id, t.entry.state.value) for each in told[1:] for t in each.targets]
+        names = [(t.entry.server_id, t.entry.state.value) for each in told[1:] for t in each.servers]
         assert ("s-1", "running") in names and names[-1] == ("s-0", "gone")
         watcher.stop()
         await registry.discovery.close()
@@ -185,7 +185,7 @@
         for me in range(3):
             addresses = [(h, int(p)) for h, _, p in (a.rpartition(":") for a in network.peers(me))]
             host, _, port = network.everyone(me).rpartition(":")
-            peer = Peers(
+            peer = PeerTransport(
                 tuple(addresses),
                 (host, int(port)),
                 1000.0,
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -157,8 +157,8 @@
 @pytest.mark.parametrize("sent", [b"", b"*1\r\n$4\r\nPI", b"*"])
 def test_a_connection_without_a_whole_command_is_closed(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Silent and half-way ones would hold their descriptors for good."""
-    monkeypatch.setattr(clients, "SILENT_FOR", 0.05)
-    monkeypatch.setattr(clients, "LOOK_EVERY", 0.01)
+    monkeypatch.setattr(clients, "SILENCE_LIMIT_S", 0.05)
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
@@ -176,7 +176,7 @@
 def test_a_flood_of_connections_takes_its_own_descriptors_first() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        limiter.clients._most = 8
+        limiter.clients._max_connections = 8
         usual = [await limiter.client() for _ in range(4)]
         for number, client in enumerate(usual):
             assert await client.ask(f"a{number}") == b"value"
@@ -192,11 +192,11 @@
 def test_clients_that_ask_once_and_stay_leave_room_for_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients may hold a third of the descriptors: kept for good by some, they would leave the others none. The longest
     idle ends in an orderly way, one that was used just now does not."""
-    monkeypatch.setattr(clients, "FRESH_FOR", 0.0)
+    monkeypatch.setattr(clients, "RECENT_USE_S", 0.0)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        limiter.clients._kept = 8
+        limiter.clients._max_idle = 8
         crowd = []
         for number in range(30):
             crowd.append(await limiter.client())
@@ -204,7 +204,7 @@
         assert [await client.answer() for client in crowd[:22]] == [None] * 22
         for number, client in enumerate(crowd[-8:]):
             assert await client.ask(f"b{number}") == b"value"
-        monkeypatch.setattr(clients, "FRESH_FOR", 60.0)
+        monkeypatch.setattr(clients, "RECENT_USE_S", 60.0)
         more = [await limiter.client() for _ in range(8)]
         for number, client in enumerate([*more, *crowd[-8:]]):
             assert await client.ask(f"c{number}") == b"value"
@@ -217,7 +217,7 @@
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        limiter.clients._most = 8
+        limiter.clients._max_connections = 8
         crowd = [await limiter.client() for _ in range(8)]
         for number, client in enumerate(crowd):
             assert await client.ask(f"a{number}") == b"value"
@@ -231,8 +231,8 @@
 
 
 def test_a_client_that_does_not_read_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "SILENT_FOR", 0.05)
-    monkeypatch.setattr(clients, "LOOK_EVERY", 0.01)
+    monkeypatch.setattr(clients, "SILENCE_LIMIT_S", 0.05)
+    monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(served(b"x" * 60000))).start())
@@ -338,7 +338,7 @@
         held.writer.write(b"*1\r\n$4\r\nPI")  # begun, so it is owed an answer once it is whole
         client.send("PING")
         await client.answer()
-        limiter.clients.draining = True
+        limiter.clients.is_draining = True
         client.writer.write(b"*1\r\n$4\r\nPING\r\n" * 3)
         answers = [await client.answer() for _ in range(4)]
         assert answers[-1] is None and not any(a is None for a in answers[:3])
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -8,7 +8,7 @@
 from helpers import KEYED, gateway, settings
 
 from elderlock.interface import Outcome
-from elderlock.net.config import config_of
+from elderlock.net.config import parse_config
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.clients import Client
 from elderlock.standins.parts import Limiter
@@ -123,7 +123,7 @@
 def test_the_dial_time_of_the_settings_is_kept_back() -> None:
     raw = raw_config()
     raw["settings"]["policy-limits"]["dial-timeout"] = 130.0
-    assert config_of(raw).settings.capabilities.connect_timeout_ms == 130.0
+    assert parse_config(raw).settings.capabilities.connect_timeout_ms == 130.0
 
 
 def test_bodies_count_against_the_memory_of_open_requests() -> None:
@@ -138,11 +138,11 @@
         limiter.gateway._room = 3.0 * len(BODY)  # bytes: one such request, and a short one beside it
         first, second = await limiter.client(), await limiter.client()
         write(first, "long", BODY)
-        await until(lambda: limiter.gateway.open_requests == 1)
+        await until(lambda: limiter.gateway.open_request_count == 1)
         write(second, "another", BODY)
         assert str(await second.answer()).startswith("BUSY")
         second.read("short")
-        await until(lambda: limiter.gateway.open_requests == 2)
+        await until(lambda: limiter.gateway.open_request_count == 2)
         release.set()
         assert (await first.answer(), await second.answer()) == (b"value", b"value")
         write(second, "another", BODY)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,10 +17,10 @@
 from test_program import ROOT, free_port, program, ready
 from test_servers import outcomes
 
-from elderlock.__main__ import exit_within
+from elderlock.__main__ import drain_time_limit_s
 from elderlock.interface import Outcome
-from elderlock.net.clients import MOST_ERRORS, MOST_OWED, ClientConnection
-from elderlock.net.config import config_of
+from elderlock.net.clients import MAX_CONSECUTIVE_ERRORS, MAX_PENDING_ANSWERS, ClientConnection
+from elderlock.net.config import parse_config
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.clients import Client
@@ -64,7 +64,7 @@
 
 
 def connection_of(limiter: Limiter) -> ClientConnection:
-    return next(iter([*limiter.clients._connections, *limiter.clients._unused]))
+    return next(iter([*limiter.clients._used, *limiter.clients._unused]))
 
 
 # A client that goes
@@ -79,7 +79,7 @@
         seen = outcomes(limiter)
         client = await limiter.client()
         client.read("first")
-        for _ in range(MOST_OWED):
+        for _ in range(MAX_PENDING_ANSWERS):
             client.send("PING")  # answered, and owed behind the first
         client.read("beyond")
         await until(lambda: len(server.commands) == 1)
@@ -87,7 +87,7 @@
         await until(lambda: server.lost == 1 and not len(limiter.clients))
         assert seen == [Outcome.CANCELLED]  # given up, before it was out of time
         assert [command[2] for command in server.commands] == [b"first"]
-        assert limiter.gateway.open_requests == 0
+        assert limiter.gateway.open_request_count == 0
 
     run(test())
 
@@ -96,13 +96,13 @@
     async def test() -> None:
         release, server, limiter, client = await holding()
         client.read("first")
-        for _ in range(2 * MOST_OWED):
+        for _ in range(2 * MAX_PENDING_ANSWERS):
             client.send("PING")
         client.read("last")
         await until(lambda: len(server.commands) == 1)
         release.set()
         assert await client.answer() == b"first"
-        assert [await client.answer() for _ in range(2 * MOST_OWED)] == [b"PONG"] * 2 * MOST_OWED
+        assert [await client.answer() for _ in range(2 * MAX_PENDING_ANSWERS)] == [b"PONG"] * 2 * MAX_PENDING_ANSWERS
         assert await client.answer() == b"last"
 
     run(test())
@@ -115,18 +115,18 @@
     async def test() -> None:
         release, server, limiter, client = await holding()
         client.read("first")
-        for _ in range(MOST_OWED):
+        for _ in range(MAX_PENDING_ANSWERS):
             client.send("PING")
         client.read("over", d=20)
         client.read("beyond", d=900)
-        await until(lambda: len(server.commands) == 1 and connection_of(limiter)._reader.pending() > 0)
+        await until(lambda: len(server.commands) == 1 and connection_of(limiter)._reader.pending_bytes() > 0)
         loop = asyncio.get_running_loop()
         began = loop.time()
         await asyncio.sleep(0.1)
         waited = (loop.time() - began) * 1000.0
         release.set()
         assert await client.answer() == b"first"
-        assert [await client.answer() for _ in range(MOST_OWED)] == [b"PONG"] * MOST_OWED
+        assert [await client.answer() for _ in range(MAX_PENDING_ANSWERS)] == [b"PONG"] * MAX_PENDING_ANSWERS
         over = await client.answer()
         assert isinstance(over, hiredis.ReplyError) and str(over) == "BUSY"
         assert await client.answer() == b"beyond"
@@ -149,12 +149,12 @@
         seen = outcomes(limiter)
         client = await slow_client(limiter)
         client.read("long")
-        await until(lambda: len(server.commands) == 1 and limiter.gateway.open_requests == 0)
-        assert not connection_of(limiter).flushed()
+        await until(lambda: len(server.commands) == 1 and limiter.gateway.open_request_count == 0)
+        assert not connection_of(limiter).is_flushed()
         client.read("last")
         await until(lambda: len(server.commands) == 2)
         client.writer.write_eof()
-        await until(lambda: limiter.gateway.open_requests == 0 and server.lost == 1)
+        await until(lambda: limiter.gateway.open_request_count == 0 and server.lost == 1)
         assert seen == [Outcome.OK, Outcome.CANCELLED]
         assert len(server.commands) == 2  # nothing is sent on once more
 
@@ -170,9 +170,9 @@
         limiter = await Limiter.start(server, **{"may-cancel": cancel})
         parts = [b"API.READ", CUSTOMER.encode(), b"gone", terms().encode()]
         replies: list[bytes] = []
-        name = limiter.gateway.arrived(limiter.clients.reader.command(parts), replies.append)
+        name = limiter.gateway.request_arrived(limiter.clients.parser.parse(parts), replies.append)
         assert name is not None
-        limiter.gateway.client_gone(name)  # in the same step of the loop, so the dial has not come up
+        limiter.gateway.client_disconnected(name)  # in the same step of the loop, so the dial has not come up
         await until(lambda: server.accepted == 1)
         client = await limiter.client()
         assert await client.ask("other") == b"value"
@@ -187,12 +187,12 @@
         release = asyncio.Event()
         server = await Server(held(release)).start()
         limiter = await Limiter.start(server, **{"may-cancel": False})
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         client.read("gone")
         await until(lambda: len(server.commands) == 1)
         client.close()
-        await until(lambda: limiter.gateway.open_requests == 0)
+        await until(lambda: limiter.gateway.open_request_count == 0)
         other = await limiter.client()
         other.read("other")
         await until(lambda: len(server.commands) == 2)
@@ -228,7 +228,7 @@
         client.writer.write(whole[:40])
         await until(lambda: len(server.commands) == 1)
         drain = asyncio.ensure_future(limiter.clients.drain(accept_for=0.0, at_most=10_000.0))
-        await until(lambda: limiter.clients.draining)
+        await until(lambda: limiter.clients.is_draining)
         release.set()
         assert await client.answer() == b"owed"
         client.writer.write(whole[40:])
@@ -247,11 +247,11 @@
 
         server = await Server(behave).start()
         limiter = await Limiter.start(server)
-        limiter.clients._most = 2
+        limiter.clients._max_connections = 2
         slow = await slow_client(limiter)
         slow.read("long")
-        await until(lambda: len(server.commands) == 1 and limiter.gateway.open_requests == 0)
-        assert not connection_of(limiter).flushed()
+        await until(lambda: len(server.commands) == 1 and limiter.gateway.open_request_count == 0)
+        assert not connection_of(limiter).is_flushed()
         other = await limiter.client()
         assert await other.ask("other") == b"short"
         third = await limiter.client()
@@ -265,9 +265,9 @@
 def test_mistakes_have_one_answer_each_and_then_an_end() -> None:
     async def test() -> None:
         client = await (await Limiter.start(await Server().start())).client()
-        for _ in range(MOST_ERRORS + 1):
+        for _ in range(MAX_CONSECUTIVE_ERRORS + 1):
             client.send("API.READ", "x", "y", "z")
-        got = [await client.answer() for _ in range(MOST_ERRORS + 1)]
+        got = [await client.answer() for _ in range(MAX_CONSECUTIVE_ERRORS + 1)]
         assert all(str(answer).startswith("ERR the customer") for answer in got[:-1])
         assert got[-1] is None
 
@@ -287,7 +287,7 @@
         await limiter.clients.drain(accept_for=0.0, at_most=0.0)
         assert str(await client.answer()) == "ERR failed"
         assert await client.answer() is None
-        assert limiter.gateway.open_requests == 0
+        assert limiter.gateway.open_request_count == 0
 
     run(test())
 
@@ -295,8 +295,8 @@
 def test_the_end_is_bounded_by_the_settings_longest_deadline() -> None:
     raw = raw_config()
     raw["settings"]["services"] = [{**c, "deadline": 500.0} for c in raw["settings"]["services"]]
-    assert 0.5 < exit_within(config_of(raw)) < 1.1  # SIGKILL may come after 0.5 s and 0.7 s more
-    assert 3.0 < exit_within(config_of(raw_config())) < 3.6  # 4 s, of which 3 are kept
+    assert 0.5 < drain_time_limit_s(parse_config(raw)) < 1.1  # SIGKILL may come after 0.5 s and 0.7 s more
+    assert 3.0 < drain_time_limit_s(parse_config(raw_config())) < 3.6  # 4 s, of which 3 are kept
 
 
 def test_a_process_that_is_told_to_end_answers_what_its_servers_never_will(tmp_path: Path) -> None:
@@ -365,7 +365,7 @@
 def test_a_burst_of_connections_never_takes_more_descriptors_than_its_share() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        limiter.clients._most = 8
+        limiter.clients._max_connections = 8
         burst = [
             socket.create_connection(("127.0.0.1", limiter.port)) for _ in range(100)
         ]  # all before one is accepted
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 import logging
 from elderlock import logs
 logs.configure("{form}")
-logs.get("a").warning("limiter ended", limiter="n0", pid=7)
+logs.get_logger("a").warning("limiter ended", limiter="n0", pid=7)
 logging.getLogger("library").info("said %s", "so")
 """
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,11 +12,11 @@
 import hiredis
 import pytest
 
-from elderlock.net.config import ConfigError, config_of, load
+from elderlock.net.config import ConfigError, load_config, parse_config
 from elderlock.net.discovery import Discovery as Watcher
-from elderlock.net.discovery import Lines
-from elderlock.net.peers import Peers
-from elderlock.net.targets import TargetList
+from elderlock.net.discovery import JsonObjectSplitter
+from elderlock.net.peers import PeerTransport
+from elderlock.net.targets import EndpointList
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
@@ -95,10 +95,10 @@
     async def test() -> None:
         raw = raw_config()
         limiter = Limiter()
-        limiter.gateway._config = config_of({**raw, "known": known})
+        limiter.gateway._config = parse_config({**raw, "known": known})
         limiter.gateway.start()
         assert not limiter.gateway.has_list
-        limiter.gateway._config = config_of(
+        limiter.gateway._config = parse_config(
             {**raw, "known": {"rev": 1, "all": True, "targets": [target("s", "127.0.0.1:1")]}}
         )
         limiter.gateway.start()
@@ -122,7 +122,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw_config(), **change}))
     with pytest.raises(ConfigError, match=message):
-        load({"PROXY_CONFIG": str(path)})
+        load_config({"PROXY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize(
@@ -153,7 +153,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=message):
-        load({"PROXY_CONFIG": str(path)})
+        load_config({"PROXY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize(
@@ -173,7 +173,7 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=f"'{name}' is missing"):
-        load({"PROXY_CONFIG": str(path)})
+        load_config({"PROXY_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "5", None])
@@ -202,19 +202,19 @@
 def test_discovery_takes_the_whole_list_then_changes_and_comes_back_from_the_last_version() -> None:
     async def test() -> None:
         agent = await Discovery({"rev": 7, "all": True, "targets": [target("a", "127.0.0.1:1")]}).start()
-        told: list[TargetList] = []
-        settings = config_of(raw_config()).socket_settings
+        told: list[EndpointList] = []
+        settings = parse_config(raw_config()).socket_settings
         watcher = Watcher(settings, told.append)
         watcher.follow(agent.address)
         await until(lambda: len(agent.watches) == 1)
-        assert [(t.version, t.complete, len(t.targets)) for t in told] == [(7, True, 1)]
+        assert [(t.version, t.is_complete, len(t.servers)) for t in told] == [(7, True, 1)]
         bad = {"uid": "b", "endpoint": "no address", "state": "up"}
         good = target("c", "127.0.0.1:2", state="draining")
         line = json.dumps({"rev": 8, "all": False, "targets": [bad, good]}).encode()
         agent.say(b"\n" + line[:20])
         agent.say(line[20:] + b"\n")
         await until(lambda: len(told) == 2)
-        assert [t.entry.server_id for t in told[1].targets] == ["c"]  # the bad entry spoils only itself
+        assert [t.entry.server_id for t in told[1].servers] == ["c"]  # the bad entry spoils only itself
         agent.watches[-1].transport.abort()
         await until(lambda: len(agent.watches) == 2)
         assert agent.asked[-1].endswith("watch=1&after=8")
@@ -233,7 +233,7 @@
         new = await Discovery({"rev": 3, "all": True, "targets": []}).start()
         mute.muted = new.muted = True
         told: list[int] = []
-        watcher = Watcher(config_of(raw_config()).socket_settings, lambda listed: told.append(listed.version))
+        watcher = Watcher(parse_config(raw_config()).socket_settings, lambda listed: told.append(listed.version))
         watcher.follow(old.address)
         await until(lambda: len(old.watches) == 1)
         watcher.follow(mute.address)
@@ -297,9 +297,9 @@
 def test_a_watch_that_falls_silent_is_dead() -> None:
     async def test() -> None:
         agent = await Discovery({"rev": 7, "all": True, "targets": []}).start()
-        settings = config_of(raw_config()).socket_settings
+        settings = parse_config(raw_config()).socket_settings
         watcher = Watcher(settings, lambda listed: None)
-        watcher.silent_after = 0.05
+        watcher.silence_limit_s = 0.05
         watcher.follow(agent.address)
         await until(lambda: len(agent.watches) == 2)  # the first was never closed, only silent
         watcher.stop()
@@ -311,7 +311,7 @@
     """An agent at version 7 and who follows it, with its watch open and the versions that it was told."""
     agent = await Discovery({"rev": 7, "all": True, "targets": []}).start()
     told: list[int] = []
-    watcher = Watcher(config_of(raw_config()).socket_settings, lambda listed: told.append(listed.version))
+    watcher = Watcher(parse_config(raw_config()).socket_settings, lambda listed: told.append(listed.version))
     watcher.follow(agent.address)
     await until(lambda: len(agent.watches) == 1)
     return agent, watcher, told
@@ -378,19 +378,19 @@
             b"",
         ]
     )
-    lines = Lines()
+    lines = JsonObjectSplitter()
     got = [whole for at in range(0, len(text), piece) for whole in lines.feed(text[at : at + piece])]
     assert [json.loads(whole) for whole in got] == changes
 
 
 def test_a_line_that_is_no_object_is_told_at_once_and_an_endless_one_is_refused() -> None:
-    lines = Lines()
+    lines = JsonObjectSplitter()
     assert lines.feed(b"nonsense\n") == [b"nonsense"]
     assert lines.feed(b'{"rev": 1,\n') == []
     assert lines.feed(b"\n") == [b'{"rev": 1,']  # an empty line ends what never came whole
     with pytest.raises(ValueError, match="too long"):
         for _ in range(2000):
-            assert lines.feed(b" " * 1000 + b"x\n" if lines._object else b"{\n") == []
+            assert lines.feed(b" " * 1000 + b"x\n" if lines._object_lines else b"{\n") == []
 
 
 def test_peers_are_known_by_address_and_their_number_taken_in_is_limited() -> None:
@@ -405,7 +405,7 @@
 
         (one, one_at), (stranger, _) = await bound(), await bound()
         both = (("127.0.0.1", 1), one_at)
-        peers = Peers(both, None, 3.0, lambda n, d: told.append((n, d)), lambda: clock[0])
+        peers = PeerTransport(both, None, 3.0, lambda n, d: told.append((n, d)), lambda: clock[0])
         transport, _ = await loop.create_datagram_endpoint(lambda: peers, local_addr=("127.0.0.1", 0))
         at = transport.get_extra_info("sockname")
         stranger.sendto(b"stranger", at)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -14,7 +14,7 @@
     reader, got = CommandReader(), []
     for start, end in zip([0, *cuts], [*cuts, len(data)], strict=True):
         reader.feed(data[start:end])
-        while (command := reader.next()) is not None:
+        while (command := reader.next_message()) is not None:
             got.append(command)
     return got
 
@@ -29,11 +29,11 @@
     reader, got = AnswerReader(), []
     for start, end in zip([0, *cuts], [*cuts, len(ANSWER)], strict=True):
         reader.feed(ANSWER[start:end])
-        if (answer := reader.next()) is not None:
+        if (answer := reader.next_message()) is not None:
             got.append((end, answer))
     assert [answer for _, answer in got] == [(b"va\r\n$1\r", b"queue=2")]
     assert got[0][0] == len(ANSWER)
-    assert not reader.pending()
+    assert not reader.pending_bytes()
 
 
 @given(st.binary(max_size=40))
@@ -41,7 +41,7 @@
     for reader in (CommandReader(), AnswerReader()):
         try:
             reader.feed(data)
-            while reader.next() is not None:
+            while reader.next_message() is not None:
                 pass
         except ProtocolError:
             pass
--- a/tests/test_resp_plain.py
+++ b/tests/test_resp_plain.py
@@ -39,20 +39,20 @@
     for part in (data[:cut], data[cut:]):
         reader.feed(part)
         try:
-            while (message := reader.next()) is not None:
+            while (message := reader.next_message()) is not None:
                 found.append(message)
         except ProtocolError as error:
             return [*found, str(error)]
-    return [*found, reader.pending()]
+    return [*found, reader.pending_bytes()]
 
 
 class LongCommands(CommandReader):
-    def _plain(self) -> None:
+    def _match_four_arguments(self) -> None:
         return None
 
 
 class LongAnswers(AnswerReader):
-    def _plain(self) -> None:
+    def _match_usual_answer(self) -> None:
         return None
 
 
@@ -69,7 +69,7 @@
 
 def test_usual_messages_take_the_short_way() -> None:
     command = b"*4\r\n$8\r\nAPI.READ\r\n$2\r\nab\r\n$1\r\nq\r\n$3\r\nd=1\r\n"
-    assert resp.PLAIN.match(command)
+    assert resp.FOUR_ARGUMENT_COMMAND_PATTERN.match(command)
     reader = AnswerReader()
     reader.feed(b"*3\r\n$1\r\nv\r\n$-1\r\n$7\r\nqueue=2\r\n")
-    assert reader._plain() == (b"v", b"queue=2")
+    assert reader._match_usual_answer() == (b"v", b"queue=2")
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -7,10 +7,10 @@
 import pytest
 
 from elderlock.interface import AttemptEnded, Event, Outcome, RequestArrived, ServerState
-from elderlock.net.config import config_of
-from elderlock.net.gateway import MARGIN, Clock
-from elderlock.net.servers import Attempt, Servers
-from elderlock.net.targets import parse_list
+from elderlock.net.config import parse_config
+from elderlock.net.gateway import DEADLINE_MARGIN_MS, Clock
+from elderlock.net.servers import Attempt, ServerPools
+from elderlock.net.targets import parse_endpoint_list
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import raw_config, target
@@ -113,7 +113,7 @@
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         for number in range(20):
             assert await client.ask(f"x{number}") == b"value"
@@ -127,7 +127,7 @@
     async def test() -> None:
         server = await Server(answers(served(b"one") + more, served(b"two"))).start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         assert [await client.ask("x"), await client.ask("y")] == [b"one", b"two"]
         assert server.accepted == 2
@@ -158,7 +158,7 @@
 
         server = await Server(behave).start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 1e6
+        limiter.gateway.server_pools.reuse_delay_ms = 1e6
         client = await limiter.client()
         assert await client.ask("a") == b"a"
         assert await client.ask("b") == b"b"
@@ -181,7 +181,7 @@
             seen = outcomes(limiter)
             client = await limiter.client()
             client.read("x", d=3000)
-            await until(lambda: limiter.gateway.servers.count == 1)
+            await until(lambda: limiter.gateway.server_pools.connection_count == 1)
             limiter.tell(target("s-1", server.endpoint), complete=False)
             assert await client.answer() == b"value"
             assert set(seen[:-1]) == {Outcome.CONNECT_FAILED} and seen[-1] is Outcome.OK
@@ -196,15 +196,15 @@
         bare.send()
         await until(lambda: bare.ended == [Outcome.OK])
         new = target("s-1", server.endpoint, boot_ms=1e12)
-        listed = parse_list({"rev": 2, "all": False, "targets": [new]}, bare.settings)
-        gone = bare.servers.update(listed)
+        listed = parse_endpoint_list({"rev": 2, "all": False, "targets": [new]}, bare.settings)
+        gone = bare.servers.apply_list(listed)
         assert [(entry.server_id, entry.state) for entry in gone] == [("s-0", ServerState.REMOVED)]
         await until(lambda: server.lost == 1)
         bare.send()
         assert bare.ended[-1] is Outcome.NOT_FORWARDED
         # told again under its old name, late: the younger one keeps the address
-        old = parse_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, bare.settings)
-        assert [entry.server_id for entry in bare.servers.update(old)] == ["s-0"]
+        old = parse_endpoint_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, bare.settings)
+        assert [entry.server_id for entry in bare.servers.apply_list(old)] == ["s-0"]
 
     run(test())
 
@@ -213,11 +213,11 @@
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         assert await client.ask("x") == b"value"
-        limiter.gateway.servers.idle_for = -1.0  # all that is idle is too old
-        limiter.gateway.servers.sweep()
+        limiter.gateway.server_pools.idle_limit_ms = -1.0  # all that is idle is too old
+        limiter.gateway.server_pools.close_expired()
         await until(lambda: server.lost == 1)
         assert await client.ask("y") == b"value"
         limiter.tell(target("s-0", server.endpoint, state="draining"), complete=False)
@@ -230,13 +230,13 @@
     async def test() -> None:
         first, second = await Server().start(), await Server().start()
         limiter = await Limiter.start(first, second)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         limiter.tell(target("s-0", first.endpoint, state="draining"), complete=False)
         for number in range(10):
             assert await client.ask(f"x{number}") == b"value"
         assert (len(first.commands), len(second.commands)) == (0, 10)
-        limiter.tell(target("s-1", second.endpoint, boot_ms=limiter.clock.now() - 60000.0), complete=False)
+        limiter.tell(target("s-1", second.endpoint, boot_ms=limiter.clock.now_ms() - 60000.0), complete=False)
         await until(lambda: second.lost == 1)
         assert await client.ask("y") == b"value"
         assert second.accepted == 2
@@ -248,21 +248,21 @@
     """The pools alone, so that a test can act between the start of a dial and its end."""
 
     def __init__(self) -> None:
-        config = config_of(raw_config())
+        config = parse_config(raw_config())
         self.settings = config.socket_settings
         self.ended: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        self.servers = Servers(loop, self.settings, 1200.0, config.sockets, Clock().now, self._ended)
-        self.servers.settle = 0.0
+        self.servers = ServerPools(loop, self.settings, 1200.0, config.max_descriptors, Clock().now_ms, self._ended)
+        self.servers.reuse_delay_ms = 0.0
 
     def _ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         self.ended.append(outcome)
 
     def tell(self, *targets: dict[str, object]) -> None:
-        self.servers.update(parse_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings))
+        self.servers.apply_list(parse_endpoint_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings))
 
     def send(self, timeout: float = 60000.0) -> Attempt:
-        return self.servers.send("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
+        return self.servers.start_attempt("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
 
 
 def test_a_drain_heard_while_dialling_stops_the_send() -> None:
@@ -284,8 +284,8 @@
     async def test() -> None:
         server, bare = await Server().start(), Bare()
         bare.tell(target("s-0", server.endpoint))
-        bare.send().give_up(Outcome.CANCELLED)
-        bare.send(timeout=0.0).timed_out()
+        bare.send().abandon(Outcome.CANCELLED)
+        bare.send(timeout=0.0).time_out()
         assert bare.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
         await until(lambda: server.accepted == 2)
         bare.send()  # on one of the two, which were kept
@@ -310,8 +310,8 @@
             bare.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
             bare.send()
             await until(lambda: bare.ended == [Outcome.CONNECT_FAILED])
-            assert bare.servers.count == 1  # the dial goes on till the settings' time-out
-            await until(lambda: bare.servers.count == 0)
+            assert bare.servers.connection_count == 1  # the dial goes on till the settings' time-out
+            await until(lambda: bare.servers.connection_count == 0)
 
     run(test())
 
@@ -319,7 +319,7 @@
 def test_connections_are_bounded_and_an_idle_one_elsewhere_gives_way() -> None:
     async def test() -> None:
         server, other, bare = await Server(answers(None)).start(), await Server().start(), Bare()
-        bare.servers._most, bare.servers._most_each = 3, 2
+        bare.servers._max_connections, bare.servers._max_per_server = 3, 2
         bare.tell(target("s-0", other.endpoint))
         bare.send()
         await until(lambda: bare.ended == [Outcome.OK])
@@ -327,7 +327,7 @@
         for _ in range(3):
             bare.send()
         assert bare.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
-        await until(lambda: len(server.commands) == 2 and bare.servers.count == 2)
+        await until(lambda: len(server.commands) == 2 and bare.servers.connection_count == 2)
 
     run(test())
 
@@ -358,7 +358,7 @@
         answer = await client.ask("x", d=300)
         assert str(answer).startswith("ERR")  # it may have run, so no refusal
         waited = dict(pair.split(b"=") for pair in server.commands[0][3].split(b","))
-        assert int(waited[b"d"]) <= 300 - MARGIN  # the answer has its way back to go in time
+        assert int(waited[b"d"]) <= 300 - DEADLINE_MARGIN_MS  # the answer has its way back to go in time
         await until(lambda: server.lost == len(server.commands))
 
     run(test())
