--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -15,10 +15,11 @@
 
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.net.clients import ClientListener
+from elderlock.net.client_listener import ClientListener
+from elderlock.net.clock import Clock
 from elderlock.net.config import Config, ConfigError, load_config
 from elderlock.net.discovery import Discovery
-from elderlock.net.gateway import Clock, Gateway
+from elderlock.net.gateway import Gateway
 from elderlock.net.peers import PeerTransport
 
 if TYPE_CHECKING:
--- a/elderlock/authz/door.py
+++ b/elderlock/authz/door.py
@@ -32,7 +32,8 @@
 from elderlock.authz.questions import Questions
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.interface import Outcome
-from elderlock.net.gateway import Command, Gateway
+from elderlock.net.command import Command
+from elderlock.net.gateway import Gateway
 
 log = logging.getLogger(__name__)
 
--- a/elderlock/authz/mapping.py
+++ b/elderlock/authz/mapping.py
@@ -10,7 +10,7 @@
 
 from elderlock import interface as api
 from elderlock.authz.config import AuthzFile, Field
-from elderlock.net.gateway import Command
+from elderlock.net.command import Command
 
 ACCOUNT = re.compile(r"[0-9a-fA-F]{16}")
 NAME = re.compile(r"[!-~]{1,128}")
--- a/elderlock/authz/permissions.py
+++ b/elderlock/authz/permissions.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from elderlock.net.gateway import Command
+from elderlock.net.command import Command
 
 Kind = Literal["permitted", "refused", "failed", "duplicate", "crowded"]
 
--- a/elderlock/authz/questions.py
+++ b/elderlock/authz/questions.py
@@ -6,7 +6,8 @@
 
 from elderlock.authz.permissions import Answer, Permissions, Verdict
 from elderlock.interface import Outcome
-from elderlock.net.gateway import Command, Gateway
+from elderlock.net.command import Command
+from elderlock.net.gateway import Gateway
 
 
 class Questions:
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -19,7 +19,7 @@
 from elderlock.control.transport import Bounds, Connection, FrameServer
 from elderlock.control.view import View, config_digests
 from elderlock.decisions.context import MS_PER_SECOND
-from elderlock.net.clients import ClientListener
+from elderlock.net.client_listener import ClientListener
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
 
--- a/elderlock/control/overlay.py
+++ b/elderlock/control/overlay.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from elderlock.interface import ServerState
-from elderlock.net.targets import EndpointList, ListedServer
+from elderlock.net.endpoint_list import EndpointList, ListedServer
 
 
 class Overlay:
--- a/elderlock/control/view.py
+++ b/elderlock/control/view.py
@@ -16,10 +16,11 @@
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import Record
 from elderlock.decisions.endpoints import Endpoints
-from elderlock.net.clients import ClientListener
+from elderlock.net.client_listener import ClientListener
+from elderlock.net.command import Command
 from elderlock.net.config import Config
-from elderlock.net.gateway import Command, Gateway
-from elderlock.net.targets import EndpointList, ListedServer
+from elderlock.net.endpoint_list import EndpointList, ListedServer
+from elderlock.net.gateway import Gateway
 from elderlock.state import NEVER_MS, Server
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/elderlock/net/client_connection.py
@@ -0,0 +1,361 @@
+"""One client's connection: it reads commands and writes their answers in the commands' order."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from dataclasses import replace
+from enum import Enum
+from functools import partial
+from typing import Protocol, cast
+
+from elderlock.net.client_commands import ARGUMENT_COUNTS, CommandError, CommandParser
+from elderlock.net.gateway import Gateway
+from elderlock.net.resp import CommandReader, ProtocolError
+
+PING_VERB = b"PING"
+PONG_ANSWER = b"+PONG\r\n"
+NO_LIST_ANSWER = b"-LOADING no list of servers yet\r\n"
+CORDONED_ANSWER = b"-LOADING drained by an operator\r\n"
+# At this many answers pending on one connection, none of its further commands is handled.
+MAX_PENDING_ANSWERS = 64
+# Bytes of unhandled commands at which a connection is no longer read from; two of the longest fit.
+MAX_UNREAD_BYTES = 1 << 17
+# Recorded arrival times of unhandled bytes; at the limit, later bytes count as having arrived with the last of them.
+MAX_ARRIVAL_TIMES = 64
+# Errors in a row after which a connection is closed.
+MAX_CONSECUTIVE_ERRORS = 16
+# How long a client has to read its last answer and to close in turn.
+LINGER_S = 0.5
+# Bytes that are read and discarded within that time.
+MAX_DISCARDED_BYTES = 1 << 18
+# Wait of a command on its connection that is subtracted from its client's; less is ignored.
+MIN_COUNTED_WAIT_MS = 1.0
+
+
+class ConnectionState(Enum):
+    """How far a client connection's end has come."""
+
+    OPEN = "open"
+    ENDING = "ending"  # no command is handled any more; the answers that are ready still leave
+    HALF_CLOSED = "half closed"  # this side is shut down, and what comes in is discarded
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the listener that accepted it.
+
+    Attributes:
+        loop: The event loop.
+        gateway: Takes the requests.
+        parser: Parses the requests.
+        receive_buffer: Shared by all connections; what is read is copied before the next read.
+        is_draining: Whether a connection closes once it has no answer pending.
+        is_cordoned: Whether an operator drained this limiter.
+    """
+
+    loop: asyncio.AbstractEventLoop
+    gateway: Gateway
+    parser: CommandParser
+    receive_buffer: memoryview
+    is_draining: bool
+    is_cordoned: bool
+
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """Count a new connection."""
+
+    def command_received(self, connection: ClientConnection) -> None:
+        """Record that the connection has sent a complete command."""
+
+    def connection_half_closed(self, connection: ClientConnection) -> None:
+        """Record that the connection only waits for its client to close."""
+
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """Stop counting the connection."""
+
+
+class PendingAnswer:
+    """The place of one answer among those of its connection.
+
+    Attributes:
+        answer: The encoded answer; None until there is one.
+        request_id: The gateway's id of the request; None for other commands.
+    """
+
+    __slots__ = ("answer", "request_id")
+
+    def __init__(self, answer: bytes | None = None) -> None:
+        self.answer = answer
+        self.request_id: str | None = None
+
+
+class ClientConnection(asyncio.BufferedProtocol):
+    """A client's connection.
+
+    Commands are handled as they come, so that a slow request does not hold up the next; answers leave in the order of
+    their commands. A client that does not read its answers, or that has too many pending, is read from no further.
+
+    Attributes:
+        has_sent_command: Whether the client has sent a complete command.
+        waiting_since_s: Loop time at which the connection began to wait for a complete command, or for its client to
+            read.
+    """
+
+    def __init__(self, listener: ConnectionOwner) -> None:
+        self._listener = listener
+        self._reader = CommandReader()
+        self._transport: asyncio.Transport | None = None
+        self._pending_answers: deque[PendingAnswer] = deque()
+        self._state = ConnectionState.OPEN
+        self._is_reading = False
+        self._is_read_paused = False
+        self._is_write_blocked = False
+        self._consecutive_errors = 0
+        self._discarded_bytes = 0
+        self._fed_bytes = 0
+        # of unhandled bytes: the total fed up to and with them, and the loop time (s) at which they came
+        self._arrival_times: deque[tuple[int, float]] = deque()
+        self._linger_timer: asyncio.TimerHandle | None = None
+        self.has_sent_command = False
+        self.waiting_since_s = listener.loop.time()
+
+    # Callbacks of the transport
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection with its listener."""
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from asyncio's
+        self._listener.connection_opened(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Give up what is still pending, as nobody waits for it any more."""
+        self._listener.connection_closed(self)
+        if self._linger_timer is not None:
+            self._linger_timer.cancel()
+        self._abandon_pending()
+
+    def eof_received(self) -> None:
+        """Treat the client as gone; a half-close cannot be told from a close.
+
+        The descriptor is free once what was written has left, but after `LINGER_S` at the latest: a client that never
+        reads would keep the transport from reporting the connection as lost.
+        """
+        self._abandon_pending()
+        if self._linger_timer is None:
+            self._linger_timer = self._listener.loop.call_later(LINGER_S, self.abort)
+
+    def get_buffer(self, sizehint: int) -> memoryview:
+        """Return the buffer that all connections share."""
+        return self._listener.receive_buffer
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Handle the commands that are complete with the bytes that came."""
+        if self._state is not ConnectionState.OPEN:
+            # discarded, as a close with unread input would reset the last answer away
+            self._discarded_bytes += nbytes
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
+                self.abort()
+            return
+        now_s = self._listener.loop.time()
+        if not self._reader.pending_bytes():
+            self.waiting_since_s = now_s
+        self._reader.feed(self._listener.receive_buffer[:nbytes])
+        self._fed_bytes += nbytes
+        arrived_at_s = now_s if len(self._arrival_times) < MAX_ARRIVAL_TIMES else self._arrival_times.pop()[1]
+        self._arrival_times.append((self._fed_bytes, arrived_at_s))
+        self._read_commands()
+
+    def pause_writing(self) -> None:
+        """Stop handling commands while the client does not read its answers."""
+        self._is_write_blocked = True
+        self.waiting_since_s = self._listener.loop.time()
+        self._update_reading()
+
+    def resume_writing(self) -> None:
+        """Go on handling commands."""
+        self._is_write_blocked = False
+        self._update_reading()
+        self._schedule_read()
+
+    # Commands
+
+    def _has_too_many_pending(self) -> bool:
+        """Whether no further command is handled for now."""
+        return self._is_write_blocked or len(self._pending_answers) >= MAX_PENDING_ANSWERS
+
+    def _read_commands(self) -> None:
+        """Handle complete commands while not too many answers are pending; the rest stays in the reader."""
+        self._is_reading = True
+        try:
+            while self._state is ConnectionState.OPEN and not self._has_too_many_pending():
+                parts = self._reader.next_message()
+                if parts is None:
+                    break
+                self._handle_command(parts, self._waited_ms())
+        except ProtocolError as error:
+            self.close_with_error(f"Protocol error: {error}")
+        finally:
+            self._is_reading = False
+        self._update_reading()
+        self.close_if_done()
+
+    def _waited_ms(self) -> float:
+        """Return the time since the last byte of the command read just now came.
+
+        The client's wait runs from then, also while the command stands behind others on its connection.
+        """
+        used_bytes = self._fed_bytes - self._reader.pending_bytes()
+        while self._arrival_times[0][0] < used_bytes:
+            self._arrival_times.popleft()
+        return (self._listener.loop.time() - self._arrival_times[0][1]) * 1000.0
+
+    def _handle_command(self, parts: list[bytes], waited_ms: float) -> None:
+        self.has_sent_command = True
+        self.waiting_since_s = self._listener.loop.time()
+        self._listener.command_received(self)
+        verb = parts[0].upper()
+        pending = PendingAnswer()
+        self._pending_answers.append(pending)
+        if verb in ARGUMENT_COUNTS:
+            self._handle_request(pending, parts, waited_ms)
+        elif verb == PING_VERB:
+            self._answer(pending, self._ping_answer())
+        else:
+            self._answer_error(pending, "unknown command")
+
+    def _handle_request(self, pending: PendingAnswer, parts: list[bytes], waited_ms: float) -> None:
+        try:
+            command = self._listener.parser.parse(parts)
+            if waited_ms >= MIN_COUNTED_WAIT_MS:
+                command = replace(command, wait_ms=command.wait_ms - waited_ms)
+            pending.request_id = self._listener.gateway.request_arrived(command, partial(self._answer, pending))
+        except CommandError as error:
+            self._answer_error(pending, str(error))
+        else:
+            self._consecutive_errors = 0
+
+    def _ping_answer(self) -> bytes:
+        if self._listener.is_cordoned:
+            return CORDONED_ANSWER
+        return PONG_ANSWER if self._listener.gateway.has_list else NO_LIST_ANSWER
+
+    def _update_reading(self) -> None:
+        """Pause or resume the transport's reading.
+
+        Commands are read on into the buffer as long as that is bearable: the end of a connection that is not read from
+        is not seen either.
+        """
+        pause = self._has_too_many_pending() and self._reader.pending_bytes() >= MAX_UNREAD_BYTES
+        if self._transport is None or self._transport.is_closing() or pause == self._is_read_paused:
+            return
+        self._is_read_paused = pause
+        if pause:
+            self._transport.pause_reading()
+        else:
+            self._transport.resume_reading()
+
+    def _schedule_read(self) -> None:
+        """Handle commands that wait in the reader, on the loop's next step as this may run within their handling."""
+        if self._is_reading or self._state is not ConnectionState.OPEN or self._has_too_many_pending():
+            return
+        if self._reader.pending_bytes():
+            self._listener.loop.call_soon(self._read_commands)
+
+    # Answers
+
+    def _answer(self, pending: PendingAnswer, answer: bytes) -> None:
+        pending.answer = answer
+        if self._pending_answers and self._pending_answers[0] is pending:
+            self._write_ready_answers()
+
+    def _answer_error(self, pending: PendingAnswer, text: str) -> None:
+        self._answer(pending, b"-ERR %b\r\n" % text.encode())
+        self._consecutive_errors += 1
+        if self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
+            # each has its answer: one error line more would be read as a second answer to the last
+            self._begin_end()
+            self.close_if_done()
+
+    def _write_ready_answers(self) -> None:
+        ready = []
+        while self._pending_answers and (answer := self._pending_answers[0].answer) is not None:
+            ready.append(answer)
+            self._pending_answers.popleft()
+        if ready and self._transport is not None:
+            self._transport.write(b"".join(ready))
+        self._schedule_read()
+        self.close_if_done()
+
+    def _abandon_pending(self) -> None:
+        """Give up what is still pending: none of it is forwarded, or retried, any more."""
+        self._begin_end()
+        abandoned = self._pending_answers
+        self._pending_answers = deque()
+        for pending in abandoned:
+            if pending.request_id is not None and pending.answer is None:
+                self._listener.gateway.client_disconnected(pending.request_id)
+
+    # The end
+
+    def _begin_end(self) -> None:
+        if self._state is ConnectionState.OPEN:
+            self._state = ConnectionState.ENDING
+
+    def close_with_error(self, text: str) -> None:
+        """Answer what is pending, then one error line, and close; nothing that follows can be understood."""
+        if self._state is not ConnectionState.OPEN:
+            return
+        self._state = ConnectionState.ENDING
+        self._pending_answers.append(PendingAnswer(b"-ERR %b\r\n" % text.encode()))
+        self._write_ready_answers()
+
+    def close_if_done(self) -> None:
+        """Close the connection if it ends or the listener drains, and no answer is pending."""
+        is_open = self._state is ConnectionState.OPEN
+        if self._pending_answers or self._transport is None or (is_open and not self._listener.is_draining):
+            return
+        if is_open and (self._is_reading or self._reader.pending_bytes()):
+            return  # commands that have come in, completely or in part, are answered before a drain closes
+        self.retire()
+
+    def retire(self) -> None:
+        """Shut down our side while no answer is pending; a client whose request crosses that sends it again."""
+        if self._transport is None or self._transport.is_closing() or self._state is ConnectionState.HALF_CLOSED:
+            return
+        # Only our side is closed, and what still comes in is discarded: a close with unread input, or one that crosses
+        # a further request, would reset the connection and take the last answer with it.
+        self._state = ConnectionState.HALF_CLOSED
+        self._listener.connection_half_closed(self)
+        self._transport.resume_reading()
+        self._transport.write_eof()
+        self._linger_timer = self._listener.loop.call_later(LINGER_S, self.abort)
+
+    def abort(self) -> None:
+        """Close the connection at once; answers that have not left are lost."""
+        if self._transport is not None:
+            self._transport.abort()
+
+    # For the listener
+
+    def is_idle(self) -> bool:
+        """Whether no answer is pending and all that was answered has left."""
+        return not self._pending_answers and self._state is ConnectionState.OPEN and self.is_flushed()
+
+    def is_flushed(self) -> bool:
+        """Whether all that was answered has left; an abort would lose the rest."""
+        return self._transport is None or not self._transport.get_write_buffer_size()
+
+    def check_timeout(self, limit_s: float) -> None:
+        """End the connection if it has waited since before `limit_s` (loop time).
+
+        It may wait for a complete command that was begun or never came, or for its client to read. A client that sends
+        nothing, or half a command, would hold its descriptor for good.
+        """
+        if self.waiting_since_s >= limit_s or self._state is ConnectionState.HALF_CLOSED:
+            return
+        if self._is_write_blocked:
+            self.abort()
+        elif self._state is ConnectionState.OPEN and not self._pending_answers and self._waits_for_command():
+            self.close_with_error("no whole command in time")
+
+    def _waits_for_command(self) -> bool:
+        """Whether a complete command is awaited: the first, or one that was begun."""
+        return not self.has_sent_command or bool(self._reader.pending_bytes())
--- a/elderlock/net/discovery.py
+++ b/elderlock/net/discovery.py
@@ -12,7 +12,7 @@
 import h11
 
 from elderlock.net.config import Address
-from elderlock.net.targets import EndpointList, parse_endpoint_list
+from elderlock.net.endpoint_list import EndpointList, parse_endpoint_list
 from elderlock.settings_reader import SocketSettings
 
 # What discovery tells counts 6 s later, whatever became of a watch or a call. An empty line comes every 2 s; a link
--- /dev/null
+++ b/elderlock/net/server_pool.py
@@ -0,0 +1,319 @@
+"""Pools of connections to the servers: by address, bounded together, closed once idle for too long."""
+
+from __future__ import annotations
+
+import asyncio
+import errno
+from collections import OrderedDict
+from collections.abc import Callable
+from dataclasses import replace
+
+from elderlock.interface import Outcome, ServerEntry, ServerState
+from elderlock.net.config import Address
+from elderlock.net.endpoint_list import EndpointList, ListedServer
+from elderlock.net.server_connection import Attempt, AttemptEndedCallback, ConnectionState, ServerConnection
+from elderlock.settings_reader import SocketSettings
+
+# Of the process's descriptors; the rest is for clients, discovery and peers.
+SERVER_DESCRIPTOR_FRACTION = 0.3
+# Of those: one server that hangs must not take the connections of all others.
+MAX_PER_SERVER_FRACTION = 0.5
+# Of the servers' keepalive: a request written once that has run out ends as a reset.
+IDLE_KEEPALIVE_FRACTION = 0.8
+# Wait before a connection is used again, in which a duplicate that comes right behind an answer is seen.
+REUSE_DELAY_MS = 20.0
+# Of the latency objective: how long a request waits for a new connection before it goes elsewhere.
+CONNECT_OBJECTIVE_FRACTION = 0.15
+# Of the latency objective: the most between the first byte of an answer and its last.
+STALL_OBJECTIVE_FRACTION = 0.1
+RECEIVE_BUFFER_BYTES = 1 << 14
+# Errors of this machine, from which nothing is learnt of the server.
+LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM)
+
+
+class ServerPool:
+    """The connections to one process at one address; a process that restarted gets a new pool.
+
+    Attributes:
+        address: Where the connections go.
+        entry: The server as listed when the pool was made.
+        idle: Idle connections, the most recently used last.
+        connection_count: Open connections, and those that are coming up.
+        is_draining: Whether no new attempt is sent.
+        is_closed: Whether the pool is no longer in use.
+    """
+
+    __slots__ = ("_pools", "address", "connection_count", "entry", "idle", "is_closed", "is_draining")
+
+    def __init__(self, pools: ServerPools, listed: ListedServer) -> None:
+        self._pools = pools
+        self.address = listed.address
+        self.entry = listed.entry
+        self.idle: list[ServerConnection] = []
+        self.connection_count = 0
+        self.is_draining = False
+        self.is_closed = False
+
+    def is_of(self, listed: ListedServer) -> bool:
+        """Whether the listed server is the same process at the same address."""
+        return self.address == listed.address and self.entry.started_at_ms == listed.entry.started_at_ms
+
+    def release(self, connection: ServerConnection) -> None:
+        """Take back a connection that has its answer, or that came up for nothing."""
+        if self.is_draining or self.is_closed:
+            connection.abort()
+        elif connection.is_usable():
+            connection.idle_since_ms = self._pools.now_ms()
+            self.idle.append(connection)
+            self._pools.idle_connections[connection] = None
+
+    def connection_lost(self, connection: ServerConnection) -> None:
+        """Stop counting a connection that has ended."""
+        self.connection_count -= 1
+        self._pools.connection_count -= 1
+        if connection in self._pools.idle_connections:
+            self.remove_idle(connection)
+
+    def remove_idle(self, connection: ServerConnection) -> None:
+        """Take a connection out of the idle ones."""
+        self.idle.remove(connection)
+        del self._pools.idle_connections[connection]
+
+    def take_idle(self) -> ServerConnection | None:
+        """Take the most recently used connection that may be used again; return None if there is none.
+
+        It must have been idle long enough for whatever came behind its answer to show: a duplicate that arrives once
+        it carries the next request would be taken for that one's answer.
+        """
+        now_ms = self._pools.now_ms()
+        for index in range(len(self.idle) - 1, -1, -1):
+            connection = self.idle[index]
+            idle_ms = now_ms - connection.idle_since_ms
+            if idle_ms < self._pools.reuse_delay_ms:
+                continue
+            del self.idle[index]
+            del self._pools.idle_connections[connection]
+            if connection.is_usable() and idle_ms < self._pools.idle_limit_ms:
+                return connection
+            connection.abort()
+        return None
+
+    def close_idle(self) -> None:
+        """Close all idle connections."""
+        idle = self.idle
+        self.idle = []
+        for connection in idle:
+            del self._pools.idle_connections[connection]
+            connection.abort()
+
+
+class ServerPools:
+    """The pools of all listed servers, bounded together.
+
+    Attributes:
+        now_ms: Returns the current time.
+        call_later: Starts a timer on the event loop.
+        stall_timeout_s: How long an answer may take from its first byte to its last.
+        idle_limit_ms: How long a connection may be idle.
+        reuse_delay_ms: How long a connection must be idle before it is used again.
+        connection_count: Open connections of all pools, and those that are coming up.
+        receive_buffer: Shared by all connections.
+        on_load_report: Called with the server and its load report, if set.
+        idle_connections: Idle connections of all pools, the longest idle first.
+    """
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: SocketSettings,
+        latency_objective_ms: float,
+        max_descriptors: int,
+        now_ms: Callable[[], float],
+        on_attempt_end: AttemptEndedCallback,
+    ) -> None:
+        """Initialise without pools; `apply_list` makes them.
+
+        Args:
+            loop: The event loop.
+            settings: Timeouts of connections.
+            latency_objective_ms: The shortest objective of the request classes.
+            max_descriptors: Descriptors that the whole process may hold.
+            now_ms: Returns the current time.
+            on_attempt_end: Called with the one outcome of each attempt.
+        """
+        self._loop = loop
+        self._on_attempt_end = on_attempt_end
+        self.now_ms = now_ms
+        self.call_later = loop.call_later
+        self._connect_timeout_s = settings.connect_timeout_ms / 1000.0
+        self._connect_wait_ms = min(settings.connect_timeout_ms, CONNECT_OBJECTIVE_FRACTION * latency_objective_ms)
+        self.stall_timeout_s = STALL_OBJECTIVE_FRACTION * latency_objective_ms / 1000.0
+        self.idle_limit_ms = settings.keepalive_ms * IDLE_KEEPALIVE_FRACTION
+        self.reuse_delay_ms = REUSE_DELAY_MS
+        self._max_connections = int(max_descriptors * SERVER_DESCRIPTOR_FRACTION)
+        self._max_per_server = max(1, int(self._max_connections * MAX_PER_SERVER_FRACTION))
+        self.connection_count = 0
+        self.receive_buffer = memoryview(bytearray(RECEIVE_BUFFER_BYTES))
+        self.on_load_report: Callable[[str, bytes], None] | None = None
+        self._pools: dict[str, ServerPool] = {}
+        self._by_address: dict[Address, ServerPool] = {}
+        # a plain dict would step over the entries deleted at its front each time
+        self.idle_connections: OrderedDict[ServerConnection, None] = OrderedDict()
+        self._connect_tasks: set[asyncio.Task[None]] = set()  # a task that nothing references may be collected
+
+    # The list
+
+    def apply_list(self, listed: EndpointList) -> list[ServerEntry]:
+        """Make, drain and close pools as a list says.
+
+        Returns:
+            The servers whose address another one has by now, as removed: what was sent under the old name would reach
+            a process that nobody meant, one that is still warming up.
+        """
+        if listed.is_complete:
+            named = {each.entry.server_id for each in listed.servers}
+            for server_id in [name for name in self._pools if name not in named]:
+                self._remove(server_id)
+        replaced = []
+        for each in listed.servers:
+            server_id = each.entry.server_id
+            if each.entry.state is ServerState.REMOVED:
+                if server_id in self._pools:
+                    self._remove(server_id)
+                continue
+            older = self._older_at_address(each)
+            if older is not None:
+                replaced.append(replace(older, state=ServerState.REMOVED))
+                if older.server_id in self._pools:
+                    self._remove(older.server_id)
+                if older.server_id == server_id:
+                    continue
+            self._apply_server(each)
+        return replaced
+
+    def _older_at_address(self, listed: ListedServer) -> ServerEntry | None:
+        """Return the older of two servers that claim one address, or None if only this one does."""
+        other = self._by_address.get(listed.address)
+        if other is None or other is self._pools.get(listed.entry.server_id):
+            return None
+        return min(other.entry, listed.entry, key=lambda entry: entry.started_at_ms)
+
+    def _apply_server(self, listed: ListedServer) -> None:
+        server_id = listed.entry.server_id
+        pool = self._pools.get(server_id)
+        if pool is not None and not pool.is_of(listed):  # connections of the process before are dead or soon will be
+            self._remove(server_id)
+            pool = None
+        if pool is None:
+            pool = self._pools[server_id] = self._by_address[listed.address] = ServerPool(self, listed)
+        pool.is_draining = listed.entry.state is not ServerState.RUNNING
+        if pool.is_draining:
+            pool.close_idle()
+
+    def endpoints(self) -> dict[str, tuple[str, int]]:
+        """Return each server's address as text and the number of its connections, those coming up included."""
+        return {server_id: ("%s:%d" % pool.address, pool.connection_count) for server_id, pool in self._pools.items()}
+
+    def _remove(self, server_id: str) -> None:
+        pool = self._pools.pop(server_id)
+        if self._by_address.get(pool.address) is pool:
+            del self._by_address[pool.address]
+        self._close(pool)
+
+    def _close(self, pool: ServerPool) -> None:
+        pool.is_closed = True
+        pool.close_idle()
+
+    # Attempts
+
+    def start_attempt(
+        self, request_id: str, attempt_index: int, server_id: str, timeout_ms: float, encode: Callable[[float], bytes]
+    ) -> Attempt:
+        """Start an attempt; its timeout runs from now, the time to connect included."""
+        attempt = Attempt(request_id, attempt_index, server_id, encode, self._on_attempt_end)
+        attempt.started_at_ms = self.now_ms()
+        attempt.expires_at_ms = attempt.started_at_ms + timeout_ms
+        pool = self._pools.get(server_id)
+        if pool is None or pool.is_draining:
+            attempt.end(Outcome.NOT_FORWARDED)
+            return attempt
+        connection = pool.take_idle()
+        if connection is not None:
+            self._send_on(attempt, connection)
+        elif pool.connection_count >= self._max_per_server or not self._reserve_connection():
+            attempt.end(Outcome.NOT_FORWARDED)  # the limit is this limiter's: nothing is learnt of the server
+        else:
+            self._start_connecting(pool, attempt, timeout_ms)
+        return attempt
+
+    def _start_connecting(self, pool: ServerPool, attempt: Attempt, timeout_ms: float) -> None:
+        """Open a connection for an attempt.
+
+        One that hangs must leave the request time for another server. It goes on, for the next request.
+        """
+        wait_ms = min(timeout_ms, self._connect_wait_ms)
+        attempt.timer = self.call_later(max(wait_ms, 0.0) / 1000.0, attempt.time_out)
+        pool.connection_count += 1
+        self.connection_count += 1
+        task = self._loop.create_task(self._connect(pool, attempt))
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
+
+    def _send_on(self, attempt: Attempt, connection: ServerConnection) -> None:
+        now_ms = self.now_ms()
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        attempt.timer = self.call_later(max(attempt.expires_at_ms - now_ms, 0.0) / 1000.0, attempt.time_out)
+        connection.send(attempt, now_ms)
+
+    def _reserve_connection(self) -> bool:
+        """Return whether one more may be opened; at the limit, the longest idle one is closed for it."""
+        if self.connection_count < self._max_connections:
+            return True
+        if not self.idle_connections:
+            return False
+        self._close_longest_idle()
+        return True
+
+    def _close_longest_idle(self) -> None:
+        oldest = next(iter(self.idle_connections))
+        oldest.pool.remove_idle(oldest)
+        oldest.abort()
+
+    async def _connect(self, pool: ServerPool, attempt: Attempt) -> None:
+        host, port = pool.address
+        connection = ServerConnection(self, pool)
+        failure = Outcome.CONNECT_FAILED
+        try:
+            async with asyncio.timeout(self._connect_timeout_s):
+                await self._loop.create_connection(lambda: connection, host, port)
+        except (OSError, TimeoutError) as error:
+            connection.abort()  # it may have come up in the same moment
+            if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS:
+                failure = Outcome.NOT_FORWARDED
+        if not connection.is_usable():  # no longer counted, whether or not it was up for a moment
+            pool.connection_count -= 1
+            self.connection_count -= 1
+            attempt.end(failure)
+            return
+        connection.state = ConnectionState.IDLE
+        if attempt.is_ended:  # cancelled or timed out meanwhile: nothing may be written for it any more
+            pool.release(connection)
+        elif pool.is_draining or pool.is_closed:  # a list said so while the connection came up
+            pool.release(connection)
+            attempt.end(Outcome.NOT_FORWARDED)
+        else:
+            self._send_on(attempt, connection)
+
+    # Upkeep
+
+    def close_expired(self) -> None:
+        """Close connections that were idle too long, before the servers do so under a request just written."""
+        limit_ms = self.now_ms() - self.idle_limit_ms
+        while self.idle_connections and next(iter(self.idle_connections)).idle_since_ms < limit_ms:
+            self._close_longest_idle()
+
+    def close(self) -> None:
+        """Close all pools; attempts that are open go on."""
+        for pool in self._pools.values():
+            self._close(pool)
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -13,7 +13,7 @@
 from elderlock.control.attach import Control, attach, read_operators
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
-from elderlock.net.clients import ClientListener
+from elderlock.net.client_listener import ClientListener
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
 
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -16,9 +16,9 @@
 from elderlock.gossip.sharing import limiter_of
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.load.schedule import Arrival
+from elderlock.net.endpoint_list import EndpointList, ListedServer
 from elderlock.net.gateway import DEADLINE_MARGIN_MS
-from elderlock.net.servers import CONNECT_OBJECTIVE_FRACTION, IDLE_KEEPALIVE_FRACTION
-from elderlock.net.targets import EndpointList, ListedServer
+from elderlock.net.server_pool import CONNECT_OBJECTIVE_FRACTION, IDLE_KEEPALIVE_FRACTION
 from elderlock.quota.attach import HEARTBEAT, HEARTBEAT_EACH
 from elderlock.quota.counted import Counted
 from elderlock.quota.terms import Terms
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -26,8 +26,8 @@
 from elderlock.interface import ServerState
 from elderlock.load.wire import Request
 from elderlock.net.config import ConfigError, load_config
+from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.gateway import Gateway
-from elderlock.net.targets import EndpointList
 from elderlock.sim import judges as j
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.clients import Clients
--- a/elderlock/standins/parts.py
+++ b/elderlock/standins/parts.py
@@ -5,10 +5,11 @@
 import asyncio
 from typing import Any
 
-from elderlock.net.clients import ClientListener
+from elderlock.net.client_listener import ClientListener
+from elderlock.net.clock import Clock
 from elderlock.net.config import Config, parse_config
-from elderlock.net.gateway import Clock, Gateway
-from elderlock.net.targets import EndpointList, parse_endpoint_list
+from elderlock.net.endpoint_list import EndpointList, parse_endpoint_list
+from elderlock.net.gateway import Gateway
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
 from elderlock.standins.settings import raw_config, target
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -17,8 +17,8 @@
 from elderlock.decisions.quotas import Quotas
 from elderlock.decisions.server_selection import ServerSelector
 from elderlock.decisions.throttle import Throttle
+from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.gateway import BUSY_ANSWER, Gateway
-from elderlock.net.targets import EndpointList
 from elderlock.state import OpenRequest
 
 
@@ -173,9 +173,9 @@
     """A request that is answered stays among those that are open."""
 
     def over(self: Gateway, request: Any, answer: Any) -> None:
-        name = request.command.name
+        name = request.command.client_request_id
         kept(self, request, answer)
-        self._open.add(name)
+        self.requests.client_ids.add(name)
 
     kept = Gateway._finish
     patch.setattr(Gateway, "_finish", over)
@@ -238,7 +238,7 @@
     kept = Gateway._attempt_ended
 
     def ended(self: Gateway, attempt: Any, outcome: Any, value: Any) -> None:
-        took = self.now_ms() - attempt.started
+        took = self.now_ms() - attempt.started_at_ms
         self._loop.call_later(0.2 * took / 1000.0, kept, self, attempt, outcome, value)
 
     patch.setattr(Gateway, "_attempt_ended", ended)
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -45,8 +45,8 @@
         """Nothing is left in any table."""
         gateway, module = self.limiter.gateway, self.limiter.gateway.limiter
         return (
-            not gateway._open
-            and not gateway._requests
+            not gateway.requests.client_ids
+            and not gateway.requests
             and not module.requests
             and module.load_estimator.in_flight == 0
             and not any(server.in_flight for server in module.endpoints.servers.values())
--- a/tests/authz/test_door_rules.py
+++ b/tests/authz/test_door_rules.py
@@ -14,8 +14,8 @@
 from elderlock.authz.permissions import Permissions, Verdict
 from elderlock.authz.questions import refusal_of
 from elderlock.control.attach import read_operators
+from elderlock.net.command import Command
 from elderlock.net.config import parse_config
-from elderlock.net.gateway import Command
 from elderlock.standins.settings import CUSTOMER, raw_config
 
 SETTINGS = parse_config(raw_config()).settings
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -11,10 +11,11 @@
 from elderlock.control.framing import Framer, framed
 from elderlock.gossip import ceilings, wire
 from elderlock.load import wire as load_wire
-from elderlock.net import clients, gateway, resp
+from elderlock.net import gateway, resp
+from elderlock.net.client_commands import CommandParser
 from elderlock.net.config import parse_config
 from elderlock.net.discovery import ListFollower
-from elderlock.net.targets import EndpointList
+from elderlock.net.endpoint_list import EndpointList
 from elderlock.quota import tally
 from elderlock.quota.book import Call
 from elderlock.standins.boxes import Server
@@ -109,9 +110,9 @@
     )
 
 
-def _reader() -> clients.CommandParser:
+def _reader() -> CommandParser:
     config = parse_config(raw_config())
-    return clients.CommandParser(config.settings, config.socket_settings.largest_request_units)
+    return CommandParser(config.settings, config.socket_settings.largest_request_units)
 
 
 def test_a_servers_stored_answers_are_read_with_value_and_report() -> None:
--- a/tests/control/test_overlay.py
+++ b/tests/control/test_overlay.py
@@ -7,7 +7,7 @@
 from elderlock.control.overlay import Overlay
 from elderlock.control.records import MOST_RECORDS, Offer, Record, Records
 from elderlock.interface import ServerEntry, ServerState
-from elderlock.net.targets import EndpointList, ListedServer
+from elderlock.net.endpoint_list import EndpointList, ListedServer
 
 UIDS = ["s-1", "s-2", "s-3"]
 STATES = list(ServerState)
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from elderlock.net import clients
+from elderlock.net import client_listener
 from elderlock.sim import shells
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.figures import Result
@@ -161,7 +161,7 @@
     given = scenario_of("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
     mended = shells.play(given, 1)
     assert mended.good() and mended.figures.served_in_time > 0.98, mended.text()
-    monkeypatch.setattr(clients, "IDLE_DESCRIPTOR_FRACTION", 1.0)
+    monkeypatch.setattr(client_listener, "IDLE_DESCRIPTOR_FRACTION", 1.0)
     before = shells.play(given, 1)
     assert before.figures.served_in_time < 0.5, before.text()
 
@@ -178,7 +178,7 @@
 import os, sys, msgspec
 exec(os.environ.get("LEAK", ""))
 from elderlock.load.scenario import Clients
-from elderlock.net import clients
+from elderlock.net import client_listener
 from elderlock.sim import shells
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import Scenario
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -10,8 +10,8 @@
 
 from elderlock.net.config import parse_config
 from elderlock.net.discovery import Discovery as Watcher
+from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.peers import PeerTransport
-from elderlock.net.targets import EndpointList
 from elderlock.standins import boxes
 from elderlock.standins.boxes import MISSING, OLD, STD, Box, Server
 from elderlock.standins.counter import Counter
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -5,7 +5,7 @@
 import hiredis
 import pytest
 
-from elderlock.net import clients
+from elderlock.net import client_listener
 from elderlock.standins.boxes import Server, answers, served
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import CUSTOMER, terms
@@ -157,8 +157,8 @@
 @pytest.mark.parametrize("sent", [b"", b"*1\r\n$4\r\nPI", b"*"])
 def test_a_connection_without_a_whole_command_is_closed(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     """Silent and half-way ones would hold their descriptors for good."""
-    monkeypatch.setattr(clients, "SILENCE_LIMIT_S", 0.05)
-    monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(client_listener, "SILENCE_LIMIT_S", 0.05)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
@@ -192,7 +192,7 @@
 def test_clients_that_ask_once_and_stay_leave_room_for_others(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients may hold a third of the descriptors: kept for good by some, they would leave the others none. The longest
     idle ends in an orderly way, one that was used just now does not."""
-    monkeypatch.setattr(clients, "RECENT_USE_S", 0.0)
+    monkeypatch.setattr(client_listener, "RECENT_USE_S", 0.0)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
@@ -204,7 +204,7 @@
         assert [await client.answer() for client in crowd[:22]] == [None] * 22
         for number, client in enumerate(crowd[-8:]):
             assert await client.ask(f"b{number}") == b"value"
-        monkeypatch.setattr(clients, "RECENT_USE_S", 60.0)
+        monkeypatch.setattr(client_listener, "RECENT_USE_S", 60.0)
         more = [await limiter.client() for _ in range(8)]
         for number, client in enumerate([*more, *crowd[-8:]]):
             assert await client.ask(f"c{number}") == b"value"
@@ -231,8 +231,8 @@
 
 
 def test_a_client_that_does_not_read_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "SILENCE_LIMIT_S", 0.05)
-    monkeypatch.setattr(clients, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(client_listener, "SILENCE_LIMIT_S", 0.05)
+    monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(served(b"x" * 60000))).start())
@@ -287,16 +287,16 @@
 def test_beyond_what_the_memory_bears_is_refused_at_once() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(None)).start())
-        assert limiter.gateway._most == 2000  # the settings', as 192 MB bear more
-        limiter.gateway._most = 3
+        assert limiter.gateway.requests.max_count == 2000  # the settings', as 192 MB bear more
+        limiter.gateway.requests.max_count = 3
         client = await limiter.client()
         for number in range(3):
             client.read(f"open{number}")
         other = await limiter.client()
-        await until(lambda: len(limiter.gateway._requests) == 3)
+        await until(lambda: len(limiter.gateway.requests) == 3)
         assert str(await other.ask("more")).startswith("BUSY")
         client.close()
-        await until(lambda: not limiter.gateway._requests)  # and nothing of them is left
+        await until(lambda: not limiter.gateway.requests)  # and nothing of them is left
 
     run(test())
 
@@ -392,7 +392,7 @@
         await idle.answer()
         busy.read("owed")
         await until(lambda: len(server.commands) == 1)
-        drain = asyncio.ensure_future(limiter.clients.drain(accept_for=1.0, at_most=HOURS))
+        drain = asyncio.ensure_future(limiter.clients.drain(accept_for_s=1.0, time_limit_s=HOURS))
         assert await idle.answer() is None
         late = await limiter.client()
         late.read("late")
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -135,7 +135,7 @@
             return served(b"value")
 
         limiter = await Limiter.start(await Server(behave).start())
-        limiter.gateway._room = 3.0 * len(BODY)  # bytes: one such request, and a short one beside it
+        limiter.gateway.requests.free_bytes = 3.0 * len(BODY)  # bytes: one such request, and a short one beside it
         first, second = await limiter.client(), await limiter.client()
         write(first, "long", BODY)
         await until(lambda: limiter.gateway.open_request_count == 1)
@@ -147,6 +147,6 @@
         assert (await first.answer(), await second.answer()) == (b"value", b"value")
         write(second, "another", BODY)
         assert await second.answer() == b"value"  # the first one's room is free again
-        assert limiter.gateway._room == 3.0 * len(BODY)
+        assert limiter.gateway.requests.free_bytes == 3.0 * len(BODY)
 
     run(test())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 
 from elderlock.__main__ import drain_time_limit_s
 from elderlock.interface import Outcome
-from elderlock.net.clients import MAX_CONSECUTIVE_ERRORS, MAX_PENDING_ANSWERS, ClientConnection
+from elderlock.net.client_connection import MAX_CONSECUTIVE_ERRORS, MAX_PENDING_ANSWERS, ClientConnection
 from elderlock.net.config import parse_config
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Answer, Server, answers, served
@@ -227,7 +227,7 @@
         client.read("owed")
         client.writer.write(whole[:40])
         await until(lambda: len(server.commands) == 1)
-        drain = asyncio.ensure_future(limiter.clients.drain(accept_for=0.0, at_most=10_000.0))
+        drain = asyncio.ensure_future(limiter.clients.drain(accept_for_s=0.0, time_limit_s=10_000.0))
         await until(lambda: limiter.clients.is_draining)
         release.set()
         assert await client.answer() == b"owed"
@@ -284,7 +284,7 @@
         client = await limiter.client()
         client.read("owed")
         await until(lambda: len(server.commands) == 1)
-        await limiter.clients.drain(accept_for=0.0, at_most=0.0)
+        await limiter.clients.drain(accept_for_s=0.0, time_limit_s=0.0)
         assert str(await client.answer()) == "ERR failed"
         assert await client.answer() is None
         assert limiter.gateway.open_request_count == 0
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,8 +15,8 @@
 from elderlock.net.config import ConfigError, load_config, parse_config
 from elderlock.net.discovery import Discovery as Watcher
 from elderlock.net.discovery import JsonObjectSplitter
+from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.peers import PeerTransport
-from elderlock.net.targets import EndpointList
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -7,10 +7,12 @@
 import pytest
 
 from elderlock.interface import AttemptEnded, Event, Outcome, RequestArrived, ServerState
+from elderlock.net.clock import Clock
 from elderlock.net.config import parse_config
-from elderlock.net.gateway import DEADLINE_MARGIN_MS, Clock
-from elderlock.net.servers import Attempt, ServerPools
-from elderlock.net.targets import parse_endpoint_list
+from elderlock.net.endpoint_list import parse_endpoint_list
+from elderlock.net.gateway import DEADLINE_MARGIN_MS
+from elderlock.net.server_connection import Attempt
+from elderlock.net.server_pool import ServerPools
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import raw_config, target
