--- a/elderlock/net/__init__.py
+++ b/elderlock/net/__init__.py
@@ -1,1 +1,1 @@
-"""The limiter on real sockets: everything round the decision module that does I/O."""
+"""The I/O layer of a limiter: everything around the decisions that uses sockets, clocks and files."""
--- a/elderlock/net/config.py
+++ b/elderlock/net/config.py
@@ -1,4 +1,4 @@
-"""Checks the configuration that `$PROXY_CONFIG` names into typed values."""
+"""The configuration of a limiter process: the file that `$PROXY_CONFIG` names, checked into typed values."""
 
 from __future__ import annotations
 
@@ -9,36 +9,61 @@
 from typing import Any
 
 from elderlock import interface as api
+from elderlock.net.errors import NetError
 from elderlock.settings_reader import SocketSettings, read_settings, read_socket_settings
 
-MIN_SOCKETS = 64  # below it there would be no room left for clients beside the servers
+# With fewer, nothing would be left for clients beside the servers.
+MIN_SOCKETS = 64
+PORT_LIMIT = 65536
 
 Address = tuple[str, int]
 
 
-class ConfigError(Exception):
+class ConfigError(NetError):
     """The configuration cannot be used; the text is one plain line for the operator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of a limiter process.
+
+    Attributes:
+        name: Name of the limiter, for its log.
+        seed: Seed of the limiter's random numbers.
+        listen_address: Where clients connect.
+        discovery_address: Where the server list is polled and watched.
+        max_descriptors: Descriptors that the process may hold.
+        memory_mb: Memory that the process may take.
+        peer_listen_address: Where the other limiters' datagrams are received; None without peers.
+        peer_addresses: All limiters' addresses by their index, this one's included.
+        broadcast_address: Reaches all other limiters; None without one.
+        cached_list: The server list of before the start, in discovery's form; None without one.
+        settings: The limiter's settings.
+        socket_settings: Timeouts, limits and names for the sockets.
+    """
+
     name: str
     seed: int
     listen_address: Address
     discovery_address: Address
     max_descriptors: int
-    memory_mb: float  # MB
+    memory_mb: float
     peer_listen_address: Address | None
     peer_addresses: tuple[Address, ...]
     broadcast_address: Address | None
-    cached_list: Any  # in discovery's form, read as any other list
+    cached_list: Any
     settings: api.Settings
     socket_settings: SocketSettings
 
 
 def parse_address(text: Any) -> Address:
-    host, found, port = str(text).rpartition(":")
-    if not found or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
+    """Parse an address like `10.0.0.4:6379`.
+
+    Raises:
+        ValueError: The text is no address.
+    """
+    host, separator, port = str(text).rpartition(":")
+    if not separator or not host or not port.isdecimal() or not 0 <= int(port) < PORT_LIMIT:
         raise ValueError(f"{text!r} is not an address like 10.0.0.4:6379")
     return host, int(port)
 
@@ -52,29 +77,33 @@
 
 
 def parse_config(raw: Any) -> Config:
-    settings, socket_settings = read_settings(raw["settings"]), read_socket_settings(raw["settings"])
-    # `-BUSY MS` can always say when to come back, also where the simulator's clients are not told
-    settings = replace(
-        settings,
-        capabilities=replace(
-            settings.capabilities, can_send_retry_after=True, connect_timeout_ms=socket_settings.connect_timeout_ms
-        ),
+    """Check a decoded configuration.
+
+    Raises:
+        KeyError, TypeError, ValueError, AttributeError: A field is missing, of another type or out of range.
+    """
+    settings = read_settings(raw["settings"])
+    socket_settings = read_socket_settings(raw["settings"])
+    # `-BUSY MS` can always say when to retry, also where the settings are of clients that cannot be told.
+    capabilities = replace(
+        settings.capabilities, can_send_retry_after=True, connect_timeout_ms=socket_settings.connect_timeout_ms
     )
-    peers = tuple(parse_address(peer) for peer in raw.get("peers", ()))
-    sockets = int(raw["limits"]["sockets"])
-    if sockets < MIN_SOCKETS:
-        raise ValueError(f"limits.sockets is {sockets}, {MIN_SOCKETS} are needed")
-    if settings.capabilities.can_message_peers and len(peers) != settings.limiter_count:
-        raise ValueError(f"peers names {len(peers)} limiters, the settings say {settings.limiter_count}")
+    settings = replace(settings, capabilities=capabilities)
+    peer_addresses = tuple(parse_address(peer) for peer in raw.get("peers", ()))
+    max_descriptors = int(raw["limits"]["sockets"])
+    if max_descriptors < MIN_SOCKETS:
+        raise ValueError(f"limits.sockets is {max_descriptors}, {MIN_SOCKETS} are needed")
+    if settings.capabilities.can_message_peers and len(peer_addresses) != settings.limiter_count:
+        raise ValueError(f"peers names {len(peer_addresses)} limiters, the settings say {settings.limiter_count}")
     return Config(
         name=str(raw["name"]),
         seed=int(raw["seed"], 16),
         listen_address=parse_address(raw["listen"]),
         discovery_address=parse_address(raw["discovery"]),
-        max_descriptors=sockets,
+        max_descriptors=max_descriptors,
         memory_mb=float(raw["limits"]["memory_mb"]),
         peer_listen_address=_parse_optional_address(raw.get("peer_listen")),
-        peer_addresses=peers,
+        peer_addresses=peer_addresses,
         broadcast_address=_parse_optional_address(raw.get("peers_all")),
         cached_list=raw.get("known"),
         settings=settings,
@@ -83,7 +112,11 @@
 
 
 def load_config(environ: Mapping[str, str]) -> Config:
-    """Reads the file; whatever is wrong with it comes out as a `ConfigError`."""
+    """Read the file that `$PROXY_CONFIG` names.
+
+    Raises:
+        ConfigError: The variable is not set, or the file cannot be read or used.
+    """
     path = environ.get("PROXY_CONFIG")
     if not path:
         raise ConfigError("PROXY_CONFIG is not set")
--- a/elderlock/net/discovery.py
+++ b/elderlock/net/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the list of servers: the whole list at start, then a watch that is renewed when it dies or falls silent."""
+"""Follows the server list of discovery: the complete list first, then a watch that is renewed when it ends."""
 
 from __future__ import annotations
 
@@ -13,76 +13,112 @@
 
 from elderlock.net.config import Address
 from elderlock.net.endpoint_list import EndpointList, parse_endpoint_list
+from elderlock.net.errors import NetError
 from elderlock.settings_reader import SocketSettings
 
-# What discovery tells counts 6 s later, whatever became of a watch or a call. An empty line comes every 2 s; a link
-# that is cut stays open and says nothing, and so may the first watch that follows it: twice this and a call are 6 s.
-SILENCE_LIMIT_S = 2.5  # s
-CALL_INTERVAL_S = (
-    0.5  # s that a call is waited for alone; then another begins beside it, as the first may never be answered
-)
-MAX_CONCURRENT_CALLS = 4  # at once; the oldest gives way, which has then been waited for all this time
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 0.5  # s after a call that failed
-MAX_LIST_BYTES = 1 << 20  # bytes of one list or line; a longer one would take the memory of requests
+# What discovery sends must be applied within 6 s, whatever became of a watch or a call. A watch sends an empty line
+# every 2 s. One whose link is cut stays open and silent, and so may the first watch that follows it: twice this limit
+# and a call are less than 6 s.
+SILENCE_LIMIT_S = 2.5
+# How long a call is waited for alone; then another begins beside it, as the first may never be answered.
+CALL_INTERVAL_S = 0.5
+CALL_INTERVAL_JITTER = (0.75, 1.0)
+# Above it the oldest is cancelled, which has then been waited for all this time.
+MAX_CONCURRENT_CALLS = 4
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.5
+BACKOFF_JITTER = (0.5, 1.0)
+# Of one list or line; a longer one would take the memory of requests.
+MAX_LIST_BYTES = 1 << 20
+READ_BYTES = 1 << 16
+HTTP_OK = 200
+LIST_PATH = "/discovery/hosts"
 
 log = logging.getLogger(__name__)
 
 
+class DiscoveryError(NetError, ValueError):
+    """An answer of discovery cannot be used."""
+
+
 def _starts_indented_object(line: bytes) -> bool:
-    """Whether an object that begins with this line may be indented: then its own brackets alone stand at the margin."""
+    """Whether an object that begins with this line may be indented: then only its own brackets are unindented."""
     return line.startswith(b"{") and not line.rstrip().endswith(b"}")
 
 
 class JsonObjectSplitter:
-    """Cuts a watch into its JSON objects, also where one comes indented and spans lines."""
+    """Splits the body of a watch into its JSON objects, also where one is indented and spans several lines."""
 
     def __init__(self) -> None:
         self._partial_line = b""
-        self._object_lines: list[bytes] = []  # lines of one that has begun
+        self._object_lines: list[bytes] = []  # of the object that has begun
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The objects that are whole by now. Raises `ValueError` for one that is too long."""
+        """Return the objects that are complete with `data`.
+
+        Raises:
+            DiscoveryError: An object is too long.
+        """
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
-        whole = []
+        objects: list[bytes] = []
         for line in lines:
-            if not line.strip() or (self._object_lines and line.startswith(b"{")):
-                whole += self._take_object()  # no object spans an empty line, nor one the next object's start
-            if line.strip():
+            is_blank = not line.strip()
+            if is_blank or (self._object_lines and line.startswith(b"{")):
+                objects += self._take_object()  # no object spans a blank line, or the next object's start
+            if not is_blank:
                 self._object_lines.append(line)
-                if line.startswith(b"}") or (len(self._object_lines) == 1 and not _starts_indented_object(line)):
-                    whole += self._take_object()
+                is_single_line = len(self._object_lines) == 1 and not _starts_indented_object(line)
+                if line.startswith(b"}") or is_single_line:
+                    objects += self._take_object()
         if len(self._partial_line) + sum(map(len, self._object_lines)) > MAX_LIST_BYTES:
-            raise ValueError("a line is too long")
-        return whole
+            raise DiscoveryError("a line is too long")
+        return objects
 
     def _take_object(self) -> list[bytes]:
-        lines, self._object_lines = self._object_lines, []
+        lines = self._object_lines
+        self._object_lines = []
         return [b"\n".join(lines)] if lines else []
 
 
 class DiscoveryCall:
-    """One call to discovery; a watch lasts until its connection ends."""
+    """One call to discovery, which may become a watch that lasts until its connection ends.
 
-    def __init__(self, follower: ListFollower, now: float) -> None:
-        self.last_received_s = now
+    Attributes:
+        last_received_s: Loop time of the last bytes that came, or of its start.
+        task: Runs the call.
+    """
+
+    def __init__(self, follower: ListFollower, now_s: float) -> None:
+        self.last_received_s = now_s
         self.task = asyncio.get_running_loop().create_task(follower.run_call(self))
 
 
 class ListFollower:
-    """Follows one address until it is stopped; each list goes to `told` in the step that read it.
+    """Follows the list at one address until it is stopped.
 
-    Invariant: `_lead` is the latest call that was answered. While it speaks it is the only one; once it is silent, or
-    where there is none, calls begin one beside the other until one is answered."""
+    Invariant: `_active_call` is the latest call that was answered. While it receives, it is the only one. Once it is
+    silent, or where there is none, further calls begin one beside the other until one is answered.
+    """
 
     def __init__(
         self,
         address: Address,
         settings: SocketSettings,
-        silent_after: float,
-        told: Callable[[ListFollower, EndpointList], None],
+        silence_limit_s: float,
+        on_list: Callable[[ListFollower, EndpointList], None],
     ) -> None:
-        self._address, self._settings, self._on_list = address, settings, told
-        self._silence_limit_s = silent_after
+        """Begin to follow.
+
+        Args:
+            address: Where discovery answers.
+            settings: Names of zones and kinds.
+            silence_limit_s: After this time without a byte, a watch is taken for lost.
+            on_list: Called with each list, in the step that read it.
+        """
+        self._address = address
+        self._settings = settings
+        self._on_list = on_list
+        self._silence_limit_s = silence_limit_s
         self._version: int | None = None  # of this address alone: another agent may count its own
         self._loop = asyncio.get_running_loop()
         self._calls: list[DiscoveryCall] = []  # the oldest first
@@ -90,6 +126,7 @@
         self._task = self._loop.create_task(self._run())
 
     def stop(self) -> None:
+        """Cancel the watch and all calls."""
         self._task.cancel()
         self._cancel_calls(self._calls)
 
@@ -98,28 +135,31 @@
             call.task.cancel()
             self._calls.remove(call)
 
+    def _inactive_calls(self) -> list[DiscoveryCall]:
+        return [call for call in self._calls if call is not self._active_call]
+
     async def _run(self) -> None:
-        backoff = INITIAL_BACKOFF_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             if self._active_call is not None:
-                backoff = INITIAL_BACKOFF_S
-                left = self._active_call.last_received_s + self._silence_limit_s - self._loop.time()
-                if left > 0:
-                    self._cancel_calls([call for call in self._calls if call is not self._active_call])
-                    await asyncio.wait({self._active_call.task}, timeout=left)
+                backoff_s = INITIAL_BACKOFF_S
+                remaining_s = self._active_call.last_received_s + self._silence_limit_s - self._loop.time()
+                if remaining_s > 0:
+                    self._cancel_calls(self._inactive_calls())
+                    await asyncio.wait({self._active_call.task}, timeout=remaining_s)
                     continue
             call = DiscoveryCall(self, self._loop.time())
             self._calls.append(call)
             if len(self._calls) > MAX_CONCURRENT_CALLS:
-                self._cancel_calls([call for call in self._calls if call is not self._active_call][:1])
+                self._cancel_calls(self._inactive_calls()[:1])
             # jittered, so that limiters cut off together do not come back in step
-            await asyncio.wait({call.task}, timeout=CALL_INTERVAL_S * random.uniform(0.75, 1.0))
+            await asyncio.wait({call.task}, timeout=CALL_INTERVAL_S * random.uniform(*CALL_INTERVAL_JITTER))
             if call.task.done() and call is not self._active_call:
-                await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-                backoff = min(2 * backoff, MAX_BACKOFF_S)
+                await asyncio.sleep(backoff_s * random.uniform(*BACKOFF_JITTER))
+                backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def run_call(self, call: DiscoveryCall) -> None:
-        """Asks for the whole list where none is known, then for a watch."""
+        """Fetch the complete list if none is known, then watch its changes."""
         try:
             if self._version is None:
                 await self._fetch(call)
@@ -138,24 +178,24 @@
 
     async def _fetch(self, call: DiscoveryCall) -> None:
         body = bytearray()
-        async with aclosing(self._get("/discovery/hosts")) as parts:
+        async with aclosing(self._get(LIST_PATH)) as parts:
             async for part in parts:
                 body += part
                 if len(body) > MAX_LIST_BYTES:
-                    raise ValueError("the list is too long")
+                    raise DiscoveryError("the list is too long")
         self._apply_list(bytes(body))
         self._record_answer(call)
 
     async def _watch(self, call: DiscoveryCall) -> None:
-        lines = JsonObjectSplitter()
-        async with aclosing(self._get(f"/discovery/hosts?watch=1&after={self._version or 0}")) as parts:
+        splitter = JsonObjectSplitter()
+        async with aclosing(self._get(f"{LIST_PATH}?watch=1&after={self._version or 0}")) as parts:
             async for part in parts:
                 self._record_answer(call)
-                for line in lines.feed(part):
-                    self._apply_list(line)
+                for text in splitter.feed(part):
+                    self._apply_list(text)
 
     async def _get(self, target: str) -> AsyncGenerator[bytes, None]:
-        """The body of an answer as it comes, after an empty part once the answer has begun."""
+        """Yield the body of an answer as it comes, after an empty part once the answer has begun."""
         host, port = self._address
         reader, writer = await asyncio.open_connection(host, port)
         try:
@@ -165,12 +205,12 @@
             while True:
                 event = http.next_event()
                 if event is h11.NEED_DATA:
-                    http.receive_data(await reader.read(1 << 16))
+                    http.receive_data(await reader.read(READ_BYTES))
                 elif isinstance(event, h11.Data):
                     yield bytes(event.data)
                 elif isinstance(event, h11.Response):
-                    if event.status_code != 200:
-                        raise ValueError(f"status {event.status_code}")
+                    if event.status_code != HTTP_OK:
+                        raise DiscoveryError(f"status {event.status_code}")
                     yield b""
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     return
@@ -181,32 +221,47 @@
         try:
             listed = parse_endpoint_list(json.loads(text), self._settings)
         except (KeyError, TypeError, ValueError, AttributeError, RecursionError) as error:
-            # what it said is lost, and later changes build on it: ask for the whole list anew
+            # What it said is lost, and later changes build on it: the complete list is fetched again.
             self._version = None
-            raise ValueError(f"a line cannot be read: {error!r}") from None
+            raise DiscoveryError(f"a line cannot be read: {error!r}") from None
         if not listed.is_complete and self._version is not None and listed.version <= self._version:
-            return  # a call that was answered late: what it tells came by another, and later changes with it
+            return  # of a call that was answered late: another has brought these changes, and later ones
         self._version = listed.version
         self._on_list(self, listed)
 
 
 class Discovery:
-    """The list as told by the agent at the address of the configuration, which a reload may change."""
+    """The server list at the address of the configuration, which a reload may change.
+
+    Attributes:
+        silence_limit_s: After this time without a byte, a watch is taken for lost.
+    """
 
-    def __init__(self, settings: SocketSettings, told: Callable[[EndpointList], None]) -> None:
-        self._settings, self._on_list = settings, told
+    def __init__(self, settings: SocketSettings, on_list: Callable[[EndpointList], None]) -> None:
+        """Initialise without an address; `follow` sets one.
+
+        Args:
+            settings: Names of zones and kinds.
+            on_list: Called with each list.
+        """
+        self._settings = settings
+        self._on_list = on_list
         self._address: Address | None = None
-        self._current: ListFollower | None = None  # whose list is in
-        self._next: ListFollower | None = None  # at a new address, whose list is not in yet
+        self._current: ListFollower | None = None  # has sent a list
+        self._next: ListFollower | None = None  # of a new address, and has not sent a list yet
         self.silence_limit_s = SILENCE_LIMIT_S
 
     def address(self) -> str:
+        """Return the address that is followed, as text; empty before the first."""
         return "%s:%d" % self._address if self._address is not None else ""
 
     def follow(self, address: Address) -> None:
-        """Turns to `address` at once. The old watch stays till the new list is in, as the old agent goes
-        on telling for a while and a drain may be told just then; one that has told nothing yet is
-        dropped, so that reloads close together leave only the last address."""
+        """Turn to `address` at once.
+
+        The old watch stays until the first list of the new one, as the old agent goes on sending for a while and a
+        drain may come by it just then. One that has sent nothing yet is stopped, so that after several reloads only
+        the last address is left.
+        """
         if address == self._address:
             return
         self._address = address
@@ -218,11 +273,13 @@
         if follower is self._next:
             if self._current is not None:
                 self._current.stop()
-            self._current, self._next = follower, None
+            self._current = follower
+            self._next = None
         if follower is self._current:
             self._on_list(listed)
 
     def stop(self) -> None:
+        """Stop following."""
         for follower in (self._current, self._next):
             if follower is not None:
                 follower.stop()
