--- /dev/null
+++ b/elderlock/net/startup.py
@@ -0,0 +1,148 @@
+"""Starts a limiter: makes its parts, connects them, and opens the listener once a server list is known."""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import logging
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from elderlock import interface as api
+from elderlock.decisions.keepers import Keepers
+from elderlock.decisions.limiter import Limiter
+from elderlock.net.client_listener import ClientListener
+from elderlock.net.clock import Clock
+from elderlock.net.config import Config
+from elderlock.net.discovery import Discovery
+from elderlock.net.gateway import Gateway
+from elderlock.net.peers import PeerTransport
+from elderlock.net.signals import handle_reload_signal, handle_stop_signals
+
+# How long the first list of discovery is waited for; without it the cached one is used, if there is one.
+FIRST_LIST_TIMEOUT_S = 1.0
+
+log = logging.getLogger(__name__)
+
+
+class OptionalFeatures(Protocol):
+    """What the operators' file switches on (`elderlock.operators`), in the order in which it is called."""
+
+    def routed(self, config: Config) -> Config:
+        """Return the configuration with the file's routing."""
+
+    def source(self, limiters: int) -> type[Keepers]:
+        """Return the limiter's part that knows customers' use elsewhere."""
+
+    def limiter(self, settings: api.Settings) -> type[Limiter]:
+        """Return the limiter's class."""
+
+    async def prepare(
+        self,
+        gateway: Gateway,
+        clients: ClientListener,
+        config: Config,
+        discovery: Callable[[], str],
+        stop: Callable[[], None],
+    ) -> None:
+        """Start what must see the first server list; before the gateway starts."""
+
+    async def open(self) -> None:
+        """Open further frontends; after the listener for clients."""
+
+    def reload(self) -> None:
+        """Read again what a reload may change."""
+
+    async def leave(self) -> None:
+        """Drain the further frontends, while clients are still answered."""
+
+    def close(self) -> None:
+        """Close what is left."""
+
+
+@dataclass(frozen=True, slots=True)
+class RunningLimiter:
+    """A limiter's parts while it runs.
+
+    Attributes:
+        config: Its configuration.
+        gateway: Passes events to the limiter and carries out its actions.
+        listener: The listener for clients.
+        discovery: Follows the server list.
+        peers: Datagrams to the other limiters; None without peers.
+        features: What the operators' file switches on; None without one.
+    """
+
+    config: Config
+    gateway: Gateway
+    listener: ClientListener
+    discovery: Discovery
+    peers: PeerTransport | None
+    features: OptionalFeatures | None
+
+
+async def start_limiter(config: Config, features: OptionalFeatures | None, stop: asyncio.Event) -> RunningLimiter:
+    """Start a limiter; returns once clients can connect.
+
+    Args:
+        config: The configuration.
+        features: What the operators' file switches on; None without one.
+        stop: Set by SIGTERM, SIGINT or an operator's command, for the caller to shut down.
+
+    Raises:
+        OSError: An address cannot be bound.
+        ConfigError: The operators' file cannot be used.
+    """
+    loop = asyncio.get_running_loop()
+    quota_source = Keepers
+    limiter = Limiter
+    if features is not None:
+        config = features.routed(config)
+        quota_source = features.source(config.settings.limiter_count)
+        limiter = features.limiter(config.settings)
+    gateway = Gateway(loop, config, Clock(), quota_source, limiter)
+    discovery = Discovery(config.socket_settings, gateway.server_list_received)
+    handle_reload_signal(loop, discovery, None)
+    handle_stop_signals(loop, stop)
+    peers = await _open_peer_transport(loop, config, gateway)
+    listener = ClientListener(loop, gateway, config.max_descriptors)
+    if features is not None:
+        handle_reload_signal(loop, discovery, features.reload)
+        await features.prepare(gateway, listener, config, discovery.address, stop.set)
+    gateway.start()
+    discovery.follow(config.discovery_address)
+    await _wait_for_first_list(gateway)
+    await listener.listen(*config.listen_address)
+    if features is not None:
+        await features.open()
+    gc.collect()
+    gc.freeze()  # what start-up made stays: the collector need not walk it again and again
+    log.info("%s listens at %s:%d", config.name, *config.listen_address)
+    return RunningLimiter(config, gateway, listener, discovery, peers, features)
+
+
+async def _open_peer_transport(
+    loop: asyncio.AbstractEventLoop, config: Config, gateway: Gateway
+) -> PeerTransport | None:
+    if config.peer_listen_address is None:
+        return None
+    peers = PeerTransport(
+        config.peer_addresses,
+        config.broadcast_address,
+        config.settings.quota_sources.peer_messages_per_s,
+        gateway.peer_message_received,
+        gateway.now_ms,
+    )
+    await loop.create_datagram_endpoint(lambda: peers, local_addr=config.peer_listen_address)
+    gateway.send_peer_message = peers.send
+    return peers
+
+
+async def _wait_for_first_list(gateway: Gateway) -> None:
+    """Wait for discovery: the cached list may be old, and is for when discovery is silent."""
+    try:
+        async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
+            await gateway.list_received.wait()
+    except TimeoutError:
+        log.warning("no list from discovery yet")
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -25,6 +25,7 @@
 from elderlock.fleet.agent import agent as agents
 from elderlock.interface import ServerState
 from elderlock.load.wire import Request
+from elderlock.net import startup
 from elderlock.net.config import ConfigError, load_config
 from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.gateway import Gateway
@@ -56,7 +57,7 @@
 COMMAND_WITHIN = 15.0  # s that an operator's command may take
 STATES = {ServerState.RUNNING: "running", ServerState.DRAINING: "draining", ServerState.REMOVED: "gone"}
 FLOOR = "shells"
-CLASSES: list[tuple[Any, str]] = [(program, "Gateway"), (agents, "Agent")]  # watched while a run lasts
+CLASSES: list[tuple[Any, str]] = [(startup, "Gateway"), (agents, "Agent")]  # watched while a run lasts
 REAL_CLOCK = time.perf_counter  # bound before any run takes its place
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -59,6 +59,9 @@
     "elderlock.net.resp",
     "elderlock.net.server_connection",
     "elderlock.net.server_pool",
+    "elderlock.net.shutdown",
+    "elderlock.net.signals",
+    "elderlock.net.startup",
 }
 LIBRARIES = {"h11", "uvloop"}
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,10 +17,10 @@
 from test_program import ROOT, free_port, program, ready
 from test_servers import outcomes
 
-from elderlock.__main__ import drain_time_limit_s
 from elderlock.interface import Outcome
 from elderlock.net.client_connection import MAX_CONSECUTIVE_ERRORS, MAX_PENDING_ANSWERS, ClientConnection
 from elderlock.net.config import parse_config
+from elderlock.net.shutdown import drain_time_limit_s
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.clients import Client
