--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -1,4 +1,9 @@
-"""Translates the simulator's text wire to the interface and back, one `Limiter` for each instance."""
+"""Runs limiters in a simulator: `python -m elderlock.adapter`.
+
+Reads batches of events from standard input and writes the limiters' actions to standard output, one `Limiter` for each
+instance. A line of the simulator's wire is a message name and fields like `name=value`. All mapping between the wire's
+names and the interface's is here.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +12,7 @@
 import json
 import sys
 from collections.abc import Callable
+from math import isfinite
 from typing import TextIO, TypeVar
 
 from elderlock import interface as api
@@ -34,29 +40,44 @@
     "remembered": api.ListKind.CACHED,
     "refused": api.ListKind.REFUSED,
 }
+FLAGS_BY_DIGIT = {"0": False, "1": True}
+# Fields whose value is the rest of the line, spaces included, by message.
 FREE_TEXT_FIELDS = {"born": "facts"}
+EMPTY_DATA = "-"
+EXIT_OK = 0
+EXIT_BROKEN_PIPE = 1
+EXIT_BAD_INPUT = 2
 T = TypeVar("T")
 
 
 class WireError(Exception):
-    """The input does not follow the wire."""
+    """The input does not follow the wire's format; the text says which line and field."""
 
 
 class LineFields:
-    """The name=value pairs of one line, read with their types."""
+    """The fields of one line, read with their types. Fields that are not known are ignored.
+
+    Attributes:
+        message: The name of the line's message.
+    """
 
     def __init__(self, line: str) -> None:
+        """Split a line.
+
+        Raises:
+            WireError: A part of it is no field.
+        """
         self.message, _, rest = line.partition(" ")
         self._values: dict[str, str] = {}
         text_field = FREE_TEXT_FIELDS.get(self.message)
         if text_field is not None:
-            head, found, text = (" " + rest).partition(f" {text_field}=")
-            if found:
+            head, separator, text = (" " + rest).partition(f" {text_field}=")
+            if separator:
                 self._values[text_field] = text
             rest = head
         for part in rest.split():
-            name, found, value = part.partition("=")
-            if not found:
+            name, separator, value = part.partition("=")
+            if not separator:
                 raise WireError(f"{self.message}: {part!r} is not a name=value pair")
             self._values[name] = value
 
@@ -72,104 +93,155 @@
             raise WireError(f"{self.message}: field '{name}' is ill-typed: {value!r}") from None
 
     def text(self, name: str) -> str:
+        """Return a text field."""
         return self._typed(name, str, None)
 
     def integer(self, name: str, default: int | None = None) -> int:
+        """Return an integer field."""
         return self._typed(name, int, default)
 
     def number(self, name: str, default: float | None = None) -> float:
+        """Return a finite number's field."""
         return self._typed(name, parse_finite_number, default)
 
     def flag(self, name: str) -> bool:
-        return self._typed(name, lambda value: {"0": False, "1": True}[value], False)
+        """Return a flag's field, 0 or 1; False if it is missing."""
+        return self._typed(name, FLAGS_BY_DIGIT.__getitem__, False)
 
     def data(self, name: str) -> bytes:
-        return self._typed(name, lambda value: b"" if value == "-" else base64.b64decode(value, validate=True), None)
+        """Return a field of bytes in base64, or `-` for none."""
+        return self._typed(name, _decode_data, None)
 
     def choice(self, name: str, table: dict[str, T]) -> T:
-        return self._typed(name, lambda value: table[value], None)
+        """Return what a table has for a field."""
+        return self._typed(name, table.__getitem__, None)
 
     def outcome(self) -> api.Outcome:
+        """Return the outcome that the field `status` stands for."""
         return self._typed("status", lambda value: OUTCOMES_BY_STATUS[int(value)], None)
 
 
 def parse_finite_number(value: str) -> float:
+    """Parse a number.
+
+    Raises:
+        ValueError: It is none, or infinite.
+    """
     number = float(value)
-    if number != number or number in (float("inf"), float("-inf")):
+    if not isfinite(number):
         raise ValueError(value)
     return number
 
 
-def decode_server_entry(f: LineFields) -> api.ServerEntry:
+def _decode_data(value: str) -> bytes:
+    return b"" if value == EMPTY_DATA else base64.b64decode(value, validate=True)
+
+
+# Events
+
+
+def decode_server_entry(fields: LineFields) -> api.ServerEntry:
+    """Decode an `item` line of a list."""
     return api.ServerEntry(
-        server_id=f.text("server"),
-        zone=f.integer("hall"),
-        kind=f.integer("family-type"),
-        cell=f.integer("cluster"),
-        state=f.choice("stage-state", SERVER_STATES_BY_NAME),
-        weight=f.number("power-hint"),
-        started_at_ms=f.number("ready-at", 0.0),
+        server_id=fields.text("server"),
+        zone=fields.integer("hall"),
+        kind=fields.integer("family-type"),
+        cell=fields.integer("cluster"),
+        state=fields.choice("stage-state", SERVER_STATES_BY_NAME),
+        weight=fields.number("power-hint"),
+        started_at_ms=fields.number("ready-at", 0.0),
     )
 
 
-def decode_request(f: LineFields) -> api.RequestArrived:
+def decode_request(fields: LineFields) -> api.RequestArrived:
+    """Decode an `inbound` line."""
     return api.RequestArrived(
-        request_id=f.text("ref"),
-        class_index=f.integer("grade"),
-        plan_index=f.integer("plan"),
-        customer_id=f.text("caller"),
-        units=f.number("cost-units"),
-        deadline_ms=f.number("give-up-at"),
-        limiter_count=f.integer("width"),
-        first_limiter=f.integer("from-no"),
+        request_id=fields.text("ref"),
+        class_index=fields.integer("grade"),
+        plan_index=fields.integer("plan"),
+        customer_id=fields.text("caller"),
+        units=fields.number("cost-units"),
+        deadline_ms=fields.number("give-up-at"),
+        limiter_count=fields.integer("width"),
+        first_limiter=fields.integer("from-no"),
     )
 
 
-def decode_attempt_ended(f: LineFields) -> api.AttemptEnded:
+def decode_attempt_ended(fields: LineFields) -> api.AttemptEnded:
+    """Decode a `settled` line."""
     return api.AttemptEnded(
-        request_id=f.text("ref"),
-        attempt_index=f.integer("shot"),
-        server_id=f.text("server"),
-        outcome=f.outcome(),
-        duration_ms=f.number("spent"),
-        is_answered=f.flag("finished"),
-        meter=f.integer("seen-use", 0),
-        settled_units=f.number("charged", 0.0),
+        request_id=fields.text("ref"),
+        attempt_index=fields.integer("shot"),
+        server_id=fields.text("server"),
+        outcome=fields.outcome(),
+        duration_ms=fields.number("spent"),
+        is_answered=fields.flag("finished"),
+        meter=fields.integer("seen-use", 0),
+        settled_units=fields.number("charged", 0.0),
     )
 
 
 EVENT_DECODERS: dict[str, Callable[[LineFields], api.Event]] = {
     "inbound": decode_request,
     "settled": decode_attempt_ended,
-    "established": lambda f: api.StreamStarted(f.text("ref"), f.integer("shot"), f.text("server"), f.number("spent")),
-    "timed_out_client": lambda f: api.ClientDisconnected(f.text("ref")),
-    "check_result": lambda f: api.HealthCheckEnded(f.text("server"), f.outcome(), f.number("spent")),
-    "mail": lambda f: api.PeerMessage(f.integer("author"), f.data("payload")),
-    "count_result": lambda f: api.CounterAnswered(
-        f.integer("name"), f.outcome(), f.number("result-value", 0.0), f.number("spent", 0.0)
+    "established": lambda fields: api.StreamStarted(
+        fields.text("ref"), fields.integer("shot"), fields.text("server"), fields.number("spent")
+    ),
+    "timed_out_client": lambda fields: api.ClientDisconnected(fields.text("ref")),
+    "check_result": lambda fields: api.HealthCheckEnded(
+        fields.text("server"), fields.outcome(), fields.number("spent")
     ),
-    "due": lambda f: api.TimerFired(f.integer("tag")),
+    "mail": lambda fields: api.PeerMessage(fields.integer("author"), fields.data("payload")),
+    "count_result": lambda fields: api.CounterAnswered(
+        fields.integer("name"), fields.outcome(), fields.number("result-value", 0.0), fields.number("spent", 0.0)
+    ),
+    "due": lambda fields: api.TimerFired(fields.integer("tag")),
 }
 
 
+def decode_settings(fields: LineFields) -> api.Settings:
+    """Decode the settings of a `born` line.
+
+    Raises:
+        WireError: They are not JSON, or not settings.
+    """
+    facts = fields.text("facts")
+    try:
+        return read_settings(json.loads(facts))
+    except json.JSONDecodeError as error:
+        raise WireError(f"born: field 'facts' is not JSON: {error}") from None
+    except KeyError as error:
+        raise WireError(f"born: field 'facts': {error} is missing or not known") from None
+    except (TypeError, ValueError, AttributeError) as error:
+        raise WireError(f"born: field 'facts' is ill-typed: {error}") from None
+
+
+# Actions
+
+
 def encode_action(action: api.Action) -> str:
+    """Encode an action as a line.
+
+    Raises:
+        WireError: The simulator has no such action.
+    """
     match action:
-        case api.SendAttempt(request, server, timeout):
-            return f"send ref={request} server={server} patience={timeout:.3f}"
-        case api.Reject(request, retry_after):
-            return f"say_no ref={request} not-before-for={retry_after:.3f}"
-        case api.Fail(request):
-            return f"give_up ref={request}"
-        case api.CancelAttempt(request, attempt):
-            return f"recall ref={request} shot={attempt}"
+        case api.SendAttempt(request_id, server_id, timeout_ms):
+            return f"send ref={request_id} server={server_id} patience={timeout_ms:.3f}"
+        case api.Reject(request_id, retry_after_ms):
+            return f"say_no ref={request_id} not-before-for={retry_after_ms:.3f}"
+        case api.Fail(request_id):
+            return f"give_up ref={request_id}"
+        case api.CancelAttempt(request_id, attempt_index):
+            return f"recall ref={request_id} shot={attempt_index}"
         case api.SendPeerMessage(receiver, data):
-            return f"broadcast_to addressee={receiver} payload={base64.b64encode(data).decode() or '-'}"
+            return f"broadcast_to addressee={receiver} payload={base64.b64encode(data).decode() or EMPTY_DATA}"
         case api.Subscribe(active):
             return f"listen active={int(active)}"
         case api.FetchServerList():
             return "read_list"
-        case api.SetTimer(wait, token):
-            return f"defer wait={wait:.3f} tag={token}"
+        case api.SetTimer(delay_ms, token):
+            return f"defer wait={delay_ms:.3f} tag={token}"
         case api.Log(text):
             return f"journal_line msg={text}"
         case api.Permit() | api.AddToCounter():
@@ -177,70 +249,83 @@
 
 
 class Adapter:
-    """Feeds batches to the limiters and gathers their actions."""
+    """Passes batches of events to the limiters and collects their actions."""
 
     def __init__(self) -> None:
         self._limiters: dict[int, Limiter] = {}
         self._lists_by_slot: dict[int, tuple[api.ServerEntry, ...]] = {}
-        self._target: int | None = None
-        self._replies: list[tuple[int, str]] = []
+        self._instance: int | None = None  # whom the next events are for
+        self._actions: list[tuple[int, str]] = []  # instance and line
 
     def answer_batch(self, lines: list[str]) -> list[str]:
-        """Answers one batch, from its `mark` line to the line before `eof_batch`."""
+        """Answer one batch.
+
+        Args:
+            lines: From the batch's `mark` line to the line before `eof_batch`.
+
+        Returns:
+            The lines of the answer, the last of which says that the batch is done.
+
+        Raises:
+            WireError: A line does not follow the wire's format.
+        """
         mark = LineFields(lines[0])
         if mark.message != "mark":
             raise WireError(f"expected mark, got {mark.message!r}")
-        now, serial = mark.number("at-time"), mark.integer("serial")
-        self._target, self._replies = None, []
-        at = 1
-        while at < len(lines):
-            fields = LineFields(lines[at])
-            at += 1
+        now_ms = mark.number("at-time")
+        serial = mark.integer("serial")
+        self._instance = None
+        self._actions = []
+        index = 1
+        while index < len(lines):
+            fields = LineFields(lines[index])
+            index += 1
             if fields.message == "list":
-                slot, rows = fields.integer("slot"), fields.integer("rows")
-                items = [LineFields(line) for line in lines[at : at + rows]]
-                if len(items) != rows or any(i.message != "item" for i in items):
-                    raise WireError(f"list: field 'rows' says {rows}, that many item lines do not follow")
-                self._lists_by_slot[slot] = tuple(decode_server_entry(i) for i in items)
-                at += rows
+                index += self._read_list(fields, lines, index)
             elif fields.message == "target_instance":
-                self._target = fields.integer("limiter")
+                self._instance = fields.integer("limiter")
             else:
-                self._handle_event(fields, now)
-        reply, target = [], None
-        for instance, line in self._replies:
-            if instance != target:
-                reply.append(f"as limiter={instance}")
-                target = instance
-            reply.append(line)
-        return [*reply, f"done serial={serial}"]
-
-    def _handle_event(self, fields: LineFields, now: float) -> None:
-        if self._target is None:
+                self._handle_event(fields, now_ms)
+        return [*self._answer_lines(), f"done serial={serial}"]
+
+    def _read_list(self, fields: LineFields, lines: list[str], start: int) -> int:
+        """Read the item lines from `start` on that belong to a `list` line; return their number."""
+        slot = fields.integer("slot")
+        rows = fields.integer("rows")
+        items = [LineFields(line) for line in lines[start : start + rows]]
+        if len(items) != rows or any(item.message != "item" for item in items):
+            raise WireError(f"list: field 'rows' says {rows}, that many item lines do not follow")
+        self._lists_by_slot[slot] = tuple(decode_server_entry(item) for item in items)
+        return rows
+
+    def _answer_lines(self) -> list[str]:
+        """Return the collected actions, with a line before those of each instance."""
+        lines: list[str] = []
+        instance: int | None = None
+        for acting_instance, line in self._actions:
+            if acting_instance != instance:
+                lines.append(f"as limiter={acting_instance}")
+                instance = acting_instance
+            lines.append(line)
+        return lines
+
+    def _handle_event(self, fields: LineFields, now_ms: float) -> None:
+        if self._instance is None:
             raise WireError(f"{fields.message}: no target_instance before it")
         try:
-            self._deliver(self._target, fields, now)
+            self._deliver(self._instance, fields, now_ms)
         except WireError as error:
-            raise WireError(f"instance {self._target}: {error}") from None
+            raise WireError(f"instance {self._instance}: {error}") from None
 
-    def _deliver(self, target: int, fields: LineFields, now: float) -> None:
+    def _deliver(self, instance: int, fields: LineFields, now_ms: float) -> None:
         message = fields.message
         if message == "born":
-            seed, facts = fields.integer("seed"), fields.text("facts")
-            try:
-                settings = read_settings(json.loads(facts))
-            except json.JSONDecodeError as error:
-                raise WireError(f"born: field 'facts' is not JSON: {error}") from None
-            except KeyError as error:
-                raise WireError(f"born: field 'facts': {error} is missing or not known") from None
-            except (TypeError, ValueError, AttributeError) as error:
-                raise WireError(f"born: field 'facts' is ill-typed: {error}") from None
-            limiter = Limiter(settings, seed, now)
-            self._limiters[target] = limiter
-            self._queue_actions(target, limiter.start(now))
+            seed = fields.integer("seed")
+            limiter = self._limiters[instance] = Limiter(decode_settings(fields), seed, now_ms)
+            self._queue_actions(instance, limiter.start(now_ms))
             return
         if message == "power_off":
-            self._limiters.pop(target, None)
+            self._limiters.pop(instance, None)
             return
         if message == "endpoints":
             event: api.Event = self._decode_list(fields)
@@ -248,10 +333,10 @@
             event = EVENT_DECODERS[message](fields)
         else:
             raise WireError(f"message {message!r} is not known")
-        running = self._limiters.get(target)
+        running = self._limiters.get(instance)
         if running is None:
             raise WireError(f"{message}: the instance is not running")
-        self._queue_actions(target, running.handle(event, now))
+        self._queue_actions(instance, running.handle(event, now_ms))
 
     def _decode_list(self, fields: LineFields) -> api.ServerList:
         kind = fields.choice("form", LIST_KINDS_BY_NAME)
@@ -262,15 +347,20 @@
             raise WireError(f"endpoints: field 'slot' names list {slot}, which has not come")
         return api.ServerList(fields.integer("rev"), kind, self._lists_by_slot[slot])
 
-    def _queue_actions(self, target: int, actions: list[api.Action]) -> None:
-        self._replies.extend((target, encode_action(action)) for action in actions)
+    def _queue_actions(self, instance: int, actions: list[api.Action]) -> None:
+        self._actions.extend((instance, encode_action(action)) for action in actions)
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
+    """Answer batches until the input ends.
+
+    Raises:
+        WireError: The input does not follow the wire's format, or ends inside a batch.
+    """
     adapter = Adapter()
     batch: list[str] = []
-    for raw in source:
-        line = raw.rstrip("\r\n")
+    for raw_line in source:
+        line = raw_line.rstrip("\r\n")
         if line == "eof_batch":
             if not batch:
                 raise WireError("eof_batch: no batch has begun")
@@ -284,15 +374,16 @@
 
 
 def main() -> int:
+    """Run the adapter and return its exit code."""
     sys.stdin.reconfigure(encoding="utf-8", errors="strict")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, UnicodeDecodeError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     except BrokenPipeError:
-        return 1
-    return 0
+        return EXIT_BROKEN_PIPE
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/elderlock/logs.py
+++ b/elderlock/logs.py
@@ -1,5 +1,7 @@
-"""Structured log lines of the agent and the commands: an event and its facts, as text for people or JSON for a
-collector. The limiter that `run` starts knows nothing of this."""
+"""Structured log lines of the agents and commands: an event and its fields, as text for people or JSON for a collector.
+
+The limiter that `run` starts does not load this module.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +15,7 @@
 LOG_FORMATS: tuple[LogFormat, ...] = ("text", "json")
 
 
-# until a command says how: into the standard library's logging, for whoever embeds this or tests it
+# Until `configure` is called, lines go to the standard library's logging, for programs that embed this and for tests.
 structlog.configure(
     processors=[
         structlog.stdlib.filter_by_level,
@@ -25,8 +27,15 @@
 )
 
 
-def configure(form: LogFormat, level: int = logging.INFO) -> None:
-    """To standard error. What other rooms and libraries log the plain way comes out in the same form."""
+def configure(log_format: LogFormat, level: int = logging.INFO) -> None:
+    """Log to standard error from now on.
+
+    Lines that other modules and libraries log through the standard library come out in the same form.
+
+    Args:
+        log_format: Text or JSON.
+        level: The lowest level that is logged.
+    """
     shared: list[Any] = [
         structlog.contextvars.merge_contextvars,
         structlog.stdlib.add_log_level,
@@ -34,13 +43,14 @@
         structlog.processors.TimeStamper(fmt="iso", utc=True),
         structlog.processors.StackInfoRenderer(),
     ]
-    last: list[Any] = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), sort_keys=False)]
-    if form == "json":
-        last = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+    renderers: list[Any] = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), sort_keys=False)]
+    if log_format == "json":
+        renderers = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *last]
+            foreign_pre_chain=shared,
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *renderers],
         )
     )
     root = logging.getLogger()
@@ -59,5 +69,6 @@
 
 
 def get_logger(name: str) -> structlog.stdlib.BoundLogger:
+    """Return the logger of a module."""
     logger: structlog.stdlib.BoundLogger = structlog.stdlib.get_logger(name)
     return logger
--- a/elderlock/net/client_connection.py
+++ b/elderlock/net/client_connection.py
@@ -125,7 +125,7 @@
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from asyncio's
         self._listener.connection_opened(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """Give up what is still pending, as nobody waits for it any more."""
         self._listener.connection_closed(self)
         if self._linger_timer is not None:
@@ -142,7 +142,7 @@
         if self._linger_timer is None:
             self._linger_timer = self._listener.loop.call_later(LINGER_S, self.abort)
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer that all connections share."""
         return self._listener.receive_buffer
 
--- a/elderlock/net/peers.py
+++ b/elderlock/net/peers.py
@@ -63,7 +63,7 @@
         self._tokens -= 1.0
         self._on_message(sender, data)
 
-    def error_received(self, exc: Exception) -> None:
+    def error_received(self, _exc: Exception) -> None:
         """Ignore the ICMP errors of a peer that is down: the limiter notices its silence."""
 
     def send(self, receiver: int, data: bytes) -> None:
--- a/elderlock/net/server_connection.py
+++ b/elderlock/net/server_connection.py
@@ -170,7 +170,7 @@
         attempt.is_sent = True
         self._transport.write(attempt.encode(attempt.expires_at_ms - now_ms))
 
-    def get_buffer(self, sizehint: int) -> memoryview:
+    def get_buffer(self, _sizehint: int) -> memoryview:
         """Return the buffer that all connections share."""
         return self._context.receive_buffer
 
@@ -230,7 +230,7 @@
         if attempt is not None:
             attempt.end(Outcome.ERROR)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
         """End the attempt as reset: it may have run."""
         attempt = self._detach_attempt()
         if self.state is not ConnectionState.CONNECTING:  # until then the pool counts the task that connects
--- a/elderlock/spawning.py
+++ b/elderlock/spawning.py
@@ -1,4 +1,4 @@
-"""Child processes of a program that may hold what must not be collected in a forked copy of it."""
+"""Starts child processes of a program whose objects must not be collected in a forked copy of it."""
 
 from __future__ import annotations
 
@@ -6,24 +6,32 @@
 import gc
 from typing import Any
 
-_starting = 0
+# Children that are being started with the collector off.
+_starting_count = 0
 
 
-async def spawn(*command: str, **how: Any) -> asyncio.subprocess.Process:
-    """`asyncio.create_subprocess_exec`, with the collector off meanwhile. Raises `OSError`.
+async def spawn(*command: str, **options: Any) -> asyncio.subprocess.Process:
+    """Start a child process with Python's garbage collector off meanwhile.
 
-    uvloop forks and runs Python in the child before it turns to the new program. A collection there may meet a dead
-    gRPC channel, whose end waits for a thread that the child does not have: it span for good, and the parent, which
-    waits for the child within `uv_spawn`, stood still with it.
+    uvloop forks and runs Python in the child before it executes the new program. A collection there may meet a dead
+    gRPC channel, whose end waits for a thread that the child does not have: the child would spin for good, and the
+    parent, which waits for it within `uv_spawn`, would stand still.
+
+    Args:
+        command: The program and its arguments.
+        options: As of `asyncio.create_subprocess_exec`.
+
+    Raises:
+        OSError: The program cannot be started.
     """
-    global _starting
-    if _starting == 0 and not gc.isenabled():
-        return await asyncio.create_subprocess_exec(*command, **how)
-    _starting += 1
+    global _starting_count
+    if _starting_count == 0 and not gc.isenabled():
+        return await asyncio.create_subprocess_exec(*command, **options)
+    _starting_count += 1
     gc.disable()
     try:
-        return await asyncio.create_subprocess_exec(*command, **how)
+        return await asyncio.create_subprocess_exec(*command, **options)
     finally:
-        _starting -= 1
-        if _starting == 0:
+        _starting_count -= 1
+        if _starting_count == 0:
             gc.enable()
