--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,21 +1,63 @@
-"""The real limiter in a folder of its own, for tests of what its operators' file switches on."""
+"""The real limiter as a process, for tests."""
 
 import asyncio
 import json
 import os
 import random
+import socket
 import sys
 from pathlib import Path
+from typing import Any
+
+import hiredis
 
 from elderlock.control import messages as m
 from elderlock.control.caller import Caller
+from elderlock.interface import AttemptEnded, Event, Outcome
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
+from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.world import ROOT, free_address, own_host
 
 
+def free_port() -> int:
+    """Return a port of loopback that is free now."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
+        return port
+
+
+async def start_program(path: Path, raw: dict[str, Any]) -> asyncio.subprocess.Process:
+    """Write a configuration and start `python -m elderlock` with it."""
+    path.write_text(json.dumps(raw))
+    return await spawn(
+        sys.executable,
+        "-B",
+        "-m",
+        "elderlock",
+        cwd=ROOT,
+        env={**os.environ, "PROXY_CONFIG": str(path)},
+        stderr=asyncio.subprocess.PIPE,
+    )
+
+
+async def connect_when_ready(port: int, host: str = "127.0.0.1") -> Client:
+    """Connect to the program once it answers PING with PONG, as its load balancer checks."""
+    while True:
+        try:
+            client = await Client.connect(port, host)
+        except OSError:
+            await asyncio.sleep(0.01)
+            continue
+        client.send("PING")
+        if not isinstance(await client.answer(), hiredis.ReplyError):
+            return client
+        client.close()
+
+
 class Program:
     """`python -m elderlock` with an operators' file, in a folder of its own."""
 
@@ -74,3 +116,17 @@
     state = await caller.ask(m.Look(caller.next_id()), 10.0)
     assert isinstance(state, m.State)
     return state
+
+
+def record_outcomes(limiter: Limiter) -> list[Outcome]:
+    """Collect the outcomes that the limiter gets from now on."""
+    seen: list[Outcome] = []
+    handle = limiter.gateway._limiter.handle
+
+    def record(event: Event, now: float) -> list[object]:
+        if isinstance(event, AttemptEnded):
+            seen.append(event.outcome)
+        return handle(event, now)  # type: ignore[return-value]
+
+    limiter.gateway._limiter.handle = record  # type: ignore[method-assign,assignment]
+    return seen
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import hiredis
-from test_program import ready
+from programs import connect_when_ready
 
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import MISSING, Server, served
@@ -90,7 +90,7 @@
             self.readers.append(asyncio.get_running_loop().create_task(self._read(number)))
         for listen in self.listens:
             host, _, port = listen.rpartition(":")
-            self.clients.append(await ready(int(port), host))
+            self.clients.append(await connect_when_ready(int(port), host))
 
     async def _answer(self, command: list[bytes]) -> bytes:
         await self.release.wait()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -46,13 +46,13 @@
     assert reply.endswith("done serial=1\n")
 
 
-def test_an_outcome_comes_through() -> None:
+def test_outcome_is_decoded() -> None:
     settled = "settled ref=r-1 shot=0 server=s_a status=254 spent=2.5 usage=3"
     reply = play(BORN, LIST, "endpoints rev=1 slot=0 form=all", ASK, settled)
     assert reply.count("send ref=r-1") == 2
 
 
-def test_power_off_forgets_the_instance() -> None:
+def test_power_off_removes_the_instance() -> None:
     with pytest.raises(WireError, match="instance 3: due: the instance is not running"):
         play(BORN, "power_off", "due tag=1")
 
@@ -78,7 +78,7 @@
     assert message in str(caught.value)
 
 
-def test_malformed_input_ends_the_process_with_a_plain_line() -> None:
+def test_malformed_input_ends_the_process_with_one_line() -> None:
     done = subprocess.run(
         [sys.executable, "-B", "-m", "elderlock.adapter"],
         input="mark at-time=1 serial=1\ntarget_instance limiter=0\nodd x=1\neof_batch\n",
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,5 +1,7 @@
-"""Each path that ends something, in the very instant in which something is still owed: `docs/design/endings.md` lists
-them. The crossing is forced by the test's peer: by bytes placed before an end, or by an answer held back."""
+"""Ends of connections, attempts and the process while an answer is pending; see `docs/design/endings.md`.
+
+The crossing is forced by the test: by bytes placed before an end, or by an answer held back.
+"""
 
 import asyncio
 import contextlib
@@ -14,8 +16,7 @@
 
 import hiredis
 import pytest
-from test_program import ROOT, free_port, program, ready
-from test_servers import outcomes
+from programs import connect_when_ready, free_port, record_outcomes, start_program
 
 from elderlock.interface import Outcome
 from elderlock.net.client_connection import MAX_CONSECUTIVE_ERRORS, MAX_PENDING_ANSWERS, ClientConnection
@@ -28,11 +29,12 @@
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import CUSTOMER, raw_config, target, terms
 from elderlock.standins.waiting import run, until
+from elderlock.standins.world import ROOT
 
 LONG = b"v" * (1 << 16)
 
 
-def held(release: asyncio.Event) -> Callable[[list[bytes]], Awaitable[Answer]]:
+def answer_after(release: asyncio.Event) -> Callable[[list[bytes]], Awaitable[Answer]]:
     async def behave(command: list[bytes]) -> Answer:
         await release.wait()
         return served(command[2])
@@ -40,16 +42,16 @@
     return behave
 
 
-async def holding() -> tuple[asyncio.Event, Server, Limiter, Client]:
-    """A limiter whose one server answers once that is set, and a client of it."""
+async def limiter_with_held_answers() -> tuple[asyncio.Event, Server, Limiter, Client]:
+    """Return an event, a server that answers once it is set, a limiter of that server, and a client."""
     release = asyncio.Event()
-    server = await Server(held(release)).start()
+    server = await Server(answer_after(release)).start()
     limiter = await Limiter.start(server)
     return release, server, limiter, await limiter.client()
 
 
 async def slow_client(limiter: Limiter) -> Client:
-    """One that reads nothing but what it is asked for, over buffers that hold a small part of a long answer."""
+    """Connect a client that reads only on demand, over buffers that hold a small part of a long answer."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     sock.connect(("127.0.0.1", limiter.port))
@@ -64,19 +66,20 @@
 
 
 def connection_of(limiter: Limiter) -> ClientConnection:
+    """Return the limiter's first open connection."""
     return next(iter([*limiter.clients._used, *limiter.clients._unused]))
 
 
-# A client that goes
+# Disconnects of clients
 
 
-def test_a_client_that_sent_more_than_may_be_owed_is_seen_to_go() -> None:
+def test_disconnect_is_seen_behind_more_commands_than_may_be_pending() -> None:
     """Its connection is read on, else its end would wait behind what it sent."""
 
     async def test() -> None:
         server = await Server(answers(None)).start()
         limiter = await Limiter.start(server)
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         client.read("first")
         for _ in range(MAX_PENDING_ANSWERS):
@@ -92,9 +95,9 @@
     run(test())
 
 
-def test_what_waits_on_a_connection_is_answered_once_there_is_room() -> None:
+def test_commands_above_the_pending_limit_are_answered_once_there_is_capacity() -> None:
     async def test() -> None:
-        release, server, limiter, client = await holding()
+        release, server, limiter, client = await limiter_with_held_answers()
         client.read("first")
         for _ in range(2 * MAX_PENDING_ANSWERS):
             client.send("PING")
@@ -108,12 +111,12 @@
     run(test())
 
 
-def test_a_command_that_waits_on_its_connection_does_so_on_its_clients_time() -> None:
+def test_time_that_a_command_waits_on_its_connection_counts_on_its_clients_wait() -> None:
     """Patience runs from a command's last byte, also while there is no room to take it: a server is told what is left
     of it, and a command whose time is over by then is sent nowhere."""
 
     async def test() -> None:
-        release, server, limiter, client = await holding()
+        release, server, limiter, client = await limiter_with_held_answers()
         client.read("first")
         for _ in range(MAX_PENDING_ANSWERS):
             client.send("PING")
@@ -137,7 +140,7 @@
     run(test())
 
 
-def test_a_client_that_goes_with_its_answers_unread_ends_its_attempts() -> None:
+def test_disconnect_with_unread_answers_ends_the_clients_attempts() -> None:
     """What was written and not read keeps the connection; that its client is gone is told by its end alone."""
 
     async def test() -> None:
@@ -146,7 +149,7 @@
 
         server = await Server(behave).start()
         limiter = await Limiter.start(server)
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await slow_client(limiter)
         client.read("long")
         await until(lambda: len(server.commands) == 1 and limiter.gateway.open_request_count == 0)
@@ -162,7 +165,7 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_a_client_that_goes_while_a_connection_comes_up_is_not_sent_on(cancel: bool) -> None:
+def test_request_is_not_forwarded_if_its_client_disconnects_while_connecting(cancel: bool) -> None:
     """Also where the settings allow no attempt to be cancelled: this one has not begun."""
 
     async def test() -> None:
@@ -182,10 +185,10 @@
     run(test())
 
 
-def test_the_answer_to_a_client_that_has_gone_reaches_nobody() -> None:
+def test_answer_for_a_disconnected_client_reaches_no_other() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        server = await Server(held(release)).start()
+        server = await Server(answer_after(release)).start()
         limiter = await Limiter.start(server, **{"may-cancel": False})
         limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
@@ -203,10 +206,10 @@
     run(test())
 
 
-# A connection that we end
+# Connections that the limiter closes
 
 
-def test_a_request_that_crosses_the_shutdown_is_not_sent_on() -> None:
+def test_request_that_crosses_the_close_of_its_connection_is_not_forwarded() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -220,9 +223,9 @@
     run(test())
 
 
-def test_a_drain_waits_for_the_rest_of_a_command_that_has_begun() -> None:
+def test_drain_waits_for_the_rest_of_a_command_that_has_begun() -> None:
     async def test() -> None:
-        release, server, limiter, client = await holding()
+        release, server, limiter, client = await limiter_with_held_answers()
         whole: bytes = hiredis.pack_command(("API.READ", CUSTOMER, "half", terms()))  # type: ignore[arg-type]
         client.read("owed")
         client.writer.write(whole[:40])
@@ -238,7 +241,7 @@
     run(test())
 
 
-def test_an_eviction_takes_no_connection_whose_answer_has_not_left() -> None:
+def test_eviction_spares_connections_whose_answer_has_not_left() -> None:
     """Its client reads slowly: what is in our buffer is owed to it, though it has stood longest."""
 
     async def test() -> None:
@@ -262,7 +265,7 @@
     run(test())
 
 
-def test_mistakes_have_one_answer_each_and_then_an_end() -> None:
+def test_errors_have_one_answer_each_before_the_connection_closes() -> None:
     async def test() -> None:
         client = await (await Limiter.start(await Server().start())).client()
         for _ in range(MAX_CONSECUTIVE_ERRORS + 1):
@@ -274,10 +277,10 @@
     run(test())
 
 
-# The end of a process
+# Termination of the process
 
 
-def test_what_is_open_at_the_end_of_a_drain_is_failed_and_not_cut_off() -> None:
+def test_requests_open_at_the_end_of_a_drain_are_failed_with_an_answer() -> None:
     async def test() -> None:
         server = await Server(answers(None)).start()
         limiter = await Limiter.start(server)
@@ -292,14 +295,14 @@
     run(test())
 
 
-def test_the_end_is_bounded_by_the_settings_longest_deadline() -> None:
+def test_drain_time_is_limited_by_the_settings_longest_deadline() -> None:
     raw = raw_config()
     raw["settings"]["services"] = [{**c, "deadline": 500.0} for c in raw["settings"]["services"]]
     assert 0.5 < drain_time_limit_s(parse_config(raw)) < 1.1  # SIGKILL may come after 0.5 s and 0.7 s more
     assert 3.0 < drain_time_limit_s(parse_config(raw_config())) < 3.6  # 4 s, of which 3 are kept
 
 
-def test_a_process_that_is_told_to_end_answers_what_its_servers_never_will(tmp_path: Path) -> None:
+def test_terminated_process_answers_requests_that_its_servers_never_answer(tmp_path: Path) -> None:
     async def test() -> None:
         server = await Server(answers(None)).start()
         agent = await Discovery({"rev": 1, "all": True, "targets": [target("s", server.endpoint)]}).start()
@@ -307,8 +310,8 @@
         raw = raw_config(f"127.0.0.1:{port}", "%s:%d" % agent.address)
         for kind in raw["settings"]["services"]:
             kind.update({"deadline": 400.0, "goal-time": 20000.0})
-        process = await program(tmp_path / "config.json", raw)
-        client = await ready(port)
+        process = await start_program(tmp_path / "config.json", raw)
+        client = await connect_when_ready(port)
         client.read("owed", d=20000)
         await until(lambda: len(server.commands) == 1)
         process.send_signal(signal.SIGTERM)
@@ -323,7 +326,7 @@
 # Descriptors
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_neither_discovery_nor_servers_out(tmp_path: Path) -> None:
+def test_idle_clients_at_the_descriptor_limit_leave_descriptors_for_discovery_and_servers(tmp_path: Path) -> None:
     """Discovery is down at the start, and the process has no descriptor more than its configuration says."""
 
     async def test() -> None:
@@ -352,7 +355,7 @@
                 await asyncio.sleep(0)
             agent.muted = False
             agent.answer()
-            client = await ready(port)
+            client = await connect_when_ready(port)
             assert await client.ask("x") == b"value"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -362,7 +365,7 @@
     run(test())
 
 
-def test_a_burst_of_connections_never_takes_more_descriptors_than_its_share() -> None:
+def test_burst_of_connections_stays_within_the_clients_descriptor_limit() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         limiter.clients._max_connections = 8
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 import pytest
-from test_program import program, ready
+from programs import connect_when_ready, start_program
 
 from elderlock.standins.boxes import Server, served
 from elderlock.standins.clients import Client
@@ -84,10 +84,10 @@
             if self.peers:
                 raw.update(peers=self.addresses, peer_listen=self.addresses[number])
             self.processes.append(
-                await program(self.folder / f"{number}.json", {**raw, "settings": settings, "known": known})
+                await start_program(self.folder / f"{number}.json", {**raw, "settings": settings, "known": known})
             )
             host, _, port = self.listens[number].rpartition(":")
-            client = await ready(int(port), host)
+            client = await connect_when_ready(int(port), host)
             self.ready_after.append(time.monotonic() - began)
             return client
 
@@ -128,7 +128,9 @@
 
 
 @pytest.mark.alone
-def test_a_cold_server_and_a_restart_of_all_while_discovery_is_down(tmp_path: Path, record_property: Any) -> None:
+def test_warm_up_of_a_server_and_restart_of_all_limiters_while_discovery_is_down(
+    tmp_path: Path, record_property: Any
+) -> None:
     async def test(peers: bool) -> None:
         fleet = Fleet(tmp_path, peers)
         await fleet.open()
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The strict reader: whatever way the bytes are cut, the same is read or refused."""
+"""The strict RESP2 reader: the same is read or refused however the bytes are split."""
 
 import pytest
 from hypothesis import given
@@ -20,12 +20,12 @@
 
 
 @given(st.lists(st.integers(0, len(GOOD))).map(sorted))
-def test_commands_cut_anywhere(cuts: list[int]) -> None:
+def test_commands_split_anywhere_are_read(cuts: list[int]) -> None:
     assert commands(GOOD, cuts) == [[b"PING", b""], [b"a\r\n"]]
 
 
 @given(st.lists(st.integers(0, len(ANSWER))).map(sorted))
-def test_an_answer_cut_anywhere(cuts: list[int]) -> None:
+def test_answer_split_anywhere_is_read(cuts: list[int]) -> None:
     reader, got = AnswerReader(), []
     for start, end in zip([0, *cuts], [*cuts, len(ANSWER)], strict=True):
         reader.feed(ANSWER[start:end])
@@ -37,7 +37,7 @@
 
 
 @given(st.binary(max_size=40))
-def test_noise_is_refused_or_waited_for_but_never_raises_otherwise(data: bytes) -> None:
+def test_noise_is_refused_or_incomplete_but_never_raises_otherwise(data: bytes) -> None:
     for reader in (CommandReader(), AnswerReader()):
         try:
             reader.feed(data)
@@ -48,6 +48,6 @@
 
 
 @pytest.mark.parametrize("data", [b"*1\r\n$4\r\nPINGx", b"*1\r\n$4\r\nPING\rx", b"*1\r\n$70000\r\n", b"*17\r\n", b"P"])
-def test_a_wrong_length_is_told_before_more_is_taken_in(data: bytes) -> None:
+def test_wrong_length_is_refused_before_more_is_read(data: bytes) -> None:
     with pytest.raises(ProtocolError):
         commands(data, [])
--- a/tests/test_resp_plain.py
+++ b/tests/test_resp_fast_path.py
@@ -1,4 +1,4 @@
-"""The short way through a whole message and the long way, item by item, read the same."""
+"""The match of a complete message (fast path) and the reading item by item (slow path) give the same result."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -46,28 +46,28 @@
     return [*found, reader.pending_bytes()]
 
 
-class LongCommands(CommandReader):
+class SlowPathCommandReader(CommandReader):
     def _match_four_arguments(self) -> None:
         return None
 
 
-class LongAnswers(AnswerReader):
+class SlowPathAnswerReader(AnswerReader):
     def _match_usual_answer(self) -> None:
         return None
 
 
 @given(st.lists(commands(), min_size=1, max_size=3), st.integers(0, 80))
-def test_commands_read_the_same_either_way(parts: list[bytes], cut: int) -> None:
+def test_commands_are_read_alike_on_the_fast_and_the_slow_path(parts: list[bytes], cut: int) -> None:
     data = b"".join(parts)
-    assert read(CommandReader(), data, cut) == read(LongCommands(), data, cut)
+    assert read(CommandReader(), data, cut) == read(SlowPathCommandReader(), data, cut)
 
 
 @given(answers(), st.integers(0, 60))
-def test_answers_read_the_same_either_way(data: bytes, cut: int) -> None:
-    assert read(AnswerReader(), data, cut) == read(LongAnswers(), data, cut)
+def test_answers_are_read_alike_on_the_fast_and_the_slow_path(data: bytes, cut: int) -> None:
+    assert read(AnswerReader(), data, cut) == read(SlowPathAnswerReader(), data, cut)
 
 
-def test_usual_messages_take_the_short_way() -> None:
+def test_usual_messages_take_the_fast_path() -> None:
     command = b"*4\r\n$8\r\nAPI.READ\r\n$2\r\nab\r\n$1\r\nq\r\n$3\r\nd=1\r\n"
     assert resp.FOUR_ARGUMENT_COMMAND_PATTERN.match(command)
     reader = AnswerReader()
--- a/tests/test_servers.py
+++ b/tests/test_server_connections.py
@@ -5,8 +5,9 @@
 import socket
 
 import pytest
+from programs import record_outcomes
 
-from elderlock.interface import AttemptEnded, Event, Outcome, RequestArrived, ServerState
+from elderlock.interface import Event, Outcome, RequestArrived, ServerState
 from elderlock.net.clock import Clock
 from elderlock.net.config import parse_config
 from elderlock.net.endpoint_list import parse_endpoint_list
@@ -19,20 +20,6 @@
 from elderlock.standins.waiting import run, until
 
 
-def outcomes(limiter: Limiter) -> list[Outcome]:
-    """Collects the outcomes that the module is told."""
-    seen: list[Outcome] = []
-    handle = limiter.gateway._limiter.handle
-
-    def watched(event: Event, now: float) -> list[object]:
-        if isinstance(event, AttemptEnded):
-            seen.append(event.outcome)
-        return handle(event, now)  # type: ignore[return-value]
-
-    limiter.gateway._limiter.handle = watched  # type: ignore[method-assign,assignment]
-    return seen
-
-
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
@@ -61,10 +48,10 @@
         (served(b"one") + b"\x00", Outcome.OK),
     ],
 )
-def test_what_comes_back_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
+def test_each_answer_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(answer)).start())
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         got = await client.ask("x")
         assert seen[0] is outcome
@@ -74,7 +61,7 @@
     run(test())
 
 
-def test_a_broken_connection_is_a_reset_and_another_server_serves() -> None:
+def test_broken_connection_is_a_reset_and_another_server_serves() -> None:
     async def test() -> None:
         broken: list[Server] = []
 
@@ -87,7 +74,7 @@
 
         first, second = await Server(behave).start(), await Server(behave).start()
         limiter = await Limiter.start(first, second)
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         assert await client.ask("x") == b"again"
         assert seen == [Outcome.RESET, Outcome.OK]
@@ -95,12 +82,12 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran_and_does_not_reenter_the_module() -> None:
+def test_refused_connection_counts_as_not_run_and_does_not_reenter_the_limiter() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start()
         limiter.tell(target("s-0", "127.0.0.1:1"))
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         answer = await client.ask("x")
         assert str(answer).startswith("BUSY")  # a refusal: it is certain that nothing ran
@@ -111,7 +98,7 @@
     run(test())
 
 
-def test_connections_are_reused_the_latest_first() -> None:
+def test_most_recently_used_connection_is_reused_first() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -125,7 +112,7 @@
 
 
 @pytest.mark.parametrize("more", [b"*", b"noise\r\n", served(b"copy")])
-def test_a_connection_with_more_behind_its_answer_is_not_used_again(more: bytes) -> None:
+def test_connection_with_bytes_after_its_answer_is_not_reused(more: bytes) -> None:
     async def test() -> None:
         server = await Server(answers(served(b"one") + more, served(b"two"))).start()
         limiter = await Limiter.start(server)
@@ -137,7 +124,7 @@
     run(test())
 
 
-def test_what_comes_once_a_connection_is_idle_closes_it() -> None:
+def test_bytes_on_an_idle_connection_close_it() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -149,7 +136,7 @@
     run(test())
 
 
-def test_a_connection_is_not_used_again_at_once_so_that_a_copy_meets_no_request() -> None:
+def test_connection_is_not_reused_at_once_so_that_a_duplicate_answers_no_request() -> None:
     """The copy comes when the next request would have been on the connection already."""
 
     async def test() -> None:
@@ -168,7 +155,7 @@
     run(test())
 
 
-def test_a_dial_that_hangs_leaves_time_for_another_server() -> None:
+def test_connect_that_hangs_leaves_time_for_another_server() -> None:
     async def test() -> None:
         server = await Server().start()
         with socket.socket() as silent, contextlib.ExitStack() as waiting:
@@ -180,7 +167,7 @@
                 filler.connect_ex(silent.getsockname())
             limiter = await Limiter.start(**{"dial-timeout": 60000.0})
             limiter.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
-            seen = outcomes(limiter)
+            seen = record_outcomes(limiter)
             client = await limiter.client()
             client.read("x", d=3000)
             await until(lambda: limiter.gateway.server_pools.connection_count == 1)
@@ -191,27 +178,27 @@
     run(test())
 
 
-def test_a_new_server_at_a_known_address_inherits_nothing() -> None:
+def test_new_server_at_a_known_address_gets_new_connections() -> None:
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send()
-        await until(lambda: bare.ended == [Outcome.OK])
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send()
+        await until(lambda: pools.ended == [Outcome.OK])
         new = target("s-1", server.endpoint, boot_ms=1e12)
-        listed = parse_endpoint_list({"rev": 2, "all": False, "targets": [new]}, bare.settings)
-        gone = bare.servers.apply_list(listed)
+        listed = parse_endpoint_list({"rev": 2, "all": False, "targets": [new]}, pools.settings)
+        gone = pools.server_pools.apply_list(listed)
         assert [(entry.server_id, entry.state) for entry in gone] == [("s-0", ServerState.REMOVED)]
         await until(lambda: server.lost == 1)
-        bare.send()
-        assert bare.ended[-1] is Outcome.NOT_FORWARDED
+        pools.send()
+        assert pools.ended[-1] is Outcome.NOT_FORWARDED
         # told again under its old name, late: the younger one keeps the address
-        old = parse_endpoint_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, bare.settings)
-        assert [entry.server_id for entry in bare.servers.apply_list(old)] == ["s-0"]
+        old = parse_endpoint_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, pools.settings)
+        assert [entry.server_id for entry in pools.server_pools.apply_list(old)] == ["s-0"]
 
     run(test())
 
 
-def test_idle_connections_go_before_the_keepalive_ends_and_on_a_drain() -> None:
+def test_idle_connections_close_before_the_keepalive_ends_and_on_a_drain() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -228,7 +215,7 @@
     run(test())
 
 
-def test_nothing_goes_to_a_server_that_drains_and_a_restart_gets_new_connections() -> None:
+def test_draining_server_gets_no_request_and_a_restarted_one_gets_new_connections() -> None:
     async def test() -> None:
         first, second = await Server().start(), await Server().start()
         limiter = await Limiter.start(first, second)
@@ -246,62 +233,66 @@
     run(test())
 
 
-class Bare:
-    """The pools alone, so that a test can act between the start of a dial and its end."""
+class PoolsOnly:
+    """The pools without a gateway, so that a test can act between the start and the end of a connect."""
 
     def __init__(self) -> None:
         config = parse_config(raw_config())
         self.settings = config.socket_settings
         self.ended: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        self.servers = ServerPools(loop, self.settings, 1200.0, config.max_descriptors, Clock().now_ms, self._ended)
-        self.servers.reuse_delay_ms = 0.0
+        self.server_pools = ServerPools(
+            loop, self.settings, 1200.0, config.max_descriptors, Clock().now_ms, self._attempt_ended
+        )
+        self.server_pools.reuse_delay_ms = 0.0
 
-    def _ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
+    def _attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         self.ended.append(outcome)
 
-    def tell(self, *targets: dict[str, object]) -> None:
-        self.servers.apply_list(parse_endpoint_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings))
+    def apply(self, *targets: dict[str, object]) -> None:
+        self.server_pools.apply_list(
+            parse_endpoint_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings)
+        )
 
     def send(self, timeout: float = 60000.0) -> Attempt:
-        return self.servers.start_attempt("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
+        return self.server_pools.start_attempt("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
 
 
-def test_a_drain_heard_while_dialling_stops_the_send() -> None:
+def test_drain_listed_while_connecting_stops_the_send() -> None:
     """The module chose the server before the news; the rule counts from the news."""
 
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send()
-        bare.tell(target("s-0", server.endpoint, state="draining"))
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send()
+        pools.apply(target("s-0", server.endpoint, state="draining"))
         await until(lambda: server.lost == 1)  # dialled, and closed again
-        assert bare.ended == [Outcome.NOT_FORWARDED]
+        assert pools.ended == [Outcome.NOT_FORWARDED]
         assert server.commands == []
 
     run(test())
 
 
-def test_what_is_cancelled_or_out_of_time_while_dialling_is_never_written() -> None:
+def test_attempt_cancelled_or_timed_out_while_connecting_is_never_written() -> None:
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send().abandon(Outcome.CANCELLED)
-        bare.send(timeout=0.0).time_out()
-        assert bare.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send().abandon(Outcome.CANCELLED)
+        pools.send(timeout=0.0).time_out()
+        assert pools.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
         await until(lambda: server.accepted == 2)
-        bare.send()  # on one of the two, which were kept
-        await until(lambda: len(bare.ended) == 3)
-        assert (len(server.commands), bare.ended[-1]) == (1, Outcome.OK)
+        pools.send()  # on one of the two, which were kept
+        await until(lambda: len(pools.ended) == 3)
+        assert (len(server.commands), pools.ended[-1]) == (1, Outcome.OK)
 
     run(test())
 
 
-def test_a_dial_that_never_comes_up_is_given_up_and_counted_down() -> None:
+def test_connect_that_never_succeeds_is_abandoned_and_no_longer_counted() -> None:
     """A machine that vanished answers nothing: neither a connection nor a refusal."""
 
     async def test() -> None:
-        bare = Bare()
+        pools = PoolsOnly()
         with socket.socket() as silent, contextlib.ExitStack() as waiting:
             silent.bind(("127.0.0.1", 0))
             silent.listen(0)
@@ -309,32 +300,32 @@
                 filler = waiting.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(silent.getsockname())
-            bare.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
-            bare.send()
-            await until(lambda: bare.ended == [Outcome.CONNECT_FAILED])
-            assert bare.servers.connection_count == 1  # the dial goes on till the settings' time-out
-            await until(lambda: bare.servers.connection_count == 0)
+            pools.apply(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
+            pools.send()
+            await until(lambda: pools.ended == [Outcome.CONNECT_FAILED])
+            assert pools.server_pools.connection_count == 1  # the dial goes on till the settings' time-out
+            await until(lambda: pools.server_pools.connection_count == 0)
 
     run(test())
 
 
-def test_connections_are_bounded_and_an_idle_one_elsewhere_gives_way() -> None:
+def test_connections_are_limited_and_an_idle_one_of_another_server_is_closed() -> None:
     async def test() -> None:
-        server, other, bare = await Server(answers(None)).start(), await Server().start(), Bare()
-        bare.servers._max_connections, bare.servers._max_per_server = 3, 2
-        bare.tell(target("s-0", other.endpoint))
-        bare.send()
-        await until(lambda: bare.ended == [Outcome.OK])
-        bare.tell(target("s-0", server.endpoint))  # it moved: what was idle is closed
+        server, other, pools = await Server(answers(None)).start(), await Server().start(), PoolsOnly()
+        pools.server_pools._max_connections, pools.server_pools._max_per_server = 3, 2
+        pools.apply(target("s-0", other.endpoint))
+        pools.send()
+        await until(lambda: pools.ended == [Outcome.OK])
+        pools.apply(target("s-0", server.endpoint))  # it moved: what was idle is closed
         for _ in range(3):
-            bare.send()
-        assert bare.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
-        await until(lambda: len(server.commands) == 2 and bare.servers.connection_count == 2)
+            pools.send()
+        assert pools.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
+        await until(lambda: len(server.commands) == 2 and pools.server_pools.connection_count == 2)
 
     run(test())
 
 
-def test_a_request_is_answered_though_the_module_fails_on_it() -> None:
+def test_request_is_answered_although_the_limiter_raises_on_it() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         client = await limiter.client()
@@ -352,7 +343,7 @@
     run(test())
 
 
-def test_a_silent_server_is_given_up_in_time_and_late_answers_reach_nobody() -> None:
+def test_silent_server_is_abandoned_in_time_and_its_late_answer_is_dropped() -> None:
     async def test() -> None:
         server = await Server(answers(None)).start()
         limiter = await Limiter.start(server)
--- a/tests/test_spawning.py
+++ b/tests/test_spawning.py
@@ -12,8 +12,8 @@
 from elderlock.standins.waiting import run
 
 
-class Dead:
-    """Garbage that only the collector finds, and that writes down in which process it did."""
+class Garbage:
+    """Garbage that only the collector finds; its end is recorded with the id of the process that collected it."""
 
     def __init__(self, path: Path) -> None:
         self.path, self.me = path, self
@@ -24,35 +24,37 @@
         os.close(fd)
 
 
-_at: list[Path] = []  # where garbage is made before a fork, and allocated in the copy; empty outside this test
+_garbage_paths: list[
+    Path
+] = []  # where garbage is made before a fork, and allocated in the copy; empty outside this test
 
 
-def _before() -> None:
-    for path in _at:
-        Dead(path)
+def _before_fork() -> None:
+    for path in _garbage_paths:
+        Garbage(path)
 
 
-def _in_the_copy() -> None:
-    if _at:
+def _after_fork_in_child() -> None:
+    if _garbage_paths:
         [[] for _ in range(5000)]  # enough that the collector runs, if it may
 
 
-os.register_at_fork(before=_before, after_in_child=_in_the_copy)
+os.register_at_fork(before=_before_fork, after_in_child=_after_fork_in_child)
 
 
 @pytest.mark.parametrize("safe", [True, False])
-def test_nothing_is_collected_in_the_copy_that_becomes_the_child(tmp_path: Path, safe: bool) -> None:
+def test_nothing_is_garbage_collected_in_the_forked_child(tmp_path: Path, safe: bool) -> None:
     async def test() -> None:
         command = (sys.executable, "-S", "-c", "")
         child = await (spawn(*command) if safe else asyncio.create_subprocess_exec(*command))
         assert await child.wait() == 0
         assert gc.isenabled()
 
-    _at.append(tmp_path / "collected")
+    _garbage_paths.append(tmp_path / "collected")
     try:
         run(test(), within=60.0)
     finally:
-        _at.clear()
+        _garbage_paths.clear()
     gc.collect()
     where = set((tmp_path / "collected").read_text().split())
     # without the guard the copy collects it too: the test can fail
