--- a/elderlock/net/open_requests.py
+++ b/elderlock/net/open_requests.py
@@ -45,6 +45,7 @@
         attempts: All attempts so far, by their index.
         open_attempts: Number of attempts that have no outcome yet.
         arrived_at_ms: When it was accepted.
+        memory_bytes: Memory that it takes.
         is_answered: Whether it has its final answer, or its client has gone.
         authorisation: Set where the asker forwards the request itself.
         deadline_timer: Fails the request when its client's wait is nearly over.
@@ -57,15 +58,24 @@
         "command",
         "deadline_timer",
         "is_answered",
+        "memory_bytes",
         "open_attempts",
         "reply",
         "request_id",
     )
 
-    def __init__(self, request_id: str, command: Command, reply: Callable[[bytes], None], arrived_at_ms: float) -> None:
+    def __init__(
+        self,
+        request_id: str,
+        command: Command,
+        reply: Callable[[bytes], None],
+        arrived_at_ms: float,
+        memory_bytes: int,
+    ) -> None:
         self.request_id = request_id
         self.command = command
         self.reply = reply
+        self.memory_bytes = memory_bytes
         self.attempts: list[Attempt] = []
         self.open_attempts = 0
         self.arrived_at_ms = arrived_at_ms
@@ -110,14 +120,16 @@
 
     def add(self, command: Command, reply: Callable[[bytes], None], now_ms: float) -> PendingRequest | None:
         """Accept a request; return None if one more would exceed the limits."""
-        free_bytes = self.free_bytes - _memory_bytes_of(command)
+        # its command as it came, and once more on its way to a server
+        memory_bytes = REQUEST_OVERHEAD_BYTES + 2 * command.size_bytes
+        free_bytes = self.free_bytes - memory_bytes
         if len(self._requests) >= self.max_count or free_bytes < 0.0:
             return None
         self.free_bytes = free_bytes
         self._last_number += 1
         self.client_ids.add(command.client_request_id)
         request_id = f"r{self._last_number}"
-        request = self._requests[request_id] = PendingRequest(request_id, command, reply, now_ms)
+        request = self._requests[request_id] = PendingRequest(request_id, command, reply, now_ms, memory_bytes)
         return request
 
     def unanswered(self) -> list[PendingRequest]:
@@ -129,9 +141,4 @@
         if not request.is_answered or request.open_attempts != 0:
             return
         if self._requests.pop(request.request_id, None) is not None:
-            self.free_bytes += _memory_bytes_of(request.command)
-
-
-def _memory_bytes_of(command: Command) -> int:
-    """Return the memory that a request takes: its command as it came, and once more on its way to a server."""
-    return REQUEST_OVERHEAD_BYTES + 2 * command.size_bytes
+            self.free_bytes += request.memory_bytes
--- a/elderlock/net/server_connection.py
+++ b/elderlock/net/server_connection.py
@@ -195,11 +195,9 @@
             self.abort()
         else:
             self.pool.release(self)
-        if attempt is not None:
-            self._end_attempt(attempt, *answer)
-
-    def _end_attempt(self, attempt: Attempt, value: bytes | None, text: bytes) -> None:
-        """End an attempt with its answer: a value and a load report, or None and an error's text."""
+        if attempt is None:
+            return
+        value, text = answer  # the value and a load report, or None and an error's text
         if self._context.on_load_report is not None:
             self._context.on_load_report(attempt.server_id, text)
         if value is not None:
