--- a/elderlock/authz/questions.py
+++ b/elderlock/authz/questions.py
@@ -34,9 +34,11 @@
             self.undecided += 1
             entry.name = self._gateway.permit_requested(
                 command,
-                refused=lambda line: self._decided(id, refusal_of(line)),
-                permitted=lambda box, endpoint, life: self._decided(id, Verdict("permitted", 0.0, box, endpoint, life)),
-                over=lambda: self._permissions.over(id),
+                on_refused=lambda line: self._decided(id, refusal_of(line)),
+                on_permitted=lambda box, endpoint, life: self._decided(
+                    id, Verdict("permitted", 0.0, box, endpoint, life)
+                ),
+                on_ended=lambda: self._permissions.over(id),
             )
         return number
 
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -176,24 +176,26 @@
     def permit_requested(
         self,
         command: Command,
-        refused: Callable[[bytes], None],
-        permitted: Callable[[str, str, float], None],
-        over: Callable[[], None],
+        on_refused: Callable[[bytes], None],
+        on_permitted: Callable[[str, str, float], None],
+        on_ended: Callable[[], None],
     ) -> str | None:
-        """Accept a request that its asker forwards itself. Exactly one of `refused` and `permitted` is called.
+        """Accept a request that its asker forwards itself.
+
+        Exactly one of `on_refused` and `on_permitted` is called, once.
 
         Args:
             command: The request.
-            refused: Called with the final answer as RESP2 encodes it.
-            permitted: Called with the server, its address and how long (ms) the permit is valid.
-            over: Called when the permit has ended, by `permitted_request_ended` or by its deadline; its client's id
+            on_refused: Called with the final answer as RESP2 encodes it.
+            on_permitted: Called with the server, its address and how long (ms) the permit is valid.
+            on_ended: Called when the permit has ended, by `permitted_request_ended` or by its deadline; its client's id
                 stays open until then.
 
         Returns:
             The gateway's id of the request, for `client_disconnected` and `permitted_request_ended`; None if it is
             refused already.
         """
-        return self._accept(command, refused, Authorisation(permitted, over))
+        return self._accept(command, on_refused, Authorisation(on_permitted, on_ended))
 
     def permitted_request_ended(
         self, request_id: str, outcome: Outcome, duration_ms: float, load_report: bytes
