--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -11,7 +11,7 @@
 from elderlock import interface as api
 from elderlock.control import messages as m
 from elderlock.interface import Outcome
-from elderlock.net.config import ConfigError, address_of
+from elderlock.net.config import ConfigError, parse_address
 from elderlock.net.gateway import Gateway
 from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.quota.counter_call import CounterCall
@@ -55,7 +55,7 @@
         self._gateway = gateway
         self._settings = settings
         self._client = self._make_client(self._addresses())
-        gateway.tally = self._send
+        gateway.add_to_counter = self._send
         self._warn_of_small_slacks(coordinator)
 
     def _warn_of_small_slacks(self, coordinator: CountedCoordinator) -> None:
@@ -71,10 +71,10 @@
     def _addresses(self) -> list[tuple[str, int]]:
         try:
             if self._options.addresses:
-                return [address_of(text) for text in self._options.addresses]
+                return [parse_address(text) for text in self._options.addresses]
             if self._options.store != "tally":
                 raise ConfigError(f"[quota] store {self._options.store} needs addresses")
-            return [address_of(json.loads(self._config_path.read_text(encoding="utf-8"))["counter"])]
+            return [parse_address(json.loads(self._config_path.read_text(encoding="utf-8"))["counter"])]
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise ConfigError(f"[quota] has no counter's address to use: {error!r}") from None
 
@@ -95,7 +95,7 @@
         self._client.send([CounterCall(token, name, amount_units, lifetime_ms)])
 
     def _answered(self, token: int, total: float) -> None:
-        self._gateway.counted(api.CounterAnswered(token, Outcome.OK, total, 0.0))
+        self._gateway.counter_answered(api.CounterAnswered(token, Outcome.OK, total, 0.0))
 
     def _failed(self, token: int, may_have_added: bool, is_busy: bool) -> None:
         if is_busy:
@@ -104,10 +104,10 @@
             outcome = Outcome.RESET
         else:
             outcome = Outcome.CONNECT_FAILED
-        self._gateway.counted(api.CounterAnswered(token, outcome, 0.0, 0.0))
+        self._gateway.counter_answered(api.CounterAnswered(token, outcome, 0.0, 0.0))
 
     def _connection_lost(self) -> None:
-        self.book.connection_lost(self._gateway.now())
+        self.book.connection_lost(self._gateway.now_ms())
 
     def reload(self) -> None:
         """Follow the counter to the address that the configuration names now. A bad file changes nothing."""
@@ -122,7 +122,7 @@
     def status(self, max_leases: int) -> m.Counter:
         """Return the counter's state, with the leases of the `max_leases` customers that use most."""
         book = self.book
-        now_ms = self._gateway.now()
+        now_ms = self._gateway.now_ms()
         busiest = nlargest(max_leases, book.ledgers.values(), key=lambda ledger: ledger.own_use.rate_per_s(now_ms))
         return m.Counter(
             mode=book.mode.value,
--- a/tests/test_servers.py
+++ b/tests/test_server_connections.py
@@ -5,32 +5,21 @@
 import socket
 
 import pytest
-
-from elderlock.interface import AttemptEnded, Event, Outcome, RequestArrived, ServerState
-from elderlock.net.config import config_of
-from elderlock.net.gateway import MARGIN, Clock
-from elderlock.net.servers import Attempt, Servers
-from elderlock.net.targets import parse_list
+from programs import record_outcomes
+
+from elderlock.interface import Event, Outcome, RequestArrived, ServerState
+from elderlock.net.clock import Clock
+from elderlock.net.config import parse_config
+from elderlock.net.endpoint_list import parse_endpoint_list
+from elderlock.net.gateway import DEADLINE_MARGIN_MS
+from elderlock.net.server_connection import Attempt
+from elderlock.net.server_pool import ServerPools
 from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.parts import Limiter
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.waiting import run, until
 
 
-def outcomes(limiter: Limiter) -> list[Outcome]:
-    """Collects the outcomes that the module is told."""
-    seen: list[Outcome] = []
-    handle = limiter.gateway._limiter.handle
-
-    def watched(event: Event, now: float) -> list[object]:
-        if isinstance(event, AttemptEnded):
-            seen.append(event.outcome)
-        return handle(event, now)  # type: ignore[return-value]
-
-    limiter.gateway._limiter.handle = watched  # type: ignore[method-assign,assignment]
-    return seen
-
-
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
@@ -59,10 +48,10 @@
         (served(b"one") + b"\x00", Outcome.OK),
     ],
 )
-def test_what_comes_back_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
+def test_each_answer_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(answer)).start())
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         got = await client.ask("x")
         assert seen[0] is outcome
@@ -72,7 +61,7 @@
     run(test())
 
 
-def test_a_broken_connection_is_a_reset_and_another_server_serves() -> None:
+def test_broken_connection_is_a_reset_and_another_server_serves() -> None:
     async def test() -> None:
         broken: list[Server] = []
 
@@ -85,7 +74,7 @@
 
         first, second = await Server(behave).start(), await Server(behave).start()
         limiter = await Limiter.start(first, second)
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         assert await client.ask("x") == b"again"
         assert seen == [Outcome.RESET, Outcome.OK]
@@ -93,12 +82,12 @@
     run(test())
 
 
-def test_a_refused_connection_never_ran_and_does_not_reenter_the_module() -> None:
+def test_refused_connection_counts_as_not_run_and_does_not_reenter_the_limiter() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start()
         limiter.tell(target("s-0", "127.0.0.1:1"))
-        seen = outcomes(limiter)
+        seen = record_outcomes(limiter)
         client = await limiter.client()
         answer = await client.ask("x")
         assert str(answer).startswith("BUSY")  # a refusal: it is certain that nothing ran
@@ -109,11 +98,11 @@
     run(test())
 
 
-def test_connections_are_reused_the_latest_first() -> None:
+def test_most_recently_used_connection_is_reused_first() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         for number in range(20):
             assert await client.ask(f"x{number}") == b"value"
@@ -123,11 +112,11 @@
 
 
 @pytest.mark.parametrize("more", [b"*", b"noise\r\n", served(b"copy")])
-def test_a_connection_with_more_behind_its_answer_is_not_used_again(more: bytes) -> None:
+def test_connection_with_bytes_after_its_answer_is_not_reused(more: bytes) -> None:
     async def test() -> None:
         server = await Server(answers(served(b"one") + more, served(b"two"))).start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         assert [await client.ask("x"), await client.ask("y")] == [b"one", b"two"]
         assert server.accepted == 2
@@ -135,7 +124,7 @@
     run(test())
 
 
-def test_what_comes_once_a_connection_is_idle_closes_it() -> None:
+def test_bytes_on_an_idle_connection_close_it() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -147,7 +136,7 @@
     run(test())
 
 
-def test_a_connection_is_not_used_again_at_once_so_that_a_copy_meets_no_request() -> None:
+def test_connection_is_not_reused_at_once_so_that_a_duplicate_answers_no_request() -> None:
     """The copy comes when the next request would have been on the connection already."""
 
     async def test() -> None:
@@ -158,7 +147,7 @@
 
         server = await Server(behave).start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 1e6
+        limiter.gateway.server_pools.reuse_delay_ms = 1e6
         client = await limiter.client()
         assert await client.ask("a") == b"a"
         assert await client.ask("b") == b"b"
@@ -166,7 +155,7 @@
     run(test())
 
 
-def test_a_dial_that_hangs_leaves_time_for_another_server() -> None:
+def test_connect_that_hangs_leaves_time_for_another_server() -> None:
     async def test() -> None:
         server = await Server().start()
         with socket.socket() as silent, contextlib.ExitStack() as waiting:
@@ -178,10 +167,10 @@
                 filler.connect_ex(silent.getsockname())
             limiter = await Limiter.start(**{"dial-timeout": 60000.0})
             limiter.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
-            seen = outcomes(limiter)
+            seen = record_outcomes(limiter)
             client = await limiter.client()
             client.read("x", d=3000)
-            await until(lambda: limiter.gateway.servers.count == 1)
+            await until(lambda: limiter.gateway.server_pools.connection_count == 1)
             limiter.tell(target("s-1", server.endpoint), complete=False)
             assert await client.answer() == b"value"
             assert set(seen[:-1]) == {Outcome.CONNECT_FAILED} and seen[-1] is Outcome.OK
@@ -189,35 +178,35 @@
     run(test())
 
 
-def test_a_new_server_at_a_known_address_inherits_nothing() -> None:
+def test_new_server_at_a_known_address_gets_new_connections() -> None:
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send()
-        await until(lambda: bare.ended == [Outcome.OK])
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send()
+        await until(lambda: pools.ended == [Outcome.OK])
         new = target("s-1", server.endpoint, boot_ms=1e12)
-        listed = parse_list({"rev": 2, "all": False, "targets": [new]}, bare.settings)
-        gone = bare.servers.update(listed)
+        listed = parse_endpoint_list({"rev": 2, "all": False, "targets": [new]}, pools.settings)
+        gone = pools.server_pools.apply_list(listed)
         assert [(entry.server_id, entry.state) for entry in gone] == [("s-0", ServerState.REMOVED)]
         await until(lambda: server.lost == 1)
-        bare.send()
-        assert bare.ended[-1] is Outcome.NOT_FORWARDED
+        pools.send()
+        assert pools.ended[-1] is Outcome.NOT_FORWARDED
         # told again under its old name, late: the younger one keeps the address
-        old = parse_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, bare.settings)
-        assert [entry.server_id for entry in bare.servers.update(old)] == ["s-0"]
+        old = parse_endpoint_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, pools.settings)
+        assert [entry.server_id for entry in pools.server_pools.apply_list(old)] == ["s-0"]
 
     run(test())
 
 
-def test_idle_connections_go_before_the_keepalive_ends_and_on_a_drain() -> None:
+def test_idle_connections_close_before_the_keepalive_ends_and_on_a_drain() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         assert await client.ask("x") == b"value"
-        limiter.gateway.servers.idle_for = -1.0  # all that is idle is too old
-        limiter.gateway.servers.sweep()
+        limiter.gateway.server_pools.idle_limit_ms = -1.0  # all that is idle is too old
+        limiter.gateway.server_pools.close_expired()
         await until(lambda: server.lost == 1)
         assert await client.ask("y") == b"value"
         limiter.tell(target("s-0", server.endpoint, state="draining"), complete=False)
@@ -226,17 +215,17 @@
     run(test())
 
 
-def test_nothing_goes_to_a_server_that_drains_and_a_restart_gets_new_connections() -> None:
+def test_draining_server_gets_no_request_and_a_restarted_one_gets_new_connections() -> None:
     async def test() -> None:
         first, second = await Server().start(), await Server().start()
         limiter = await Limiter.start(first, second)
-        limiter.gateway.servers.settle = 0.0
+        limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         limiter.tell(target("s-0", first.endpoint, state="draining"), complete=False)
         for number in range(10):
             assert await client.ask(f"x{number}") == b"value"
         assert (len(first.commands), len(second.commands)) == (0, 10)
-        limiter.tell(target("s-1", second.endpoint, boot_ms=limiter.clock.now() - 60000.0), complete=False)
+        limiter.tell(target("s-1", second.endpoint, boot_ms=limiter.clock.now_ms() - 60000.0), complete=False)
         await until(lambda: second.lost == 1)
         assert await client.ask("y") == b"value"
         assert second.accepted == 2
@@ -244,62 +233,66 @@
     run(test())
 
 
-class Bare:
-    """The pools alone, so that a test can act between the start of a dial and its end."""
+class PoolsOnly:
+    """The pools without a gateway, so that a test can act between the start and the end of a connect."""
 
     def __init__(self) -> None:
-        config = config_of(raw_config())
+        config = parse_config(raw_config())
         self.settings = config.socket_settings
         self.ended: list[Outcome] = []
         loop = asyncio.get_running_loop()
-        self.servers = Servers(loop, self.settings, 1200.0, config.sockets, Clock().now, self._ended)
-        self.servers.settle = 0.0
+        self.server_pools = ServerPools(
+            loop, self.settings, 1200.0, config.max_descriptors, Clock().now_ms, self._attempt_ended
+        )
+        self.server_pools.reuse_delay_ms = 0.0
 
-    def _ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
+    def _attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         self.ended.append(outcome)
 
-    def tell(self, *targets: dict[str, object]) -> None:
-        self.servers.update(parse_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings))
+    def apply(self, *targets: dict[str, object]) -> None:
+        self.server_pools.apply_list(
+            parse_endpoint_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings)
+        )
 
     def send(self, timeout: float = 60000.0) -> Attempt:
-        return self.servers.send("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
+        return self.server_pools.start_attempt("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
 
 
-def test_a_drain_heard_while_dialling_stops_the_send() -> None:
+def test_drain_listed_while_connecting_stops_the_send() -> None:
     """The module chose the server before the news; the rule counts from the news."""
 
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send()
-        bare.tell(target("s-0", server.endpoint, state="draining"))
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send()
+        pools.apply(target("s-0", server.endpoint, state="draining"))
         await until(lambda: server.lost == 1)  # dialled, and closed again
-        assert bare.ended == [Outcome.NOT_FORWARDED]
+        assert pools.ended == [Outcome.NOT_FORWARDED]
         assert server.commands == []
 
     run(test())
 
 
-def test_what_is_cancelled_or_out_of_time_while_dialling_is_never_written() -> None:
+def test_attempt_cancelled_or_timed_out_while_connecting_is_never_written() -> None:
     async def test() -> None:
-        server, bare = await Server().start(), Bare()
-        bare.tell(target("s-0", server.endpoint))
-        bare.send().give_up(Outcome.CANCELLED)
-        bare.send(timeout=0.0).timed_out()
-        assert bare.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
+        server, pools = await Server().start(), PoolsOnly()
+        pools.apply(target("s-0", server.endpoint))
+        pools.send().abandon(Outcome.CANCELLED)
+        pools.send(timeout=0.0).time_out()
+        assert pools.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
         await until(lambda: server.accepted == 2)
-        bare.send()  # on one of the two, which were kept
-        await until(lambda: len(bare.ended) == 3)
-        assert (len(server.commands), bare.ended[-1]) == (1, Outcome.OK)
+        pools.send()  # on one of the two, which were kept
+        await until(lambda: len(pools.ended) == 3)
+        assert (len(server.commands), pools.ended[-1]) == (1, Outcome.OK)
 
     run(test())
 
 
-def test_a_dial_that_never_comes_up_is_given_up_and_counted_down() -> None:
+def test_connect_that_never_succeeds_is_abandoned_and_no_longer_counted() -> None:
     """A machine that vanished answers nothing: neither a connection nor a refusal."""
 
     async def test() -> None:
-        bare = Bare()
+        pools = PoolsOnly()
         with socket.socket() as silent, contextlib.ExitStack() as waiting:
             silent.bind(("127.0.0.1", 0))
             silent.listen(0)
@@ -307,32 +300,32 @@
                 filler = waiting.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(silent.getsockname())
-            bare.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
-            bare.send()
-            await until(lambda: bare.ended == [Outcome.CONNECT_FAILED])
-            assert bare.servers.count == 1  # the dial goes on till the settings' time-out
-            await until(lambda: bare.servers.count == 0)
+            pools.apply(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
+            pools.send()
+            await until(lambda: pools.ended == [Outcome.CONNECT_FAILED])
+            assert pools.server_pools.connection_count == 1  # the dial goes on till the settings' time-out
+            await until(lambda: pools.server_pools.connection_count == 0)
 
     run(test())
 
 
-def test_connections_are_bounded_and_an_idle_one_elsewhere_gives_way() -> None:
+def test_connections_are_limited_and_an_idle_one_of_another_server_is_closed() -> None:
     async def test() -> None:
-        server, other, bare = await Server(answers(None)).start(), await Server().start(), Bare()
-        bare.servers._most, bare.servers._most_each = 3, 2
-        bare.tell(target("s-0", other.endpoint))
-        bare.send()
-        await until(lambda: bare.ended == [Outcome.OK])
-        bare.tell(target("s-0", server.endpoint))  # it moved: what was idle is closed
+        server, other, pools = await Server(answers(None)).start(), await Server().start(), PoolsOnly()
+        pools.server_pools._max_connections, pools.server_pools._max_per_server = 3, 2
+        pools.apply(target("s-0", other.endpoint))
+        pools.send()
+        await until(lambda: pools.ended == [Outcome.OK])
+        pools.apply(target("s-0", server.endpoint))  # it moved: what was idle is closed
         for _ in range(3):
-            bare.send()
-        assert bare.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
-        await until(lambda: len(server.commands) == 2 and bare.servers.count == 2)
+            pools.send()
+        assert pools.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
+        await until(lambda: len(server.commands) == 2 and pools.server_pools.connection_count == 2)
 
     run(test())
 
 
-def test_a_request_is_answered_though_the_module_fails_on_it() -> None:
+def test_request_is_answered_although_the_limiter_raises_on_it() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         client = await limiter.client()
@@ -350,7 +343,7 @@
     run(test())
 
 
-def test_a_silent_server_is_given_up_in_time_and_late_answers_reach_nobody() -> None:
+def test_silent_server_is_abandoned_in_time_and_its_late_answer_is_dropped() -> None:
     async def test() -> None:
         server = await Server(answers(None)).start()
         limiter = await Limiter.start(server)
@@ -358,7 +351,7 @@
         answer = await client.ask("x", d=300)
         assert str(answer).startswith("ERR")  # it may have run, so no refusal
         waited = dict(pair.split(b"=") for pair in server.commands[0][3].split(b","))
-        assert int(waited[b"d"]) <= 300 - MARGIN  # the answer has its way back to go in time
+        assert int(waited[b"d"]) <= 300 - DEADLINE_MARGIN_MS  # the answer has its way back to go in time
         await until(lambda: server.lost == len(server.commands))
 
     run(test())
