--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -26,7 +26,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
-from elderlock.rollout.plans import Plan, Terms
+from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim import renewals
 from elderlock.sim.agreed import Holding, bounded
 from elderlock.sim.rollouts import BUILDS, Case, Played, play
@@ -37,7 +37,15 @@
 from elderlock.trial.standing import judged, standing
 
 AGENTS, LIMITERS, BOXES, SHARE = 5, 10, 6, 0.4
-TERMS = Terms(drain_within=2.0, start_within=8.0, settle=1.0, bake=2.0, bake_most=4.0, pause=0.1, patience=20.0)
+TERMS = RolloutPolicy(
+    drain_timeout_s=2.0,
+    start_timeout_s=8.0,
+    settle_time_s=1.0,
+    bake_time_s=2.0,
+    maximum_bake_time_s=4.0,
+    wave_pause_s=0.1,
+    patience_s=20.0,
+)
 OUT = "limiters out by our doing"
 REAL = [("good", ""), ("bad", "crashes_at_start"), ("bad", "refuses_all"), ("bad", "refuses_its_agent")]
 
@@ -202,7 +210,7 @@
     # in force by word alone it has no turn yet; a go-on of an older one would be refused, as it should be
     while (plan := (await operate.known(group, 1.0)).plan(id)) is None or plan.state != "halted":
         await asyncio.sleep(0.02)
-    turn = plan.turn
+    turn = plan.revision
     await operate.ask_any(group, lambda n: f.Steer(n, id, "go-on", turn), f.Steered, 5.0)
 
 
@@ -231,8 +239,8 @@
             await asyncio.sleep(0.05)
 
 
-def replace_terms(terms: Terms, **changes: Any) -> Terms:
-    return Terms(**{**{name: getattr(terms, name) for name in terms.__struct_fields__}, **changes})
+def replace_terms(terms: RolloutPolicy, **changes: Any) -> RolloutPolicy:
+    return RolloutPolicy(**{**{name: getattr(terms, name) for name in terms.__struct_fields__}, **changes})
 
 
 def cases(long: bool) -> list[tuple[Case, int]]:
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -263,7 +263,8 @@
         _out(newest.lines)
         for permit in newest.permits:
             reason = f": {permit.reason}" if permit.reason else ""
-            _out([f"permit for {permit.kind} {permit.target}, {permit.by}, generation {permit.generation}{reason}"])
+            about = f"{permit.requested_by}, generation {permit.generation}{reason}"
+            _out([f"permit for {permit.kind} {permit.target}, {about}"])
         _out(f"{each.agent} votes: {each.voting}; ledger {each.version}" for each in stood)
     _err(f"agent {name} does not say: {why(a)}" for name, a in gone.items())
     return Exit.DONE if not gone else Exit.PART if stood else Exit.NOTHING
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -118,7 +118,7 @@
     from elderlock.fleet import messages as f
     from elderlock.fleet.client import plan_commands as operate
     from elderlock.fleet.client.report import Exit
-    from elderlock.rollout.plans import Terms
+    from elderlock.rollout.plans import RolloutPolicy
 
     what = options.plan_command
     if what == "status":
@@ -130,7 +130,7 @@
             plan = now.plan(options.plan)
             if plan is None:
                 return _said(options, operate.Answer(Exit.NOTHING, None, [_none(now, options.plan)]))
-            id, turn = plan.id, plan.turn
+            id, turn = plan.id, plan.revision
         if getattr(options, "turn", None) is not None:
             turn = options.turn
         answer = await operate.ask_any(
@@ -138,12 +138,18 @@
         )
         return _said(options, answer)
     terms = (
-        Terms(
-            **{name.replace("-", "_"): getattr(options, name.replace("-", "_")) for name, _, _ in TIMES},
-            auto_back=options.auto_back,
+        RolloutPolicy(
+            drain_timeout_s=options.drain_within,
+            start_timeout_s=options.start_within,
+            settle_time_s=options.settle,
+            bake_time_s=options.bake,
+            maximum_bake_time_s=options.bake_most,
+            wave_pause_s=options.pause,
+            patience_s=options.patience,
+            automatic_rollback=options.auto_back,
         )
         if what != "drain"
-        else Terms(pause=0.0)
+        else RolloutPolicy(wave_pause_s=0.0)
     )
     dry = what != "start"
     if what == "drain":
@@ -229,5 +235,10 @@
         if options.plan_command in ("release", "drain"):
             _err([f"{what} was not begun"])
         else:
-            _err([f"{what}: {answer.plan.outcome()}" + (f" ({answer.plan.why})" if answer.plan.why else "")])
+            _err(
+                [
+                    f"{what}: {answer.plan.outcome()}"
+                    + (f" ({answer.plan.state_reason})" if answer.plan.state_reason else "")
+                ]
+            )
     return answer.exit
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -32,7 +32,7 @@
 from elderlock.fleet.plans.coordinator import Conductor
 from elderlock.fleet.supervision.managed_limiter import Charge
 from elderlock.fleet.supervision.versions import Versions
-from elderlock.rollout.budget import Inventory
+from elderlock.rollout.disruption_budget import Inventory
 
 PROGRESS_WITHIN = 0.4  # s that a limiter has to say how far it came
 LEARN_WITHIN = 2.0  # s after a start that the others are waited for, before limiters are started
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -9,8 +9,8 @@
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.group.membership import Membership
-from elderlock.rollout.budget import Inventory
-from elderlock.rollout.inventory import Known, inventory
+from elderlock.rollout.disruption_budget import Inventory
+from elderlock.rollout.inventory import KnownLimiter, build_inventory
 
 if TYPE_CHECKING:
     from elderlock.fleet.agent.agent import Agent
@@ -44,7 +44,7 @@
         """What this agent knows of the group, as the budget counts it."""
         states = [c.link.state for c in self._agent.charges.values() if c.link.standing == "answering" and c.link.state]
         here = self._floors.get(self._agent.name, "")
-        known = [Known(name, here, charge.why_out()) for name, charge in self._agent.charges.items()]
+        known = [KnownLimiter(name, here, charge.why_out()) for name, charge in self._agent.charges.items()]
         drained, unheard = self._agent.records.drained("limiter"), []
         for heard in self.membership.view(now_ms()):
             if heard.age_ms < 0:
@@ -52,9 +52,11 @@
             for brief in heard.limiters:
                 why = f"{brief.phase}, {brief.link}" if (brief.phase, brief.link) != ("running", "answering") else ""
                 why = why or ("" if heard.standing == "alive" else f"its agent {heard.agent} is {heard.standing}")
-                known.append(Known(brief.name, self._floors.get(heard.agent, ""), why))
-        known = [each._replace(why=each.why or "drained") if each.name in drained else each for each in known]
-        return inventory(states, known, unheard)
+                known.append(KnownLimiter(brief.name, self._floors.get(heard.agent, ""), why))
+        known = [
+            each._replace(out_reason=each.out_reason or "drained") if each.name in drained else each for each in known
+        ]
+        return build_inventory(states, known, unheard)
 
     def usable(self, names: Iterable[str]) -> set[str]:
         """Of these limiters those that are neither drained nor, as far as is known, silent: our own by their
@@ -72,7 +74,7 @@
 
     def floors(self) -> list[tuple[str, str]]:
         """All limiters that are known of, with their floors, in the order of their numbers."""
-        return [(item.name, item.floor) for item in self.inventory().limiters]
+        return [(item.name, item.zone) for item in self.inventory().limiters]
 
     def agent_floors(self) -> list[tuple[str, str]]:
         """All agents of the group's file, with their floors."""
--- a/elderlock/fleet/agent_store.py
+++ b/elderlock/fleet/agent_store.py
@@ -13,7 +13,7 @@
 
 from elderlock.control.records import Record
 from elderlock.fleet.messages import AuditLine
-from elderlock.rollout.register import Ballot
+from elderlock.rollout.caspaxos import Ballot
 
 SCHEMA_VERSION = 3
 BUSY_WITHIN = 0.2  # s that another's lock is waited for
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -17,7 +17,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import Seen, seen_of
 from elderlock.fleet.client.report import Account, Exit
-from elderlock.rollout.plans import Terms
+from elderlock.rollout.plans import RolloutPolicy
 
 SEE_WITHIN = 1.0  # s for each agent
 FRESH_WITHIN = 400.0  # ms that agents wait for their limiters, to show them
@@ -130,7 +130,9 @@
     planned: Callable[[list[str]], None],
 ) -> Result:
     """A drain of several steps is the group's to carry out: the tool begins it and looks on."""
-    make = operate_plans.begin(os.urandom(16).hex(), "drain", "", order.targets, steps, Terms(pause=0.0), order.reason)
+    make = operate_plans.begin(
+        os.urandom(16).hex(), "drain", "", order.targets, steps, RolloutPolicy(wave_pause_s=0.0), order.reason
+    )
     left = None if ends is None else max(0.0, ends - asyncio.get_running_loop().time())
     begun = await operate_plans.ask_any(group, make, f.Begun, left)
     if begun.plan is None or begun.exit is not Exit.DONE:
--- a/elderlock/fleet/client/plan_commands.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -13,7 +13,7 @@
 from elderlock.fleet.client.answers import Missing, Refusal, why
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
-from elderlock.rollout.plans import Plan, Terms, Unit
+from elderlock.rollout.plans import Plan, RolloutPolicy, Unit
 
 ANSWER_WITHIN = 6.0  # s that an agent has to ask the others and to have a majority agree
 AGAIN_EVERY = 0.25  # s between looks at a plan, and between tries
@@ -43,12 +43,13 @@
 
     def lines(self, plan: Plan) -> list[str]:
         """How it stands, for people: what is known, what is not, whose permits are out, what it waits for."""
-        said = f"{plan.title()} ({plan.id[:8]}) of {plan.by}: {plan.outcome()}"
+        said = f"{plan.title()} ({plan.id[:8]}) of {plan.requested_by}: {plan.outcome()}"
         if plan.state != "over":
-            said += f", {'the way back, ' if plan.aim == 'back' else ''}wave {plan.wave() + 1} of {plan.waves()}"
+            way = "the way back, " if plan.direction == "back" else ""
+            said += f", {way}wave {plan.current_wave() + 1} of {plan.wave_count()}"
         lines = [said + (f"; {plan.reason}" if plan.reason else "")]
-        if plan.why:
-            lines.append(f"  {'halted' if plan.state == 'halted' else 'last turn'}: {plan.why}")
+        if plan.state_reason:
+            lines.append(f"  {'halted' if plan.state == 'halted' else 'last turn'}: {plan.state_reason}")
         runs = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
         if plan.kind == "agents":
             runs = {
@@ -66,7 +67,7 @@
             leading = [answer for answer in self.answers.values() if plan.id in answer.leads]
             lines += [f"  {text}" for answer in leading for text in answer.waits]
             for id, turn, text in {halt for answer in self.answers.values() for halt in answer.halts}:
-                if id == plan.id and turn == plan.turn and plan.state == "running":
+                if id == plan.id and turn == plan.revision and plan.state == "running":
                     lines.append(f"  {text}: in force where it was heard of, a majority has not agreed on it yet")
         lines += [f"  agent {name} does not say: {text}" for name, text in sorted(self.missing.items())]
         return lines
@@ -74,19 +75,19 @@
 
 def _unit(plan: Plan, unit: Unit, run: f.Runs | None) -> str:
     if unit.stage == "waiting":
-        return "waits" if unit.aim == "to" else "waits to go back"
+        return "waits" if unit.direction == "to" else "waits to go back"
     if plan.kind == "drain":
-        words = {"out": "going", "trial": "coming back", "done": "out" if unit.aim == "to" else "back"}
+        words = {"out": "going", "trial": "coming back", "done": "out" if unit.direction == "to" else "back"}
         return words[unit.stage]
-    if unit.aim == "back" and unit.stage == "done" and not unit.generation:
+    if unit.direction == "back" and unit.stage == "done" and not unit.generation:
         return "never went"
     words = {"out": "out", "trial": "on trial", "done": "done"}
-    said = f"{words[unit.stage]}{', back' if unit.aim == 'back' else ''}"
+    said = f"{words[unit.stage]}{', back' if unit.direction == 'back' else ''}"
     if run is None:
         return f"{said}; what it runs is not known"
     said += f", runs {run.version or 'the version of the files'}"
     if run.said.stage and unit.stage != "done":
-        said += f" ({run.said.stage}{': ' + run.said.why if run.said.why else ''})"
+        said += f" ({run.said.stage}{': ' + run.said.reason if run.said.reason else ''})"
     if run.version != run.wanted and unit.stage != "out":
         said += f", and is to run {run.wanted or 'the version of the files'} from its next start on"
     return said
@@ -160,7 +161,7 @@
 
 def exit_of(plan: Plan) -> Exit:
     if plan.state == "over":
-        return Exit.DONE if plan.aim == "to" else Exit.NOTHING
+        return Exit.DONE if plan.direction == "to" else Exit.NOTHING
     return Exit.PART
 
 
@@ -170,7 +171,7 @@
     version: str,
     targets: Sequence[str],
     waves: Sequence[Sequence[str]],
-    terms: Terms,
+    terms: RolloutPolicy,
     reason: str,
     dry: bool = False,
 ) -> Callable[[int], f.Message]:
--- a/elderlock/fleet/client/report.py
+++ b/elderlock/fleet/client/report.py
@@ -12,7 +12,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing, Refusal, why
 from elderlock.fleet.drain_intents import words
-from elderlock.rollout.ledger import Permit
+from elderlock.rollout.permit_ledger import Permit
 
 
 class Exit(IntEnum):
--- a/elderlock/fleet/config.py
+++ b/elderlock/fleet/config.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from elderlock.control.files import read_toml
-from elderlock.rollout.budget import Budget
+from elderlock.rollout.disruption_budget import DisruptionBudget
 
 if TYPE_CHECKING:  # of the agent alone: commands that only read the group's file do not wait for it
     from elderlock.fleet.supervision.supervisor import Policy
@@ -127,7 +127,7 @@
 
     group: GroupPart = GroupPart()
     agent: tuple[MemberPart, ...] = ()
-    budget: Budget | None = None
+    budget: DisruptionBudget | None = None
 
     def voters(self) -> tuple[str, ...]:
         return tuple(member.name for member in self.agent[:MOST_VOTERS])
@@ -192,7 +192,7 @@
     if not file.agent:
         raise FileError(f"{path}: no [[agent]] is named")
     _names(path, "agent", [agent.name for agent in file.agent])
-    if file.budget is not None and (trouble := file.budget.trouble()):
+    if file.budget is not None and (trouble := file.budget.validation_error()):
         raise FileError(f"{path}: [budget]: {trouble}")
     for agent in file.agent:
         try:
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -21,10 +21,19 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.group.peer_link import Peer
-from elderlock.rollout import ledger as ledgers
-from elderlock.rollout.budget import Budget, Inventory, spent
-from elderlock.rollout.ledger import Ledger, LedgerError, Permit
-from elderlock.rollout.register import Acceptor, Ballot, Join, Phase, Round, Vote, joining, to_read
+from elderlock.rollout import permit_ledger as ledgers
+from elderlock.rollout.caspaxos import (
+    Acceptor,
+    Ballot,
+    JoinDecision,
+    Phase,
+    Round,
+    Vote,
+    decide_join,
+    recovery_read_count,
+)
+from elderlock.rollout.disruption_budget import DisruptionBudget, Inventory, budget_status_lines
+from elderlock.rollout.permit_ledger import Ledger, LedgerError, Permit, PermitRequest
 
 VOTE_WITHIN = 0.5  # s that one voter has to answer
 CHANGE_WITHIN = 2.0  # s that a change is tried for
@@ -71,7 +80,9 @@
 class Keeper:
     """Invariant: `ledger` is one that was chosen, and its version never goes back."""
 
-    def __init__(self, owner: Owner, budget: Budget, voters: Sequence[str], rng: random.Random, rank: int = 0) -> None:
+    def __init__(
+        self, owner: Owner, budget: DisruptionBudget, voters: Sequence[str], rng: random.Random, rank: int = 0
+    ) -> None:
         """`rank`: how many agents stand before this one. Raises `StoreError`."""
         self._rank = rank
         self._owner, self.budget, self.voters, self._rng = owner, budget, tuple(voters), rng
@@ -113,7 +124,7 @@
         if value == self._read_last:
             return
         try:
-            self.learn(ledgers.decode(value))
+            self.learn(ledgers.decode_ledger(value))
             self._read_last = value
         except LedgerError as error:
             log.error("another agent's ledger is not understood", error=str(error))
@@ -121,7 +132,7 @@
     def told(self) -> bytes:
         """The newest ledger that is known to be chosen, as others are told of it."""
         if self._told[0] is not self.ledger:
-            self._told = (self.ledger, ledgers.encode(self.ledger))
+            self._told = (self.ledger, ledgers.encode_ledger(self.ledger))
         return self._told[1] if self.ledger.version else b""
 
     def away(self) -> str:
@@ -133,11 +144,11 @@
         """Kept before it is told; one that cannot be kept is not given."""
         if not self.voting:
             return False, Vote(False, self._acceptor.promised)
-        trial = Acceptor(*self._acceptor.state())
+        trial = Acceptor(*self._acceptor.durable_state())
         vote = decide(trial)
         if vote.ok:
             try:
-                self._owner.store.keep_vote(*trial.state())
+                self._owner.store.keep_vote(*trial.durable_state())
             except StoreError as error:
                 log.error("a vote could not be kept", error=str(error))
                 return False, Vote(False, self._acceptor.promised)
@@ -185,7 +196,7 @@
             elif name in ways:
                 asked[loop.create_task(ways[name].ask(make, VOTE_WITHIN))] = name
             else:
-                round.away(name)
+                round.on_no_answer(name)
         pending = set(asked)
         try:
             while pending and round.phase is phase:
@@ -193,7 +204,7 @@
                 for task in done:
                     error = task.exception()
                     if isinstance(error, NotSentError | NoAnswerError):
-                        round.away(asked[task])
+                        round.on_no_answer(asked[task])
                     elif error is not None:
                         raise error
                     else:
@@ -204,7 +215,7 @@
 
     def _taken(self, round: Round, name: str, answer: f.FromAgent, take: Callable[[str, Vote], None]) -> None:
         if not isinstance(answer, f.Voted) or not answer.voting:
-            return round.away(name)
+            return round.on_no_answer(name)
         vote = Vote(answer.ok, Ballot(*answer.promised), Ballot(*answer.accepted), answer.value)
         if vote.ok:
             self._seen[name] = max(self._seen.get(name, Ballot()), vote.promised)
@@ -214,13 +225,13 @@
         round = Round(self._ballot(), voters, change, quorum)
         number, by = round.ballot
         prepare = lambda id: f.Prepare(id, number, by)  # noqa: E731
-        await self._answers(round, prepare, lambda: self.prepared(f.Prepare(0, number, by)), round.promise)
+        await self._answers(round, prepare, lambda: self.prepared(f.Prepare(0, number, by)), round.on_promise)
         if round.phase is Phase.ACCEPT:
             value = round.value
             accept = lambda id: f.Accept(id, number, by, value)  # noqa: E731
             own = lambda: self.accepted(f.Accept(0, number, by, value))  # noqa: E731
-            await self._answers(round, accept, own, round.acceptance)
-        self._number = max(self._number, round.greatest.number)
+            await self._answers(round, accept, own, round.on_acceptance)
+        self._number = max(self._number, round.greatest_ballot.number)
         return round
 
     async def change(self, change: Change, within: float = CHANGE_WITHIN) -> Made:
@@ -229,11 +240,11 @@
         declined: list[str] = []
 
         def changed(value: bytes) -> bytes | None:
-            made = change(ledgers.decode(value))
+            made = change(ledgers.decode_ledger(value))
             if isinstance(made, list):
                 declined[:] = made
                 return None
-            return ledgers.encode(made)
+            return ledgers.encode_ledger(made)
 
         async with self._turn:
             while True:
@@ -242,7 +253,7 @@
                     self._chosen(round.value)
                     return Made(True, self.ledger)
                 if round.phase is Phase.DECLINED:
-                    read = ledgers.decode(round.value)
+                    read = ledgers.decode_ledger(round.value)
                     if read.version > self.ledger.version:
                         # accepted, perhaps by a proposer that heard too few answers or died, and known to be chosen by
                         # nobody: a plan turned by it would stand still for good, as all who saw it would say that it is
@@ -256,7 +267,7 @@
                 await asyncio.sleep(self._rng.uniform(*AGAIN))
 
     def _chosen(self, value: bytes) -> None:
-        self.learn(ledgers.decode(value))
+        self.learn(ledgers.decode_ledger(value))
         for peer in self._owner.peers:
             peer.kick()
 
@@ -273,17 +284,14 @@
         generation = max(asked.generation, self._owner.records.generation())
         name = self._owner.name
         try:
-            made = await self.change(
-                lambda ledger: ledgers.grant(
-                    ledger, asked.targets, self.budget, inventory, asked.origin, by, asked.reason, generation, now
-                )
-            )
+            request = PermitRequest(asked.targets, asked.origin, by, asked.reason, generation, now)
+            made = await self.change(lambda ledger: ledgers.grant_permits(ledger, request, self.budget, inventory))
         except LedgerError as error:
             return f.Granted(asked.id, name, "refused", (), (str(error),))
         if made.chosen:
-            return f.Granted(asked.id, name, "granted", made.ledger.of(asked.origin))
+            return f.Granted(asked.id, name, "granted", made.ledger.permits_of_origin(asked.origin))
         if made.reasons:
-            outcome = "away" if inventory.lacking(asked.targets) else "refused"
+            outcome = "away" if inventory.lacks_knowledge_of(asked.targets) else "refused"
             return f.Granted(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
         return f.Granted(asked.id, name, "away", (), (self.away(),))
 
@@ -291,14 +299,14 @@
         """Why a drain may not be made; empty where a permit that is in force, as far as is known here, allows it."""
         for permit in permits:
             if permit.key == key and permit.origin == origin and permit.generation == generation:
-                return "" if ledgers.stands(self.ledger, permit) else "its permit was taken back"
+                return "" if ledgers.is_permit_valid(self.ledger, permit) else "its permit was taken back"
         return "no permit: the group has a budget of what may be out (--force goes without)"
 
     def stood(self, asked: f.Standing) -> f.Stood:
         voting = "yes" if self.voting else self.why if self._owner.name in self.voters else "it is no voter"
         inventory = self._owner.inventory()
-        lines = spent(self.budget, inventory, self.ledger.held())
-        lines += [inventory.blind] if inventory.blind else []
+        lines = budget_status_lines(self.budget, inventory, self.ledger.permit_holders())
+        lines += [inventory.insufficient_reason] if inventory.insufficient_reason else []
         lines.append(f"voters: {', '.join(self.voters)}; {self.quorum} have to agree")
         return f.Stood(asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines))
 
@@ -317,11 +325,11 @@
         asks = [ways[name].ask(make, VOTE_WITHIN) for name in others if name in ways]
         answers = [each for each in await answers_of(asks) if isinstance(each, f.Recalled)]
         told = [(Ballot(*each.seen), each.empty) for each in answers]
-        do, self.why = joining(len(self.voters), self._remembers, self._acceptor.promised, told)
-        if do is not Join.READ:
-            return do is Join.VOTE
+        do, self.why = decide_join(len(self.voters), self._remembers, self._acceptor.promised, told)
+        if do is not JoinDecision.RECOVER:
+            return do is JoinDecision.VOTE
         # written back to those that it is read through, under a ballot that stops whatever is under way
-        round = await self._round(lambda value: value, others, to_read(len(self.voters)))
+        round = await self._round(lambda value: value, others, recovery_read_count(len(self.voters)))
         if round.phase is not Phase.CHOSEN:
             return False
         try:
@@ -350,7 +358,7 @@
         """One agent looks after a permit, the next one only where the first does not: else a large group would ask
         itself about each permit as often as it has agents."""
         now, apart = time.monotonic(), TEND_APART * self._rank
-        of_plans = tuple(f"{plan.id}/" for plan in self.ledger.under_way())
+        of_plans = tuple(f"{plan.id}/" for plan in self.ledger.active_plans())
         over: dict[Permit, Record] = {}
         for permit in self.ledger.permits:
             record = self._owner.records.get(*permit.key)
@@ -368,16 +376,18 @@
         if over:
             fenced = await self._fenced(list(over.values()))
             if fenced:
-                await self.change(lambda ledger: ledgers.give_back(ledger, fenced) or ["it is given back already"])
+                await self.change(
+                    lambda ledger: ledgers.release_fenced_permits(ledger, fenced) or ["it is given back already"]
+                )
 
     async def _take_back(self, permit: Permit) -> None:
         """Whoever asked for it died before it was used. A newer record that says undrained stops it for good, also
         where it is used this very moment."""
 
         def above(ledger: Ledger) -> Ledger | list[str]:
-            if ledger.get(permit.key) != permit:
+            if ledger.find_permit(permit.key) != permit:
                 return ["it was given back already"]
-            return ledgers.above(ledger, self._owner.records.generation())
+            return ledgers.with_new_generation(ledger, self._owner.records.generation())
 
         made = await self.change(above)
         if made.chosen:
@@ -391,7 +401,9 @@
                 time.time() * 1000.0,
                 "its permit was never used",
             )
-            self._owner.make(record, f"took back {permit.kind} {permit.target}: its permit of {permit.by} was not used")
+            self._owner.make(
+                record, f"took back {permit.kind} {permit.target}: its permit of {permit.requested_by} was not used"
+            )
             self._unused.pop(permit, None)
 
     async def _fenced(self, records: Sequence[Record]) -> dict[Key, int]:
--- a/elderlock/fleet/launcher/launcher.py
+++ b/elderlock/fleet/launcher/launcher.py
@@ -1,5 +1,5 @@
 """`elderlock base`: starts the agent on the version that it is to run, and falls back to the one before. It is small,
-no release changes it, and what it decides stands in `elderlock.rollout.basing`."""
+no release changes it, and what it decides stands in `elderlock.rollout.agent_launcher`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from elderlock.fleet.config import FileError, read_agent
 from elderlock.fleet.host import Host
 from elderlock.fleet.launcher.launcher_link import ENVIRON, Go, Ready, Settled, Started, word_of
-from elderlock.rollout.basing import Base, Do, Held
+from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
 from elderlock.spawning import spawn
 
 LONGEST = 1 << 16  # bytes of a word
@@ -41,23 +41,23 @@
             raise FileError(f"{home}: another base holds it") from None
         except OSError as error:
             raise FileError(f"{home}: {error.strerror}") from None
-        self.base = Base(self._read(), rng)
+        self.base = AgentLauncher(self._read(), rng)
         self._process: asyncio.subprocess.Process | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.over = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def _read(self) -> Held:
+    def _read(self) -> LauncherState:
         try:
-            return msgspec.json.decode(self._kept.read_bytes(), type=Held)
+            return msgspec.json.decode(self._kept.read_bytes(), type=LauncherState)
         except FileNotFoundError:
-            return Held()
+            return LauncherState()
         except (OSError, msgspec.DecodeError) as error:
             # written whole or not at all: a file that cannot be read is a disk's fault, and the own version always runs
             log.error("what ran before is not known, the base's own version runs", agent=self.name, error=str(error))
-            return Held()
+            return LauncherState()
 
-    def _keep(self, held: Held) -> bool:
+    def _keep(self, held: LauncherState) -> bool:
         try:
             self._host.write_private(self._kept, msgspec.json.encode(held))
         except OSError as error:
@@ -77,7 +77,7 @@
     def start(self) -> None:
         self._do(self.base.begin(self._now()))
 
-    def _do(self, do: Do | None) -> None:
+    def _do(self, do: LauncherAction | None) -> None:
         if do == "start":
             self._task(self._run())
         elif do is not None and self._process is not None and self._process.returncode is None:
@@ -86,19 +86,19 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self.base.due is not None:
-            wait = max(0.0, self.base.due - self._now()) / 1000.0
+        if self.base.due_ms is not None:
+            wait = max(0.0, self.base.due_ms - self._now()) / 1000.0
             self._timer = asyncio.get_running_loop().call_later(wait, self._due)
-        if self.base.ended:
+        if self.base.has_ended:
             self.over.set()
 
     def _due(self) -> None:
-        self._do(self.base.step(self._now()))
+        self._do(self.base.on_timer(self._now()))
 
     async def _run(self) -> None:
-        held = self.base.held
-        command = (*(held.which.command or self._own), str(self._path))
-        environ = {**os.environ, ENVIRON: msgspec.json.encode(Started(held, self.base.starts)).decode()}
+        held = self.base.state
+        command = (*(held.current.command or self._own), str(self._path))
+        environ = {**os.environ, ENVIRON: msgspec.json.encode(Started(held, self.base.start_count)).decode()}
         how = ""
         try:
             self._process = await spawn(
@@ -107,16 +107,16 @@
         except OSError as error:
             how = f"no start: {error}"
         if self._process is not None and not how:
-            version = held.which.version or "its own"
-            log.info("agent started", agent=self.name, pid=self._process.pid, version=version, trial=held.trial)
+            version = held.current.version or "its own"
+            log.info("agent started", agent=self.name, pid=self._process.pid, version=version, trial=held.is_on_trial)
             await self._hear(self._process)
             code = await self._process.wait()
             how = f"signal {-code}" if code < 0 else f"code {code}"
         self._process = None
         log.info("agent ended", agent=self.name, how=how)
-        kept, do = self.base.exited(how, self._now())
+        kept, do = self.base.on_exit(how, self._now())
         if kept is not None:
-            log.warning("falls back to the version before", agent=self.name, why=kept.why)
+            log.warning("falls back to the version before", agent=self.name, why=kept.failure_reason)
             self._keep(kept)
         self._do(do)
 
@@ -136,14 +136,14 @@
                 continue
             match word:
                 case Go(to):
-                    held = self.base.weigh(to)
+                    held = self.base.state_after_switch(to)
                     if held is not None and self._keep(held):  # durable before it counts
-                        self._do(self.base.take(held, self._now()))
+                        self._do(self.base.switch(held, self._now()))
                 case Ready():
-                    self.base.ready()
+                    self.base.on_ready()
                     self._do(None)
                 case Settled(generation):
-                    if (held := self.base.settled(generation)) is not None:
+                    if (held := self.base.on_settled(generation)) is not None:
                         self._keep(held)
 
     def stop(self) -> None:
--- a/elderlock/fleet/launcher/launcher_link.py
+++ b/elderlock/fleet/launcher/launcher_link.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from elderlock import logs
-from elderlock.rollout.basing import Held, To
+from elderlock.rollout.agent_launcher import LauncherState, SwitchRequest
 
 ENVIRON = "ELDERLOCK_BASE"
 
@@ -25,12 +25,12 @@
 class Started(msgspec.Struct, frozen=True):
     """What a base tells the agent that it starts."""
 
-    held: Held
+    held: LauncherState
     starts: int
 
 
 class Go(msgspec.Struct, tag="to", frozen=True):
-    to: To
+    to: SwitchRequest
 
 
 class Ready(msgspec.Struct, tag="ready", frozen=True):
@@ -79,7 +79,7 @@
         except OSError as error:
             log.error("the base does not hear", error=str(error))
 
-    def go(self, to: To) -> None:
+    def go(self, to: SwitchRequest) -> None:
         self._say(Go(to))
 
     def ready(self) -> None:
@@ -88,6 +88,6 @@
             self._say(Ready())
 
     def settled(self) -> None:
-        if self.held.trial:
+        if self.held.is_on_trial:
             self._say(Settled(self.held.generation))
-            self.held = msgspec.structs.replace(self.held, trial=False)
+            self.held = msgspec.structs.replace(self.held, is_on_trial=False)
--- a/elderlock/fleet/messages/consensus.py
+++ b/elderlock/fleet/messages/consensus.py
@@ -6,7 +6,7 @@
 
 from elderlock.control.records import Kind
 from elderlock.fleet.messages.base import Message
-from elderlock.rollout.ledger import Permit
+from elderlock.rollout.permit_ledger import Permit
 
 
 class Ask(Message, tag="ask"):
--- a/elderlock/fleet/messages/drains.py
+++ b/elderlock/fleet/messages/drains.py
@@ -9,7 +9,7 @@
 from elderlock.control.records import Kind, Record
 from elderlock.fleet.messages.base import Message
 from elderlock.fleet.messages.status import Phase
-from elderlock.rollout.ledger import Permit
+from elderlock.rollout.permit_ledger import Permit
 
 Reached = Literal["reached", "at-start", "unknown", "not-reached"]
 Decided = Literal["made", "joined", "stale", "refused"]
--- a/elderlock/fleet/messages/plans.py
+++ b/elderlock/fleet/messages/plans.py
@@ -8,9 +8,9 @@
 
 from elderlock.fleet.messages.base import Message
 from elderlock.fleet.messages.status import AgentBrief
-from elderlock.rollout.carrying import Said
-from elderlock.rollout.ledger import Permit
-from elderlock.rollout.plans import Plan, PlanKind, Terms
+from elderlock.rollout.permit_ledger import Permit
+from elderlock.rollout.plan_executor import ExecutionProgress
+from elderlock.rollout.plans import Plan, PlanKind, RolloutPolicy
 
 
 class Begin(Message, tag="begin"):
@@ -23,7 +23,7 @@
     version: str
     targets: tuple[str, ...]  # empty: all limiters
     waves: tuple[tuple[str, ...], ...]
-    terms: Terms
+    terms: RolloutPolicy
     reason: str
     dry: bool = False
 
@@ -71,7 +71,7 @@
     limiter: str
     version: str
     wanted: str
-    said: Said
+    said: ExecutionProgress
 
 
 class Planned(Message, tag="planned"):
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -9,8 +9,8 @@
 from elderlock.control.messages import State
 from elderlock.control.records import Record
 from elderlock.fleet.messages.base import Message
-from elderlock.rollout.carrying import Said
-from elderlock.rollout.verdict import Figures
+from elderlock.rollout.canary_analysis import AnswerMetrics
+from elderlock.rollout.plan_executor import ExecutionProgress
 
 Phase = Literal["stopped", "starting", "running", "stopping", "backing-off", "gave-up"]
 
@@ -42,8 +42,8 @@
     version: str = ""  # that its process runs; empty for the one in its agent's file
     serving: bool = False  # it answers, has its list and takes clients
     restarts: int = 0
-    figures: Figures = Figures()
-    said: Said = Said()  # of a release
+    figures: AnswerMetrics = AnswerMetrics()
+    said: ExecutionProgress = ExecutionProgress()  # of a release
 
 
 class AgentBrief(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     based: bool = False
     starts: int = 0
     serving: bool = False
-    said: Said = Said()
+    said: ExecutionProgress = ExecutionProgress()
 
 
 class Heard(msgspec.Struct):
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -10,23 +10,23 @@
 from elderlock.fleet.launcher.launcher_link import Basis
 from elderlock.fleet.supervision.managed_limiter import Charge
 from elderlock.fleet.supervision.versions import Versions
-from elderlock.rollout.basing import To, Which
-from elderlock.rollout.carrying import AgentAct, AgentLook, Said, carry_agent
-from elderlock.rollout.leading import Told
+from elderlock.rollout.agent_launcher import AgentVersion, SwitchRequest
+from elderlock.rollout.plan_executor import AgentAction, AgentObservation, ExecutionProgress, next_agent_action
 from elderlock.rollout.plans import Plan, Unit
+from elderlock.rollout.target_report import TargetReport
 
 
 class Renewal:
     def __init__(self, name: str, basis: Basis | None, versions: Versions, charges: Mapping[str, Charge]) -> None:
         self.name, self.basis = name, basis
         self._versions, self._charges = versions, charges
-        self._said = Said()
+        self._said = ExecutionProgress()
         self.heard_by_majority = False
         self._others: dict[str, tuple[float, f.AgentBrief]] = {}  # when each was heard last, and what it said
 
     @property
     def version(self) -> str:
-        return self.basis.held.which.version if self.basis is not None else ""
+        return self.basis.held.current.version if self.basis is not None else ""
 
     def up(self) -> None:
         """A majority answered: the group hears this version. The base needs no more to know that it started."""
@@ -55,38 +55,38 @@
         found[self.name] = 0.0, self.brief()
         return found
 
-    def told(self) -> dict[str, Told]:
+    def told(self) -> dict[str, TargetReport]:
         return {
-            name: Told(name, *brief.said, serving=brief.serving, restarts=brief.starts, age=age)
+            name: TargetReport(name, *brief.said, is_serving=brief.serving, restarts=brief.starts, age_ms=age)
             for name, (age, brief) in self.briefs().items()
         }
 
-    def see(self, plan: Plan, unit: Unit, halted: bool) -> tuple[AgentAct | None, bool]:
+    def see(self, plan: Plan, unit: Unit, halted: bool) -> tuple[AgentAction | None, bool]:
         """What is to be done, and whether what it says of itself has changed."""
         held = self.basis.held if self.basis is not None else None
         if held is None:
-            look = AgentLook("", 0, False, 0, "no base started it", self.heard_by_majority, self._serving())
+            look = AgentObservation("", 0, False, 0, "no base started it", self.heard_by_majority, self._serving())
         else:
-            look = AgentLook(
-                held.which.version,
+            look = AgentObservation(
+                held.current.version,
                 held.generation,
-                held.trial,
-                held.failed,
-                held.why,
+                held.is_on_trial,
+                held.failed_generation,
+                held.failure_reason,
                 self.heard_by_majority,
                 self._serving(),
             )
         before = self._said
-        self._said, act = carry_agent(plan, unit, look, halted)
+        self._said, act = next_agent_action(plan, unit, look, halted)
         return act, self._said != before
 
     def go(self, plan: Plan, unit: Unit) -> None:
         """Asks the base for the other version; this process is ended by it. Raises `FileError`."""
         if self.basis is None:
             raise FileError("no base started this agent")
-        version = plan.toward(unit)
-        which = Which(version, self._versions.agent(version, self.name))
-        self.basis.go(To(unit.generation, which, 1000.0 * plan.terms.start_within))
+        version = plan.target_version(unit)
+        which = AgentVersion(version, self._versions.agent(version, self.name))
+        self.basis.go(SwitchRequest(unit.generation, which, 1000.0 * plan.policy.start_timeout_s))
 
     def settle(self) -> None:
         if self.basis is not None:
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -26,12 +26,15 @@
 from elderlock.fleet.plans.agent_release import Renewal
 from elderlock.fleet.supervision.managed_limiter import Charge
 from elderlock.fleet.supervision.versions import Versions
-from elderlock.rollout import plans, steps
-from elderlock.rollout.budget import Inventory, reasons, spent
-from elderlock.rollout.carrying import Carrier
-from elderlock.rollout.leading import Leader, Move, Series, Told
-from elderlock.rollout.ledger import Ledger, LedgerError
+from elderlock.rollout import plan_steering, plans
+from elderlock.rollout import plan_transitions as steps
+from elderlock.rollout.disruption_budget import Inventory, budget_status_lines, refusal_reasons
+from elderlock.rollout.metrics_history import MetricsHistory
+from elderlock.rollout.permit_ledger import Ledger, LedgerError
+from elderlock.rollout.plan_executor import LimiterPlanExecutor
+from elderlock.rollout.plan_leader import LeaderAction, PlanLeader
 from elderlock.rollout.plans import Plan, Unit
+from elderlock.rollout.target_report import TargetReport
 
 LOOK_EVERY = 0.1  # s between looks at what is to be done here
 LEAD_EVERY = 0.2  # s between looks of a leader at its plan
@@ -85,14 +88,14 @@
         self._owner, self._keeper, self._rng = owner, keeper, rng
         order = list(order)
         self._rank = order.index(owner.name) if owner.name in order else len(order)
-        self._series = Series()
-        self._leaders: dict[tuple[str, int], Leader] = {}
+        self._series = MetricsHistory()
+        self._leaders: dict[tuple[str, int], PlanLeader] = {}
         self._beats: dict[str, tuple[tuple[int, int, int], float]] = {}  # what was last seen of a leader, and when
         self._beaten = 0.0
-        self._carriers = {name: Carrier() for name in owner.charges}
+        self._carriers = {name: LimiterPlanExecutor() for name in owner.charges}
         self._acting: set[str] = set()
         self.halts: dict[str, tuple[int, str]] = {}  # plan: turn, why
-        self._boxes: dict[str, Told] = {}
+        self._boxes: dict[str, TargetReport] = {}
         self._boxes_at = 0.0
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -132,13 +135,13 @@
 
     def halted(self, plan: Plan) -> bool:
         soft = self.halts.get(plan.id)
-        return plan.state != "running" or (soft is not None and soft[0] >= plan.turn)
+        return plan.state != "running" or (soft is not None and soft[0] >= plan.revision)
 
     def heard_halts(self, halts: Iterable[tuple[str, int, str]]) -> None:
         news = False
         for id, turn, why in halts:
-            plan = self._keeper.ledger.plan(id)
-            if plan is not None and plan.turn > turn:
+            plan = self._keeper.ledger.find_plan(id)
+            if plan is not None and plan.revision > turn:
                 continue  # the plan went on since, or holds it
             held = self.halts.get(id)
             if held is None or held[0] < turn:
@@ -150,8 +153,8 @@
         while len(self.halts) > MOST_HALTS:
             del self.halts[next(iter(self.halts))]
         for id, (turn, _) in list(self.halts.items()):
-            plan = self._keeper.ledger.plan(id)
-            if plan is not None and (plan.turn > turn or plan.state == "over"):
+            plan = self._keeper.ledger.find_plan(id)
+            if plan is not None and (plan.revision > turn or plan.state == "over"):
                 del self.halts[id]
         return tuple((id, turn, why) for id, (turn, why) in self.halts.items())
 
@@ -159,7 +162,7 @@
 
     async def begin(self, asked: f.Begin, by: str, now: float) -> f.Begun:
         name = self._owner.name
-        held = self._keeper.ledger.plan(asked.origin)
+        held = self._keeper.ledger.find_plan(asked.origin)
         if held is not None:
             return f.Begun(asked.id, name, "begun", held)
         inventory = self._owner.inventory()
@@ -167,32 +170,32 @@
         unheard: list[str] = []
         refused = await self._unfit(asked, inventory, unheard)
         if refused or unheard:
-            lacking = not refused or inventory.lacking([("box", box) for box in boxes])
+            lacking = not refused or inventory.lacks_knowledge_of([("box", box) for box in boxes])
             return f.Begun(asked.id, name, "away" if lacking else "refused", None, (*refused, *unheard))
         plan = self._drawn(asked, by, now)
         if asked.dry:
             return f.Begun(asked.id, name, "planned", plan, tuple(self._against(plan)), tuple(self._leaves(plan)))
 
         def change(ledger: Ledger) -> Ledger | list[str]:
-            made = steps.begin(ledger, plan)
+            made = steps.begin_plan(ledger, plan)
             # whoever begins it leads, so that nobody has to be waited for
-            return made if isinstance(made, list) or made is ledger else steps.lead(made, plan.id, name, 0)
+            return made if isinstance(made, list) or made is ledger else steps.take_lead(made, plan.id, name, 0)
 
         made = await self._keeper.change(change)
         if not made.chosen:
             outcome = "refused" if made.reasons else "away"
             return f.Begun(asked.id, name, outcome, None, made.reasons or (self._keeper.away(),))  # type: ignore[arg-type]
-        return f.Begun(asked.id, name, "begun", self._keeper.ledger.plan(plan.id))
+        return f.Begun(asked.id, name, "begun", self._keeper.ledger.find_plan(plan.id))
 
     async def _unfit(self, asked: f.Begin, inventory: Inventory, unheard: list[str]) -> list[str]:
         """Why it cannot be carried out, as far as is known here, before any budget is asked. Into `unheard` goes who
         does not say: another agent may hear them."""
-        if inventory.blind:
-            return [inventory.blind]
+        if inventory.insufficient_reason:
+            return [inventory.insufficient_reason]
         if asked.kind == "agents":
             known = {self._owner.name, *(peer.name for peer in self._owner.peers)}
         else:
-            known = {item.name for item in inventory.of("box" if asked.kind == "drain" else "limiter")}
+            known = {item.name for item in inventory.items_of_kind("box" if asked.kind == "drain" else "limiter")}
         targets = set(asked.targets) | {name for wave in asked.waves for name in wave}
         unknown = sorted(targets - known)
         if unknown:
@@ -226,11 +229,11 @@
     def _drawn(self, asked: f.Begin, by: str, now: float) -> Plan:
         if asked.kind == "drain":
             waves = asked.waves or tuple((target,) for target in asked.targets)
-            return plans.drain(asked.origin, waves, by, asked.reason, now, asked.terms)
+            return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.terms)
         if asked.kind == "agents":
             before = {name: brief.version for name, (_, brief) in self._owner.renewal.briefs().items()}
         else:
-            before = dict(self._keeper.ledger.versions)
+            before = dict(self._keeper.ledger.limiter_versions)
         if asked.waves:
             waves = asked.waves
         else:
@@ -239,9 +242,11 @@
             floors = [
                 each for each in everyone if (each[0] in asked.targets if asked.targets else each[0] not in stopped)
             ]
-            waves = tuple(tuple(wave) for wave in plans.waves_over_floors(floors))
+            waves = tuple(tuple(wave) for wave in plans.waves_over_zones(floors))
         kind: Literal["release", "agents"] = "agents" if asked.kind == "agents" else "release"
-        return plans.release(asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind)
+        return plans.new_release_plan(
+            asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind
+        )
 
     def _stopped(self) -> set[str]:
         own = {name for name, charge in self._owner.charges.items() if not charge.supervisor.wanted}
@@ -251,62 +256,66 @@
         """What the budget would say to each wave, were all before it done and nothing else out."""
         if plan.kind == "agents":
             return []
-        inventory, held = self._owner.inventory(), self._keeper.ledger.held()
-        kind, found = steps.kind_of(plan), []
-        for wave in range(plan.waves()):
+        inventory, held = self._owner.inventory(), self._keeper.ledger.permit_holders()
+        kind, found = steps.permit_kind(plan), []
+        for wave in range(plan.wave_count()):
             keys = [(kind, unit.target) for unit in plan.units if unit.wave == wave]
-            if refused := reasons(self._keeper.budget, inventory, held, keys[:1]):
+            if refused := refusal_reasons(self._keeper.budget, inventory, held, keys[:1]):
                 found.append(f"wave {wave + 1} cannot begin: {'; '.join(refused)}")
         return found
 
     def _leaves(self, plan: Plan) -> list[str]:
         if plan.kind == "agents":
-            waves = [[unit.target for unit in plan.units if unit.wave == wave] for wave in range(plan.waves())]
+            waves = [[unit.target for unit in plan.units if unit.wave == wave] for wave in range(plan.wave_count())]
             return [f"wave {n + 1}: {', '.join(names)} (one that votes at a time)" for n, names in enumerate(waves)]
-        inventory, held = self._owner.inventory(), dict(self._keeper.ledger.held())
-        kind, lines = steps.kind_of(plan), []
-        for wave in range(plan.waves()):
+        inventory, held = self._owner.inventory(), dict(self._keeper.ledger.permit_holders())
+        kind, lines = steps.permit_kind(plan), []
+        for wave in range(plan.wave_count()):
             names = [unit.target for unit in plan.units if unit.wave == wave]
             keys: list[Key] = [(kind, name) for name in names]
             at_once, taken = 0, dict(held)
             for key in keys:
-                if not reasons(self._keeper.budget, inventory, taken, [key]):
-                    taken[key] = plan.by
+                if not refusal_reasons(self._keeper.budget, inventory, taken, [key]):
+                    taken[key] = plan.requested_by
                     at_once += 1
             fewer = f" ({at_once} at once)" if at_once < len(names) else ""
             lines.append(f"wave {wave + 1}: {', '.join(names)}{fewer}")
             if plan.kind == "drain":
                 held = taken  # what is drained stays out
-        return lines + spent(self._keeper.budget, inventory, self._keeper.ledger.held())
+        return lines + budget_status_lines(self._keeper.budget, inventory, self._keeper.ledger.permit_holders())
 
     async def steer(self, asked: f.Steer, by: str) -> f.Steered:
         ledger, name = self._keeper.ledger, self._owner.name
         reason = f": {asked.reason}" if asked.reason else ""
         if asked.action in ("give-up", "take-in"):
             return await self._member(asked, by)
-        plan = ledger.plan(asked.plan)
+        plan = ledger.find_plan(asked.plan)
         if asked.action == "halt":
             if plan is None or plan.state == "running":
                 # in force here and, from the next word on, everywhere, whether or not a majority can be had; also of a
                 # plan that this agent has not learnt of yet, as its operator saw it elsewhere
-                turn = plan.turn if plan is not None else asked.turn
+                turn = plan.revision if plan is not None else asked.turn
                 self.heard_halts([(asked.plan, turn, f"halt of {by}{reason}")])
-            made = await self._keeper.change(lambda held: steps.halt(held, asked.plan, f"halt of {by}{reason}"))
+            made = await self._keeper.change(
+                lambda held: plan_steering.halt_plan(held, asked.plan, f"halt of {by}{reason}")
+            )
         elif asked.action == "go-on":
-            made = await self._keeper.change(lambda held: steps.go_on(held, asked.plan, asked.turn, by))
+            made = await self._keeper.change(lambda held: plan_steering.resume_plan(held, asked.plan, asked.turn, by))
         else:
-            made = await self._keeper.change(lambda held: steps.turn_back(held, asked.plan, f"back, said {by}{reason}"))
-        done = made.chosen or made.reasons == (steps.DONE_ALREADY,)
+            made = await self._keeper.change(
+                lambda held: plan_steering.roll_back_plan(held, asked.plan, f"back, said {by}{reason}")
+            )
+        done = made.chosen or made.reasons == (steps.ALREADY_DONE,)
         if not done:
             outcome = "refused" if made.reasons else "away"
             return f.Steered(asked.id, name, outcome, made.reasons or (self._keeper.away(),), plan)  # type: ignore[arg-type]
         self.told_halts()
-        return f.Steered(asked.id, name, "done", made.reasons, made.ledger.plan(asked.plan))
+        return f.Steered(asked.id, name, "done", made.reasons, made.ledger.find_plan(asked.plan))
 
     async def _member(self, asked: f.Steer, by: str) -> f.Steered:
         gone, name = asked.plan, self._owner.name
         if asked.action == "take-in":
-            made = await self._keeper.change(lambda held: steps.take_in(held, gone))
+            made = await self._keeper.change(lambda held: plan_steering.readmit_agent(held, gone))
         else:
             briefs = [(age, brief) for agent, age, brief in self._owner.heard_briefs() if agent == gone]
             if gone not in {peer.name for peer in self._owner.peers}:
@@ -315,20 +324,20 @@
             if any(0 <= age < 8000.0 for age, _ in briefs):
                 return f.Steered(asked.id, name, "refused", (f"agent {gone} was heard of just now: it is not gone",))
             keys: list[Key] = [("limiter", brief.name) for _, brief in briefs]
-            made = await self._keeper.change(lambda held: steps.give_up(held, gone, keys, by))
+            made = await self._keeper.change(lambda held: plan_steering.give_up_agent(held, gone, keys, by))
         outcome = "done" if made.chosen else "refused" if made.reasons else "away"
         said = made.reasons or (() if made.chosen else (self._keeper.away(),))
         return f.Steered(asked.id, name, outcome, said)  # type: ignore[arg-type]
 
     def planned(self, asked: f.Plans) -> f.Planned:
         ledger, name = self._keeper.ledger, self._owner.name
-        mine = [plan for plan in ledger.under_way() if plan.leader == name]
+        mine = [plan for plan in ledger.active_plans() if plan.leader == name]
         waits = [
-            f"waits for {'; '.join(leader.waits)}"
+            f"waits for {'; '.join(leader.waiting_for)}"
             for plan in mine
-            if (leader := self._leaders.get((plan.id, plan.term))) is not None and leader.waits
+            if (leader := self._leaders.get((plan.id, plan.term))) is not None and leader.waiting_for
         ]
-        wanted = dict(ledger.versions)
+        wanted = dict(ledger.limiter_versions)
         runs = tuple(
             f.Runs(each, charge.version(), wanted.get(each, ""), charge.said)
             for each, charge in self._owner.charges.items()
@@ -354,8 +363,8 @@
         """What was agreed on while this agent was away, or its store had lost, holds for the next start of each
         limiter. One that is out for a plan is set to its version by the plan's own step. Raises `StoreError`."""
         ledger = self._keeper.ledger
-        wanted = dict(ledger.versions)
-        out = {unit.target for plan in ledger.under_way() for unit in plan.units if unit.stage == "out"}
+        wanted = dict(ledger.limiter_versions)
+        out = {unit.target for plan in ledger.active_plans() for unit in plan.units if unit.stage == "out"}
         for name, charge in self._owner.charges.items():
             if wanted.get(name, "") != charge.wanted and name not in out:
                 charge.to_run(wanted.get(name, ""), max(ledger.generation, charge.generation + 1))
@@ -368,7 +377,7 @@
         if self._given_up:
             return
         for plan in ledger.plans:
-            if plan.kind == "agents" and (unit := plan.unit(self._owner.name)) is not None:
+            if plan.kind == "agents" and (unit := plan.find_unit(self._owner.name)) is not None:
                 # of plans of this kind that are over the last one alone still says something
                 if plan.state != "over" or plan is [each for each in ledger.plans if each.kind == "agents"][-1]:
                     self._see_itself(plan, unit)
@@ -389,10 +398,10 @@
         if unit.stage == "out":
             charge.link.kick()  # its word is asked for at once: the plan waits for it
         look = charge.look(record)
-        before = carrier.said
-        act = carrier.step(plan, unit, look, self._now(), self.halted(plan))
-        charge.said = carrier.said
-        if carrier.said != before:
+        before = carrier.progress
+        act = carrier.next_action(plan, unit, look, self._now(), self.halted(plan))
+        charge.said = carrier.progress
+        if carrier.progress != before:
             self._owner.tell(plan.leader)
         if act is not None:
             self._acting.add(unit.target)
@@ -414,7 +423,7 @@
     async def _go(self, plan: Plan, unit: Unit) -> None:
         try:
             if await self._confirmed(plan, unit) or (unit.stage == "done" and await self._passed(plan, unit)):
-                what = f"this agent goes to version {plan.toward(unit) or 'of its base'}"
+                what = f"this agent goes to version {plan.target_version(unit) or 'of its base'}"
                 self._owner.note(self._owner.name, "agent", what, plan.id[:8])
                 self._owner.renewal.go(plan, unit)
                 await asyncio.sleep(GO_AGAIN)
@@ -433,11 +442,11 @@
                 if act == "drain":
                     self._record(plan, unit, True)
                 else:
-                    charge.to_run(plan.toward(unit), unit.generation)
+                    charge.to_run(plan.target_version(unit), unit.generation)
                     restarts = charge.supervisor.restarts
                     charge.switch()
-                    carrier.switched(self._now(), restarts)
-                    what = f"{unit.target} goes to version {plan.toward(unit) or 'of the file'}"
+                    carrier.on_switched(self._now(), restarts)
+                    what = f"{unit.target} goes to version {plan.target_version(unit) or 'of the file'}"
                     self._owner.note(self._owner.name, "agent", what, plan.id[:8])
         except (StoreError, LedgerError) as error:
             log.error("a step is held up", agent=self._owner.name, limiter=unit.target, step=act, error=str(error))
@@ -446,7 +455,7 @@
             self._acting.discard(unit.target)
 
     def _record(self, plan: Plan, unit: Unit, drained: bool) -> None:
-        kind = steps.kind_of(plan)
+        kind = steps.permit_kind(plan)
         held = self._owner.records.get(kind, unit.target)
         if held is not None and held.generation >= unit.generation:
             return
@@ -456,8 +465,8 @@
             unit.target,
             drained,
             unit.generation,
-            plan.origin(unit),
-            plan.by,
+            plan.permit_origin(unit),
+            plan.requested_by,
             time.time() * 1000.0,
             f"{plan.kind} {plan.id[:8]}",
         )
@@ -468,8 +477,10 @@
         ledger = await self._keeper.read()
         if ledger is None or self._owner.name in dict(ledger.given_up):
             return False
-        now = ledger.plan(plan.id)
-        return now is not None and now.unit(unit.target) == unit and now.state == "running" and not self.halted(plan)
+        now = ledger.find_plan(plan.id)
+        return (
+            now is not None and now.find_unit(unit.target) == unit and now.state == "running" and not self.halted(plan)
+        )
 
     async def _passed(self, plan: Plan, unit: Unit) -> bool:
         """The same of a unit that is done, of the newest plan of its kind, which may be over."""
@@ -477,20 +488,22 @@
         if ledger is None or self._owner.name in dict(ledger.given_up):
             return False
         now = [each for each in ledger.plans if each.kind == plan.kind][-1:]
-        return bool(now) and now[0].id == plan.id and now[0].unit(unit.target) == unit and now[0].state != "halted"
+        return bool(now) and now[0].id == plan.id and now[0].find_unit(unit.target) == unit and now[0].state != "halted"
 
     # Leading
 
     async def _lead(self) -> None:
         now = self._now()
         for name, charge in self._owner.charges.items():
-            self._series.heard(name, charge.figures(), now)
+            self._series.record(name, charge.figures(), now)
         for _, _, brief in self._owner.heard_briefs():
-            self._series.heard(brief.name, brief.figures, now)
-        for plan in self._keeper.ledger.under_way():
+            self._series.record(brief.name, brief.figures, now)
+        for plan in self._keeper.ledger.active_plans():
             soft = self.halts.get(plan.id)
-            if soft is not None and soft[0] == plan.turn and plan.state == "running":
-                await self._keeper.change(partial(steps.halt, id=plan.id, why=soft[1], turn=soft[0]))
+            if soft is not None and soft[0] == plan.revision and plan.state == "running":
+                await self._keeper.change(
+                    partial(plan_steering.halt_plan, plan_id=plan.id, reason=soft[1], revision=soft[0])
+                )
                 continue
             if plan.state != "running" or self._given_up:
                 self._beats.pop(plan.id, None)
@@ -498,16 +511,18 @@
             if plan.leader == self._owner.name:
                 await self._led(plan)
                 continue
-            sign = (plan.term, plan.beat, plan.turn)
+            sign = (plan.term, plan.heartbeat, plan.revision)
             seen = self._beats.get(plan.id)
             if seen is None or seen[0] != sign:
                 self._beats[plan.id] = (sign, now)
             elif now - seen[1] > 1000.0 * (TAKE_OVER_AFTER + TAKE_OVER_APART * self._rank):
                 self._beats[plan.id] = (sign, now)
-                made = await self._keeper.change(partial(steps.lead, id=plan.id, who=self._owner.name, after=plan.term))
+                made = await self._keeper.change(
+                    partial(steps.take_lead, plan_id=plan.id, agent=self._owner.name, after_term=plan.term)
+                )
                 if made.chosen:
                     log.info("takes over a plan", agent=self._owner.name, plan=plan.id, leader=plan.leader)
-        alive = {(plan.id, plan.term) for plan in self._keeper.ledger.under_way()}
+        alive = {(plan.id, plan.term) for plan in self._keeper.ledger.active_plans()}
         self._leaders = {key: leader for key, leader in self._leaders.items() if key in alive}
 
     async def _led(self, plan: Plan) -> None:
@@ -515,62 +530,68 @@
         now, me = self._now(), self._owner.name
         leader = self._leaders.get((plan.id, plan.term))
         if leader is None:
-            leader = self._leaders[plan.id, plan.term] = Leader(now, self._series)
+            leader = self._leaders[plan.id, plan.term] = PlanLeader(now, self._series)
         if now - self._beaten > 1000.0 * BEAT_EVERY:
-            made = await self._keeper.change(lambda held: steps.beat(held, plan.id, me, plan.term))
+            made = await self._keeper.change(lambda held: steps.record_heartbeat(held, plan.id, me, plan.term))
             if not made.chosen:
                 return
             self._beaten = now
         for _ in range(MOST_AT_ONCE):
-            current = self._keeper.ledger.plan(plan.id)
+            current = self._keeper.ledger.find_plan(plan.id)
             if current is None or (current.leader, current.term) != (me, plan.term) or self.halted(current):
                 return
             told = await self._told(current)
-            move = leader.step(current, told, self._now())
+            move = leader.next_action(current, told, self._now())
             if move is None or not await self._moved(current, leader, move):
                 return
 
-    async def _moved(self, plan: Plan, leader: Leader, move: Move) -> bool:
+    async def _moved(self, plan: Plan, leader: PlanLeader, move: LeaderAction) -> bool:
         """Whether the ledger took it, so that there may be more to do."""
         change = self._change(plan, move)
         made: Made = await self._keeper.change(change)
-        if move.do == "send":
+        if move.kind == "send":
             if made.chosen:
-                leader.sent()
+                leader.on_sent()
             elif made.reasons:
-                leader.refused(made.reasons, len(move.targets), self._now())
+                leader.on_refused(made.reasons, len(move.targets), self._now())
                 return len(move.targets) > 1
-        if move.do == "halt" and made.chosen:
-            log.warning("a plan halts by itself", agent=self._owner.name, plan=plan.id, why=move.why)
-            self._owner.note(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.why[:400])
+        if move.kind == "halt" and made.chosen:
+            log.warning("a plan halts by itself", agent=self._owner.name, plan=plan.id, why=move.reason)
+            self._owner.note(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.reason[:400])
         return made.chosen
 
-    def _change(self, plan: Plan, move: Move) -> Callable[[Ledger], Ledger | list[str]]:
+    def _change(self, plan: Plan, move: LeaderAction) -> Callable[[Ledger], Ledger | list[str]]:
         id, me, term, generation = plan.id, self._owner.name, plan.term, self._owner.records.generation()
-        match move.do:
+        match move.kind:
             case "send":
                 if plan.kind == "agents":
                     voters, silent = self._keeper.voters, self._silent_agents()
-                    return lambda held: steps.send_agents(held, id, me, term, move.targets, voters, silent, generation)
+                    return lambda held: steps.transition_agents_waiting_to_out(
+                        held, id, me, term, move.targets, voters, silent, generation
+                    )
                 inventory, budget, at = self._owner.inventory(), self._keeper.budget, time.time() * 1000.0
-                return lambda held: steps.send(held, id, me, term, move.targets, budget, inventory, generation, at)
+                return lambda held: steps.transition_waiting_to_out(
+                    held, id, me, term, move.targets, budget, inventory, generation, at
+                )
             case "serve":
-                return lambda held: steps.serve_again(held, id, me, term, move.targets[0], generation)
+                return lambda held: steps.transition_to_trial(held, id, me, term, move.targets[0], generation)
             case "pass":
-                return lambda held: steps.pass_on(held, id, me, term, move.targets)
+                return lambda held: steps.transition_to_done(held, id, me, term, move.targets)
             case "close":
-                return lambda held: steps.close(held, id, me, term)
+                return lambda held: steps.finish_plan(held, id, me, term)
             case "halt":
-                return lambda held: steps.halt(held, id, move.why, plan.turn, plan.terms.auto_back)
+                return lambda held: plan_steering.halt_plan(
+                    held, id, move.reason, plan.revision, plan.policy.automatic_rollback
+                )
 
     # What a leader is told
 
-    async def _told(self, plan: Plan) -> Mapping[str, Told]:
+    async def _told(self, plan: Plan) -> Mapping[str, TargetReport]:
         if plan.kind == "drain":
             return await self._told_of_boxes(plan)
         if plan.kind == "agents":
             return self._owner.renewal.told()
-        told: dict[str, Told] = {}
+        told: dict[str, TargetReport] = {}
         for name, charge in self._owner.charges.items():
             age = self._now() - 1000.0 * charge.link.state_at if charge.link.state is not None else 0.0
             # our own word on it is fresh, whatever the limiter does
@@ -584,10 +605,10 @@
         names = [peer.name for peer in self._owner.peers]
         return [name for name in names if not 0.0 <= briefs.get(name, (-1.0, None))[0] < SILENT_AGENT]
 
-    def _of(self, plan: Plan, brief: f.LimiterBrief, age: float) -> Told:
+    def _of(self, plan: Plan, brief: f.LimiterBrief, age: float) -> TargetReport:
         record = self._owner.records.get("limiter", brief.name)
         others = record is not None and record.drained and not record.origin.startswith(f"{plan.id}/")
-        return Told(
+        return TargetReport(
             brief.name,
             *brief.said,
             brief.phase,
@@ -598,11 +619,11 @@
             age,
         )
 
-    async def _told_of_boxes(self, plan: Plan) -> Mapping[str, Told]:
+    async def _told_of_boxes(self, plan: Plan) -> Mapping[str, TargetReport]:
         now = self._now()
         mine = [unit for unit in plan.units if unit.stage in ("out", "trial")]
         if now - self._boxes_at < 1000.0 * BOXES_EVERY and all(
-            self._boxes.get(unit.target, Told("")).generation == unit.generation for unit in mine
+            self._boxes.get(unit.target, TargetReport("")).generation == unit.generation for unit in mine
         ):
             return self._boxes
         self._boxes_at, self._boxes = now, {}
@@ -631,5 +652,5 @@
                 left += sum(reach.out for reach in own)
             done = known and reached
             up = done and (unit.stage != "out" or left == 0)
-            self._boxes[unit.target] = Told(unit.target, unit.generation, "up" if up else "", serving=done)
+            self._boxes[unit.target] = TargetReport(unit.target, unit.generation, "up" if up else "", is_serving=done)
         return self._boxes
--- a/elderlock/fleet/supervision/managed_limiter.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -22,8 +22,8 @@
 from elderlock.fleet.supervision.limiter_link import Link, Owner
 from elderlock.fleet.supervision.supervisor import Do, Policy, Supervisor
 from elderlock.fleet.supervision.versions import Versions
-from elderlock.rollout.carrying import Look, Said
-from elderlock.rollout.verdict import Figures
+from elderlock.rollout.canary_analysis import AnswerMetrics
+from elderlock.rollout.plan_executor import ExecutionProgress, LimiterObservation
 
 STOP_ANSWER_WITHIN = 0.5  # s; then SIGTERM says the same
 HELD_BACK = 1.0  # s between tries to start one whose drains could not be written
@@ -60,7 +60,7 @@
         self._versions = versions
         # the version it is to run, and by which generation; the one that its process was started on
         self.wanted, self.generation, self.runs_on = store.version(part.name)
-        self.said = Said()
+        self.said = ExecutionProgress()
         self._timer: asyncio.TimerHandle | None = None
 
     # Start-up of the agent
@@ -124,11 +124,11 @@
     def version(self) -> str:
         return self.runs_on if self.process is not None else self.wanted
 
-    def look(self, record: Record | None) -> Look:
+    def look(self, record: Record | None) -> LimiterObservation:
         """As its plan sees it; `record` is its own drain's."""
         state = self.link.state if self.link.standing == "answering" else None
         fresh = state is not None and self.process is not None and state.pid == self.process.pid
-        return Look(
+        return LimiterObservation(
             self.version(),
             self.supervisor.phase,
             record is not None and record.drained,
@@ -290,12 +290,12 @@
             self.said,
         )
 
-    def figures(self) -> Figures:
+    def figures(self) -> AnswerMetrics:
         state = self.link.state
         if state is None:
-            return Figures()
+            return AnswerMetrics()
         counts = state.counts
-        return Figures(counts.served, counts.refused, counts.failed, state.log_sum, state.log_squares)
+        return AnswerMetrics(counts.served, counts.refused, counts.failed, state.log_sum, state.log_squares)
 
     def close(self) -> None:
         """The agent goes; the limiter stays."""
--- a/elderlock/rollout/__init__.py
+++ b/elderlock/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""What may be out at once over the fleet, and who agreed to it: budget, permits, the register they are kept in."""
+"""Decisions about drains and releases: disruption budget, permits, consensus, plans and canary analysis. No I/O."""
--- a/elderlock/rollout/inventory.py
+++ b/elderlock/rollout/inventory.py
@@ -1,4 +1,4 @@
-"""What one agent knows of the whole group, as the budget counts it. No I/O."""
+"""Build the inventory that the disruption budget counts, from what one agent knows of its group. No I/O."""
 
 from __future__ import annotations
 
@@ -7,51 +7,79 @@
 from typing import NamedTuple
 
 from elderlock.control.messages import Box, State
-from elderlock.rollout.budget import Inventory, Item
+from elderlock.rollout.disruption_budget import Inventory, InventoryItem
 
 
-class Known(NamedTuple):
-    """A limiter as its agent or others tell of it; `why` it is out, empty where it serves."""
+class KnownLimiter(NamedTuple):
+    """A limiter as its own agent, or another agent, reports it.
+
+    Attributes:
+        name: The limiter's name.
+        zone: The zone of its agent; empty where unknown.
+        out_reason: Why it is out of service; empty while it serves.
+    """
 
     name: str
-    floor: str
-    why: str
-
-
-def inventory(states: Sequence[State], limiters: Iterable[Known], unheard: Iterable[str]) -> Inventory:
-    """`states` of this agent's own limiters, each of which sees all boxes; `unheard`: agents of the group of which
-    nothing was heard since this one began. A limiter that was told of no list yet says nothing of boxes."""
-    blind = ""
-    if away := sorted(unheard):
-        blind = f"nothing was heard of {', '.join(away)} yet: what their limiters do is not known"
-    listed = [state for state in states if state.list_age_ms >= 0]
-    if not listed:
-        what = "has a list" if states else "answers"
-        blind = f"no limiter of this agent {what}: what the boxes do is not known"
-    seen: dict[str, list[Box]] = {}
-    for state in listed:
-        for box in state.boxes:
-            seen.setdefault(box.uid, []).append(box)
-    boxes = tuple(
-        Item(uid, each[0].floor, each[0].kind, max(box.weight for box in each), _why(each))
-        for uid, each in sorted(seen.items())
+    zone: str
+    out_reason: str
+
+
+def build_inventory(
+    states: Sequence[State], limiters: Iterable[KnownLimiter], unheard_agents: Iterable[str]
+) -> Inventory:
+    """Combine what the limiters report into one inventory.
+
+    Args:
+        states: The states of this agent's own limiters, each of which sees all servers. A limiter that has received no
+            endpoint list yet (`list_age_ms` below 0) says nothing about servers.
+        limiters: All limiters of the group, as far as known.
+        unheard_agents: The agents that this agent has heard nothing of since it started.
+    """
+    insufficient_reason = ""
+    if unheard := sorted(unheard_agents):
+        insufficient_reason = f"nothing was heard of {', '.join(unheard)} yet: what their limiters do is not known"
+    states_with_list = [state for state in states if state.list_age_ms >= 0]
+    if not states_with_list:
+        missing = "has a list" if states else "answers"
+        insufficient_reason = f"no limiter of this agent {missing}: what the boxes do is not known"
+    views_by_uid: dict[str, list[Box]] = {}
+    for state in states_with_list:
+        for server in state.boxes:
+            views_by_uid.setdefault(server.uid, []).append(server)
+    servers = tuple(_server_item(uid, views) for uid, views in sorted(views_by_uid.items()))
+    limiter_items = tuple(
+        InventoryItem(limiter.name, limiter.zone, out_reason=limiter.out_reason)
+        for limiter in sorted(limiters, key=_number_order)
     )
-    items = tuple(Item(each.name, each.floor, out=each.why) for each in sorted(limiters, key=_number))
-    return Inventory(boxes, items, blind)
+    return Inventory(servers, limiter_items, insufficient_reason)
+
+
+def _server_item(uid: str, views: Sequence[Box]) -> InventoryItem:
+    """Combine several limiters' views of one server."""
+    weight = max(view.weight for view in views)
+    return InventoryItem(uid, views[0].floor, views[0].kind, weight, _server_out_reason(views))
+
 
+def _server_out_reason(views: Sequence[Box]) -> str:
+    """Return why a server is out of service; empty where it serves.
 
-def _why(boxes: Sequence[Box]) -> str:
-    """One limiter that has heard of a drain outweighs those that have not yet; a judgement is that of most."""
-    for box in boxes:
-        if box.state != "running":
-            return f"{box.state}, as discovery says"
-        if box.drained_by:
-            return f"drained by {box.drained_by}"
-    left = [box.left_out for box in boxes if box.left_out]
-    return f"left out: {left[0]}" if 2 * len(left) > len(boxes) else ""
+    One limiter that knows of a drain is enough, as the others may not have heard of it yet. An ejection counts once
+    more than half of the limiters have ejected the server.
+    """
+    for view in views:
+        if view.state != "running":
+            return f"{view.state}, as discovery says"
+        if view.drained_by:
+            return f"drained by {view.drained_by}"
+    ejection_reasons = [view.left_out for view in views if view.left_out]
+    if 2 * len(ejection_reasons) > len(views):
+        return f"left out: {ejection_reasons[0]}"
+    return ""
 
 
-def _number(known: Known) -> tuple[str, int, str]:
-    """In the order of their numbers: n2 before n10."""
-    found = re.fullmatch(r"(.*?)(\d+)", known.name)
-    return (found[1], int(found[2]), "") if found else (known.name, -1, known.name)
+def _number_order(limiter: KnownLimiter) -> tuple[str, int, str]:
+    """Return the sort key that puts n2 before n10."""
+    match = re.fullmatch(r"(.*?)(\d+)", limiter.name)
+    if match is None:
+        return limiter.name, -1, limiter.name
+    return match[1], int(match[2]), ""
--- a/elderlock/rollout/plans.py
+++ b/elderlock/rollout/plans.py
@@ -1,7 +1,8 @@
-"""Plans that live in the group: a release, or a drain of many, as a value that agents agree on. No I/O.
+"""Plans: a release, or a drain of many servers, as a value that a group of agents agrees on. No I/O.
 
-A plan stands in the ledger (`elderlock.rollout.ledger`), so a majority holds it, whoever made it may die, and each
-step is one change of the ledger under the term of the agent that leads it. Its steps are in `elderlock.rollout.steps`.
+A plan is a part of the permit ledger (`elderlock.rollout.permit_ledger`), so a majority of the voters holds it and it
+outlives the tool and the agent that began it. Each step of a plan is one change of the ledger, under the term of the
+agent that leads the plan; the steps are in `elderlock.rollout.plan_transitions`.
 """
 
 from __future__ import annotations
@@ -11,141 +12,206 @@
 
 import msgspec
 
-Aim = Literal["to", "back"]
-Stage = Literal["waiting", "out", "trial", "done"]
-State = Literal["running", "halted", "over"]
-PlanKind = Literal["release", "drain", "agents"]  # of limiters, of boxes, a release of agents
-MOST_UNITS = 5000
-MOST_OVER = 5  # plans that are over and are still kept, for people
+Direction = Literal["to", "back"]  # to the plan's version, or back to the previous one
+UnitStage = Literal["waiting", "out", "trial", "done"]
+PlanState = Literal["running", "halted", "over"]
+PlanKind = Literal["release", "drain", "agents"]  # a release of limiters, a drain of servers, a release of agents
+MAXIMUM_UNITS = 5000
+MAXIMUM_FINISHED_PLANS = 5  # that stay in the ledger for people to look at
+SECOND_WAVE_MINIMUM = 2
+SECOND_WAVE_FRACTION_DIVISOR = 10  # the second wave takes a tenth of all
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86_400.0)]
 
 
-class Terms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How careful a release is. Seconds: `drain_within` for open requests before a limiter is ended all the same,
-    `start_within` for it to answer, `settle` after it serves again, of which nothing is held against it (it opens its
-    connections and learns its boxes), `bake` of traffic after that before it is judged, `bake_most` for a judgement
-    that is not clear yet, `pause` between waves, `patience` with a budget that is short or an agent that is silent.
-    `auto_back`: a halt of its own is followed by the way back."""
+class RolloutPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """How carefully a plan is carried out. All times are in seconds.
 
-    drain_within: Seconds = 10.0
-    start_within: Seconds = 20.0
-    settle: Seconds = 20.0
-    bake: Seconds = 30.0
-    bake_most: Seconds = 120.0
-    pause: Seconds = 5.0
-    patience: Seconds = 30.0
-    auto_back: bool = False
+    Attributes:
+        drain_timeout_s: For open requests to end, before a limiter is stopped all the same.
+        start_timeout_s: For a limiter to answer after its start.
+        settle_time_s: After a limiter serves again, in which its latency is not compared: it opens its connections and
+            learns its servers' load.
+        bake_time_s: Of traffic after the settling time, before a limiter is analysed.
+        maximum_bake_time_s: Of traffic, at most, while the analysis is inconclusive.
+        wave_pause_s: Between two waves.
+        patience_s: For a budget that is exhausted, before the plan halts.
+        automatic_rollback: Whether a plan that halts by itself is rolled back.
+    """
+
+    drain_timeout_s: Seconds = msgspec.field(name="drain_within", default=10.0)
+    start_timeout_s: Seconds = msgspec.field(name="start_within", default=20.0)
+    settle_time_s: Seconds = msgspec.field(name="settle", default=20.0)
+    bake_time_s: Seconds = msgspec.field(name="bake", default=30.0)
+    maximum_bake_time_s: Seconds = msgspec.field(name="bake_most", default=120.0)
+    wave_pause_s: Seconds = msgspec.field(name="pause", default=5.0)
+    patience_s: Seconds = msgspec.field(name="patience", default=30.0)
+    automatic_rollback: bool = msgspec.field(name="auto_back", default=False)
 
 
 class Unit(msgspec.Struct, frozen=True, array_like=True):
-    """A limiter, a box or an agent that the plan takes. `aim`: to the plan's end or back to `before`, the version that
-    ran as the plan began. `stage` within that aim: waiting, out (limiters and boxes under a permit), on trial (serving,
-    being judged), done.
-    `generation`: of the record that the stage allows: draining while it is out, undraining from the trial on."""
+    """One limiter, server or agent that a plan acts on.
+
+    Attributes:
+        target: The name of the limiter or agent, or the uid of the server.
+        wave: The number of its wave, from 0.
+        previous_version: The version that ran when the plan began; empty for the one in the agent's file.
+        direction: Whether the unit goes to the plan's version or back to the previous one.
+        stage: How far it is in that direction: waiting; out of service (limiters and servers under a permit); on trial,
+            serving while it is analysed; done.
+        generation: The generation of the record that the stage allows: the drain record while the unit is out, the
+            undrain record from the trial on.
+    """
 
     target: str
     wave: int
-    before: str = ""
-    aim: Aim = "to"
-    stage: Stage = "waiting"
+    previous_version: str = msgspec.field(name="before", default="")
+    direction: Direction = msgspec.field(name="aim", default="to")
+    stage: UnitStage = "waiting"
     generation: int = 0
 
-    def touched(self) -> bool:
-        return self.aim == "back" or self.stage != "waiting"
+    def is_touched(self) -> bool:
+        """Whether the plan has acted on the unit."""
+        return self.direction == "back" or self.stage != "waiting"
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """Invariants: at most one agent leads in a `term`, which only grows; `turn` grows with each word of an operator or
-    halt of its own, so a go-on that crosses a halt is seen to be older. `beat` grows while a leader reaches a
-    majority."""
+    """A plan and how far it is.
+
+    Invariants: at most one agent leads in a term, and `term` never decreases. `revision` increases with each operator's
+    command and with each halt, so that a command that crosses a halt is recognised as older.
+
+    Attributes:
+        id: The unique id of the command that began the plan.
+        kind: What the plan acts on.
+        version: The version that a release goes to; empty for the one in the agents' files, and for drains.
+        requested_by: The operator that began the plan.
+        reason: The operator's reason, for people.
+        requested_at_unix_ms: When it began, for people.
+        units: What the plan acts on, wave by wave.
+        policy: How carefully it is carried out.
+        state: Whether it runs, is halted, or is over.
+        direction: Whether it goes on to the version or rolls back.
+        state_reason: Why it was last halted, resumed or rolled back.
+        revision: How many commands and halts there have been.
+        leader: The agent that leads the plan.
+        term: The term of the leader.
+        heartbeat: A counter that the leader increases while it reaches a majority.
+    """
 
     id: str
     kind: PlanKind
-    version: str  # of a release; empty for the one in the agents' files
-    by: str
+    version: str
+    requested_by: str = msgspec.field(name="by")
     reason: str
-    at: float  # Unix ms, for people
+    requested_at_unix_ms: float = msgspec.field(name="at")
     units: tuple[Unit, ...]
-    terms: Terms = Terms()
-    state: State = "running"
-    aim: Aim = "to"
-    why: str = ""  # of the last halt or turn
-    turn: int = 0
+    policy: RolloutPolicy = msgspec.field(name="terms", default=RolloutPolicy())
+    state: PlanState = "running"
+    direction: Direction = msgspec.field(name="aim", default="to")
+    state_reason: str = msgspec.field(name="why", default="")
+    revision: int = msgspec.field(name="turn", default=0)
     leader: str = ""
     term: int = 0
-    beat: int = 0
+    heartbeat: int = msgspec.field(name="beat", default=0)
 
-    def unit(self, target: str) -> Unit | None:
+    def find_unit(self, target: str) -> Unit | None:
+        """Return the unit for a target, if the plan has one."""
         return next((unit for unit in self.units if unit.target == target), None)
 
-    def toward(self, unit: Unit) -> str:
-        """The version that the unit is being taken to, or has been."""
-        return self.version if unit.aim == "to" else unit.before
+    def target_version(self, unit: Unit) -> str:
+        """Return the version that a unit goes to, or has gone to."""
+        return self.version if unit.direction == "to" else unit.previous_version
 
-    def wave(self) -> int:
-        """The one that is under way; the count of waves once none is."""
-        return min((unit.wave for unit in self.units if unit.stage != "done"), default=self.waves())
+    def current_wave(self) -> int:
+        """Return the number of the wave under way; the count of waves once all are done."""
+        return min((unit.wave for unit in self.units if unit.stage != "done"), default=self.wave_count())
 
-    def waves(self) -> int:
+    def wave_count(self) -> int:
+        """Return how many waves the plan has."""
         return max((unit.wave for unit in self.units), default=-1) + 1
 
-    def origin(self, unit: Unit) -> str:
-        """Under which the unit's permit is asked for: each aim has its own, so that one asked again finds its own."""
-        return f"{self.id}/{unit.aim}/{unit.target}"
+    def permit_origin(self, unit: Unit) -> str:
+        """Return the origin that a unit's permit is requested under.
+
+        Each direction has its own, so that a request that is repeated finds its own permit.
+        """
+        return f"{self.id}/{unit.direction}/{unit.target}"
 
     def title(self) -> str:
+        """Return what the plan does, for people."""
         if self.kind == "drain":
             return "drain"
-        return f"release{' of agents' if self.kind == 'agents' else ''} {self.version or 'of the files'}"
+        subject = "release of agents" if self.kind == "agents" else "release"
+        return f"{subject} {self.version or 'of the files'}"
 
     def outcome(self) -> str:
+        """Return the state of the plan, or how it ended, for people."""
         if self.state != "over":
             return self.state
-        return "done" if self.aim == "to" else "taken back"
+        return "done" if self.direction == "to" else "taken back"
 
 
-def with_unit(plan: Plan, unit: Unit) -> Plan:
-    units = tuple(unit if each.target == unit.target else each for each in plan.units)
+def replace_unit(plan: Plan, changed: Unit) -> Plan:
+    """Return the plan with the unit of the same target replaced."""
+    units = tuple(changed if unit.target == changed.target else unit for unit in plan.units)
     return msgspec.structs.replace(plan, units=units)
 
 
-def waves_over_floors(floors: Sequence[tuple[str, str]], few: int = 0, share: float = 0.25) -> list[list[str]]:
-    """First one, then a few, then the rest in parts of `share` of all, each wave spread over the floors. `floors`:
-    name and floor of each, in the order of their numbers. `few`: how many the second wave takes; 0 for a tenth, two
-    at least."""
-    by: dict[str, list[str]] = {}
-    for name, floor in floors:
-        by.setdefault(floor, []).append(name)
-    turns: list[str] = []
-    rest = [list(names) for _, names in sorted(by.items())]
-    while any(rest):
-        turns += [names.pop(0) for names in rest if names]
-    count = len(turns)
-    few = few or max(2, count // 10)
-    size = max(1, int(share * count))
-    waves, at = [turns[:1], turns[1 : 1 + few]], 1 + few
-    while at < count:
-        waves.append(turns[at : at + size])
-        at += size
+def waves_over_zones(
+    zones: Sequence[tuple[str, str]], second_wave_count: int = 0, later_wave_fraction: float = 0.25
+) -> list[list[str]]:
+    """Divide the targets of a release into waves, each spread over the zones.
+
+    The first wave has one target, the second a few, and each later one a fraction of all.
+
+    Args:
+        zones: The name and the zone of each target, in the order of their numbers.
+        second_wave_count: How many the second wave takes; 0 for a tenth of all, at least two.
+        later_wave_fraction: The fraction of all that each later wave takes.
+    """
+    names_by_zone: dict[str, list[str]] = {}
+    for name, zone in zones:
+        names_by_zone.setdefault(zone, []).append(name)
+    ordered: list[str] = []
+    remaining = [names for _, names in sorted(names_by_zone.items())]
+    while any(remaining):
+        ordered += [names.pop(0) for names in remaining if names]
+    count = len(ordered)
+    second_count = second_wave_count or max(SECOND_WAVE_MINIMUM, count // SECOND_WAVE_FRACTION_DIVISOR)
+    later_count = max(1, int(later_wave_fraction * count))
+    waves = [ordered[:1], ordered[1 : 1 + second_count]]
+    for start in range(1 + second_count, count, later_count):
+        waves.append(ordered[start : start + later_count])
     return [wave for wave in waves if wave]
 
 
-def release(
-    id: str,
+def new_release_plan(
+    plan_id: str,
     version: str,
     waves: Iterable[Iterable[str]],
-    before: dict[str, str],
-    by: str,
+    previous_versions: dict[str, str],
+    requested_by: str,
     reason: str,
-    at: float,
-    terms: Terms,
+    requested_at_unix_ms: float,
+    policy: RolloutPolicy,
     kind: Literal["release", "agents"] = "release",
 ) -> Plan:
-    units = tuple(Unit(name, number, before.get(name, "")) for number, wave in enumerate(waves) for name in wave)
-    return Plan(id, kind, version, by, reason, at, units, terms)
+    """Make a plan that takes limiters or agents to a version, wave by wave."""
+    units = tuple(
+        Unit(name, wave, previous_versions.get(name, "")) for wave, names in enumerate(waves) for name in names
+    )
+    return Plan(plan_id, kind, version, requested_by, reason, requested_at_unix_ms, units, policy)
 
 
-def drain(id: str, steps: Iterable[Iterable[str]], by: str, reason: str, at: float, terms: Terms) -> Plan:
-    units = tuple(Unit(name, number) for number, step in enumerate(steps) for name in step)
-    return Plan(id, "drain", "", by, reason, at, units, terms)
+def new_drain_plan(
+    plan_id: str,
+    waves: Iterable[Iterable[str]],
+    requested_by: str,
+    reason: str,
+    requested_at_unix_ms: float,
+    policy: RolloutPolicy,
+) -> Plan:
+    """Make a plan that drains servers, wave by wave."""
+    units = tuple(Unit(name, wave) for wave, names in enumerate(waves) for name in names)
+    return Plan(plan_id, "drain", "", requested_by, reason, requested_at_unix_ms, units, policy)
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -16,15 +16,17 @@
 from elderlock.fleet.agent import agent as agents
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.launcher.launcher_link import Basis, Go, Ready, Settled, Started, word_of
-from elderlock.rollout.basing import Base, Do, Held
-from elderlock.rollout.plans import Plan, Terms
+from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
+from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.agreed import Holding, bounded
 from elderlock.sim.rollouts import SLACK, VERSION, Case, Played, ReleaseWorld
 from elderlock.sim.virtual.host import SimHost
 from elderlock.sim.virtual.processes import Process, context_of, start
 
 OUT = "agents that vote, out by our doing"
-TERMS = Terms(start_within=8.0, settle=1.0, bake=6.0, pause=0.5, patience=60.0, auto_back=True)
+TERMS = RolloutPolicy(
+    start_timeout_s=8.0, settle_time_s=1.0, bake_time_s=6.0, wave_pause_s=0.5, patience_s=60.0, automatic_rollback=True
+)
 BUILDS = ("good", "crashes at start", "crashes in its trial", "mute")
 CRASH_AFTER = 3.0  # s of a start, of the build that crashes in its trial
 START_TAKES = 0.4  # s that the interpreter needs
@@ -41,7 +43,7 @@
     build: str = "good"
     faults: int = 0
     faulty_s: float = 60.0
-    terms: Terms = TERMS
+    terms: RolloutPolicy = TERMS
 
 
 class _Pipe:
@@ -59,8 +61,8 @@
     def __init__(self, renewals: Renewals, seed: int, log: bool = False) -> None:
         self.renewals = renewals
         super().__init__(Case(agents=renewals.agents, limiters=renewals.limiters, terms=renewals.terms), seed, log)
-        self._bases: dict[int, Base] = {}
-        self._kept: dict[int, Held] = {}  # on each machine's disk
+        self._bases: dict[int, AgentLauncher] = {}
+        self._kept: dict[int, LauncherState] = {}  # on each machine's disk
         self._timers: dict[int, asyncio.TimerHandle] = {}
         self._dark: set[int] = set()  # whose base is away
         self._unsettled: dict[int, set[int]] = {}  # generations that ended in their trial
@@ -74,10 +76,12 @@
     def _start_agent(self, number: int) -> None:
         """The base of that machine begins."""
         self._dark.discard(number)
-        base = self._bases[number] = Base(self._kept.get(number, Held()), random.Random(f"base/{self.seed}/{number}"))
+        base = self._bases[number] = AgentLauncher(
+            self._kept.get(number, LauncherState()), random.Random(f"base/{self.seed}/{number}")
+        )
         self._do(number, base.begin(self._now()))
 
-    def _do(self, number: int, do: Do | None) -> None:
+    def _do(self, number: int, do: LauncherAction | None) -> None:
         base = self._bases[number]
         if do == "start":
             self._run(number, base)
@@ -85,13 +89,13 @@
             self.signal(self.agent_processes[number], signal.SIGKILL if do == "kill" else signal.SIGTERM)
         if (timer := self._timers.pop(number, None)) is not None:
             timer.cancel()
-        if base.due is not None:
-            wait = max(0.0, base.due - self._now()) / 1000.0
+        if base.due_ms is not None:
+            wait = max(0.0, base.due_ms - self._now()) / 1000.0
             self._timers[number] = self.loop.call_later(wait, self._due, number, base)
 
-    def _due(self, number: int, base: Base) -> None:
+    def _due(self, number: int, base: AgentLauncher) -> None:
         if self._bases[number] is base and number not in self._dark:
-            self._do(number, base.step(self._now()))
+            self._do(number, base.on_timer(self._now()))
 
     def _said(self, number: int, process: Process, data: bytes) -> None:
         self.loop.call_soon(self._heard, number, process, data)
@@ -102,26 +106,26 @@
             return
         match word_of.decode(data):
             case Go(to):
-                if (held := base.weigh(to)) is not None:
+                if (held := base.state_after_switch(to)) is not None:
                     self._kept[number] = held
                     self._went(name, held)
-                    self._do(number, base.take(held, self._now()))
+                    self._do(number, base.switch(held, self._now()))
             case Ready():
-                base.ready()
+                base.on_ready()
                 self._back(name)
                 self._do(number, None)
             case Settled(generation):
-                if (kept := base.settled(generation)) is not None:
+                if (kept := base.on_settled(generation)) is not None:
                     self._kept[number] = kept
 
-    def _run(self, number: int, base: Base) -> None:
-        held, name, machine = base.held, f"agent-{number}", self.agent_machine(number)
-        version, build = held.which.version, self.renewals.build if held.which.version else "good"
+    def _run(self, number: int, base: AgentLauncher) -> None:
+        held, name, machine = base.state, f"agent-{number}", self.agent_machine(number)
+        version, build = held.current.version, self.renewals.build if held.current.version else "good"
         host = SimHost(machine, self.io, self._spawned, self.processes, self.signal)
         process = self.agent_processes[number] = self.process(name, machine, {})
         pipe: Any = _Pipe(lambda data: self._said(number, process, data))
-        basis = Basis(Started(held, base.starts), pipe)
-        self.say(f"{name} begins on {version or 'the version of its base'}{', on trial' if held.trial else ''}")
+        basis = Basis(Started(held, base.start_count), pipe)
+        self.say(f"{name} begins on {version or 'the version of its base'}{', on trial' if held.is_on_trial else ''}")
         if version:
             self.made.ran.add(name)
             if held.generation in self._unsettled.get(number, ()):
@@ -152,10 +156,10 @@
     def _over(self, number: int, process: Process) -> None:
         if number in self._dark or self.agent_processes[number] is not process:
             return
-        base, was = self._bases[number], self._bases[number].held
-        if was.trial and base.phase != "stopping":
+        base, was = self._bases[number], self._bases[number].state
+        if was.is_on_trial and base.phase != "stopping":
             self._unsettled.setdefault(number, set()).add(was.generation)
-        kept, do = base.exited(f"code {process.exit_code}", self._now())
+        kept, do = base.on_exit(f"code {process.exit_code}", self._now())
         if kept is not None:
             self._kept[number] = kept
         self._do(number, do)
@@ -166,17 +170,19 @@
         self.made.after_fence += 1
         self.made.broken.append(f"{self.at():.0f} ms: {text}")
 
-    def _went(self, name: str, held: Held) -> None:
+    def _went(self, name: str, held: LauncherState) -> None:
         """Its base was told to go: it is out by our doing until it is up again."""
         if name in self.agents[name].keeper.voters:  # type: ignore[union-attr]
             self._switching.add(name)
             self._holdings.append(Holding(OUT, name, self.at(), self.at()))
         plan = self._newest()
         self._note(plan)
-        if plan is not None and held.which.version and (plan.state == "halted" or plan.aim == "back"):
+        if plan is not None and held.current.version and (plan.state == "halted" or plan.direction == "back"):
             late = self.at() - self._turned_at
             if late > SLACK:
-                self._broken(f"{name} was taken to {VERSION} {late:.0f} ms after the plan was {plan.state}, {plan.aim}")
+                self._broken(
+                    f"{name} was taken to {VERSION} {late:.0f} ms after the plan was {plan.state}, {plan.direction}"
+                )
 
     def _back(self, name: str) -> None:
         if name in self._switching:
@@ -206,7 +212,7 @@
         if plan is None:
             return
         await asyncio.sleep(max(0.0, healed - self.at()) / 1000.0)  # a disk that still fails lets no agent start
-        want = VERSION if plan.aim == "to" else ""
+        want = VERSION if plan.direction == "to" else ""
         wrong = await self._until_all_run(want)
         if not wrong:
             # what the release left is what each base starts from now on, whatever ends
@@ -215,7 +221,7 @@
                 self.signal(process, signal.SIGKILL)
             await asyncio.sleep(1.0)
             wrong = await self._until_all_run(want)
-        if plan.aim == "back":
+        if plan.direction == "back":
             self.made.back_tried += 1
             self.made.back_complete += not wrong
         if wrong:
@@ -237,12 +243,12 @@
         return [
             f"agent-{number}"
             for number, base in self._bases.items()
-            if number in self._dark or base.held.which.version != want or not self.agent_processes[number].alive
+            if number in self._dark or base.state.current.version != want or not self.agent_processes[number].alive
         ]
 
     async def _ends(self, id: str, healed: float) -> Plan | None:
         """The plan once it is over. An operator takes back what stays halted after all is healed."""
-        waves = self.renewals.agents * (5.0 + self.renewals.terms.settle + self.renewals.terms.bake)
+        waves = self.renewals.agents * (5.0 + self.renewals.terms.settle_time_s + self.renewals.terms.bake_time_s)
         while self.at() < max(healed, 1000.0) + 1000.0 * (SETTLED_WITHIN + 3.0 * waves):
             plan = self._newest()
             self._note(plan)
@@ -264,9 +270,9 @@
             self.say(f"the machine's base {number} is killed, and its agent with it")
             self._dark.add(number)
             base, process = self._bases[number], self.agent_processes[number]
-            if base.held.trial:
+            if base.state.is_on_trial:
                 # an end that no base saw: the next one may start it once more
-                self._unsettled.get(number, set()).discard(base.held.generation)
+                self._unsettled.get(number, set()).discard(base.state.generation)
             self.signal(process, signal.SIGKILL)
             self.loop.call_later(BASE_AWAY, self._start_agent, number)
 
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -15,6 +15,8 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from elderlock.control import messages as m
 from elderlock.control.attach import Control, read_records
 from elderlock.control.desk import Desk
@@ -22,7 +24,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
-from elderlock.rollout.plans import Plan, Terms
+from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.agreed import Act, Holding, bounded, fenced, never_back
 from elderlock.sim.scenario import Scenario, Settings
 from elderlock.sim.shells import ShellWorld
@@ -31,7 +33,15 @@
 from elderlock.standins.waiting import unix_ms
 
 OUT = "limiters out by our doing"
-TERMS = Terms(drain_within=4.0, start_within=8.0, settle=15.0, bake=15.0, bake_most=60.0, pause=1.0, patience=20.0)
+TERMS = RolloutPolicy(
+    drain_timeout_s=4.0,
+    start_timeout_s=8.0,
+    settle_time_s=15.0,
+    bake_time_s=15.0,
+    maximum_bake_time_s=60.0,
+    wave_pause_s=1.0,
+    patience_s=20.0,
+)
 TIME_SD = 0.9  # of the logarithm of a time to answer
 BIAS_SD = 0.03  # by which limiters differ for good
 SETTLED_WITHIN = 240.0  # s after all is healed, for a plan to be over or halted, and again for the way back
@@ -94,7 +104,7 @@
     two_operators: bool = False
     auto_back: bool = True
     share: float = 0.34
-    terms: Terms = TERMS
+    terms: RolloutPolicy = TERMS
     lone_floor_at: float | None = None
     leader_gone: float | None = None
     one_wave: bool = False
@@ -288,11 +298,11 @@
         stand."""
         plan = self._newest()
         self._note(plan)
-        if plan is not None and (plan.state != "running" or plan.aim == "back"):
+        if plan is not None and (plan.state != "running" or plan.direction == "back"):
             late = self.at() - self._turned_at
             if late > SLACK:
                 self.made.after_fence += 1
-                what = f"{name} was taken to {VERSION} {late:.0f} ms after the plan was {plan.state}, {plan.aim}"
+                what = f"{name} was taken to {VERSION} {late:.0f} ms after the plan was {plan.state}, {plan.direction}"
                 self.made.broken.append(f"{self.at():.0f} ms: {what}")
 
     def _crash(self, process: Process) -> None:
@@ -391,24 +401,24 @@
         if plan is None:
             return
         if plan.state == "halted":
-            self.made.halted_why = plan.why
+            self.made.halted_why = plan.state_reason
             self.made.back_tried += 1
             halted = plan.id
             await self._asks("an", lambda id: f.Steer(id, halted, "back"), f.Steered)
             plan = await self._settled(self.at())
-        elif plan.aim == "back":
+        elif plan.direction == "back":
             self.made.back_tried += 1
-            self.made.halted_why = plan.why
+            self.made.halted_why = plan.state_reason
         if plan is None:
             return
         if plan.state != "over":
             self.made.stuck += 1
-            self.made.broken.append(f"{self.at():.0f} ms: it is {plan.state} after all was healed: {plan.why}")
-        want = VERSION if plan.aim == "to" else ""
+            self.made.broken.append(f"{self.at():.0f} ms: it is {plan.state} after all was healed: {plan.state_reason}")
+        want = VERSION if plan.direction == "to" else ""
         await asyncio.sleep(15.0)
         runs = {name: each.version for name, each in self.modelled.items()}
         wrong = [n for n in self._names() if runs.get(n) != want or self.modelled[n].down]
-        if plan.state == "over" and plan.aim == "back":
+        if plan.state == "over" and plan.direction == "back":
             self.made.back_complete += not wrong
         if plan.state == "over" and wrong:
             self.made.stuck += 1
@@ -465,7 +475,9 @@
                 return plan
             if self.at() / 1000.0 > ends:
                 self.made.stuck += 1
-                said = f"{plan.state} in wave {plan.wave() + 1}, {plan.why}" if plan else "there is none"
+                said = (
+                    f"{plan.state} in wave {plan.current_wave() + 1}, {plan.state_reason}" if plan else "there is none"
+                )
                 self.made.broken.append(f"{self.at():.0f} ms: the plan is not over: {said}")
                 return None
             await asyncio.sleep(0.25)
@@ -473,21 +485,25 @@
     def _note(self, plan: Plan | None) -> None:
         if plan is None:
             return
-        if not self.made.first_wave and plan.aim == "to":
+        if not self.made.first_wave and plan.direction == "to":
             self.made.first_wave = {unit.target for unit in plan.units if unit.wave == 0}
         before_it = self.made.plan
-        if before_it is None or (before_it.state, before_it.aim) != (plan.state, plan.aim):
+        if before_it is None or (before_it.state, before_it.direction) != (plan.state, plan.direction):
             self._turned_at = self.at()
         if self.made.plan is None or self.made.plan.term != plan.term:
             self.made.took_over = max(0, plan.term - 1)
         if self.made.plan != plan:
-            before = self.made.plan.why if self.made.plan else ""
+            before = self.made.plan.state_reason if self.made.plan else ""
             self.say(
-                f"plan {plan.state} {plan.aim} wave {plan.wave()} term {plan.term}"
-                + (f": {plan.why}" if plan.why != before else "")
+                f"plan {plan.state} {plan.direction} wave {plan.current_wave()} term {plan.term}"
+                + (f": {plan.state_reason}" if plan.state_reason != before else "")
             )
-        if plan.why and not self.made.halted_why and (plan.state == "halted" or "by itself" in plan.why):
-            self.made.halted_why = plan.why
+        if (
+            plan.state_reason
+            and not self.made.halted_why
+            and (plan.state == "halted" or "by itself" in plan.state_reason)
+        ):
+            self.made.halted_why = plan.state_reason
         self.made.plan = plan
 
     async def _asks(self, who: str, make: Callable[[int], f.Message], answer: Any) -> Any:
@@ -519,7 +535,7 @@
         if plan is None or plan.state == "over":
             return
         action = rng.choice(["halt", "halt", "go-on", "go-on", "back"])
-        turn = plan.turn if rng.random() < 0.8 else plan.turn - 1
+        turn = plan.revision if rng.random() < 0.8 else plan.revision - 1
         self.loop.create_task(self._says(plan, action, turn, rng.choice(("an", "binh"))))
 
     async def _says(self, plan: Plan, action: str, turn: int, who: str) -> None:
@@ -528,7 +544,11 @@
         asked = self._asks(who, lambda id: f.Steer(id, plan.id, action, turn), f.Steered)  # type: ignore[arg-type]
         if action == "halt" and plan.state == "running" and not self.case.faults:
             task: asyncio.Future[Any] = asyncio.ensure_future(asked)
-            while not all(a.conductor.halted(p) for a in self.agents.values() if (p := a.keeper.ledger.plan(plan.id))):  # type: ignore[union-attr]
+            while not all(
+                a.conductor.halted(p)  # type: ignore[union-attr]
+                for a in self.agents.values()
+                if (p := a.keeper.ledger.find_plan(plan.id))  # type: ignore[union-attr]
+            ):
                 await asyncio.sleep(0.01)
                 if self.at() - began > 5000.0:
                     break
@@ -586,7 +606,7 @@
             pairs += [(here, other) for other, _ in pairs]
             self.ways.separate(pairs)
             self.loop.call_later(ASLEEP + AND_CUT, self.ways.join, pairs)
-            self.loop.call_later(2.0, lambda: self.loop.create_task(self._says(plan, "back", plan.turn, "an")))
+            self.loop.call_later(2.0, lambda: self.loop.create_task(self._says(plan, "back", plan.revision, "an")))
 
     def _leader_goes(self) -> None:
         plan = self._newest()
@@ -637,8 +657,8 @@
         return self.made
 
 
-def _with_back(terms: Terms, auto_back: bool) -> Terms:
-    return Terms(**{**{name: getattr(terms, name) for name in terms.__struct_fields__}, "auto_back": auto_back})
+def _with_back(terms: RolloutPolicy, auto_back: bool) -> RolloutPolicy:
+    return msgspec.structs.replace(terms, automatic_rollback=auto_back)
 
 
 def play(case: Case, seed: int, log: bool = False) -> Played:
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -202,9 +202,9 @@
 
 
 def knows_no_budget(patch: Patching) -> None:
-    from elderlock.rollout import ledger
+    from elderlock.rollout import permit_ledger as ledger
 
-    patch.setattr(ledger, "reasons", lambda budget, inventory, held, going: [])
+    patch.setattr(ledger, "refusal_reasons", lambda budget, inventory, held, going: [])
 
 
 # Versions of limiters that a release has to stop
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -47,9 +47,9 @@
 from elderlock.load import scenario as load_scenario
 from elderlock.load import trace as load_trace
 from elderlock.quota import attach as quota_attach
-from elderlock.rollout import basing as rollout_basing
-from elderlock.rollout import budget as rollout_budget
-from elderlock.rollout import ledger as rollout_ledger
+from elderlock.rollout import agent_launcher as rollout_basing
+from elderlock.rollout import disruption_budget as rollout_budget
+from elderlock.rollout import permit_ledger as rollout_ledger
 from elderlock.rollout import plans as rollout_plans
 from elderlock.sim import experiment as sim_experiment
 from elderlock.sim import figures as sim_figures
@@ -190,14 +190,14 @@
     "load-trace.row": load_trace.Row,
     "load-trace.header": load_trace._Header,
     "quota-file.quota-file": quota_attach.QuotaFile,
-    "base-state.which": rollout_basing.Which,
-    "base-state.to": rollout_basing.To,
-    "base-state.held": rollout_basing.Held,
-    "budget-file.limits": rollout_budget.Limits,
-    "budget-file.budget": rollout_budget.Budget,
+    "base-state.which": rollout_basing.AgentVersion,
+    "base-state.to": rollout_basing.SwitchRequest,
+    "base-state.held": rollout_basing.LauncherState,
+    "budget-file.limits": rollout_budget.DisruptionLimits,
+    "budget-file.budget": rollout_budget.DisruptionBudget,
     "ledger.permit": rollout_ledger.Permit,
     "ledger.ledger": rollout_ledger.Ledger,
-    "plan.terms": rollout_plans.Terms,
+    "plan.terms": rollout_plans.RolloutPolicy,
     "plan.unit": rollout_plans.Unit,
     "plan.plan": rollout_plans.Plan,
     "sim-experiment.scenario-part": sim_experiment.ScenarioPart,
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -21,10 +21,10 @@
 from elderlock.load.figures import Totals
 from elderlock.load.scenario import Ramp, Scenario, Steady, Truth
 from elderlock.net.config import load
-from elderlock.rollout import ledger
-from elderlock.rollout.basing import Held, Which
-from elderlock.rollout.plans import Plan, Terms, Unit
-from elderlock.rollout.register import Ballot
+from elderlock.rollout import permit_ledger as ledger
+from elderlock.rollout.agent_launcher import AgentVersion, LauncherState
+from elderlock.rollout.caspaxos import Ballot
+from elderlock.rollout.plans import Plan, RolloutPolicy, Unit
 from elderlock.sim import seeds, sweep
 from elderlock.sim.experiment import Cell, read_experiment
 from elderlock.sim.figures import Figures, Result
@@ -44,7 +44,7 @@
         Plan(
             "plan-1", "release", "v8", "ann", "new", 1700000000500.0,
             (Unit("n0", 0, "v7", "to", "trial", 14), Unit("n1", 1, "v7", "back", "done", 15)),
-            Terms(11.0, 20.0, 20.0, 30.0, 120.0, 5.0, 30.0, True), "halted", "back", "too slow", 3, "a1", 4, 5,
+            RolloutPolicy(11.0, 20.0, 20.0, 30.0, 120.0, 5.0, 30.0, True), "halted", "back", "too slow", 3, "a1", 4, 5,
         ),
     ),
     (("n0", "v8"),),
@@ -94,8 +94,8 @@
     assert vote is not None
     promised, accepted, value = vote
     assert (promised, accepted) == (Ballot(9, "a2:42"), Ballot(8, "a1:41"))
-    assert ledger.decode(value) == LEDGER
-    assert ledger.encode(ledger.decode(value)) == value
+    assert ledger.decode_ledger(value) == LEDGER
+    assert ledger.encode_ledger(ledger.decode_ledger(value)) == value
 
 
 def test_a_kept_agents_store_is_written_to_without_a_table_more(store: Store, tmp_path: Path) -> None:
@@ -117,7 +117,7 @@
         "726174696f6e08a776657273696f6e02a26174cb0000000000000000"
     )
     permit = ledger.Permit("box", "box-7", "origin-1", "ann", "", 8, 2, 0.0)
-    assert ledger.decode(old) == ledger.Ledger(2, 3, 9, (permit,))
+    assert ledger.decode_ledger(old) == ledger.Ledger(2, 3, 9, (permit,))
 
 
 def test_the_records_kept_for_a_limiters_start_are_read(tmp_path: Path) -> None:
@@ -136,9 +136,9 @@
         '[agent]\nname = "a"\nlisten = "127.0.0.1:0"\nstate = "a"\ntokens = "tokens"\n'
         '[[limiter]]\nname = "n0"\ncommand = ["x"]\nconfig = "c"\n'
     )
-    held = Running(path, ["own"], random.Random(1)).base.held
-    assert held == Held(
-        5, Which("v8", ("python", "-m", "elderlock")), Which("v7", ("old",)), True, 2500.0, 4, "it ended"
+    held = Running(path, ["own"], random.Random(1)).base.state
+    assert held == LauncherState(
+        5, AgentVersion("v8", ("python", "-m", "elderlock")), AgentVersion("v7", ("old",)), True, 2500.0, 4, "it ended"
     )
     assert msgspec.json.encode(held) + b"\n" == data
 
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -15,74 +15,87 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
-from elderlock.rollout import steps
-from elderlock.rollout.basing import START_WITHIN, Base, Held, To, Which, may_go
-from elderlock.rollout.ledger import Ledger
-from elderlock.rollout.plans import Plan, Terms, release
+from elderlock.rollout import plan_transitions
+from elderlock.rollout.agent_launcher import (
+    START_TIMEOUT_MS,
+    AgentLauncher,
+    AgentVersion,
+    LauncherState,
+    SwitchRequest,
+    agent_removal_refusal,
+)
+from elderlock.rollout.permit_ledger import Ledger
+from elderlock.rollout.plans import Plan, RolloutPolicy, new_release_plan
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.ground import Ground
 from elderlock.trial.standing import judged, standing
 
-TERMS = Terms(start_within=6.0, settle=0.2, bake=1.5, pause=0.1, patience=20.0, auto_back=True)
-V2 = Which("v2", ("two",))
+TERMS = RolloutPolicy(
+    start_timeout_s=6.0, settle_time_s=0.2, bake_time_s=1.5, wave_pause_s=0.1, patience_s=20.0, automatic_rollback=True
+)
+V2 = AgentVersion("v2", ("two",))
 
 
-def to_v2(base: Base, generation: int = 5) -> None:
-    held = base.weigh(To(generation, V2))
+def to_v2(base: AgentLauncher, generation: int = 5) -> None:
+    held = base.state_after_switch(SwitchRequest(generation, V2))
     assert held is not None
-    assert base.take(held, 0.0) == "terminate"
-    assert base.exited("code 0", 10.0) == (None, "start")
+    assert base.switch(held, 0.0) == "terminate"
+    assert base.on_exit("code 0", 10.0) == (None, "start")
 
 
 def test_a_version_that_ends_on_trial_is_followed_by_the_one_before() -> None:
-    base = Base(Held(), random.Random(1))
+    base = AgentLauncher(LauncherState(), random.Random(1))
     assert base.begin(0.0) == "start"
-    base.ready()
+    base.on_ready()
     to_v2(base)
-    assert base.held.which == V2 and base.held.trial
-    base.ready()
-    kept, do = base.exited("code 3", 20.0)
+    assert base.state.current == V2 and base.state.is_on_trial
+    base.on_ready()
+    kept, do = base.on_exit("code 3", 20.0)
     assert kept is not None and do == "start"
-    assert (kept.which, kept.failed, kept.trial) == (Which(), 5, False) and kept.why == "it ended with code 3"
-    assert base.weigh(To(5, V2)) is None  # the same word again
-    assert base.weigh(To(6, V2)) is not None
+    assert (kept.current, kept.failed_generation, kept.is_on_trial) == (
+        AgentVersion(),
+        5,
+        False,
+    ) and kept.failure_reason == "it ended with code 3"
+    assert base.state_after_switch(SwitchRequest(5, V2)) is None  # the same word again
+    assert base.state_after_switch(SwitchRequest(6, V2)) is not None
 
 
 def test_a_version_that_says_nothing_is_killed_and_followed_by_the_one_before() -> None:
-    base = Base(Held(), random.Random(1))
+    base = AgentLauncher(LauncherState(), random.Random(1))
     base.begin(0.0)
     to_v2(base)
-    assert base.step(START_WITHIN) is None and base.step(10.0 + START_WITHIN) == "kill"
-    kept, do = base.exited("signal 9", 10.0 + START_WITHIN)
-    assert kept is not None and do == "start" and "did not say within 20 s" in kept.why
+    assert base.on_timer(START_TIMEOUT_MS) is None and base.on_timer(10.0 + START_TIMEOUT_MS) == "kill"
+    kept, do = base.on_exit("signal 9", 10.0 + START_TIMEOUT_MS)
+    assert kept is not None and do == "start" and "did not say within 20 s" in kept.failure_reason
 
 
 def test_a_settled_version_that_ends_is_started_again_later_and_later() -> None:
-    base = Base(Held(), random.Random(1))
+    base = AgentLauncher(LauncherState(), random.Random(1))
     base.begin(0.0)
     to_v2(base)
-    base.ready()
-    assert base.settled(4) is None
-    held = base.settled(5)
-    assert held is not None and not held.trial
+    base.on_ready()
+    assert base.on_settled(4) is None
+    held = base.on_settled(5)
+    assert held is not None and not held.is_on_trial
     now, waits = 20.0, []
     for _ in range(4):
-        assert base.exited("code 1", now) == (None, None) and base.due is not None
-        waits.append(base.due - now)
-        now = base.due
-        assert base.step(now) == "start"
-    assert base.held.which == V2 and all(100.0 <= w <= 1600.0 for w in waits) and waits[3] > waits[0]
+        assert base.on_exit("code 1", now) == (None, None) and base.due_ms is not None
+        waits.append(base.due_ms - now)
+        now = base.due_ms
+        assert base.on_timer(now) == "start"
+    assert base.state.current == V2 and all(100.0 <= w <= 1600.0 for w in waits) and waits[3] > waits[0]
 
 
 def test_a_power_loss_on_trial_falls_back_in_the_next_life_too() -> None:
-    base = Base(Held(), random.Random(1))
+    base = AgentLauncher(LauncherState(), random.Random(1))
     base.begin(0.0)
     to_v2(base)
-    again = Base(base.held, random.Random(2))
-    assert again.begin(0.0) == "start" and again.held.which == V2
-    kept, do = again.exited("code 2", 10.0)
-    assert kept is not None and kept.which == Which() and do == "start"
+    again = AgentLauncher(base.state, random.Random(2))
+    assert again.begin(0.0) == "start" and again.state.current == V2
+    kept, do = again.on_exit("code 2", 10.0)
+    assert kept is not None and kept.current == AgentVersion() and do == "start"
 
 
 class Bases(RuleBasedStateMachine):
@@ -91,45 +104,49 @@
 
     @initialize()
     def begin(self) -> None:
-        self.base, self.now, self.lives = Base(Held(), random.Random(1)), 0.0, 0
+        self.base, self.now, self.lives = AgentLauncher(LauncherState(), random.Random(1)), 0.0, 0
         self.ended_on_trial: set[int] = set()
-        self.good = Which()
+        self.good = AgentVersion()
         self.generation = 0
         self.do(self.base.begin(0.0))
 
     def do(self, do: str | None) -> None:
         if do == "start":
             self.lives += 1
-            assert self.base.held.generation not in self.ended_on_trial
+            assert self.base.state.generation not in self.ended_on_trial
         elif do == "kill":
             self.end()
 
     def end(self) -> None:
         if self.lives:
             self.lives -= 1
-            if self.base.held.trial and self.base.phase != "stopping":
-                self.ended_on_trial.add(self.base.held.generation)
-            _, do = self.base.exited("code 1", self.now)
+            if self.base.state.is_on_trial and self.base.phase != "stopping":
+                self.ended_on_trial.add(self.base.state.generation)
+            _, do = self.base.on_exit("code 1", self.now)
             self.do(do)
 
     @rule(back=st.integers(0, 3), name=st.sampled_from(["a", "b", "c"]))
     def word(self, back: int, name: str) -> None:
         self.generation += 1
-        held = self.base.weigh(To(self.generation - back, Which(name)))
-        assert (held is not None) <= (self.generation - back > self.base.held.generation)
+        held = self.base.state_after_switch(SwitchRequest(self.generation - back, AgentVersion(name)))
+        assert (held is not None) <= (self.generation - back > self.base.state.generation)
         if held is not None:
-            assert held.before == self.good
-            self.do(self.base.take(held, self.now))
+            assert held.previous == self.good
+            self.do(self.base.switch(held, self.now))
 
     @rule()
     def ready(self) -> None:
         if self.lives:
-            self.base.ready()
+            self.base.on_ready()
 
     @rule(old=st.booleans())
     def settled(self, old: bool) -> None:
-        if self.lives and self.base.phase == "up" and self.base.settled(self.base.held.generation - old) is not None:
-            self.good = self.base.held.which
+        if (
+            self.lives
+            and self.base.phase == "up"
+            and self.base.on_settled(self.base.state.generation - old) is not None
+        ):
+            self.good = self.base.state.current
 
     @rule()
     def ends(self) -> None:
@@ -138,19 +155,19 @@
     @rule(ms=st.floats(1.0, 40_000.0))
     def wait(self, ms: float) -> None:
         self.now += ms
-        self.do(self.base.step(self.now))
+        self.do(self.base.on_timer(self.now))
 
     @rule()
     def power(self) -> None:
         self.lives = 0
-        self.base = Base(self.base.held, random.Random(2))
+        self.base = AgentLauncher(self.base.state, random.Random(2))
         self.do(self.base.begin(self.now))
 
     @invariant()
     def one_lives_or_is_due(self) -> None:
         if hasattr(self, "base"):
             assert self.lives <= 1
-            assert self.lives == 1 or self.base.due is not None
+            assert self.lives == 1 or self.base.due_ms is not None
 
 
 TestBases = Bases.TestCase
@@ -158,22 +175,26 @@
 
 def test_one_that_votes_goes_at_a_time_and_a_majority_stays() -> None:
     voters = ["a", "b", "c"]
-    assert may_go(voters, [], [], "a") == "" and may_go(voters, ["d"], [], "a") == ""
-    assert may_go(voters, ["a"], [], "b") == "agent a votes too and is not done yet"
-    assert may_go(voters, [], ["c"], "a") == "without agent a 1 of 3 that vote would be heard: no majority"
-    assert may_go(voters, ["a"], ["b"], "d") == ""
-    plan = release("p" * 32, "v2", [["a", "b", "d", "e"]], {}, "an", "", 0.0, TERMS, "agents")
-    begun = steps.begin(Ledger(), plan)
+    assert agent_removal_refusal(voters, [], [], "a") == "" and agent_removal_refusal(voters, ["d"], [], "a") == ""
+    assert agent_removal_refusal(voters, ["a"], [], "b") == "agent a votes too and is not done yet"
+    assert (
+        agent_removal_refusal(voters, [], ["c"], "a") == "without agent a 1 of 3 that vote would be heard: no majority"
+    )
+    assert agent_removal_refusal(voters, ["a"], ["b"], "d") == ""
+    plan = new_release_plan("p" * 32, "v2", [["a", "b", "d", "e"]], {}, "an", "", 0.0, TERMS, "agents")
+    begun = plan_transitions.begin_plan(Ledger(), plan)
     assert isinstance(begun, Ledger)
-    led = steps.lead(begun, plan.id, "a", 0)
+    led = plan_transitions.take_lead(begun, plan.id, "a", 0)
     assert isinstance(led, Ledger)
-    sent = steps.send_agents(led, plan.id, "a", 1, ["a", "b", "d", "e"], voters, [], 7)
+    sent = plan_transitions.transition_agents_waiting_to_out(led, plan.id, "a", 1, ["a", "b", "d", "e"], voters, [], 7)
     assert isinstance(sent, Ledger)
     held = sent.plans[0]
     assert [unit.stage for unit in held.units] == ["out", "waiting", "out", "out"]
     assert len({unit.generation for unit in held.units if unit.stage == "out"}) == 3 and sent.generation == 10
-    assert steps.send_agents(sent, plan.id, "a", 1, ["b"], voters, [], 7) == ["agent a votes too and is not done yet"]
-    other = steps.begin(sent, release("q" * 32, "v3", [["n0"]], {}, "an", "", 0.0, TERMS))
+    assert plan_transitions.transition_agents_waiting_to_out(sent, plan.id, "a", 1, ["b"], voters, [], 7) == [
+        "agent a votes too and is not done yet"
+    ]
+    other = plan_transitions.begin_plan(sent, new_release_plan("q" * 32, "v3", [["n0"]], {}, "an", "", 0.0, TERMS))
     assert other == ["release of agents v2 pppppppp of an is running: go on with it, or take it back first"]
 
 
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -13,7 +13,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.plan_commands import begin
 from elderlock.fleet.consensus.member import UNUSED_AFTER
-from elderlock.rollout.plans import Terms
+from elderlock.rollout.plans import RolloutPolicy
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run, until
 from elderlock.trial import disk
@@ -128,7 +128,9 @@
                 await asyncio.sleep(0.05)
             lost = await here.ask("agent-0", "s-00")
             assert lost.outcome == "away" and "what the boxes do is not known" in lost.reasons[0]
-            make = begin("plan", "drain", "", ["s-00", "s-01"], (("s-00",), ("s-01",)), Terms(pause=0.0), "")
+            make = begin(
+                "plan", "drain", "", ["s-00", "s-01"], (("s-00",), ("s-01",)), RolloutPolicy(wave_pause_s=0.0), ""
+            )
             begun = await here.group.ask("agent-0", make, f.Begun, 4.0)
             assert isinstance(begun, f.Begun) and begun.outcome == "away"
             assert (await here.ask("agent-1", "s-00")).outcome == "granted"
@@ -137,7 +139,7 @@
             assert (await here.ask("agent-0", *BOXES[1:4])).outcome == "refused"  # of what it knows it says so
             here.ground.lay_version("v2")
             here.ground.signal("agent-2", signal.SIGSTOP, "it was stopped")
-            make = begin("release", "release", "v2", (), (), Terms(), "")
+            make = begin("release", "release", "v2", (), (), RolloutPolicy(), "")
             begun = await here.group.ask("agent-1", make, f.Begun, 6.0)
             assert isinstance(begun, f.Begun) and begun.outcome == "away", begun
             assert "agent agent-2 does not say whether it has version v2" in begun.reasons
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -16,7 +16,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
-from elderlock.rollout.plans import Plan, Terms
+from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
@@ -24,7 +24,15 @@
 from elderlock.trial.processes import Child, python
 from elderlock.trial.standing import judged, standing
 
-TERMS = Terms(drain_within=2.0, start_within=8.0, settle=0.5, bake=2.0, bake_most=4.0, pause=0.2, auto_back=True)
+TERMS = RolloutPolicy(
+    drain_timeout_s=2.0,
+    start_timeout_s=8.0,
+    settle_time_s=0.5,
+    bake_time_s=2.0,
+    maximum_bake_time_s=4.0,
+    wave_pause_s=0.2,
+    automatic_rollback=True,
+)
 BOXES = [f"s-{n:02d}" for n in range(6)]
 
 
@@ -35,7 +43,7 @@
     async def known(self) -> operate.Known:
         return await operate.known(self.group, 1.0)
 
-    async def begin(self, version: str, id: str = "r" * 32, agent: str = "", terms: Terms = TERMS) -> f.Begun:
+    async def begin(self, version: str, id: str = "r" * 32, agent: str = "", terms: RolloutPolicy = TERMS) -> f.Begun:
         make = operate.begin(id, "release", version, (), (), terms, "")
         while True:
             for name in [agent] if agent else self.group.names:
@@ -102,7 +110,7 @@
             await tool.end()
             while (now := (await here.known()).plan("x" * 32)) is None or now.term == plan.term:
                 if now is not None and now.state == "halted":  # halted, it needs no leader
-                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.turn)
+                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.revision)
                     await operate.ask_any(here.group, on, f.Steered, 5.0)
                 await asyncio.sleep(0.1)
             assert now.leader != plan.leader
@@ -110,10 +118,10 @@
             await here.ground._start_agent(here.ground.agent_processes[int(plan.leader[6:])])
             while (now := (await here.known()).plan("x" * 32)) is None or now.state != "over":
                 if now is not None and now.state == "halted":  # it was silent for too long: an operator goes on
-                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.turn)
+                    on = partial(f.Steer, plan="x" * 32, action="go-on", turn=now.revision)
                     await operate.ask_any(here.group, on, f.Steered, 5.0)
                 await asyncio.sleep(0.1)
-            want = "v2" if now.aim == "to" else ""
+            want = "v2" if now.direction == "to" else ""
             while set((await here.runs()).values()) != {want}:
                 await asyncio.sleep(0.1)
             assert judged(here.ground).broken == []
@@ -162,7 +170,7 @@
             assert [halt[:2] for halt in there.halts] == [("r" * 32, 0)]
             here.ground.relays.mend("cut", cut)
             plan = await here.until("halted")
-            assert plan.why == "halt of an"
+            assert plan.state_reason == "halt of an"
 
     run(test(), within=90.0)
 
@@ -176,7 +184,7 @@
         async with three(load=0.4) as here:
             ground, faults = here.ground, TrialFaults(here.ground)
             ground.ask()
-            terms = msgspec.structs.replace(TERMS, pause=3.0)
+            terms = msgspec.structs.replace(TERMS, wave_pause_s=3.0)
             make = operate.begin("d" * 32, "drain", "", (), [BOXES[:1], BOXES[1:2], BOXES[2:3]], terms, "")
             while (said := await operate.ask_any(here.group, make, f.Begun, None)).plan is None:
                 assert any("yet" in line or "does not" in line or "few" in line for line in said.lines), said.lines
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -1,4 +1,4 @@
-"""Whole releases of agents in simulated time, and each judge shown to bite."""
+"""Whole releases of agents in simulated time, and each invariant checker shown to find its mutant."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from elderlock.fleet.plans.coordinator import Conductor
-from elderlock.rollout import steps
-from elderlock.rollout.basing import Base
+from elderlock.rollout import plan_transitions
+from elderlock.rollout.agent_launcher import AgentLauncher
 from elderlock.sim import renewals
 from elderlock.sim.renewals import BUILDS, Renewals, play
 from elderlock.sim.rollouts import Played
@@ -19,12 +19,12 @@
 
 
 @pytest.mark.parametrize("build", [build for build in BUILDS if build != "good"])
-def test_a_bad_version_of_agents_is_run_by_the_first_alone_and_taken_back(build: str) -> None:
+def test_a_bad_version_of_agents_runs_at_the_first_agent_alone_and_is_rolled_back(build: str) -> None:
     played = play(replace(SMALL, build=build), 1)
     assert played.good() and played.ran == {"agent-0"} and played.back_complete == 1, (played.broken, played.ran)
 
 
-def test_a_good_version_goes_out_to_all() -> None:
+def test_a_good_version_goes_out_to_all_agents() -> None:
     played = play(Renewals(), 1)
     assert (
         played.good() and len(played.ran) == 5 and played.plan is not None and played.plan.outcome() == "done"
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 5))
 @pytest.mark.parametrize("build", ["good", "crashes in its trial"])
-def test_faults_of_agents_bases_disks_and_ways_break_no_rule(build: str, seed: int) -> None:
+def test_faults_of_agents_launchers_disks_and_links_break_no_invariant(build: str, seed: int) -> None:
     played = play(replace(SMALL, faults=8, build=build), seed)
     assert played.good(), played.broken
 
@@ -46,23 +46,23 @@
         (5, 122, 16, "one that failed on the way back is tried again at an operator's word"),
     ],
 )
-def test_histories_that_a_search_found(agents: int, seed: int, faults: int, what: str) -> None:
+def test_regressions_found_by_searching_fault_histories(agents: int, seed: int, faults: int, what: str) -> None:
     played = play(Renewals(agents=agents, limiters=agents, faults=faults), seed)
     assert played.good(), (what, played.broken)
 
 
-def _starts_it_again(patch: pytest.MonkeyPatch) -> None:
-    """A base that knows no fall back."""
-    kept = Base.exited
+def _never_falls_back(patch: pytest.MonkeyPatch) -> None:
+    """A launcher that starts a failed version again."""
+    original = AgentLauncher.on_exit
 
-    def exited(self: Base, how: str, now: float):  # type: ignore[no-untyped-def]
-        held = self.held
-        self.held = msgspec.structs.replace(held, trial=False)
-        said = kept(self, how, now)
-        self.held = held
-        return said
+    def on_exit(self: AgentLauncher, description: str, now: float):  # type: ignore[no-untyped-def]
+        state = self.state
+        self.state = msgspec.structs.replace(state, is_on_trial=False)
+        decision = original(self, description, now)
+        self.state = state
+        return decision
 
-    patch.setattr(Base, "exited", exited)
+    patch.setattr(AgentLauncher, "on_exit", on_exit)
     patch.setattr(renewals, "SETTLED_WITHIN", 60.0)
 
 
@@ -70,27 +70,27 @@
     return True
 
 
-FLAWS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Renewals, Callable[[Played], int]]] = {
-    "all that vote go at once": (
-        lambda patch: patch.setattr(steps, "may_go", lambda *given: ""),
+MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Renewals, Callable[[Played], int]]] = {
+    "all voters are taken out at once": (
+        lambda patch: patch.setattr(plan_transitions, "agent_removal_refusal", lambda *given: ""),
         replace(SMALL, agents=5, limiters=5),
         lambda played: played.over_budget,
     ),
-    "a base knows no fall back": (
-        _starts_it_again,
+    "a launcher never falls back": (
+        _never_falls_back,
         replace(SMALL, build="crashes in its trial"),
         lambda played: played.after_fence,
     ),
-    "a base obeys no word": (
-        lambda patch: patch.setattr(Base, "weigh", lambda self, to: None),
+    "a launcher ignores requests": (
+        lambda patch: patch.setattr(AgentLauncher, "state_after_switch", lambda self, request: None),
         SMALL,
         lambda played: played.stuck,
     ),
 }
 
 
-@pytest.mark.parametrize("flaw", FLAWS)
-def test_a_judge_bites(flaw: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    patch, given, seen = FLAWS[flaw]
+@pytest.mark.parametrize("mutant", MUTANTS)
+def test_an_invariant_checker_finds_its_mutant(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    patch, given, seen = MUTANTS[mutant]
     patch(monkeypatch)
     assert any(seen(play(given, seed)) for seed in range(1, 4))
