--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -139,7 +139,7 @@
             print(f"drain {number} of {uid}: {code}, {account}, {progress}", flush=True)
         reports_wrong += false
         _, code, account, _ = await command(world, "undrain", "box", uid)
-        views = [(s.limiter, b) for s in (await see(group)).states() for b in s.boxes]
+        views = [(s.limiter, b) for s in (await see(group)).states() for b in s.servers]
         drained_still = [name for name, b in views if b.uid == uid and b.drained_by]
         if code != 0 or drained_still:
             print(f"undrain {number} of {uid}: {code}, {drained_still}, {account}", flush=True)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -88,7 +88,7 @@
         for shown in (await ground.shown(0.5)).values():
             for limiter in shown.limiters:
                 here = next((n for n, held in enumerate(seen) if held.holder == limiter.name and held.ended > 1e17), -1)
-                down = limiter.state is not None and limiter.link == "answering" and limiter.state.drained
+                down = limiter.state is not None and limiter.link == "answering" and limiter.state.is_drained
                 if down and here < 0:
                     seen.append(Holding(OUT, limiter.name, at, at, 1e18))
                 elif not down and here >= 0 and limiter.link == "answering":
@@ -231,7 +231,7 @@
         began = time.time() * 1000.0
         code = await tools.told("an", "drain", "box", box, within=10.0)
         shown = await ground.shown()
-        at = [r.at for each in shown.values() for r in each.records if r.target == box and r.drained]
+        at = [r.created_at_unix_ms for each in shown.values() for r in each.records if r.target == box and r.is_drained]
         if code == 0 and at:
             found.drain_ms.append(min(at) - began)
         await tools.told("an", "undrain", "box", box, within=10.0)
--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -22,7 +22,7 @@
 from elderlock.net.peers import Peers
 
 if TYPE_CHECKING:
-    from elderlock.operators import Extras
+    from elderlock.operators import OptionalFeatures
 
 ACCEPT_FOR = 0.5  # s after SIGTERM: the front may send new connections for 0.4 s
 # s after SIGTERM: SIGKILL comes 0.7 s after the longest deadline, or after 3 s where that is longer, at the soonest
@@ -31,7 +31,7 @@
 FRESH_LIST_WITHIN = 1.0  # s that the fresh list is waited for, where one is known from before
 
 
-def reload(discovery: Discovery, extras: Extras | None = None) -> None:
+def reload(discovery: Discovery, extras: OptionalFeatures | None = None) -> None:
     """Turns to what the replaced file names. Open requests, pools and the listener know nothing of it.
     It is one step of the loop, so that signals close together are taken one after the other."""
     try:
@@ -51,16 +51,16 @@
     return longest + KILLED_AFTER - LAST_WORDS
 
 
-def _extras() -> Extras | None:
+def _extras() -> OptionalFeatures | None:
     """What the operators' file switches on; not loaded, and not paid for, where there is none."""
     path = os.environ.get("ELDERLOCK_OPERATORS")
     if not path:
         return None
     try:
-        from elderlock.operators import Extras
+        from elderlock.operators import OptionalFeatures
     except ModuleNotFoundError as error:
         raise ConfigError(f"{path} needs the extra elderlock[fleet]: {error}") from None
-    return Extras(Path(path))
+    return OptionalFeatures(Path(path))
 
 
 async def serve(config: Config) -> None:
@@ -70,8 +70,8 @@
     stop = asyncio.Event()
     source, limiter = Keepers, Limiter
     if (extras := _extras()) is not None:
-        config = extras.routed(config)
-        source, limiter = extras.source(config.settings.limiter_count), extras.limiter(config.settings)
+        config = extras.with_routing(config)
+        source, limiter = extras.quota_owner_type(config.settings.limiter_count), extras.limiter_type(config.settings)
     gateway = Gateway(loop, config, Clock(), source, limiter)
     discovery = Discovery(config.socket_settings, gateway.listed)
     loop.add_signal_handler(signal.SIGHUP, reload, discovery)
@@ -86,7 +86,7 @@
     clients = Clients(loop, gateway, config.sockets)
     if extras is not None:
         loop.add_signal_handler(signal.SIGHUP, reload, discovery, extras)
-        await extras.prepare(gateway, clients, config, discovery.address, stop.set)
+        await extras.attach(gateway, clients, config, discovery.address, stop.set)
     gateway.start()
     discovery.follow(config.discovery)
     try:
@@ -97,14 +97,14 @@
         logging.warning("no list from discovery yet")
     await clients.listen(*config.listen)
     if extras is not None:
-        await extras.open()
+        await extras.start_authz()
     gc.collect()
     gc.freeze()  # what start-up made stays: the collector need not walk it again and again
     logging.info("%s listens at %s:%d", config.name, *config.listen)
     await stop.wait()
     logging.info("%s stops", config.name)
     if extras is not None:
-        await asyncio.gather(clients.drain(ACCEPT_FOR, exit_within(config)), extras.leave())
+        await asyncio.gather(clients.drain(ACCEPT_FOR, exit_within(config)), extras.stop_authz())
     else:
         await clients.drain(ACCEPT_FOR, exit_within(config))
     discovery.stop()
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -379,7 +379,7 @@
 
 
 async def _record(options: argparse.Namespace) -> int:
-    from elderlock.control.figures import MOST_ACCOUNTS
+    from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS
     from elderlock.load.recorder import Recorder
 
     plans = {}
@@ -393,7 +393,7 @@
     missed = 0
     with contextlib.closing(trace.Writer(options.out)) as writer:
         while True:
-            seen = await see(group, MOST_ACCOUNTS)
+            seen = await see(group, MAXIMUM_ACCOUNTS)
             now = time.monotonic()
             missed += len(seen.missing)
             states = {state.limiter: state for state in seen.states()}
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from elderlock.control.messages import Counter as CounterState
-from elderlock.control.messages import Counts, State
+from elderlock.control.messages import AnswerCounts, LimiterState
+from elderlock.control.messages import CounterStatus as CounterState
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import why
 from elderlock.fleet.client.drain_plan import Plan, summed
@@ -38,7 +38,7 @@
     return "-" if value < 0 else f"{value:.0f}"
 
 
-def counts(each: Counts) -> list[str]:
+def counts(each: AnswerCounts) -> list[str]:
     return [str(each.served), str(each.refused), str(each.failed)]
 
 
@@ -74,7 +74,13 @@
     if accounts:
         lines += ["", *_accounts(seen, colour)]
         leases = [
-            [state.limiter, one.account, f"{one.level:.1f} of {one.burst:g}", f"{one.drawn:.1f}", f"{one.owed:.1f}"]
+            [
+                state.limiter,
+                one.account,
+                f"{one.stored_units:.1f} of {one.burst_units:g}",
+                f"{one.drawn_units:.1f}",
+                f"{one.unreported_units:.1f}",
+            ]
             for state in seen.states()
             if state.counter is not None
             for one in state.counter.leases
@@ -90,7 +96,7 @@
     sharing = [state for state in states if state.shared is not None]
     parts = [
         f"{state.limiter}: ceilings by demand, {c.given:.1f} units given, {c.taken:.1f} taken, "
-        f"{c.away:.1f} on their way; {c.told_most:g} datagrams a second at most"
+        f"{c.offered:.1f} on their way; {c.maximum_sent_per_s:g} datagrams a second at most"
         for state in states
         if (c := state.ceilings) is not None
     ]
@@ -105,14 +111,14 @@
             [
                 state.limiter,
                 str(told.servers),
-                age(told.counts_ms),
-                str(told.told),
-                f"{told.told_most:g}",
-                str(told.heard),
+                age(told.evidence_lifetime_ms),
+                str(told.sent),
+                f"{told.maximum_sent_per_s:g}",
+                str(told.received),
                 str(told.refused),
-                age(told.heard_age_ms),
+                age(told.received_age_ms),
                 numbers(told.disbelieved),
-                "yes" if told.silent else "no",
+                "yes" if told.is_silent else "no",
             ]
         )
     head = (
@@ -173,7 +179,7 @@
                 age(word.since_ms) if word.since_ms >= 0.0 else "-",
                 str(word.out),
                 number(word.latency_ms),
-                numbers(health.left_out_by) if health is not None else "-",
+                numbers(health.ejected_by) if health is not None else "-",
                 ages(failed),
                 ages(answered),
             ]
@@ -215,12 +221,12 @@
         phase,
         link,
         age(state.uptime_ms),
-        str(state.open),
+        str(state.open_requests),
         *counts(state.counts),
         number(state.answer_p50_ms),
         number(state.answer_p99_ms),
         state.throttle.phase,
-        "yes" if state.drained else "no",
+        "yes" if state.is_drained else "no",
     ]
 
 
@@ -229,10 +235,10 @@
     boxes = summed(states)
     rows = []
     for uid, box in boxes.items():
-        views = [b for s in states for b in s.boxes if b.uid == uid]
+        views = [b for s in states for b in s.servers if b.uid == uid]
         latencies = [b.latency_ms for b in views if b.latency_ms >= 0]
         latency = f"{min(latencies):.0f}-{max(latencies):.0f}" if latencies else "-"
-        reasons = {b.left_out for b in views if b.left_out}
+        reasons = {b.unavailable_reason for b in views if b.unavailable_reason}
         record = seen.records.get("box", uid)
         generation = str(record.generation) if record is not None else "-"
         rows.append(
@@ -279,7 +285,7 @@
     return table(("LIMITER", "PLAN OR ACCOUNT", "SERVED", "REFUSED", "FAILED"), rows, colour)
 
 
-def limiter_details(state: State) -> list[str]:
+def limiter_details(state: LimiterState) -> list[str]:
     throttle = state.throttle
     return [
         f"{state.limiter}: version {state.build}, configuration {state.config_digest}, at {state.listen}",
@@ -287,7 +293,7 @@
         f"held by agent {state.owner or '-'} (epoch {state.owner_epoch}); {state.clients} client connections",
         f"  throttle {throttle.phase}: leak {throttle.leak_rate:.1f}/s, "
         f"let in {throttle.admit_rate:.1f}/s, answered {throttle.answer_rate:.1f}/s",
-        *[f"  peer {p.number}: passed over, {p.missed} questions open" for p in state.peers if p.passed_over],
+        *[f"  peer {p.number}: passed over, {p.missed_answers} questions open" for p in state.peers if p.is_skipped],
     ]
 
 
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -13,22 +13,22 @@
 
 from elderlock import interface as api
 from elderlock.control import messages as m
-from elderlock.control.desk import Desk, Visitor
+from elderlock.control.command_authority import CommandAuthority, Session
 from elderlock.control.files import read_toml
+from elderlock.control.limiter_status import LimiterStatus, config_digests
 from elderlock.control.records import Record
-from elderlock.control.transport import Bounds, Connection, FrameServer
-from elderlock.control.view import View, config_digests
+from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config, ConfigError
 from elderlock.net.gateway import Gateway
 
 if TYPE_CHECKING:
-    from elderlock.control.shared import SharedView
+    from elderlock.control.shared import EvidenceView
 
-CONNECTIONS = 16  # an agent holds one; the others are for whoever looks on
-LEAST_SUBSET = 8  # boxes: with fewer, one that is slow is a large part of them
-STOP_AFTER = 0.05  # s that the answer to a stop has to leave before the program ends
+MAXIMUM_CONNECTIONS = 16  # an agent holds one; the others are for whoever looks on
+MINIMUM_SUBSET = 8  # boxes: with fewer, one that is slow is a large part of them
+STOP_DELAY_S = 0.05  # s that the answer to a stop has to leave before the program ends
 log = logging.getLogger(__name__)
 
 
@@ -47,10 +47,10 @@
     subset: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
     away_ms: Annotated[float, msgspec.Meta(ge=0.0, le=60_000.0)] = 0.0
 
-    def of(self, settings: api.Settings) -> api.Routing:
+    def to_routing(self, settings: api.Settings) -> api.Routing:
         """Raises `ConfigError`."""
-        if 0 < self.subset < LEAST_SUBSET:
-            raise ConfigError(f"[routing] subset is {self.subset}: 0 for all boxes, or {LEAST_SUBSET} at least")
+        if 0 < self.subset < MINIMUM_SUBSET:
+            raise ConfigError(f"[routing] subset is {self.subset}: 0 for all boxes, or {MINIMUM_SUBSET} at least")
         aim = min((c.latency_objective_ms for c in settings.request_classes), default=MS_PER_SECOND)
         return api.Routing(self.subset, self.away_ms / aim)
 
@@ -73,12 +73,12 @@
     shared: SharedFile | None = None
 
 
-def read_operators(path: Path) -> OperatorsFile:
+def read_operators_file(path: Path) -> OperatorsFile:
     """Raises `ConfigError` with one plain line."""
     return read_toml(path, OperatorsFile, ConfigError)
 
 
-def read_records(path: Path) -> tuple[Record, ...]:
+def read_records_file(path: Path) -> tuple[Record, ...]:
     """A file that is not there holds no drain. One that cannot be read is an error: to start without the
     drains it held would send work to a box that an operator took out."""
     try:
@@ -89,46 +89,50 @@
         raise ConfigError(f"{path}: the drains in it cannot be read: {error}") from None
 
 
-def build() -> str:
+def build_version() -> str:
     try:
         return version("elderlock")
     except PackageNotFoundError:  # run from a checkout that is not installed
         return "source"
 
 
-class Control:
+class ControlSocket:
     """The socket of a limiter that runs. `now`: ms of Unix time that go on evenly: by the machine's clock, a step back
     would tell a drain as earlier than it was, and keep a lease that its owner let lapse."""
 
-    def __init__(self, desk: Desk, path: Path, now: Callable[[], float]) -> None:
+    def __init__(self, desk: CommandAuthority, path: Path, now: Callable[[], float]) -> None:
         self._desk, self.path, self._now = desk, path, now
-        bounds = Bounds(longest=m.LONGEST, longest_first=m.LONGEST_HELLO, connections=CONNECTIONS)
-        self._server: FrameServer[Visitor] = FrameServer(bounds, Visitor, self._handle, self._broken)
+        bounds = ConnectionLimits(
+            maximum_message_bytes=m.MAXIMUM_MESSAGE_BYTES,
+            maximum_hello_bytes=m.MAXIMUM_HELLO_BYTES,
+            maximum_connections=MAXIMUM_CONNECTIONS,
+        )
+        self._server: FrameServer[Session] = FrameServer(bounds, Session, self._handle, self._broken)
 
     async def listen(self) -> None:
         await self._server.listen_unix(self.path)
 
     @staticmethod
     def _broken(text: str) -> bytes:
-        return m.encode(m.Refused("bad-message", text))
+        return m.encode_message(m.Refused("bad-message", text))
 
-    def _handle(self, connection: Connection[Visitor], body: bytes) -> None:
+    def _handle(self, connection: Connection[Session], body: bytes) -> None:
         try:
-            message = m.to_limiter(body)
+            message = m.decode_request(body)
         except msgspec.DecodeError as error:
-            return connection.say(m.encode(m.Refused("unknown-message", str(error))), last=True)
-        answer = self._desk.handle(connection.visitor, message, self._now())
+            return connection.send(m.encode_message(m.Refused("unknown-message", str(error))), last=True)
+        answer = self._desk.handle(connection.session, message, self._now())
         if isinstance(answer, m.Welcome):
-            connection.identified()
-        refused = isinstance(answer, m.Refused) and not connection.visitor.greeted
-        connection.say(m.encode(answer), last=refused)
+            connection.on_identified()
+        refused = isinstance(answer, m.Refused) and not connection.session.is_greeted
+        connection.send(m.encode_message(answer), last=refused)
 
     def close(self) -> None:
         self._server.close()
         self.path.unlink(missing_ok=True)
 
 
-async def attach(
+async def attach_control_socket(
     wanted: ControlFile,
     config_path: str,
     gateway: Gateway,
@@ -136,24 +140,26 @@
     config: Config,
     discovery: Callable[[], str],
     stop: Callable[[], None],
-    counter: Callable[[int], m.Counter] | None = None,
-    shared: SharedView | None = None,
-    ceilings: Callable[[], m.Ceilings | None] = lambda: None,
-) -> Control:
+    counter: Callable[[int], m.CounterStatus] | None = None,
+    shared: EvidenceView | None = None,
+    ceilings: Callable[[], m.CeilingStatus | None] = lambda: None,
+) -> ControlSocket:
     """Before the gateway starts, so that not one list is taken without the drains."""
-    records = read_records(Path(wanted.records)) if wanted.records else ()
+    records = read_records_file(Path(wanted.records)) if wanted.records else ()
     loop = asyncio.get_running_loop()
 
     def stop_soon() -> None:
-        loop.call_later(STOP_AFTER, stop)
+        loop.call_later(STOP_DELAY_S, stop)
 
     digests = config_digests(config_path)
-    view = View(gateway, clients, config, build(), discovery, stop_soon, digests, counter, shared, ceilings)
+    view = LimiterStatus(
+        gateway, clients, config, build_version(), discovery, stop_soon, digests, counter, shared, ceilings
+    )
     gateway.watched_by(view)
-    desk = Desk(view, records)
-    view.records = lambda: (tuple(desk.records), desk.records.digest())
-    view.owner = lambda: (desk.owner, desk.owner_epoch)
-    control = Control(desk, Path(wanted.socket), gateway.now)
+    desk = CommandAuthority(view, records)
+    view.read_records = lambda: (tuple(desk.records), desk.records.digest())
+    view.read_owner = lambda: (desk.owner, desk.owner_epoch)
+    control = ControlSocket(desk, Path(wanted.socket), gateway.now)
     await control.listen()
     log.info("control at %s, %d records of drains", control.path, len(desk.records))
     return control
--- a/elderlock/control/desk.py
+++ b/elderlock/control/command_authority.py
@@ -14,10 +14,10 @@
 from elderlock.control import messages as m
 from elderlock.control.records import Record, Records
 
-LEASE = 5000.0  # ms
+LEASE_MS = 5000.0  # ms
 
 
-class Face(Protocol):
+class ControlledLimiter(Protocol):
     """The limiter as the desk needs it."""
 
     name: str
@@ -25,7 +25,7 @@
     pid: int
     started_at: float  # Unix ms
 
-    def state(self, id: int, accounts: int) -> m.State: ...
+    def state(self, id: int, accounts: int) -> m.LimiterState: ...
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None: ...
     def out(self, boxes: Iterable[str]) -> dict[str, int]: ...
     def open_requests(self) -> int: ...
@@ -33,36 +33,36 @@
 
 
 @dataclass(slots=True)
-class Visitor:
+class Session:
     """One connection: whom it says to be once it has said so."""
 
     agent: str = ""
     epoch: int = 0
-    greeted: bool = False
+    is_greeted: bool = False
 
 
-class Desk:
+class CommandAuthority:
     """Invariant: what is in force is what `records` holds, and `records` never goes back."""
 
-    def __init__(self, face: Face, records: Iterable[Record] = ()) -> None:
+    def __init__(self, face: ControlledLimiter, records: Iterable[Record] = ()) -> None:
         self._face = face
         self.records = Records(records)
-        self.owner, self.owner_epoch, self._heard = "", 0, -LEASE
+        self.owner, self.owner_epoch, self._heard = "", 0, -LEASE_MS
         self._enforce()
 
     def _enforce(self) -> None:
         limiter = self.records.get("limiter", self._face.name)
-        self._face.drain(self.records.drained("box"), limiter is not None and limiter.drained)
+        self._face.drain(self.records.drained_targets("box"), limiter is not None and limiter.is_drained)
 
-    def handle(self, visitor: Visitor, message: m.ToLimiter, now: float) -> m.Message:
+    def handle(self, visitor: Session, message: m.ToLimiter, now: float) -> m.Message:
         """`now` in ms of Unix time."""
         if isinstance(message, m.Hello):
             return self._hello(visitor, message, now)
-        if not visitor.greeted:
+        if not visitor.is_greeted:
             return m.Refused("bad-message", "a connection begins with hello", message.id)
-        if isinstance(message, m.Look):
+        if isinstance(message, m.GetState):
             self._renew(visitor, now)
-            return self._face.state(message.id, message.accounts)
+            return self._face.state(message.id, message.maximum_accounts)
         if not self._owns(visitor):
             return self._not_owner(message.id)
         self._renew(visitor, now)
@@ -71,32 +71,34 @@
             return m.Stopping(message.id)
         if self.records.merge(message.records):
             self._enforce()
-        return m.Applied(
+        return m.RecordsApplied(
             message.id,
             tuple(self.records),
             now,
-            self._face.out(self.records.drained("box")),
+            self._face.out(self.records.drained_targets("box")),
             self._face.open_requests(),
         )
 
-    def _hello(self, visitor: Visitor, hello: m.Hello, now: float) -> m.Message:
-        if m.VERSION not in hello.versions:
+    def _hello(self, visitor: Session, hello: m.Hello, now: float) -> m.Message:
+        if m.PROTOCOL_VERSION not in hello.versions:
             told = ", ".join(map(str, hello.versions)) or "none"
-            return m.Refused("version", f"version {told} is not known; this limiter speaks {m.VERSION}")
+            return m.Refused("version", f"version {told} is not known; this limiter speaks {m.PROTOCOL_VERSION}")
         if hello.epoch > 0:
-            same, lapsed = hello.agent == self.owner, now - self._heard >= LEASE
+            same, lapsed = hello.agent == self.owner, now - self._heard >= LEASE_MS
             if (not same and not lapsed) or (same and hello.epoch < self.owner_epoch):
                 return self._not_owner(0, "claimed")
             # another agent's epochs are its own; a claim that lapsed is outbid, so the old owner sees it
             self.owner, self.owner_epoch, self._heard = hello.agent, hello.epoch, now
-        visitor.agent, visitor.epoch, visitor.greeted = hello.agent, hello.epoch, True
+        visitor.agent, visitor.epoch, visitor.is_greeted = hello.agent, hello.epoch, True
         face = self._face
-        return m.Welcome(m.VERSION, face.name, face.build, face.pid, face.started_at, self.owner, self.owner_epoch)
+        return m.Welcome(
+            m.PROTOCOL_VERSION, face.name, face.build, face.pid, face.started_at, self.owner, self.owner_epoch
+        )
 
-    def _owns(self, visitor: Visitor) -> bool:
+    def _owns(self, visitor: Session) -> bool:
         return visitor.epoch > 0 and (visitor.agent, visitor.epoch) == (self.owner, self.owner_epoch)
 
-    def _renew(self, visitor: Visitor, now: float) -> None:
+    def _renew(self, visitor: Session, now: float) -> None:
         if self._owns(visitor):
             self._heard = now
 
--- a/elderlock/control/overlay.py
+++ b/elderlock/control/drain_overlay.py
@@ -14,7 +14,7 @@
 from elderlock.net.targets import Target, TargetList
 
 
-class Overlay:
+class DrainOverlay:
     """Invariant: no target whose uid is held here ever leaves with the state RUNNING."""
 
     def __init__(self, drained: Iterable[str] = ()) -> None:
@@ -23,16 +23,16 @@
         self.version = 0
 
     @property
-    def told(self) -> dict[str, Target]:
+    def discovered(self) -> dict[str, Target]:
         return self._told
 
-    def _over(self, target: Target) -> Target:
+    def _with_drain(self, target: Target) -> Target:
         entry = target.entry
         if entry.server_id not in self._drained or entry.state is not ServerState.RUNNING:
             return target
         return replace(target, entry=replace(entry, state=ServerState.DRAINING))
 
-    def listed(self, listed: TargetList) -> TargetList:
+    def apply_to(self, listed: TargetList) -> TargetList:
         """The list as the limiter shall take it."""
         if listed.complete:
             self._told = {}
@@ -42,11 +42,11 @@
                 self._told.pop(target.entry.server_id, None)
             else:
                 self._told[target.entry.server_id] = target
-        return replace(listed, targets=tuple(self._over(target) for target in listed.targets))
+        return replace(listed, targets=tuple(self._with_drain(target) for target in listed.targets))
 
-    def drain(self, drained: Iterable[str]) -> TargetList:
+    def set_drained(self, drained: Iterable[str]) -> TargetList:
         """Holds exactly these from now on; returns what that changes of the list as it was told."""
         before, self._drained = self._drained, frozenset(drained)
         changed = before ^ self._drained
-        targets = tuple(self._over(t) for uid, t in self._told.items() if uid in changed)
+        targets = tuple(self._with_drain(t) for uid, t in self._told.items() if uid in changed)
         return TargetList(self.version, False, targets)
--- a/elderlock/control/view.py
+++ b/elderlock/control/limiter_status.py
@@ -12,9 +12,9 @@
 
 from elderlock import interface as api
 from elderlock.control import messages as m
-from elderlock.control.figures import Figures
-from elderlock.control.overlay import Overlay
+from elderlock.control.drain_overlay import DrainOverlay
 from elderlock.control.records import Record
+from elderlock.control.request_metrics import RequestMetrics
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.net.clients import Clients
 from elderlock.net.config import Config
@@ -23,15 +23,15 @@
 from elderlock.state import NEVER_MS, Server
 
 if TYPE_CHECKING:
-    from elderlock.control.shared import SharedView
+    from elderlock.control.shared import EvidenceView
 
-QUEUE = re.compile(rb"(?:^|,)queue=(\d{1,9})(?:\.\d+)?(?:,|$)")
-ALIKE = ("services", "plans", "rules", "policy-limits", "family-info", "kinds", "zones", "peers-total")
-WORDS = {api.ServerState.RUNNING: "running", api.ServerState.DRAINING: "draining"}
-FAILING = 0.5  # share of wrong answers from which a box counts as failing, in words
+QUEUE_PATTERN = re.compile(rb"(?:^|,)queue=(\d{1,9})(?:\.\d+)?(?:,|$)")
+GROUP_SETTINGS = ("services", "plans", "rules", "policy-limits", "family-info", "kinds", "zones", "peers-total")
+STATE_NAMES = {api.ServerState.RUNNING: "running", api.ServerState.DRAINING: "draining"}
+FAILING_ERROR_FRACTION = 0.5  # share of wrong answers from which a box counts as failing, in words
 
 
-def digest(value: Any) -> str:
+def json_digest(value: Any) -> str:
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:12]
 
 
@@ -39,11 +39,11 @@
     """Of the whole file, and of each part that the limiters of a group should have alike."""
     raw = json.loads(Path(path).read_text(encoding="utf-8"))
     settings = raw["settings"]
-    parts = {name: digest(settings[name]) for name in ALIKE if name in settings}
-    return digest(raw), {**parts, "limits": digest(raw.get("limits"))}
+    parts = {name: json_digest(settings[name]) for name in GROUP_SETTINGS if name in settings}
+    return json_digest(raw), {**parts, "limits": json_digest(raw.get("limits"))}
 
 
-class View:
+class LimiterStatus:
     """The gateway's watcher and the desk's face in one: it sees what passes and lays drains over lists."""
 
     def __init__(
@@ -55,35 +55,35 @@
         discovery: Callable[[], str],
         stop: Callable[[], None],
         digests: tuple[str, dict[str, str]],
-        counter: Callable[[int], m.Counter] | None = None,
-        shared: SharedView | None = None,
-        ceilings: Callable[[], m.Ceilings | None] = lambda: None,
+        counter: Callable[[int], m.CounterStatus] | None = None,
+        shared: EvidenceView | None = None,
+        ceilings: Callable[[], m.CeilingStatus | None] = lambda: None,
     ) -> None:
         self._gateway, self._clients, self._config = gateway, clients, config
         self._discovery, self._stop = discovery, stop
         self.name, self.build, self.pid = config.name, build, os.getpid()
         self.started_at = gateway.now()
         self.digests, self._counter, self._shared, self._ceilings = digests, counter, shared, ceilings
-        self._figures = Figures([plan.name for plan in config.settings.plans])
-        self._overlay = Overlay()
+        self._figures = RequestMetrics([plan.name for plan in config.settings.plans])
+        self._overlay = DrainOverlay()
         self._drained: dict[str, Record] = {}
         self._cordoned = False
         self._list_at = NEVER_MS
         self._reports: dict[str, tuple[bytes, float]] = {}  # as they came: read when somebody looks
-        self.records: Callable[[], tuple[tuple[Record, ...], str]] = lambda: ((), "")
-        self.owner: Callable[[], tuple[str, int]] = lambda: ("", 0)
+        self.read_records: Callable[[], tuple[tuple[Record, ...], str]] = lambda: ((), "")
+        self.read_owner: Callable[[], tuple[str, int]] = lambda: ("", 0)
 
     # What the gateway tells
 
     def listed(self, listed: TargetList) -> TargetList:
         self._list_at = self._gateway.now()
-        over = self._overlay.listed(listed)
-        if len(self._reports) > len(self._overlay.told):
-            self._reports = {u: r for u, r in self._reports.items() if u in self._overlay.told}
+        over = self._overlay.apply_to(listed)
+        if len(self._reports) > len(self._overlay.discovered):
+            self._reports = {u: r for u, r in self._reports.items() if u in self._overlay.discovered}
         return over
 
     def answered(self, command: Command, took: float, answer: bytes | None) -> None:
-        self._figures.answered(command.plan_index, command.customer, took, answer)
+        self._figures.record(command.plan_index, command.customer, took, answer)
 
     def reported(self, server: str, report: bytes) -> None:
         if report:
@@ -93,7 +93,7 @@
 
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
         self._drained = boxes
-        changes = self._overlay.drain(boxes)
+        changes = self._overlay.set_drained(boxes)
         if changes.targets:
             self._gateway.changed(changes)
         if limiter != self._cordoned:
@@ -113,15 +113,15 @@
     def stop(self) -> None:
         self._stop()
 
-    def state(self, id: int, accounts: int) -> m.State:
+    def state(self, id: int, accounts: int) -> m.LimiterState:
         gateway, limiter, figures = self._gateway, self._gateway.limiter, self._figures
         now, throttle = gateway.now(), limiter.throttle
-        records, records_digest = self.records()
-        owner, owner_epoch = self.owner()
+        records, records_digest = self.read_records()
+        owner, owner_epoch = self.read_owner()
         endpoints = gateway.servers.endpoints()
-        evident = self._shared.shown() if self._shared is not None else set()
+        evident = self._shared.shown_keys() if self._shared is not None else set()
         host, port = self._config.listen
-        return m.State(
+        return m.LimiterState(
             id=id,
             limiter=self.name,
             build=self.build,
@@ -134,26 +134,26 @@
             list_version=self._overlay.version,
             list_age_ms=now - self._list_at if self._list_at > NEVER_MS else -1.0,
             ready=gateway.has_list and not self._cordoned,
-            drained=self._cordoned,
-            open=gateway.open_requests,
+            is_drained=self._cordoned,
+            open_requests=gateway.open_requests,
             clients=len(self._clients),
-            counts=figures.all,
-            plans=figures.plans,
-            accounts=figures.accounts(accounts),
-            accounts_known=figures.known(),
-            answer_p50_ms=figures.times.quantile(0.5),
-            answer_p99_ms=figures.times.quantile(0.99),
-            log_sum=figures.log_sum,
-            log_squares=figures.log_squares,
-            boxes=tuple(
+            counts=figures.total,
+            plans=figures.by_plan,
+            accounts=figures.busiest_accounts(accounts),
+            accounts_known=figures.account_count(),
+            answer_p50_ms=figures.latencies.quantile(0.5),
+            answer_p99_ms=figures.latencies.quantile(0.99),
+            log_time_sum=figures.log_time_sum,
+            log_time_square_sum=figures.log_time_square_sum,
+            servers=tuple(
                 self._box(uid, told, limiter.endpoints.servers.get(uid), endpoints.get(uid, ("", 0))[1], evident, now)
-                for uid, told in sorted(self._overlay.told.items())
+                for uid, told in sorted(self._overlay.discovered.items())
             ),
-            throttle=m.Throttle(
+            throttle=m.ThrottleStatus(
                 throttle.phase.name.lower(), throttle.leak_rate, limiter.admit_rate, limiter.answer_rate
             ),
             peers=tuple(
-                m.Peer(
+                m.PeerStatus(
                     number, limiter.keepers.silent.get(number, NEVER_MS) > now, limiter.keepers.missed.get(number, 0)
                 )
                 for number in range(self._config.settings.limiter_count)
@@ -170,27 +170,27 @@
 
     def _box(
         self, uid: str, told: Target, server: Server | None, connections: int, evident: set[int], now: float
-    ) -> m.Box:
+    ) -> m.ServerStatus:
         entry, record = told.entry, self._drained.get(uid)
         zones, kinds = self._config.socket_settings.zones, self._config.socket_settings.kinds
         known = server is not None and server.latency_ratio_at_ms > NEVER_MS
         queue, reported_at = self._queue(uid)
         aim = self._gateway.limiter.context.latency_objective_ms
-        return m.Box(
+        return m.ServerStatus(
             uid=uid,
             endpoint="%s:%d" % told.address,
-            floor=zones[entry.zone] if entry.zone >= 0 else "?",
+            zone=zones[entry.zone] if entry.zone >= 0 else "?",
             kind=kinds[entry.kind] if entry.kind >= 0 else "?",
             weight=entry.weight,
-            state=WORDS.get(entry.state, "gone"),
-            out=len(server.in_flight) if server is not None else 0,
+            state=STATE_NAMES.get(entry.state, "gone"),
+            open_requests=len(server.in_flight) if server is not None else 0,
             connections=connections,
             latency_ms=server.latency_ratio * aim if server is not None and known else -1.0,
             latency_age_ms=now - server.latency_ratio_at_ms if server is not None and known else -1.0,
             queue=queue,
             report_age_ms=now - reported_at if queue >= 0 else -1.0,
-            left_out=self._why(entry, server, record, now),
-            drained_by=record.by if record is not None else "",
+            unavailable_reason=self._why(entry, server, record, now),
+            drained_by=record.requested_by if record is not None else "",
             generation=record.generation if record is not None else 0,
             health=self._shared.health(uid, server, evident, now) if self._shared is not None else None,
         )
@@ -198,13 +198,13 @@
     def _queue(self, uid: str) -> tuple[int, float]:
         """The latest report's `queue` and when it came; -1 where none can be read."""
         report, at = self._reports.get(uid, (b"", 0.0))
-        found = QUEUE.search(report.rpartition(b" ")[2])
+        found = QUEUE_PATTERN.search(report.rpartition(b" ")[2])
         return (int(found[1]), at) if found is not None else (-1, at)
 
     def _why(self, entry: api.ServerEntry, server: Server | None, record: Record | None, now: float) -> str:
         """Why no new work goes there, or less than its share; empty where nothing is held against it."""
         if record is not None:
-            return f"drained by {record.by}"
+            return f"drained by {record.requested_by}"
         if entry.state is not api.ServerState.RUNNING:
             return "discovery says it drains"
         if server is None or server.is_removed:
@@ -213,14 +213,14 @@
         age = now - entry.started_at_ms
         if entry.started_at_ms > 0 and age < rules.warm_up_ms:
             return f"cold, up for {max(age, 0.0) / 1000.0:.1f} s"
-        if why := routed_away(self._gateway.limiter.endpoints, server, now):
+        if why := exclusion_reason(self._gateway.limiter.endpoints, server, now):
             return why
-        if server.error_fraction > FAILING:
+        if server.error_fraction > FAILING_ERROR_FRACTION:
             return "failing: most of its answers are errors"
         return ""
 
 
-def routed_away(boxes: Endpoints, server: Server, now: float) -> str:
+def exclusion_reason(boxes: Endpoints, server: Server, now: float) -> str:
     """Why the limiter's own routing sends it nothing; empty where it does."""
     if server.is_ejected:
         wait_s = max(server.reinstate_at_ms - now, 0.0) / 1000.0
--- a/elderlock/control/caller.py
+++ b/elderlock/control/request_client.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from elderlock.control.framing import FrameError, Framer, framed
+from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 
 M = TypeVar("M")
 
@@ -23,23 +23,23 @@
     """It was written and no answer came: it may have been carried out, or may yet be."""
 
 
-class Caller(asyncio.Protocol, Generic[M]):
+class RequestClient(asyncio.Protocol, Generic[M]):
     """One connection. `heard` gets every message, also one whose asker has given up waiting."""
 
     def __init__(self, decode: Callable[[bytes], M], longest: int, heard: Callable[[M], None] | None = None) -> None:
         self._decode, self._heard = decode, heard
-        self._framer = Framer(longest)
+        self._framer = FrameDecoder(longest)
         self._transport: asyncio.Transport | None = None
         self._asked: dict[int, asyncio.Future[M]] = {}
         self._last = 0
-        self.lost = asyncio.Event()
-        self.why = ""
+        self.disconnected = asyncio.Event()
+        self.close_reason = ""
 
-    async def unix(self, path: Path) -> Caller[M]:
+    async def connect_unix(self, path: Path) -> RequestClient[M]:
         await asyncio.get_running_loop().create_unix_connection(lambda: self, str(path))
         return self
 
-    async def tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> Caller[M]:
+    async def connect_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> RequestClient[M]:
         await asyncio.get_running_loop().create_connection(lambda: self, host, port, ssl=tls)
         return self
 
@@ -47,18 +47,18 @@
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.why = self.why or (str(exc) if exc is not None else "the connection has ended")
-        self.lost.set()
+        self.close_reason = self.close_reason or (str(exc) if exc is not None else "the connection has ended")
+        self.disconnected.set()
         asked, self._asked = self._asked, {}
         for future in asked.values():
             if not future.done():
-                future.set_exception(NoAnswerError(self.why))
+                future.set_exception(NoAnswerError(self.close_reason))
 
     def data_received(self, data: bytes) -> None:
         try:
             messages = [self._decode(frame) for frame in self._framer.feed(data)]
         except (FrameError, msgspec.DecodeError) as error:
-            self.why = f"it answers what cannot be read: {error}"
+            self.close_reason = f"it answers what cannot be read: {error}"
             return self.close()
         for message in messages:
             if self._heard is not None:
@@ -67,20 +67,20 @@
             if future is not None and not future.done():
                 future.set_result(message)
 
-    def next_id(self) -> int:
+    def next_request_id(self) -> int:
         self._last += 1
         return self._last
 
-    async def ask(self, message: msgspec.Struct, within: float) -> M:
+    async def request(self, message: msgspec.Struct, within: float) -> M:
         """The answer to a message (0 is the id of the first, which has none) within `within` seconds.
         Raises `NotSentError` or `NoAnswerError`."""
         transport = self._transport
-        if transport is None or transport.is_closing() or self.lost.is_set():
-            raise NotSentError(self.why or "the connection has ended")
+        if transport is None or transport.is_closing() or self.disconnected.is_set():
+            raise NotSentError(self.close_reason or "the connection has ended")
         future: asyncio.Future[M] = asyncio.get_running_loop().create_future()
         number = cast(Any, message).id if hasattr(message, "id") else 0
         self._asked[number] = future
-        transport.write(framed(msgspec.msgpack.encode(message)))
+        transport.write(encode_frame(msgspec.msgpack.encode(message)))
         try:
             async with asyncio.timeout(within):
                 return await future
--- a/elderlock/control/transport.py
+++ b/elderlock/control/transport.py
@@ -16,35 +16,35 @@
 from pathlib import Path
 from typing import Generic, TypeVar, cast
 
-from elderlock.control.framing import FrameError, Framer, framed
+from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 
 V = TypeVar("V")
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ConnectionLimits:
     """Bytes, counts and seconds."""
 
-    longest: int
-    longest_first: int  # of the message that says who it is
-    connections: int = 64
-    unsent: int = 16 << 20  # bytes that a reader may leave lying
-    hello_within: float = 2.0
-    half_within: float = 5.0  # for the rest of a message, or for a reader to take its answers
+    maximum_message_bytes: int
+    maximum_hello_bytes: int  # of the message that says who it is
+    maximum_connections: int = 64
+    maximum_unsent_bytes: int = 16 << 20  # bytes that a reader may leave lying
+    hello_timeout_s: float = 2.0
+    stall_timeout_s: float = 5.0  # for the rest of a message, or for a reader to take its answers
 
 
 class Connection(asyncio.Protocol, Generic[V]):
     def __init__(self, server: FrameServer[V]) -> None:
         self.server = server
-        self.visitor: V = server.visitor()
-        self.known = False  # has said who it is
-        self.since: float | None = server.loop.time()  # when it began to owe us something
-        self._framer = Framer(server.bounds.longest_first)
+        self.session: V = server.new_session()
+        self.is_identified = False  # has said who it is
+        self.waiting_since_s: float | None = server.loop.time()  # when it began to owe us something
+        self._framer = FrameDecoder(server.bounds.maximum_hello_bytes)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self.server.opened(self)
+        self.server.on_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.pop(self, None)
@@ -53,36 +53,36 @@
         try:
             frames = self._framer.feed(data)
         except FrameError as error:
-            return self.say(self.server.broken(str(error)), last=True)
-        if self.known:
-            self.since = self.server.loop.time() if self._framer.pending() else None
+            return self.send(self.server.malformed_frame_reply(str(error)), last=True)
+        if self.is_identified:
+            self.waiting_since_s = self.server.loop.time() if self._framer.pending_byte_count() else None
         for frame in frames:
             self.server.handle(self, frame)
 
-    def identified(self) -> None:
-        self.known, self.since = True, None
-        self._framer.longest = self.server.bounds.longest
+    def on_identified(self) -> None:
+        self.is_identified, self.waiting_since_s = True, None
+        self._framer.maximum_bytes = self.server.bounds.maximum_message_bytes
 
-    def say(self, body: bytes, last: bool = False) -> None:
+    def send(self, body: bytes, last: bool = False) -> None:
         transport = self._transport
         if transport is None or transport.is_closing():
             return
-        transport.write(framed(body))
-        if transport.get_write_buffer_size() > self.server.bounds.unsent:
+        transport.write(encode_frame(body))
+        if transport.get_write_buffer_size() > self.server.bounds.maximum_unsent_bytes:
             transport.abort()
         elif last:
             transport.close()
 
     def pause_writing(self) -> None:
-        self.since = self.server.loop.time()
+        self.waiting_since_s = self.server.loop.time()
 
     def resume_writing(self) -> None:
-        self.since = None
+        self.waiting_since_s = None
 
-    def look(self, now: float) -> None:
+    def check_timeout(self, now: float) -> None:
         bounds = self.server.bounds
-        within = bounds.half_within if self.known else bounds.hello_within
-        if self.since is not None and now - self.since > within:
+        within = bounds.stall_timeout_s if self.is_identified else bounds.hello_timeout_s
+        if self.waiting_since_s is not None and now - self.waiting_since_s > within:
             self.abort()
 
     def abort(self) -> None:
@@ -95,28 +95,28 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: ConnectionLimits,
         visitor: Callable[[], V],
         handle: Callable[[Connection[V], bytes], None],
         broken: Callable[[str], bytes],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.bounds, self.visitor, self.handle, self.broken = bounds, visitor, handle, broken
+        self.bounds, self.new_session, self.handle, self.malformed_frame_reply = bounds, visitor, handle, broken
         self.connections: dict[Connection[V], None] = {}  # the oldest first
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    def opened(self, connection: Connection[V]) -> None:
+    def on_opened(self, connection: Connection[V]) -> None:
         self.connections[connection] = None
-        if len(self.connections) > self.bounds.connections:
+        if len(self.connections) > self.bounds.maximum_connections:
             # who has not said who it is goes first, the oldest of them: a crowd keeps no operator out
-            strangers = (c for c in self.connections if not c.known and c is not connection)
+            strangers = (c for c in self.connections if not c.is_identified and c is not connection)
             victim = next(strangers, connection)
             self.connections.pop(victim, None)
             victim.abort()
 
     async def listen_unix(self, path: Path) -> None:
-        self._server = await self.loop.create_unix_server(lambda: Connection(self), sock=unix_socket(path))
+        self._server = await self.loop.create_unix_server(lambda: Connection(self), sock=bind_unix_socket(path))
         self._look()
 
     async def listen_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> int:
@@ -127,10 +127,10 @@
         return bound
 
     def _look(self) -> None:
-        self._timer = self.loop.call_later(self.bounds.hello_within / 4, self._look)
+        self._timer = self.loop.call_later(self.bounds.hello_timeout_s / 4, self._look)
         now = self.loop.time()
         for connection in list(self.connections):
-            connection.look(now)
+            connection.check_timeout(now)
 
     def close(self) -> None:
         if self._timer is not None:
@@ -141,7 +141,7 @@
             connection.abort()
 
 
-def unix_socket(path: Path) -> socket.socket:
+def bind_unix_socket(path: Path) -> socket.socket:
     """A bound socket of mode 0600 in a directory of mode 0700 that is ours. A socket that a dead process
     left is cleaned away; one that answers is another's. Raises `OSError` with a plain text."""
     folder = path.parent
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -16,7 +16,7 @@
 from typing import Protocol
 
 from elderlock import logs
-from elderlock.control.records import Offer, Record, Records
+from elderlock.control.records import OfferResult, Record, Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.api import Api
 from elderlock.fleet.agent.group_view import Exchanges, now_ms, unix_ms
@@ -165,8 +165,8 @@
         if len(states) < len(self.charges):
             return  # one that does not answer may know the box still
         held = Records(self.records)
-        present = [box.uid for state in states for box in state.boxes]
-        gone = held.retire(unix_ms() - RETIRE_AFTER, present)
+        present = [box.uid for state in states for box in state.servers]
+        gone = held.forget_obsolete(unix_ms() - RETIRE_AFTER, present)
         if gone:
             line = f.AuditLine(unix_ms(), self.name, "agent", f"retired {_targets(gone)}", 0, "")
             try:
@@ -224,7 +224,7 @@
 
     def learn(self, records: Iterable[Record], via: str) -> None:
         """Takes what others hold and we lack. What cannot be kept is not taken: it is offered again."""
-        news = [record for record in records if self.records.weigh(record) is Offer.TAKEN]
+        news = [record for record in records if self.records.check(record) is OfferResult.ACCEPTED]
         if not news:
             return
         line = f.AuditLine(unix_ms(), via, "agent", f"learnt {_targets(news)}", max(r.generation for r in news), "")
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from elderlock import logs
-from elderlock.control.attach import build
-from elderlock.control.figures import MOST_ACCOUNTS
-from elderlock.control.records import Offer
-from elderlock.control.transport import Bounds, Connection, FrameServer
+from elderlock.control.attach import build_version
+from elderlock.control.records import OfferResult
+from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS
+from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.group_view import now_ms, unix_ms
 from elderlock.fleet.agent_store import StoreError
@@ -42,7 +42,7 @@
 class Api:
     def __init__(self, agent: Agent) -> None:
         self._agent = agent
-        bounds = Bounds(f.LONGEST, f.LONGEST_HELLO, CONNECTIONS)
+        bounds = ConnectionLimits(f.LONGEST, f.LONGEST_HELLO, CONNECTIONS)
         self.server: FrameServer[Visitor] = FrameServer(bounds, Visitor, self._handle, self._broken)
 
     @staticmethod
@@ -50,22 +50,22 @@
         return f.encode(f.Refused("bad-message", text))
 
     def _handle(self, connection: Connection[Visitor], body: bytes) -> None:
-        visitor = connection.visitor
+        visitor = connection.session
         try:
             message = f.to_agent(body)
         except msgspec.DecodeError as error:
-            return connection.say(f.encode(f.Refused("unknown-message", str(error))), last=True)
+            return connection.send(f.encode(f.Refused("unknown-message", str(error))), last=True)
         if isinstance(message, f.Hello):
             answer = self._hello(visitor, message)
             if isinstance(answer, f.Welcome):
-                connection.identified()
-            return connection.say(f.encode(answer), last=isinstance(answer, f.Refused))
+                connection.on_identified()
+            return connection.send(f.encode(answer), last=isinstance(answer, f.Refused))
         if visitor.identity is None:
             text = "a connection begins with hello"
-            return connection.say(f.encode(f.Refused("bad-message", text, message.id)), last=True)
+            return connection.send(f.encode(f.Refused("bad-message", text, message.id)), last=True)
         if visitor.pending >= MOST_PENDING:
             text = f"{MOST_PENDING} requests are in work on this connection"
-            return connection.say(f.encode(f.Refused("too-many", text, message.id)))
+            return connection.send(f.encode(f.Refused("too-many", text, message.id)))
         visitor.pending += 1
         self._agent.task(self._serve(connection, visitor, visitor.identity, message))
 
@@ -89,7 +89,7 @@
             answer = f.Refused("not-kept", f"nothing was done, it could not be kept: {error}", _id(message))
         finally:
             visitor.pending -= 1
-        connection.say(f.encode(answer))
+        connection.send(f.encode(answer))
 
     async def _answer(self, who: Identity, message: f.ToAgent) -> f.Message:
         kind = str(type(message).__struct_config__.tag)
@@ -164,13 +164,13 @@
 
     async def _show(self, show: f.Show) -> f.Message:
         agent = self._agent
-        accounts = max(0, min(show.accounts, MOST_ACCOUNTS))
+        accounts = max(0, min(show.accounts, MAXIMUM_ACCOUNTS))
         within = max(0.0, min(show.within_ms / 1000.0, MOST_WITHIN))
         await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.charges.values()))
         return f.Shown(
             show.id,
             agent.name,
-            build(),
+            build_version(),
             agent.epoch(),
             now_ms() - agent.started,
             agent.store_error,
@@ -184,13 +184,13 @@
         now = unix_ms()
         decisions = [self._decide(wish, intend, who.name, now) for wish in intend.wishes]
         made = [d.record for d in decisions if d.outcome == "made" and d.record is not None]
-        if any(self._agent.records.weigh(record) is Offer.OLDER for record in made):
+        if any(self._agent.records.check(record) is OfferResult.OLDER for record in made):
             return f.Refused("not-kept", f"{len(self._agent.records)} records are held already", intend.id)
-        news = [record for record in made if self._agent.records.weigh(record) is Offer.TAKEN]
+        news = [record for record in made if self._agent.records.check(record) is OfferResult.ACCEPTED]
         number = 0
         if news:
-            what = "; ".join(f"{'drain' if r.drained else 'undrain'} {r.kind} {r.target}" for r in news)
-            if self._agent.keeper is not None and intend.force and any(record.drained for record in news):
+            what = "; ".join(f"{'drain' if r.is_drained else 'undrain'} {r.kind} {r.target}" for r in news)
+            if self._agent.keeper is not None and intend.force and any(record.is_drained for record in news):
                 what = f"forced without a permit: {what}"
             generation = max(record.generation for record in news)
             number = self._agent.keep(news, f.AuditLine(now, who.name, who.role, what, generation, "under way"))
@@ -208,7 +208,7 @@
         decision = decide(self._agent.records, wish, intend, by, now)
         if self._agent.keeper is None or intend.force or not wish.drained or decision.outcome != "made":
             return decision
-        if decision.record is not None and self._agent.records.weigh(decision.record) is Offer.KNOWN:
+        if decision.record is not None and self._agent.records.check(decision.record) is OfferResult.KNOWN:
             return decision  # asked again for what was made
         why = self._agent.keeper.allows(intend.permits, (wish.kind, wish.target), intend.origin, intend.generation)
         return f.Decision("refused", None, why) if why else decision
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -45,7 +45,7 @@
         states = [c.link.state for c in self._agent.charges.values() if c.link.standing == "answering" and c.link.state]
         here = self._floors.get(self._agent.name, "")
         known = [KnownLimiter(name, here, charge.why_out()) for name, charge in self._agent.charges.items()]
-        drained, unheard = self._agent.records.drained("limiter"), []
+        drained, unheard = self._agent.records.drained_targets("limiter"), []
         for heard in self.membership.view(now_ms()):
             if heard.age_ms < 0:
                 unheard.append(heard.agent)
@@ -61,7 +61,7 @@
     def usable(self, names: Iterable[str]) -> set[str]:
         """Of these limiters those that are neither drained nor, as far as is known, silent: our own by their
         own word, others' by what their agents said last. One that nobody speaks of is not held back."""
-        drained = self._agent.records.drained("limiter")
+        drained = self._agent.records.drained_targets("limiter")
         fit = {name for name in names if name not in drained}
         for name, charge in self._agent.charges.items():
             if charge.link.standing != "answering":
--- a/elderlock/fleet/agent/worker_leasing.py
+++ b/elderlock/fleet/agent/worker_leasing.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from elderlock import logs
-from elderlock.control.framing import FrameError, Framer, framed
+from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.spawning import spawn
 
 LEASE = 5.0  # s without a question after which a worker is ended
@@ -50,7 +50,7 @@
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
-        framer = Framer(LONGEST)
+        framer = FrameDecoder(LONGEST)
         why = ""
         try:
             while data := await process.stdout.read(1 << 18):
@@ -90,7 +90,7 @@
             if number == self.taken:
                 self.taken += 1
                 if stdin is not None and not stdin.is_closing():
-                    stdin.write(framed(frame))
+                    stdin.write(encode_frame(frame))
 
     def kill(self) -> None:
         if self.process is not None and self.process.returncode is None:
--- a/elderlock/fleet/agent_store.py
+++ b/elderlock/fleet/agent_store.py
@@ -146,7 +146,16 @@
         statements: list[tuple[str, tuple[object, ...]]] = [
             (
                 "INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
-                (r.kind, r.target, int(r.drained), r.generation, r.origin, r.by, r.at, r.reason),
+                (
+                    r.kind,
+                    r.target,
+                    int(r.is_drained),
+                    r.generation,
+                    r.origin,
+                    r.requested_by,
+                    r.created_at_unix_ms,
+                    r.reason,
+                ),
             )
             for r in records
         ]
--- a/elderlock/fleet/client/comparison.py
+++ b/elderlock/fleet/client/comparison.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from elderlock.control.messages import State
+from elderlock.control.messages import LimiterState
 
 FACTOR = 2.0  # times the group's median from which a latency stands out
 LEAST_MS = 20.0  # and by so much at least
@@ -22,14 +22,14 @@
     text: str
 
 
-def compare(states: Sequence[State]) -> list[Difference]:
+def compare(states: Sequence[LimiterState]) -> list[Difference]:
     """Needs two at least; with fewer nothing can differ."""
     if len(states) < 2:
         return []
     found = [
         *_odd("version", states, lambda s: s.build, lambda s: f"version {s.build}"),
         *_parts(states),
-        *_odd("boxes", states, lambda s: frozenset(b.uid for b in s.boxes), lambda s: _boxes(s, states)),
+        *_odd("boxes", states, lambda s: frozenset(b.uid for b in s.servers), lambda s: _boxes(s, states)),
         *_odd("drains", states, lambda s: s.records_digest, lambda s: f"drains {_drains(s)}"),
         *_odd("left out", states, _left_out, lambda s: f"leaves out {_listed(_left_out(s))}"),
     ]
@@ -38,7 +38,10 @@
 
 
 def _odd(
-    about: str, states: Sequence[State], key: Callable[[State], Hashable], text: Callable[[State], str]
+    about: str,
+    states: Sequence[LimiterState],
+    key: Callable[[LimiterState], Hashable],
+    text: Callable[[LimiterState], str],
 ) -> list[Difference]:
     """Those that are not as most are; where no value leads, all of them are named."""
     counts = Counter(key(state) for state in states)
@@ -49,7 +52,7 @@
     return [Difference(about, (s.limiter,), f"{s.limiter}: {text(s)}") for s in odd]
 
 
-def _parts(states: Sequence[State]) -> list[Difference]:
+def _parts(states: Sequence[LimiterState]) -> list[Difference]:
     names = sorted({name for state in states for name in state.config_parts})
     found = []
     for name in names:
@@ -62,9 +65,9 @@
     return found
 
 
-def _boxes(state: State, states: Sequence[State]) -> str:
-    own = {box.uid for box in state.boxes}
-    others = {box.uid for other in states if other is not state for box in other.boxes}
+def _boxes(state: LimiterState, states: Sequence[LimiterState]) -> str:
+    own = {box.uid for box in state.servers}
+    others = {box.uid for other in states if other is not state for box in other.servers}
     parts = []
     if others - own:
         parts.append(f"does not know {', '.join(sorted(others - own))}")
@@ -73,8 +76,8 @@
     return " and ".join(parts) or "knows other boxes than most"
 
 
-def _drains(state: State) -> str:
-    drained = sorted(f"{r.target} (generation {r.generation})" for r in state.records if r.drained)
+def _drains(state: LimiterState) -> str:
+    drained = sorted(f"{r.target} (generation {r.generation})" for r in state.records if r.is_drained)
     return ", ".join(drained) or "nothing"
 
 
@@ -82,11 +85,11 @@
     return ", ".join(sorted(uids)) or "none"
 
 
-def _left_out(state: State) -> frozenset[str]:
-    return frozenset(box.uid for box in state.boxes if box.left_out)
+def _left_out(state: LimiterState) -> frozenset[str]:
+    return frozenset(box.uid for box in state.servers if box.unavailable_reason)
 
 
-def _latencies(states: Sequence[State]) -> list[Difference]:
+def _latencies(states: Sequence[LimiterState]) -> list[Difference]:
     known = [s for s in states if s.answer_p50_ms >= 0]
     if len(known) < 2:
         return []
@@ -99,7 +102,7 @@
     return found
 
 
-def _refusals(states: Sequence[State]) -> list[Difference]:
+def _refusals(states: Sequence[LimiterState]) -> list[Difference]:
     known = [s for s in states if s.counts.total() >= LEAST_ANSWERS]
     shares = {s.limiter: s.counts.refused / s.counts.total() for s in known}
     found = []
@@ -111,11 +114,11 @@
     return found
 
 
-def _box_latencies(states: Sequence[State]) -> list[Difference]:
+def _box_latencies(states: Sequence[LimiterState]) -> list[Difference]:
     """A box that one limiter alone finds slow: the way there, rather than the box."""
     seen: dict[str, list[tuple[str, float]]] = {}
     for state in states:
-        for box in state.boxes:
+        for box in state.servers:
             if box.latency_ms >= 0:
                 seen.setdefault(box.uid, []).append((state.limiter, box.latency_ms))
     found = []
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -145,7 +145,7 @@
     if order.kind == "limiter":
         known = {name for names in seen.limiters().values() for name in names}
     else:
-        known = {box.uid for state in seen.states() for box in state.boxes}
+        known = {box.uid for state in seen.states() for box in state.servers}
     held = {record.target for record in seen.records if record.kind == order.kind}
     return [target for target in order.targets if target not in known | held]
 
@@ -157,11 +157,11 @@
     asked: one that was asked and did not answer may have granted them, and the next one finds them by the origin."""
     keys: list[Key] = [(order.kind, target) for target in targets]
     account = Account(os.urandom(16).hex(), {key: order.drained for key in keys}, known=seen.limiters())
-    drained = seen.records.drained(order.kind)
+    drained = seen.records.drained_targets(order.kind)
     wanted = tuple((order.kind, target) for target in targets if target not in drained)
     if not group.budget or not order.drained or order.force or not wanted:
         return account, []
-    ask = lambda id: f.Ask(id, account.origin, wanted, order.reason, seen.records.generation())  # noqa: E731
+    ask = lambda id: f.Ask(id, account.origin, wanted, order.reason, seen.records.greatest_generation())  # noqa: E731
     loop, said = asyncio.get_running_loop(), ["no agent answers"]
     while True:
         for name in random.sample(list(seen.shown), len(seen.shown)):
@@ -185,7 +185,7 @@
     held = {key: seen.records.get(*key) for key in keys}
     wishes = tuple(f.Wish(order.kind, key[1], order.drained, _expect(order, held[key])) for key in keys)
     known = tuple(record for record in held.values() if record is not None)
-    generation = max((permit.generation for permit in account.permits), default=seen.records.generation() + 1)
+    generation = max((permit.generation for permit in account.permits), default=seen.records.greatest_generation() + 1)
 
     def intend(id: int) -> f.Message:
         return f.Intend(
--- a/elderlock/fleet/client/drain_plan.py
+++ b/elderlock/fleet/client/drain_plan.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from elderlock.control.messages import Box, State
+from elderlock.control.messages import LimiterState, ServerStatus
 
 LEAST_LEFT = 0.5  # of the weight of all boxes, drained ones included
 MOST_QUEUE = 4.0  # requests waiting for each unit of weight that is left
@@ -32,29 +32,29 @@
     out: int
 
 
-def summed(states: Iterable[State]) -> dict[str, BoxSum]:
+def summed(states: Iterable[LimiterState]) -> dict[str, BoxSum]:
     """One view of the boxes from many. One limiter that has heard of a drain outweighs those that have
     not yet: a box that any of them leaves out for a drain or the list is not counted on."""
-    found: dict[str, list[Box]] = {}
+    found: dict[str, list[ServerStatus]] = {}
     for state in states:
-        for box in state.boxes:
+        for box in state.servers:
             found.setdefault(box.uid, []).append(box)
     return {uid: _sum(boxes) for uid, boxes in sorted(found.items())}
 
 
-def _sum(boxes: Sequence[Box]) -> BoxSum:
+def _sum(boxes: Sequence[ServerStatus]) -> BoxSum:
     reports = [(b.report_age_ms, b.queue) for b in boxes if b.queue >= 0]
     age, queue = min(reports, default=(-1.0, -1))
     first = boxes[0]
     return BoxSum(
         first.uid,
-        first.floor,
+        first.zone,
         first.kind,
         max(b.weight for b in boxes),
         all(b.state == "running" and not b.drained_by for b in boxes),
         queue,
         age,
-        sum(b.out for b in boxes),
+        sum(b.open_requests for b in boxes),
     )
 
 
--- a/elderlock/fleet/client/explanation.py
+++ b/elderlock/fleet/client/explanation.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from elderlock.control.messages import Box, Health, State
+from elderlock.control.messages import LimiterState, ServerHealth, ServerStatus
 from elderlock.control.records import Record
 from elderlock.fleet.client.observation import Seen
 
@@ -21,7 +21,7 @@
     since_ms: float
     out: int
     latency_ms: float
-    health: Health | None
+    health: ServerHealth | None
 
     @property
     def used(self) -> bool:
@@ -50,9 +50,9 @@
         about = f"{self.floor}, {self.kind}, weight {self.weight:g}" if named else "in no limiter's list"
         lines = [f"{self.box} ({about}) is used by {used} of {len(self.words)} limiters"]
         if self.record is not None:
-            verb = "drained" if self.record.drained else "undrained"
+            verb = "drained" if self.record.is_drained else "undrained"
             reason = f": {self.record.reason}" if self.record.reason else ""
-            lines.append(f"{verb} by {self.record.by}, generation {self.record.generation}{reason}")
+            lines.append(f"{verb} by {self.record.requested_by}, generation {self.record.generation}{reason}")
         reasons: dict[str, int] = {}
         for word in self.words:
             if why := word.why if word.listed else "its list does not name the box":
@@ -66,7 +66,7 @@
     record = seen.records.get("box", uid)
     words, first = [], None
     for state in seen.states():
-        box = next((box for box in state.boxes if box.uid == uid), None)
+        box = next((box for box in state.servers if box.uid == uid), None)
         first = first or box
         words.append(_word(state, box, record, now))
     told = {state.limiter for state in seen.states()}
@@ -74,7 +74,7 @@
     silent += [f"agent {name}" for name in seen.missing]
     return Explained(
         uid,
-        first.floor if first else "",
+        first.zone if first else "",
         first.kind if first else "",
         first.weight if first else 0.0,
         record,
@@ -83,15 +83,15 @@
     )
 
 
-def _word(state: State, box: Box | None, record: Record | None, now: float) -> Word:
+def _word(state: LimiterState, box: ServerStatus | None, record: Record | None, now: float) -> Word:
     if box is None:
         return Word(state.limiter, False, "", -1.0, 0, -1.0, None)
     since = -1.0
     if box.drained_by and record is not None and record.generation == box.generation:
-        since = max(0.0, now - record.at)
+        since = max(0.0, now - record.created_at_unix_ms)
     elif box.health is not None:
-        since = box.health.left_out_ms
-    return Word(state.limiter, True, box.left_out, since, box.out, box.latency_ms, box.health)
+        since = box.health.ejected_ms
+    return Word(state.limiter, True, box.unavailable_reason, since, box.open_requests, box.latency_ms, box.health)
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -107,18 +107,18 @@
     answered: tuple[tuple[int, float], ...]
 
 
-def entries(states: Iterable[State]) -> list[Entry]:
+def entries(states: Iterable[LimiterState]) -> list[Entry]:
     """The heaviest first."""
-    found: dict[str, list[tuple[str, Health]]] = {}
+    found: dict[str, list[tuple[str, ServerHealth]]] = {}
     for state in states:
-        for box in state.boxes:
+        for box in state.servers:
             if box.health is not None:
                 found.setdefault(box.uid, []).append((state.limiter, box.health))
     made = [_entry(uid, healths) for uid, healths in found.items()]
     return sorted(made, key=lambda entry: (-entry.weighed, entry.box))
 
 
-def _entry(uid: str, healths: list[tuple[str, Health]]) -> Entry:
+def _entry(uid: str, healths: list[tuple[str, ServerHealth]]) -> Entry:
     failed: dict[int, float] = {}
     answered: dict[int, float] = {}
     for _, health in healths:
@@ -128,10 +128,10 @@
                     ages[witness.limiter] = min(age, ages.get(witness.limiter, age))
     return Entry(
         uid,
-        max(health.weighed for _, health in healths),
-        healths[0][1].enough,
+        max(health.failure_weight for _, health in healths),
+        healths[0][1].ejection_weight,
         len(healths),
-        tuple(sorted(limiter for limiter, health in healths if health.left_out_ms >= 0.0)),
+        tuple(sorted(limiter for limiter, health in healths if health.ejected_ms >= 0.0)),
         tuple(sorted(failed.items(), key=lambda each: each[1])),
         tuple(sorted(answered.items(), key=lambda each: each[1])),
     )
--- a/elderlock/fleet/client/group_client.py
+++ b/elderlock/fleet/client/group_client.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from elderlock.control.caller import Caller, NoAnswerError, NotSentError
+from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
 from elderlock.fleet import messages as f
 from elderlock.fleet.auth import client_tls, read_token
 from elderlock.fleet.client.answers import Missing, Refusal
@@ -26,7 +26,7 @@
         self._at = {member.name: address(member.address) for member in file.agent}
         self._token, self._tls = token, tls
         self.budget = file.budget is not None  # drains need permits
-        self._callers: dict[str, Caller[f.FromAgent]] = {}
+        self._callers: dict[str, RequestClient[f.FromAgent]] = {}
         self._slots = asyncio.Semaphore(MOST_AT_ONCE)
 
     @classmethod
@@ -69,7 +69,7 @@
             except (OSError, ssl.SSLError, NotSentError, NoAnswerError) as error:
                 return Missing(agent, _plain(error), False)
             try:
-                said = await caller.ask(make(caller.next_id()), max(0.0, ends - loop.time()))
+                said = await caller.request(make(caller.next_request_id()), max(0.0, ends - loop.time()))
             except NotSentError as error:
                 return Missing(agent, str(error), False)
             except NoAnswerError as error:
@@ -83,14 +83,14 @@
             return Missing(agent, f"it answers with {type(said).__name__}", True)
         return said
 
-    async def _caller(self, agent: str, within: float) -> Caller[f.FromAgent]:
+    async def _caller(self, agent: str, within: float) -> RequestClient[f.FromAgent]:
         caller = self._callers.get(agent)
-        if caller is not None and not caller.lost.is_set():
+        if caller is not None and not caller.disconnected.is_set():
             return caller
-        caller = Caller(f.from_agent, f.LONGEST)
+        caller = RequestClient(f.from_agent, f.LONGEST)
         try:
-            await caller.tcp(*self._at[agent], self._tls)
-            said = await caller.ask(f.Hello((f.VERSION,), self._token), within)
+            await caller.connect_tcp(*self._at[agent], self._tls)
+            said = await caller.request(f.Hello((f.VERSION,), self._token), within)
         except BaseException:
             caller.close()
             raise
--- a/elderlock/fleet/client/observation.py
+++ b/elderlock/fleet/client/observation.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from elderlock.control.messages import State
+from elderlock.control.messages import LimiterState
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing, Refusal
@@ -18,7 +18,7 @@
     records: Records
     heard: dict[str, f.Heard]  # of agents that did not answer: the newest that others heard
 
-    def states(self) -> list[State]:
+    def states(self) -> list[LimiterState]:
         """What limiters say of themselves, fresh ones alone."""
         return [
             limiter.state
@@ -35,7 +35,7 @@
         return known
 
     def serving(self) -> list[str]:
-        return [state.limiter for state in self.states() if state.ready and not state.drained]
+        return [state.limiter for state in self.states() if state.ready and not state.is_drained]
 
 
 def seen_of(answers: dict[str, f.Shown | Missing | Refusal]) -> Seen:
--- a/elderlock/fleet/client/report.py
+++ b/elderlock/fleet/client/report.py
@@ -83,12 +83,12 @@
 
     def overtaken(self) -> list[Record]:
         """Records of others that say the contrary of what was wanted."""
-        return [r for key, r in self.records.items() if r.drained != self.wanted[key]]
+        return [r for key, r in self.records.items() if r.is_drained != self.wanted[key]]
 
     def joined(self) -> list[Record]:
         """Records of others that say the same as was wanted: one record, and whose it is."""
         mine = [r for r in self.records.values() if r.origin == self.origin]
-        return [r for key, r in self.records.items() if r.drained == self.wanted[key] and r not in mine]
+        return [r for key, r in self.records.items() if r.is_drained == self.wanted[key] and r not in mine]
 
     def rows(self) -> list[Row]:
         rows = [
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -16,8 +16,8 @@
 from typing import NamedTuple, Protocol
 
 from elderlock import logs
-from elderlock.control.caller import NoAnswerError, NotSentError
 from elderlock.control.records import Key, Record, Records
+from elderlock.control.request_client import NoAnswerError, NotSentError
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.group.peer_link import Peer
@@ -281,7 +281,7 @@
     async def ask(self, asked: f.Ask, by: str, now: float) -> f.Granted:
         """For permits; `now` Unix ms."""
         inventory = self._owner.inventory()
-        generation = max(asked.generation, self._owner.records.generation())
+        generation = max(asked.generation, self._owner.records.greatest_generation())
         name = self._owner.name
         try:
             request = PermitRequest(asked.targets, asked.origin, by, asked.reason, generation, now)
@@ -370,7 +370,7 @@
                         await self._take_back(permit)
                 continue
             self._unused.pop(permit, None)
-            undrained = not record.drained and record.generation > permit.generation
+            undrained = not record.is_drained and record.generation > permit.generation
             if undrained and now - self._over.setdefault(permit, now) >= apart:
                 over[permit] = record
         if over:
@@ -387,7 +387,7 @@
         def above(ledger: Ledger) -> Ledger | list[str]:
             if ledger.find_permit(permit.key) != permit:
                 return ["it was given back already"]
-            return ledgers.with_new_generation(ledger, self._owner.records.generation())
+            return ledgers.with_new_generation(ledger, self._owner.records.greatest_generation())
 
         made = await self.change(above)
         if made.chosen:
--- a/elderlock/fleet/drain_intents.py
+++ b/elderlock/fleet/drain_intents.py
@@ -14,7 +14,7 @@
     held = records.get(wish.kind, wish.target)
     if held is not None and held.origin == intend.origin:
         return Decision("made", held)  # repeated after a lost answer
-    if held is not None and held.drained == wish.drained:
+    if held is not None and held.is_drained == wish.drained:
         return Decision("joined", held, f"{words(held)} already")
     if held is None and not wish.drained:
         return Decision("joined", None, "was not drained")
@@ -31,8 +31,8 @@
 def words(record: Record | None) -> str:
     if record is None:
         return "without a record"
-    verb = "drained" if record.drained else "undrained"
-    return f"{verb} by {record.by} (generation {record.generation})"
+    verb = "drained" if record.is_drained else "undrained"
+    return f"{verb} by {record.requested_by} (generation {record.generation})"
 
 
 class Book:
--- a/elderlock/fleet/group/peer_link.py
+++ b/elderlock/fleet/group/peer_link.py
@@ -9,8 +9,8 @@
 from typing import Protocol
 
 from elderlock import logs
-from elderlock.control.caller import Caller, NoAnswerError, NotSentError
 from elderlock.control.records import Records
+from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
 from elderlock.fleet import messages as f
 
 EXCHANGE_EVERY = 1.0  # s between words to each other agent
@@ -38,7 +38,7 @@
         self.met = asyncio.Event()  # it has told us its records
         self._news = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._caller: Caller[f.FromAgent] | None = None  # once it has taken our greeting
+        self._caller: RequestClient[f.FromAgent] | None = None  # once it has taken our greeting
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
@@ -54,14 +54,14 @@
         """`make` is given an id. Raises `NotSentError` or `NoAnswerError`."""
         if self._caller is None:
             raise NotSentError(f"no connection to {self.name}")
-        return await self._caller.ask(make(self._caller.next_id()), within)
+        return await self._caller.request(make(self._caller.next_request_id()), within)
 
     async def _run(self) -> None:
         while True:
-            caller: Caller[f.FromAgent] = Caller(f.from_agent, f.LONGEST)
+            caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
             try:
                 async with asyncio.timeout(PEER_WITHIN):
-                    await caller.tcp(*self._at, self._tls)
+                    await caller.connect_tcp(*self._at, self._tls)
                 await self._talk(caller)
             except (OSError, TimeoutError, NotSentError, NoAnswerError) as error:
                 log.debug("other agent not reached", other=self.name, error=repr(error))
@@ -70,9 +70,9 @@
                 caller.close()
             await asyncio.sleep(EXCHANGE_EVERY * random.uniform(0.5, 1.0))
 
-    async def _talk(self, caller: Caller[f.FromAgent]) -> None:
+    async def _talk(self, caller: RequestClient[f.FromAgent]) -> None:
         hello = f.Hello((f.VERSION,), self._token, self._agent.name)
-        answer = await caller.ask(hello, PEER_WITHIN)
+        answer = await caller.request(hello, PEER_WITHIN)
         if isinstance(answer, f.Refused):
             log.error("other agent refuses us", other=self.name, why=answer.text)
             await asyncio.sleep(PEER_WITHIN)
@@ -82,8 +82,8 @@
         while True:
             self._news.clear()
             differs = told is None or told.digest != self._agent.records.digest()
-            word = self._agent.word(caller.next_id(), differs, told)
-            answer = await caller.ask(word, PEER_WITHIN)
+            word = self._agent.word(caller.next_request_id(), differs, told)
+            answer = await caller.request(word, PEER_WITHIN)
             if not isinstance(answer, f.Exchange) or answer.agent != self.name:
                 log.error("another agent answers at its address", other=self.name)
                 return
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from elderlock.control.messages import State
+from elderlock.control.messages import LimiterState
 from elderlock.control.records import Record
 from elderlock.fleet.messages.base import Message
 from elderlock.rollout.canary_analysis import AnswerMetrics
@@ -27,7 +27,7 @@
     link: Literal["answering", "silent", "down", "claimed"]
     link_why: str
     heard_age_ms: float
-    state: State | None
+    state: LimiterState | None
 
 
 class LimiterBrief(msgspec.Struct):
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -561,7 +561,7 @@
         return made.chosen
 
     def _change(self, plan: Plan, move: LeaderAction) -> Callable[[Ledger], Ledger | list[str]]:
-        id, me, term, generation = plan.id, self._owner.name, plan.term, self._owner.records.generation()
+        id, me, term, generation = plan.id, self._owner.name, plan.term, self._owner.records.greatest_generation()
         match move.kind:
             case "send":
                 if plan.kind == "agents":
@@ -607,14 +607,14 @@
 
     def _of(self, plan: Plan, brief: f.LimiterBrief, age: float) -> TargetReport:
         record = self._owner.records.get("limiter", brief.name)
-        others = record is not None and record.drained and not record.origin.startswith(f"{plan.id}/")
+        others = record is not None and record.is_drained and not record.origin.startswith(f"{plan.id}/")
         return TargetReport(
             brief.name,
             *brief.said,
             brief.phase,
             brief.serving,
             brief.restarts,
-            record.by if record is not None and others else "",
+            record.requested_by if record is not None and others else "",
             brief.figures,
             age,
         )
--- a/elderlock/fleet/supervision/limiter_link.py
+++ b/elderlock/fleet/supervision/limiter_link.py
@@ -10,8 +10,8 @@
 from typing import Literal, Protocol
 
 from elderlock.control import messages as m
-from elderlock.control.caller import Caller, NoAnswerError, NotSentError
 from elderlock.control.records import Records
+from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
 from elderlock.fleet.drain_intents import Book
 
 POLL = 2.0  # s between looks, which also renew the claim (5 s long)
@@ -43,16 +43,16 @@
         path: Path,
         owner: Owner,
         welcomed: Callable[[m.Welcome, bool], None],
-        told: Callable[[m.State | m.Applied], None],
+        told: Callable[[m.LimiterState | m.RecordsApplied], None],
     ) -> None:
         self._path, self._owner, self._welcomed, self._told = path, owner, welcomed, told
         self.book = Book()
         self.standing: Standing = "down"
         self.why = "not connected yet"
-        self.state: m.State | None = None
+        self.state: m.LimiterState | None = None
         self.state_at = 0.0  # by the monotonic clock, s
         self._process: tuple[int, float] | None = None
-        self._caller: Caller[m.FromLimiter] | None = None
+        self._caller: RequestClient[m.FromLimiter] | None = None
         self._owns = self._has_bid = False
         self._wake = asyncio.Event()
         self.listening = False  # something took our last connection: whatever it says, a process is there
@@ -87,8 +87,10 @@
             retry = min(2 * retry, MOST_RETRY)
             try:
                 async with asyncio.timeout(CONNECT_WITHIN):
-                    caller: Caller[m.FromLimiter] = Caller(m.from_limiter, m.LONGEST, self._heard)
-                    self._caller = await caller.unix(self._path)
+                    caller: RequestClient[m.FromLimiter] = RequestClient(
+                        m.decode_answer, m.MAXIMUM_MESSAGE_BYTES, self._heard
+                    )
+                    self._caller = await caller.connect_unix(self._path)
                 self.listening = True
                 pause = await self._session(caller)
                 retry = FIRST_RETRY
@@ -103,7 +105,7 @@
             except NotSentError as error:
                 self._down("down", str(error))
             except NoAnswerError as error:
-                lost = self._caller is not None and self._caller.lost.is_set()
+                lost = self._caller is not None and self._caller.disconnected.is_set()
                 self._down("down" if lost else "silent", str(error))
             if self._caller is not None:
                 self._caller.close()
@@ -115,10 +117,10 @@
     def _down(self, standing: Standing, why: str) -> None:
         self.standing, self.why = standing, why
 
-    async def _session(self, caller: Caller[m.FromLimiter]) -> float:
+    async def _session(self, caller: RequestClient[m.FromLimiter]) -> float:
         """One connection's life; returns how long to wait before the next (s)."""
-        hello = m.Hello((m.VERSION,), self._owner.name, self._owner.epoch())
-        answer = await caller.ask(hello, HELLO_WITHIN)
+        hello = m.Hello((m.PROTOCOL_VERSION,), self._owner.name, self._owner.epoch())
+        answer = await caller.request(hello, HELLO_WITHIN)
         if isinstance(answer, m.Refused) and answer.code == "claimed":
             mine = answer.owner == self._owner.name
             if mine and not self._has_bid and self._owner.outbid(answer.owner_epoch):
@@ -144,7 +146,7 @@
                 self.tried.set()
                 self.standing, self.why = "answering", ""
             except NoAnswerError as error:
-                if caller.lost.is_set():
+                if caller.disconnected.is_set():
                     raise
                 self._down("silent", str(error))
                 if time.monotonic() - self.state_at > DROP_AFTER:
@@ -155,30 +157,30 @@
             except TimeoutError:
                 pass
 
-    async def _attend(self, caller: Caller[m.FromLimiter]) -> bool:
+    async def _attend(self, caller: RequestClient[m.FromLimiter]) -> bool:
         """Brings it what it lacks, then asks how it is; False where it is ours no more."""
         if self.state is None or self.state.records_digest != self._owner.records.digest():
             answer = await self._apply(caller, ANSWER_WITHIN)
             if isinstance(answer, m.Refused):
                 return False
-        await caller.ask(m.Look(caller.next_id(), 0), ANSWER_WITHIN)
+        await caller.request(m.GetState(caller.next_request_id(), 0), ANSWER_WITHIN)
         return True
 
-    async def _apply(self, caller: Caller[m.FromLimiter], within: float) -> m.FromLimiter:
+    async def _apply(self, caller: RequestClient[m.FromLimiter], within: float) -> m.FromLimiter:
         records = tuple(self._owner.records)
-        message = m.Apply(caller.next_id(), records)
+        message = m.ApplyRecords(caller.next_request_id(), records)
         self.book.sent(records)
-        return await caller.ask(message, within)
+        return await caller.request(message, within)
 
     async def _look_on(self, refused: m.Refused) -> float:
         """Another agent holds it: what it shows is still shown, and the claim is tried again."""
         self._down("claimed", refused.text)
-        caller: Caller[m.FromLimiter] = Caller(m.from_limiter, m.LONGEST, self._heard)
+        caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES, self._heard)
         async with asyncio.timeout(CONNECT_WITHIN):
-            await caller.unix(self._path)
+            await caller.connect_unix(self._path)
         try:
-            await caller.ask(m.Hello((m.VERSION,), self._owner.name), HELLO_WITHIN)
-            await caller.ask(m.Look(caller.next_id()), ANSWER_WITHIN)
+            await caller.request(m.Hello((m.PROTOCOL_VERSION,), self._owner.name), HELLO_WITHIN)
+            await caller.request(m.GetState(caller.next_request_id()), ANSWER_WITHIN)
         finally:
             caller.close()
         return CLAIM_AGAIN
@@ -194,11 +196,13 @@
         self._welcomed(welcome, anew)
 
     def _heard(self, message: m.FromLimiter) -> None:
-        if isinstance(message, m.State):
+        if isinstance(message, m.LimiterState):
             self.state, self.state_at = message, time.monotonic()
-        elif isinstance(message, m.Applied):
+        elif isinstance(message, m.RecordsApplied):
             self.state_at = time.monotonic()
-            self.book.applied(message.records, message.at, message.out, message.open)
+            self.book.applied(
+                message.records, message.applied_at_unix_ms, message.drained_open_requests, message.open_requests
+            )
         else:
             return
         self._told(message)
@@ -219,14 +223,14 @@
         some milliseconds, and what others plan by must not hang on it; the next regular look says."""
         if self._caller is not None:
             with contextlib.suppress(NoAnswerError, NotSentError):
-                await self._caller.ask(m.Look(self._caller.next_id(), accounts), within)
+                await self._caller.request(m.GetState(self._caller.next_request_id(), accounts), within)
 
     async def stop(self, within: float) -> bool:
         """Whether the limiter took the word to stop."""
         if self._caller is None or not self._owns:
             return False
         try:
-            answer = await self._caller.ask(m.Stop(self._caller.next_id()), within)
+            answer = await self._caller.request(m.Stop(self._caller.next_request_id()), within)
         except (NotSentError, NoAnswerError):
             return False
         return isinstance(answer, m.Stopping)
--- a/elderlock/fleet/supervision/managed_limiter.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -131,9 +131,9 @@
         return LimiterObservation(
             self.version(),
             self.supervisor.phase,
-            record is not None and record.drained,
+            record is not None and record.is_drained,
             record.generation if record is not None else 0,
-            state.open if state is not None and fresh and state.drained else -1,
+            state.open_requests if state is not None and fresh and state.is_drained else -1,
             fresh and state is not None and self.supervisor.phase == "running" and state.list_age_ms >= 0,
             self.supervisor.restarts,
             self.boot_error or self.link.why,
@@ -280,9 +280,9 @@
             self.name,
             self.supervisor.phase,
             self.link.standing,
-            state.open if state else 0,
-            drained is not None and drained.drained,
-            len(records.drained("box")),
+            state.open_requests if state else 0,
+            drained is not None and drained.is_drained,
+            len(records.drained_targets("box")),
             self.version(),
             state is not None and state.ready and self.why_out() == "",
             self.supervisor.restarts,
@@ -295,7 +295,9 @@
         if state is None:
             return AnswerMetrics()
         counts = state.counts
-        return AnswerMetrics(counts.served, counts.refused, counts.failed, state.log_sum, state.log_squares)
+        return AnswerMetrics(
+            counts.served, counts.refused, counts.failed, state.log_time_sum, state.log_time_square_sum
+        )
 
     def close(self) -> None:
         """The agent goes; the limiter stays."""
--- a/elderlock/load/coordinator.py
+++ b/elderlock/load/coordinator.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from elderlock.control.framing import FrameError, Framer, framed
+from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.load import messages as m
 from elderlock.load.clock import now_us
 from elderlock.load.figures import Second, Totals
@@ -71,7 +71,7 @@
 
     async def _read(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
         assert self.process is not None and self.process.stdout is not None
-        framer, why = Framer(m.LONGEST), ""
+        framer, why = FrameDecoder(m.LONGEST), ""
         try:
             while data := await self.process.stdout.read(1 << 18):
                 for body in framer.feed(data):
@@ -83,7 +83,7 @@
 
     def say(self, message: m.Message) -> None:
         if self.process is not None and self.process.stdin is not None and not self.process.stdin.is_closing():
-            self.process.stdin.write(framed(m.encode(message)))
+            self.process.stdin.write(encode_frame(m.encode(message)))
 
     async def close(self) -> None:
         if self._task is not None:
--- a/elderlock/load/recorder.py
+++ b/elderlock/load/recorder.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Iterator, Mapping
 
-from elderlock.control.figures import OTHERS
-from elderlock.control.messages import Counts, State
+from elderlock.control.messages import AnswerCounts, LimiterState
+from elderlock.control.request_metrics import OTHER_ACCOUNTS
 from elderlock.load.trace import Row
 
 MOST_SPREAD = 3
@@ -28,7 +28,7 @@
         self.uncounted = 0  # requests of accounts that the limiters do not count apart, or of no known plan
         self.looks = 0
 
-    def look(self, states: Mapping[str, State], since: float, now: float) -> list[Row]:
+    def look(self, states: Mapping[str, LimiterState], since: float, now: float) -> list[Row]:
         """The requests that ended between `since` and `now` (s of the trace), in order of time. The first look
         only takes the figures down, and so does the first after a limiter's restart: its counts began anew."""
         found: list[Row] = []
@@ -40,7 +40,7 @@
             plans = [plan for plan, count in self._plan_growth(name, state.plans, fresh).items() if count]
             for account, count in grown:
                 plan = self._plan_of(account, plans)
-                if account == OTHERS or not plan:
+                if account == OTHER_ACCOUNTS or not plan:
                     self.uncounted += count
                     continue
                 step = (now - since) / count
@@ -51,7 +51,7 @@
         self.looks += 1
         return sorted(found, key=lambda row: row.at)
 
-    def _grown(self, name: str, accounts: Mapping[str, Counts], fresh: bool) -> Iterator[tuple[str, int]]:
+    def _grown(self, name: str, accounts: Mapping[str, AnswerCounts], fresh: bool) -> Iterator[tuple[str, int]]:
         for account, counts in accounts.items():
             total = counts.total()
             before = self._last.get((name, account))
@@ -61,7 +61,7 @@
             elif before is None and not fresh and self.looks:
                 yield account, total  # it was not there at the last look
 
-    def _plan_growth(self, name: str, plans: Mapping[str, Counts], fresh: bool) -> dict[str, int]:
+    def _plan_growth(self, name: str, plans: Mapping[str, AnswerCounts], fresh: bool) -> dict[str, int]:
         grown = {}
         for plan, counts in plans.items():
             total = counts.total()
--- a/elderlock/load/worker.py
+++ b/elderlock/load/worker.py
@@ -20,7 +20,7 @@
 import msgspec
 import uvloop
 
-from elderlock.control.framing import FrameError, Framer, framed
+from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.fleet.config import address
 from elderlock.load import messages as m
 from elderlock.load.clientele import FINAL, Again, Way, reason
@@ -465,7 +465,7 @@
 
     def __init__(self, heard: Callable[[m.ToWorker], None], gone: Callable[[], None]) -> None:
         self._heard, self._gone = heard, gone
-        self._framer = Framer(m.LONGEST)
+        self._framer = FrameDecoder(m.LONGEST)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -499,7 +499,7 @@
     await loop.connect_read_pipe(lambda: _Line(inbox.put_nowait, lambda: inbox.put_nowait(None)), sys.stdin.buffer)
 
     def say(message: m.Message) -> None:
-        out.write(framed(m.encode(message)))
+        out.write(encode_frame(m.encode(message)))
 
     worker: Worker | None = None
     ending: asyncio.Task[bool] | None = None
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from elderlock import interface as api
-from elderlock.control.attach import Control, attach, read_operators
+from elderlock.control.attach import ControlSocket, attach_control_socket, read_operators_file
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
 from elderlock.net.clients import Clients
@@ -20,36 +20,36 @@
 if TYPE_CHECKING:
     from elderlock.authz.door import Door  # loads grpc: some 30 MB
     from elderlock.control import messages as m
-    from elderlock.control.shared import SharedView
+    from elderlock.control.shared import EvidenceView
     from elderlock.quota.attach import Quota, QuotaFile
 
-    ShownCeilings = Callable[[], m.Ceilings | None]
+    ShownCeilings = Callable[[], m.CeilingStatus | None]
 
 
-class Extras:
+class OptionalFeatures:
     """`routed` comes before the gateway is made, `prepare` before it starts, `open` once clients are listened for,
     `leave` and `close` at the end."""
 
     def __init__(self, path: Path) -> None:
         """Raises `ConfigError`."""
-        self._path, self._file = path, read_operators(path)
-        self._control: Control | None = None
+        self._path, self._file = path, read_operators_file(path)
+        self._control: ControlSocket | None = None
         self._quota_file: QuotaFile | None = None
         self._quota: Quota | None = None
         self._door: Door | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def routed(self, config: Config) -> Config:
+    def with_routing(self, config: Config) -> Config:
         """With the routing that the file sets. Raises `ConfigError`."""
         if self._file.routing is None:
             return config
         try:
-            routing = self._file.routing.of(config.settings)
+            routing = self._file.routing.to_routing(config.settings)
         except ConfigError as error:
             raise ConfigError(f"{self._path}: {error}") from None
         return replace(config, settings=replace(config.settings, routing=routing))
 
-    def source(self, limiters: int) -> type[Keepers]:
+    def quota_owner_type(self, limiters: int) -> type[Keepers]:
         """What the decision module asks of a customer's use. Raises `ConfigError`."""
         if self._file.quota is None:
             return Keepers
@@ -65,7 +65,7 @@
         except (ConfigError, msgspec.ValidationError) as error:
             raise ConfigError(f"{self._path}: {error}") from None
 
-    def limiter(self, settings: api.Settings) -> type[Limiter]:
+    def limiter_type(self, settings: api.Settings) -> type[Limiter]:
         """What decides. Raises `ConfigError`."""
         shared = self._file.shared
         on = [] if shared is None else [name for name in ("evidence", "ceilings") if getattr(shared, name)]
@@ -79,7 +79,7 @@
 
         return limiter_of("evidence" in on, "ceilings" in on)
 
-    async def prepare(
+    async def attach(
         self,
         gateway: Gateway,
         clients: Clients,
@@ -98,7 +98,7 @@
         if self._file.control is not None:
             path = os.environ["PROXY_CONFIG"]
             counter = self._quota.view if self._quota is not None else None
-            self._control = await attach(
+            self._control = await attach_control_socket(
                 self._file.control,
                 path,
                 gateway,
@@ -110,18 +110,18 @@
                 *self._shown(gateway, config),
             )
 
-    def _shown(self, gateway: Gateway, config: Config) -> tuple[()] | tuple[SharedView | None, ShownCeilings]:
+    def _shown(self, gateway: Gateway, config: Config) -> tuple[()] | tuple[EvidenceView | None, ShownCeilings]:
         """What is shown of what limiters share."""
         if self._file.shared is None:
             return ()
-        from elderlock.control.shared import SharedView, ceilings_of
+        from elderlock.control.shared import EvidenceView, ceiling_status
         from elderlock.gossip.limiter import SharedLimiter
 
         limiter, zones = gateway.limiter, config.socket_settings.zones
-        view = SharedView(limiter, zones) if isinstance(limiter, SharedLimiter) else None
-        return view, lambda: ceilings_of(limiter)
+        view = EvidenceView(limiter, zones) if isinstance(limiter, SharedLimiter) else None
+        return view, lambda: ceiling_status(limiter)
 
-    async def open(self) -> None:
+    async def start_authz(self) -> None:
         """Raises `ConfigError` or `OSError`."""
         if self._file.authz is None:
             return
@@ -155,7 +155,7 @@
         if self._door is not None:
             self._door.reload()
 
-    async def leave(self) -> None:
+    async def stop_authz(self) -> None:
         """An orderly end of what was opened, while clients are still answered."""
         if self._door is not None:
             await self._door.stop()
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -127,7 +127,7 @@
         if isinstance(self._client, Tally):
             self._client.follow(addresses[0])
 
-    def view(self, most: int) -> m.Counter:
+    def view(self, most: int) -> m.CounterStatus:
         """With the leases of the `most` customers that use most."""
         book, terms, now = self.book, self._file.terms(self._settings.limiter_count), self._gateway.now()
         off = now - book.health.changed_at if book.mode is not Mode.SHARED else 0.0
@@ -138,7 +138,7 @@
         ]
         errors = [shared(store, terms) + cut_off(store, terms, off) for store in stores]
         busiest = nlargest(most, book.ledgers.values(), key=lambda ledger: ledger.rate_now(now))
-        return m.Counter(
+        return m.CounterStatus(
             mode=book.mode.value,
             since_ms=now - book.health.changed_at,
             generation=book.health.generation,
@@ -147,7 +147,9 @@
             calls_per_s=book.budget.rate,
             error_units=max(errors, default=0.0),
             leases=tuple(
-                m.Lease(one.key, one.level(now), one.store.burst, sum(lease.units for lease in one.leases), one.owed)
+                m.LeaseStatus(
+                    one.key, one.level(now), one.store.burst, sum(lease.units for lease in one.leases), one.owed
+                )
                 for one in busiest
             ),
         )
--- a/elderlock/rollout/inventory.py
+++ b/elderlock/rollout/inventory.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from elderlock.control.messages import Box, State
+from elderlock.control.messages import LimiterState, ServerStatus
 from elderlock.rollout.disruption_budget import Inventory, InventoryItem
 
 
@@ -25,7 +25,7 @@
 
 
 def build_inventory(
-    states: Sequence[State], limiters: Iterable[KnownLimiter], unheard_agents: Iterable[str]
+    states: Sequence[LimiterState], limiters: Iterable[KnownLimiter], unheard_agents: Iterable[str]
 ) -> Inventory:
     """Combine what the limiters report into one inventory.
 
@@ -42,9 +42,9 @@
     if not states_with_list:
         missing = "has a list" if states else "answers"
         insufficient_reason = f"no limiter of this agent {missing}: what the boxes do is not known"
-    views_by_uid: dict[str, list[Box]] = {}
+    views_by_uid: dict[str, list[ServerStatus]] = {}
     for state in states_with_list:
-        for server in state.boxes:
+        for server in state.servers:
             views_by_uid.setdefault(server.uid, []).append(server)
     servers = tuple(_server_item(uid, views) for uid, views in sorted(views_by_uid.items()))
     limiter_items = tuple(
@@ -54,13 +54,13 @@
     return Inventory(servers, limiter_items, insufficient_reason)
 
 
-def _server_item(uid: str, views: Sequence[Box]) -> InventoryItem:
+def _server_item(uid: str, views: Sequence[ServerStatus]) -> InventoryItem:
     """Combine several limiters' views of one server."""
     weight = max(view.weight for view in views)
-    return InventoryItem(uid, views[0].floor, views[0].kind, weight, _server_out_reason(views))
+    return InventoryItem(uid, views[0].zone, views[0].kind, weight, _server_out_reason(views))
 
 
-def _server_out_reason(views: Sequence[Box]) -> str:
+def _server_out_reason(views: Sequence[ServerStatus]) -> str:
     """Return why a server is out of service; empty where it serves.
 
     One limiter that knows of a drain is enough, as the others may not have heard of it yet. An ejection counts once
@@ -71,7 +71,7 @@
             return f"{view.state}, as discovery says"
         if view.drained_by:
             return f"drained by {view.drained_by}"
-    ejection_reasons = [view.left_out for view in views if view.left_out]
+    ejection_reasons = [view.unavailable_reason for view in views if view.unavailable_reason]
     if 2 * len(ejection_reasons) > len(views):
         return f"left out: {ejection_reasons[0]}"
     return ""
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from elderlock import interface as api
-from elderlock.control.overlay import Overlay
+from elderlock.control.drain_overlay import DrainOverlay
 from elderlock.control.records import Record, Records
 from elderlock.decisions.keepers import Keepers
 from elderlock.gossip.sharing import limiter_of
@@ -121,7 +121,7 @@
         wanted, peers = world.scenario.settings, settings.capabilities.can_message_peers
         kind = limiter_of(wanted.shared and peers, wanted.shared_ceilings and peers and not wanted.counter)
         self.limiter = kind(settings, seed, self.now(), source)
-        self.overlay = Overlay() if world.scenario.agents else None
+        self.overlay = DrainOverlay() if world.scenario.agents else None
         self.records: Records = Records()
         self.version = 0
 
@@ -179,7 +179,7 @@
         self.version += 1
         if self.overlay is not None:
             targets = tuple(Target(entry, ("", 0)) for entry in entries)
-            over = self.overlay.listed(TargetList(self.version, kind is ListKind.COMPLETE, targets))
+            over = self.overlay.apply_to(TargetList(self.version, kind is ListKind.COMPLETE, targets))
             entries = tuple(target.entry for target in over.targets)
         self.world.heard(self, kind, entries)
         self.happened(api.ServerList(self.version, kind, entries))
@@ -189,10 +189,10 @@
         if not self.alive or self.paused or self.overlay is None:
             return
         self.records.merge(records)
-        drained = self.records.drained("box")
-        changes = self.overlay.drain(drained)
+        drained = self.records.drained_targets("box")
+        changes = self.overlay.set_drained(drained)
         mine = self.records.get("limiter", self.name)
-        self.drained = mine is not None and mine.drained
+        self.drained = mine is not None and mine.is_drained
         if changes.targets:
             entries = tuple(target.entry for target in changes.targets)
             self.world.heard(self, ListKind.CHANGES, entries)
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from elderlock.control import messages as m
-from elderlock.control.attach import Control, read_records
-from elderlock.control.desk import Desk
+from elderlock.control.attach import ControlSocket, read_records_file
+from elderlock.control.command_authority import CommandAuthority
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate
@@ -146,11 +146,11 @@
         self.stopping = asyncio.Event()
         self.down = False
         self._rng = random.Random(f"{world.seed}/{name}/{self.pid}")
-        self._counts, self._sums = m.Counts(), (0.0, 0.0)
+        self._counts, self._sums = m.AnswerCounts(), (0.0, 0.0)
         self._began = self._counted = world.loop.time()
-        self.desk: Desk | None = None
+        self.desk: CommandAuthority | None = None
 
-    def state(self, id: int, accounts: int) -> m.State:
+    def state(self, id: int, accounts: int) -> m.LimiterState:
         self._count()
         assert self.desk is not None
         return state(
@@ -159,14 +159,14 @@
             id=id,
             pid=self.pid,
             records=tuple(self.desk.records),
-            drained=self.down,
+            is_drained=self.down,
             ready=not self.down,
             records_digest=self.desk.records.digest(),
             owner=self.desk.owner,
             owner_epoch=self.desk.owner_epoch,
             counts=self._counts,
-            log_sum=self._sums[0],
-            log_squares=self._sums[1],
+            log_time_sum=self._sums[0],
+            log_time_square_sum=self._sums[1],
         )
 
     def _count(self) -> None:
@@ -186,7 +186,7 @@
         squares = served * (TIME_SD**2) + (total * total / served if served else 0.0)
         self._sums = (self._sums[0] + total, self._sums[1] + squares)
         before = self._counts
-        self._counts = m.Counts(before.served + served, before.refused + refused, before.failed, 0)
+        self._counts = m.AnswerCounts(before.served + served, before.refused + refused, before.failed, 0)
 
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
         if limiter != self.down:
@@ -273,10 +273,10 @@
                 return 4
             operators = tomllib.loads(Path(environ["ELDERLOCK_OPERATORS"]).read_text())["control"]
             limiter = Modelled(self, name, version, build)
-            limiter.desk = Desk(limiter, read_records(Path(operators["records"])))
+            limiter.desk = CommandAuthority(limiter, read_records_file(Path(operators["records"])))
             if build.mute:
                 limiter.desk._hello = lambda *given: m.Refused("version", "it speaks version 99 alone")  # type: ignore[method-assign]
-            control = Control(limiter.desk, Path(operators["socket"]), unix_ms)
+            control = ControlSocket(limiter.desk, Path(operators["socket"]), unix_ms)
             await control.listen()
             self.modelled[name] = limiter
             self.limiter_changed(limiter)
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -162,7 +162,13 @@
         wish = Wish(kind, target, drained, held.generation if held else 0)  # type: ignore[arg-type]
         self._wish, self._ends = wish, world.schedule.time + self.GIVE_UP
         self._order = Intend(
-            1, f"{rng.getrandbits(64):016x}", known.generation() + 1, (wish,), (held,) if held else (), "", 200.0
+            1,
+            f"{rng.getrandbits(64):016x}",
+            known.greatest_generation() + 1,
+            (wish,),
+            (held,) if held else (),
+            "",
+            200.0,
         )
         self._claimed: set[str] = set()
         self._pending = set(range(len(world.agents)))
@@ -180,7 +186,7 @@
                 for number in agent.limiters if agent.alive and not agent.paused else ():
                     node = world.nodes[number]
                     record = node.records.get("box", self.target)
-                    if node.alive and record is not None and record.drained and node.name not in self._claimed:
+                    if node.alive and record is not None and record.is_drained and node.name not in self._claimed:
                         self._claimed.add(node.name)
                         world.bench.claimed(world.at(), self.name, self.target, node.name, world.at())
         if world.schedule.time < self._ends and (self._pending or len(self._claimed) < len(world.nodes)):
--- a/elderlock/standins/agents.py
+++ b/elderlock/standins/agents.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from elderlock.control.transport import Bounds, Connection, FrameServer
+from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.fleet import messages as f
 from elderlock.standins.limiters import box, state
 
@@ -26,14 +26,17 @@
             def handle(connection: Connection[None], body: bytes, shown: f.Shown = shown) -> None:
                 message = f.to_agent(body)
                 if isinstance(message, f.Hello):
-                    connection.identified()
-                    connection.say(f.encode(f.Welcome(f.VERSION, shown.agent, "an", "operator", 1)))
+                    connection.on_identified()
+                    connection.send(f.encode(f.Welcome(f.VERSION, shown.agent, "an", "operator", 1)))
                 elif isinstance(message, f.Show):
                     shown.id = message.id
-                    connection.say(f.encode(shown))
+                    connection.send(f.encode(shown))
 
             server: FrameServer[None] = FrameServer(
-                Bounds(f.LONGEST, f.LONGEST_HELLO, hello_within=30.0), lambda: None, handle, lambda text: b""
+                ConnectionLimits(f.LONGEST, f.LONGEST_HELLO, hello_timeout_s=30.0),
+                lambda: None,
+                handle,
+                lambda text: b"",
             )
             self.ports.append(await server.listen_tcp("127.0.0.1", 0, None))
             self._servers.append(server)
--- a/elderlock/standins/limiters.py
+++ b/elderlock/standins/limiters.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 
 from elderlock.control import messages as m
-from elderlock.control.desk import Desk, Visitor
+from elderlock.control.command_authority import CommandAuthority, Session
 from elderlock.control.records import Record
-from elderlock.control.transport import Bounds, Connection, FrameServer
+from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.standins.waiting import unix_ms
 
 
@@ -24,30 +24,30 @@
     NOISE = "noise"  # answers what is no message
 
 
-def box(uid: str, **changes: object) -> m.Box:
+def box(uid: str, **changes: object) -> m.ServerStatus:
     """A box in good health, as a limiter shows it."""
     values: dict[str, object] = {
         "uid": uid,
         "endpoint": "127.0.0.1:1",
-        "floor": "floor-2",
+        "zone": "floor-2",
         "kind": "std-2c",
         "weight": 2.0,
         "state": "running",
-        "out": 0,
+        "open_requests": 0,
         "connections": 1,
         "latency_ms": 20.0,
         "latency_age_ms": 10.0,
         "queue": 0,
         "report_age_ms": 10.0,
-        "left_out": "",
+        "unavailable_reason": "",
         "drained_by": "",
         "generation": 0,
         **changes,
     }
-    return m.Box(**values)  # type: ignore[arg-type]
+    return m.ServerStatus(**values)  # type: ignore[arg-type]
 
 
-def state(limiter: str, boxes: Iterable[m.Box] = (), **changes: object) -> m.State:
+def state(limiter: str, boxes: Iterable[m.ServerStatus] = (), **changes: object) -> m.LimiterState:
     """What a limiter in good health says of itself."""
     values: dict[str, object] = {
         "id": 0,
@@ -62,17 +62,17 @@
         "list_version": 1,
         "list_age_ms": 5.0,
         "ready": True,
-        "drained": False,
-        "open": 0,
+        "is_drained": False,
+        "open_requests": 0,
         "clients": 1,
-        "counts": m.Counts(served=100),
+        "counts": m.AnswerCounts(served=100),
         "plans": {},
         "accounts": {},
         "accounts_known": 0,
         "answer_p50_ms": 20.0,
         "answer_p99_ms": 60.0,
-        "boxes": tuple(boxes),
-        "throttle": m.Throttle("not_overloaded", 0.0, 1.0, 1.0),
+        "servers": tuple(boxes),
+        "throttle": m.ThrottleStatus("not_overloaded", 0.0, 1.0, 1.0),
         "peers": (),
         "records": (),
         "records_digest": "",
@@ -80,7 +80,7 @@
         "owner_epoch": 0,
         **changes,
     }
-    return m.State(**values)  # type: ignore[arg-type]
+    return m.LimiterState(**values)  # type: ignore[arg-type]
 
 
 class ScriptedLimiter:
@@ -97,22 +97,22 @@
         self.down = False  # drained itself
         self.stops = 0
         self.received: list[m.ToLimiter] = []
-        self._held: list[tuple[Connection[Visitor], m.ToLimiter]] = []
-        self._server: FrameServer[Visitor] | None = None
+        self._held: list[tuple[Connection[Session], m.ToLimiter]] = []
+        self._server: FrameServer[Session] | None = None
         self.restart()
 
     def restart(self, records: Iterable[Record] = ()) -> None:
         self.started_at = unix_ms()
         self.in_force, self.down = {}, False
         self._held.clear()
-        self.desk = Desk(self, records)
+        self.desk = CommandAuthority(self, records)
         if self._server is not None:
             for connection in list(self._server.connections):
                 connection.abort()
 
     async def listen(self) -> ScriptedLimiter:
-        bounds = Bounds(m.LONGEST, m.LONGEST_HELLO)
-        self._server = FrameServer(bounds, Visitor, self._handle, lambda text: b"")
+        bounds = ConnectionLimits(m.MAXIMUM_MESSAGE_BYTES, m.MAXIMUM_HELLO_BYTES)
+        self._server = FrameServer(bounds, Session, self._handle, lambda text: b"")
         await self._server.listen_unix(self.path)
         return self
 
@@ -123,10 +123,14 @@
 
     # The face
 
-    def state(self, id: int, accounts: int) -> m.State:
-        drained = self.desk.records.drained("box")
+    def state(self, id: int, accounts: int) -> m.LimiterState:
+        drained = self.desk.records.drained_targets("box")
         boxes = [
-            box(uid, drained_by=drained[uid].by if uid in drained else "", out=self.left_in_work.get(uid, 0))
+            box(
+                uid,
+                drained_by=drained[uid].requested_by if uid in drained else "",
+                open_requests=self.left_in_work.get(uid, 0),
+            )
             for uid in self._uids
         ]
         return state(
@@ -134,7 +138,7 @@
             boxes,
             id=id,
             records=tuple(self.desk.records),
-            drained=self.down,
+            is_drained=self.down,
             ready=not self.down,
             records_digest=self.desk.records.digest(),
             owner=self.desk.owner,
@@ -157,8 +161,8 @@
 
     # The socket
 
-    def _handle(self, connection: Connection[Visitor], body: bytes) -> None:
-        message = m.to_limiter(body)
+    def _handle(self, connection: Connection[Session], body: bytes) -> None:
+        message = m.decode_request(body)
         self.received.append(message)
         if self.only is not None and not isinstance(message, self.only):
             return self._answer(connection, message, Trouble.NONE)
@@ -169,22 +173,22 @@
         else:
             self._answer(connection, message, self.trouble)
 
-    def _answer(self, connection: Connection[Visitor], message: m.ToLimiter, trouble: Trouble) -> None:
-        answer = self.desk.handle(connection.visitor, message, unix_ms())
+    def _answer(self, connection: Connection[Session], message: m.ToLimiter, trouble: Trouble) -> None:
+        answer = self.desk.handle(connection.session, message, unix_ms())
         if isinstance(answer, m.Welcome):
-            connection.identified()
-        body = m.encode(answer)
+            connection.on_identified()
+        body = m.encode_message(answer)
         match trouble:
             case Trouble.DIES:
                 connection.abort()
             case Trouble.LATE:
-                asyncio.get_running_loop().call_later(self.delay, connection.say, body)
+                asyncio.get_running_loop().call_later(self.delay, connection.send, body)
             case Trouble.HALF:
-                connection.say(body[: len(body) // 2])
+                connection.send(body[: len(body) // 2])
             case Trouble.NOISE:
-                connection.say(b"\xc1" * 40)
+                connection.send(b"\xc1" * 40)
             case _:
-                connection.say(body)
+                connection.send(body)
 
     def mend(self) -> None:
         """Goes on; what came while it was stopped is acted on now, in its order."""
--- a/elderlock/standins/programs.py
+++ b/elderlock/standins/programs.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from elderlock.control import messages as m
-from elderlock.control.caller import Caller
 from elderlock.control.records import Record
+from elderlock.control.request_client import RequestClient
 from elderlock.spawning import spawn
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.clients import Client
@@ -79,19 +79,21 @@
 
     async def count(self) -> int:
         """Questions and requests that it has answered."""
-        caller: Caller[m.FromLimiter] = Caller(m.from_limiter, m.LONGEST)
-        await caller.unix(self.socket)
-        await caller.ask(m.Hello((m.VERSION,), "looker"), 10.0)
-        state = await caller.ask(m.Look(caller.next_id()), 10.0)
-        assert isinstance(state, m.State)
+        caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
+        await caller.connect_unix(self.socket)
+        await caller.request(m.Hello((m.PROTOCOL_VERSION,), "looker"), 10.0)
+        state = await caller.request(m.GetState(caller.next_request_id()), 10.0)
+        assert isinstance(state, m.LimiterState)
         caller.close()
         return state.counts.total()
 
     async def drain(self, *records: Record) -> None:
-        caller: Caller[m.FromLimiter] = Caller(m.from_limiter, m.LONGEST)
-        await caller.unix(self.socket)
-        await caller.ask(m.Hello((m.VERSION,), "a", 1), 10.0)
-        assert isinstance(await caller.ask(m.Apply(caller.next_id(), records), 10.0), m.Applied)
+        caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
+        await caller.connect_unix(self.socket)
+        await caller.request(m.Hello((m.PROTOCOL_VERSION,), "a", 1), 10.0)
+        assert isinstance(
+            await caller.request(m.ApplyRecords(caller.next_request_id(), records), 10.0), m.RecordsApplied
+        )
         caller.close()
 
 
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from elderlock import interface as api
-from elderlock.control.overlay import Overlay
+from elderlock.control.drain_overlay import DrainOverlay
 from elderlock.decisions.attempts import Attempts
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.decisions.load_estimator import LoadEstimator
@@ -107,7 +107,7 @@
 
 def lies_of_drains(patch: Patching) -> None:
     """A limiter says that it holds a drain and goes on."""
-    patch.setattr(Overlay, "_over", lambda self, target: target)
+    patch.setattr(DrainOverlay, "_with_drain", lambda self, target: target)
 
 
 def raises(patch: Patching) -> None:
@@ -247,9 +247,11 @@
 def refuses_its_agent(patch: Patching) -> None:
     """It speaks another version of the control protocol."""
     from elderlock.control import messages as m
-    from elderlock.control.desk import Desk
+    from elderlock.control.command_authority import CommandAuthority
 
-    patch.setattr(Desk, "_hello", lambda self, visitor, hello, now: m.Refused("version", "it speaks version 99 alone"))
+    patch.setattr(
+        CommandAuthority, "_hello", lambda self, visitor, hello, now: m.Refused("version", "it speaks version 99 alone")
+    )
 
 
 # Versions of agents that a release has to stop
--- a/elderlock/trial/run.py
+++ b/elderlock/trial/run.py
@@ -102,7 +102,7 @@
         for each in shown.values():
             for limiter in each.limiters:
                 if limiter.state is not None and limiter.link == "answering":
-                    left[f"requests open at {limiter.name}"] = limiter.state.open
+                    left[f"requests open at {limiter.name}"] = limiter.state.open_requests
         digests = ground.digests(shown)
         if (not any(left.values()) and len(set(digests.values())) <= 1) or time.monotonic() > ends:
             ground.note("digests", json.dumps(digests))
--- a/tests/authz/test_door_rules.py
+++ b/tests/authz/test_door_rules.py
@@ -13,7 +13,7 @@
 from elderlock.authz.mapping import Asked, NotTheirs, Terms, Unreadable
 from elderlock.authz.permissions import Permissions, Verdict
 from elderlock.authz.questions import refusal_of
-from elderlock.control.attach import read_operators
+from elderlock.control.attach import read_operators_file
 from elderlock.net.config import config_of
 from elderlock.net.gateway import Command
 from elderlock.standins.settings import CUSTOMER, raw_config
@@ -214,6 +214,6 @@
 
 def test_the_example_file_can_be_used() -> None:
     path = Path(__file__).parent.parent.parent / "deploy" / "operators.example.toml"
-    operators = read_operators(path)
+    operators = read_operators_file(path)
     assert operators.control is not None and operators.authz is not None
     assert msgspec.convert(operators.authz, AuthzFile).check() == ("127.0.0.1", 9191)
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -8,7 +8,7 @@
 import pytest
 
 from elderlock import peer_messages as peerwords
-from elderlock.control.framing import Framer, framed
+from elderlock.control.framing import FrameDecoder, encode_frame
 from elderlock.gossip import ceilings, wire
 from elderlock.load import wire as load_wire
 from elderlock.net import clients, gateway, resp
@@ -169,8 +169,8 @@
 
 
 def test_a_frame_of_a_message_is_written_and_read_as_stored() -> None:
-    assert framed(b"abc") == bytes.fromhex("00000003616263")
-    assert Framer(16).feed(bytes.fromhex("00000003616263")) == [b"abc"]
+    assert encode_frame(b"abc") == bytes.fromhex("00000003616263")
+    assert FrameDecoder(16).feed(bytes.fromhex("00000003616263")) == [b"abc"]
 
 
 def test_a_follower_asks_discovery_for_the_list_and_then_watches_from_its_version() -> None:
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -17,7 +17,7 @@
 
 from elderlock.cli import commands, sim
 from elderlock.cli.main import main
-from elderlock.control.messages import State
+from elderlock.control.messages import LimiterState
 from elderlock.control.records import Record, Records
 from elderlock.fleet import messages
 from elderlock.fleet.client.answers import Missing, Refusal
@@ -41,7 +41,7 @@
 
 def seen() -> Seen:
     """Two limiters that answer and differ in their build."""
-    shown, other = message("fleet.shown", messages.Shown), message("control.state", State)
+    shown, other = message("fleet.shown", messages.Shown), message("control.state", LimiterState)
     first = shown.limiters[0]
     first.link = "answering"
     second = message("fleet.limiter-status", messages.LimiterStatus)
@@ -86,7 +86,7 @@
         return seen()
 
     monkeypatch.setattr(commands, "see", see)
-    target = seen().states()[0].boxes[0].uid
+    target = seen().states()[0].servers[0].uid
     options = argparse.Namespace(json=True, deadline=1.0, target=target)
     asyncio.run(command(options, Answers({})))
 
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from elderlock.control.attach import read_records
+from elderlock.control.attach import read_records_file
 from elderlock.control.records import Record
 from elderlock.fleet.agent_store import Store
 from elderlock.fleet.launcher.launcher import Running
@@ -123,7 +123,7 @@
 def test_the_records_kept_for_a_limiters_start_are_read(tmp_path: Path) -> None:
     data = bytes.fromhex((DATA / "limiter_records.hex").read_text())
     (tmp_path / "records").write_bytes(data)
-    assert read_records(tmp_path / "records") == RECORDS
+    assert read_records_file(tmp_path / "records") == RECORDS
     assert msgspec.msgpack.encode(RECORDS) == data
 
 
--- a/tests/control/test_overlay.py
+++ b/tests/control/test_overlay.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from elderlock.control.overlay import Overlay
-from elderlock.control.records import MOST_RECORDS, Offer, Record, Records
+from elderlock.control.drain_overlay import DrainOverlay
+from elderlock.control.records import MAXIMUM_RECORDS, OfferResult, Record, Records
 from elderlock.interface import ServerEntry, ServerState
 from elderlock.net.targets import Target, TargetList
 
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.overlay = Overlay()
+        self.overlay = DrainOverlay()
         self.told: dict[str, ServerState] = {}  # what discovery said last
         self.drained: set[str] = set()
         self.taken: dict[str, ServerState] = {}  # as a limiter that follows the overlay holds it
@@ -52,12 +52,12 @@
         self.told.update(entries)
         self.told = {u: s for u, s in self.told.items() if s is not ServerState.REMOVED}
         listed = TargetList(self.version, complete, tuple(target(u, s) for u, s in entries.items()))
-        self.take(self.overlay.listed(listed))
+        self.take(self.overlay.apply_to(listed))
 
     @rule(drained=st.sets(st.sampled_from(UIDS)))
     def operators_drain(self, drained: set[str]) -> None:
         self.drained = drained
-        self.take(self.overlay.drain(drained))
+        self.take(self.overlay.set_drained(drained))
 
     @invariant()
     def a_drained_box_gets_nothing_and_every_other_is_as_discovery_said(self) -> None:
@@ -72,19 +72,19 @@
 
 
 def test_a_new_box_at_the_address_of_a_drained_one_is_not_drained() -> None:
-    overlay = Overlay(["s-old"])
-    assert overlay.listed(TargetList(1, True, (target("s-old"),))).targets[0].entry.state is (ServerState.DRAINING)
-    listed = overlay.listed(TargetList(2, True, (target("s-new", started=5.0),)))
+    overlay = DrainOverlay(["s-old"])
+    assert overlay.apply_to(TargetList(1, True, (target("s-old"),))).targets[0].entry.state is (ServerState.DRAINING)
+    listed = overlay.apply_to(TargetList(2, True, (target("s-new", started=5.0),)))
     assert listed.targets[0].entry.state is ServerState.RUNNING
 
 
 def test_a_drain_outlives_the_boxs_removal_and_return() -> None:
-    overlay = Overlay(["s-1"])
-    overlay.listed(TargetList(1, True, (target("s-1"),)))
-    overlay.listed(TargetList(2, False, (target("s-1", ServerState.REMOVED),)))
-    back = overlay.listed(TargetList(3, False, (target("s-1", started=9.0),)))
+    overlay = DrainOverlay(["s-1"])
+    overlay.apply_to(TargetList(1, True, (target("s-1"),)))
+    overlay.apply_to(TargetList(2, False, (target("s-1", ServerState.REMOVED),)))
+    back = overlay.apply_to(TargetList(3, False, (target("s-1", started=9.0),)))
     assert back.targets[0].entry.state is ServerState.DRAINING
-    changes = overlay.drain(())
+    changes = overlay.set_drained(())
     assert [t.entry.state for t in changes.targets] == [ServerState.RUNNING]
 
 
@@ -109,18 +109,18 @@
 
 def test_an_older_record_is_told_apart_from_a_known_one() -> None:
     held = Records([record("s-1", 3, "b")])
-    assert held.offer(record("s-1", 3, "b")) is Offer.KNOWN
-    assert held.offer(record("s-1", 3, "a", drained=False)) is Offer.OLDER
-    assert held.offer(record("s-1", 2, "z", drained=False)) is Offer.OLDER
-    assert held.offer(record("s-1", 3, "c", drained=False)) is Offer.TAKEN
-    assert held.generation() == 3
+    assert held.offer(record("s-1", 3, "b")) is OfferResult.KNOWN
+    assert held.offer(record("s-1", 3, "a", drained=False)) is OfferResult.OLDER
+    assert held.offer(record("s-1", 2, "z", drained=False)) is OfferResult.OLDER
+    assert held.offer(record("s-1", 3, "c", drained=False)) is OfferResult.ACCEPTED
+    assert held.greatest_generation() == 3
 
 
 def test_records_are_bounded_and_what_is_held_can_still_change() -> None:
-    held = Records(record(f"s-{n}", 1) for n in range(MOST_RECORDS + 5))
-    assert len(held) == MOST_RECORDS
-    assert held.offer(record("one-more", 1)) is Offer.OLDER
-    assert held.offer(record("s-0", 2, drained=False)) is Offer.TAKEN
+    held = Records(record(f"s-{n}", 1) for n in range(MAXIMUM_RECORDS + 5))
+    assert len(held) == MAXIMUM_RECORDS
+    assert held.offer(record("one-more", 1)) is OfferResult.OLDER
+    assert held.offer(record("s-0", 2, drained=False)) is OfferResult.ACCEPTED
 
 
 def test_only_what_says_nothing_any_more_is_retired() -> None:
@@ -132,5 +132,5 @@
             record("undrained", 4, drained=False, at=1.0),
         ]
     )
-    assert {r.target for r in held.retire(5.0, ["there"])} == {"gone", "undrained"}
+    assert {r.target for r in held.forget_obsolete(5.0, ["there"])} == {"gone", "undrained"}
     assert {r.target for r in held} == {"there", "young"}
--- a/tests/control/test_socket.py
+++ b/tests/control/test_socket.py
@@ -15,12 +15,12 @@
 from programs import Program, look
 
 from elderlock.control import messages as m
-from elderlock.control.attach import read_operators, read_records
-from elderlock.control.figures import MOST_ACCOUNTS, OTHERS, Figures, Times
-from elderlock.control.framing import framed
+from elderlock.control.attach import read_operators_file, read_records_file
+from elderlock.control.framing import encode_frame
+from elderlock.control.limiter_status import exclusion_reason
 from elderlock.control.records import Record
-from elderlock.control.transport import unix_socket
-from elderlock.control.view import routed_away
+from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS, OTHER_ACCOUNTS, RecentLatencies, RequestMetrics
+from elderlock.control.transport import bind_unix_socket
 from elderlock.interface import Routing
 from elderlock.net.config import ConfigError
 from elderlock.standins.boxes import Server
@@ -43,18 +43,22 @@
         assert (state.limiter, state.pid, state.ready) == ("n0", process.pid, True)
         assert (state.counts.served, state.counts.total(), state.plans["team"].served) == (3, 4, 3)
         assert state.accounts["00000000b4d65521"].total() == 4
-        (box,) = state.boxes
-        assert (box.uid, box.state, box.queue, box.left_out) == ("s-0", "running", 2, "")
+        (box,) = state.servers
+        assert (box.uid, box.state, box.queue, box.unavailable_reason) == ("s-0", "running", 2, "")
         assert box.latency_ms >= 0 and box.report_age_ms >= 0 and state.answer_p50_ms > 0
         assert set(state.config_parts) >= {"plans", "services", "rules", "limits"}
         drain = Record("box", "s-0", True, 1, "o", "an", 0.0)
-        applied = await caller.ask(m.Apply(caller.next_id(), (drain,)), 10.0)
-        assert isinstance(applied, m.Applied) and applied.records == (drain,) and applied.out == {"s-0": 0}
+        applied = await caller.request(m.ApplyRecords(caller.next_request_id(), (drain,)), 10.0)
+        assert (
+            isinstance(applied, m.RecordsApplied)
+            and applied.records == (drain,)
+            and applied.drained_open_requests == {"s-0": 0}
+        )
         count = len(server.commands)
         refused = await client.ask("none-left")
         assert str(refused).startswith("BUSY") and len(server.commands) == count
-        assert (await look(caller)).boxes[0].left_out == "drained by an"
-        assert isinstance(await caller.ask(m.Stop(caller.next_id()), 10.0), m.Stopping)
+        assert (await look(caller)).servers[0].unavailable_reason == "drained by an"
+        assert isinstance(await caller.request(m.Stop(caller.next_request_id()), 10.0), m.Stopping)
         assert await process.wait() == 0
         assert not program.socket.exists()
 
@@ -100,16 +104,16 @@
     gate = gateway(settings(limiters=6), names="abcdefgh")
     boxes = gate.limiter.endpoints
     server = boxes.servers["c"]
-    assert routed_away(boxes, server, gate.now) == ""
+    assert exclusion_reason(boxes, server, gate.now) == ""
     for _ in range(3):
         boxes.outliers.failed(server, 8, boxes.directory.total_weight_milli)
-    assert routed_away(boxes, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
+    assert exclusion_reason(boxes, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
     gate.now = boxes.context.now_ms = server.reinstate_at_ms
     boxes.settle()
-    assert routed_away(boxes, server, gate.now) == "on trial, one request at a time"
+    assert exclusion_reason(boxes, server, gate.now) == "on trial, one request at a time"
     config = replace(settings(limiters=6), routing=Routing(subset_size=4))
     boxes = gateway(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
-    told = {name: routed_away(boxes, one, 0.0) for name, one in boxes.servers.items()}
+    told = {name: exclusion_reason(boxes, one, 0.0) for name, one in boxes.servers.items()}
     assert {name for name, why in told.items() if not why} == {
         one.entry.server_id for one in boxes.candidates.all.members()
     }
@@ -150,27 +154,27 @@
 def test_no_control_part_means_no_socket(tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text("")
-    assert read_operators(path).control is None
-    assert read_records(tmp_path / "none") == ()
+    assert read_operators_file(path).control is None
+    assert read_records_file(tmp_path / "none") == ()
     with pytest.raises(ConfigError, match="No such file"):
-        read_operators(tmp_path / "none")
+        read_operators_file(tmp_path / "none")
 
 
 def test_a_stale_socket_is_cleaned_and_a_live_one_left_alone(tmp_path: Path) -> None:
     path = tmp_path / "run" / "c.sock"
-    first = unix_socket(path)
+    first = bind_unix_socket(path)
     first.listen()
     with pytest.raises(OSError, match="in use by another process"):
-        unix_socket(path)
+        bind_unix_socket(path)
     first.close()  # dead: the file stays behind
     assert path.exists()
-    second = unix_socket(path)
+    second = bind_unix_socket(path)
     assert stat.S_IMODE(path.stat().st_mode) == 0o600
     second.close()
     path.unlink()
     path.write_text("precious")
     with pytest.raises(OSError, match="is no socket"):
-        unix_socket(path)
+        bind_unix_socket(path)
     assert path.read_text() == "precious"
 
 
@@ -178,10 +182,10 @@
     (tmp_path / "open").mkdir(mode=0o755)
     (tmp_path / "open").chmod(0o755)
     with pytest.raises(OSError, match="must be our own with mode 0700, it has 0755"):
-        unix_socket(tmp_path / "open" / "c.sock")
+        bind_unix_socket(tmp_path / "open" / "c.sock")
 
 
-NOISE = [b"\xff" * (10 << 20), framed(b"\xc1\xc1"), framed(msgspec.msgpack.encode({"type": "fly"}))]
+NOISE = [b"\xff" * (10 << 20), encode_frame(b"\xc1\xc1"), encode_frame(msgspec.msgpack.encode({"type": "fly"}))]
 
 
 @pytest.mark.parametrize("first", NOISE, ids=["noise", "no message", "unknown message"])
@@ -238,20 +242,20 @@
 
 
 def test_accounts_are_bounded_and_nothing_is_lost_from_the_sum() -> None:
-    figures = Figures(["team"])
+    figures = RequestMetrics(["team"])
     answers: list[Any] = [b"$5\r\nvalue\r\n", b"-BUSY 500\r\n", b"-ERR failed\r\n", None]
-    for n in range(MOST_ACCOUNTS + 400):
-        figures.answered(0, f"a{n}", 5.0, answers[n % 4])
-    assert figures.known() == MOST_ACCOUNTS
-    shown = figures.accounts(MOST_ACCOUNTS)
-    for name in ("served", "refused", "failed", "gone"):
-        total = getattr(figures.all, name)
-        assert sum(getattr(counts, name) for counts in shown.values()) == total == (MOST_ACCOUNTS + 400) // 4
-    assert shown[OTHERS].total() == 400 and figures.plans["team"].served == figures.all.served
+    for n in range(MAXIMUM_ACCOUNTS + 400):
+        figures.record(0, f"a{n}", 5.0, answers[n % 4])
+    assert figures.account_count() == MAXIMUM_ACCOUNTS
+    shown = figures.busiest_accounts(MAXIMUM_ACCOUNTS)
+    for name in ("served", "refused", "failed", "abandoned"):
+        total = getattr(figures.total, name)
+        assert sum(getattr(counts, name) for counts in shown.values()) == total == (MAXIMUM_ACCOUNTS + 400) // 4
+    assert shown[OTHER_ACCOUNTS].total() == 400 and figures.by_plan["team"].served == figures.total.served
 
 
 def test_quantiles_are_within_their_class() -> None:
-    times = Times()
+    times = RecentLatencies()
     assert times.quantile(0.5) == -1.0
     for n in range(1, 1001):
         times.add(float(n))
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -13,9 +13,9 @@
 import pytest
 
 from elderlock.control import messages as m
-from elderlock.control.caller import Caller, NoAnswerError
-from elderlock.control.framing import framed
+from elderlock.control.framing import encode_frame
 from elderlock.control.records import Record
+from elderlock.control.request_client import NoAnswerError, RequestClient
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.agent import Agent
 from elderlock.fleet.agent.group_view import now_ms
@@ -109,7 +109,7 @@
 
 
 def records(agent: Agent) -> list[tuple[str, bool, int, str]]:
-    return sorted((r.target, r.drained, r.generation, r.by) for r in agent.records)
+    return sorted((r.target, r.is_drained, r.generation, r.requested_by) for r in agent.records)
 
 
 def test_a_drain_reaches_all_and_the_claim_is_what_the_limiters_saw(tmp_path: Path) -> None:
@@ -168,11 +168,11 @@
         async with fleet(tmp_path) as group:
             agent, odd = group.agents[0], group.limiters["n1"]
             await until(lambda: agent.charges["n1"].link.state is not None)
-            odd.trouble, odd.only = Trouble.STOPPED, m.Look
+            odd.trouble, odd.only = Trouble.STOPPED, m.GetState
             tool = group.group()
             seen = await see(tool, accounts=0, within=30.0, fresh_within=0.0)
             tool.close()
-            assert any(isinstance(message, m.Look) for message in odd.received)
+            assert any(isinstance(message, m.GetState) for message in odd.received)
             assert {state.limiter for state in seen.states()} == {"n0", "n1"}
             assert agent.charges["n1"].link.standing == "answering"
             await until(lambda: agent.charges["n1"].link.standing == "silent")
@@ -188,7 +188,7 @@
         async with fleet(tmp_path) as group:
             odd = group.limiters["n1"]
             odd.trouble, odd.delay = trouble, 3.0
-            odd.only = m.Apply if trouble is not Trouble.STOPPED else None
+            odd.only = m.ApplyRecords if trouble is not Trouble.STOPPED else None
             unknown = asyncio.Event()
             seen: list[str] = []
 
@@ -241,7 +241,7 @@
             assert states(result) == {"n0": "reached", "n1": "at-start"}
             boot = tmp_path / "agent-0" / "n1" / "records"
             held = msgspec.msgpack.decode(boot.read_bytes(), type=tuple[Record, ...])
-            assert [(r.target, r.drained) for r in held] == [("s-1", True)]
+            assert [(r.target, r.is_drained) for r in held] == [("s-1", True)]
 
     run(test())
 
@@ -269,7 +269,7 @@
                 await until(lambda a=a, b=b: a.records.digest() == b.records.digest())  # type: ignore[misc]
                 (target, drained, _, by) = records(a)[0]
                 assert (target, drained) == ("s-1", True) and len(records(a)) == 1
-                held = {r.by for result in (one, two) for r in result.accounts[0].records.values()}
+                held = {r.requested_by for result in (one, two) for r in result.accounts[0].records.values()}
                 assert by in held
                 loser = two if by == OPERATORS[0] else one
                 # the loser is told in words, unless both looked before either record had spread
@@ -518,11 +518,11 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def greeted(group: Fleet, who: str) -> Caller[f.FromAgent]:
+async def greeted(group: Fleet, who: str) -> RequestClient[f.FromAgent]:
     host, _, port = group.agents[0].file.agent.listen.rpartition(":")
-    caller: Caller[f.FromAgent] = Caller(f.from_agent, f.LONGEST)
-    await caller.tcp(host, int(port), None)
-    answer = await caller.ask(f.Hello((f.VERSION,), group.world.tokens[who]), 5.0)
+    caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+    await caller.connect_tcp(host, int(port), None)
+    answer = await caller.request(f.Hello((f.VERSION,), group.world.tokens[who]), 5.0)
     assert isinstance(answer, f.Welcome)
     return caller
 
@@ -534,11 +534,11 @@
         async with fleet(tmp_path) as group:
             for hello, code in ((f.Hello((1,), "wrong" * 8), "token"), (f.Hello((9,), ""), "version")):
                 host, _, port = group.agents[0].file.agent.listen.rpartition(":")
-                caller: Caller[f.FromAgent] = Caller(f.from_agent, f.LONGEST)
-                await caller.tcp(host, int(port), None)
-                answer = await caller.ask(hello, 5.0)
+                caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+                await caller.connect_tcp(host, int(port), None)
+                answer = await caller.request(hello, 5.0)
                 assert isinstance(answer, f.Refused) and answer.code == code
-                await caller.lost.wait()
+                await caller.disconnected.wait()
             assert "wrongwrong" not in caplog.text and "wrong token" in caplog.text
             assert not any(token in caplog.text for token in group.world.tokens.values())
 
@@ -555,7 +555,7 @@
             line = group.agents[0].store.audit(1)[0]
             assert (line.who, line.role, line.what) == ("viewer", "viewer", "refused: intend")
             caller = await greeted(group, "agent-0")
-            answer = await caller.ask(f.Show(1), 5.0)
+            answer = await caller.request(f.Show(1), 5.0)
             assert isinstance(answer, f.Refused) and answer.code == "role"
             caller.close()
 
@@ -613,7 +613,9 @@
                     await asyncio.sleep(0)
             result = await group.command()
             assert result.exit is Exit.DONE
-            assert len(group.agents[0]._api.server.connections) <= group.agents[0]._api.server.bounds.connections
+            assert (
+                len(group.agents[0]._api.server.connections) <= group.agents[0]._api.server.bounds.maximum_connections
+            )
             for sock in sockets:
                 sock.close()
 
@@ -625,10 +627,10 @@
         async with fleet(tmp_path) as group:
             agent = group.agents[0]
             agent._api.server.bounds = type(agent._api.server.bounds)(
-                f.LONGEST, f.LONGEST_HELLO, unsent=1 << 18, half_within=0.2
+                f.LONGEST, f.LONGEST_HELLO, maximum_unsent_bytes=1 << 18, stall_timeout_s=0.2
             )
             reader, writer = await raw(agent)
-            writer.write(framed(f.encode(f.Hello((1,), group.world.tokens["viewer"]))))
+            writer.write(encode_frame(f.encode(f.Hello((1,), group.world.tokens["viewer"]))))
             await reader.read(1000)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             strangers = len(agent._api.server.connections)
@@ -636,7 +638,7 @@
             with pytest.raises(ConnectionError):
                 while True:
                     for n in range(50):
-                        writer.write(framed(f.encode(f.Show(n + 1))))
+                        writer.write(encode_frame(f.encode(f.Show(n + 1))))
                     await writer.drain()
                     await asyncio.sleep(0.01)
             assert (await group.command()).exit is Exit.DONE
@@ -695,9 +697,9 @@
             caller = await greeted(group, "viewer")
             group.limiters["n0"].trouble = Trouble.STOPPED
             with pytest.raises(NoAnswerError, match="no answer within"):
-                await caller.ask(f.Show(caller.next_id()), 0.001)
+                await caller.request(f.Show(caller.next_request_id()), 0.001)
             group.kill(0)
-            await caller.lost.wait()
+            await caller.disconnected.wait()
             asker = group.group()
             found = await asker.ask("agent-0", lambda id: f.Show(id), f.Shown, 1.0)
             assert isinstance(found, Missing) and not found.sent
@@ -732,7 +734,7 @@
                     assert (await group.command("s-4", drained=drained)).exit is Exit.DONE
                 else:  # what failed was the audit's last word, after all was done
                     assert result.exit is Exit.DONE and held == [drained] * 2
-                assert agent.store.records()[0].drained == drained
+                assert agent.store.records()[0].is_drained == drained
             assert 0 < refused < count
 
     run(test())
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from elderlock.control.messages import Box, Counts, State
+from elderlock.control.messages import AnswerCounts, LimiterState, ServerStatus
 from elderlock.control.records import Record, Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing, Refusal
@@ -35,7 +35,7 @@
 def test_a_wish_makes_one_record_and_its_repeat_makes_none() -> None:
     made = decide(Records(), wish(), intend(1), "binh", 5.0)
     assert made.outcome == "made" and made.record is not None
-    assert (made.record.by, made.record.generation, made.record.at) == ("binh", 1, 5.0)
+    assert (made.record.requested_by, made.record.generation, made.record.created_at_unix_ms) == ("binh", 1, 5.0)
     again = decide(Records([made.record]), wish(), intend(1), "binh", 6.0)
     assert again.outcome == "made" and again.record == made.record
 
@@ -242,12 +242,12 @@
 # Plans
 
 
-def views(*boxes: Box) -> list[State]:
+def views(*boxes: ServerStatus) -> list[LimiterState]:
     return [state("n0", boxes), state("n1", boxes)]
 
 
 FLOORS = ("floor-2", "floor-3", "floor-4")
-NINE = [box(f"s-{n}", floor=FLOORS[n % 3], weight=2.0) for n in range(9)]
+NINE = [box(f"s-{n}", zone=FLOORS[n % 3], weight=2.0) for n in range(9)]
 
 
 def test_a_safe_drain_gives_its_figures() -> None:
@@ -257,7 +257,7 @@
 
 
 def test_the_last_box_of_a_floor_is_refused_with_its_figures() -> None:
-    gone = [box(b.uid, floor=b.floor, weight=2.0, drained_by="an") if b.uid in ("s-0", "s-3") else b for b in NINE]
+    gone = [box(b.uid, zone=b.zone, weight=2.0, drained_by="an") if b.uid in ("s-0", "s-3") else b for b in NINE]
     plan = plan_boxes(summed(views(*gone)), ["s-6"])
     assert plan.unsafe == ("it takes the last box of floor-2, which has 1 in service",)
     assert plan_boxes(summed(views(*NINE)), ["s-0", "s-3"]).unsafe == ()
@@ -269,25 +269,25 @@
 
 
 def test_queues_that_those_left_could_not_take_are_refused() -> None:
-    pressed = [box(b.uid, floor=b.floor, weight=2.0, queue=8) for b in NINE]
+    pressed = [box(b.uid, zone=b.zone, weight=2.0, queue=8) for b in NINE]
     plan = plan_boxes(summed(views(*pressed)), ["s-0"])
     assert plan.unsafe == ("72 requests wait: 4.5 for each unit of weight left, 4 is the most",)
 
 
 def test_one_limiter_that_heard_of_a_drain_outweighs_those_that_did_not() -> None:
-    seen = summed([state("n0", NINE), state("n1", [box("s-0", floor="floor-2", drained_by="binh")])])
+    seen = summed([state("n0", NINE), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])])
     assert not seen["s-0"].serving and seen["s-1"].serving
 
 
 def test_what_is_drained_already_or_not_known_needs_no_step() -> None:
-    seen = summed(views(*NINE[:8], box("s-8", floor="floor-4", state="draining")))
+    seen = summed(views(*NINE[:8], box("s-8", zone="floor-4", state="draining")))
     plan = plan_boxes(seen, ["s-8", "no-such"])
     assert plan.steps == () and plan.unknown == ("no-such",) and plan.unsafe == ()
 
 
 @given(st.lists(st.tuples(st.sampled_from(FLOORS), st.floats(0.5, 4.0)), min_size=1, max_size=30), st.randoms())
 def test_steps_take_each_box_once_and_a_part_of_the_weight_at_most(kinds: list[tuple[str, float]], rng: object) -> None:
-    boxes = [box(f"s-{n}", floor=floor, weight=weight) for n, (floor, weight) in enumerate(kinds)]
+    boxes = [box(f"s-{n}", zone=floor, weight=weight) for n, (floor, weight) in enumerate(kinds)]
     targets = [b.uid for b in boxes if rng.random() < 0.6]  # type: ignore[attr-defined]
     seen = summed([state("n0", boxes)])
     plan = plan_boxes(seen, targets)
@@ -309,7 +309,7 @@
 # Comparison
 
 
-def texts(*states: State) -> list[str]:
+def texts(*states: LimiterState) -> list[str]:
     return [d.text for d in compare(states)]
 
 
@@ -327,9 +327,9 @@
     drains = state("n3", NINE, records=(record(4),), records_digest="d")
     assert texts(*like, drains) == ["n3: drains s-1 (generation 4)"]
     assert texts(*like, state("n3", NINE, answer_p50_ms=90.0)) == ["n3: answers take 90 ms, 20 ms elsewhere"]
-    refuses = state("n3", NINE, counts=Counts(served=60, refused=40))
+    refuses = state("n3", NINE, counts=AnswerCounts(served=60, refused=40))
     assert texts(*like, refuses) == ["n3: refuses 40 % of all, 0 % elsewhere"]
-    slow = [box("s-0", floor="floor-2", latency_ms=300.0), *NINE[1:]]
+    slow = [box("s-0", zone="floor-2", latency_ms=300.0), *NINE[1:]]
     assert texts(*like, state("n3", slow)) == ["n3: finds s-0 at 300 ms, 20 ms from elsewhere"]
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -263,7 +263,7 @@
             assert str(await client.answer()) == "LOADING drained by an operator"
             await here.some_work()
             seen = {s.limiter: s for s in (await see(here.group)).states()}
-            assert seen["n1"].drained and seen["n1"].open == 0 and not seen["n0"].drained
+            assert seen["n1"].is_drained and seen["n1"].open_requests == 0 and not seen["n0"].is_drained
             assert (await here.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
             await until(lambda: here.front.part[1])
             await no_request_was_lost(here)
--- a/tests/gossip/test_ceilings.py
+++ b/tests/gossip/test_ceilings.py
@@ -15,7 +15,7 @@
 
 from elderlock import interface as api
 from elderlock.control import messages as m
-from elderlock.control.shared import ceilings_of
+from elderlock.control.shared import ceiling_status
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.quotas import Quotas
@@ -37,7 +37,7 @@
 from elderlock.gossip.limiter import SharedLimiter
 from elderlock.gossip.sharing import SharingLimiter
 from elderlock.net.config import ConfigError
-from elderlock.operators import Extras
+from elderlock.operators import OptionalFeatures
 from elderlock.sim import scenario as sim
 from elderlock.sim.decisions import DecisionWorld
 from elderlock.sim.scenario import Fault, Scenario
@@ -359,7 +359,7 @@
 def test_the_operators_file_says_what_is_shared(text: str, kind: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert Extras(path).limiter(settings(peers=True)) is kind
+    assert OptionalFeatures(path).limiter_type(settings(peers=True)) is kind
 
 
 @pytest.mark.parametrize(
@@ -374,7 +374,7 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(why)) as error:
-        Extras(path).limiter(settings(peers=True))
+        OptionalFeatures(path).limiter_type(settings(peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
@@ -387,9 +387,11 @@
         and decode(answer.payload) == Grant(9, 3.0)
         and answer.receiver_index == FIRST
     )
-    assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=INTAKE_PART * 100.0)
+    assert ceiling_status(limiter) == m.CeilingStatus(
+        given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=INTAKE_PART * 100.0
+    )
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
-    assert ceilings_of(Limiter(settings(peers=True), 1, 0.0)) is None
+    assert ceiling_status(Limiter(settings(peers=True), 1, 0.0)) is None
 
 
 # Fleets
--- a/tests/gossip/test_seen.py
+++ b/tests/gossip/test_seen.py
@@ -53,7 +53,7 @@
 
 def left_out(seen: Seen) -> list[str]:
     """Limiters that leave the box out."""
-    return [word.limiter for word in of(seen).words if word.health is not None and word.health.left_out_ms >= 0.0]
+    return [word.limiter for word in of(seen).words if word.health is not None and word.health.ejected_ms >= 0.0]
 
 
 async def command(ground: Ground, *words: str) -> tuple[int, Any, str]:
@@ -79,7 +79,7 @@
             faults, group = TrialFaults(ground), group_of(ground)
             ground.ask()
             faults.begin(0, SILENT)
-            await until_seen(group, lambda seen: any(len(w.health.left_out_by) > 1 for w in of(seen).words if w.health))
+            await until_seen(group, lambda seen: any(len(w.health.ejected_by) > 1 for w in of(seen).words if w.health))
             while True:
                 exit, told, _ = await command(ground, "explain", "box", BOX, "--json")
                 out = [word for word in told["words"] if word["health"] and word["health"]["left_out_ms"] >= 0.0]
@@ -112,7 +112,7 @@
 
 
 def test_where_nobody_shares_it_says_so_and_explains_all_the_same() -> None:
-    boxes = [box("s-0"), box("s-1", left_out="drained by an", drained_by="an", generation=7)]
+    boxes = [box("s-0"), box("s-1", unavailable_reason="drained by an", drained_by="an", generation=7)]
     drained = Record("box", "s-1", True, 7, "o", "an", 1000.0, "fan is loud")
     status = [
         f.LimiterStatus(name, "running", 1, False, 0, -1.0, "answering", "", 10.0, state(name, each))
--- a/tests/load/test_decisions.py
+++ b/tests/load/test_decisions.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from elderlock.control.messages import Counts, State
+from elderlock.control.messages import AnswerCounts, LimiterState
 from elderlock.load.clientele import OUTCOMES, Again, Way, reason
 from elderlock.load.compare import compared
 from elderlock.load.figures import Spread, Totals, classed, decoded
@@ -363,9 +363,9 @@
 # Recording from the limiters' figures
 
 
-def shown(uptime: float, plans: dict[str, int], accounts: dict[str, int], pid: int = 7) -> dict[str, State]:
-    counts = {name: Counts(served=count) for name, count in accounts.items()}
-    by_plan = {name: Counts(served=count) for name, count in plans.items()}
+def shown(uptime: float, plans: dict[str, int], accounts: dict[str, int], pid: int = 7) -> dict[str, LimiterState]:
+    counts = {name: AnswerCounts(served=count) for name, count in accounts.items()}
+    by_plan = {name: AnswerCounts(served=count) for name, count in plans.items()}
     return {"n0": state("n0", pid=pid, uptime_ms=uptime, accounts=counts, plans=by_plan)}
 
 
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from elderlock.control import messages as m
-from elderlock.control.caller import Caller
+from elderlock.control.request_client import RequestClient
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
@@ -45,15 +45,15 @@
         )
         return self.process
 
-    async def caller(self, epoch: int = 1) -> Caller[m.FromLimiter]:
+    async def caller(self, epoch: int = 1) -> RequestClient[m.FromLimiter]:
         while True:
-            caller: Caller[m.FromLimiter] = Caller(m.from_limiter, m.LONGEST)
+            caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
             try:
-                await caller.unix(self.socket)
+                await caller.connect_unix(self.socket)
                 break
             except (FileNotFoundError, ConnectionRefusedError):
                 await asyncio.sleep(0.01)
-        assert isinstance(await caller.ask(m.Hello((m.VERSION,), "a", epoch), 10.0), m.Welcome)
+        assert isinstance(await caller.request(m.Hello((m.PROTOCOL_VERSION,), "a", epoch), 10.0), m.Welcome)
         return caller
 
     async def client(self) -> Client:
@@ -70,7 +70,7 @@
             await self.process.wait()
 
 
-async def look(caller: Caller[m.FromLimiter]) -> m.State:
-    state = await caller.ask(m.Look(caller.next_id()), 10.0)
-    assert isinstance(state, m.State)
+async def look(caller: RequestClient[m.FromLimiter]) -> m.LimiterState:
+    state = await caller.request(m.GetState(caller.next_request_id()), 10.0)
+    assert isinstance(state, m.LimiterState)
     return state
--- a/tests/quota/test_counted.py
+++ b/tests/quota/test_counted.py
@@ -12,7 +12,7 @@
 
 from elderlock import interface as api
 from elderlock.cli.tables import counter as counter_line
-from elderlock.control.attach import read_operators
+from elderlock.control.attach import read_operators_file
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import ConfigError
@@ -242,7 +242,7 @@
     begin = path.read_text().index("# [quota]")
     lines = [line.removeprefix("# ") for line in path.read_text()[begin:].split("\n\n")[0].splitlines()]
     (tmp_path / "o.toml").write_text("\n".join(lines))
-    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaFile)
+    made = msgspec.convert(read_operators_file(tmp_path / "o.toml").quota, QuotaFile)
     assert made == QuotaFile() and made.terms(3).calls == 100.0
     with pytest.raises(ConfigError):
         replace_calls = msgspec.structs.replace(made, answer_ms=5000.0)
@@ -269,7 +269,7 @@
         caller = await program.caller()
         told = (await look(caller)).counter
         assert told is not None and (told.mode, told.accounts) == ("shared", 1) and told.calls > 0
-        assert told.leases[0].burst == 30.0 and told.leases[0].level < 30.0 and told.error_units > 0
+        assert told.leases[0].burst_units == 30.0 and told.leases[0].stored_units < 30.0 and told.error_units > 0
         assert counter_line("n0", told).startswith("n0: counter shared for ")
         await counter.fail(Fault.SILENT)
         for n in range(60):
--- a/tests/rollout/test_disruption_budget.py
+++ b/tests/rollout/test_disruption_budget.py
@@ -113,7 +113,12 @@
 
 
 def test_the_inventory_counts_discovery_ejections_drains_and_silence() -> None:
-    boxes = [box("s-0"), box("s-1", state="draining"), box("s-2", left_out="failing"), box("s-3", drained_by="an")]
+    boxes = [
+        box("s-0"),
+        box("s-1", state="draining"),
+        box("s-2", unavailable_reason="failing"),
+        box("s-3", drained_by="an"),
+    ]
     states = [state("n0", boxes), state("n1", [*boxes[:2], box("s-2"), boxes[3]]), state("n2", boxes)]
     known = [
         KnownLimiter("n10", "", ""),
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -100,7 +100,7 @@
             codes = await asyncio.gather(*tools)
             assert sorted(codes) == [0, 0, 0, 5, 5, 5]
             held = await here.records()
-            assert all(len([r for r in records if r.drained]) == 3 for records in held.values())
+            assert all(len([r for r in records if r.is_drained]) == 3 for records in held.values())
             here.faults.agreed.ended(here.ground.at())
             assert here.faults.agreed.broken == [] and judged(here.ground).broken == []
 
@@ -178,7 +178,7 @@
             assert (await here.ask("agent-1", *BOXES[1:3])).outcome == "granted"
             here.ground.relays.mend("cut", cut)
             while not all(
-                any(r.target == "s-00" and r.drained for r in held) for held in (await here.records()).values()
+                any(r.target == "s-00" and r.is_drained for r in held) for held in (await here.records()).values()
             ):
                 await asyncio.sleep(0.05)
 
@@ -220,7 +220,7 @@
                 late = await here.intend(agent, granted)
                 assert late.decisions[0].outcome in ("stale", "refused"), late
             held = await here.records()
-            assert not any(record.drained for records in held.values() for record in records)
+            assert not any(record.is_drained for records in held.values() for record in records)
             assert (await here.ask("agent-2", *BOXES[:3])).outcome == "granted"
 
     run(test(), within=90.0)
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -223,7 +223,7 @@
             here.ground.signal(plan.leader, signal.SIGKILL, "it leads")
             await here.until("done", plan.id)
             for shown in (await here.ground.shown()).values():
-                assert {r.target for r in shown.records if r.drained} == set(BOXES[:2])
+                assert {r.target for r in shown.records if r.is_drained} == set(BOXES[:2])
             status = await here.tool("plan", "status", "--json")
             while status.alive:
                 await asyncio.sleep(0.05)
@@ -234,6 +234,6 @@
             ).exit == 0
             await here.until("taken back", plan.id)
             for shown in (await here.ground.shown()).values():
-                assert not [r.target for r in shown.records if r.drained]
+                assert not [r.target for r in shown.records if r.is_drained]
 
     run(test(), within=90.0)
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -109,11 +109,11 @@
             await faults.told("binh", "undrain", "box", "s-00", within=1.0)
             shown = await ground.shown()
             (record,) = (r for r in shown["agent-1"].records if r.target == "s-00")
-            assert not record.drained
+            assert not record.is_drained
             await until(lambda: time.monotonic() - stopped > 6.0)
             ground.signal("agent-0", signal.SIGCONT, "")
             for each in (await records_of(ground, 2)).values():
-                assert [(r.drained, r.generation) for r in each.records] == [(False, record.generation)]
+                assert [(r.is_drained, r.generation) for r in each.records] == [(False, record.generation)]
             woke = ground.at()
             await until(
                 lambda: any(
