--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -1,13 +1,14 @@
-"""Gives a limiter its control socket, as its operators' file says. Loaded only when there is such a file."""
+"""Give a limiter its control socket, as its operators' file says. Loaded only where there is such a file."""
 
 from __future__ import annotations
 
 import asyncio
+import dataclasses
 import logging
 from collections.abc import Callable
 from importlib.metadata import PackageNotFoundError, version
 from pathlib import Path
-from typing import TYPE_CHECKING, Annotated, Any
+from typing import Annotated, Any
 
 import msgspec
 
@@ -15,56 +16,68 @@
 from elderlock.control import messages as m
 from elderlock.control.command_authority import CommandAuthority, Session
 from elderlock.control.files import read_toml
-from elderlock.control.limiter_status import LimiterStatus, config_digests
+from elderlock.control.limiter_status import LimiterStatus, OptionalStatus, RunningLimiter, config_digests
 from elderlock.control.records import Record
 from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.decisions.context import MS_PER_SECOND
-from elderlock.net.clients import Clients
-from elderlock.net.config import Config, ConfigError
-from elderlock.net.gateway import Gateway
+from elderlock.net.config import ConfigError
 
-if TYPE_CHECKING:
-    from elderlock.control.shared import EvidenceView
-
-MAXIMUM_CONNECTIONS = 16  # an agent holds one; the others are for whoever looks on
-MINIMUM_SUBSET = 8  # boxes: with fewer, one that is slow is a large part of them
-STOP_DELAY_S = 0.05  # s that the answer to a stop has to leave before the program ends
+MAXIMUM_CONNECTIONS = 16  # an agent holds one; the others are for people who look on
+MINIMUM_SUBSET = 8  # servers: of fewer, a slow one is a large part
+STOP_DELAY_S = 0.05  # for the answer to a stop to leave before the process ends
 log = logging.getLogger(__name__)
 
 
 class ControlFile(msgspec.Struct, forbid_unknown_fields=True):
-    """`[control]` of the operators' file. `records`: a file of drains that are in force from the first
-    request on; its agent writes it before each start."""
+    """`[control]` of the operators' file.
+
+    Attributes:
+        socket: The path of the control socket.
+        records: The path of a file with the drains that are in force from the first request on; the limiter's agent
+            writes it before each start. Empty for none.
+    """
 
     socket: str
     records: str = ""
 
 
 class RoutingFile(msgspec.Struct, forbid_unknown_fields=True):
-    """`[routing]` of the operators' file, alike at all limiters of a group. `subset`: boxes that each limiter holds,
-    0 for all. `away_ms`: what leaving the limiter's own floor counts as, in ms of latency."""
+    """`[routing]` of the operators' file, the same at all limiters of a group.
+
+    Attributes:
+        subset: How many servers each limiter uses; 0 for all.
+        away_ms: How much latency a server in another zone counts as having in addition.
+    """
 
     subset: Annotated[int, msgspec.Meta(ge=0, le=100_000)] = 0
     away_ms: Annotated[float, msgspec.Meta(ge=0.0, le=60_000.0)] = 0.0
 
     def to_routing(self, settings: api.Settings) -> api.Routing:
-        """Raises `ConfigError`."""
+        """Return the routing for a limiter with these settings.
+
+        Raises:
+            ConfigError: The subset is too small.
+        """
         if 0 < self.subset < MINIMUM_SUBSET:
             raise ConfigError(f"[routing] subset is {self.subset}: 0 for all boxes, or {MINIMUM_SUBSET} at least")
-        aim = min((c.latency_objective_ms for c in settings.request_classes), default=MS_PER_SECOND)
-        return api.Routing(self.subset, self.away_ms / aim)
+        objectives_ms = (request_class.latency_objective_ms for request_class in settings.request_classes)
+        return api.Routing(self.subset, self.away_ms / min(objectives_ms, default=MS_PER_SECOND))
 
 
 class SharedFile(msgspec.Struct, forbid_unknown_fields=True):
-    """`[shared]` of the operators' file: what limiters tell one another beside quotas. `evidence`: on servers.
-    `ceilings`: parts of hard ceilings go where they are needed."""
+    """`[shared]` of the operators' file: what limiters tell one another besides quotas.
+
+    Attributes:
+        evidence: Whether they share health evidence on servers.
+        ceilings: Whether they exchange parts of hard ceilings by demand.
+    """
 
     evidence: bool = False
     ceilings: bool = False
 
 
 class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True):
-    """`authz` and `quota` are checked by the rooms that they switch on."""
+    """The operators' file. `authz` and `quota` are checked by the packages that they switch on."""
 
     control: ControlFile | None = None
     routing: RoutingFile | None = None
@@ -74,13 +87,21 @@
 
 
 def read_operators_file(path: Path) -> OperatorsFile:
-    """Raises `ConfigError` with one plain line."""
+    """Read the operators' file.
+
+    Raises:
+        ConfigError: It cannot be read or does not fit; the text is one plain line.
+    """
     return read_toml(path, OperatorsFile, ConfigError)
 
 
 def read_records_file(path: Path) -> tuple[Record, ...]:
-    """A file that is not there holds no drain. One that cannot be read is an error: to start without the
-    drains it held would send work to a box that an operator took out."""
+    """Read a file of drain records; one that does not exist holds none.
+
+    Raises:
+        ConfigError: It cannot be read. To start without its drains would send requests to servers that an operator took
+            out of service.
+    """
     try:
         return msgspec.msgpack.decode(path.read_bytes(), type=tuple[Record, ...])
     except FileNotFoundError:
@@ -90,76 +111,101 @@
 
 
 def build_version() -> str:
+    """Return the version of this program; `source` for a checkout that is not installed."""
     try:
         return version("elderlock")
-    except PackageNotFoundError:  # run from a checkout that is not installed
+    except PackageNotFoundError:
         return "source"
 
 
 class ControlSocket:
-    """The socket of a limiter that runs. `now`: ms of Unix time that go on evenly: by the machine's clock, a step back
-    would tell a drain as earlier than it was, and keep a lease that its owner let lapse."""
-
-    def __init__(self, desk: CommandAuthority, path: Path, now: Callable[[], float]) -> None:
-        self._desk, self.path, self._now = desk, path, now
-        bounds = ConnectionLimits(
+    """The control socket of a running limiter.
+
+    Attributes:
+        path: The path of the socket.
+    """
+
+    def __init__(self, authority: CommandAuthority, path: Path, now_unix_ms: Callable[[], float]) -> None:
+        """Make a socket that does not listen yet.
+
+        Args:
+            authority: Answers the messages.
+            path: The path of the socket.
+            now_unix_ms: Returns the Unix time in ms by a clock that never steps back: a step would report a drain as
+                earlier than it was, and prolong a claim that its owner let lapse.
+        """
+        self._authority = authority
+        self.path = path
+        self._now_unix_ms = now_unix_ms
+        limits = ConnectionLimits(
             maximum_message_bytes=m.MAXIMUM_MESSAGE_BYTES,
             maximum_hello_bytes=m.MAXIMUM_HELLO_BYTES,
             maximum_connections=MAXIMUM_CONNECTIONS,
         )
-        self._server: FrameServer[Session] = FrameServer(bounds, Session, self._handle, self._broken)
+        self._server: FrameServer[Session] = FrameServer(
+            limits, Session, self._handle, lambda text: m.encode_message(m.Refused("bad-message", text))
+        )
 
     async def listen(self) -> None:
-        await self._server.listen_unix(self.path)
+        """Bind the socket and listen on it.
 
-    @staticmethod
-    def _broken(text: str) -> bytes:
-        return m.encode_message(m.Refused("bad-message", text))
+        Raises:
+            OSError: It cannot be bound.
+        """
+        await self._server.listen_unix(self.path)
 
     def _handle(self, connection: Connection[Session], body: bytes) -> None:
         try:
             message = m.decode_request(body)
         except msgspec.DecodeError as error:
-            return connection.send(m.encode_message(m.Refused("unknown-message", str(error))), last=True)
-        answer = self._desk.handle(connection.session, message, self._now())
+            connection.send(m.encode_message(m.Refused("unknown-message", str(error))), last=True)
+            return
+        answer = self._authority.handle(connection.session, message, self._now_unix_ms())
         if isinstance(answer, m.Welcome):
             connection.on_identified()
-        refused = isinstance(answer, m.Refused) and not connection.session.is_greeted
-        connection.send(m.encode_message(answer), last=refused)
+        is_rejected = isinstance(answer, m.Refused) and not connection.session.is_greeted
+        connection.send(m.encode_message(answer), last=is_rejected)
 
     def close(self) -> None:
+        """Stop listening and remove the socket."""
         self._server.close()
         self.path.unlink(missing_ok=True)
 
 
 async def attach_control_socket(
-    wanted: ControlFile,
-    config_path: str,
-    gateway: Gateway,
-    clients: Clients,
-    config: Config,
-    discovery: Callable[[], str],
-    stop: Callable[[], None],
-    counter: Callable[[int], m.CounterStatus] | None = None,
-    shared: EvidenceView | None = None,
-    ceilings: Callable[[], m.CeilingStatus | None] = lambda: None,
+    file: ControlFile, config_path: str, running: RunningLimiter, optional: OptionalStatus
 ) -> ControlSocket:
-    """Before the gateway starts, so that not one list is taken without the drains."""
-    records = read_records_file(Path(wanted.records)) if wanted.records else ()
+    """Open the control socket of a limiter.
+
+    This has to happen before the gateway starts, so that it takes no endpoint list without the drains.
+
+    Args:
+        file: `[control]` of the operators' file.
+        config_path: The path of the limiter's configuration.
+        running: The parts of the limiter.
+        optional: The status of optional features.
+
+    Raises:
+        ConfigError: The file of drain records cannot be read.
+        OSError: The socket cannot be bound.
+    """
+    records = read_records_file(Path(file.records)) if file.records else ()
+    status = LimiterStatus(_with_delayed_stop(running), build_version(), config_digests(config_path), optional)
+    running.gateway.watched_by(status)
+    authority = CommandAuthority(status, records)
+    status.read_records = lambda: (tuple(authority.records), authority.records.digest())
+    status.read_owner = lambda: (authority.owner, authority.owner_epoch)
+    control = ControlSocket(authority, Path(file.socket), running.gateway.now)
+    await control.listen()
+    log.info("control at %s, %d records of drains", control.path, len(authority.records))
+    return control
+
+
+def _with_delayed_stop(running: RunningLimiter) -> RunningLimiter:
+    """Return the same limiter with a stop that lets the answer to it leave first."""
     loop = asyncio.get_running_loop()
 
     def stop_soon() -> None:
-        loop.call_later(STOP_DELAY_S, stop)
-
-    digests = config_digests(config_path)
-    view = LimiterStatus(
-        gateway, clients, config, build_version(), discovery, stop_soon, digests, counter, shared, ceilings
-    )
-    gateway.watched_by(view)
-    desk = CommandAuthority(view, records)
-    view.read_records = lambda: (tuple(desk.records), desk.records.digest())
-    view.read_owner = lambda: (desk.owner, desk.owner_epoch)
-    control = ControlSocket(desk, Path(wanted.socket), gateway.now)
-    await control.listen()
-    log.info("control at %s, %d records of drains", control.path, len(desk.records))
-    return control
+        loop.call_later(STOP_DELAY_S, running.stop)
+
+    return dataclasses.replace(running, stop=stop_soon)
--- a/elderlock/control/command_authority.py
+++ b/elderlock/control/command_authority.py
@@ -1,8 +1,8 @@
-"""Who may command a limiter and what it holds: the decisions behind the control socket, free of I/O.
+"""Decide which agent may command a limiter, and hold the drain records in force. No I/O.
 
-One agent owns a limiter at a time. It claims with an epoch that grows at each of its starts; a claim holds
-while the owner is heard from, and `LEASE` ms longer. Whoever comes with a lesser epoch under the owner's
-name, or under another name while the claim holds, may look and not touch.
+One agent owns a limiter at a time. It claims the limiter with an epoch that increases at each start of the agent (a
+fencing token). A claim is a lease: it lasts while the owner is heard from, and `LEASE_MS` longer. An agent with a
+lesser epoch under the owner's name, or another agent while the claim lasts, may look on and change nothing.
 """
 
 from __future__ import annotations
@@ -14,27 +14,49 @@
 from elderlock.control import messages as m
 from elderlock.control.records import Record, Records
 
-LEASE_MS = 5000.0  # ms
+LEASE_MS = 5000.0
 
 
 class ControlledLimiter(Protocol):
-    """The limiter as the desk needs it."""
+    """The limiter, as the authority needs it.
+
+    Attributes:
+        name: The limiter's name.
+        build: The version of its program.
+        pid: Its process id.
+        started_at: When it started, in ms of Unix time.
+    """
 
     name: str
     build: str
     pid: int
-    started_at: float  # Unix ms
+    started_at: float
+
+    def state(self, request_id: int, accounts: int, /) -> m.LimiterState:
+        """Return the answer to the request `request_id`, with the counts of that many customers."""
+
+    def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
+        """Drain exactly these servers, by uid, and the limiter itself if `limiter`."""
+
+    def out(self, boxes: Iterable[str]) -> dict[str, int]:
+        """Return the count of open requests at each of these servers, by uid."""
+
+    def open_requests(self) -> int:
+        """Return the count of all open requests."""
 
-    def state(self, id: int, accounts: int) -> m.LimiterState: ...
-    def drain(self, boxes: dict[str, Record], limiter: bool) -> None: ...
-    def out(self, boxes: Iterable[str]) -> dict[str, int]: ...
-    def open_requests(self) -> int: ...
-    def stop(self) -> None: ...
+    def stop(self) -> None:
+        """Shut down."""
 
 
 @dataclass(slots=True)
 class Session:
-    """One connection: whom it says to be once it has said so."""
+    """One connection.
+
+    Attributes:
+        agent: The agent that it said it is.
+        epoch: The epoch that it claimed the limiter with; 0 to only look on.
+        is_greeted: Whether its `Hello` was accepted.
+    """
 
     agent: str = ""
     epoch: int = 0
@@ -42,66 +64,104 @@
 
 
 class CommandAuthority:
-    """Invariant: what is in force is what `records` holds, and `records` never goes back."""
+    """The owner of a limiter and the drain records in force.
+
+    Invariants: what the limiter drains is what `records` holds, and no record is replaced by an older one.
+
+    Attributes:
+        records: The drain records in force.
+        owner: The agent that holds the claim, or held it last.
+        owner_epoch: The epoch of that claim.
+    """
 
-    def __init__(self, face: ControlledLimiter, records: Iterable[Record] = ()) -> None:
-        self._face = face
+    def __init__(self, limiter: ControlledLimiter, records: Iterable[Record] = ()) -> None:
+        self._limiter = limiter
         self.records = Records(records)
-        self.owner, self.owner_epoch, self._heard = "", 0, -LEASE_MS
+        self.owner = ""
+        self.owner_epoch = 0
+        self._renewed_at_ms = -LEASE_MS
         self._enforce()
 
-    def _enforce(self) -> None:
-        limiter = self.records.get("limiter", self._face.name)
-        self._face.drain(self.records.drained_targets("box"), limiter is not None and limiter.is_drained)
+    def handle(self, session: Session, message: m.ToLimiter, now_ms: float) -> m.Message:
+        """Return the answer to a message.
 
-    def handle(self, visitor: Session, message: m.ToLimiter, now: float) -> m.Message:
-        """`now` in ms of Unix time."""
+        Args:
+            session: The connection that it came on.
+            message: The message.
+            now_ms: The time in ms of Unix time.
+        """
         if isinstance(message, m.Hello):
-            return self._hello(visitor, message, now)
-        if not visitor.is_greeted:
+            return self._hello(session, message, now_ms)
+        if not session.is_greeted:
             return m.Refused("bad-message", "a connection begins with hello", message.id)
         if isinstance(message, m.GetState):
-            self._renew(visitor, now)
-            return self._face.state(message.id, message.maximum_accounts)
-        if not self._owns(visitor):
-            return self._not_owner(message.id)
-        self._renew(visitor, now)
+            self._renew(session, now_ms)
+            return self._limiter.state(message.id, message.maximum_accounts)
+        if not self._is_owner(session):
+            return self._refused(message.id, "not-owner")
+        self._renew(session, now_ms)
         if isinstance(message, m.Stop):
-            self._face.stop()
+            self._limiter.stop()
             return m.Stopping(message.id)
-        if self.records.merge(message.records):
-            self._enforce()
-        return m.RecordsApplied(
-            message.id,
-            tuple(self.records),
-            now,
-            self._face.out(self.records.drained_targets("box")),
-            self._face.open_requests(),
-        )
+        return self._apply(message, now_ms)
 
-    def _hello(self, visitor: Session, hello: m.Hello, now: float) -> m.Message:
+    def _hello(self, session: Session, hello: m.Hello, now_ms: float) -> m.Message:
         if m.PROTOCOL_VERSION not in hello.versions:
-            told = ", ".join(map(str, hello.versions)) or "none"
-            return m.Refused("version", f"version {told} is not known; this limiter speaks {m.PROTOCOL_VERSION}")
+            versions = ", ".join(map(str, hello.versions)) or "none"
+            text = f"version {versions} is not known; this limiter speaks {m.PROTOCOL_VERSION}"
+            return m.Refused("version", text)
         if hello.epoch > 0:
-            same, lapsed = hello.agent == self.owner, now - self._heard >= LEASE_MS
-            if (not same and not lapsed) or (same and hello.epoch < self.owner_epoch):
-                return self._not_owner(0, "claimed")
-            # another agent's epochs are its own; a claim that lapsed is outbid, so the old owner sees it
-            self.owner, self.owner_epoch, self._heard = hello.agent, hello.epoch, now
-        visitor.agent, visitor.epoch, visitor.is_greeted = hello.agent, hello.epoch, True
-        face = self._face
+            if not self._may_claim(hello, now_ms):
+                return self._refused(0, "claimed")
+            self.owner = hello.agent
+            self.owner_epoch = hello.epoch
+            self._renewed_at_ms = now_ms
+        session.agent = hello.agent
+        session.epoch = hello.epoch
+        session.is_greeted = True
+        limiter = self._limiter
         return m.Welcome(
-            m.PROTOCOL_VERSION, face.name, face.build, face.pid, face.started_at, self.owner, self.owner_epoch
+            version=m.PROTOCOL_VERSION,
+            limiter=limiter.name,
+            build=limiter.build,
+            pid=limiter.pid,
+            started_at=limiter.started_at,
+            owner=self.owner,
+            owner_epoch=self.owner_epoch,
+        )
+
+    def _may_claim(self, hello: m.Hello, now_ms: float) -> bool:
+        """Whether a claim is accepted.
+
+        Epochs of different agents are not compared. An agent whose claim lapsed and was taken over sees the new owner.
+        """
+        if hello.agent == self.owner:
+            return hello.epoch >= self.owner_epoch
+        return now_ms - self._renewed_at_ms >= LEASE_MS
+
+    def _apply(self, request: m.ApplyRecords, now_ms: float) -> m.RecordsApplied:
+        if self.records.merge(request.records):
+            self._enforce()
+        return m.RecordsApplied(
+            id=request.id,
+            records=tuple(self.records),
+            applied_at_unix_ms=now_ms,
+            drained_open_requests=self._limiter.out(self.records.drained_targets("box")),
+            open_requests=self._limiter.open_requests(),
         )
 
-    def _owns(self, visitor: Session) -> bool:
-        return visitor.epoch > 0 and (visitor.agent, visitor.epoch) == (self.owner, self.owner_epoch)
+    def _enforce(self) -> None:
+        """Make the limiter drain what the records say."""
+        record = self.records.get("limiter", self._limiter.name)
+        self._limiter.drain(self.records.drained_targets("box"), record is not None and record.is_drained)
+
+    def _is_owner(self, session: Session) -> bool:
+        return session.epoch > 0 and (session.agent, session.epoch) == (self.owner, self.owner_epoch)
 
-    def _renew(self, visitor: Session, now: float) -> None:
-        if self._owns(visitor):
-            self._heard = now
+    def _renew(self, session: Session, now_ms: float) -> None:
+        if self._is_owner(session):
+            self._renewed_at_ms = now_ms
 
-    def _not_owner(self, id: int, code: str = "not-owner") -> m.Refused:
+    def _refused(self, request_id: int, code: str) -> m.Refused:
         text = f"agent {self.owner or 'nobody'} holds this limiter with epoch {self.owner_epoch}"
-        return m.Refused(code, text, id, self.owner, self.owner_epoch)
+        return m.Refused(code, text, request_id, self.owner, self.owner_epoch)
--- a/elderlock/control/drain_overlay.py
+++ b/elderlock/control/drain_overlay.py
@@ -1,8 +1,8 @@
-"""What operators drained, laid over discovery's list. Free of I/O.
+"""Lay operators' drains over discovery's endpoint list. No I/O.
 
-Discovery may remove, re-add or un-drain a box, fall silent, or start from nothing: the overlay is applied
-to whatever it tells, so none of that ends an operator's drain. It is held by uid: a new box at the address
-of a drained one is another box.
+Discovery may remove, re-add or undrain a server, be unreachable, or restart with an empty list: the overlay is applied
+to every list that it sends, so none of that ends an operator's drain. Drains are held by uid, so a new server at the
+address of a drained one is not drained.
 """
 
 from __future__ import annotations
@@ -15,38 +15,47 @@
 
 
 class DrainOverlay:
-    """Invariant: no target whose uid is held here ever leaves with the state RUNNING."""
+    """The drained servers of a limiter and the last endpoint list of discovery.
+
+    Invariant: no target whose uid is drained is returned with the state RUNNING.
+
+    Attributes:
+        version: The version of the last endpoint list.
+    """
 
     def __init__(self, drained: Iterable[str] = ()) -> None:
         self._drained = frozenset(drained)
-        self._told: dict[str, Target] = {}  # as discovery told last
+        self._discovered: dict[str, Target] = {}
         self.version = 0
 
     @property
     def discovered(self) -> dict[str, Target]:
-        return self._told
-
-    def _with_drain(self, target: Target) -> Target:
-        entry = target.entry
-        if entry.server_id not in self._drained or entry.state is not ServerState.RUNNING:
-            return target
-        return replace(target, entry=replace(entry, state=ServerState.DRAINING))
+        """The targets as discovery last reported them, by uid."""
+        return self._discovered
 
     def apply_to(self, listed: TargetList) -> TargetList:
-        """The list as the limiter shall take it."""
+        """Take a list or an update of discovery; return it with the drains."""
         if listed.complete:
-            self._told = {}
+            self._discovered = {}
         self.version = listed.version
         for target in listed.targets:
+            uid = target.entry.server_id
             if target.entry.state is ServerState.REMOVED:
-                self._told.pop(target.entry.server_id, None)
+                self._discovered.pop(uid, None)
             else:
-                self._told[target.entry.server_id] = target
+                self._discovered[uid] = target
         return replace(listed, targets=tuple(self._with_drain(target) for target in listed.targets))
 
     def set_drained(self, drained: Iterable[str]) -> TargetList:
-        """Holds exactly these from now on; returns what that changes of the list as it was told."""
-        before, self._drained = self._drained, frozenset(drained)
-        changed = before ^ self._drained
-        targets = tuple(self._with_drain(t) for uid, t in self._told.items() if uid in changed)
+        """Drain exactly these servers; return an update with the targets that this changes."""
+        previous = self._drained
+        self._drained = frozenset(drained)
+        changed = previous ^ self._drained
+        targets = tuple(self._with_drain(target) for uid, target in self._discovered.items() if uid in changed)
         return TargetList(self.version, False, targets)
+
+    def _with_drain(self, target: Target) -> Target:
+        entry = target.entry
+        if entry.server_id not in self._drained or entry.state is not ServerState.RUNNING:
+            return target
+        return replace(target, entry=replace(entry, state=ServerState.DRAINING))
--- a/elderlock/control/framing.py
+++ b/elderlock/control/framing.py
@@ -1,4 +1,4 @@
-"""Messages as frames on a stream: four bytes of length (big-endian), then MessagePack. No I/O."""
+"""Frames on a byte stream: four bytes of length (big-endian), then that many bytes of body. No I/O."""
 
 from __future__ import annotations
 
@@ -8,37 +8,50 @@
 
 
 class FrameError(Exception):
-    """What came is no frame that is taken here; nothing behind it can be read."""
+    """The stream holds no frame that is accepted; nothing after it can be read."""
 
 
 class FrameDecoder:
-    """Cuts a stream into frames of at most `longest` bytes. An announced length is checked before a byte
-    of it is kept, so that noise or a huge message costs no memory."""
+    """Cuts a stream into frames.
 
-    def __init__(self, longest: int) -> None:
-        self.maximum_bytes = longest
+    An announced length is checked before any byte of the body is stored, so that noise or an oversized frame costs no
+    memory.
+
+    Attributes:
+        maximum_bytes: The size that a body may have at most.
+    """
+
+    def __init__(self, maximum_bytes: int) -> None:
+        self.maximum_bytes = maximum_bytes
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The whole frames that have come, without their lengths. Raises `FrameError`."""
+        """Add received bytes; return the bodies of all frames that are complete now.
+
+        Raises:
+            FrameError: A frame is longer than `maximum_bytes`.
+        """
         self._data += data
-        frames, at = [], 0
-        while len(self._data) - at >= LENGTH_PREFIX.size:
-            (length,) = LENGTH_PREFIX.unpack_from(self._data, at)
+        bodies: list[bytes] = []
+        start = 0
+        while len(self._data) - start >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack_from(self._data, start)
             if length > self.maximum_bytes:
                 raise FrameError(f"a message of {length} bytes; {self.maximum_bytes} are taken at most")
-            end = at + LENGTH_PREFIX.size + length
+            body_start = start + LENGTH_PREFIX.size
+            end = body_start + length
             if len(self._data) < end:
                 break
-            frames.append(bytes(self._data[at + LENGTH_PREFIX.size : end]))
-            at = end
-        del self._data[:at]
-        return frames
+            bodies.append(bytes(self._data[body_start:end]))
+            start = end
+        del self._data[:start]
+        return bodies
 
     def pending_byte_count(self) -> int:
-        """Bytes of a message that has not come whole."""
+        """Return how many bytes of an incomplete frame have been received."""
         return len(self._data)
 
 
 def encode_frame(body: bytes) -> bytes:
+    """Return the frame of a body."""
     return LENGTH_PREFIX.pack(len(body)) + body
--- a/elderlock/control/request_client.py
+++ b/elderlock/control/request_client.py
@@ -1,4 +1,4 @@
-"""The asking side of framed messages: requests by id over one connection, answers in any order."""
+"""The client side of framed messages: requests with ids over one connection, answered in any order."""
 
 from __future__ import annotations
 
@@ -12,83 +12,114 @@
 
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 
-M = TypeVar("M")
+MessageType = TypeVar("MessageType")
 
 
 class NotSentError(Exception):
-    """Not one byte of it was written: it is certain that it did nothing."""
+    """The request was not written at all: it is certain that it had no effect."""
 
 
 class NoAnswerError(Exception):
-    """It was written and no answer came: it may have been carried out, or may yet be."""
-
-
-class RequestClient(asyncio.Protocol, Generic[M]):
-    """One connection. `heard` gets every message, also one whose asker has given up waiting."""
-
-    def __init__(self, decode: Callable[[bytes], M], longest: int, heard: Callable[[M], None] | None = None) -> None:
-        self._decode, self._heard = decode, heard
-        self._framer = FrameDecoder(longest)
+    """The request was written and no answer came: it may have had its effect, or may still have."""
+
+
+class RequestClient(asyncio.Protocol, Generic[MessageType]):
+    """One connection.
+
+    Attributes:
+        disconnected: Set once the connection has ended.
+        close_reason: Why it ended, for people.
+    """
+
+    def __init__(
+        self,
+        decode: Callable[[bytes], MessageType],
+        maximum_message_bytes: int,
+        on_message: Callable[[MessageType], None] | None = None,
+    ) -> None:
+        """Make a client that is not connected yet.
+
+        Args:
+            decode: Decodes the body of a message; raises `msgspec.DecodeError`.
+            maximum_message_bytes: The size that a message may have at most.
+            on_message: Is called with each message, also with the answer to a request that has timed out.
+        """
+        self._decode = decode
+        self._on_message = on_message
+        self._frames = FrameDecoder(maximum_message_bytes)
         self._transport: asyncio.Transport | None = None
-        self._asked: dict[int, asyncio.Future[M]] = {}
-        self._last = 0
+        self._pending: dict[int, asyncio.Future[MessageType]] = {}
+        self._last_id = 0
         self.disconnected = asyncio.Event()
         self.close_reason = ""
 
-    async def connect_unix(self, path: Path) -> RequestClient[M]:
+    async def connect_unix(self, path: Path) -> RequestClient[MessageType]:
+        """Connect to a Unix socket; return this client."""
         await asyncio.get_running_loop().create_unix_connection(lambda: self, str(path))
         return self
 
-    async def connect_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> RequestClient[M]:
+    async def connect_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> RequestClient[MessageType]:
+        """Connect to a TCP port; return this client."""
         await asyncio.get_running_loop().create_connection(lambda: self, host, port, ssl=tls)
         return self
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by asyncio."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Fail all pending requests; called by asyncio."""
         self.close_reason = self.close_reason or (str(exc) if exc is not None else "the connection has ended")
         self.disconnected.set()
-        asked, self._asked = self._asked, {}
-        for future in asked.values():
+        pending = self._pending
+        self._pending = {}
+        for future in pending.values():
             if not future.done():
                 future.set_exception(NoAnswerError(self.close_reason))
 
     def data_received(self, data: bytes) -> None:
+        """Take received bytes; called by asyncio."""
         try:
-            messages = [self._decode(frame) for frame in self._framer.feed(data)]
+            messages = [self._decode(frame) for frame in self._frames.feed(data)]
         except (FrameError, msgspec.DecodeError) as error:
             self.close_reason = f"it answers what cannot be read: {error}"
-            return self.close()
+            self.close()
+            return
         for message in messages:
-            if self._heard is not None:
-                self._heard(message)
-            future = self._asked.pop(getattr(message, "id", 0), None)
+            if self._on_message is not None:
+                self._on_message(message)
+            future = self._pending.pop(getattr(message, "id", 0), None)
             if future is not None and not future.done():
                 future.set_result(message)
 
     def next_request_id(self) -> int:
-        self._last += 1
-        return self._last
+        """Return an id for a new request."""
+        self._last_id += 1
+        return self._last_id
+
+    async def request(self, message: msgspec.Struct, timeout_s: float) -> MessageType:
+        """Send a request and return its answer; the first message of a connection has no id and counts as 0.
 
-    async def request(self, message: msgspec.Struct, within: float) -> M:
-        """The answer to a message (0 is the id of the first, which has none) within `within` seconds.
-        Raises `NotSentError` or `NoAnswerError`."""
+        Raises:
+            NotSentError: The connection has ended before.
+            NoAnswerError: No answer came within `timeout_s`, or before the connection ended.
+        """
         transport = self._transport
         if transport is None or transport.is_closing() or self.disconnected.is_set():
             raise NotSentError(self.close_reason or "the connection has ended")
-        future: asyncio.Future[M] = asyncio.get_running_loop().create_future()
-        number = cast(Any, message).id if hasattr(message, "id") else 0
-        self._asked[number] = future
+        future: asyncio.Future[MessageType] = asyncio.get_running_loop().create_future()
+        request_id = cast(Any, message).id if hasattr(message, "id") else 0
+        self._pending[request_id] = future
         transport.write(encode_frame(msgspec.msgpack.encode(message)))
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            raise NoAnswerError(f"no answer within {within:g} s") from None
+            raise NoAnswerError(f"no answer within {timeout_s:g} s") from None
         finally:
-            self._asked.pop(number, None)
+            self._pending.pop(request_id, None)
 
     def close(self) -> None:
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
--- a/elderlock/control/request_metrics.py
+++ b/elderlock/control/request_metrics.py
@@ -1,4 +1,4 @@
-"""What a limiter answered, counted by plan and account, and how long it took. Bounded; no I/O."""
+"""Count a limiter's answers by plan and customer, and keep their latencies. Bounded; no I/O."""
 
 from __future__ import annotations
 
@@ -9,87 +9,120 @@
 
 from elderlock.control.messages import AnswerCounts
 
-MAXIMUM_ACCOUNTS = 4096  # counted apart; the first seen one then goes into the sum of the others
+MAXIMUM_ACCOUNTS = 4096  # that are counted separately; then the one counted first goes into the sum of the others
 OTHER_ACCOUNTS = "(others)"
-LONGEST, DIGITS = 600_000_000, 2  # µs, and significant digits: each answer is placed within one per cent
-RECENT_ANSWERS = 20_000  # answers, after which the older half is forgotten, so that quantiles are of the recent past
+MAXIMUM_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 2  # of a histogram: each latency is recorded within one per cent
+RECENT_ANSWERS = 20_000  # after which the older half is forgotten
+US_PER_MS = 1000.0
+MINIMUM_LOG_LATENCY_MS = 0.001
+MINIMUM_LATENCY_US = 1
+
+SERVED, REFUSED, FAILED, ABANDONED = range(4)  # positions in a list of counts
+_BUSY = b"-BUSY"
+_BULK_STRING = ord("$")  # the first byte of a RESP bulk string: an answer that was served
 
 
 class RecentLatencies:
-    """HDR histograms of times to answer, with a bounded memory of the past: the present half and the one before."""
+    """The latencies of the recent answers, as two HDR histograms: the current half and the one before."""
 
     def __init__(self) -> None:
-        self._now, self._before = HdrHistogram(1, LONGEST, DIGITS), HdrHistogram(1, LONGEST, DIGITS)
+        self._current = _new_histogram()
+        self._previous = _new_histogram()
 
-    def add(self, took: float) -> None:
-        """`took` in ms."""
-        self._now.record_value(min(max(int(took * 1000.0), 1), LONGEST))
-        if self._now.get_total_count() >= RECENT_ANSWERS / 2:
-            self._before, self._now = self._now, self._before
-            self._now.reset()
+    def add(self, latency_ms: float) -> None:
+        """Record the latency of an answer."""
+        latency_us = min(max(int(latency_ms * US_PER_MS), MINIMUM_LATENCY_US), MAXIMUM_LATENCY_US)
+        self._current.record_value(latency_us)
+        if self._current.get_total_count() >= RECENT_ANSWERS / 2:
+            self._previous, self._current = self._current, self._previous
+            self._current.reset()
 
-    def quantile(self, share: float) -> float:
-        """ms, the upper bound of the class in which it lies; -1 before any answer."""
-        both = HdrHistogram(1, LONGEST, DIGITS)
-        both.add(self._before)
-        both.add(self._now)
-        return float(both.get_value_at_percentile(100.0 * share)) / 1000.0 if both.get_total_count() else -1.0
+    def quantile(self, fraction: float) -> float:
+        """Return a quantile in ms, as the upper bound of its histogram class; -1 before any answer."""
+        both = _new_histogram()
+        both.add(self._previous)
+        both.add(self._current)
+        if not both.get_total_count():
+            return -1.0
+        return float(both.get_value_at_percentile(100.0 * fraction)) / US_PER_MS
 
 
-SERVED, REFUSED, FAILED, GONE = range(4)
-_BUSY = b"-BUSY"
+def _new_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAXIMUM_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-def _counts(of: Sequence[int]) -> AnswerCounts:
-    return AnswerCounts(of[SERVED], of[REFUSED], of[FAILED], of[GONE])
+def _answer_counts(counts: Sequence[int]) -> AnswerCounts:
+    return AnswerCounts(counts[SERVED], counts[REFUSED], counts[FAILED], counts[ABANDONED])
 
 
 class RequestMetrics:
-    """Counted at each answer, on the ordinary path of a limiter with a control socket: plain lists, and no
-    order kept among accounts beyond that in which they came."""
+    """The counts and latencies of a limiter's answers.
+
+    `record` runs at each answer of a limiter with a control socket: it uses plain lists, and keeps customers in no
+    order but that in which they were first seen.
+
+    Attributes:
+        latencies: The recent latencies.
+        log_time_sum: The sum of the natural logarithms of the served requests' latencies in ms.
+        log_time_square_sum: The sum of the squares of those logarithms.
+    """
 
     def __init__(self, plans: Sequence[str]) -> None:
         self.latencies = RecentLatencies()
-        self.log_time_sum = self.log_time_square_sum = 0.0  # of served ones, ms
-        self._names = tuple(plans)
-        self._all = [0, 0, 0, 0]
-        self._plans = [[0, 0, 0, 0] for _ in plans]
-        self._accounts: dict[str, list[int]] = {}  # the first seen first
-        self._others = [0, 0, 0, 0]
-
-    def record(self, plan_index: int, account: str, took: float, answer: bytes | None) -> None:
+        self.log_time_sum = 0.0
+        self.log_time_square_sum = 0.0
+        self._plan_names = tuple(plans)
+        self._total = [0, 0, 0, 0]
+        self._by_plan = [[0, 0, 0, 0] for _ in plans]
+        self._by_account: dict[str, list[int]] = {}  # in the order in which they were first seen
+        self._other_accounts = [0, 0, 0, 0]
+
+    def record(self, plan_index: int, account: str, latency_ms: float, answer: bytes | None) -> None:
+        """Record an answer in RESP, or None for a client that disconnected before it."""
         if answer is None:
-            kind = GONE
+            kind = ABANDONED
         else:
-            kind = SERVED if answer[0] == 36 else REFUSED if answer.startswith(_BUSY) else FAILED  # 36 is '$'
-            self.latencies.add(took)
+            kind = SERVED if answer[0] == _BULK_STRING else REFUSED if answer.startswith(_BUSY) else FAILED
+            self.latencies.add(latency_ms)
             if kind == SERVED:
-                log = math.log(took if took > 0.001 else 0.001)
+                log = math.log(latency_ms if latency_ms > MINIMUM_LOG_LATENCY_MS else MINIMUM_LOG_LATENCY_MS)
                 self.log_time_sum += log
                 self.log_time_square_sum += log * log
-        counts = self._accounts.get(account)
+        counts = self._by_account.get(account)
         if counts is None:
-            counts = self._accounts[account] = [0, 0, 0, 0]
-            if len(self._accounts) > MAXIMUM_ACCOUNTS:
-                old = self._accounts.pop(next(iter(self._accounts)))
-                self._others = [a + b for a, b in zip(self._others, old, strict=True)]
+            counts = self._add_account(account)
         counts[kind] += 1
-        self._plans[plan_index][kind] += 1
-        self._all[kind] += 1
+        self._by_plan[plan_index][kind] += 1
+        self._total[kind] += 1
+
+    def _add_account(self, account: str) -> list[int]:
+        """Count a customer separately; the one counted first makes way for it where there are too many."""
+        counts = self._by_account[account] = [0, 0, 0, 0]
+        if len(self._by_account) > MAXIMUM_ACCOUNTS:
+            oldest = self._by_account.pop(next(iter(self._by_account)))
+            self._other_accounts = [a + b for a, b in zip(self._other_accounts, oldest, strict=True)]
+        return counts
 
     @property
     def total(self) -> AnswerCounts:
-        return _counts(self._all)
+        """The counts of all answers."""
+        return _answer_counts(self._total)
 
     @property
     def by_plan(self) -> dict[str, AnswerCounts]:
-        return {name: _counts(of) for name, of in zip(self._names, self._plans, strict=True)}
+        """The counts of each plan."""
+        return {name: _answer_counts(counts) for name, counts in zip(self._plan_names, self._by_plan, strict=True)}
 
     def account_count(self) -> int:
-        return len(self._accounts)
-
-    def busiest_accounts(self, most: int) -> dict[str, AnswerCounts]:
-        """The busiest, and the sum of those that are not counted apart any more."""
-        busiest = sorted(self._accounts.items(), key=lambda item: -sum(item[1]))[:most] if most > 0 else []
-        shown = {name: _counts(of) for name, of in busiest}
-        return shown | ({OTHER_ACCOUNTS: _counts(self._others)} if any(self._others) else {})
+        """Return how many customers are counted separately."""
+        return len(self._by_account)
+
+    def busiest_accounts(self, maximum: int) -> dict[str, AnswerCounts]:
+        """Return the counts of the busiest customers, and the sum of those that are not counted separately any more."""
+        by_answers = sorted(self._by_account.items(), key=lambda item: -sum(item[1]))
+        busiest = by_answers[: max(maximum, 0)]
+        shown = {name: _answer_counts(counts) for name, counts in busiest}
+        if any(self._other_accounts):
+            shown[OTHER_ACCOUNTS] = _answer_counts(self._other_accounts)
+        return shown
--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -1,7 +1,8 @@
-"""What a limiter shows of what it shares. Loaded only where it does."""
+"""Report what a limiter shares with others: health evidence and hard ceilings. Loaded only where it shares them."""
 
 from __future__ import annotations
 
+import math
 from collections.abc import Sequence
 
 from elderlock.control import messages as m
@@ -13,55 +14,74 @@
 from elderlock.gossip.wire import key
 from elderlock.state import Server
 
-MAXIMUM_SHOWN_SERVERS = 64  # servers whose evidence is shown at a look, those that most was heard of lately first
+MAXIMUM_SHOWN_SERVERS = 64  # whose evidence is shown, those with the latest evidence first
+UNKNOWN_ZONE = "?"
 
 
 def ceiling_status(limiter: Limiter) -> m.CeilingStatus | None:
+    """Return the status of exchanged hard ceilings; None where the limiter exchanges none."""
     if not isinstance(limiter, ceilings.CeilingLimiter):
         return None
     quotas = limiter.quotas
-    most = ceilings.INTAKE_PART * limiter.context.settings.quota_sources.peer_messages_per_s
-    return m.CeilingStatus(quotas.given, quotas.taken, quotas.away(), most)
+    peer_messages_per_s = limiter.context.settings.quota_sources.peer_messages_per_s
+    return m.CeilingStatus(quotas.given, quotas.taken, quotas.away(), ceilings.INTAKE_PART * peer_messages_per_s)
 
 
 class EvidenceView:
-    """Of evidence. Reads, and changes nothing."""
+    """Reads the shared health evidence of a limiter, and changes nothing."""
 
     def __init__(self, limiter: SharedLimiter, zones: Sequence[str]) -> None:
-        self._limiter, self._zones = limiter, zones
+        self._limiter = limiter
+        self._zones = zones
 
-    def summary(self, now: float) -> m.EvidenceStatus:
-        limiter, evidence = self._limiter, self._limiter.evidence
-        heard_at = limiter.outliers.heard_at
+    def summary(self, now_ms: float) -> m.EvidenceStatus:
+        """Return the status of the evidence as a whole."""
+        limiter = self._limiter
+        evidence = limiter.evidence
+        received_at_ms = limiter.outliers.heard_at
         return m.EvidenceStatus(
             received=limiter.heard,
             refused=limiter.refused,
             sent=limiter.told,
             maximum_sent_per_s=INTAKE_PART * limiter.context.settings.quota_sources.peer_messages_per_s,
-            received_age_ms=now - heard_at if heard_at > float("-inf") else -1.0,
+            received_age_ms=now_ms - received_at_ms if received_at_ms > -math.inf else -1.0,
             evidence_lifetime_ms=FRESH,
             servers=len(evidence),
-            disbelieved=tuple(evidence.disbelieved(len(limiter.endpoints.directory.ready), now)),
-            is_silent=evidence.doubts_itself(now),
+            disbelieved=tuple(evidence.disbelieved(self._ready_server_count(), now_ms)),
+            is_silent=evidence.doubts_itself(now_ms),
         )
 
     def shown_keys(self) -> set[int]:
-        """Keys of the servers whose evidence is shown."""
+        """Return the keys of the servers whose evidence is shown."""
         return set(self._limiter.evidence.latest(MAXIMUM_SHOWN_SERVERS))
 
-    def health(self, uid: str, server: Server | None, shown: set[int], now: float) -> m.ServerHealth | None:
-        held = self._limiter.outliers.held.get(server) if server is not None else None
-        rows = self._limiter.evidence.who(key(uid), now) if key(uid) in shown else []
-        if held is None and not rows:
+    def health(self, uid: str, server: Server | None, shown: set[int], now_ms: float) -> m.ServerHealth | None:
+        """Return the evidence on a server; None where there is none.
+
+        Args:
+            uid: The server's uid.
+            server: The server, if the limiter has it.
+            shown: The keys of the servers whose evidence is shown; an ejection is shown for all.
+            now_ms: The time on the limiter's clock.
+        """
+        server_key = key(uid)
+        ejection = self._limiter.outliers.held.get(server) if server is not None else None
+        evidence = self._limiter.evidence.who(server_key, now_ms) if server_key in shown else []
+        if ejection is None and not evidence:
             return None
-        ready = len(self._limiter.endpoints.directory.ready)
         return m.ServerHealth(
-            self._limiter.evidence.failures(key(uid), ready, now),
-            ENOUGH,
-            now - held.since if held is not None else -1.0,
-            held.origins if held is not None else (),
-            tuple(m.HealthWitness(each.origin, self._zone(each.zone), each.failed_age, each.good_age) for each in rows),
+            failure_weight=self._limiter.evidence.failures(server_key, self._ready_server_count(), now_ms),
+            ejection_weight=ENOUGH,
+            ejected_ms=now_ms - ejection.since if ejection is not None else -1.0,
+            ejected_by=ejection.origins if ejection is not None else (),
+            witnesses=tuple(
+                m.HealthWitness(witness.origin, self._zone_name(witness.zone), witness.failed_age, witness.good_age)
+                for witness in evidence
+            ),
         )
 
-    def _zone(self, number: int) -> str:
-        return self._zones[number] if number < len(self._zones) else "?"
+    def _ready_server_count(self) -> int:
+        return len(self._limiter.endpoints.directory.ready)
+
+    def _zone_name(self, number: int) -> str:
+        return self._zones[number] if number < len(self._zones) else UNKNOWN_ZONE
--- a/elderlock/control/transport.py
+++ b/elderlock/control/transport.py
@@ -1,7 +1,7 @@
-"""A bounded server of framed messages, on a Unix socket or TCP: what comes is cut into frames and answered.
+"""A bounded server of framed messages on a Unix socket or a TCP port.
 
-Sizes, connections and time are bounded: noise, half a message, a slow reader or a crowd of connections
-costs a little memory and is closed.
+Sizes, connections and times are bounded: noise, half a message, a slow reader or a thousand connections cost a little
+memory and are closed.
 """
 
 from __future__ import annotations
@@ -18,121 +18,178 @@
 
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 
-V = TypeVar("V")
+SessionType = TypeVar("SessionType")
+CHECKS_PER_HELLO_TIMEOUT = 4
+DIRECTORY_MODE = 0o700
+SOCKET_MODE = 0o600
+PROBE_TIMEOUT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """Bytes, counts and seconds."""
+    """The bounds on the connections of a server.
+
+    Attributes:
+        maximum_message_bytes: The size of a message.
+        maximum_hello_bytes: The size of the first message, which identifies the peer.
+        maximum_connections: The count of connections.
+        maximum_unsent_bytes: The bytes that a slow reader may leave unread.
+        hello_timeout_s: For the first message.
+        stall_timeout_s: For the rest of a message, or for a reader to read its answers.
+    """
 
     maximum_message_bytes: int
-    maximum_hello_bytes: int  # of the message that says who it is
+    maximum_hello_bytes: int
     maximum_connections: int = 64
-    maximum_unsent_bytes: int = 16 << 20  # bytes that a reader may leave lying
+    maximum_unsent_bytes: int = 16 << 20
     hello_timeout_s: float = 2.0
-    stall_timeout_s: float = 5.0  # for the rest of a message, or for a reader to take its answers
+    stall_timeout_s: float = 5.0
+
+
+class Connection(asyncio.Protocol, Generic[SessionType]):
+    """One connection of a `FrameServer`.
 
+    Attributes:
+        server: The server.
+        session: The state that the server's owner keeps for the connection.
+        is_identified: Whether the peer has identified itself.
+        waiting_since_s: Since when the server waits for the peer, on the loop's clock; None while it does not.
+    """
 
-class Connection(asyncio.Protocol, Generic[V]):
-    def __init__(self, server: FrameServer[V]) -> None:
+    def __init__(self, server: FrameServer[SessionType]) -> None:
         self.server = server
-        self.session: V = server.new_session()
-        self.is_identified = False  # has said who it is
-        self.waiting_since_s: float | None = server.loop.time()  # when it began to owe us something
-        self._framer = FrameDecoder(server.bounds.maximum_hello_bytes)
+        self.session: SessionType = server.new_session()
+        self.is_identified = False
+        self.waiting_since_s: float | None = server.loop.time()
+        self._frames = FrameDecoder(server.limits.maximum_hello_bytes)
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport; called by asyncio."""
         self._transport = cast(asyncio.Transport, transport)
         self.server.on_opened(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Forget the connection; called by asyncio."""
         self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
+        """Take received bytes; called by asyncio."""
         try:
-            frames = self._framer.feed(data)
+            frames = self._frames.feed(data)
         except FrameError as error:
-            return self.send(self.server.malformed_frame_reply(str(error)), last=True)
+            self.send(self.server.malformed_frame_reply(str(error)), last=True)
+            return
         if self.is_identified:
-            self.waiting_since_s = self.server.loop.time() if self._framer.pending_byte_count() else None
+            self.waiting_since_s = self.server.loop.time() if self._frames.pending_byte_count() else None
         for frame in frames:
             self.server.handle(self, frame)
 
     def on_identified(self) -> None:
-        self.is_identified, self.waiting_since_s = True, None
-        self._framer.maximum_bytes = self.server.bounds.maximum_message_bytes
+        """Note that the peer has identified itself: from now on it may send long messages, and be idle."""
+        self.is_identified = True
+        self.waiting_since_s = None
+        self._frames.maximum_bytes = self.server.limits.maximum_message_bytes
 
     def send(self, body: bytes, last: bool = False) -> None:
+        """Send a message; close the connection after it if it is the last."""
         transport = self._transport
         if transport is None or transport.is_closing():
             return
         transport.write(encode_frame(body))
-        if transport.get_write_buffer_size() > self.server.bounds.maximum_unsent_bytes:
+        if transport.get_write_buffer_size() > self.server.limits.maximum_unsent_bytes:
             transport.abort()
         elif last:
             transport.close()
 
     def pause_writing(self) -> None:
+        """Note that the peer does not read; called by asyncio."""
         self.waiting_since_s = self.server.loop.time()
 
     def resume_writing(self) -> None:
+        """Note that the peer reads again; called by asyncio."""
         self.waiting_since_s = None
 
-    def check_timeout(self, now: float) -> None:
-        bounds = self.server.bounds
-        within = bounds.stall_timeout_s if self.is_identified else bounds.hello_timeout_s
-        if self.waiting_since_s is not None and now - self.waiting_since_s > within:
+    def check_timeout(self, now_s: float) -> None:
+        """Abort the connection if the server has waited for the peer for too long."""
+        limits = self.server.limits
+        timeout_s = limits.stall_timeout_s if self.is_identified else limits.hello_timeout_s
+        if self.waiting_since_s is not None and now_s - self.waiting_since_s > timeout_s:
             self.abort()
 
     def abort(self) -> None:
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
 
-class FrameServer(Generic[V]):
-    """`handle` takes each frame; `broken` makes the last word to one who sent what is no frame."""
+class FrameServer(Generic[SessionType]):
+    """A server of framed messages.
+
+    Attributes:
+        loop: The event loop.
+        limits: The bounds on the connections.
+        new_session: Makes the state of a new connection.
+        handle: Is called with each connection and message.
+        malformed_frame_reply: Makes the last answer to a peer that sent no frame, from the error's text.
+        connections: The open connections, the oldest first.
+    """
 
     def __init__(
         self,
-        bounds: ConnectionLimits,
-        visitor: Callable[[], V],
-        handle: Callable[[Connection[V], bytes], None],
-        broken: Callable[[str], bytes],
+        limits: ConnectionLimits,
+        new_session: Callable[[], SessionType],
+        handle: Callable[[Connection[SessionType], bytes], None],
+        malformed_frame_reply: Callable[[str], bytes],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.bounds, self.new_session, self.handle, self.malformed_frame_reply = bounds, visitor, handle, broken
-        self.connections: dict[Connection[V], None] = {}  # the oldest first
+        self.limits = limits
+        self.new_session = new_session
+        self.handle = handle
+        self.malformed_frame_reply = malformed_frame_reply
+        self.connections: dict[Connection[SessionType], None] = {}
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
 
-    def on_opened(self, connection: Connection[V]) -> None:
+    def on_opened(self, connection: Connection[SessionType]) -> None:
+        """Take a new connection.
+
+        Where there are too many, the oldest that is not identified is closed: unidentified peers, however many, do not
+        lock an operator out.
+        """
         self.connections[connection] = None
-        if len(self.connections) > self.bounds.maximum_connections:
-            # who has not said who it is goes first, the oldest of them: a crowd keeps no operator out
-            strangers = (c for c in self.connections if not c.is_identified and c is not connection)
-            victim = next(strangers, connection)
-            self.connections.pop(victim, None)
-            victim.abort()
+        if len(self.connections) <= self.limits.maximum_connections:
+            return
+        unidentified = (other for other in self.connections if not other.is_identified and other is not connection)
+        closed = next(unidentified, connection)
+        self.connections.pop(closed, None)
+        closed.abort()
 
     async def listen_unix(self, path: Path) -> None:
+        """Listen on a Unix socket.
+
+        Raises:
+            OSError: The socket cannot be bound; see `bind_unix_socket`.
+        """
         self._server = await self.loop.create_unix_server(lambda: Connection(self), sock=bind_unix_socket(path))
-        self._look()
+        self._check_timeouts()
 
     async def listen_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> int:
-        """Returns the port, which the kernel may have chosen."""
+        """Listen on a TCP port; return the port, which the kernel chooses for 0."""
         self._server = await self.loop.create_server(lambda: Connection(self), host, port, ssl=tls)
-        self._look()
-        bound: int = self._server.sockets[0].getsockname()[1]
-        return bound
-
-    def _look(self) -> None:
-        self._timer = self.loop.call_later(self.bounds.hello_timeout_s / 4, self._look)
-        now = self.loop.time()
+        self._check_timeouts()
+        bound_port: int = self._server.sockets[0].getsockname()[1]
+        return bound_port
+
+    def _check_timeouts(self) -> None:
+        interval_s = self.limits.hello_timeout_s / CHECKS_PER_HELLO_TIMEOUT
+        self._timer = self.loop.call_later(interval_s, self._check_timeouts)
+        now_s = self.loop.time()
         for connection in list(self.connections):
-            connection.check_timeout(now)
+            connection.check_timeout(now_s)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self._timer is not None:
             self._timer.cancel()
         if self._server is not None:
@@ -142,31 +199,43 @@
 
 
 def bind_unix_socket(path: Path) -> socket.socket:
-    """A bound socket of mode 0600 in a directory of mode 0700 that is ours. A socket that a dead process
-    left is cleaned away; one that answers is another's. Raises `OSError` with a plain text."""
-    folder = path.parent
-    folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    about = folder.stat()
-    if about.st_uid != os.geteuid() or stat.S_IMODE(about.st_mode) & 0o077:
-        mode = stat.S_IMODE(about.st_mode)
-        raise OSError(f"{folder} must be our own with mode 0700, it has {mode:04o}")
+    """Bind a Unix socket of mode 0600 in a directory of mode 0700 that belongs to this user.
+
+    A socket that a dead process left is removed.
+
+    Raises:
+        OSError: The directory has another owner or mode, the path is no socket, or another process answers on it.
+    """
+    _check_directory(path.parent)
     if path.exists():
-        if not stat.S_ISSOCK(path.lstat().st_mode):
-            raise OSError(f"{path} exists and is no socket")
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
-            probe.settimeout(1.0)
-            try:
-                probe.connect(str(path))
-            except (ConnectionRefusedError, FileNotFoundError):
-                path.unlink(missing_ok=True)
-            else:
-                raise OSError(f"{path} is in use by another process")
+        _remove_stale_socket(path)
     bound = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        os.fchmod(bound.fileno(), 0o600)  # before the bind, so that it is never open to others
+        os.fchmod(bound.fileno(), SOCKET_MODE)  # before the bind, so that it is never open to others
         bound.bind(str(path))
-        path.chmod(0o600)
+        path.chmod(SOCKET_MODE)
     except OSError:
         bound.close()
         raise
     return bound
+
+
+def _check_directory(directory: Path) -> None:
+    directory.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
+    status = directory.stat()
+    mode = stat.S_IMODE(status.st_mode)
+    if status.st_uid != os.geteuid() or mode & 0o077:
+        raise OSError(f"{directory} must be our own with mode 0700, it has {mode:04o}")
+
+
+def _remove_stale_socket(path: Path) -> None:
+    if not stat.S_ISSOCK(path.lstat().st_mode):
+        raise OSError(f"{path} exists and is no socket")
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+        probe.settimeout(PROBE_TIMEOUT_S)
+        try:
+            probe.connect(str(path))
+        except (ConnectionRefusedError, FileNotFoundError):
+            path.unlink(missing_ok=True)
+        else:
+            raise OSError(f"{path} is in use by another process")
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -1,4 +1,9 @@
-"""What a limiter has beside its platform's part, as its operators' file says; loaded only when there is one."""
+"""Switch on a limiter's optional features, as its operators' file says; loaded only where there is such a file.
+
+The features: `[control]` the control socket, `[routing]` subsets and zones, `[quota]` a shared counter, `[shared]`
+health evidence and hard ceilings exchanged between limiters, `[authz]` the gRPC authorisation service. Each loads its
+package only where the file has its table.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +14,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from elderlock import interface as api
 from elderlock.control.attach import ControlSocket, attach_control_socket, read_operators_file
+from elderlock.control.limiter_status import OptionalStatus, RunningLimiter
 from elderlock.decisions.keepers import Keepers
 from elderlock.decisions.limiter import Limiter
 from elderlock.net.clients import Clients
@@ -19,149 +27,190 @@
 
 if TYPE_CHECKING:
     from elderlock.authz.door import Door  # loads grpc: some 30 MB
-    from elderlock.control import messages as m
-    from elderlock.control.shared import EvidenceView
     from elderlock.quota.attach import Quota, QuotaFile
 
-    ShownCeilings = Callable[[], m.CeilingStatus | None]
+CONFIG_PATH_VARIABLE = "PROXY_CONFIG"
 
 
 class OptionalFeatures:
-    """`routed` comes before the gateway is made, `prepare` before it starts, `open` once clients are listened for,
-    `leave` and `close` at the end."""
+    """The optional features of one limiter.
+
+    The caller calls `with_routing`, `quota_owner_type` and `limiter_type` before the gateway is made, `attach` before
+    it starts, `start_authz` once it listens for clients, and `stop_authz` and `close` at the end.
+    """
 
     def __init__(self, path: Path) -> None:
-        """Raises `ConfigError`."""
-        self._path, self._file = path, read_operators_file(path)
+        """Read the operators' file.
+
+        Raises:
+            ConfigError: It cannot be read or does not fit.
+        """
+        self._path = path
+        self._file = read_operators_file(path)
         self._control: ControlSocket | None = None
         self._quota_file: QuotaFile | None = None
         self._quota: Quota | None = None
-        self._door: Door | None = None
+        self._authz: Door | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def with_routing(self, config: Config) -> Config:
-        """With the routing that the file sets. Raises `ConfigError`."""
+        """Return the configuration with the routing of `[routing]`.
+
+        Raises:
+            ConfigError: The table does not fit the settings.
+        """
         if self._file.routing is None:
             return config
         try:
             routing = self._file.routing.to_routing(config.settings)
         except ConfigError as error:
-            raise ConfigError(f"{self._path}: {error}") from None
+            raise self._error(error) from None
         return replace(config, settings=replace(config.settings, routing=routing))
 
-    def quota_owner_type(self, limiters: int) -> type[Keepers]:
-        """What the decision module asks of a customer's use. Raises `ConfigError`."""
+    def quota_owner_type(self, limiter_count: int) -> type[Keepers]:
+        """Return the class that the decisions ask for quota: that of `[quota]`, or the limiters themselves.
+
+        Raises:
+            ConfigError: The table is wrong, or its extra is not installed.
+        """
         if self._file.quota is None:
             return Keepers
         try:
             from elderlock.quota.attach import QuotaFile
         except ModuleNotFoundError as error:
-            raise ConfigError(f"{self._path}: [quota] needs the extra elderlock[quota]: {error}") from None
-        import msgspec
-
+            raise self._missing_extra("quota", "quota", error) from None
         try:
             self._quota_file = msgspec.convert(self._file.quota, QuotaFile)
-            return self._quota_file.source(limiters)
+            return self._quota_file.source(limiter_count)
         except (ConfigError, msgspec.ValidationError) as error:
-            raise ConfigError(f"{self._path}: {error}") from None
+            raise self._error(error) from None
 
     def limiter_type(self, settings: api.Settings) -> type[Limiter]:
-        """What decides. Raises `ConfigError`."""
+        """Return the class that decides: that of `[shared]`, or the ordinary one.
+
+        Raises:
+            ConfigError: The settings or another table do not allow what the table asks for.
+        """
         shared = self._file.shared
-        on = [] if shared is None else [name for name in ("evidence", "ceilings") if getattr(shared, name)]
-        if not on:
+        if shared is None or not (shared.evidence or shared.ceilings):
             return Limiter
         if not settings.capabilities.can_message_peers:
-            raise ConfigError(f"{self._path}: [shared] {on[0]}: the settings do not let limiters talk to one another")
-        if "ceilings" in on and self._file.quota is not None:
-            raise ConfigError(f"{self._path}: [shared] ceilings: with [quota] the counter holds them")
+            first = "evidence" if shared.evidence else "ceilings"
+            raise self._error(f"[shared] {first}: the settings do not let limiters talk to one another")
+        if shared.ceilings and self._file.quota is not None:
+            raise self._error("[shared] ceilings: with [quota] the counter holds them")
         from elderlock.gossip.sharing import limiter_of
 
-        return limiter_of("evidence" in on, "ceilings" in on)
+        return limiter_of(shared.evidence, shared.ceilings)
 
     async def attach(
         self,
         gateway: Gateway,
         clients: Clients,
         config: Config,
-        discovery: Callable[[], str],
+        discovery_status: Callable[[], str],
         stop: Callable[[], None],
     ) -> None:
-        self._gateway, self._clients = gateway, clients
-        if self._quota_file is not None:
-            from elderlock.quota.attach import Quota
-
-            try:
-                self._quota = Quota(self._quota_file, Path(os.environ["PROXY_CONFIG"]), gateway, config.settings)
-            except ConfigError as error:
-                raise ConfigError(f"{self._path}: {error}") from None
+        """Start the shared counter and the control socket.
+
+        Args:
+            gateway: The limiter's gateway, before it starts.
+            clients: Its client connections.
+            config: Its configuration.
+            discovery_status: Returns the state of its connection to discovery, for people.
+            stop: Shuts the process down.
+
+        Raises:
+            ConfigError: The file does not fit the limiter.
+            OSError: The control socket cannot be bound.
+        """
+        self._gateway = gateway
+        self._clients = clients
+        self._start_quota(gateway, config)
         if self._file.control is not None:
-            path = os.environ["PROXY_CONFIG"]
-            counter = self._quota.view if self._quota is not None else None
-            self._control = await attach_control_socket(
-                self._file.control,
-                path,
-                gateway,
-                clients,
-                config,
-                discovery,
-                stop,
-                counter,
-                *self._shown(gateway, config),
-            )
-
-    def _shown(self, gateway: Gateway, config: Config) -> tuple[()] | tuple[EvidenceView | None, ShownCeilings]:
-        """What is shown of what limiters share."""
+            running = RunningLimiter(gateway, clients, config, discovery_status, stop)
+            optional = self._optional_status(gateway, config)
+            config_path = os.environ[CONFIG_PATH_VARIABLE]
+            self._control = await attach_control_socket(self._file.control, config_path, running, optional)
+
+    def _start_quota(self, gateway: Gateway, config: Config) -> None:
+        """Start the shared counter of `[quota]`."""
+        if self._quota_file is None:
+            return
+        from elderlock.quota.attach import Quota
+
+        try:
+            config_path = Path(os.environ[CONFIG_PATH_VARIABLE])
+            self._quota = Quota(self._quota_file, config_path, gateway, config.settings)
+        except ConfigError as error:
+            raise self._error(error) from None
+
+    def _optional_status(self, gateway: Gateway, config: Config) -> OptionalStatus:
+        """Return what the control socket shows of the optional features."""
+        counter = self._quota.view if self._quota is not None else None
         if self._file.shared is None:
-            return ()
+            return OptionalStatus(counter)
         from elderlock.control.shared import EvidenceView, ceiling_status
         from elderlock.gossip.limiter import SharedLimiter
 
-        limiter, zones = gateway.limiter, config.socket_settings.zones
-        view = EvidenceView(limiter, zones) if isinstance(limiter, SharedLimiter) else None
-        return view, lambda: ceiling_status(limiter)
+        limiter = gateway.limiter
+        evidence = None
+        if isinstance(limiter, SharedLimiter):
+            evidence = EvidenceView(limiter, config.socket_settings.zones)
+        return OptionalStatus(counter, evidence, lambda: ceiling_status(limiter))
 
     async def start_authz(self) -> None:
-        """Raises `ConfigError` or `OSError`."""
+        """Start the authorisation service of `[authz]`.
+
+        Raises:
+            ConfigError: The table is wrong, or its extra is not installed.
+            OSError: The service cannot listen.
+        """
         if self._file.authz is None:
             return
-        import msgspec
-
         try:
             from elderlock.authz.config import AuthzError, AuthzFile
             from elderlock.authz.door import Door
         except ModuleNotFoundError as error:
-            raise ConfigError(f"{self._path}: [authz] needs the extra elderlock[grpc]: {error}") from None
+            raise self._missing_extra("authz", "grpc", error) from None
         try:
             file = msgspec.convert(self._file.authz, AuthzFile)
-            door = Door(file, self._path.resolve().parent, self._gateway)
-            await door.start()
+            service = Door(file, self._path.resolve().parent, self._gateway)
+            await service.start()
         except (AuthzError, msgspec.ValidationError) as error:
-            raise ConfigError(f"{self._path}: {error}") from None
-        self._door = door
-        self._clients.on_cordon = self._cordon_changed
-        self._cordon_changed(self._clients.cordoned)
-
-    def _cordon_changed(self, cordoned: bool) -> None:
-        """A limiter that an operator drained tells gateways to stay away, as it tells the front by PING."""
-        if self._door is not None:
-            task = asyncio.get_running_loop().create_task(self._door.serving(not cordoned))
+            raise self._error(error) from None
+        self._authz = service
+        self._clients.on_cordon = self._on_drain_changed
+        self._on_drain_changed(self._clients.cordoned)
+
+    def _on_drain_changed(self, is_drained: bool) -> None:
+        """Report to the service's clients whether the limiter serves, as PING reports it to the others."""
+        if self._authz is not None:
+            task = asyncio.get_running_loop().create_task(self._authz.serving(not is_drained))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def reload(self) -> None:
+        """Read the files of the features again, after a SIGHUP."""
         if self._quota is not None:
             self._quota.reload()
-        if self._door is not None:
-            self._door.reload()
+        if self._authz is not None:
+            self._authz.reload()
 
     async def stop_authz(self) -> None:
-        """An orderly end of what was opened, while clients are still answered."""
-        if self._door is not None:
-            await self._door.stop()
+        """Shut the authorisation service down gracefully, while clients are still answered."""
+        if self._authz is not None:
+            await self._authz.stop()
 
     def close(self) -> None:
+        """Stop the shared counter and the control socket."""
         if self._quota is not None:
             self._quota.close()
         if self._control is not None:
             self._control.close()
+
+    def _error(self, reason: object) -> ConfigError:
+        return ConfigError(f"{self._path}: {reason}")
+
+    def _missing_extra(self, table: str, extra: str, error: ModuleNotFoundError) -> ConfigError:
+        return self._error(f"[{table}] needs the extra elderlock[{extra}]: {error}")
--- a/tests/control/test_socket.py
+++ b/tests/control/test_socket.py
@@ -17,9 +17,9 @@
 from elderlock.control import messages as m
 from elderlock.control.attach import read_operators_file, read_records_file
 from elderlock.control.framing import encode_frame
-from elderlock.control.limiter_status import exclusion_reason
 from elderlock.control.records import Record
 from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS, OTHER_ACCOUNTS, RecentLatencies, RequestMetrics
+from elderlock.control.server_status import exclusion_reason
 from elderlock.control.transport import bind_unix_socket
 from elderlock.interface import Routing
 from elderlock.net.config import ConfigError
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -614,7 +614,7 @@
             result = await group.command()
             assert result.exit is Exit.DONE
             assert (
-                len(group.agents[0]._api.server.connections) <= group.agents[0]._api.server.bounds.maximum_connections
+                len(group.agents[0]._api.server.connections) <= group.agents[0]._api.server.limits.maximum_connections
             )
             for sock in sockets:
                 sock.close()
@@ -626,7 +626,7 @@
     async def test() -> None:
         async with fleet(tmp_path) as group:
             agent = group.agents[0]
-            agent._api.server.bounds = type(agent._api.server.bounds)(
+            agent._api.server.limits = type(agent._api.server.limits)(
                 f.LONGEST, f.LONGEST_HELLO, maximum_unsent_bytes=1 << 18, stall_timeout_s=0.2
             )
             reader, writer = await raw(agent)
