--- a/elderlock/control/command_authority.py
+++ b/elderlock/control/command_authority.py
@@ -35,10 +35,10 @@
     def state(self, request_id: int, accounts: int, /) -> m.LimiterState:
         """Return the answer to the request `request_id`, with the counts of that many customers."""
 
-    def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
+    def drain(self, servers: dict[str, Record], limiter: bool, /) -> None:
         """Drain exactly these servers, by uid, and the limiter itself if `limiter`."""
 
-    def out(self, boxes: Iterable[str]) -> dict[str, int]:
+    def open_requests_at(self, servers: Iterable[str], /) -> dict[str, int]:
         """Return the count of open requests at each of these servers, by uid."""
 
     def open_requests(self) -> int:
@@ -146,7 +146,7 @@
             id=request.id,
             records=tuple(self.records),
             applied_at_unix_ms=now_ms,
-            drained_open_requests=self._limiter.out(self.records.drained_targets("box")),
+            drained_open_requests=self._limiter.open_requests_at(self.records.drained_targets("box")),
             open_requests=self._limiter.open_requests(),
         )
 
--- a/elderlock/control/limiter_status.py
+++ b/elderlock/control/limiter_status.py
@@ -34,11 +34,11 @@
     """The digests of a limiter's configuration.
 
     Attributes:
-        whole: Of the whole file.
+        file: Of the whole file.
         parts: Of each part that the limiters of a group should have in common, by name.
     """
 
-    whole: str
+    file: str
     parts: dict[str, str]
 
 
@@ -145,10 +145,10 @@
 
     # What the command authority asks for
 
-    def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
+    def drain(self, servers: dict[str, Record], limiter: bool) -> None:
         """Drain exactly these servers, by uid, and the limiter itself if `limiter`."""
-        self._drained_servers = boxes
-        changes = self._overlay.set_drained(boxes)
+        self._drained_servers = servers
+        changes = self._overlay.set_drained(servers)
         if changes.targets:
             self._gateway.changed(changes)
         if limiter == self._is_drained:
@@ -159,10 +159,10 @@
         else:
             self._clients.uncordon()
 
-    def out(self, boxes: Iterable[str]) -> dict[str, int]:
+    def open_requests_at(self, servers: Iterable[str]) -> dict[str, int]:
         """Return the count of open requests at each of these servers, by uid."""
-        servers = self._gateway.limiter.endpoints.servers
-        return {uid: len(servers[uid].in_flight) for uid in boxes if uid in servers}
+        known = self._gateway.limiter.endpoints.servers
+        return {uid: len(known[uid].in_flight) for uid in servers if uid in known}
 
     def open_requests(self) -> int:
         """Return the count of all open requests."""
@@ -188,7 +188,7 @@
             build=self.build,
             pid=self.pid,
             uptime_ms=now_ms - self.started_at,
-            config_digest=self._digests.whole,
+            config_digest=self._digests.file,
             config_parts=self._digests.parts,
             listen=f"{host}:{port}",
             discovery=self._discovery_status(),
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -195,7 +195,7 @@
         if self.desk is not None:
             self.world.limiter_changed(self)
 
-    def out(self, boxes: Iterable[str]) -> dict[str, int]:
+    def open_requests_at(self, boxes: Iterable[str]) -> dict[str, int]:
         return dict.fromkeys(boxes, 0)
 
     def open_requests(self) -> int:
--- a/elderlock/standins/limiters.py
+++ b/elderlock/standins/limiters.py
@@ -150,7 +150,7 @@
         self.in_force = {uid: self.in_force.get(uid, now) for uid in boxes}
         self.down = limiter
 
-    def out(self, boxes: Iterable[str]) -> dict[str, int]:
+    def open_requests_at(self, boxes: Iterable[str]) -> dict[str, int]:
         return {uid: self.left_in_work.get(uid, 0) for uid in boxes}
 
     def open_requests(self) -> int:
