--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -20,7 +20,7 @@
 from elderlock.control.request_client import NoAnswerError, NotSentError
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import Store, StoreError
-from elderlock.fleet.group.peer_link import Peer
+from elderlock.fleet.group.peer_link import PeerLink
 from elderlock.rollout import permit_ledger as ledgers
 from elderlock.rollout.caspaxos import (
     Acceptor,
@@ -55,17 +55,17 @@
     name: str
     store: Store
     records: Records
-    peers: list[Peer]
+    peers: list[PeerLink]
 
     def epoch(self) -> int: ...
     def inventory(self) -> Inventory: ...
-    def make(self, record: Record, what: str) -> None:
+    def commit_record(self, record: Record, what: str) -> None:
         """Keeps the record and brings it to all. Raises `StoreError`."""
 
     async def progressed(self, progress: f.Progress) -> f.Progressed: ...
 
 
-class Made(NamedTuple):
+class ChangeResult(NamedTuple):
     """What became of a change. `chosen`: a majority holds it; else `reasons` why it was declined, or none where too few
     voters answered."""
 
@@ -77,7 +77,7 @@
 Change = Callable[[Ledger], "Ledger | list[str]"]
 
 
-class Keeper:
+class ConsensusMember:
     """Invariant: `ledger` is one that was chosen, and its version never goes back."""
 
     def __init__(
@@ -120,7 +120,7 @@
         if ledger.version > self.ledger.version:
             self.ledger = ledger
 
-    def heard(self, value: bytes) -> None:
+    def record_ledger(self, value: bytes) -> None:
         if value == self._read_last:
             return
         try:
@@ -129,7 +129,7 @@
         except LedgerError as error:
             log.error("another agent's ledger is not understood", error=str(error))
 
-    def told(self) -> bytes:
+    def encoded_ledger(self) -> bytes:
         """The newest ledger that is known to be chosen, as others are told of it."""
         if self._told[0] is not self.ledger:
             self._told = (self.ledger, ledgers.encode_ledger(self.ledger))
@@ -234,7 +234,7 @@
         self._number = max(self._number, round.greatest_ballot.number)
         return round
 
-    async def change(self, change: Change, within: float = CHANGE_WITHIN) -> Made:
+    async def change(self, change: Change, within: float = CHANGE_WITHIN) -> ChangeResult:
         """`change` may be called several times and has to know its own work again. Raises `LedgerError`."""
         ends = time.monotonic() + within
         declined: list[str] = []
@@ -251,7 +251,7 @@
                 round = await self._round(changed, self.voters, self.quorum)
                 if round.phase is Phase.CHOSEN:
                     self._chosen(round.value)
-                    return Made(True, self.ledger)
+                    return ChangeResult(True, self.ledger)
                 if round.phase is Phase.DECLINED:
                     read = ledgers.decode_ledger(round.value)
                     if read.version > self.ledger.version:
@@ -261,9 +261,9 @@
                         again = await self._round(lambda value: value, self.voters, self.quorum)
                         if again.phase is Phase.CHOSEN:
                             self._chosen(again.value)
-                    return Made(False, read, tuple(declined))
+                    return ChangeResult(False, read, tuple(declined))
                 if time.monotonic() >= ends:
-                    return Made(False, self.ledger)
+                    return ChangeResult(False, self.ledger)
                 await asyncio.sleep(self._rng.uniform(*AGAIN))
 
     def _chosen(self, value: bytes) -> None:
@@ -278,7 +278,7 @@
         made = await self.change(lambda ledger: [READ_ALONE], READ_WITHIN)
         return made.ledger if made.reasons else None
 
-    async def ask(self, asked: f.Ask, by: str, now: float) -> f.Granted:
+    async def ask(self, asked: f.RequestPermits, by: str, now: float) -> f.PermitsAnswer:
         """For permits; `now` Unix ms."""
         inventory = self._owner.inventory()
         generation = max(asked.generation, self._owner.records.greatest_generation())
@@ -287,13 +287,13 @@
             request = PermitRequest(asked.targets, asked.origin, by, asked.reason, generation, now)
             made = await self.change(lambda ledger: ledgers.grant_permits(ledger, request, self.budget, inventory))
         except LedgerError as error:
-            return f.Granted(asked.id, name, "refused", (), (str(error),))
+            return f.PermitsAnswer(asked.id, name, "refused", (), (str(error),))
         if made.chosen:
-            return f.Granted(asked.id, name, "granted", made.ledger.permits_of_origin(asked.origin))
+            return f.PermitsAnswer(asked.id, name, "granted", made.ledger.permits_of_origin(asked.origin))
         if made.reasons:
             outcome = "away" if inventory.lacks_knowledge_of(asked.targets) else "refused"
-            return f.Granted(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
-        return f.Granted(asked.id, name, "away", (), (self.away(),))
+            return f.PermitsAnswer(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
+        return f.PermitsAnswer(asked.id, name, "away", (), (self.away(),))
 
     def allows(self, permits: Sequence[Permit], key: Key, origin: str, generation: int) -> str:
         """Why a drain may not be made; empty where a permit that is in force, as far as is known here, allows it."""
@@ -302,13 +302,15 @@
                 return "" if ledgers.is_permit_valid(self.ledger, permit) else "its permit was taken back"
         return "no permit: the group has a budget of what may be out (--force goes without)"
 
-    def stood(self, asked: f.Standing) -> f.Stood:
+    def stood(self, asked: f.ShowBudget) -> f.BudgetStatus:
         voting = "yes" if self.voting else self.why if self._owner.name in self.voters else "it is no voter"
         inventory = self._owner.inventory()
         lines = budget_status_lines(self.budget, inventory, self.ledger.permit_holders())
         lines += [inventory.insufficient_reason] if inventory.insufficient_reason else []
         lines.append(f"voters: {', '.join(self.voters)}; {self.quorum} have to agree")
-        return f.Stood(asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines))
+        return f.BudgetStatus(
+            asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines)
+        )
 
     # To be let to vote
 
@@ -337,7 +339,7 @@
         except StoreError:
             return False
         self._acceptor, self._remembers = Acceptor(round.ballot, round.ballot, round.value), True
-        self.heard(round.value)
+        self.record_ledger(round.value)
         return True
 
     # Permits that may be given back
@@ -401,7 +403,7 @@
                 time.time() * 1000.0,
                 "its permit was never used",
             )
-            self._owner.make(
+            self._owner.commit_record(
                 record, f"took back {permit.kind} {permit.target}: its permit of {permit.requested_by} was not used"
             )
             self._unused.pop(permit, None)
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -7,8 +7,8 @@
 
 from elderlock.fleet import messages as f
 from elderlock.fleet.config import FileError
-from elderlock.fleet.launcher.launcher_link import Basis
-from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.launcher.launcher_link import LauncherLink
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.agent_launcher import AgentVersion, SwitchRequest
 from elderlock.rollout.plan_executor import AgentAction, AgentObservation, ExecutionProgress, next_agent_action
@@ -16,8 +16,10 @@
 from elderlock.rollout.target_report import TargetReport
 
 
-class Renewal:
-    def __init__(self, name: str, basis: Basis | None, versions: Versions, charges: Mapping[str, Charge]) -> None:
+class AgentRelease:
+    def __init__(
+        self, name: str, basis: LauncherLink | None, versions: Versions, charges: Mapping[str, ManagedLimiter]
+    ) -> None:
         self.name, self.basis = name, basis
         self._versions, self._charges = versions, charges
         self._said = ExecutionProgress()
@@ -45,7 +47,7 @@
             not charge.supervisor.wanted or charge.why_out() == "" for charge in self._charges.values()
         )
 
-    def heard(self, name: str, brief: f.AgentBrief) -> None:
+    def record_peer(self, name: str, brief: f.AgentBrief) -> None:
         self._others[name] = time.monotonic() * 1000.0, brief
 
     def briefs(self) -> dict[str, tuple[float, f.AgentBrief]]:
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -21,10 +21,10 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.config import FileError
-from elderlock.fleet.consensus.member import Keeper, Made, answers_of
-from elderlock.fleet.group.peer_link import Peer
-from elderlock.fleet.plans.agent_release import Renewal
-from elderlock.fleet.supervision.managed_limiter import Charge
+from elderlock.fleet.consensus.member import ChangeResult, ConsensusMember, answers_of
+from elderlock.fleet.group.peer_link import PeerLink
+from elderlock.fleet.plans.agent_release import AgentRelease
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout import plan_steering, plans
 from elderlock.rollout import plan_transitions as steps
@@ -56,34 +56,34 @@
 
     name: str
     records: Records
-    charges: dict[str, Charge]
-    peers: list[Peer]
+    limiters: dict[str, ManagedLimiter]
+    peers: list[PeerLink]
     versions: Versions
-    renewal: Renewal
+    agent_release: AgentRelease
 
     def inventory(self) -> Inventory: ...
-    def floors(self) -> list[tuple[str, str]]:
+    def limiter_zones(self) -> list[tuple[str, str]]:
         """All limiters that are known of, with their floors."""
 
-    def agent_floors(self) -> list[tuple[str, str]]: ...
+    def agent_zones(self) -> list[tuple[str, str]]: ...
 
-    def heard_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
+    def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
         """Of other agents: whose, how many ms ago, what."""
 
-    def make(self, record: Record, what: str) -> None: ...
-    def note(self, who: str, role: str, what: str, outcome: str) -> None:
+    def commit_record(self, record: Record, what: str) -> None: ...
+    def audit(self, who: str, role: str, what: str, outcome: str) -> None:
         """In the audit. Raises `StoreError`."""
 
     async def progressed(self, progress: f.Progress) -> f.Progressed: ...
-    def spread(self) -> None:
+    def notify_peers(self) -> None:
         """Tells all other agents at once what is new."""
 
-    def tell(self, name: str) -> None:
+    def notify_peer(self, name: str) -> None:
         """The same to one."""
 
 
-class Conductor:
-    def __init__(self, owner: Owner, keeper: Keeper, order: Iterable[str], rng: random.Random) -> None:
+class PlanCoordinator:
+    def __init__(self, owner: Owner, keeper: ConsensusMember, order: Iterable[str], rng: random.Random) -> None:
         """`order`: all agents, as they take over from one another."""
         self._owner, self._keeper, self._rng = owner, keeper, rng
         order = list(order)
@@ -92,7 +92,7 @@
         self._leaders: dict[tuple[str, int], PlanLeader] = {}
         self._beats: dict[str, tuple[tuple[int, int, int], float]] = {}  # what was last seen of a leader, and when
         self._beaten = 0.0
-        self._carriers = {name: LimiterPlanExecutor() for name in owner.charges}
+        self._carriers = {name: LimiterPlanExecutor() for name in owner.limiters}
         self._acting: set[str] = set()
         self.halts: dict[str, tuple[int, str]] = {}  # plan: turn, why
         self._boxes: dict[str, TargetReport] = {}
@@ -137,7 +137,7 @@
         soft = self.halts.get(plan.id)
         return plan.state != "running" or (soft is not None and soft[0] >= plan.revision)
 
-    def heard_halts(self, halts: Iterable[tuple[str, int, str]]) -> None:
+    def record_halts(self, halts: Iterable[tuple[str, int, str]]) -> None:
         news = False
         for id, turn, why in halts:
             plan = self._keeper.ledger.find_plan(id)
@@ -147,9 +147,9 @@
             if held is None or held[0] < turn:
                 self.halts[id], news = (turn, why), True
         if news:
-            self._owner.spread()
+            self._owner.notify_peers()
 
-    def told_halts(self) -> tuple[tuple[str, int, str], ...]:
+    def halts_to_send(self) -> tuple[tuple[str, int, str], ...]:
         while len(self.halts) > MOST_HALTS:
             del self.halts[next(iter(self.halts))]
         for id, (turn, _) in list(self.halts.items()):
@@ -160,21 +160,21 @@
 
     # Operators
 
-    async def begin(self, asked: f.Begin, by: str, now: float) -> f.Begun:
+    async def begin(self, asked: f.BeginPlan, by: str, now: float) -> f.BeginAnswer:
         name = self._owner.name
         held = self._keeper.ledger.find_plan(asked.origin)
         if held is not None:
-            return f.Begun(asked.id, name, "begun", held)
+            return f.BeginAnswer(asked.id, name, "begun", held)
         inventory = self._owner.inventory()
         boxes = asked.targets if asked.kind == "drain" else ()
         unheard: list[str] = []
         refused = await self._unfit(asked, inventory, unheard)
         if refused or unheard:
             lacking = not refused or inventory.lacks_knowledge_of([("box", box) for box in boxes])
-            return f.Begun(asked.id, name, "away" if lacking else "refused", None, (*refused, *unheard))
+            return f.BeginAnswer(asked.id, name, "away" if lacking else "refused", None, (*refused, *unheard))
         plan = self._drawn(asked, by, now)
         if asked.dry:
-            return f.Begun(asked.id, name, "planned", plan, tuple(self._against(plan)), tuple(self._leaves(plan)))
+            return f.BeginAnswer(asked.id, name, "planned", plan, tuple(self._against(plan)), tuple(self._leaves(plan)))
 
         def change(ledger: Ledger) -> Ledger | list[str]:
             made = steps.begin_plan(ledger, plan)
@@ -184,10 +184,10 @@
         made = await self._keeper.change(change)
         if not made.chosen:
             outcome = "refused" if made.reasons else "away"
-            return f.Begun(asked.id, name, outcome, None, made.reasons or (self._keeper.away(),))  # type: ignore[arg-type]
-        return f.Begun(asked.id, name, "begun", self._keeper.ledger.find_plan(plan.id))
+            return f.BeginAnswer(asked.id, name, outcome, None, made.reasons or (self._keeper.away(),))  # type: ignore[arg-type]
+        return f.BeginAnswer(asked.id, name, "begun", self._keeper.ledger.find_plan(plan.id))
 
-    async def _unfit(self, asked: f.Begin, inventory: Inventory, unheard: list[str]) -> list[str]:
+    async def _unfit(self, asked: f.BeginPlan, inventory: Inventory, unheard: list[str]) -> list[str]:
         """Why it cannot be carried out, as far as is known here, before any budget is asked. Into `unheard` goes who
         does not say: another agent may hear them."""
         if inventory.insufficient_reason:
@@ -204,7 +204,7 @@
             return [] if targets else ["no box is named"]
         found: list[str] = []
         if asked.kind == "agents":
-            briefs = self._owner.renewal.briefs()
+            briefs = self._owner.agent_release.briefs()
             for name in sorted(targets or known):
                 age, brief = briefs.get(name, (-1.0, f.AgentBrief()))
                 if not 0.0 <= age < 8000.0:
@@ -213,10 +213,10 @@
                     found.append(f"agent {name} was not started by a base (elderlock base FILE)")
         if not asked.version:
             return found
-        answers = await answers_of([peer.ask(f.Plans, ASK_WITHIN) for peer in self._owner.peers])
+        answers = await answers_of([peer.ask(f.ListPlans, ASK_WITHIN) for peer in self._owner.peers])
         has = {self._owner.name: dict(self._owner.versions.digests())}
         for peer, answer in zip(self._owner.peers, answers, strict=True):
-            if isinstance(answer, f.Planned):
+            if isinstance(answer, f.PlansStatus):
                 has[peer.name] = dict(answer.versions)
             else:
                 unheard.append(f"agent {peer.name} does not say whether it has version {asked.version}")
@@ -226,19 +226,19 @@
             found.append(f"version {asked.version} is not the same at all agents")
         return found
 
-    def _drawn(self, asked: f.Begin, by: str, now: float) -> Plan:
+    def _drawn(self, asked: f.BeginPlan, by: str, now: float) -> Plan:
         if asked.kind == "drain":
             waves = asked.waves or tuple((target,) for target in asked.targets)
             return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.terms)
         if asked.kind == "agents":
-            before = {name: brief.version for name, (_, brief) in self._owner.renewal.briefs().items()}
+            before = {name: brief.version for name, (_, brief) in self._owner.agent_release.briefs().items()}
         else:
             before = dict(self._keeper.ledger.limiter_versions)
         if asked.waves:
             waves = asked.waves
         else:
             stopped = self._stopped()
-            everyone = self._owner.agent_floors() if asked.kind == "agents" else self._owner.floors()
+            everyone = self._owner.agent_zones() if asked.kind == "agents" else self._owner.limiter_zones()
             floors = [
                 each for each in everyone if (each[0] in asked.targets if asked.targets else each[0] not in stopped)
             ]
@@ -249,8 +249,8 @@
         )
 
     def _stopped(self) -> set[str]:
-        own = {name for name, charge in self._owner.charges.items() if not charge.supervisor.wanted}
-        return own | {brief.name for _, _, brief in self._owner.heard_briefs() if brief.phase == "stopped"}
+        own = {name for name, charge in self._owner.limiters.items() if not charge.supervisor.wanted}
+        return own | {brief.name for _, _, brief in self._owner.peer_limiter_briefs() if brief.phase == "stopped"}
 
     def _against(self, plan: Plan) -> list[str]:
         """What the budget would say to each wave, were all before it done and nothing else out."""
@@ -284,7 +284,7 @@
                 held = taken  # what is drained stays out
         return lines + budget_status_lines(self._keeper.budget, inventory, self._keeper.ledger.permit_holders())
 
-    async def steer(self, asked: f.Steer, by: str) -> f.Steered:
+    async def steer(self, asked: f.SteerPlan, by: str) -> f.SteerAnswer:
         ledger, name = self._keeper.ledger, self._owner.name
         reason = f": {asked.reason}" if asked.reason else ""
         if asked.action in ("give-up", "take-in"):
@@ -295,7 +295,7 @@
                 # in force here and, from the next word on, everywhere, whether or not a majority can be had; also of a
                 # plan that this agent has not learnt of yet, as its operator saw it elsewhere
                 turn = plan.revision if plan is not None else asked.turn
-                self.heard_halts([(asked.plan, turn, f"halt of {by}{reason}")])
+                self.record_halts([(asked.plan, turn, f"halt of {by}{reason}")])
             made = await self._keeper.change(
                 lambda held: plan_steering.halt_plan(held, asked.plan, f"halt of {by}{reason}")
             )
@@ -308,28 +308,30 @@
         done = made.chosen or made.reasons == (steps.ALREADY_DONE,)
         if not done:
             outcome = "refused" if made.reasons else "away"
-            return f.Steered(asked.id, name, outcome, made.reasons or (self._keeper.away(),), plan)  # type: ignore[arg-type]
-        self.told_halts()
-        return f.Steered(asked.id, name, "done", made.reasons, made.ledger.find_plan(asked.plan))
+            return f.SteerAnswer(asked.id, name, outcome, made.reasons or (self._keeper.away(),), plan)  # type: ignore[arg-type]
+        self.halts_to_send()
+        return f.SteerAnswer(asked.id, name, "done", made.reasons, made.ledger.find_plan(asked.plan))
 
-    async def _member(self, asked: f.Steer, by: str) -> f.Steered:
+    async def _member(self, asked: f.SteerPlan, by: str) -> f.SteerAnswer:
         gone, name = asked.plan, self._owner.name
         if asked.action == "take-in":
             made = await self._keeper.change(lambda held: plan_steering.readmit_agent(held, gone))
         else:
-            briefs = [(age, brief) for agent, age, brief in self._owner.heard_briefs() if agent == gone]
+            briefs = [(age, brief) for agent, age, brief in self._owner.peer_limiter_briefs() if agent == gone]
             if gone not in {peer.name for peer in self._owner.peers}:
                 unknown = f"agent {gone} is none of the others in the group's file"
-                return f.Steered(asked.id, name, "refused", (unknown,))
+                return f.SteerAnswer(asked.id, name, "refused", (unknown,))
             if any(0 <= age < 8000.0 for age, _ in briefs):
-                return f.Steered(asked.id, name, "refused", (f"agent {gone} was heard of just now: it is not gone",))
+                return f.SteerAnswer(
+                    asked.id, name, "refused", (f"agent {gone} was heard of just now: it is not gone",)
+                )
             keys: list[Key] = [("limiter", brief.name) for _, brief in briefs]
             made = await self._keeper.change(lambda held: plan_steering.give_up_agent(held, gone, keys, by))
         outcome = "done" if made.chosen else "refused" if made.reasons else "away"
         said = made.reasons or (() if made.chosen else (self._keeper.away(),))
-        return f.Steered(asked.id, name, outcome, said)  # type: ignore[arg-type]
+        return f.SteerAnswer(asked.id, name, outcome, said)  # type: ignore[arg-type]
 
-    def planned(self, asked: f.Plans) -> f.Planned:
+    def planned(self, asked: f.ListPlans) -> f.PlansStatus:
         ledger, name = self._keeper.ledger, self._owner.name
         mine = [plan for plan in ledger.active_plans() if plan.leader == name]
         waits = [
@@ -339,10 +341,10 @@
         ]
         wanted = dict(ledger.limiter_versions)
         runs = tuple(
-            f.Runs(each, charge.version(), wanted.get(each, ""), charge.said)
-            for each, charge in self._owner.charges.items()
+            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.said)
+            for each, charge in self._owner.limiters.items()
         )
-        return f.Planned(
+        return f.PlansStatus(
             asked.id,
             name,
             ledger.version,
@@ -352,9 +354,9 @@
             runs,
             self._owner.versions.digests(),
             ledger.given_up,
-            self.told_halts(),
+            self.halts_to_send(),
             ledger.permits,
-            self._owner.renewal.brief(),
+            self._owner.agent_release.brief(),
         )
 
     # What concerns our own limiters
@@ -365,14 +367,14 @@
         ledger = self._keeper.ledger
         wanted = dict(ledger.limiter_versions)
         out = {unit.target for plan in ledger.active_plans() for unit in plan.units if unit.stage == "out"}
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             if wanted.get(name, "") != charge.wanted and name not in out:
                 charge.to_run(wanted.get(name, ""), max(ledger.generation, charge.generation + 1))
 
     async def _carry(self) -> None:
         self.catch_up()
-        if not self._owner.renewal.heard_by_majority and await self._keeper.read() is not None:
-            self._owner.renewal.up()
+        if not self._owner.agent_release.heard_by_majority and await self._keeper.read() is not None:
+            self._owner.agent_release.up()
         ledger = self._keeper.ledger
         if self._given_up:
             return
@@ -388,7 +390,7 @@
                     self._see(plan, unit)
 
     def _see(self, plan: Plan, unit: Unit) -> None:
-        charge, carrier = self._owner.charges[unit.target], self._carriers[unit.target]
+        charge, carrier = self._owner.limiters[unit.target], self._carriers[unit.target]
         if unit.stage == "waiting":
             return
         record = self._owner.records.get("limiter", unit.target)
@@ -402,7 +404,7 @@
         act = carrier.next_action(plan, unit, look, self._now(), self.halted(plan))
         charge.said = carrier.progress
         if carrier.progress != before:
-            self._owner.tell(plan.leader)
+            self._owner.notify_peer(plan.leader)
         if act is not None:
             self._acting.add(unit.target)
             self._task(self._act(act, plan, unit))
@@ -411,11 +413,11 @@
         """Our own turn in a release of agents. What this process runs as is the base's word, not its own."""
         if self._owner.name in self._acting:
             return
-        act, news = self._owner.renewal.see(plan, unit, self.halted(plan))
+        act, news = self._owner.agent_release.see(plan, unit, self.halted(plan))
         if news:
-            self._owner.tell(plan.leader)
+            self._owner.notify_peer(plan.leader)
         if act == "settle":
-            self._owner.renewal.settle()
+            self._owner.agent_release.settle()
         elif act == "switch":
             self._acting.add(self._owner.name)
             self._task(self._go(plan, unit))
@@ -424,8 +426,8 @@
         try:
             if await self._confirmed(plan, unit) or (unit.stage == "done" and await self._passed(plan, unit)):
                 what = f"this agent goes to version {plan.target_version(unit) or 'of its base'}"
-                self._owner.note(self._owner.name, "agent", what, plan.id[:8])
-                self._owner.renewal.go(plan, unit)
+                self._owner.audit(self._owner.name, "agent", what, plan.id[:8])
+                self._owner.agent_release.go(plan, unit)
                 await asyncio.sleep(GO_AGAIN)
         except (StoreError, LedgerError, FileError) as error:
             log.error("a step is held up", agent=self._owner.name, step="switch", error=str(error))
@@ -434,7 +436,7 @@
             self._acting.discard(self._owner.name)
 
     async def _act(self, act: str, plan: Plan, unit: Unit) -> None:
-        charge, carrier = self._owner.charges[unit.target], self._carriers[unit.target]
+        charge, carrier = self._owner.limiters[unit.target], self._carriers[unit.target]
         try:
             if act == "undrain":
                 self._record(plan, unit, False)
@@ -447,7 +449,7 @@
                     charge.switch()
                     carrier.on_switched(self._now(), restarts)
                     what = f"{unit.target} goes to version {plan.target_version(unit) or 'of the file'}"
-                    self._owner.note(self._owner.name, "agent", what, plan.id[:8])
+                    self._owner.audit(self._owner.name, "agent", what, plan.id[:8])
         except (StoreError, LedgerError) as error:
             log.error("a step is held up", agent=self._owner.name, limiter=unit.target, step=act, error=str(error))
             await asyncio.sleep(LOOK_EVERY)
@@ -470,7 +472,7 @@
             time.time() * 1000.0,
             f"{plan.kind} {plan.id[:8]}",
         )
-        self._owner.make(record, f"{verb} {kind} {unit.target} for {plan.kind} {plan.id[:8]}")
+        self._owner.commit_record(record, f"{verb} {kind} {unit.target} for {plan.kind} {plan.id[:8]}")
 
     async def _confirmed(self, plan: Plan, unit: Unit) -> bool:
         """Whether the unit is still out, as a majority has it now. What slept, or hears nothing, finds out here."""
@@ -494,9 +496,9 @@
 
     async def _lead(self) -> None:
         now = self._now()
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             self._series.record(name, charge.figures(), now)
-        for _, _, brief in self._owner.heard_briefs():
+        for _, _, brief in self._owner.peer_limiter_briefs():
             self._series.record(brief.name, brief.figures, now)
         for plan in self._keeper.ledger.active_plans():
             soft = self.halts.get(plan.id)
@@ -548,7 +550,7 @@
     async def _moved(self, plan: Plan, leader: PlanLeader, move: LeaderAction) -> bool:
         """Whether the ledger took it, so that there may be more to do."""
         change = self._change(plan, move)
-        made: Made = await self._keeper.change(change)
+        made: ChangeResult = await self._keeper.change(change)
         if move.kind == "send":
             if made.chosen:
                 leader.on_sent()
@@ -557,7 +559,7 @@
                 return len(move.targets) > 1
         if move.kind == "halt" and made.chosen:
             log.warning("a plan halts by itself", agent=self._owner.name, plan=plan.id, why=move.reason)
-            self._owner.note(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.reason[:400])
+            self._owner.audit(self._owner.name, "agent", f"halts {plan.kind} {plan.id[:8]}", move.reason[:400])
         return made.chosen
 
     def _change(self, plan: Plan, move: LeaderAction) -> Callable[[Ledger], Ledger | list[str]]:
@@ -590,18 +592,18 @@
         if plan.kind == "drain":
             return await self._told_of_boxes(plan)
         if plan.kind == "agents":
-            return self._owner.renewal.told()
+            return self._owner.agent_release.told()
         told: dict[str, TargetReport] = {}
-        for name, charge in self._owner.charges.items():
+        for name, charge in self._owner.limiters.items():
             age = self._now() - 1000.0 * charge.link.state_at if charge.link.state is not None else 0.0
             # our own word on it is fresh, whatever the limiter does
             told[name] = self._of(plan, charge.brief(self._owner.records), min(age, 0.0))
-        for _, age, brief in self._owner.heard_briefs():
+        for _, age, brief in self._owner.peer_limiter_briefs():
             told[brief.name] = self._of(plan, brief, age)
         return told
 
     def _silent_agents(self) -> list[str]:
-        briefs = self._owner.renewal.briefs()
+        briefs = self._owner.agent_release.briefs()
         names = [peer.name for peer in self._owner.peers]
         return [name for name in names if not 0.0 <= briefs.get(name, (-1.0, None))[0] < SILENT_AGENT]
 
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from elderlock.fleet.consensus.member import Keeper
+from elderlock.fleet.consensus.member import ConsensusMember
 from elderlock.fleet.plans import coordinator
-from elderlock.fleet.plans.coordinator import Conductor
+from elderlock.fleet.plans.coordinator import PlanCoordinator
 from elderlock.rollout import permit_ledger
 from elderlock.rollout.plan_executor import LimiterPlanExecutor
 from elderlock.sim import rollouts
@@ -60,12 +60,12 @@
     assert heard and max(heard) <= 1000.0
 
 
-async def _always(self: Conductor, plan: object, unit: object) -> bool:
+async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
 def _one_vote_is_a_quorum(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Keeper, "quorum", property(lambda self: 1))
+    patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
     patch.setattr(rollouts, "SETTLED_WITHIN", -400.0)  # the consequences of two ledgers are not waited for
 
 
@@ -94,7 +94,7 @@
         lambda played: played.doubled,
     ),
     "nothing is confirmed by a majority": (
-        lambda patch: patch.setattr(Conductor, "_confirmed", _always),
+        lambda patch: patch.setattr(PlanCoordinator, "_confirmed", _always),
         replace(SMALL, sleeper=True),
         lambda played: played.after_fence,
     ),
