--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -22,13 +22,13 @@
 from elderlock.net.startup import start_limiter
 
 if TYPE_CHECKING:
-    from elderlock.operators import Extras
+    from elderlock.operators import OptionalFeatures
 
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
 
 
-def load_optional_features() -> Extras | None:
+def load_optional_features() -> OptionalFeatures | None:
     """Load what the operators' file switches on; without one, nothing of it is imported.
 
     Raises:
@@ -38,10 +38,10 @@
     if not path:
         return None
     try:
-        from elderlock.operators import Extras
+        from elderlock.operators import OptionalFeatures
     except ModuleNotFoundError as error:
         raise ConfigError(f"{path} needs the extra elderlock[fleet]: {error}") from None
-    return Extras(Path(path))
+    return OptionalFeatures(Path(path))
 
 
 async def serve(config: Config) -> None:
--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -1,7 +1,8 @@
-"""What a limiter shows of what it shares. Loaded only where it does."""
+"""Report what a limiter shares with others: health evidence and hard ceilings. Loaded only where it shares them."""
 
 from __future__ import annotations
 
+import math
 from collections.abc import Sequence
 
 from elderlock.control import messages as m
@@ -14,58 +15,80 @@
 from elderlock.gossip.rumours import SEND_FRACTION
 from elderlock.state import Server
 
-MOST_SHOWN = 64  # servers whose evidence is shown at a look, those that most was heard of lately first
+MAXIMUM_SHOWN_SERVERS = 64  # whose evidence is shown, those with the latest evidence first
+UNKNOWN_ZONE = "?"
 
 
-def ceilings_of(limiter: Limiter) -> m.Ceilings | None:
+def ceiling_status(limiter: Limiter) -> m.CeilingStatus | None:
+    """Return the status of exchanged hard ceilings; None where the limiter exchanges none."""
     if not isinstance(limiter, EscrowLimiter):
         return None
     quotas = limiter.quotas
-    most = quota_escrow.SEND_FRACTION * limiter.context.settings.quota_sources.peer_messages_per_s
-    return m.Ceilings(quotas.given_units, quotas.taken_units, quotas.in_transit_units(), most)
+    peer_messages_per_s = limiter.context.settings.quota_sources.peer_messages_per_s
+    maximum_sent_per_s = quota_escrow.SEND_FRACTION * peer_messages_per_s
+    return m.CeilingStatus(quotas.given_units, quotas.taken_units, quotas.in_transit_units(), maximum_sent_per_s)
 
 
-class SharedView:
-    """Of evidence. Reads, and changes nothing."""
+class EvidenceView:
+    """Reads the shared health evidence of a limiter, and changes nothing."""
 
     def __init__(self, limiter: EvidenceLimiter, zones: Sequence[str]) -> None:
-        self._limiter, self._zones = limiter, zones
+        self._limiter = limiter
+        self._zones = zones
 
-    def summary(self, now: float) -> m.Shared:
-        limiter, evidence = self._limiter, self._limiter.evidence
-        heard_at = limiter.outlier_detector.heard_at_ms
-        return m.Shared(
-            heard=limiter.received_datagrams,
+    def summary(self, now_ms: float) -> m.EvidenceStatus:
+        """Return the status of the evidence as a whole."""
+        limiter = self._limiter
+        evidence = limiter.evidence
+        received_at_ms = limiter.outlier_detector.heard_at_ms
+        return m.EvidenceStatus(
+            received=limiter.received_datagrams,
             refused=limiter.refused_datagrams,
-            told=limiter.sent_datagrams,
-            told_most=SEND_FRACTION * limiter.context.settings.quota_sources.peer_messages_per_s,
-            heard_age_ms=now - heard_at if heard_at > float("-inf") else -1.0,
-            counts_ms=FRESH_MS,
+            sent=limiter.sent_datagrams,
+            maximum_sent_per_s=SEND_FRACTION * limiter.context.settings.quota_sources.peer_messages_per_s,
+            received_age_ms=now_ms - received_at_ms if received_at_ms > -math.inf else -1.0,
+            evidence_lifetime_ms=FRESH_MS,
             servers=len(evidence),
-            disbelieved=tuple(evidence.distrusted_origins(len(limiter.endpoints.directory.ready), now)),
-            silent=evidence.distrusts_itself(now),
+            disbelieved=tuple(evidence.distrusted_origins(self._ready_server_count(), now_ms)),
+            is_silent=evidence.distrusts_itself(now_ms),
         )
 
-    def shown(self) -> set[int]:
-        """Keys of the servers whose evidence is shown."""
-        return set(self._limiter.evidence.latest_servers(MOST_SHOWN))
+    def shown_keys(self) -> set[int]:
+        """Return the keys of the servers whose evidence is shown."""
+        return set(self._limiter.evidence.latest_servers(MAXIMUM_SHOWN_SERVERS))
 
-    def health(self, uid: str, server: Server | None, shown: set[int], now: float) -> m.Health | None:
-        held = self._limiter.outlier_detector.ejections.get(server) if server is not None else None
-        rows = self._limiter.evidence.witnesses(server_key(uid), now) if server_key(uid) in shown else []
-        if held is None and not rows:
+    def health(self, uid: str, server: Server | None, shown: set[int], now_ms: float) -> m.ServerHealth | None:
+        """Return the evidence on a server; None where there is none.
+
+        Args:
+            uid: The server's uid.
+            server: The server, if the limiter has it.
+            shown: The keys of the servers whose evidence is shown; an ejection is shown for all.
+            now_ms: The time on the limiter's clock.
+        """
+        key = server_key(uid)
+        ejection = self._limiter.outlier_detector.ejections.get(server) if server is not None else None
+        evidence = self._limiter.evidence.witnesses(key, now_ms) if key in shown else []
+        if ejection is None and not evidence:
             return None
-        ready = len(self._limiter.endpoints.directory.ready)
-        return m.Health(
-            self._limiter.evidence.failure_weight(server_key(uid), ready, now),
-            EJECTION_WEIGHT,
-            now - held.since_ms if held is not None else -1.0,
-            held.origins if held is not None else (),
-            tuple(
-                m.Witness(each.origin_index, self._zone(each.zone), each.failed_age_ms, each.answered_age_ms)
-                for each in rows
+        return m.ServerHealth(
+            failure_weight=self._limiter.evidence.failure_weight(key, self._ready_server_count(), now_ms),
+            ejection_weight=EJECTION_WEIGHT,
+            ejected_ms=now_ms - ejection.since_ms if ejection is not None else -1.0,
+            ejected_by=ejection.origins if ejection is not None else (),
+            witnesses=tuple(
+                m.HealthWitness(
+                    witness.origin_index,
+                    self._zone_name(witness.zone),
+                    witness.failed_age_ms,
+                    witness.answered_age_ms,
+                )
+                for witness in evidence
             ),
         )
 
-    def _zone(self, number: int) -> str:
-        return self._zones[number] if number < len(self._zones) else "?"
+    def _ready_server_count(self) -> int:
+        return len(self._limiter.endpoints.directory.ready)
+
+    def _zone_name(self, number: int) -> str:
+        return self._zones[number] if number < len(self._zones) else UNKNOWN_ZONE
--- a/elderlock/fleet/agent_store.py
+++ b/elderlock/fleet/agent_store.py
@@ -13,7 +13,7 @@
 
 from elderlock.control.records import Record
 from elderlock.fleet.messages import AuditLine
-from elderlock.rollout.register import Ballot
+from elderlock.rollout.caspaxos import Ballot
 
 SCHEMA_VERSION = 3
 BUSY_WITHIN = 0.2  # s that another's lock is waited for
@@ -146,7 +146,16 @@
         statements: list[tuple[str, tuple[object, ...]]] = [
             (
                 "INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
-                (r.kind, r.target, int(r.drained), r.generation, r.origin, r.by, r.at, r.reason),
+                (
+                    r.kind,
+                    r.target,
+                    int(r.is_drained),
+                    r.generation,
+                    r.origin,
+                    r.requested_by,
+                    r.created_at_unix_ms,
+                    r.reason,
+                ),
             )
             for r in records
         ]
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -17,7 +17,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation, observe
 from elderlock.fleet.client.report import Account, Exit
-from elderlock.rollout.plans import Terms
+from elderlock.rollout.plans import RolloutPolicy
 
 SEE_WITHIN = 1.0  # s for each agent
 FRESH_WITHIN = 400.0  # ms that agents wait for their limiters, to show them
@@ -132,7 +132,9 @@
     planned: Callable[[list[str]], None],
 ) -> Result:
     """A drain of several steps is the group's to carry out: the tool begins it and looks on."""
-    make = operate_plans.begin(os.urandom(16).hex(), "drain", "", order.targets, steps, Terms(pause=0.0), order.reason)
+    make = operate_plans.begin(
+        os.urandom(16).hex(), "drain", "", order.targets, steps, RolloutPolicy(wave_pause_s=0.0), order.reason
+    )
     left = None if ends is None else max(0.0, ends - asyncio.get_running_loop().time())
     begun = await operate_plans.ask_any(group, make, f.BeginAnswer, left)
     if begun.plan is None or begun.exit is not Exit.DONE:
@@ -145,7 +147,7 @@
     if order.kind == "limiter":
         known = {name for names in seen.limiters().values() for name in names}
     else:
-        known = {box.uid for state in seen.states() for box in state.boxes}
+        known = {box.uid for state in seen.states() for box in state.servers}
     held = {record.target for record in seen.records if record.kind == order.kind}
     return [target for target in order.targets if target not in known | held]
 
@@ -157,11 +159,11 @@
     asked: one that was asked and did not answer may have granted them, and the next one finds them by the origin."""
     keys: list[Key] = [(order.kind, target) for target in targets]
     account = Account(os.urandom(16).hex(), {key: order.drained for key in keys}, known=seen.limiters())
-    drained = seen.records.drained(order.kind)
+    drained = seen.records.drained_targets(order.kind)
     wanted = tuple((order.kind, target) for target in targets if target not in drained)
     if not group.budget or not order.drained or order.force or not wanted:
         return account, []
-    ask = lambda id: f.RequestPermits(id, account.origin, wanted, order.reason, seen.records.generation())  # noqa: E731
+    ask = lambda id: f.RequestPermits(id, account.origin, wanted, order.reason, seen.records.greatest_generation())  # noqa: E731
     loop, said = asyncio.get_running_loop(), ["no agent answers"]
     while True:
         for name in random.sample(list(seen.shown), len(seen.shown)):
@@ -185,7 +187,7 @@
     held = {key: seen.records.get(*key) for key in keys}
     wishes = tuple(f.DrainIntent(order.kind, key[1], order.drained, _expect(order, held[key])) for key in keys)
     known = tuple(record for record in held.values() if record is not None)
-    generation = max((permit.generation for permit in account.permits), default=seen.records.generation() + 1)
+    generation = max((permit.generation for permit in account.permits), default=seen.records.greatest_generation() + 1)
 
     def intend(id: int) -> f.Message:
         return f.SubmitIntents(
--- a/elderlock/net/shutdown.py
+++ b/elderlock/net/shutdown.py
@@ -38,7 +38,7 @@
     if running.features is None:
         await drain
     else:
-        await asyncio.gather(drain, running.features.leave())
+        await asyncio.gather(drain, running.features.stop_authz())
     running.discovery.stop()
     running.gateway.server_pools.close()
     if running.peers is not None:
--- a/elderlock/net/startup.py
+++ b/elderlock/net/startup.py
@@ -29,32 +29,32 @@
 class OptionalFeatures(Protocol):
     """What the operators' file switches on (`elderlock.operators`), in the order in which it is called."""
 
-    def routed(self, config: Config) -> Config:
+    def with_routing(self, config: Config) -> Config:
         """Return the configuration with the file's routing."""
 
-    def source(self, limiters: int) -> type[QuotaCoordinator]:
+    def quota_owner_type(self, limiter_count: int) -> type[QuotaCoordinator]:
         """Return the limiter's part that knows customers' use elsewhere."""
 
-    def limiter(self, settings: api.Settings) -> type[Limiter]:
+    def limiter_type(self, settings: api.Settings) -> type[Limiter]:
         """Return the limiter's class."""
 
-    async def prepare(
+    async def attach(
         self,
         gateway: Gateway,
         clients: ClientListener,
         config: Config,
-        discovery: Callable[[], str],
+        discovery_status: Callable[[], str],
         stop: Callable[[], None],
     ) -> None:
         """Start what must see the first server list; before the gateway starts."""
 
-    async def open(self) -> None:
+    async def start_authz(self) -> None:
         """Open further frontends; after the listener for clients."""
 
     def reload(self) -> None:
         """Read again what a reload may change."""
 
-    async def leave(self) -> None:
+    async def stop_authz(self) -> None:
         """Drain the further frontends, while clients are still answered."""
 
     def close(self) -> None:
@@ -98,9 +98,9 @@
     quota_source = QuotaCoordinator
     limiter = Limiter
     if features is not None:
-        config = features.routed(config)
-        quota_source = features.source(config.settings.limiter_count)
-        limiter = features.limiter(config.settings)
+        config = features.with_routing(config)
+        quota_source = features.quota_owner_type(config.settings.limiter_count)
+        limiter = features.limiter_type(config.settings)
     gateway = Gateway(loop, config, Clock(), quota_source, limiter)
     discovery = Discovery(config.socket_settings, gateway.server_list_received)
     handle_reload_signal(loop, discovery, None)
@@ -109,13 +109,13 @@
     listener = ClientListener(loop, gateway, config.max_descriptors)
     if features is not None:
         handle_reload_signal(loop, discovery, features.reload)
-        await features.prepare(gateway, listener, config, discovery.address, stop.set)
+        await features.attach(gateway, listener, config, discovery.address, stop.set)
     gateway.start()
     discovery.follow(config.discovery_address)
     await _wait_for_first_list(gateway)
     await listener.listen(*config.listen_address)
     if features is not None:
-        await features.open()
+        await features.start_authz()
     gc.collect()
     gc.freeze()  # what start-up made stays: the collector need not walk it again and again
     log.info("%s listens at %s:%d", config.name, *config.listen_address)
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -119,12 +119,12 @@
         if isinstance(self._client, TallyClient):
             self._client.follow(addresses[0])
 
-    def status(self, max_leases: int) -> m.Counter:
+    def status(self, max_leases: int) -> m.CounterStatus:
         """Return the counter's state, with the leases of the `max_leases` customers that use most."""
         book = self.book
         now_ms = self._gateway.now_ms()
         busiest = nlargest(max_leases, book.ledgers.values(), key=lambda ledger: ledger.own_use.rate_per_s(now_ms))
-        return m.Counter(
+        return m.CounterStatus(
             mode=book.mode.value,
             since_ms=now_ms - book.health.changed_at_ms,
             generation=book.health.generation,
@@ -149,8 +149,8 @@
         return max(errors, default=0.0)
 
     @staticmethod
-    def _lease_status(ledger: LeaseLedger, now_ms: float) -> m.Lease:
-        return m.Lease(
+    def _lease_status(ledger: LeaseLedger, now_ms: float) -> m.LeaseStatus:
+        return m.LeaseStatus(
             ledger.key,
             ledger.level_units(now_ms),
             ledger.bucket.burst_units,
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -47,9 +47,9 @@
 from elderlock.load import scenario as load_scenario
 from elderlock.load import trace as load_trace
 from elderlock.quota import options as quota_options
-from elderlock.rollout import basing as rollout_basing
-from elderlock.rollout import budget as rollout_budget
-from elderlock.rollout import ledger as rollout_ledger
+from elderlock.rollout import agent_launcher as rollout_basing
+from elderlock.rollout import disruption_budget as rollout_budget
+from elderlock.rollout import permit_ledger as rollout_ledger
 from elderlock.rollout import plans as rollout_plans
 from elderlock.sim import experiment as sim_experiment
 from elderlock.sim import figures as sim_figures
@@ -76,22 +76,22 @@
     "control.hello": control_messages.Hello,
     "control.welcome": control_messages.Welcome,
     "control.refused": control_messages.Refused,
-    "control.look": control_messages.Look,
-    "control.apply": control_messages.Apply,
-    "control.applied": control_messages.Applied,
+    "control.look": control_messages.GetState,
+    "control.apply": control_messages.ApplyRecords,
+    "control.applied": control_messages.RecordsApplied,
     "control.stop": control_messages.Stop,
     "control.stopping": control_messages.Stopping,
-    "control.counts": control_messages.Counts,
-    "control.witness": control_messages.Witness,
-    "control.health": control_messages.Health,
-    "control.box": control_messages.Box,
-    "control.throttle": control_messages.Throttle,
-    "control.peer": control_messages.Peer,
-    "control.lease": control_messages.Lease,
-    "control.counter": control_messages.Counter,
-    "control.shared": control_messages.Shared,
-    "control.ceilings": control_messages.Ceilings,
-    "control.state": control_messages.State,
+    "control.counts": control_messages.AnswerCounts,
+    "control.witness": control_messages.HealthWitness,
+    "control.health": control_messages.ServerHealth,
+    "control.box": control_messages.ServerStatus,
+    "control.throttle": control_messages.ThrottleStatus,
+    "control.peer": control_messages.PeerStatus,
+    "control.lease": control_messages.LeaseStatus,
+    "control.counter": control_messages.CounterStatus,
+    "control.shared": control_messages.EvidenceStatus,
+    "control.ceilings": control_messages.CeilingStatus,
+    "control.state": control_messages.LimiterState,
     "control.record": control_records.Record,
     "fleet-answer.missing": fleet_answers.Missing,
     "fleet-answer.refusal": fleet_answers.Refusal,
@@ -190,14 +190,14 @@
     "load-trace.row": load_trace.Row,
     "load-trace.header": load_trace._Header,
     "quota-file.quota-file": quota_options.QuotaOptions,
-    "base-state.which": rollout_basing.Which,
-    "base-state.to": rollout_basing.To,
-    "base-state.held": rollout_basing.Held,
-    "budget-file.limits": rollout_budget.Limits,
-    "budget-file.budget": rollout_budget.Budget,
+    "base-state.which": rollout_basing.AgentVersion,
+    "base-state.to": rollout_basing.SwitchRequest,
+    "base-state.held": rollout_basing.LauncherState,
+    "budget-file.limits": rollout_budget.DisruptionLimits,
+    "budget-file.budget": rollout_budget.DisruptionBudget,
     "ledger.permit": rollout_ledger.Permit,
     "ledger.ledger": rollout_ledger.Ledger,
-    "plan.terms": rollout_plans.Terms,
+    "plan.terms": rollout_plans.RolloutPolicy,
     "plan.unit": rollout_plans.Unit,
     "plan.plan": rollout_plans.Plan,
     "sim-experiment.scenario-part": sim_experiment.ScenarioPart,
@@ -240,7 +240,7 @@
 
 # The product's own decoders of tagged messages, by the first part of the label
 READERS: dict[str, tuple[Callable[[bytes], Any], ...]] = {
-    "control": (control_messages.to_limiter, control_messages.from_limiter),
+    "control": (control_messages.decode_request, control_messages.decode_answer),
     "fleet": (fleet_messages.to_agent, fleet_messages.from_agent),
     "load-worker": (load_messages._to_worker.decode, load_messages._from_worker.decode),
     "base-word": (fleet_based.word_of.decode,),
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -14,7 +14,7 @@
 
 from elderlock import interface as api
 from elderlock.control import messages as m
-from elderlock.control.shared import ceilings_of
+from elderlock.control.shared import ceiling_status
 from elderlock.decisions.limiter import Limiter
 from elderlock.gossip.escrow_limiter import EscrowLimiter
 from elderlock.gossip.escrow_messages import EscrowGrant, EscrowRequest, decode, encode
@@ -24,7 +24,7 @@
     SEND_FRACTION,
 )
 from elderlock.net.config import ConfigError
-from elderlock.operators import Extras
+from elderlock.operators import OptionalFeatures
 from elderlock.sim import scenario as sim
 from elderlock.sim.decisions import DecisionWorld
 from elderlock.sim.scenario import Fault, Scenario
@@ -42,7 +42,7 @@
 def test_the_operators_file_selects_the_limiter_class(text: str, kind: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert Extras(path).limiter(limiter_settings(peers=True)) is kind
+    assert OptionalFeatures(path).limiter_type(limiter_settings(peers=True)) is kind
 
 
 @pytest.mark.parametrize(
@@ -57,7 +57,7 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(why)) as error:
-        Extras(path).limiter(limiter_settings(peers=True))
+        OptionalFeatures(path).limiter_type(limiter_settings(peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
@@ -70,9 +70,11 @@
         and decode(answer.payload) == EscrowGrant(9, 3.0)
         and answer.receiver_index == FIRST
     )
-    assert ceilings_of(limiter) == m.Ceilings(given=3.0, taken=0.0, away=3.0, told_most=SEND_FRACTION * 100.0)
+    assert ceiling_status(limiter) == m.CeilingStatus(
+        given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
+    )
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
-    assert ceilings_of(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
+    assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
 
 
 # Fleets
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -12,7 +12,7 @@
 
 from elderlock import interface as api
 from elderlock.cli.tables import counter as counter_line
-from elderlock.control.attach import read_operators
+from elderlock.control.attach import read_operators_file
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
 from elderlock.net.config import ConfigError
@@ -246,7 +246,7 @@
     begin = path.read_text().index("# [quota]")
     lines = [line.removeprefix("# ") for line in path.read_text()[begin:].split("\n\n")[0].splitlines()]
     (tmp_path / "o.toml").write_text("\n".join(lines))
-    made = msgspec.convert(read_operators(tmp_path / "o.toml").quota, QuotaOptions)
+    made = msgspec.convert(read_operators_file(tmp_path / "o.toml").quota, QuotaOptions)
     assert made == QuotaOptions() and made.terms(3).max_calls_per_s == 100.0
     with pytest.raises(ConfigError):
         replace_calls = msgspec.structs.replace(made, answer_ms=5000.0)
@@ -273,7 +273,7 @@
         caller = await program.caller()
         told = (await look(caller)).counter
         assert told is not None and (told.mode, told.accounts) == ("shared", 1) and told.calls > 0
-        assert told.leases[0].burst == 30.0 and told.leases[0].level < 30.0 and told.error_units > 0
+        assert told.leases[0].burst_units == 30.0 and told.leases[0].stored_units < 30.0 and told.error_units > 0
         assert counter_line("n0", told).startswith("n0: counter shared for ")
         await counter.fail(Fault.SILENT)
         for n in range(60):
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -13,7 +13,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.plan_commands import begin
 from elderlock.fleet.consensus.member import UNUSED_AFTER
-from elderlock.rollout.plans import Terms
+from elderlock.rollout.plans import RolloutPolicy
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run, until
 from elderlock.trial import disk
@@ -100,7 +100,7 @@
             codes = await asyncio.gather(*tools)
             assert sorted(codes) == [0, 0, 0, 5, 5, 5]
             held = await here.records()
-            assert all(len([r for r in records if r.drained]) == 3 for records in held.values())
+            assert all(len([r for r in records if r.is_drained]) == 3 for records in held.values())
             here.faults.agreed.ended(here.ground.at())
             assert here.faults.agreed.broken == [] and judged(here.ground).broken == []
 
@@ -128,7 +128,9 @@
                 await asyncio.sleep(0.05)
             lost = await here.ask("agent-0", "s-00")
             assert lost.outcome == "away" and "what the boxes do is not known" in lost.reasons[0]
-            make = begin("plan", "drain", "", ["s-00", "s-01"], (("s-00",), ("s-01",)), Terms(pause=0.0), "")
+            make = begin(
+                "plan", "drain", "", ["s-00", "s-01"], (("s-00",), ("s-01",)), RolloutPolicy(wave_pause_s=0.0), ""
+            )
             begun = await here.group.ask("agent-0", make, f.BeginAnswer, 4.0)
             assert isinstance(begun, f.BeginAnswer) and begun.outcome == "away"
             assert (await here.ask("agent-1", "s-00")).outcome == "granted"
@@ -137,7 +139,7 @@
             assert (await here.ask("agent-0", *BOXES[1:4])).outcome == "refused"  # of what it knows it says so
             here.ground.lay_version("v2")
             here.ground.signal("agent-2", signal.SIGSTOP, "it was stopped")
-            make = begin("release", "release", "v2", (), (), Terms(), "")
+            make = begin("release", "release", "v2", (), (), RolloutPolicy(), "")
             begun = await here.group.ask("agent-1", make, f.BeginAnswer, 6.0)
             assert isinstance(begun, f.BeginAnswer) and begun.outcome == "away", begun
             assert "agent agent-2 does not say whether it has version v2" in begun.reasons
@@ -176,7 +178,7 @@
             assert (await here.ask("agent-1", *BOXES[1:3])).outcome == "granted"
             here.ground.relays.mend("cut", cut)
             while not all(
-                any(r.target == "s-00" and r.drained for r in held) for held in (await here.records()).values()
+                any(r.target == "s-00" and r.is_drained for r in held) for held in (await here.records()).values()
             ):
                 await asyncio.sleep(0.05)
 
@@ -218,7 +220,7 @@
                 late = await here.intend(agent, granted)
                 assert late.decisions[0].outcome in ("stale", "refused"), late
             held = await here.records()
-            assert not any(record.drained for records in held.values() for record in records)
+            assert not any(record.is_drained for records in held.values() for record in records)
             assert (await here.ask("agent-2", *BOXES[:3])).outcome == "granted"
 
     run(test(), within=90.0)
