--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,7 +1,7 @@
 """What the decisions cost and how well they route, at sizes from 8 boxes to 1,000: the last line is one JSON object.
 
 Costs are ratios within one run, small and large cases in turn. Routing is played in `elderlock.standins.tier`.
-`--weigh` compares ways to choose; `--constants` plays each constant at half and twice its value; `--split` plays the
+`--weigh` compares cost rules; `--constants` plays each constant at half and twice its value; `--split` plays the
 histories on two commits; `--program` adds the real program over a bare proxy (minutes, and it wants its cores).
 """
 
@@ -27,7 +27,7 @@
 
 from elderlock import decisions
 from elderlock import interface as api
-from elderlock.decisions import server_selection as choosing
+from elderlock.decisions import server_selection
 from elderlock.decisions.limiter import Limiter
 from elderlock.decisions.server_selection import ServerSelector
 from elderlock.interface import ListKind, Outcome, Routing, ServerState
@@ -250,11 +250,11 @@
     return found
 
 
-# Ways to choose
+# Costs to compare
 
 
-class ByOutstanding(ServerSelector):
-    """The least of ours under way alone."""
+class ByInFlight(ServerSelector):
+    """The least attempts in flight alone."""
 
     def cost(self, server: Server, request: OpenRequest, tried: set[str], least: float = 0.0) -> float:
         return (1.0 + len(server.in_flight)) * (1.0 + 0.05 * self.context.rng.random())
@@ -268,7 +268,7 @@
 
 
 class Reports(ServerSelector):
-    """With the queue that boxes report, as old as reports are; `part` of it counts beside what we have under way."""
+    """With the queue length that servers report, as old as reports are; `part` of it is added."""
 
     tier: Tier
     part, latency = 1.0, False
@@ -291,13 +291,13 @@
     part = 0.3
 
 
-WAYS: dict[str, type[ServerSelector]] = {
-    "latency x outstanding": ServerSelector,
-    "outstanding": ByOutstanding,
+COST_RULES: dict[str, type[ServerSelector]] = {
+    "latency x in flight": ServerSelector,
+    "in flight": ByInFlight,
     "latency": ByLatency,
-    "outstanding + reported queue": Reports,
-    "latency x (outstanding + reported)": Mixed,
-    "latency x (outstanding + 0.3 reported)": MixedLess,
+    "in flight + reported queue": Reports,
+    "latency x (in flight + reported)": Mixed,
+    "latency x (in flight + 0.3 reported)": MixedLess,
 }
 FIELDS = {
     "3 limiters, 30 boxes, load 0.7": Size(3, 30, load=0.7),
@@ -307,13 +307,13 @@
 }
 
 
-def way(named: tuple[str, str, int, bool]) -> dict[str, Any]:
-    """A way to choose, `drawn` at a time, in a field; with `lies` a tenth of the boxes reports 0 always."""
+def compare_cost_rule(named: tuple[str, str, int, bool]) -> dict[str, Any]:
+    """Play a cost rule with a sample size in a field; with `lies` a tenth of the servers always reports 0."""
     name, where, drawn, lies = named
-    choosing.SAMPLE_COUNT, choosing.FULL_SCAN_MAX_SERVERS = drawn, max(drawn, 2)
+    server_selection.SAMPLE_COUNT, server_selection.FULL_SCAN_MAX_SERVERS = drawn, max(drawn, 2)
     tier = Tier(FIELDS[where], 5)
     for limiter in tier.limiters:
-        made = WAYS[name](limiter.context, limiter.endpoints)
+        made = COST_RULES[name](limiter.context, limiter.endpoints)
         if isinstance(made, Reports):
             made.tier = tier
         limiter.attempts.server_selector = made
@@ -362,7 +362,7 @@
 FEW = api.Plan("few", rate_per_s=2.0, burst_units=5.0, concurrency_limit=3, over_quota_cost=0.5)
 
 
-def _troubled(size: Size, seed: int) -> Tier:
+def _with_faults(size: Size, seed: int) -> Tier:
     tier = Tier(size, seed).play(2500.0)
     boxes = list(tier.boxes.values())
     for box in boxes[::3]:
@@ -383,7 +383,7 @@
     return tier.play(6000.0)
 
 
-def _spoilt(seed: int) -> Tier:
+def _with_errors(seed: int) -> Tier:
     """Errors, and waiting rooms that are soon full."""
     tier = Tier(Size(3, 12, load=0.7, room=3, plans=(SHOP, FIRM), customers=400), seed)
     for box in list(tier.boxes.values())[::3]:
@@ -391,7 +391,7 @@
     return tier.play(8000.0)
 
 
-def _cold(seed: int) -> Tier:
+def _restarted(seed: int) -> Tier:
     """Every box is new at once, twice."""
     tier = Tier(Size(3, 12, load=0.5), seed).play(4000.0)
     for _ in range(2):
@@ -405,20 +405,20 @@
 PLANS = (SHOP, FIRM, FEW)
 DAYS: dict[str, Callable[[int], Tier]] = {  # the other days of the constants
     "calm": lambda seed: Tier(Size(3, 12, load=0.6), seed).play(6000.0),
-    "rush": lambda seed: Tier(Size(3, 12, load=1.6), seed).play(9000.0),
+    "overload": lambda seed: Tier(Size(3, 12, load=1.6), seed).play(9000.0),
     "quota": lambda seed: Tier(Size(3, 24, load=0.6, plans=PLANS, peers=True, customers=60), seed).play(9000.0),
-    "trouble": lambda seed: _troubled(Size(3, 24, load=0.5), seed),
-    "many": lambda seed: _troubled(Size(8, 64, load=0.6, routing=Routing(subset_size=24)), seed),
+    "faults": lambda seed: _with_faults(Size(3, 24, load=0.5), seed),
+    "large": lambda seed: _with_faults(Size(8, 64, load=0.6, routing=Routing(subset_size=24)), seed),
     "unreachable": _unreachable,
-    "spoilt": _spoilt,
-    "cold": _cold,
-    "thin": lambda seed: Tier(Size(3, 3, load=0.9, work=150.0), seed).play(15_000.0),
-    "pressed": lambda seed: _troubled(Size(3, 12, load=0.9, plans=PLANS, peers=True, customers=200), seed),
+    "errors": _with_errors,
+    "restart": _restarted,
+    "few": lambda seed: Tier(Size(3, 3, load=0.9, work=150.0), seed).play(15_000.0),
+    "pressed": lambda seed: _with_faults(Size(3, 12, load=0.9, plans=PLANS, peers=True, customers=200), seed),
 }
 
 
 def days(day: str) -> list[Callable[[], Tier]]:
-    """The project's own scenarios for the constants: calm, a rush over what the boxes bear, quotas, troubles."""
+    """The scenarios for the constants: calm, more load than the servers carry, quotas, faults."""
     return [lambda seed=seed: DAYS[day](seed) for seed in range(SEEDS)]  # type: ignore[misc]
 
 
@@ -540,7 +540,7 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--weigh", action="store_true", help="ways to choose, and how many are drawn")
+    parser.add_argument("--weigh", action="store_true", help="cost rules and sample sizes")
     parser.add_argument("--constants", action="store_true", help="each constant at half and twice its value")
     parser.add_argument("--split", action="store_true", help="a million events on the commits round the split")
     parser.add_argument("--program", action="store_true", help="the real program over a bare proxy")
@@ -554,10 +554,10 @@
         if options.constants:
             vary(pool)
         if options.weigh:
-            fields = [(name, where, 8, False) for where in FIELDS for name in WAYS]
-            drawn = [(next(iter(WAYS)), where, count, False) for where in FIELDS for count in (2, 4, 16, 60)]
-            lies = [(name, "3, 30, 0.9", 8, True) for name in WAYS]
-            for made in pool.map(way, fields + drawn + lies):
+            fields = [(name, where, 8, False) for where in FIELDS for name in COST_RULES]
+            drawn = [(next(iter(COST_RULES)), where, count, False) for where in FIELDS for count in (2, 4, 16, 60)]
+            lies = [(name, "3, 30, 0.9", 8, True) for name in COST_RULES]
+            for made in pool.map(compare_cost_rule, fields + drawn + lies):
                 print(json.dumps(made), flush=True)
         for spilled in pool.map(spill, (0.3, 0.5, 0.7, 0.8, 0.9, 1.0)):
             print(json.dumps(spilled), flush=True)
--- a/elderlock/decisions/__init__.py
+++ b/elderlock/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""All that is decided for a request, one file a concern, without I/O: `limiter` turns events into calls.
+"""All decisions of one limiter, without I/O: `limiter` passes each event to the module that it concerns.
 
-What the files share is `core`: the settings, this event's time and actions, the one generator of random numbers.
-Times are milliseconds, rates are a second.
+`context` holds what the modules share: the settings, the event's time and actions, the random number generator.
+Times are in milliseconds, rates per second.
 """
--- a/elderlock/decisions/endpoints.py
+++ b/elderlock/decisions/endpoints.py
@@ -81,15 +81,19 @@
         for server in self.outlier_detector.reinstate_excess(self.directory.total_weight_milli):
             self.reinstate(server)
         self.update_subset()
-        self.load_estimator.ready_server_count = len(self.directory.ready)
+        self.load_estimator.ready_server_count = self.ready_count()
 
     def _remove(self, server: Server) -> None:
-        ranking = self.subsetting.ranking
-        self.usable_count_by_rank[ranking.rank(server.entry.server_id)] -= not server.is_ejected
-        ranking.remove(server.entry.server_id)
+        server_id = server.entry.server_id
+        self.usable_count_by_rank[self.subsetting.rank(server_id)] -= not server.is_ejected
+        self.subsetting.remove(server_id)
         self.outlier_detector.forget(server)
         self.candidates.set_weight(server, 0)
 
+    def ready_count(self) -> int:
+        """Return how many servers the latest list allows new work for."""
+        return len(self.directory.ready)
+
     def update_subset(self) -> None:
         """Adjust the size of the subset, and reposition all ready servers if it changes."""
         if self.subsetting.update(self.usable_count_by_rank):
@@ -118,7 +122,7 @@
 
     def reinstate(self, server: Server) -> None:
         """Count a server that has joined, or whose ejection has ended, as usable."""
-        self.usable_count_by_rank[self.subsetting.ranking.rank(server.entry.server_id)] += 1
+        self.usable_count_by_rank[self.subsetting.rank(server.entry.server_id)] += 1
         self.reposition(server)
 
     def update_ejection(self, server: Server, was_ejected: bool) -> None:
@@ -128,7 +132,7 @@
             server: The server.
             was_ejected: Whether it was ejected before.
         """
-        rank = self.subsetting.ranking.rank(server.entry.server_id)
+        rank = self.subsetting.rank(server.entry.server_id)
         self.usable_count_by_rank[rank] += was_ejected - server.is_ejected
         self.reposition(server)
 
@@ -169,7 +173,7 @@
         self.update_ejection(server, was_ejected)
 
     def _record_failure(self, server: Server) -> None:
-        ready_count = len(self.directory.ready)
+        ready_count = self.ready_count()
         ready_weight_milli = self.directory.total_weight_milli
         for reinstated in self.outlier_detector.record_failure(server, ready_count, ready_weight_milli):
             self.reinstate(reinstated)
--- a/elderlock/decisions/subsetting.py
+++ b/elderlock/decisions/subsetting.py
@@ -35,6 +35,14 @@
         if self.subset_size:
             self.ranking.add(server_id, weight_milli)
 
+    def remove(self, server_id: str) -> None:
+        """Remove a server, if it was added."""
+        self.ranking.remove(server_id)
+
+    def rank(self, server_id: str) -> int:
+        """Return this limiter's rank for a server, from 0; 0 where all servers are included."""
+        return self.ranking.rank(server_id)
+
     def includes(self, server_id: str) -> bool:
         """Return whether this limiter holds a server."""
         return self.ranking.rank(server_id) < self.holder_count
