--- a/elderlock/decisions/server_health.py
+++ b/elderlock/decisions/server_health.py
@@ -53,12 +53,11 @@
 
     def suspicion(self, server: Server) -> float:
         """Return the largest fraction of failures in a server's failure domains, or of errors in its answers."""
-        suspicion = 0.0
-        if self.failure_fraction_by_domain:
-            fractions = self.failure_fraction_by_domain
-            suspicion = max(fractions.get(domain, 0.0) for domain in server.failure_domains())
-        if server.error_fraction:
-            suspicion = max(suspicion, self.error_fraction(server))
+        suspicion = self.error_fraction(server) if server.error_fraction else 0.0
+        fractions = self.failure_fraction_by_domain
+        if fractions:
+            for domain in server.failure_domains():
+                suspicion = max(suspicion, fractions.get(domain, 0.0))
         return suspicion
 
     # Outcomes
