--- a/elderlock/decisions/__init__.py
+++ b/elderlock/decisions/__init__.py
@@ -1,6 +1,5 @@
-"""All decisions about requests, without I/O.
+"""All decisions of one limiter, without I/O: `limiter` passes each event to the module that it concerns.
 
-`limiter.Limiter` turns events into actions and dispatches them to one module for each concern. What these share is in
-`context`: the settings, the time and the actions of the event being handled, and the one generator of random numbers.
+`context` holds what the modules share: the settings, the event's time and actions, the random number generator.
 Times are in milliseconds, rates per second.
 """
