--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -219,7 +219,7 @@
 # Actions
 
 
-def encode_action(action: api.Action) -> str:
+def encode_action(action: api.Action) -> str:  # noqa: C901
     """Encode an action as a line.
 
     Raises:
--- a/elderlock/net/discovery.py
+++ b/elderlock/net/discovery.py
@@ -164,7 +164,7 @@
             if self._version is None:
                 await self._fetch(call)
             await self._watch(call)
-        except Exception as error:  # whatever went wrong, the list is followed on
+        except Exception as error:  # whatever went wrong, the list is followed on  # noqa: BLE001
             log.warning("discovery at %s:%d: %r", *self._address, error)
         finally:
             if call is self._active_call:
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -329,7 +329,7 @@
             except Exception:  # the actions that follow belong to other requests
                 log.exception("an action failed: %s", type(action).__name__)
 
-    def _perform(self, action: api.Action) -> None:
+    def _perform(self, action: api.Action) -> None:  # noqa: C901
         match action:
             case api.SetTimer(delay_ms, token):
                 self._loop.call_later(delay_ms / 1000.0, self._submit, api.TimerFired(token))
--- a/elderlock/net/signals.py
+++ b/elderlock/net/signals.py
@@ -36,9 +36,9 @@
     """Read the configuration file again, and turn to the discovery address that it names.
 
     Of this file a reload follows the discovery address and, with `[quota]` store tally, the address of the counter; all
-    else needs a restart. `reload_features` also reads the certificates of `[authz]` again. Open requests, connections and the listener are not touched. A
-    file that cannot be used is logged and changes nothing. This is one step of the loop, so that signals close together
-    are handled one after the other.
+    else needs a restart. `reload_features` also reads the certificates of `[authz]` again. Open requests, connections
+    and the listener are not touched. A file that cannot be used is logged and changes nothing. This is one step of the
+    loop, so that signals close together are handled one after the other.
 
     Args:
         discovery: Follows the server list.
@@ -47,7 +47,7 @@
     try:
         config = load_config(os.environ)
     except ConfigError as error:  # a half-written or wrong file must not end a limiter that serves
-        log.error("the configuration stays as it was: %s", error)
+        log.error("the configuration stays as it was: %s", error)  # noqa: TRY400
         return
     discovery.follow(config.discovery_address)
     if reload_features is not None:
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -114,7 +114,7 @@
         try:
             addresses = self._addresses()
         except ConfigError as error:
-            log.error("the counter stays where it was: %s", error)
+            log.error("the counter stays where it was: %s", error)  # noqa: TRY400
             return
         if isinstance(self._client, TallyClient):
             self._client.follow(addresses[0])
--- a/elderlock/quota/tally_client.py
+++ b/elderlock/quota/tally_client.py
@@ -101,7 +101,7 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def connection_lost(self, exc: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
         calls, self._calls = self._calls, deque()
         self._owner.connection_ended(self)
         for call in calls:
--- a/elderlock/rollout/plan_transitions.py
+++ b/elderlock/rollout/plan_transitions.py
@@ -89,7 +89,7 @@
     return with_plan(ledger, msgspec.structs.replace(plan, heartbeat=plan.heartbeat + 1))
 
 
-def transition_waiting_to_out(
+def transition_waiting_to_out(  # noqa: PLR0913
     ledger: Ledger,
     plan_id: str,
     agent: str,
@@ -183,7 +183,7 @@
     return msgspec.structs.replace(ledger, limiter_versions=tuple(sorted(versions.items())))
 
 
-def transition_agents_waiting_to_out(
+def transition_agents_waiting_to_out(  # noqa: PLR0913
     ledger: Ledger,
     plan_id: str,
     agent: str,
--- a/elderlock/rollout/plans.py
+++ b/elderlock/rollout/plans.py
@@ -186,7 +186,7 @@
     return [wave for wave in waves if wave]
 
 
-def new_release_plan(
+def new_release_plan(  # noqa: PLR0913
     plan_id: str,
     version: str,
     waves: Iterable[Iterable[str]],
--- a/elderlock/settings_reader.py
+++ b/elderlock/settings_reader.py
@@ -36,7 +36,7 @@
     """
     value = raw[name] if default is None else raw.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"{name} is {value!r}, a number is wanted")
+        raise ValueError(f"{name} is {value!r}, a number is wanted")  # noqa: TRY004
     if not 0.0 <= value < inf:
         raise ValueError(f"{name} is {value}, a number from 0 is wanted")
     return float(value)
