--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -19,7 +19,8 @@
 from elderlock.control.records import OfferResult, Record, Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.api import Api
-from elderlock.fleet.agent.group_view import GroupView, now_ms, unix_ms
+from elderlock.fleet.agent.clock import now_ms, unix_ms
+from elderlock.fleet.agent.group_view import GroupView
 from elderlock.fleet.agent.worker_leasing import WorkerLeasing
 from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.auth import Tokens, client_tls, read_token, server_tls
@@ -43,6 +44,8 @@
 
 
 class Agent:
+    """The agent of one machine, with its parts; see the module for the order of every change."""
+
     def __init__(
         self,
         path: Path,
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -8,24 +8,23 @@
 
 import asyncio
 from collections.abc import Iterable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
 from elderlock import logs
 from elderlock.control.attach import build_version
-from elderlock.control.records import OfferResult
+from elderlock.control.records import OfferResult, Record
 from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS
 from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.fleet import messages as f
-from elderlock.fleet.agent.group_view import now_ms, unix_ms
-from elderlock.fleet.agent_store import StoreError
-from elderlock.fleet.auth import MAY, Identity
+from elderlock.fleet.agent.clock import now_ms, unix_ms
+from elderlock.fleet.agent.group_view import GroupView, ObservedAgent
+from elderlock.fleet.agent.worker_leasing import WorkerLeasing
+from elderlock.fleet.agent_store import Store, StoreError
+from elderlock.fleet.auth import MAY, Identity, Tokens
 from elderlock.fleet.drain_intents import decide
 
-if TYPE_CHECKING:
-    from elderlock.fleet.agent.agent import Agent
-
 CONNECTIONS = 256
 MOST_PENDING = 64  # requests of one connection in work at once
 MOST_WITHIN = 5.0  # s that a command may ask limiters to be waited for
@@ -33,6 +32,25 @@
 log = logs.get_logger(__name__)
 
 
+class ServedAgent(ObservedAgent, Protocol):
+    """The agent, as its API needs it."""
+
+    tokens: Tokens
+    store: Store
+    store_error: str
+    started_at_ms: float
+    group_view: GroupView
+    worker_leasing: WorkerLeasing
+
+    def store_failed(self, error: StoreError) -> None: ...
+    def commit_records(self, records: list[Record], line: f.AuditLine, ours: bool = True) -> int: ...
+    async def deliver_records(self, within: float) -> None: ...
+    def reach(self, records: list[Record]) -> list[f.Reach]: ...
+    async def progressed(self, progress: f.Progress) -> f.Progressed: ...
+    def audit(self, who: str, role: str, what: str, outcome: str) -> None: ...
+    def start_task(self, work: object) -> None: ...
+
+
 class Session:
     """Who is on a connection, and how many of its requests are in work."""
 
@@ -43,7 +61,9 @@
 
 
 class Api:
-    def __init__(self, agent: Agent) -> None:
+    """The API of one agent: one session a connection, one answer a request."""
+
+    def __init__(self, agent: ServedAgent) -> None:
         self._agent = agent
         bounds = ConnectionLimits(f.LONGEST, f.LONGEST_HELLO, CONNECTIONS)
         self.server: FrameServer[Session] = FrameServer(bounds, Session, self._handle, self._broken)
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -2,32 +2,41 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Iterable, Mapping
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from elderlock.control.records import Records
+from elderlock.control.records import Record, Records
 from elderlock.fleet import messages as f
+from elderlock.fleet.agent.clock import now_ms
+from elderlock.fleet.consensus.member import ConsensusMember
 from elderlock.fleet.group.membership import Membership
+from elderlock.fleet.plans.agent_release import AgentRelease
+from elderlock.fleet.plans.coordinator import PlanCoordinator
+from elderlock.fleet.supervision.managed_limiter import ManagedLimiter
 from elderlock.rollout.disruption_budget import Inventory
 from elderlock.rollout.inventory import KnownLimiter, build_inventory
 
-if TYPE_CHECKING:
-    from elderlock.fleet.agent.agent import Agent
-
 LACKED_AFTER = 2500.0  # ms without a word of its own, after which others are asked what they heard of a member
 
 
-def now_ms() -> float:
-    return time.monotonic() * 1000.0
+class ObservedAgent(Protocol):
+    """The agent, as `GroupView` needs it."""
 
+    name: str
+    records: Records
+    limiters: dict[str, ManagedLimiter]
+    agent_release: AgentRelease
+    consensus_member: ConsensusMember | None
+    plan_coordinator: PlanCoordinator | None
 
-def unix_ms() -> float:
-    return time.time() * 1000.0
+    def epoch(self) -> int: ...
+    def merge_records(self, records: Iterable[Record], via: str) -> None: ...
 
 
 class GroupView:
-    def __init__(self, agent: Agent, members: Iterable[str], floors: Mapping[str, str]) -> None:
+    """What an agent knows of its group: membership, the inventory, and the messages to and from the other agents."""
+
+    def __init__(self, agent: ObservedAgent, members: Iterable[str], floors: Mapping[str, str]) -> None:
         """`floors`: of each agent's machine."""
         self._agent, self.membership, self._floors = agent, Membership(agent.name, members), floors
         self._sequence = 0
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -18,7 +18,7 @@
 from elderlock.control.request_client import NoAnswerError, RequestClient
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.agent import Agent
-from elderlock.fleet.agent.group_view import now_ms
+from elderlock.fleet.agent.clock import now_ms
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.client.answers import Missing
 from elderlock.fleet.client.drain_commands import Order, Result, carry_out, see
