--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -264,7 +264,7 @@
     faults=20,
     share=0.2,
     auto_back=False,
-    terms=replace_terms(TERMS, settle=4.0, bake=4.0, bake_most=12.0),
+    terms=replace_terms(TERMS, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
 )
 
 
