--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from elderlock.interface import ServerState
+from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
 from elderlock.sim.tellers import Operator
 
@@ -207,9 +208,9 @@
     def _tell_off(self) -> None:
         """Its process ended, and each limiter's connections with it."""
         for node in self.world.nodes:
-            book = getattr(node.limiter.quota_coordinator, "book", None)
-            if node.alive and book is not None:
-                book.off(node.now())
+            quotas = node.limiter.quota_coordinator
+            if node.alive and isinstance(quotas, CountedCoordinator):
+                quotas.book.connection_lost(node.now())
 
     def _discovery(self, fault: Fault) -> None:
         world, teller = self.world, self.world.teller
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -49,6 +49,15 @@
     assert result.good(), seed.text() + result.text()
 
 
+@pytest.mark.parametrize("what", ["silent", "refusing", "empty", "busy", "late", "restored"])
+def test_no_fault_of_the_counter_breaks_a_rule_at_the_decision_level(what: Any) -> None:
+    """A counter that loses its counts also closes each limiter's connection; a rename once broke that step."""
+    fault = Fault(1.0, what, "counter", 1.0)
+    scenario = msgspec.structs.replace(BASE, settings=Settings(counter=True), fault=(fault,))
+    result = search.play(scenario, 1, "decisions")
+    assert result.good(), result.text()
+
+
 @pytest.mark.parametrize("place", ["format", "scenario.format"])
 def test_a_seed_of_another_format_says_that_it_no_longer_applies(place: str, tmp_path: Path) -> None:
     path = tmp_path / "old.toml"
