--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from elderlock.fleet.agent.agent import Agent
-from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.drain_commands import observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import read_agent
 from elderlock.spawning import spawn
@@ -49,7 +49,7 @@
         await agent.start()
         made.append(agent)
     group = Group.read(world.group_path)
-    while len([s for s in (await see(group)).states() if s.ready]) < limiters:
+    while len([s for s in (await observe_group(group)).states() if s.ready]) < limiters:
         await asyncio.sleep(0.1)
     return world, made, group
 
@@ -139,14 +139,14 @@
             print(f"drain {number} of {uid}: {code}, {account}, {progress}", flush=True)
         reports_wrong += false
         _, code, account, _ = await command(world, "undrain", "box", uid)
-        views = [(s.limiter, b) for s in (await see(group)).states() for b in s.servers]
+        views = [(s.limiter, b) for s in (await observe_group(group)).states() for b in s.servers]
         drained_still = [name for name, b in views if b.uid == uid and b.drained_by]
         if code != 0 or drained_still:
             print(f"undrain {number} of {uid}: {code}, {drained_still}, {account}", flush=True)
             reports_wrong += 1
         if number < SHOWS:
             started = time.perf_counter()
-            await see(group)
+            await observe_group(group)
             shows.append((time.perf_counter() - started) * 1000.0)
     ledger = await front.stop()
     shown = await timed_show(world.group_path)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -74,7 +74,7 @@
 async def until_outcome(group: Group, id: str, wanted: set[str], within: float) -> Plan | None:
     ends = time.monotonic() + within
     while time.monotonic() < ends:
-        plan = (await operate.known(group, 1.0)).plan(id)
+        plan = (await operate.list_plans(group, 1.0)).plan(id)
         if plan is not None and plan.outcome() in wanted:
             return plan
         await asyncio.sleep(0.1)
@@ -201,14 +201,14 @@
     began = time.monotonic()
     await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "halt"), f.SteerAnswer, 5.0)
     while True:
-        known = await operate.known(group, 1.0)
+        known = await operate.list_plans(group, 1.0)
         told = [next(plan for plan in answer.plans if plan.id == id) for answer in known.answers.values()]
         halts = [any(h[0] == id for h in answer.halts) for answer in known.answers.values()]
         if all(plan.state == "halted" or soft for plan, soft in zip(told, halts, strict=True)):
             break
     found.halt_ms.append((time.monotonic() - began) * 1000.0)
     # in force by word alone it has no turn yet; a go-on of an older one would be refused, as it should be
-    while (plan := (await operate.known(group, 1.0)).plan(id)) is None or plan.state != "halted":
+    while (plan := (await operate.list_plans(group, 1.0)).plan(id)) is None or plan.state != "halted":
         await asyncio.sleep(0.02)
     turn = plan.revision
     await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "go-on", turn), f.SteerAnswer, 5.0)
@@ -216,7 +216,7 @@
 
 async def all_run(group: Group, version: str) -> bool:
     for _ in range(100):
-        known = await operate.known(group, 1.0)
+        known = await operate.list_plans(group, 1.0)
         runs = [run.version for answer in known.answers.values() for run in answer.runs]
         if len(runs) == LIMITERS and set(runs) == {version}:
             return True
@@ -235,7 +235,7 @@
         if code == 0 and at:
             found.drain_ms.append(min(at) - began)
         await tools.told("an", "undrain", "box", box, within=10.0)
-        while (await operate.known(group, 1.0)).newest.permits:  # type: ignore[union-attr]
+        while (await operate.list_plans(group, 1.0)).newest.permits:  # type: ignore[union-attr]
             await asyncio.sleep(0.05)
 
 
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -241,7 +241,8 @@
 print(0, flush=True)
 for n in range(1, 400):
     host.write_private(home / "boot", b"%d" % n)
-    store.keep([Record("box", f"s-{n}", True, n, "o", "an", 0.0)], AuditLine(0.0, "an", "operator", "drain", n, ""))
+    line = AuditLine(0.0, "an", "operator", "drain", n, "")
+    store.save_records([Record("box", f"s-{n}", True, n, "o", "an", 0.0)], line)
     print(n, flush=True)
 """
 
@@ -260,7 +261,7 @@
         disk.lose_power(home, disk.load(seam.with_suffix(".durable")), random.Random(after))
         store = Store(home / "store.db")
         held = {record.generation for record in store.records()}
-        whole = store.set_aside is None and held >= set(range(1, told + 1))
+        whole = store.damaged_file is None and held >= set(range(1, told + 1))
         store.close()
         return whole
 
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -14,13 +14,13 @@
 
 from elderlock.cli import tables
 from elderlock.fleet import messages as f
-from elderlock.fleet.client.answers import Missing, Refusal, why
-from elderlock.fleet.client.drain_commands import Order, Result, carry_out, order_limiters, see
-from elderlock.fleet.client.explanation import entries
+from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, observe_group, order_limiters
 from elderlock.fleet.client.explanation import explain as explained
+from elderlock.fleet.client.explanation import summarize_evidence
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation
-from elderlock.fleet.client.report import Account, Exit
+from elderlock.fleet.client.report import CommandReport, Exit
 
 PLANNED = "the group carries it out"
 CLEAR = "\x1b[H\x1b[2J"
@@ -62,9 +62,9 @@
     return {
         "limiters": {state.limiter: msgspec.to_builtins(state.shared) for state in sharing},
         "shares_nothing": [state.limiter for state in seen.states() if state.shared is None],
-        "boxes": msgspec.to_builtins(entries(sharing)),
+        "boxes": msgspec.to_builtins(summarize_evidence(sharing)),
         "ceilings": {s.limiter: msgspec.to_builtins(s.ceilings) for s in seen.states() if s.ceilings is not None},
-        "missing": {name: why(missing) for name, missing in seen.missing.items()},
+        "missing": {name: failure_reason(missing) for name, missing in seen.missing.items()},
     }
 
 
@@ -72,7 +72,7 @@
     """`--watch` goes on till it is interrupted."""
     try:
         while True:
-            seen = await see(group, 50 if options.accounts else 0, options.deadline)
+            seen = await observe_group(group, 50 if options.accounts else 0, options.deadline)
             if options.json:
                 found = _shared_json(seen) if options.what == "shared" else _seen_json(seen)
                 print(json.dumps(found, sort_keys=True), flush=True)
@@ -95,25 +95,25 @@
 
 async def explain(options: argparse.Namespace, group: Group) -> int:
     try:
-        seen = await see(group, 0, options.deadline)
+        seen = await observe_group(group, 0, options.deadline)
     finally:
         group.close()
     found = explained(seen, options.target, time.time() * 1000.0)
     if options.json:
-        print(json.dumps({**msgspec.to_builtins(found), "used_by": sum(word.used for word in found.words)}))
-    elif found.known:
+        print(json.dumps({**msgspec.to_builtins(found), "used_by": sum(word.is_used for word in found.statements)}))
+    elif found.is_known:
         _out(tables.explained(found, _colour()))
     else:
-        _err([f"box {options.target} is not known to {len(found.words)} limiters that answer"])
+        _err([f"box {options.target} is not known to {len(found.statements)} limiters that answer"])
         _err(f"says nothing: {name}" for name in found.silent)
-    if not found.known:
+    if not found.is_known:
         return Exit.NOTHING
     return Exit.PART if found.silent else Exit.DONE
 
 
 async def compare(options: argparse.Namespace, group: Group) -> int:
     try:
-        seen = await see(group, 0, options.deadline)
+        seen = await observe_group(group, 0, options.deadline)
     finally:
         group.close()
     from elderlock.fleet.client.comparison import compare as differences
@@ -123,7 +123,7 @@
         print(json.dumps([msgspec.structs.asdict(each) for each in found]))
     else:
         _out([f"{each.about}: {each.text}" for each in found] or ["nothing differs"])
-        _err(f"agent {name} is not compared: {why(m)}" for name, m in seen.missing.items())
+        _err(f"agent {name} is not compared: {failure_reason(m)}" for name, m in seen.missing.items())
     return _seen_exit(seen)
 
 
@@ -139,10 +139,10 @@
         options.give_up_after,
         not options.no_wait,
     )
-    last: dict[str, Account] = {}
+    last: dict[str, CommandReport] = {}
     said: set[str] = set()
 
-    def told(title: str, account: Account) -> None:
+    def told(title: str, account: CommandReport) -> None:
         last[title] = account
         lines = [line for line in tables.progress(title, account) if line not in said]
         said.update(lines)
@@ -178,7 +178,7 @@
         _out(tables.plan_lines(result.plan))
     if result.unsafe:
         _err(f"unsafe{', but forced' if order.force else ''}: {reason}" for reason in result.unsafe)
-    for account in result.accounts:
+    for account in result.reports:
         _out(tables.account_table(account, _colour()))
     _err(result.lines)
     words = {
@@ -199,8 +199,8 @@
         "plan": msgspec.structs.asdict(result.plan) if result.plan is not None else None,
         "unsafe": list(result.unsafe),
         "lines": result.lines,
-        "text": [line for account in result.accounts for line in account.text()],
-        "records": [msgspec.to_builtins(r) for account in result.accounts for r in account.records.values()],
+        "text": [line for account in result.reports for line in account.text()],
+        "records": [msgspec.to_builtins(r) for account in result.reports for r in account.records.values()],
         "rows": [
             {
                 "target": row.key[1],
@@ -209,9 +209,9 @@
                 "state": row.state,
                 "at": row.at,
                 "why": row.why,
-                "out": row.out,
+                "out": row.open_requests,
             }
-            for account in result.accounts
+            for account in result.reports
             for row in account.rows()
         ],
     }
@@ -254,7 +254,7 @@
             json.dumps(
                 {
                     "agents": [msgspec.to_builtins(each) for each in stood],
-                    "missing": {name: why(a) for name, a in gone.items()},
+                    "missing": {name: failure_reason(a) for name, a in gone.items()},
                 }
             )
         )
@@ -266,7 +266,7 @@
             about = f"{permit.requested_by}, generation {permit.generation}{reason}"
             _out([f"permit for {permit.kind} {permit.target}, {about}"])
         _out(f"{each.agent} votes: {each.voting}; ledger {each.version}" for each in stood)
-    _err(f"agent {name} does not say: {why(a)}" for name, a in gone.items())
+    _err(f"agent {name} does not say: {failure_reason(a)}" for name, a in gone.items())
     return Exit.DONE if not gone else Exit.PART if stood else Exit.NOTHING
 
 
@@ -296,5 +296,5 @@
         ]
         _out(tables.table(("AT (UTC)", "AGENT", "WHO", "ROLE", "WHAT", "GEN", "REACHED"), rows, _colour()))
     gone = {name: a for name, a in answers.items() if isinstance(a, Missing | Refusal)}
-    _err(f"agent {name} does not answer: {why(a)}" for name, a in gone.items())
+    _err(f"agent {name} does not answer: {failure_reason(a)}" for name, a in gone.items())
     return Exit.DONE if not gone else Exit.PART if len(gone) < len(answers) else Exit.NOTHING
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.drain_commands import observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError
 from elderlock.load import compare, report, scenario, trace
@@ -248,7 +248,7 @@
 
 async def _listens(group: Group) -> list[str]:
     """Where the group's limiters listen, in the order of their names; those that do not say so are named."""
-    seen = await see(group, accounts=0)
+    seen = await observe_group(group, accounts=0)
     found: dict[str, str] = {}
     silent = [f"agent {name}" for name in seen.missing]
     for shown in seen.shown.values():
@@ -285,7 +285,7 @@
                 return 130
 
             async def kill(name: str) -> bool:
-                for shown in (await see(group, accounts=0)).shown.values():
+                for shown in (await observe_group(group, accounts=0)).shown.values():
                     for limiter in shown.limiters:
                         if limiter.name == name and limiter.pid:
                             os.kill(limiter.pid, signal.SIGKILL)
@@ -393,7 +393,7 @@
     missed = 0
     with contextlib.closing(trace.Writer(options.out)) as writer:
         while True:
-            seen = await see(group, MAXIMUM_ACCOUNTS)
+            seen = await observe_group(group, MAXIMUM_ACCOUNTS)
             now = time.monotonic()
             missed += len(seen.missing)
             states = {state.limiter: state for state in seen.states()}
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -126,7 +126,7 @@
     if what in ("halt", "go-on", "back", "give-up", "take-in"):
         id, turn = options.plan, 0
         if what not in ("give-up", "take-in"):
-            now = await operate.known(group, options.deadline)
+            now = await operate.list_plans(group, options.deadline)
             plan = now.plan(options.plan)
             if plan is None:
                 return _said(options, operate.Answer(Exit.NOTHING, None, [_none(now, options.plan)]))
@@ -153,9 +153,9 @@
     )
     dry = what != "start"
     if what == "drain":
-        from elderlock.fleet.client.drain_commands import box_steps, see
+        from elderlock.fleet.client.drain_commands import observe_group, server_drain_steps
 
-        steps = box_steps(await see(group, accounts=0, within=options.deadline), options.box)
+        steps = server_drain_steps(await observe_group(group, accounts=0, timeout_s=options.deadline), options.box)
         make = operate.begin(os.urandom(16).hex(), "drain", "", options.box, steps, terms, "", dry)
     else:
         version = "" if options.version == FILES else options.version
@@ -195,7 +195,7 @@
     from elderlock.fleet.client import plan_commands as operate
     from elderlock.fleet.client.report import Exit
 
-    now = await operate.known(group, options.deadline)
+    now = await operate.list_plans(group, options.deadline)
     if options.json and not options.watch:
         newest = now.newest
         print(
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -7,11 +7,11 @@
 from elderlock.control.messages import AnswerCounts, LimiterState
 from elderlock.control.messages import CounterStatus as CounterState
 from elderlock.fleet import messages as f
-from elderlock.fleet.client.answers import why
-from elderlock.fleet.client.drain_plan import Plan, summed
-from elderlock.fleet.client.explanation import Explanation, entries
+from elderlock.fleet.client.answers import failure_reason
+from elderlock.fleet.client.drain_plan import Plan, summarize_servers
+from elderlock.fleet.client.explanation import Explanation, summarize_evidence
 from elderlock.fleet.client.observation import GroupObservation
-from elderlock.fleet.client.report import Account
+from elderlock.fleet.client.report import CommandReport
 
 BOLD, PLAIN = "\x1b[1m", "\x1b[0m"
 
@@ -136,11 +136,11 @@
     lines = table(head, rows, colour)
     if apart := [state.limiter for state in states if state.shared is None]:
         lines.append(f"shares nothing: {', '.join(apart)}")
-    found = entries(sharing)
+    found = summarize_evidence(sharing)
     if found:
         boxes = [
             [
-                each.box,
+                each.server,
                 f"{each.weighed:g} of {each.enough:g}",
                 f"{each.held_by}/{len(sharing)}",
                 ages(each.failed),
@@ -166,7 +166,7 @@
 
 def explained(found: Explanation, colour: bool) -> list[str]:
     rows = []
-    for word in found.words:
+    for word in found.statements:
         health = word.health
         witnesses = health.witnesses if health is not None else ()
         failed = [(w.limiter, w.failed_age_ms) for w in witnesses if w.failed_age_ms >= 0.0]
@@ -174,10 +174,10 @@
         rows.append(
             [
                 word.limiter,
-                "yes" if word.used else "no",
-                word.why or ("-" if word.listed else "not in its list"),
+                "yes" if word.is_used else "no",
+                word.why or ("-" if word.is_listed else "not in its list"),
                 age(word.since_ms) if word.since_ms >= 0.0 else "-",
-                str(word.out),
+                str(word.open_requests),
                 number(word.latency_ms),
                 numbers(health.ejected_by) if health is not None else "-",
                 ages(failed),
@@ -232,7 +232,7 @@
 
 def _boxes(seen: GroupObservation, colour: bool) -> list[str]:
     states = seen.states()
-    boxes = summed(states)
+    boxes = summarize_servers(states)
     rows = []
     for uid, box in boxes.items():
         views = [b for s in states for b in s.servers if b.uid == uid]
@@ -244,10 +244,10 @@
         rows.append(
             [
                 uid,
-                box.floor,
+                box.zone,
                 box.kind,
                 f"{box.weight:g}",
-                str(box.out),
+                str(box.open_requests),
                 latency,
                 number(box.queue),
                 age(box.report_age_ms),
@@ -263,7 +263,7 @@
 def _missing(seen: GroupObservation) -> list[str]:
     lines = []
     for agent, missing in sorted(seen.missing.items()):
-        lines.append(f"agent {agent} does not answer: {why(missing)}")
+        lines.append(f"agent {agent} does not answer: {failure_reason(missing)}")
         heard = seen.heard.get(agent)
         if heard is None:
             lines.append("  no other agent has heard of it")
@@ -271,7 +271,8 @@
         told = f"told by {heard.via}" if heard.via else "heard by an agent that answers"
         lines.append(f"  {heard.standing}, last word {age(heard.age_ms)} ago ({told}):")
         lines += [
-            f"  {b.name}: {b.phase}, {b.link}, {b.open} open{', drained' if b.drained else ''}" for b in heard.limiters
+            f"  {b.name}: {b.phase}, {b.link}, {b.open} open{', drained' if b.is_drained else ''}"
+            for b in heard.limiters
         ]
     return lines
 
@@ -297,13 +298,13 @@
     ]
 
 
-def progress(title: str, account: Account) -> list[str]:
+def progress(title: str, account: CommandReport) -> list[str]:
     """Live lines of a drain: each limiter in work, finished, or not reached."""
     lines = []
     for row in account.rows():
         name = row.limiter or f"(limiters of {row.agent})"
         if row.state == "reached":
-            work = f"in work, {row.out} out" if row.out and account.wanted[row.key] else "finished"
+            work = f"in work, {row.open_requests} out" if row.open_requests and account.wanted[row.key] else "finished"
             word = f"reached; {work}" + (f"; {row.why}" if row.why else "")
         else:
             word = f"{row.state.replace('-', ' ')}: {row.why}"
@@ -311,7 +312,7 @@
     return lines
 
 
-def account_table(account: Account, colour: bool) -> list[str]:
+def account_table(account: CommandReport, colour: bool) -> list[str]:
     from datetime import UTC, datetime
 
     rows = []
@@ -324,7 +325,7 @@
                 row.agent,
                 row.state.replace("-", " "),
                 at,
-                str(row.out),
+                str(row.open_requests),
                 row.why or "-",
             ]
         )
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from elderlock.cli.running import PREFIX
-from elderlock.fleet.client.drain_commands import see
+from elderlock.fleet.client.drain_commands import observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import Exit
@@ -141,7 +141,7 @@
     try:
         async with asyncio.timeout(READY_WITHIN):
             while not stop.is_set() and not unusable.is_set():
-                if _answering(await see(group)) == limiters:
+                if _answering(await observe_group(group)) == limiters:
                     return True
                 await asyncio.sleep(0.1)
     except TimeoutError:
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -70,8 +70,8 @@
         self._tls = server_tls(file.agent.tls, self.folder) if file.agent.tls else None
         self.store = self._host.store(home / "store.db")
         self.store_error = ""
-        if self.store.set_aside is not None:
-            self.store_error = f"the store was damaged; put aside as {self.store.set_aside.name}"
+        if self.store.damaged_file is not None:
+            self.store_error = f"the store was damaged; put aside as {self.store.damaged_file.name}"
             log.error("store trouble", agent=self.name, error=self.store_error)
         self._epoch = self.store.next_epoch()
         self.records = Records(self.store.records())
@@ -103,7 +103,7 @@
             token = read_token(self.folder / file.agent.peer_token)
             tls = client_tls(group.group.tls, self.folder) if group.group.tls else None
             members = [member.name for member in group.agent]
-            floors = {member.name: member.floor for member in group.agent}
+            floors = {member.name: member.zone for member in group.agent}
             self.group_view = GroupView(self, members, floors)
             self.peers = [
                 PeerLink(self.group_view, member.name, address(member.address), token, tls)
@@ -130,7 +130,7 @@
     def outbid(self, epoch: int) -> bool:
         """Goes above the epoch of a claim of our own that the store has lost; False where it cannot."""
         try:
-            self.store.at_least_epoch(epoch + 1)
+            self.store.raise_epoch(epoch + 1)
         except StoreError:
             return False
         self._epoch = max(self._epoch, epoch + 1)
@@ -156,7 +156,7 @@
         others, and by the limiters that ran on."""
         try:
             async with asyncio.timeout(LEARN_WITHIN):
-                tried = [charge.link.tried.wait() for charge in self.limiters.values()]
+                tried = [charge.link.attempted.wait() for charge in self.limiters.values()]
                 await asyncio.gather(*tried, *(peer.met.wait() for peer in self.peers))
         except TimeoutError:
             away = [peer.name for peer in self.peers if not peer.met.is_set()]
@@ -167,7 +167,7 @@
             except StoreError as error:  # a full disk must keep no limiter from starting as it last ran
                 self.store_failed(error)
         for charge in self.limiters.values():
-            charge.release()
+            charge.start_if_wanted()
 
     def _retire(self) -> None:
         self._timer = asyncio.get_running_loop().call_later(RETIRE_EVERY, self._retire)
@@ -180,7 +180,7 @@
         if gone:
             line = f.AuditLine(unix_ms(), self.name, "agent", f"retired {_targets(gone)}", 0, "")
             try:
-                self.store.forget(gone, line)
+                self.store.delete_records(gone, line)
             except StoreError as error:
                 return self.store_failed(error)
             self.records = held
@@ -219,15 +219,15 @@
         """In the store first; then in force here and, where it is `ours`, on the way to all. Raises `StoreError`, and
         then nothing has happened."""
         try:
-            number = self.store.keep(records, line)
+            number = self.store.save_records(records, line)
         except StoreError as error:
             self.store_failed(error)
             raise
         self.store_error = ""
         self.records.merge(records)
         for charge in self.limiters.values():
-            charge.write_boot()
-            charge.link.kick()
+            charge.write_start_files()
+            charge.link.wake()
         if ours:
             self.notify_peers()
         return number
@@ -284,10 +284,10 @@
 
     def audit(self, who: str, role: str, what: str, outcome: str) -> None:
         """In the audit. Raises `StoreError`."""
-        self.store.keep([], f.AuditLine(unix_ms(), who, role, what, 0, outcome))
+        self.store.save_records([], f.AuditLine(unix_ms(), who, role, what, 0, outcome))
 
     async def deliver_records(self, within: float) -> None:
-        await asyncio.gather(*(charge.link.bring(within) for charge in self.limiters.values()))
+        await asyncio.gather(*(charge.link.push_records(within) for charge in self.limiters.values()))
 
     def reach(self, records: list[Record]) -> list[f.Reach]:
         return [reach for charge in self.limiters.values() for reach in charge.reach(records)]
@@ -316,7 +316,7 @@
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    if basis is None and (basis := LauncherLink.of(os.environ)) is not None:
+    if basis is None and (basis := LauncherLink.from_environ(os.environ)) is not None:
         basis.watch(stop.set)
     agent = Agent(path, read_agent(path), random.Random(), host, basis)
     try:
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -22,8 +22,8 @@
 from elderlock.fleet.agent.group_view import GroupView, ObservedAgent
 from elderlock.fleet.agent.worker_leasing import WorkerLeasing
 from elderlock.fleet.agent_store import Store, StoreError
-from elderlock.fleet.auth import MAY, Identity, Tokens
-from elderlock.fleet.drain_intents import decide
+from elderlock.fleet.auth import ALLOWED_MESSAGES, Identity, Tokens
+from elderlock.fleet.drain_intents import decide_intent
 
 CONNECTIONS = 256
 MOST_PENDING = 64  # requests of one connection in work at once
@@ -75,7 +75,7 @@
     def _handle(self, connection: Connection[Session], body: bytes) -> None:
         visitor = connection.session
         try:
-            message = f.to_agent(body)
+            message = f.decode_request(body)
         except msgspec.DecodeError as error:
             return connection.send(f.encode(f.Refused("unknown-message", str(error))), last=True)
         if isinstance(message, f.Hello):
@@ -96,7 +96,7 @@
         if f.VERSION not in hello.versions:
             told = ", ".join(map(str, hello.versions)) or "none"
             return f.Refused("version", f"version {told} is not known; this agent speaks {f.VERSION}")
-        identity = self._agent.tokens.who(hello.token)
+        identity = self._agent.tokens.identify(hello.token)
         if identity is None:
             log.warning("connection refused: wrong token", agent=self._agent.name)
             return f.Refused("token", "the token is not known here")
@@ -116,11 +116,11 @@
 
     async def _answer(self, who: Identity, message: f.ToAgent) -> f.Message:
         kind = str(type(message).__struct_config__.tag)
-        if kind not in MAY[who.role]:
+        if kind not in ALLOWED_MESSAGES[who.role]:
             what = f"refused: {kind}"
-            if kind in MAY["operator"]:
+            if kind in ALLOWED_MESSAGES["operator"]:
                 line = f.AuditLine(unix_ms(), who.name, who.role, what, 0, "nothing was done")
-                self._agent.store.keep([], line)
+                self._agent.store.save_records([], line)
             return f.Refused("role", f"{who.name} is a {who.role} and may not {kind}", _id(message))
         match message:
             case f.Show():
@@ -157,7 +157,7 @@
                 targets = ", ".join(f"{kind} {target}" for kind, target in message.targets)
                 text = f"{granted.outcome}: {'; '.join(granted.reasons)}" if granted.reasons else granted.outcome
                 line = f.AuditLine(unix_ms(), who.name, who.role, f"asked to take out {targets}", 0, text[:400])
-                self._agent.store.keep([], line)
+                self._agent.store.save_records([], line)
                 return granted
             case f.Prepare():
                 return keeper.prepared(message)
@@ -191,7 +191,7 @@
         agent = self._agent
         accounts = max(0, min(show.accounts, MAXIMUM_ACCOUNTS))
         within = max(0.0, min(show.within_ms / 1000.0, MOST_WITHIN))
-        await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.limiters.values()))
+        await asyncio.gather(*(c.link.refresh_state(within, accounts) for c in self._agent.limiters.values()))
         return f.Shown(
             show.id,
             agent.name,
@@ -207,7 +207,7 @@
     async def _intend(self, who: Identity, intend: f.SubmitIntents) -> f.Message:
         self._agent.merge_records(intend.known, f"{who.name}'s command")
         now = unix_ms()
-        decisions = [self._decide(wish, intend, who.name, now) for wish in intend.wishes]
+        decisions = [self._decide(wish, intend, who.name, now) for wish in intend.intents]
         made = [d.record for d in decisions if d.outcome == "made" and d.record is not None]
         if any(self._agent.records.check(record) is OfferResult.OLDER for record in made):
             return f.Refused("not-kept", f"{len(self._agent.records)} records are held already", intend.id)
@@ -226,14 +226,14 @@
         reach = self._agent.reach(concerned)
         if number:
             try:
-                self._agent.store.reached(number, _reached(reach))
+                self._agent.store.set_audit_outcome(number, _reached(reach))
             except StoreError as error:
                 self._agent.store_failed(error)
         return f.IntentsAnswer(intend.id, self._agent.name, tuple(decisions), tuple(reach))
 
     def _decide(self, wish: f.DrainIntent, intend: f.SubmitIntents, by: str, now: float) -> f.Decision:
-        decision = decide(self._agent.records, wish, intend, by, now)
-        if self._agent.consensus_member is None or intend.force or not wish.drained or decision.outcome != "made":
+        decision = decide_intent(self._agent.records, wish, intend, by, now)
+        if self._agent.consensus_member is None or intend.force or not wish.is_drained or decision.outcome != "made":
             return decision
         if decision.record is not None and self._agent.records.check(decision.record) is OfferResult.KNOWN:
             return decision  # asked again for what was made
@@ -247,12 +247,12 @@
         if charge is None:
             return f.Refused("unknown-limiter", f"{self._agent.name} has no limiter {order.limiter}", order.id)
         line = f.AuditLine(unix_ms(), who.name, who.role, f"{order.action} {order.limiter}", 0, "")
-        number = self._agent.store.keep([], line)
+        number = self._agent.store.save_records([], line)
         before = charge.supervisor.phase
         charge.want(order.action == "start")
         after = charge.supervisor.phase
         text = f"{before}, now {after}" if before != after else f"{after} already"
-        self._agent.store.reached(number, text)
+        self._agent.store.set_audit_outcome(number, text)
         return f.Ordered(order.id, self._agent.name, after, text)
 
     async def _lend(self, who: Identity, lend: f.LeaseWorker) -> f.Message:
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -51,11 +51,9 @@
 
     def inventory(self) -> Inventory:
         """What this agent knows of the group, as the budget counts it."""
-        states = [
-            c.link.state for c in self._agent.limiters.values() if c.link.standing == "answering" and c.link.state
-        ]
+        states = [c.link.state for c in self._agent.limiters.values() if c.link.status == "answering" and c.link.state]
         here = self._floors.get(self._agent.name, "")
-        known = [KnownLimiter(name, here, charge.why_out()) for name, charge in self._agent.limiters.items()]
+        known = [KnownLimiter(name, here, charge.unavailable_reason()) for name, charge in self._agent.limiters.items()]
         drained, unheard = self._agent.records.drained_targets("limiter"), []
         for heard in self.membership.view(now_ms()):
             if heard.age_ms < 0:
@@ -75,11 +73,11 @@
         drained = self._agent.records.drained_targets("limiter")
         fit = {name for name in names if name not in drained}
         for name, charge in self._agent.limiters.items():
-            if charge.link.standing != "answering":
+            if charge.link.status != "answering":
                 fit.discard(name)
         for heard in self.membership.view(now_ms()):
             for brief in heard.limiters:
-                if heard.standing == "alive" and (brief.drained or brief.link != "answering"):
+                if heard.standing == "alive" and (brief.is_drained or brief.link != "answering"):
                     fit.discard(brief.name)
         return fit
 
@@ -102,7 +100,7 @@
         agent, keeper, conductor = self._agent, self._agent.consensus_member, self._agent.plan_coordinator
         self._sequence += 1
         view = self.membership.view(now_ms())
-        lacks = told.lacks if told is not None else None
+        lacks = told.unheard_agents if told is not None else None
         version = keeper.ledger.version if keeper is not None else -1
         newer = keeper is not None and (told is None or told.ledger_version < version)
         return f.Exchange(
@@ -125,7 +123,7 @@
         now = now_ms()
         self.membership.record_direct(exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now)
         self.membership.record_relayed(exchange.heard, exchange.agent, now)
-        self._agent.agent_release.record_peer(exchange.agent, exchange.itself)
+        self._agent.agent_release.record_peer(exchange.agent, exchange.agent_brief)
         if self._agent.consensus_member is not None and exchange.ledger:
             self._agent.consensus_member.record_ledger(exchange.ledger)
         if self._agent.plan_coordinator is not None and exchange.halts:
--- a/elderlock/fleet/agent_store.py
+++ b/elderlock/fleet/agent_store.py
@@ -46,13 +46,13 @@
 
     def __init__(self, path: Path, factory: type[sqlite3.Connection] = sqlite3.Connection) -> None:
         self._path, self._factory = path, factory
-        self.set_aside: Path | None = None  # what was there and could not be read
+        self.damaged_file: Path | None = None  # what was there and could not be read
         try:
             self._db = self._open()
         except sqlite3.OperationalError as error:  # locked, full, no rights: it may be whole
             raise StoreError(f"{path}: {error}") from None
         except sqlite3.DatabaseError:
-            self.set_aside = self._aside()
+            self.damaged_file = self._aside()
             try:
                 self._db = self._open()
             except sqlite3.Error as error:
@@ -109,14 +109,14 @@
 
     def next_epoch(self) -> int:
         """Greater at each start of the agent, and kept before it is used."""
-        self.at_least_epoch(self.epoch() + 1)
+        self.raise_epoch(self.epoch() + 1)
         return self.epoch()
 
     def epoch(self) -> int:
         rows = self._rows("SELECT value FROM meta WHERE name='epoch'")
         return int(str(rows[0][0])) if rows else 0
 
-    def at_least_epoch(self, epoch: int) -> None:
+    def raise_epoch(self, epoch: int) -> None:
         self._write(
             (
                 "INSERT INTO meta VALUES ('epoch', ?) ON CONFLICT (name) DO UPDATE "
@@ -141,7 +141,7 @@
             for kind, target, drained, generation, origin, by, at, reason in rows
         )
 
-    def keep(self, records: Iterable[Record], line: AuditLine) -> int:
+    def save_records(self, records: Iterable[Record], line: AuditLine) -> int:
         """The records with their audit line; returns its id, for `reached`."""
         statements: list[tuple[str, tuple[object, ...]]] = [
             (
@@ -161,7 +161,7 @@
         ]
         return self._audited(statements, line)
 
-    def forget(self, records: Iterable[Record], line: AuditLine) -> int:
+    def delete_records(self, records: Iterable[Record], line: AuditLine) -> int:
         gone: list[tuple[str, tuple[object, ...]]] = [
             ("DELETE FROM records WHERE kind=? AND target=?", (r.kind, r.target)) for r in records
         ]
@@ -177,7 +177,7 @@
         )
         return number
 
-    def reached(self, number: int, text: str) -> None:
+    def set_audit_outcome(self, number: int, text: str) -> None:
         """Completes an audit line with how far its command came."""
         self._write(("UPDATE audit SET reached=? WHERE id=?", (text, number)))
 
@@ -203,7 +203,7 @@
             bytes(value) if isinstance(value, bytes) else b"",
         )
 
-    def keep_vote(self, promised: Ballot, accepted: Ballot, value: bytes) -> None:
+    def save_vote(self, promised: Ballot, accepted: Ballot, value: bytes) -> None:
         """Before the answer leaves that tells of it."""
         self._write(("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)", (*promised, *accepted, value)))
 
--- a/elderlock/fleet/auth.py
+++ b/elderlock/fleet/auth.py
@@ -19,7 +19,7 @@
 
 ROLES: tuple[Role, ...] = ("viewer", "operator", "agent")
 SHORTEST = 16  # characters
-MAY: dict[str, frozenset[str]] = {
+ALLOWED_MESSAGES: dict[str, frozenset[str]] = {
     "viewer": frozenset({"show", "progress", "audit", "standing", "plans"}),
     "operator": frozenset(
         {"show", "progress", "audit", "intend", "order", "lend", "ask", "standing", "begin", "steer", "plans"}
@@ -84,7 +84,7 @@
             raise FileError(f"{path}: no token in it")
         return cls(entries)
 
-    def who(self, token: str) -> Identity | None:
+    def identify(self, token: str) -> Identity | None:
         """Looks at every entry, each in constant time: how long it takes tells nothing."""
         given, found = _digest(token), None
         for digest, identity in self._entries:
--- a/elderlock/fleet/client/answers.py
+++ b/elderlock/fleet/client/answers.py
@@ -19,5 +19,5 @@
     text: str
 
 
-def why(missing: Missing | Refusal) -> str:
+def failure_reason(missing: Missing | Refusal) -> str:
     return missing.why if isinstance(missing, Missing) else missing.text
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -12,11 +12,11 @@
 from elderlock.control.records import Key, Kind, Record
 from elderlock.fleet import messages as f
 from elderlock.fleet.client import plan_commands as operate_plans
-from elderlock.fleet.client.answers import Refusal, why
-from elderlock.fleet.client.drain_plan import Plan, plan_boxes, plan_limiters, summed
+from elderlock.fleet.client.answers import Refusal, failure_reason
+from elderlock.fleet.client.drain_plan import Plan, limiter_drain_risks, plan_server_drain, summarize_servers
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation, observe
-from elderlock.fleet.client.report import Account, Exit
+from elderlock.fleet.client.report import CommandReport, Exit
 from elderlock.rollout.plans import RolloutPolicy
 
 SEE_WITHIN = 1.0  # s for each agent
@@ -27,12 +27,12 @@
 AGAIN_EVERY = 0.2  # s between looks at how far it came
 
 
-async def see(
-    group: Group, accounts: int = 20, within: float = SEE_WITHIN, fresh_within: float = FRESH_WITHIN
+async def observe_group(
+    group: Group, accounts: int = 20, timeout_s: float = SEE_WITHIN, fresh_timeout_ms: float = FRESH_WITHIN
 ) -> GroupObservation:
-    """`within` s for each agent; `fresh_within` ms that an agent waits for its limiters, whose last word
+    """`timeout_s` for each agent; `fresh_timeout_ms` that an agent waits for its limiters, whose last word
     from up to two seconds ago it shows else."""
-    return observe(await group.ask_all(lambda id: f.Show(id, accounts, fresh_within), f.Shown, within))
+    return observe(await group.ask_all(lambda id: f.Show(id, accounts, fresh_timeout_ms), f.Shown, timeout_s))
 
 
 class Order(msgspec.Struct, frozen=True):
@@ -54,20 +54,20 @@
     exit: Exit
     plan: Plan | None
     unsafe: tuple[str, ...]
-    accounts: list[Account]
+    reports: list[CommandReport]
     lines: list[str]
 
 
-Told = Callable[[str, Account], None]
+Told = Callable[[str, CommandReport], None]
 
 
 async def carry_out(
     group: Group, order: Order, told: Told, planned: Callable[[list[str]], None] = lambda lines: None
 ) -> Result:
     """`told` hears of each step's progress whenever something changed; `planned` of that of a plan in the group."""
-    seen = await see(group, accounts=0, within=order.deadline, fresh_within=PLAN_WITHIN)
+    seen = await observe_group(group, accounts=0, timeout_s=order.deadline, fresh_timeout_ms=PLAN_WITHIN)
     if not seen.shown:
-        lines = [f"agent {name}: {why(m)}" for name, m in seen.missing.items()]
+        lines = [f"agent {name}: {failure_reason(m)}" for name, m in seen.missing.items()]
         return Result(Exit.NOTHING, None, (), [], [*lines, "no agent answers: nothing was done"])
     plan, unsafe, steps = _plan(seen, order)
     unknown = _unknown(seen, order, plan)
@@ -75,7 +75,7 @@
         return Result(Exit.NOTHING, plan, (), [], [f"{order.kind} {name} is not known" for name in unknown])
     if unsafe and not order.force:
         return Result(Exit.UNSAFE, plan, unsafe, [], [])
-    accounts: list[Account] = []
+    accounts: list[CommandReport] = []
     loop = asyncio.get_running_loop()
     ends = None if order.give_up_after is None else loop.time() + order.give_up_after
     if group.budget and order.drained and not order.force and len(steps) > 1 and order.expect is None:
@@ -96,7 +96,7 @@
     return Result(_worst(accounts), plan, unsafe, accounts, [])
 
 
-def _worst(accounts: Iterable[Account]) -> Exit:
+def _worst(accounts: Iterable[CommandReport]) -> Exit:
     outcomes = {account.outcome() for account in accounts}
     for exit in (Exit.OVERTAKEN, Exit.PART):
         if exit in outcomes:
@@ -110,15 +110,15 @@
     if not order.drained:
         return None, (), (order.targets,)
     if order.kind == "limiter":
-        return None, plan_limiters(seen.serving(), order.targets), (order.targets,)
-    plan = plan_boxes(summed(seen.states()), order.targets)
+        return None, limiter_drain_risks(seen.serving(), order.targets), (order.targets,)
+    plan = plan_server_drain(summarize_servers(seen.states()), order.targets)
     planned = {uid for step in plan.steps for uid in step}
     # what is out of service already still gets its record, which outlives discovery's word; at once
     rest = tuple(uid for uid in order.targets if uid not in planned)
     return plan, plan.unsafe, ((rest,) if rest else ()) + plan.steps
 
 
-def box_steps(seen: GroupObservation, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
+def server_drain_steps(seen: GroupObservation, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
     """The steps in which these boxes would go, as the group is seen."""
     return _plan(seen, Order("box", tuple(targets), True))[2]
 
@@ -154,11 +154,11 @@
 
 async def _permitted(
     group: Group, order: Order, targets: Sequence[str], seen: GroupObservation, ends: float | None
-) -> tuple[Account, list[str]]:
+) -> tuple[CommandReport, list[str]]:
     """The account of a step, with its permits where the group has a budget; or why there are none. Any agent may be
     asked: one that was asked and did not answer may have granted them, and the next one finds them by the origin."""
     keys: list[Key] = [(order.kind, target) for target in targets]
-    account = Account(os.urandom(16).hex(), {key: order.drained for key in keys}, known=seen.limiters())
+    account = CommandReport(os.urandom(16).hex(), {key: order.drained for key in keys}, known_limiters=seen.limiters())
     drained = seen.records.drained_targets(order.kind)
     wanted = tuple((order.kind, target) for target in targets if target not in drained)
     if not group.budget or not order.drained or order.force or not wanted:
@@ -173,15 +173,25 @@
                 return account, []
             if isinstance(answer, f.PermitsAnswer) and answer.outcome == "refused":
                 return account, [f"no permit: {reason}" for reason in answer.reasons]
-            said = list(answer.reasons) if isinstance(answer, f.PermitsAnswer) else [f"agent {name}: {why(answer)}"]
+            said = (
+                list(answer.reasons)
+                if isinstance(answer, f.PermitsAnswer)
+                else [f"agent {name}: {failure_reason(answer)}"]
+            )
         if ends is None or loop.time() >= ends:
             return account, [f"no permit: {text}" for text in said]
         await asyncio.sleep(AGAIN_EVERY)
 
 
 async def _step(
-    group: Group, order: Order, account: Account, seen: GroupObservation, ends: float | None, title: str, told: Told
-) -> Account:
+    group: Group,
+    order: Order,
+    account: CommandReport,
+    seen: GroupObservation,
+    ends: float | None,
+    title: str,
+    told: Told,
+) -> CommandReport:
     loop = asyncio.get_running_loop()
     keys = list(account.wanted)
     held = {key: seen.records.get(*key) for key in keys}
@@ -207,12 +217,12 @@
             ),
         )
         for name, answer in intended.items():
-            account.answered(name, answer)
+            account.add_answer(name, answer)
             if isinstance(answer, f.IntentsAnswer) or (isinstance(answer, Refusal) and answer.code in FINAL):
                 pending.discard(name)
         for name, progress in progressed.items():
             if name in account.decisions or isinstance(progress, f.Progressed):
-                account.answered(name, progress)
+                account.add_answer(name, progress)
         now = repr((account.rows(), account.text()))
         if now != before:
             told(title, account)
@@ -225,13 +235,13 @@
 FINAL = frozenset({"role", "token", "version", "name"})  # refusals that no repetition changes
 
 
-def _over(account: Account, order: Order) -> bool:
+def _over(account: CommandReport, order: Order) -> bool:
     if account.overtaken() or (not account.taken() and not account.sent and _all_refused(account)):
         return True
-    return account.finished() if order.wait_finished and order.drained else account.complete()
+    return account.is_finished() if order.wait_finished and order.drained else account.is_complete()
 
 
-def _all_refused(account: Account) -> bool:
+def _all_refused(account: CommandReport) -> bool:
     """No agent took it and none is left that might: all that could be asked said no."""
     refused = {name for name, m in account.missing.items() if isinstance(m, Refusal)}
     stale = {
@@ -258,13 +268,13 @@
     told: Callable[[str], None],
 ) -> Result:
     """Starts or stops limiters and waits until they run or are gone."""
-    seen = await see(group, accounts=0, within=deadline)
+    seen = await observe_group(group, accounts=0, timeout_s=deadline)
     where = {name: agent for agent, limiters in seen.limiters().items() for name in limiters}
     unknown = [name for name in names if name not in where]
     if unknown:
-        gone = [f"agent {name}: {why(m)}" for name, m in seen.missing.items()]
+        gone = [f"agent {name}: {failure_reason(m)}" for name, m in seen.missing.items()]
         return Result(Exit.NOTHING, None, (), [], [f"limiter {n} is not known" for n in unknown] + gone)
-    if action == "stop" and not force and (unsafe := plan_limiters(seen.serving(), names)):
+    if action == "stop" and not force and (unsafe := limiter_drain_risks(seen.serving(), names)):
         return Result(Exit.UNSAFE, None, unsafe, [], [])
     want = "running" if action == "start" else "stopped"
     lines, done, left = [], set(), set(names)
@@ -287,7 +297,7 @@
                 refused.add(name)
                 lines.append(f"{name}: agent {where[name]} refuses: {answer.text}")
         left -= refused
-        now = await see(group, accounts=0, within=deadline)
+        now = await observe_group(group, accounts=0, timeout_s=deadline)
         for shown in now.shown.values():
             for limiter in shown.limiters:
                 if limiter.name in left & ordered and limiter.phase in (want, "gave-up"):
--- a/elderlock/fleet/client/explanation.py
+++ b/elderlock/fleet/client/explanation.py
@@ -16,16 +16,16 @@
     out, -1 where that is not known. `listed` is False where its list does not name the box."""
 
     limiter: str
-    listed: bool
+    is_listed: bool = msgspec.field(name="listed")
     why: str
     since_ms: float
-    out: int
+    open_requests: int = msgspec.field(name="out")
     latency_ms: float
     health: ServerHealth | None
 
     @property
-    def used(self) -> bool:
-        return self.listed and not self.why
+    def is_used(self) -> bool:
+        return self.is_listed and not self.why
 
 
 class Explanation(msgspec.Struct, frozen=True):
@@ -36,28 +36,30 @@
     kind: str
     weight: float
     record: Record | None
-    words: tuple[LimiterStatement, ...]
+    statements: tuple[LimiterStatement, ...] = msgspec.field(name="words")
     silent: tuple[str, ...]
 
     @property
-    def known(self) -> bool:
-        return any(word.listed for word in self.words) or self.record is not None
+    def is_known(self) -> bool:
+        return any(word.is_listed for word in self.statements) or self.record is not None
 
     def lines(self) -> list[str]:
         """In short: what most need to know."""
-        used = sum(word.used for word in self.words)
-        named = [word for word in self.words if word.listed]
+        used = sum(word.is_used for word in self.statements)
+        named = [word for word in self.statements if word.is_listed]
         about = f"{self.floor}, {self.kind}, weight {self.weight:g}" if named else "in no limiter's list"
-        lines = [f"{self.box} ({about}) is used by {used} of {len(self.words)} limiters"]
+        lines = [f"{self.box} ({about}) is used by {used} of {len(self.statements)} limiters"]
         if self.record is not None:
             verb = "drained" if self.record.is_drained else "undrained"
             reason = f": {self.record.reason}" if self.record.reason else ""
             lines.append(f"{verb} by {self.record.requested_by}, generation {self.record.generation}{reason}")
         reasons: dict[str, int] = {}
-        for word in self.words:
-            if why := word.why if word.listed else "its list does not name the box":
+        for word in self.statements:
+            if why := word.why if word.is_listed else "its list does not name the box":
                 reasons[why] = reasons.get(why, 0) + 1
-        lines += [f"{count} of {len(self.words)}: {why}" for why, count in sorted(reasons.items(), key=lambda r: -r[1])]
+        lines += [
+            f"{count} of {len(self.statements)}: {why}" for why, count in sorted(reasons.items(), key=lambda r: -r[1])
+        ]
         return lines
 
 
@@ -96,11 +98,11 @@
     )
 
 
-class Entry(msgspec.Struct, frozen=True):
+class EvidenceSummary(msgspec.Struct, frozen=True):
     """Evidence on one box, over all limiters: how much it weighs where it weighs most, and the freshest that each
     limiter that saw something told (its number, and the age in ms)."""
 
-    box: str
+    server: str = msgspec.field(name="box")
     weighed: float
     enough: float
     held_by: int
@@ -109,7 +111,7 @@
     answered: tuple[tuple[int, float], ...]
 
 
-def entries(states: Iterable[LimiterState]) -> list[Entry]:
+def summarize_evidence(states: Iterable[LimiterState]) -> list[EvidenceSummary]:
     """The heaviest first."""
     found: dict[str, list[tuple[str, ServerHealth]]] = {}
     for state in states:
@@ -117,10 +119,10 @@
             if box.health is not None:
                 found.setdefault(box.uid, []).append((state.limiter, box.health))
     made = [_entry(uid, healths) for uid, healths in found.items()]
-    return sorted(made, key=lambda entry: (-entry.weighed, entry.box))
+    return sorted(made, key=lambda entry: (-entry.weighed, entry.server))
 
 
-def _entry(uid: str, healths: list[tuple[str, ServerHealth]]) -> Entry:
+def _entry(uid: str, healths: list[tuple[str, ServerHealth]]) -> EvidenceSummary:
     failed: dict[int, float] = {}
     answered: dict[int, float] = {}
     for _, health in healths:
@@ -128,7 +130,7 @@
             for ages, age in ((failed, witness.failed_age_ms), (answered, witness.answered_age_ms)):
                 if age >= 0.0:
                     ages[witness.limiter] = min(age, ages.get(witness.limiter, age))
-    return Entry(
+    return EvidenceSummary(
         uid,
         max(health.failure_weight for _, health in healths),
         healths[0][1].ejection_weight,
--- a/elderlock/fleet/client/group_client.py
+++ b/elderlock/fleet/client/group_client.py
@@ -23,7 +23,7 @@
     """The agents that a group file names."""
 
     def __init__(self, file: GroupFile, token: str, tls: ssl.SSLContext | None) -> None:
-        self._at = {member.name: address(member.address) for member in file.agent}
+        self._addresses = {member.name: address(member.address) for member in file.agent}
         self._token, self._tls = token, tls
         self.budget = file.budget is not None  # drains need permits
         self._callers: dict[str, RequestClient[f.FromAgent]] = {}
@@ -39,7 +39,7 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        return tuple(self._at)
+        return tuple(self._addresses)
 
     async def ask_all(
         self,
@@ -49,7 +49,7 @@
         agents: Iterable[str] | None = None,
     ) -> dict[str, T | Missing | Refusal]:
         """`make` is given an id. `within` seconds for each agent, its connection included."""
-        names = list(self._at if agents is None else agents)
+        names = list(self._addresses if agents is None else agents)
         found = await asyncio.gather(*(self.ask(name, make, answer, within) for name in names))
         return dict(zip(names, found, strict=True))
 
@@ -75,7 +75,7 @@
             except NoAnswerError as error:
                 return Missing(agent, str(error), True)
             finally:
-                if len(self._at) > KEPT:
+                if len(self._addresses) > KEPT:
                     self._callers.pop(agent, caller).close()
         if isinstance(said, f.Refused):
             return Refusal(agent, said.code, said.text)
@@ -87,9 +87,9 @@
         caller = self._callers.get(agent)
         if caller is not None and not caller.disconnected.is_set():
             return caller
-        caller = RequestClient(f.from_agent, f.LONGEST)
+        caller = RequestClient(f.decode_answer, f.LONGEST)
         try:
-            await caller.connect_tcp(*self._at[agent], self._tls)
+            await caller.connect_tcp(*self._addresses[agent], self._tls)
             said = await caller.request(f.Hello((f.VERSION,), self._token), within)
         except BaseException:
             caller.close()
--- a/elderlock/fleet/client/plan_commands.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from elderlock.fleet import messages as f
-from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
 from elderlock.rollout.plans import Plan, RolloutPolicy, Unit
@@ -19,7 +19,7 @@
 AGAIN_EVERY = 0.25  # s between looks at a plan, and between tries
 
 
-class Known(msgspec.Struct, frozen=True):
+class PlanAnswers(msgspec.Struct, frozen=True):
     """What agents know of plans: the one with the newest ledger speaks for all."""
 
     answers: dict[str, f.PlansStatus]
@@ -53,7 +53,9 @@
         runs = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
         if plan.kind == "agents":
             runs = {
-                name: f.RunningVersion(name, answer.itself.version, answer.itself.version, answer.itself.said)
+                name: f.RunningVersion(
+                    name, answer.agent_brief.version, answer.agent_brief.version, answer.agent_brief.progress
+                )
                 for name, answer in self.answers.items()
             }
         for unit in sorted(plan.units, key=lambda unit: (unit.wave, unit.target)):
@@ -86,18 +88,18 @@
     if run is None:
         return f"{said}; what it runs is not known"
     said += f", runs {run.version or 'the version of the files'}"
-    if run.said.stage and unit.stage != "done":
-        said += f" ({run.said.stage}{': ' + run.said.reason if run.said.reason else ''})"
+    if run.progress.stage and unit.stage != "done":
+        said += f" ({run.progress.stage}{': ' + run.progress.reason if run.progress.reason else ''})"
     if run.version != run.wanted and unit.stage != "out":
         said += f", and is to run {run.wanted or 'the version of the files'} from its next start on"
     return said
 
 
-async def known(group: Group, deadline: float) -> Known:
+async def list_plans(group: Group, deadline: float) -> PlanAnswers:
     answers = await group.ask_all(f.ListPlans, f.PlansStatus, deadline)
-    return Known(
+    return PlanAnswers(
         {name: a for name, a in answers.items() if isinstance(a, f.PlansStatus)},
-        {name: why(a) for name, a in answers.items() if isinstance(a, Missing | Refusal)},
+        {name: failure_reason(a) for name, a in answers.items() if isinstance(a, Missing | Refusal)},
     )
 
 
@@ -127,7 +129,7 @@
         for name in random.sample(group.names, len(group.names)):
             got: object = await group.ask(name, make, answer, ANSWER_WITHIN)
             if isinstance(got, Missing | Refusal):
-                said = [f"agent {name}: {why(got)}"]
+                said = [f"agent {name}: {failure_reason(got)}"]
             elif not isinstance(got, f.BeginAnswer | f.SteerAnswer):
                 continue
             elif got.outcome == "away":
@@ -148,7 +150,7 @@
     ends = None if give_up_after is None else loop.time() + give_up_after
     before: list[str] = []
     while True:
-        now = await known(group, deadline)
+        now = await list_plans(group, deadline)
         plan = now.plan(id)
         if plan is not None:
             lines = now.lines(plan)
--- a/elderlock/fleet/client/report.py
+++ b/elderlock/fleet/client/report.py
@@ -10,8 +10,8 @@
 
 from elderlock.control.records import Key, Record
 from elderlock.fleet import messages as f
-from elderlock.fleet.client.answers import Missing, Refusal, why
-from elderlock.fleet.drain_intents import words
+from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
+from elderlock.fleet.drain_intents import describe_record
 from elderlock.rollout.permit_ledger import Permit
 
 
@@ -39,10 +39,10 @@
     state: State
     at: float  # Unix ms, for `reached`
     why: str
-    out: int
+    open_requests: int
 
 
-class Account(msgspec.Struct):
+class CommandReport(msgspec.Struct):
     """Gathers what all agents answered to one command, and goes on gathering while it is tried again.
 
     Invariant: a limiter counts as reached by its own word alone; what was sent and not answered is
@@ -56,10 +56,12 @@
     missing: dict[str, Missing | Refusal] = msgspec.field(default_factory=dict)
     sent: set[str] = msgspec.field(default_factory=set)  # agents to which the command was written
     reach: dict[str, tuple[f.Reach, ...]] = msgspec.field(default_factory=dict)
-    known: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)  # limiters by agent, as last heard
+    known_limiters: dict[str, tuple[str, ...]] = msgspec.field(
+        name="known", default_factory=dict
+    )  # limiters by agent, as last heard
     permits: tuple[Permit, ...] = ()  # that its records are made under, where the group has a budget
 
-    def answered(self, agent: str, answer: f.IntentsAnswer | f.Progressed | Missing | Refusal) -> None:
+    def add_answer(self, agent: str, answer: f.IntentsAnswer | f.Progressed | Missing | Refusal) -> None:
         if isinstance(answer, Missing | Refusal):
             self.missing[agent] = answer
             if isinstance(answer, Missing) and answer.sent and agent not in self.decisions:
@@ -92,7 +94,7 @@
 
     def rows(self) -> list[Row]:
         rows = [
-            Row(agent, r.limiter, (r.kind, r.target), r.state, r.at, r.why, r.out)
+            Row(agent, r.limiter, (r.kind, r.target), r.state, r.at, r.why, r.open_requests)
             for agent, reaches in self.reach.items()
             if agent not in self.missing
             for r in reaches
@@ -105,16 +107,18 @@
         """An agent that does not answer now. What its limiters told through it before still holds: a
         limiter that had put a record in force does not lose it while its agent is away."""
         before: dict[tuple[str, Key], f.Reach] = {(r.limiter, (r.kind, r.target)): r for r in self.reach.get(agent, ())}
-        reason = why(missing)
+        reason = failure_reason(missing)
         rows = []
         for key in self.wanted:
-            limiters = [""] if not self.known.get(agent) else list(self.known[agent])
+            limiters = [""] if not self.known_limiters.get(agent) else list(self.known_limiters[agent])
             if key[0] == "limiter":
                 limiters = [name for name in limiters if name in ("", key[1])]
             for limiter in limiters:
                 told = before.get((limiter, key))
                 if told is not None and told.state == "reached":
-                    rows.append(Row(agent, limiter, key, "reached", told.at, f"since then: {reason}", told.out))
+                    rows.append(
+                        Row(agent, limiter, key, "reached", told.at, f"since then: {reason}", told.open_requests)
+                    )
                     continue
                 sent = agent in self.sent or told is not None and told.state == "unknown"
                 state: State = "unknown" if sent else "not-reached"
@@ -122,14 +126,14 @@
                 rows.append(Row(agent, limiter, key, state, 0.0, text, 0))
         return rows
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Nothing is left to reach."""
         return not self.missing and all(row.state in ("reached", "at-start") for row in self.rows())
 
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Nothing is left in work at what was drained, as far as limiters say."""
-        return self.complete() and not any(
-            row.out for row in self.rows() if self.wanted[row.key] and row.state == "reached"
+        return self.is_complete() and not any(
+            row.open_requests for row in self.rows() if self.wanted[row.key] and row.state == "reached"
         )
 
     def outcome(self) -> Exit:
@@ -138,15 +142,15 @@
         if not self.taken():
             refused = any(isinstance(m, Refusal) for m in self.missing.values())
             return Exit.PART if self.sent and not refused else Exit.NOTHING
-        return Exit.DONE if self.complete() else Exit.PART
+        return Exit.DONE if self.is_complete() else Exit.PART
 
     def text(self) -> list[str]:
         """What people have to know beside the rows."""
         lines = []
         for record in self.overtaken():
-            lines.append(f"{record.kind} {record.target}: not done, it is {words(record)}")
+            lines.append(f"{record.kind} {record.target}: not done, it is {describe_record(record)}")
         for record in self.joined():
-            lines.append(f"{record.kind} {record.target}: {words(record)}; yours joins that record")
+            lines.append(f"{record.kind} {record.target}: {describe_record(record)}; yours joins that record")
         for agent, missing in sorted(self.missing.items()):
             if isinstance(missing, Refusal):
                 lines.append(f"agent {agent} refuses: {missing.text}")
--- a/elderlock/fleet/config.py
+++ b/elderlock/fleet/config.py
@@ -107,11 +107,11 @@
 
 
 class MemberPart(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`floor`: where its machine stands, for a budget by floor."""
+    """`zone`: where its machine stands, for a budget by floor."""
 
     name: str
     address: str
-    floor: str = ""
+    zone: str = msgspec.field(name="floor", default="")
 
 
 class GroupPart(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -148,7 +148,7 @@
         vote = decide(trial)
         if vote.ok:
             try:
-                self._owner.store.keep_vote(*trial.durable_state())
+                self._owner.store.save_vote(*trial.durable_state())
             except StoreError as error:
                 log.error("a vote could not be kept", error=str(error))
                 return False, Vote(False, self._acceptor.promised)
@@ -335,7 +335,7 @@
         if round.phase is not Phase.CHOSEN:
             return False
         try:
-            self._owner.store.keep_vote(round.ballot, round.ballot, round.value)
+            self._owner.store.save_vote(round.ballot, round.ballot, round.value)
         except StoreError:
             return False
         self._acceptor, self._remembers = Acceptor(round.ballot, round.ballot, round.value), True
--- a/elderlock/fleet/drain_intents.py
+++ b/elderlock/fleet/drain_intents.py
@@ -8,34 +8,34 @@
 from elderlock.fleet.messages import Decision, DrainIntent, Reach, Reached, SubmitIntents
 
 
-def decide(records: Records, wish: DrainIntent, intend: SubmitIntents, by: str, now: float) -> Decision:
+def decide_intent(records: Records, wish: DrainIntent, intend: SubmitIntents, by: str, now: float) -> Decision:
     """One record, one outcome: a wish that already holds joins its record, whoever made it; one that acts
     on what was before another's change is stale. Nothing is changed here; `now` is Unix ms."""
     held = records.get(wish.kind, wish.target)
     if held is not None and held.origin == intend.origin:
         return Decision("made", held)  # repeated after a lost answer
-    if held is not None and held.is_drained == wish.drained:
-        return Decision("joined", held, f"{words(held)} already")
-    if held is None and not wish.drained:
+    if held is not None and held.is_drained == wish.is_drained:
+        return Decision("joined", held, f"{describe_record(held)} already")
+    if held is None and not wish.is_drained:
         return Decision("joined", None, "was not drained")
     generation = held.generation if held is not None else 0
     if generation != wish.expect:
         seen = f"generation {wish.expect}" if wish.expect else "no record"
-        return Decision("stale", held, f"you acted on {seen}, but it is {words(held)} since")
+        return Decision("stale", held, f"you acted on {seen}, but it is {describe_record(held)} since")
     if intend.generation <= generation:
         return Decision("refused", held, f"generation {intend.generation} is not above {generation}")
-    record = Record(wish.kind, wish.target, wish.drained, intend.generation, intend.origin, by, now, intend.reason)
+    record = Record(wish.kind, wish.target, wish.is_drained, intend.generation, intend.origin, by, now, intend.reason)
     return Decision("made", record)
 
 
-def words(record: Record | None) -> str:
+def describe_record(record: Record | None) -> str:
     if record is None:
         return "without a record"
     verb = "drained" if record.is_drained else "undrained"
     return f"{verb} by {record.requested_by} (generation {record.generation})"
 
 
-class ProgressBook:
+class RecordProgress:
     """What is known of the records at one limiter: sent there, or told by it to be in force.
 
     A limiter that answers has reached what it names. What was sent and not answered may be in force or
@@ -48,11 +48,11 @@
         self.out: dict[str, int] = {}
         self.open = 0
 
-    def sent(self, records: Iterable[Record]) -> None:
+    def record_sent(self, records: Iterable[Record]) -> None:
         for record in records:
             self._sent[record.key] = max(record.order, self._sent.get(record.key, record.order))
 
-    def applied(self, records: Iterable[Record], at: float, out: dict[str, int], open: int) -> None:
+    def record_applied(self, records: Iterable[Record], at: float, out: dict[str, int], open: int) -> None:
         """The limiter's own word. `at` is kept from when it first named a record."""
         for record in records:
             held = self._held.get(record.key)
@@ -60,7 +60,7 @@
                 self._held[record.key] = (record.order, at)
         self.out, self.open = out, open
 
-    def restarted(self) -> None:
+    def reset(self) -> None:
         """The process has ended or is another: what it held says nothing of the next."""
         self._sent.clear()
         self._held.clear()
--- a/elderlock/fleet/group/peer_link.py
+++ b/elderlock/fleet/group/peer_link.py
@@ -60,7 +60,7 @@
 
     async def _run(self) -> None:
         while True:
-            caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+            caller: RequestClient[f.FromAgent] = RequestClient(f.decode_answer, f.LONGEST)
             try:
                 async with asyncio.timeout(PEER_WITHIN):
                     await caller.connect_tcp(*self._at, self._tls)
--- a/elderlock/fleet/host.py
+++ b/elderlock/fleet/host.py
@@ -14,11 +14,11 @@
 from elderlock.fleet.supervision import limiter_process as process
 
 
-class Running(Protocol):
+class HostProcess(Protocol):
     """A live process, as an agent has it."""
 
     pid: int
-    born: int  # the kernel's ticks
+    start_ticks: int  # the kernel's ticks
 
     def signal(self, number: Signals) -> None: ...
 
@@ -67,16 +67,16 @@
 
     def renamed(self, path: Path) -> None: ...
 
-    def born(self, pid: int) -> int:
+    def process_start_ticks(self, pid: int) -> int:
         """When the process started; 0 where none lives under that pid."""
-        return process.born(pid)
+        return process.process_start_ticks(pid)
 
-    def adopt(self, pid: int, started: int, ended: Callable[[], None]) -> Running | None:
+    def adopt(self, pid: int, started: int, ended: Callable[[], None]) -> HostProcess | None:
         """The process that was born then, or None where it is gone."""
         return process.adopt(pid, started, ended)
 
     def spawn(
         self, command: Sequence[str], environ: Mapping[str, str], directory: Path, log: Path, ended: Callable[[], None]
-    ) -> Running:
+    ) -> HostProcess:
         """Raises `OSError`."""
         return process.spawn(command, environ, directory, log, ended)
--- a/elderlock/fleet/launcher/launcher.py
+++ b/elderlock/fleet/launcher/launcher.py
@@ -17,7 +17,7 @@
 from elderlock import logs
 from elderlock.fleet.config import FileError, read_agent
 from elderlock.fleet.host import Host
-from elderlock.fleet.launcher.launcher_link import ENVIRON, Go, Ready, Settled, Started, word_of
+from elderlock.fleet.launcher.launcher_link import ENVIRON, Ready, Settled, Started, SwitchVersion, message_decoder
 from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
 from elderlock.spawning import spawn
 
@@ -26,7 +26,7 @@
 log = logs.get_logger(__name__)
 
 
-class Running:
+class LauncherProcess:
     def __init__(self, path: Path, own: Sequence[str], rng: random.Random, host: Host | None = None) -> None:
         """`own`: the command that starts the agent of `path` where no version says another. Raises `FileError`."""
         file = read_agent(path)
@@ -41,7 +41,7 @@
             raise FileError(f"{home}: another base holds it") from None
         except OSError as error:
             raise FileError(f"{home}: {error.strerror}") from None
-        self.base = AgentLauncher(self._read(), rng)
+        self.launcher = AgentLauncher(self._read(), rng)
         self._process: asyncio.subprocess.Process | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.over = asyncio.Event()
@@ -75,7 +75,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def start(self) -> None:
-        self._do(self.base.begin(self._now()))
+        self._do(self.launcher.begin(self._now()))
 
     def _do(self, do: LauncherAction | None) -> None:
         if do == "start":
@@ -86,19 +86,19 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self.base.due_ms is not None:
-            wait = max(0.0, self.base.due_ms - self._now()) / 1000.0
+        if self.launcher.due_ms is not None:
+            wait = max(0.0, self.launcher.due_ms - self._now()) / 1000.0
             self._timer = asyncio.get_running_loop().call_later(wait, self._due)
-        if self.base.has_ended:
+        if self.launcher.has_ended:
             self.over.set()
 
     def _due(self) -> None:
-        self._do(self.base.on_timer(self._now()))
+        self._do(self.launcher.on_timer(self._now()))
 
     async def _run(self) -> None:
-        held = self.base.state
+        held = self.launcher.state
         command = (*(held.current.command or self._own), str(self._path))
-        environ = {**os.environ, ENVIRON: msgspec.json.encode(Started(held, self.base.start_count)).decode()}
+        environ = {**os.environ, ENVIRON: msgspec.json.encode(Started(held, self.launcher.start_count)).decode()}
         how = ""
         try:
             self._process = await spawn(
@@ -114,7 +114,7 @@
             how = f"signal {-code}" if code < 0 else f"code {code}"
         self._process = None
         log.info("agent ended", agent=self.name, how=how)
-        kept, do = self.base.on_exit(how, self._now())
+        kept, do = self.launcher.on_exit(how, self._now())
         if kept is not None:
             log.warning("falls back to the version before", agent=self.name, why=kept.failure_reason)
             self._keep(kept)
@@ -130,24 +130,24 @@
             if not line:
                 return
             try:
-                word = word_of.decode(line)
+                word = message_decoder.decode(line)
             except msgspec.DecodeError as error:
                 log.error("a word that cannot be read", agent=self.name, error=str(error))
                 continue
             match word:
-                case Go(to):
-                    held = self.base.state_after_switch(to)
+                case SwitchVersion(to):
+                    held = self.launcher.state_after_switch(to)
                     if held is not None and self._keep(held):  # durable before it counts
-                        self._do(self.base.switch(held, self._now()))
+                        self._do(self.launcher.switch(held, self._now()))
                 case Ready():
-                    self.base.on_ready()
+                    self.launcher.on_ready()
                     self._do(None)
                 case Settled(generation):
-                    if (held := self.base.on_settled(generation)) is not None:
+                    if (held := self.launcher.on_settled(generation)) is not None:
                         self._keep(held)
 
     def stop(self) -> None:
-        self._do(self.base.stop(self._now()))
+        self._do(self.launcher.stop(self._now()))
 
     def pass_on(self, number: int) -> None:
         if self._process is not None and self._process.returncode is None:
@@ -162,7 +162,7 @@
 
 async def serve(path: Path, own: Sequence[str], host: Host | None = None) -> None:
     """Runs the agent of that file till SIGTERM or SIGINT; SIGHUP is passed on to it. Raises `FileError`."""
-    running = Running(path, own, random.Random(), host)
+    running = LauncherProcess(path, own, random.Random(), host)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, running.stop)
--- a/elderlock/fleet/launcher/launcher_link.py
+++ b/elderlock/fleet/launcher/launcher_link.py
@@ -25,11 +25,11 @@
 class Started(msgspec.Struct, frozen=True):
     """What a base tells the agent that it starts."""
 
-    held: LauncherState
-    starts: int
+    state: LauncherState = msgspec.field(name="held")
+    start_count: int = msgspec.field(name="starts")
 
 
-class Go(msgspec.Struct, tag="to", frozen=True):
+class SwitchVersion(msgspec.Struct, tag="to", frozen=True):
     to: SwitchRequest
 
 
@@ -41,17 +41,17 @@
     generation: int
 
 
-Word = Go | Ready | Settled
-word_of = msgspec.json.Decoder(Word)
+Word = SwitchVersion | Ready | Settled
+message_decoder = msgspec.json.Decoder(Word)
 
 
 class LauncherLink:
     def __init__(self, started: Started, out: BinaryIO) -> None:
-        self.held, self.starts = started.held, started.starts
+        self.state, self.start_count = started.state, started.start_count
         self._out, self._ready = out, False
 
     @classmethod
-    def of(cls, environ: MutableMapping[str, str]) -> LauncherLink | None:
+    def from_environ(cls, environ: MutableMapping[str, str]) -> LauncherLink | None:
         """None where no base started this process. What it starts itself must not take the base for its own, nor write
         to the base: the variable is taken out, and the standard output is given to the log."""
         text = environ.get(ENVIRON, "")
@@ -79,15 +79,15 @@
         except OSError as error:
             log.error("the base does not hear", error=str(error))
 
-    def go(self, to: SwitchRequest) -> None:
-        self._say(Go(to))
+    def request_switch(self, to: SwitchRequest) -> None:
+        self._say(SwitchVersion(to))
 
-    def ready(self) -> None:
+    def report_ready(self) -> None:
         if not self._ready:
             self._ready = True
             self._say(Ready())
 
-    def settled(self) -> None:
-        if self.held.is_on_trial:
-            self._say(Settled(self.held.generation))
-            self.held = msgspec.structs.replace(self.held, is_on_trial=False)
+    def report_settled(self) -> None:
+        if self.state.is_on_trial:
+            self._say(Settled(self.state.generation))
+            self.state = msgspec.structs.replace(self.state, is_on_trial=False)
--- a/elderlock/fleet/messages/__init__.py
+++ b/elderlock/fleet/messages/__init__.py
@@ -20,9 +20,9 @@
 from elderlock.fleet.messages.codec import (
     FromAgent,
     ToAgent,
+    decode_answer,
+    decode_request,
     encode,
-    from_agent,
-    to_agent,
 )
 from elderlock.fleet.messages.consensus import (
     Accept,
@@ -124,6 +124,6 @@
     "Welcome",
     "DrainIntent",
     "encode",
-    "from_agent",
-    "to_agent",
+    "decode_answer",
+    "decode_request",
 ]
--- a/elderlock/fleet/messages/codec.py
+++ b/elderlock/fleet/messages/codec.py
@@ -65,12 +65,12 @@
 
 # made when first needed: a command reads the one and an agent the other, and each takes a while to make
 @cache
-def _to_agent() -> msgspec.msgpack.Decoder[ToAgent]:
+def _request_decoder() -> msgspec.msgpack.Decoder[ToAgent]:
     return msgspec.msgpack.Decoder(ToAgent)
 
 
 @cache
-def _from_agent() -> msgspec.msgpack.Decoder[FromAgent]:
+def _answer_decoder() -> msgspec.msgpack.Decoder[FromAgent]:
     return msgspec.msgpack.Decoder(FromAgent)
 
 
@@ -78,9 +78,9 @@
     return _encoder.encode(message)
 
 
-def to_agent(body: bytes) -> ToAgent:
-    return _to_agent().decode(body)
+def decode_request(body: bytes) -> ToAgent:
+    return _request_decoder().decode(body)
 
 
-def from_agent(body: bytes) -> FromAgent:
-    return _from_agent().decode(body)
+def decode_answer(body: bytes) -> FromAgent:
+    return _answer_decoder().decode(body)
--- a/elderlock/fleet/messages/drains.py
+++ b/elderlock/fleet/messages/drains.py
@@ -18,7 +18,7 @@
 class DrainIntent(msgspec.Struct, frozen=True):
     kind: Kind
     target: str
-    drained: bool
+    is_drained: bool = msgspec.field(name="drained")
     expect: int  # the generation that the operator saw, 0 where there was no record
 
 
@@ -29,7 +29,7 @@
     id: int
     origin: str
     generation: int
-    wishes: tuple[DrainIntent, ...]
+    intents: tuple[DrainIntent, ...] = msgspec.field(name="wishes")
     known: tuple[Record, ...]
     reason: str
     within_ms: float
@@ -52,7 +52,9 @@
     state: Reached
     at: float
     why: str
-    out: int  # attempts of this limiter that are still out at the box; of a limiter, its open requests
+    open_requests: int = msgspec.field(
+        name="out"
+    )  # attempts of this limiter that are still out at the box; of a limiter, its open requests
 
 
 class IntentsAnswer(Message, tag="intended"):
--- a/elderlock/fleet/messages/plans.py
+++ b/elderlock/fleet/messages/plans.py
@@ -71,7 +71,7 @@
     limiter: str
     version: str
     wanted: str
-    said: ExecutionProgress
+    progress: ExecutionProgress = msgspec.field(name="said")
 
 
 class PlansStatus(Message, tag="planned"):
@@ -88,4 +88,4 @@
     given_up: tuple[tuple[str, str], ...]
     halts: tuple[tuple[str, int, str], ...] = ()
     permits: tuple[Permit, ...] = ()
-    itself: AgentBrief = AgentBrief()
+    agent_brief: AgentBrief = msgspec.field(name="itself", default=AgentBrief())
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -37,13 +37,13 @@
     phase: Phase
     link: str
     open: int
-    drained: bool
+    is_drained: bool = msgspec.field(name="drained")
     boxes_drained: int
     version: str = ""  # that its process runs; empty for the one in its agent's file
     serving: bool = False  # it answers, has its list and takes clients
     restarts: int = 0
     figures: AnswerMetrics = AnswerMetrics()
-    said: ExecutionProgress = ExecutionProgress()  # of a release
+    progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())  # of a release
 
 
 class AgentBrief(msgspec.Struct, frozen=True):
@@ -54,7 +54,7 @@
     based: bool = False
     starts: int = 0
     serving: bool = False
-    said: ExecutionProgress = ExecutionProgress()
+    progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())
 
 
 class AgentObservation(msgspec.Struct):
@@ -102,6 +102,8 @@
     heard: tuple[AgentObservation, ...]  # of those that the other lacks
     ledger: bytes = b""  # the newest that it knows to be chosen, where the other has an older one
     ledger_version: int = -1
-    lacks: tuple[str, ...] | None = None  # of whom it has heard nothing lately; None for one that does not say
+    unheard_agents: tuple[str, ...] | None = msgspec.field(
+        name="lacks", default=None
+    )  # of whom it has heard nothing lately; None for one that does not say
     halts: tuple[tuple[str, int, str], ...] = ()  # plan, turn and why: in force at once, also where no majority answers
-    itself: AgentBrief = AgentBrief()
+    agent_brief: AgentBrief = msgspec.field(name="itself", default=AgentBrief())
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -28,23 +28,23 @@
 
     @property
     def version(self) -> str:
-        return self.basis.held.current.version if self.basis is not None else ""
+        return self.basis.state.current.version if self.basis is not None else ""
 
     def up(self) -> None:
         """A majority answered: the group hears this version. The base needs no more to know that it started."""
         self.heard_by_majority = True
         if self.basis is not None:
-            self.basis.ready()
+            self.basis.report_ready()
 
     def brief(self) -> f.AgentBrief:
         basis = self.basis
         return f.AgentBrief(
-            self.version, basis is not None, basis.starts if basis is not None else 0, self._serving(), self._said
+            self.version, basis is not None, basis.start_count if basis is not None else 0, self._serving(), self._said
         )
 
     def _serving(self) -> bool:
         return self.heard_by_majority and all(
-            not charge.supervisor.wanted or charge.why_out() == "" for charge in self._charges.values()
+            not charge.supervisor.wanted or charge.unavailable_reason() == "" for charge in self._charges.values()
         )
 
     def record_peer(self, name: str, brief: f.AgentBrief) -> None:
@@ -59,13 +59,13 @@
 
     def told(self) -> dict[str, TargetReport]:
         return {
-            name: TargetReport(name, *brief.said, is_serving=brief.serving, restarts=brief.starts, age_ms=age)
+            name: TargetReport(name, *brief.progress, is_serving=brief.serving, restarts=brief.starts, age_ms=age)
             for name, (age, brief) in self.briefs().items()
         }
 
     def see(self, plan: Plan, unit: Unit, halted: bool) -> tuple[AgentAction | None, bool]:
         """What is to be done, and whether what it says of itself has changed."""
-        held = self.basis.held if self.basis is not None else None
+        held = self.basis.state if self.basis is not None else None
         if held is None:
             look = AgentObservation("", 0, False, 0, "no base started it", self.heard_by_majority, self._serving())
         else:
@@ -88,8 +88,8 @@
             raise FileError("no base started this agent")
         version = plan.target_version(unit)
         which = AgentVersion(version, self._versions.agent(version, self.name))
-        self.basis.go(SwitchRequest(unit.generation, which, 1000.0 * plan.policy.start_timeout_s))
+        self.basis.request_switch(SwitchRequest(unit.generation, which, 1000.0 * plan.policy.start_timeout_s))
 
     def settle(self) -> None:
         if self.basis is not None:
-            self.basis.settled()
+            self.basis.report_settled()
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -341,7 +341,7 @@
         ]
         wanted = dict(ledger.limiter_versions)
         runs = tuple(
-            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.said)
+            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.progress)
             for each, charge in self._owner.limiters.items()
         )
         return f.PlansStatus(
@@ -368,8 +368,8 @@
         wanted = dict(ledger.limiter_versions)
         out = {unit.target for plan in ledger.active_plans() for unit in plan.units if unit.stage == "out"}
         for name, charge in self._owner.limiters.items():
-            if wanted.get(name, "") != charge.wanted and name not in out:
-                charge.to_run(wanted.get(name, ""), max(ledger.generation, charge.generation + 1))
+            if wanted.get(name, "") != charge.wanted_version and name not in out:
+                charge.set_wanted_version(wanted.get(name, ""), max(ledger.generation, charge.wanted_generation + 1))
 
     async def _carry(self) -> None:
         self.catch_up()
@@ -398,11 +398,11 @@
         if plan.state == "over" and (record is None or record.generation >= unit.generation):
             return
         if unit.stage == "out":
-            charge.link.kick()  # its word is asked for at once: the plan waits for it
-        look = charge.look(record)
+            charge.link.wake()  # its word is asked for at once: the plan waits for it
+        look = charge.observe(record)
         before = carrier.progress
         act = carrier.next_action(plan, unit, look, self._now(), self.halted(plan))
-        charge.said = carrier.progress
+        charge.progress = carrier.progress
         if carrier.progress != before:
             self._owner.notify_peer(plan.leader)
         if act is not None:
@@ -444,7 +444,7 @@
                 if act == "drain":
                     self._record(plan, unit, True)
                 else:
-                    charge.to_run(plan.target_version(unit), unit.generation)
+                    charge.set_wanted_version(plan.target_version(unit), unit.generation)
                     restarts = charge.supervisor.restarts
                     charge.switch()
                     carrier.on_switched(self._now(), restarts)
@@ -595,7 +595,7 @@
             return self._owner.agent_release.told()
         told: dict[str, TargetReport] = {}
         for name, charge in self._owner.limiters.items():
-            age = self._now() - 1000.0 * charge.link.state_at if charge.link.state is not None else 0.0
+            age = self._now() - 1000.0 * charge.link.state_at_s if charge.link.state is not None else 0.0
             # our own word on it is fresh, whatever the limiter does
             told[name] = self._of(plan, charge.brief(self._owner.records), min(age, 0.0))
         for _, age, brief in self._owner.peer_limiter_briefs():
@@ -612,7 +612,7 @@
         others = record is not None and record.is_drained and not record.origin.startswith(f"{plan.id}/")
         return TargetReport(
             brief.name,
-            *brief.said,
+            *brief.progress,
             brief.phase,
             brief.serving,
             brief.restarts,
@@ -651,7 +651,7 @@
                 own = [reach for reach in answer.reach if reach.target == unit.target]
                 held = any(r.target == unit.target and r.generation >= unit.generation for r in answer.records)
                 reached &= held and all(reach.state in ("reached", "at-start") for reach in own)
-                left += sum(reach.out for reach in own)
+                left += sum(reach.open_requests for reach in own)
             done = known and reached
             up = done and (unit.stage != "out" or left == 0)
             self._boxes[unit.target] = TargetReport(unit.target, unit.generation, "up" if up else "", is_serving=done)
--- a/elderlock/fleet/supervision/limiter_link.py
+++ b/elderlock/fleet/supervision/limiter_link.py
@@ -12,7 +12,7 @@
 from elderlock.control import messages as m
 from elderlock.control.records import Records
 from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
-from elderlock.fleet.drain_intents import ProgressBook
+from elderlock.fleet.drain_intents import RecordProgress
 
 POLL = 2.0  # s between looks, which also renew the claim (5 s long)
 CONNECT_WITHIN = HELLO_WITHIN = 1.0  # s
@@ -21,7 +21,7 @@
 FIRST_RETRY, MOST_RETRY = 0.05, 0.5  # s between tries to connect: a limiter that starts is met at once
 CLAIM_AGAIN = 2.0  # s between tries to claim one that another agent holds
 
-Standing = Literal["answering", "silent", "down", "claimed"]
+LinkStatus = Literal["answering", "silent", "down", "claimed"]
 
 
 class Owner(Protocol):
@@ -46,17 +46,17 @@
         told: Callable[[m.LimiterState | m.RecordsApplied], None],
     ) -> None:
         self._path, self._owner, self._welcomed, self._told = path, owner, welcomed, told
-        self.book = ProgressBook()
-        self.standing: Standing = "down"
-        self.why = "not connected yet"
+        self.record_progress = RecordProgress()
+        self.status: LinkStatus = "down"
+        self.status_reason = "not connected yet"
         self.state: m.LimiterState | None = None
-        self.state_at = 0.0  # by the monotonic clock, s
+        self.state_at_s = 0.0  # by the monotonic clock, s
         self._process: tuple[int, float] | None = None
         self._caller: RequestClient[m.FromLimiter] | None = None
         self._owns = self._has_bid = False
         self._wake = asyncio.Event()
-        self.listening = False  # something took our last connection: whatever it says, a process is there
-        self.tried = asyncio.Event()  # it is known whether anything answers on the socket
+        self.is_listening = False  # something took our last connection: whatever it says, a process is there
+        self.attempted = asyncio.Event()  # it is known whether anything answers on the socket
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
@@ -70,12 +70,12 @@
 
     def ended(self) -> None:
         """Its process is gone: what its socket said last is of no one any more."""
-        self.listening = False
-        if self.standing != "claimed":
-            self.standing, self.why = "down", "its process has ended"
-        self.book.restarted()
+        self.is_listening = False
+        if self.status != "claimed":
+            self.status, self.status_reason = "down", "its process has ended"
+        self.record_progress.reset()
 
-    def kick(self) -> None:
+    def wake(self) -> None:
         """There is something new to bring."""
         self._wake.set()
 
@@ -91,14 +91,14 @@
                         m.decode_answer, m.MAXIMUM_MESSAGE_BYTES, self._heard
                     )
                     self._caller = await caller.connect_unix(self._path)
-                self.listening = True
+                self.is_listening = True
                 pause = await self._session(caller)
                 retry = FIRST_RETRY
             except TimeoutError:
-                self.listening = True
+                self.is_listening = True
                 self._down("silent", "does not take connections")
             except (FileNotFoundError, ConnectionRefusedError):
-                self.listening = False
+                self.is_listening = False
                 self._down("down", "nothing listens on its control socket")
             except OSError as error:
                 self._down("down", str(error))
@@ -111,11 +111,11 @@
                 self._caller.close()
                 self._caller = None
             self._owns = False
-            self.tried.set()
+            self.attempted.set()
             await asyncio.sleep(pause)
 
-    def _down(self, standing: Standing, why: str) -> None:
-        self.standing, self.why = standing, why
+    def _down(self, status: LinkStatus, why: str) -> None:
+        self.status, self.status_reason = status, why
 
     async def _session(self, caller: RequestClient[m.FromLimiter]) -> float:
         """One connection's life; returns how long to wait before the next (s)."""
@@ -143,13 +143,13 @@
             try:
                 if not await self._attend(caller):
                     return 0.0
-                self.tried.set()
-                self.standing, self.why = "answering", ""
+                self.attempted.set()
+                self.status, self.status_reason = "answering", ""
             except NoAnswerError as error:
                 if caller.disconnected.is_set():
                     raise
                 self._down("silent", str(error))
-                if time.monotonic() - self.state_at > DROP_AFTER:
+                if time.monotonic() - self.state_at_s > DROP_AFTER:
                     raise
             try:
                 async with asyncio.timeout(POLL):
@@ -169,7 +169,7 @@
     async def _apply(self, caller: RequestClient[m.FromLimiter], within: float) -> m.FromLimiter:
         records = tuple(self._owner.records)
         message = m.ApplyRecords(caller.next_request_id(), records)
-        self.book.sent(records)
+        self.record_progress.record_sent(records)
         return await caller.request(message, within)
 
     async def _look_on(self, refused: m.Refused) -> float:
@@ -189,18 +189,18 @@
         process = (welcome.pid, welcome.started_at)
         anew = process != self._process
         if anew:
-            self.book.restarted()
+            self.record_progress.reset()
             self.state = None
             self._process = process
-        self.state_at = time.monotonic()
+        self.state_at_s = time.monotonic()
         self._welcomed(welcome, anew)
 
     def _heard(self, message: m.FromLimiter) -> None:
         if isinstance(message, m.LimiterState):
-            self.state, self.state_at = message, time.monotonic()
+            self.state, self.state_at_s = message, time.monotonic()
         elif isinstance(message, m.RecordsApplied):
-            self.state_at = time.monotonic()
-            self.book.applied(
+            self.state_at_s = time.monotonic()
+            self.record_progress.record_applied(
                 message.records, message.applied_at_unix_ms, message.drained_open_requests, message.open_requests
             )
         else:
@@ -209,16 +209,16 @@
 
     # What the agent asks for besides
 
-    async def bring(self, within: float) -> None:
-        """Brings the records now; how far they came stands in the book, also when this ends late."""
+    async def push_records(self, within: float) -> None:
+        """Brings the records now; how far they came stands in `record_progress`, also when this ends late."""
         if self._caller is None or not self._owns:
-            return self.kick()
+            return self.wake()
         try:
             await self._apply(self._caller, within)
         except (NotSentError, NoAnswerError):
-            self.kick()
+            self.wake()
 
-    async def look(self, within: float, accounts: int) -> None:
+    async def refresh_state(self, within: float, accounts: int) -> None:
         """A fresh state, where it answers in time. One that does not is not silent for that: an asker's patience may be
         some milliseconds, and what others plan by must not hang on it; the next regular look says."""
         if self._caller is not None:
--- a/elderlock/fleet/supervision/limiter_process.py
+++ b/elderlock/fleet/supervision/limiter_process.py
@@ -17,7 +17,7 @@
 LONGEST_LOG = 8 << 20  # bytes; then it is put aside, one generation deep
 
 
-def born(pid: int) -> int:
+def process_start_ticks(pid: int) -> int:
     """When the process started, in the kernel's ticks since boot; 0 where none lives under that pid."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
@@ -32,7 +32,7 @@
 
     def __init__(self, pid: int, child: subprocess.Popen[bytes] | None, ended: Callable[[], None]) -> None:
         """Raises `ProcessLookupError` where it is gone already."""
-        self.pid, self.born = pid, born(pid)
+        self.pid, self.start_ticks = pid, process_start_ticks(pid)
         self._child, self._ended = child, ended
         self._fd = os.pidfd_open(pid)
         asyncio.get_running_loop().add_reader(self._fd, self._exited)
@@ -58,13 +58,13 @@
 
 def adopt(pid: int, started: int, ended: Callable[[], None]) -> Process | None:
     """The process that was born then, or None where it is gone."""
-    if pid <= 0 or born(pid) != started or not started:
+    if pid <= 0 or process_start_ticks(pid) != started or not started:
         return None
     try:
         process = Process(pid, None, ended)
     except OSError:
         return None
-    if process.born != started:  # replaced between the two looks
+    if process.start_ticks != started:  # replaced between the two looks
         process.forget()
         return None
     return process
--- a/elderlock/fleet/supervision/managed_limiter.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -17,7 +17,7 @@
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.config import FileError, LimiterPart
 from elderlock.fleet.drain_intents import concerns
-from elderlock.fleet.host import Host, Running
+from elderlock.fleet.host import Host, HostProcess
 from elderlock.fleet.messages import LimiterBrief, LimiterStatus, Reach
 from elderlock.fleet.supervision.limiter_link import LimiterLink, Owner
 from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
@@ -54,13 +54,13 @@
         self._control, self._owner, self._store, self._changed = control, owner, store, changed
         self.supervisor = Supervisor(policy, rng)
         self.link = LimiterLink(control, owner, self._welcomed, lambda said: told(part.name, said.records))
-        self.process: Running | None = None
-        self.adopted = False
+        self.process: HostProcess | None = None
+        self.is_adopted = False
         self.boot_error = ""  # why the drains could not be written for its next start
         self._versions = versions
         # the version it is to run, and by which generation; the one that its process was started on
-        self.wanted, self.generation, self.runs_on = store.version(part.name)
-        self.said = ExecutionProgress()
+        self.wanted_version, self.wanted_generation, self.runs_on = store.version(part.name)
+        self.progress = ExecutionProgress()
         self._timer: asyncio.TimerHandle | None = None
 
     # Start-up of the agent
@@ -73,19 +73,19 @@
             self._take(process)
         self.link.start()
 
-    def release(self) -> None:
+    def start_if_wanted(self) -> None:
         """What may start now starts: called once the agent has learnt what it could of drains."""
         self._do(self.supervisor.step(self._now()))
 
-    def _take(self, process: Running) -> None:
-        self.process, self.adopted = process, True
+    def _take(self, process: HostProcess) -> None:
+        self.process, self.is_adopted = process, True
         self.supervisor.adopted(self._now())
         log.info("limiter adopted", limiter=self.name, pid=process.pid)
 
     def _welcomed(self, welcome: m.Welcome, anew: bool) -> None:
         """It answers on its socket. One that nobody here started, by hand or by an agent whose store is
         lost, is adopted rather than doubled."""
-        if self.process is None and (started := self._host.born(welcome.pid)):
+        if self.process is None and (started := self._host.process_start_ticks(welcome.pid)):
             process = self._host.adopt(welcome.pid, started, self._exited)
             if process is not None:
                 self._take(process)
@@ -104,15 +104,15 @@
     def want(self, wanted: bool) -> None:
         """Raises `StoreError`, and then nothing is done."""
         process = self.process
-        self._store.set_limiter(self.name, wanted, process.pid if process else 0, process.born if process else 0)
+        self._store.set_limiter(self.name, wanted, process.pid if process else 0, process.start_ticks if process else 0)
         self._do(self.supervisor.want(wanted, self._now()))
 
-    def to_run(self, version: str, generation: int) -> bool:
+    def set_wanted_version(self, version: str, generation: int) -> bool:
         """What the group agreed on for its next start; whether that was news. Raises `StoreError`."""
-        if generation <= self.generation:
+        if generation <= self.wanted_generation:
             return False
         self._store.set_version(self.name, version, generation, self.runs_on)
-        self.wanted, self.generation = version, generation
+        self.wanted_version, self.wanted_generation = version, generation
         return True
 
     def switch(self) -> None:
@@ -122,11 +122,11 @@
         self.want(True)
 
     def version(self) -> str:
-        return self.runs_on if self.process is not None else self.wanted
+        return self.runs_on if self.process is not None else self.wanted_version
 
-    def look(self, record: Record | None) -> LimiterObservation:
+    def observe(self, record: Record | None) -> LimiterObservation:
         """As its plan sees it; `record` is its own drain's."""
-        state = self.link.state if self.link.standing == "answering" else None
+        state = self.link.state if self.link.status == "answering" else None
         fresh = state is not None and self.process is not None and state.pid == self.process.pid
         return LimiterObservation(
             self.version(),
@@ -136,12 +136,12 @@
             state.open_requests if state is not None and fresh and state.is_drained else -1,
             fresh and state is not None and self.supervisor.phase == "running" and state.list_age_ms >= 0,
             self.supervisor.restarts,
-            self.boot_error or self.link.why,
+            self.boot_error or self.link.status_reason,
         )
 
     def _remember(self) -> None:
         process = self.process
-        pid, started = (process.pid, process.born) if process is not None else (0, 0)
+        pid, started = (process.pid, process.start_ticks) if process is not None else (0, 0)
         try:
             self._store.set_limiter(self.name, self.supervisor.wanted, pid, started)
         except StoreError as error:  # it is met again by its socket
@@ -172,23 +172,23 @@
     def _spawn(self) -> None:
         if self.process is not None:
             return
-        if self.link.listening:
+        if self.link.is_listening:
             # something serves on its socket: a second one would fight it for its addresses
-            log.warning("limiter not started, its socket is in use", limiter=self.name, why=self.link.why)
+            log.warning("limiter not started, its socket is in use", limiter=self.name, why=self.link.status_reason)
             return self.supervisor.hold(self._now() + HELD_BACK * 1000.0)
-        if not self.write_boot():
+        if not self.write_start_files():
             # a start without its drains would send work to a box that an operator took out
             return self.supervisor.hold(self._now() + HELD_BACK * 1000.0)
         try:
-            launch = self._versions.launch(self.part, self.wanted)
-            if self.runs_on != self.wanted:
+            launch = self._versions.launch(self.part, self.wanted_version)
+            if self.runs_on != self.wanted_version:
                 # kept before it runs: an agent that dies now must not take the process for one of the version before
-                self._store.set_version(self.name, self.wanted, self.generation, self.wanted)
-                self.runs_on = self.wanted
+                self._store.set_version(self.name, self.wanted_version, self.wanted_generation, self.wanted_version)
+                self.runs_on = self.wanted_version
             environ = {
                 "PROXY_CONFIG": str(self._folder / launch.config),
                 "ELDERLOCK_OPERATORS": str(self._home / "operators.toml"),
-                "ELDERLOCK_VERSION": self.wanted,
+                "ELDERLOCK_VERSION": self.wanted_version,
             }
             self.process = self._host.spawn(
                 launch.command, environ, self._folder / launch.directory, self._home / "log", self._exited
@@ -201,10 +201,12 @@
             log.error("limiter cannot be started", limiter=self.name, error=str(error))
             self._do(self.supervisor.exited(self._now()))
             return
-        self.adopted = False
-        log.info("limiter started", limiter=self.name, pid=self.process.pid, version=self.wanted or "of the file")
+        self.is_adopted = False
+        log.info(
+            "limiter started", limiter=self.name, pid=self.process.pid, version=self.wanted_version or "of the file"
+        )
         self._remember()
-        self.link.kick()
+        self.link.wake()
 
     def _exited(self) -> None:
         process, self.process = self.process, None
@@ -220,7 +222,7 @@
         if not await self.link.stop(STOP_ANSWER_WITHIN) and process is not None and process is self.process:
             process.signal(signal.SIGTERM)
 
-    def write_boot(self) -> bool:
+    def write_start_files(self) -> bool:
         """The drains and the control socket that its next start begins with."""
         try:
             quoted = msgspec.json.encode(str(self._control)).decode()
@@ -240,24 +242,24 @@
     # What it looks like
 
     def runs(self) -> bool:
-        return self.process is not None or self.link.listening
+        return self.process is not None or self.link.is_listening
 
     def reach(self, records: list[Record]) -> list[Reach]:
-        why = "" if self.link.standing == "answering" else f"{self.link.standing}: {self.link.why}"
+        why = "" if self.link.status == "answering" else f"{self.link.status}: {self.link.status_reason}"
         return [
-            self.link.book.reach(self.name, record, self.runs(), why)
+            self.link.record_progress.reach(self.name, record, self.runs(), why)
             for record in records
             if concerns(record, self.name)
         ]
 
-    def why_out(self) -> str:
+    def unavailable_reason(self) -> str:
         """Why it does not serve; empty where it does, as far as is known."""
-        phase, standing = self.supervisor.phase, self.link.standing
+        phase, standing = self.supervisor.phase, self.link.status
         return "" if (phase, standing) == ("running", "answering") else f"{phase}, {standing}"
 
     def status(self) -> LimiterStatus:
         supervisor, link = self.supervisor, self.link
-        age = (time.monotonic() - link.state_at) * 1000.0 if link.state is not None else -1.0
+        age = (time.monotonic() - link.state_at_s) * 1000.0 if link.state is not None else -1.0
         next_start = -1.0
         if supervisor.phase == "backing-off" and supervisor.due is not None:
             next_start = max(0.0, supervisor.due - self._now())
@@ -265,11 +267,11 @@
             self.name,
             supervisor.phase,
             self.process.pid if self.process else 0,
-            self.adopted,
+            self.is_adopted,
             supervisor.restarts,
             next_start,
-            link.standing,
-            "; ".join(why for why in (link.why, self.boot_error) if why),
+            link.status,
+            "; ".join(why for why in (link.status_reason, self.boot_error) if why),
             age,
             link.state,
         )
@@ -279,15 +281,15 @@
         return LimiterBrief(
             self.name,
             self.supervisor.phase,
-            self.link.standing,
+            self.link.status,
             state.open_requests if state else 0,
             drained is not None and drained.is_drained,
             len(records.drained_targets("box")),
             self.version(),
-            state is not None and state.ready and self.why_out() == "",
+            state is not None and state.ready and self.unavailable_reason() == "",
             self.supervisor.restarts,
             self.figures(),
-            self.said,
+            self.progress,
         )
 
     def figures(self) -> AnswerMetrics:
--- a/elderlock/fleet/supervision/supervisor.py
+++ b/elderlock/fleet/supervision/supervisor.py
@@ -16,14 +16,14 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """Times in ms. A limiter that ran `steady` ms begins again at the first back-off."""
+    """Times in ms. A limiter that ran `backoff_reset_ms` begins again at the first back-off."""
 
-    first_backoff: float = 200.0
-    most_backoff: float = 30_000.0
-    steady: float = 10_000.0
-    crashes: int = 5  # within `window` end the restarts
-    window: float = 60_000.0
-    stop_within: float = 6_000.0  # from the wish to stop to the kill
+    first_backoff_ms: float = 200.0
+    maximum_backoff_ms: float = 30_000.0
+    backoff_reset_ms: float = 10_000.0
+    maximum_exits: int = 5  # within `exit_window_ms` end the restarts
+    exit_window_ms: float = 60_000.0
+    stop_timeout_ms: float = 6_000.0  # from the wish to stop to the kill
 
 
 class Command(Enum):
@@ -42,16 +42,16 @@
         self.phase: Phase = "stopped"
         self.restarts = 0
         self.due: float | None = None
-        self._backoff = policy.first_backoff
+        self._backoff = policy.first_backoff_ms
         self._started_at = 0.0
-        self._exits: deque[float] = deque(maxlen=policy.crashes)
+        self._exits: deque[float] = deque(maxlen=policy.maximum_exits)
         self._killed = False
 
     def want(self, wanted: bool, now: float) -> Command | None:
         """An operator's word. A start forgets past crashes."""
         if wanted and (not self.wanted or self.phase == "gave-up"):
             self._exits.clear()
-            self._backoff = self._policy.first_backoff
+            self._backoff = self._policy.first_backoff_ms
             if self.phase in ("backing-off", "gave-up"):
                 self.phase, self.due = "stopped", None
         self.wanted = wanted
@@ -66,7 +66,7 @@
             case "backing-off" if self.due is not None and now >= self.due:
                 return self._spawn(now)
             case "starting" | "running" if not self.wanted:
-                self.phase, self.due, self._killed = "stopping", now + self._policy.stop_within, False
+                self.phase, self.due, self._killed = "stopping", now + self._policy.stop_timeout_ms, False
                 return Command.TERMINATE
             case "stopping" if self.due is not None and now >= self.due and not self._killed:
                 self._killed = True
@@ -99,14 +99,14 @@
             return None
         if self.phase == "stopping":  # wanted again while it stopped
             return self._spawn(now)
-        if now - self._started_at >= self._policy.steady:
-            self._backoff = self._policy.first_backoff
+        if now - self._started_at >= self._policy.backoff_reset_ms:
+            self._backoff = self._policy.first_backoff_ms
         self._exits.append(now)
-        if len(self._exits) == self._policy.crashes and now - self._exits[0] <= self._policy.window:
+        if len(self._exits) == self._policy.maximum_exits and now - self._exits[0] <= self._policy.exit_window_ms:
             self.phase, self.due = "gave-up", None
             return None
         self.restarts += 1
         self.phase = "backing-off"
         self.due = now + self._rng.uniform(0.5, 1.0) * self._backoff
-        self._backoff = min(2.0 * self._backoff, self._policy.most_backoff)
+        self._backoff = min(2.0 * self._backoff, self._policy.maximum_backoff_ms)
         return None
--- a/elderlock/load/remote.py
+++ b/elderlock/load/remote.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from elderlock.fleet import messages as f
-from elderlock.fleet.client.answers import Missing, Refusal, why
+from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
 from elderlock.fleet.client.group_client import Group
 from elderlock.load import messages as m
 
@@ -56,7 +56,7 @@
                     return gone(answer.text)
                 case Missing():
                     if loop.time() - answered_at > MOST_MISSED:
-                        return gone(f"its agent is silent: {why(answer)}")
+                        return gone(f"its agent is silent: {failure_reason(answer)}")
             self._wake.clear()
             if not self._out or isinstance(answer, Missing):
                 try:
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -15,7 +15,7 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent import agent as agents
 from elderlock.fleet.client import plan_commands as operate
-from elderlock.fleet.launcher.launcher_link import Go, LauncherLink, Ready, Settled, Started, word_of
+from elderlock.fleet.launcher.launcher_link import LauncherLink, Ready, Settled, Started, SwitchVersion, message_decoder
 from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
 from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.agreed import Holding, bounded
@@ -104,8 +104,8 @@
         base, name = self._bases[number], f"agent-{number}"
         if number in self._dark or self.agent_processes[number] is not process:
             return
-        match word_of.decode(data):
-            case Go(to):
+        match message_decoder.decode(data):
+            case SwitchVersion(to):
                 if (held := base.state_after_switch(to)) is not None:
                     self._kept[number] = held
                     self._went(name, held)
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -131,7 +131,7 @@
             forced = not self.world.scenario.settings.budget  # where permits are asked for, nobody goes without
             order = Order(kind, (target,), drained, force=forced, give_up_after=COMMAND_WITHIN)
             result = await carry_out(group, order, lambda *told: None)
-            for account in result.accounts:
+            for account in result.reports:
                 for row in account.rows():
                     # one that ends only once another operator has undrained it claims nothing any more
                     holds = drained and self._undrains.get(target, 0) == undrains
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -541,7 +541,7 @@
                 self.growth.counted(f"{name}'s tasks", len(process.tasks))
                 self.growth.counted(f"{name}'s requests", len(limiter.requests))
                 self.growth.counted(f"{name}'s timers", len(limiter.context.timers.heap))
-            links = sorted({c.link.standing for a in self.agents.values() for c in a.limiters.values()})
+            links = sorted({c.link.status for a in self.agents.values() for c in a.limiters.values()})
             phases_of = sorted({c.supervisor.phase for a in self.agents.values() for c in a.limiters.values()})
             self.features.add(
                 f"{'+'.join(sorted(phases))} out={out} links={'+'.join(links)} supervised={'+'.join(phases_of)}"
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from elderlock.control.records import Record, Records
-from elderlock.fleet.drain_intents import decide
+from elderlock.fleet.drain_intents import decide_intent
 from elderlock.fleet.messages import DrainIntent, SubmitIntents
 from elderlock.interface import ListKind, ServerState
 from elderlock.sim.virtual.processes import Machine
@@ -140,7 +140,7 @@
         if self.disk_fails:
             return "not-kept"
         self.records.merge(order.known)
-        decision = decide(self.records, wish, order, by, self.world.at())
+        decision = decide_intent(self.records, wish, order, by, self.world.at())
         if decision.outcome == "made" and decision.record is not None:
             self.learn((decision.record,))
         return decision.outcome
--- a/elderlock/sim/virtual/host.py
+++ b/elderlock/sim/virtual/host.py
@@ -43,7 +43,7 @@
     """A simulated process as its agent has it."""
 
     def __init__(self, process: Process, signal: Callable[[Process, int], None], ended: Callable[[], None]) -> None:
-        self.pid, self.born = process.pid, process.pid  # pids are not used twice
+        self.pid, self.start_ticks = process.pid, process.pid  # pids are not used twice
         self._process, self._signal, self._ended = process, signal, ended
         self._watcher, self._loop = CURRENT.get(), asyncio.get_running_loop()
         process.on_exit.append(self._exited)
@@ -127,7 +127,7 @@
         beside.write_bytes(data)  # no fsync: the machine that this runs on is not the one that fails
         beside.replace(path)
 
-    def born(self, pid: int) -> int:
+    def process_start_ticks(self, pid: int) -> int:
         process = self._processes.get(pid)
         return pid if process is not None and process.alive else 0
 
--- a/elderlock/standins/agents.py
+++ b/elderlock/standins/agents.py
@@ -24,7 +24,7 @@
             shown = self._shown(number)
 
             def handle(connection: Connection[None], body: bytes, shown: f.Shown = shown) -> None:
-                message = f.to_agent(body)
+                message = f.decode_request(body)
                 if isinstance(message, f.Hello):
                     connection.on_identified()
                     connection.send(f.encode(f.Welcome(f.VERSION, shown.agent, "an", "operator", 1)))
--- a/elderlock/trial/processes.py
+++ b/elderlock/trial/processes.py
@@ -18,7 +18,7 @@
 
 import uvloop
 
-from elderlock.fleet.supervision.limiter_process import born
+from elderlock.fleet.supervision.limiter_process import process_start_ticks
 from elderlock.spawning import spawn
 from elderlock.standins.world import ROOT
 from elderlock.trial.guard import MARK
@@ -145,14 +145,14 @@
         """Raises `ProcessLookupError` where it is gone."""
         self.pid, self._ended = pid, ended
         self._fd = os.pidfd_open(pid)
-        if not born(pid):
+        if not process_start_ticks(pid):
             os.close(self._fd)
             raise ProcessLookupError(pid)
         asyncio.get_running_loop().add_reader(self._fd, self._exited)
 
     @property
     def alive(self) -> bool:
-        return self._fd >= 0 and born(self.pid) != 0
+        return self._fd >= 0 and process_start_ticks(self.pid) != 0
 
     def _exited(self) -> None:
         self.forget()
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -21,7 +21,7 @@
 from elderlock.authz.config import AuthzError
 from elderlock.authz.router import RoutingDoor
 from elderlock.authz.routing import EJECT_AFTER, EJECT_FOR, MOST_EJECTED, Fate, Next, Router, after
-from elderlock.fleet.client.drain_commands import Order, carry_out, see
+from elderlock.fleet.client.drain_commands import Order, carry_out, observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
 from elderlock.spawning import spawn
@@ -307,7 +307,7 @@
                 await asyncio.sleep(0.05)
             group = Group.read(world.group_path)
             # one limiter's answer says nothing of the other's start: a drain of the only one that serves is refused
-            while len((await see(group)).serving()) < 2:
+            while len((await observe_group(group)).serving()) < 2:
                 await asyncio.sleep(0.05)
             order = Order("limiter", ("n0",), True, give_up_after=20.0)
             assert (await carry_out(group, order, lambda *_: None)).exit is Exit.DONE
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -96,7 +96,7 @@
     "fleet-answer.missing": fleet_answers.Missing,
     "fleet-answer.refusal": fleet_answers.Refusal,
     "base-word.started": fleet_based.Started,
-    "base-word.to": fleet_based.Go,
+    "base-word.to": fleet_based.SwitchVersion,
     "base-word.ready": fleet_based.Ready,
     "base-word.settled": fleet_based.Settled,
     "fleet-compare.difference": fleet_compare.Difference,
@@ -112,7 +112,7 @@
     "fleet-file.group-file": fleet_config.GroupFile,
     "fleet-explain.word": fleet_explain.LimiterStatement,
     "fleet-explain.explained": fleet_explain.Explanation,
-    "fleet-explain.entry": fleet_explain.Entry,
+    "fleet-explain.entry": fleet_explain.EvidenceSummary,
     "fleet.hello": fleet_messages.Hello,
     "fleet.welcome": fleet_messages.Welcome,
     "fleet.refused": fleet_messages.Refused,
@@ -153,7 +153,7 @@
     "fleet.plans": fleet_messages.ListPlans,
     "fleet.runs": fleet_messages.RunningVersion,
     "fleet.planned": fleet_messages.PlansStatus,
-    "fleet-plan.box-sum": fleet_plan.BoxSum,
+    "fleet-plan.box-sum": fleet_plan.ServerSummary,
     "fleet-plan.plan": fleet_plan.Plan,
     "fleet-version.version-file": fleet_versions.VersionFile,
     "load-scenario.mix": load_accounts.Mix,
@@ -229,10 +229,10 @@
     fleet_auth.Identity: "who a token belongs to; the tokens' file has lines of its own",
     fleet_operate.Order: "a command's options",
     fleet_operate.Result: "a command's result; the command line prints it under keys of its own",
-    fleet_operate_plans.Known: "answers gathered by a command; printed under keys of its own",
+    fleet_operate_plans.PlanAnswers: "answers gathered by a command; printed under keys of its own",
     fleet_operate_plans.Answer: "a plan command's result; printed under keys of its own",
     fleet_report.Row: "a line of a command's report; printed under keys of its own",
-    fleet_report.Account: "a command's report; printed by its records and rows",
+    fleet_report.CommandReport: "a command's report; printed by its records and rows",
     fleet_seen.GroupObservation: "answers gathered by a command; printed under keys of its own",
     fleet_supervise.Policy: "the supervisor's settings, made from the agent's file",
     fleet_versions.Launch: "how a process is started, made from the agent's file and the version's",
@@ -241,9 +241,9 @@
 # The product's own decoders of tagged messages, by the first part of the label
 READERS: dict[str, tuple[Callable[[bytes], Any], ...]] = {
     "control": (control_messages.decode_request, control_messages.decode_answer),
-    "fleet": (fleet_messages.to_agent, fleet_messages.from_agent),
+    "fleet": (fleet_messages.decode_request, fleet_messages.decode_answer),
     "load-worker": (load_messages._to_worker.decode, load_messages._from_worker.decode),
-    "base-word": (fleet_based.word_of.decode,),
+    "base-word": (fleet_based.message_decoder.decode,),
 }
 
 # Parts of messages, which no decoder of the product reads by themselves
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -24,7 +24,7 @@
 from elderlock.fleet.client.drain_commands import Result
 from elderlock.fleet.client.drain_plan import Plan
 from elderlock.fleet.client.observation import GroupObservation
-from elderlock.fleet.client.report import Account, Exit
+from elderlock.fleet.client.report import CommandReport, Exit
 from elderlock.sim.experiment import read_experiment
 from elderlock.sim.sweep import Records as SweepResults
 
@@ -73,19 +73,19 @@
 
 def drain(_: pytest.MonkeyPatch) -> None:
     reach = message("fleet.reach", messages.Reach)
-    account = Account("origin-1", {RECORD.key: True})
-    account.answered("a", messages.IntentsAnswer(1, "a", (messages.Decision("made", RECORD, "made"),), (reach,)))
-    account.answered("b", Missing("b", "no connection", True))
+    account = CommandReport("origin-1", {RECORD.key: True})
+    account.add_answer("a", messages.IntentsAnswer(1, "a", (messages.Decision("made", RECORD, "made"),), (reach,)))
+    account.add_answer("b", Missing("b", "no connection", True))
     plan = Plan((("box-7",),), ("box-9",), 1.0, 0.75, 2.5, ("too little is left",))
     result = Result(Exit.PART, plan, ("too little is left",), [account], ["a line"])
     print(json.dumps(commands._result_json(result, 1700000000000.0)))
 
 
 def _looks(command: Callable[..., Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    async def see(*_: Any) -> GroupObservation:
+    async def observe_group(*_: Any) -> GroupObservation:
         return seen()
 
-    monkeypatch.setattr(commands, "see", see)
+    monkeypatch.setattr(commands, "observe_group", observe_group)
     target = seen().states()[0].servers[0].uid
     options = argparse.Namespace(json=True, deadline=1.0, target=target)
     asyncio.run(command(options, Answers({})))
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -15,7 +15,7 @@
 from elderlock.control.attach import read_records_file
 from elderlock.control.records import Record
 from elderlock.fleet.agent_store import Store
-from elderlock.fleet.launcher.launcher import Running
+from elderlock.fleet.launcher.launcher import LauncherProcess
 from elderlock.fleet.messages import AuditLine
 from elderlock.load import report, trace
 from elderlock.load.figures import Totals
@@ -70,7 +70,7 @@
 @pytest.fixture
 def store(tmp_path: Path) -> Store:
     made = Store(database("agent_store.sql", tmp_path))
-    assert made.set_aside is None
+    assert made.damaged_file is None
     return made
 
 
@@ -100,10 +100,10 @@
 
 def test_a_kept_agents_store_is_written_to_without_a_table_more(store: Store, tmp_path: Path) -> None:
     assert store.next_epoch() == 43
-    store.keep_vote(Ballot(10, "a2:43"), Ballot(8, "a1:41"), b"x")
+    store.save_vote(Ballot(10, "a2:43"), Ballot(8, "a1:41"), b"x")
     store.set_limiter("n0", False, 1, 2)
     store.set_version("n1", "v9", 20, "")
-    store.keep(RECORDS, AuditLine(1.0, "ann", "operator", "drain box box-7", 14, ""))
+    store.save_records(RECORDS, AuditLine(1.0, "ann", "operator", "drain box box-7", 14, ""))
     store.close()
     new = tmp_path / "new.db"
     Store(new).close()
@@ -136,7 +136,7 @@
         '[agent]\nname = "a"\nlisten = "127.0.0.1:0"\nstate = "a"\ntokens = "tokens"\n'
         '[[limiter]]\nname = "n0"\ncommand = ["x"]\nconfig = "c"\n'
     )
-    held = Running(path, ["own"], random.Random(1)).base.state
+    held = LauncherProcess(path, ["own"], random.Random(1)).launcher.state
     assert held == LauncherState(
         5, AgentVersion("v8", ("python", "-m", "elderlock")), AgentVersion("v7", ("old",)), True, 2500.0, 4, "it ended"
     )
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -21,11 +21,11 @@
 from elderlock.fleet.agent.clock import now_ms
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.client.answers import Missing
-from elderlock.fleet.client.drain_commands import Order, Result, carry_out, see
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, observe_group
 from elderlock.fleet.client.group_client import Group
-from elderlock.fleet.client.report import Account, Exit, Row
+from elderlock.fleet.client.report import CommandReport, Exit, Row
 from elderlock.fleet.config import FileError, read_agent
-from elderlock.fleet.host import Running
+from elderlock.fleet.host import HostProcess
 from elderlock.fleet.messages import AuditLine
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.limiters import ScriptedLimiter, Trouble
@@ -57,7 +57,7 @@
         path = self.world.agent_path(number)
         agent = self.agents[number] = Agent(path, read_agent(path), random.Random(number))
         await agent.start()
-        await until(lambda: all(c.link.tried.is_set() for c in agent.limiters.values()))
+        await until(lambda: all(c.link.attempted.is_set() for c in agent.limiters.values()))
         return agent
 
     def kill(self, number: int) -> None:
@@ -72,7 +72,7 @@
         target: str = "s-1",
         drained: bool = True,
         who: str = OPERATORS[0],
-        told: Callable[[str, Account], None] = lambda title, account: None,
+        told: Callable[[str, CommandReport], None] = lambda title, account: None,
         **order: Any,
     ) -> Result:
         group = self.group(who)
@@ -101,7 +101,7 @@
 
 
 def rows(result: Result) -> dict[str, Row]:
-    return {row.limiter: row for row in result.accounts[0].rows()}
+    return {row.limiter: row for row in result.reports[0].rows()}
 
 
 def states(result: Result) -> dict[str, str]:
@@ -126,11 +126,11 @@
     run(test())
 
 
-class Recorded(Running):
+class Recorded(HostProcess):
     """A process that notes what it is sent."""
 
     def __init__(self) -> None:
-        self.pid, self.born, self.sent = 0, 0, list[int]()
+        self.pid, self.start_ticks, self.sent = 0, 0, list[int]()
 
     def signal(self, number: int) -> None:
         self.sent.append(number)
@@ -170,12 +170,12 @@
             await until(lambda: agent.limiters["n1"].link.state is not None)
             odd.trouble, odd.only = Trouble.STOPPED, m.GetState
             tool = group.group()
-            seen = await see(tool, accounts=0, within=30.0, fresh_within=0.0)
+            seen = await observe_group(tool, accounts=0, timeout_s=30.0, fresh_timeout_ms=0.0)
             tool.close()
             assert any(isinstance(message, m.GetState) for message in odd.received)
             assert {state.limiter for state in seen.states()} == {"n0", "n1"}
-            assert agent.limiters["n1"].link.standing == "answering"
-            await until(lambda: agent.limiters["n1"].link.standing == "silent")
+            assert agent.limiters["n1"].link.status == "answering"
+            await until(lambda: agent.limiters["n1"].link.status == "silent")
 
     run(test())
 
@@ -192,7 +192,7 @@
             unknown = asyncio.Event()
             seen: list[str] = []
 
-            def told(title: str, account: Account) -> None:
+            def told(title: str, account: CommandReport) -> None:
                 state = next(row.state for row in account.rows() if row.limiter == "n1")
                 seen.append(state)
                 if state == "unknown":
@@ -219,7 +219,7 @@
         async with fleet(tmp_path) as group:
             group.limiters["n1"].trouble = Trouble.EMPTY
             link = group.agents[0].limiters["n1"].link
-            await until(lambda: link.standing == "down")
+            await until(lambda: link.status == "down")
             result = await group.command(give_up_after=0.5)
             assert states(result) == {"n0": "reached", "n1": "not-reached"} and result.exit is Exit.PART
             assert not group.limiters["n1"].in_force
@@ -235,7 +235,7 @@
             gone = group.limiters["n1"]
             gone.vanish()
             agent = group.agents[0]
-            await until(lambda: not agent.limiters["n1"].link.listening)
+            await until(lambda: not agent.limiters["n1"].link.is_listening)
             result = await group.command(give_up_after=0.5)
             # nothing runs there: what starts next has the drain before its first request
             assert states(result) == {"n0": "reached", "n1": "at-start"}
@@ -269,11 +269,11 @@
                 await until(lambda a=a, b=b: a.records.digest() == b.records.digest())  # type: ignore[misc]
                 (target, drained, _, by) = records(a)[0]
                 assert (target, drained) == ("s-1", True) and len(records(a)) == 1
-                held = {r.requested_by for result in (one, two) for r in result.accounts[0].records.values()}
+                held = {r.requested_by for result in (one, two) for r in result.reports[0].records.values()}
                 assert by in held
                 loser = two if by == OPERATORS[0] else one
                 # the loser is told in words, unless both looked before either record had spread
-                assert loser.accounts[0].text() or len(held) == 2
+                assert loser.reports[0].text() or len(held) == 2
                 assert (await group.command(drained=False)).exit is Exit.DONE
 
     run(test())
@@ -290,7 +290,7 @@
             assert undrain.exit is Exit.DONE
             result = await drain
             assert result.exit is Exit.OVERTAKEN
-            assert result.accounts[0].text() == ["box s-1: not done, it is undrained by binh (generation 2)"]
+            assert result.reports[0].text() == ["box s-1: not done, it is undrained by binh (generation 2)"]
             assert not group.limiters["n0"].in_force
 
     run(test())
@@ -305,7 +305,7 @@
             stale = await group.command(drained=False, expect=1)
             assert stale.exit is Exit.OVERTAKEN
             assert "agent agent-0: you acted on generation 1, but it is drained by binh (generation 3) since" in (
-                stale.accounts[0].text()
+                stale.reports[0].text()
             )
             assert all(limiter.in_force for limiter in group.limiters.values())
             assert (await group.command(drained=False, expect=3)).exit is Exit.DONE
@@ -319,7 +319,7 @@
             group.kill(0)
             store = Store(tmp_path / "agent-0" / "store.db")
             kept = Record("box", "s-2", True, 1, "o", "an", 1.0)
-            store.keep([kept], AuditLine(1.0, "an", "operator", "drain box s-2", 1, "under way"))
+            store.save_records([kept], AuditLine(1.0, "an", "operator", "drain box s-2", 1, "under way"))
             store.close()
             assert not group.limiters["n0"].in_force
             await group.start(0)
@@ -342,7 +342,7 @@
                 path.unlink()
             agent = await group.start(0)
             await until(lambda: records(agent) == [("s-3", True, 1, "an")])
-            await until(lambda: all(c.link.standing == "answering" for c in agent.limiters.values()))
+            await until(lambda: all(c.link.status == "answering" for c in agent.limiters.values()))
             assert agent.store.records()[0].target == "s-3"
             assert (await group.command("s-3", drained=False)).exit is Exit.DONE
 
@@ -370,22 +370,22 @@
     async def test() -> None:
         async with fleet(tmp_path) as group:
             agent = group.agents[0]
-            keep = agent.store.keep
+            keep = agent.store.save_records
 
             def fails(records: object, line: AuditLine) -> int:
                 raise StoreError("database or disk is full")
 
-            agent.store.keep = fails  # type: ignore[method-assign]
+            agent.store.save_records = fails  # type: ignore[method-assign]
             result = await group.command(give_up_after=0.3)
             assert result.exit is Exit.NOTHING
-            assert result.accounts[0].text() == [
+            assert result.reports[0].text() == [
                 "agent agent-0 refuses: nothing was done, it could not be kept: database or disk is full"
             ]
             assert not group.limiters["n0"].in_force and not len(agent.records)
             viewer = group.group("viewer")
-            assert "disk is full" in (await see(viewer)).shown["agent-0"].store
+            assert "disk is full" in (await observe_group(viewer)).shown["agent-0"].store
             viewer.close()
-            agent.store.keep = keep  # type: ignore[method-assign]
+            agent.store.save_records = keep  # type: ignore[method-assign]
             assert (await group.command()).exit is Exit.DONE
 
     run(test())
@@ -396,7 +396,7 @@
         async with fleet(tmp_path) as group:
             charge = group.agents[0].limiters["n1"]
             group.limiters["n1"].vanish()
-            await until(lambda: not charge.link.listening)
+            await until(lambda: not charge.link.is_listening)
             # a folder where the file should be: the rename fails, whoever we are
             (tmp_path / "agent-0" / "n1" / "records").mkdir()
             charge.want(True)
@@ -433,11 +433,11 @@
                 for peer in agent.peers:
                     peer.close()  # cut off from one another; operators reach each on its own
             cut = group.group()
-            cut._at = {"agent-0": cut._at["agent-0"]}
+            cut._addresses = {"agent-0": cut._addresses["agent-0"]}
             await carry_out(cut, Order("box", ("s-1",), True, force=True, give_up_after=5.0), lambda *_: None)
             cut.close()
             others = group.group(OPERATORS[1])
-            others._at = {"agent-1": others._at["agent-1"]}
+            others._addresses = {"agent-1": others._addresses["agent-1"]}
             for drained in (True, False):
                 order = Order("box", ("s-1",), drained, force=True, give_up_after=5.0)
                 await carry_out(others, order, lambda *_: None)
@@ -461,14 +461,14 @@
             path.write_text(path.read_text().replace('name = "n1"', f'name = "n0"\ncontrol = "{shared}"'))
             second = await group.start(1)
             link = second.limiters["n0"].link
-            await until(lambda: link.standing == "claimed")
-            assert "agent agent-0 holds this limiter" in link.why
+            await until(lambda: link.status == "claimed")
+            assert "agent agent-0 holds this limiter" in link.status_reason
             await until(lambda: link.state is not None)  # it still shows what it sees
             second.limiters["n0"].want(True)
             assert second.limiters["n0"].process is None  # and starts no double of it
             second.limiters["n0"].want(False)
             result = await group.command(give_up_after=0.5)
-            told = {(row.agent, row.limiter): row.state for row in result.accounts[0].rows()}
+            told = {(row.agent, row.limiter): row.state for row in result.reports[0].rows()}
             assert told["agent-0", "n0"] == "reached" and told["agent-1", "n0"] == "not-reached"
             assert group.limiters["n0"].desk.owner == "agent-0"
 
@@ -499,7 +499,7 @@
             )
             group.kill(2)
             asker = group.group("viewer")
-            seen = await see(asker)
+            seen = await observe_group(asker)
             asker.close()
             assert set(seen.shown) == {"agent-0", "agent-1"}
             missing = seen.missing["agent-2"]
@@ -520,7 +520,7 @@
 
 async def greeted(group: Fleet, who: str) -> RequestClient[f.FromAgent]:
     host, _, port = group.agents[0].file.agent.listen.rpartition(":")
-    caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+    caller: RequestClient[f.FromAgent] = RequestClient(f.decode_answer, f.LONGEST)
     await caller.connect_tcp(host, int(port), None)
     answer = await caller.request(f.Hello((f.VERSION,), group.world.tokens[who]), 5.0)
     assert isinstance(answer, f.Welcome)
@@ -534,7 +534,7 @@
         async with fleet(tmp_path) as group:
             for hello, code in ((f.Hello((1,), "wrong" * 8), "token"), (f.Hello((9,), ""), "version")):
                 host, _, port = group.agents[0].file.agent.listen.rpartition(":")
-                caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+                caller: RequestClient[f.FromAgent] = RequestClient(f.decode_answer, f.LONGEST)
                 await caller.connect_tcp(host, int(port), None)
                 answer = await caller.request(hello, 5.0)
                 assert isinstance(answer, f.Refused) and answer.code == code
@@ -550,7 +550,7 @@
         async with fleet(tmp_path) as group:
             result = await group.command(who="viewer", give_up_after=5.0)
             assert result.exit is Exit.NOTHING
-            assert result.accounts[0].text() == ["agent agent-0 refuses: viewer is a viewer and may not intend"]
+            assert result.reports[0].text() == ["agent agent-0 refuses: viewer is a viewer and may not intend"]
             assert not group.limiters["n0"].in_force
             line = group.agents[0].store.audit(1)[0]
             assert (line.who, line.role, line.what) == ("viewer", "viewer", "refused: intend")
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -12,9 +12,15 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing, Refusal
 from elderlock.fleet.client.comparison import compare
-from elderlock.fleet.client.drain_plan import LEAST_LEFT, STEP_PART, plan_boxes, plan_limiters, summed
-from elderlock.fleet.client.report import Account, Exit
-from elderlock.fleet.drain_intents import ProgressBook, concerns, decide
+from elderlock.fleet.client.drain_plan import (
+    MAXIMUM_STEP_SHARE,
+    MINIMUM_CAPACITY_LEFT,
+    limiter_drain_risks,
+    plan_server_drain,
+    summarize_servers,
+)
+from elderlock.fleet.client.report import CommandReport, Exit
+from elderlock.fleet.drain_intents import RecordProgress, concerns, decide_intent
 from elderlock.fleet.group.membership import SUSPECT_AFTER, UNREACHABLE_AFTER, Membership
 from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
 from elderlock.standins.limiters import box, state
@@ -33,63 +39,63 @@
 
 
 def test_a_wish_makes_one_record_and_its_repeat_makes_none() -> None:
-    made = decide(Records(), wish(), intend(1), "binh", 5.0)
+    made = decide_intent(Records(), wish(), intend(1), "binh", 5.0)
     assert made.outcome == "made" and made.record is not None
     assert (made.record.requested_by, made.record.generation, made.record.created_at_unix_ms) == ("binh", 1, 5.0)
-    again = decide(Records([made.record]), wish(), intend(1), "binh", 6.0)
+    again = decide_intent(Records([made.record]), wish(), intend(1), "binh", 6.0)
     assert again.outcome == "made" and again.record == made.record
 
 
 def test_two_who_drain_the_same_box_share_one_record_and_are_told_whose() -> None:
-    decision = decide(Records([record(3)]), wish(expect=0), intend(4), "binh", 0.0)
+    decision = decide_intent(Records([record(3)]), wish(expect=0), intend(4), "binh", 0.0)
     assert decision.outcome == "joined" and decision.record == record(3)
     assert decision.text == "drained by an (generation 3) already"
 
 
 def test_who_acts_on_what_was_before_anothers_change_is_told_so() -> None:
     held = Records([record(4, drained=True)])
-    decision = decide(held, wish(drained=False, expect=2), intend(5), "binh", 0.0)
+    decision = decide_intent(held, wish(drained=False, expect=2), intend(5), "binh", 0.0)
     assert decision.outcome == "stale" and decision.record == record(4)
     assert decision.text == "you acted on generation 2, but it is drained by an (generation 4) since"
-    assert decide(held, wish(drained=False, expect=4), intend(5), "binh", 0.0).outcome == "made"
+    assert decide_intent(held, wish(drained=False, expect=4), intend(5), "binh", 0.0).outcome == "made"
 
 
 def test_a_generation_that_is_not_above_what_holds_is_refused() -> None:
-    decision = decide(Records([record(4)]), wish(drained=False, expect=4), intend(4), "binh", 0.0)
+    decision = decide_intent(Records([record(4)]), wish(drained=False, expect=4), intend(4), "binh", 0.0)
     assert decision.outcome == "refused"
 
 
 def test_to_undrain_what_was_never_drained_changes_nothing() -> None:
-    assert decide(Records(), wish(drained=False), intend(1), "binh", 0.0).record is None
+    assert decide_intent(Records(), wish(drained=False), intend(1), "binh", 0.0).record is None
 
 
 # How far a record came
 
 
 def test_what_was_sent_and_not_answered_is_unknown_until_the_limiter_says_so_itself() -> None:
-    book = ProgressBook()
+    book = RecordProgress()
     assert book.reach("n0", record(), True, "").state == "not-reached"
-    book.sent([record()])
+    book.record_sent([record()])
     reach = book.reach("n0", record(), True, "")
     assert (reach.state, reach.why) == ("unknown", "sent, no answer: it may be in force")
-    book.applied([record()], 7.0, {"s-1": 2}, 0)
+    book.record_applied([record()], 7.0, {"s-1": 2}, 0)
     reach = book.reach("n0", record(), True, "silent: no answer")
-    assert (reach.state, reach.at, reach.out, reach.why) == ("reached", 7.0, 2, "")
-    book.applied([record()], 9.0, {"s-1": 0}, 0)
+    assert (reach.state, reach.at, reach.open_requests, reach.why) == ("reached", 7.0, 2, "")
+    book.record_applied([record()], 9.0, {"s-1": 0}, 0)
     assert book.reach("n0", record(), True, "").at == 7.0  # since when, not when last told
 
 
 def test_an_older_record_in_force_is_not_the_newer_one() -> None:
-    book = ProgressBook()
-    book.applied([record(1)], 7.0, {}, 0)
+    book = RecordProgress()
+    book.record_applied([record(1)], 7.0, {}, 0)
     assert book.reach("n0", record(2, drained=False), True, "").state == "not-reached"
 
 
 def test_what_a_process_held_says_nothing_of_the_next() -> None:
-    book = ProgressBook()
-    book.sent([record()])
-    book.applied([record()], 7.0, {"s-1": 2}, 3)
-    book.restarted()
+    book = RecordProgress()
+    book.record_sent([record()])
+    book.record_applied([record()], 7.0, {"s-1": 2}, 3)
+    book.reset()
     assert book.reach("n0", record(), True, "").state == "not-reached"
     assert book.reach("n0", record(), False, "").state == "at-start"
 
@@ -148,7 +154,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.policy = Policy(first_backoff=100.0, most_backoff=400.0, steady=1000.0, crashes=3, window=5000.0)
+        self.policy = Policy(
+            first_backoff_ms=100.0,
+            maximum_backoff_ms=400.0,
+            backoff_reset_ms=1000.0,
+            maximum_exits=3,
+            exit_window_ms=5000.0,
+        )
         self.supervisor = Supervisor(self.policy, random.Random(1))
         self.now, self.lives = 0.0, False
         self.exited_at: float | None = None
@@ -158,7 +170,7 @@
             assert not self.lives
             assert self.supervisor.wanted
             if self.supervisor.restarts and self.exited_at is not None and not self.restarted_by_hand:
-                assert self.now - self.exited_at >= self.policy.first_backoff / 2
+                assert self.now - self.exited_at >= self.policy.first_backoff_ms / 2
             self.lives, self.restarted_by_hand = True, False
         elif do is Command.TERMINATE:
             assert not self.supervisor.wanted
@@ -200,7 +212,7 @@
 
 
 def test_crashes_in_a_row_end_the_restarts_until_an_operator_starts_it() -> None:
-    supervisor = Supervisor(Policy(crashes=3), random.Random(1))
+    supervisor = Supervisor(Policy(maximum_exits=3), random.Random(1))
     assert supervisor.want(True, 0.0) is Command.SPAWN
     now = 0.0
     for n in range(3):
@@ -216,20 +228,20 @@
 
 
 def test_exits_far_apart_are_no_crash_loop_and_back_off_begins_anew() -> None:
-    policy = Policy(crashes=3, window=60_000.0)
+    policy = Policy(maximum_exits=3, exit_window_ms=60_000.0)
     supervisor, now = Supervisor(policy, random.Random(1)), 0.0
     supervisor.want(True, now)
     for _ in range(10):
         now += 40_000.0
         supervisor.exited(now)
         assert supervisor.phase == "backing-off" and supervisor.due is not None
-        assert supervisor.due - now <= policy.first_backoff
+        assert supervisor.due - now <= policy.first_backoff_ms
         now = supervisor.due
         assert supervisor.step(now) is Command.SPAWN
 
 
 def test_one_that_does_not_end_is_killed_once() -> None:
-    supervisor = Supervisor(Policy(stop_within=500.0), random.Random(1))
+    supervisor = Supervisor(Policy(stop_timeout_ms=500.0), random.Random(1))
     supervisor.want(True, 0.0)
     assert supervisor.want(False, 10.0) is Command.TERMINATE
     assert supervisor.step(509.0) is None
@@ -251,37 +263,37 @@
 
 
 def test_a_safe_drain_gives_its_figures() -> None:
-    plan = plan_boxes(summed(views(*NINE)), ["s-0"])
+    plan = plan_server_drain(summarize_servers(views(*NINE)), ["s-0"])
     assert plan.unsafe == () and plan.steps == (("s-0",),)
     assert (plan.capacity_before, round(plan.capacity_after, 3)) == (1.0, 0.889)
 
 
 def test_the_last_box_of_a_floor_is_refused_with_its_figures() -> None:
     gone = [box(b.uid, zone=b.zone, weight=2.0, drained_by="an") if b.uid in ("s-0", "s-3") else b for b in NINE]
-    plan = plan_boxes(summed(views(*gone)), ["s-6"])
+    plan = plan_server_drain(summarize_servers(views(*gone)), ["s-6"])
     assert plan.unsafe == ("it takes the last box of floor-2, which has 1 in service",)
-    assert plan_boxes(summed(views(*NINE)), ["s-0", "s-3"]).unsafe == ()
+    assert plan_server_drain(summarize_servers(views(*NINE)), ["s-0", "s-3"]).unsafe == ()
 
 
 def test_too_little_left_is_refused_with_its_figures() -> None:
-    plan = plan_boxes(summed(views(*NINE)), ["s-0", "s-1", "s-2", "s-3", "s-4"])
+    plan = plan_server_drain(summarize_servers(views(*NINE)), ["s-0", "s-1", "s-2", "s-3", "s-4"])
     assert plan.unsafe == ("44 % of all capacity would be left in service; 50 % is the least (now 100 %)",)
 
 
 def test_queues_that_those_left_could_not_take_are_refused() -> None:
     pressed = [box(b.uid, zone=b.zone, weight=2.0, queue=8) for b in NINE]
-    plan = plan_boxes(summed(views(*pressed)), ["s-0"])
+    plan = plan_server_drain(summarize_servers(views(*pressed)), ["s-0"])
     assert plan.unsafe == ("72 requests wait: 4.5 for each unit of weight left, 4 is the most",)
 
 
 def test_one_limiter_that_heard_of_a_drain_outweighs_those_that_did_not() -> None:
-    seen = summed([state("n0", NINE), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])])
+    seen = summarize_servers([state("n0", NINE), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])])
     assert not seen["s-0"].serving and seen["s-1"].serving
 
 
 def test_what_is_drained_already_or_not_known_needs_no_step() -> None:
-    seen = summed(views(*NINE[:8], box("s-8", zone="floor-4", state="draining")))
-    plan = plan_boxes(seen, ["s-8", "no-such"])
+    seen = summarize_servers(views(*NINE[:8], box("s-8", zone="floor-4", state="draining")))
+    plan = plan_server_drain(seen, ["s-8", "no-such"])
     assert plan.steps == () and plan.unknown == ("no-such",) and plan.unsafe == ()
 
 
@@ -289,21 +301,23 @@
 def test_steps_take_each_box_once_and_a_part_of_the_weight_at_most(kinds: list[tuple[str, float]], rng: object) -> None:
     boxes = [box(f"s-{n}", zone=floor, weight=weight) for n, (floor, weight) in enumerate(kinds)]
     targets = [b.uid for b in boxes if rng.random() < 0.6]  # type: ignore[attr-defined]
-    seen = summed([state("n0", boxes)])
-    plan = plan_boxes(seen, targets)
+    seen = summarize_servers([state("n0", boxes)])
+    plan = plan_server_drain(seen, targets)
     assert sorted(uid for step in plan.steps for uid in step) == sorted(targets)
     full = sum(b.weight for b in boxes)
     for step in plan.steps:
-        assert len(step) == 1 or sum(seen[uid].weight for uid in step) <= STEP_PART * full + 1e-9
-        assert len({seen[uid].floor for uid in step}) == len(step)
-    if plan.capacity_after < LEAST_LEFT and targets:
+        assert len(step) == 1 or sum(seen[uid].weight for uid in step) <= MAXIMUM_STEP_SHARE * full + 1e-9
+        assert len({seen[uid].zone for uid in step}) == len(step)
+    if plan.capacity_after < MINIMUM_CAPACITY_LEFT and targets:
         assert plan.unsafe
 
 
 def test_the_last_limiter_in_service_is_not_drained() -> None:
-    assert plan_limiters(["n0", "n1"], ["n0"]) == ()
-    assert plan_limiters(["n0"], ["n0"]) == ("it takes the last limiter in service: 1 serve now, 0 would be left",)
-    assert plan_limiters(["n0"], ["n1"]) == ()  # not in service: nothing is lost by it
+    assert limiter_drain_risks(["n0", "n1"], ["n0"]) == ()
+    assert limiter_drain_risks(["n0"], ["n0"]) == (
+        "it takes the last limiter in service: 1 serve now, 0 would be left",
+    )
+    assert limiter_drain_risks(["n0"], ["n1"]) == ()  # not in service: nothing is lost by it
 
 
 # Comparison
@@ -342,8 +356,8 @@
 KEY = ("box", "s-1")
 
 
-def account(*agents: str) -> Account:
-    return Account("an-1", {KEY: True}, known={name: (f"n-{name}",) for name in agents})
+def account(*agents: str) -> CommandReport:
+    return CommandReport("an-1", {KEY: True}, known_limiters={name: (f"n-{name}",) for name in agents})
 
 
 def intended(agent: str, outcome: str, held: Record | None, reached: str = "reached", out: int = 0) -> f.IntentsAnswer:
@@ -353,55 +367,55 @@
 
 def test_done_everywhere_means_every_limiters_own_word() -> None:
     whole = account("a", "b")
-    whole.answered("a", intended("a", "made", record(1), out=2))
-    whole.answered("b", intended("b", "made", record(1)))
-    assert whole.outcome() is Exit.DONE and not whole.finished()
-    whole.answered("a", f.Progressed(2, "a", (record(1),), intended("a", "made", record(1)).reach))
-    assert whole.finished()
+    whole.add_answer("a", intended("a", "made", record(1), out=2))
+    whole.add_answer("b", intended("b", "made", record(1)))
+    assert whole.outcome() is Exit.DONE and not whole.is_finished()
+    whole.add_answer("a", f.Progressed(2, "a", (record(1),), intended("a", "made", record(1)).reach))
+    assert whole.is_finished()
 
 
 def test_an_agent_that_was_not_reached_is_told_apart_from_one_that_may_have_been() -> None:
     part = account("a", "b", "c")
-    part.answered("a", intended("a", "made", record(1)))
-    part.answered("b", Missing("b", "nothing listens there", False))
-    part.answered("c", Missing("c", "no answer within 1 s", True))
+    part.add_answer("a", intended("a", "made", record(1)))
+    part.add_answer("b", Missing("b", "nothing listens there", False))
+    part.add_answer("c", Missing("c", "no answer within 1 s", True))
     rows = {row.limiter: (row.state, row.why) for row in part.rows()}
     assert rows["n-a"][0] == "reached"
     assert rows["n-b"] == ("not-reached", "agent b: nothing listens there")
     assert rows["n-c"] == ("unknown", "agent c: no answer within 1 s; it may be in force")
     assert part.outcome() is Exit.PART
-    part.answered("b", Missing("b", "no answer within 1 s", True))
-    part.answered("c", Missing("c", "nothing listens there", False))
+    part.add_answer("b", Missing("b", "no answer within 1 s", True))
+    part.add_answer("c", Missing("c", "nothing listens there", False))
     assert {row.limiter: row.state for row in part.rows()}["n-c"] == "unknown"  # once sent, for ever
 
 
 def test_a_limiter_that_was_reached_stays_so_when_its_agent_goes() -> None:
     part = account("a")
-    part.answered("a", intended("a", "made", record(1)))
-    part.answered("a", Missing("a", "the connection was reset", True))
+    part.add_answer("a", intended("a", "made", record(1)))
+    part.add_answer("a", Missing("a", "the connection was reset", True))
     assert [(r.state, r.why) for r in part.rows()] == [("reached", "since then: the connection was reset")]
 
 
 def test_nothing_done_is_said_only_where_it_is_certain() -> None:
     none = account("a")
-    none.answered("a", Missing("a", "nothing listens there", False))
+    none.add_answer("a", Missing("a", "nothing listens there", False))
     assert none.outcome() is Exit.NOTHING
-    none.answered("a", Missing("a", "no answer", True))
+    none.add_answer("a", Missing("a", "no answer", True))
     assert none.outcome() is Exit.PART
     refused = account("a")
-    refused.answered("a", Refusal("a", "role", "lam is a viewer and may not intend"))
+    refused.add_answer("a", Refusal("a", "role", "lam is a viewer and may not intend"))
     assert refused.outcome() is Exit.NOTHING
     assert refused.text() == ["agent a refuses: lam is a viewer and may not intend"]
 
 
 def test_both_operators_are_told_whose_record_holds() -> None:
     second = account("a")
-    second.answered("a", intended("a", "joined", record(1, by="binh")))
+    second.add_answer("a", intended("a", "joined", record(1, by="binh")))
     assert second.outcome() is Exit.DONE
     assert second.text() == ["box s-1: drained by binh (generation 1); yours joins that record"]
     undone = account("a")
-    undone.answered("a", intended("a", "made", Record("box", "s-1", True, 1, "an-1", "an", 0.0)))
-    undone.answered("a", f.Progressed(2, "a", (record(2, drained=False, by="binh"),), ()))
+    undone.add_answer("a", intended("a", "made", Record("box", "s-1", True, 1, "an-1", "an", 0.0)))
+    undone.add_answer("a", f.Progressed(2, "a", (record(2, drained=False, by="binh"),), ()))
     assert undone.outcome() is Exit.OVERTAKEN
     assert undone.text() == ["box s-1: not done, it is undrained by binh (generation 2)"]
 
@@ -409,6 +423,6 @@
 @pytest.mark.parametrize("outcome", ["stale", "refused"])
 def test_a_wish_that_no_agent_took_is_not_done(outcome: str) -> None:
     none = account("a")
-    none.answered("a", intended("a", outcome, record(3, drained=False, by="binh")))
+    none.add_answer("a", intended("a", outcome, record(3, drained=False, by="binh")))
     assert none.outcome() is Exit.OVERTAKEN
     assert "agent a: why" in none.text()
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -96,10 +96,10 @@
 
 def test_a_token_tells_who_and_is_shown_nowhere(tmp_path: Path) -> None:
     tokens = Tokens.read(private(tmp_path / "tokens", f"viewer lam {SECRET}\noperator an {SECRET}2\n"))
-    lam, an = tokens.who(SECRET), tokens.who(SECRET + "2")
+    lam, an = tokens.identify(SECRET), tokens.identify(SECRET + "2")
     assert lam is not None and an is not None
     assert [(who.name, who.role) for who in (lam, an)] == [("lam", "viewer"), ("an", "operator")]
-    assert tokens.who(SECRET[:-1]) is None and tokens.who("") is None
+    assert tokens.identify(SECRET[:-1]) is None and tokens.identify("") is None
     assert SECRET not in repr(vars(tokens))
 
 
@@ -115,8 +115,8 @@
 def test_what_was_kept_is_there_after_a_death(tmp_path: Path) -> None:
     store = Store(tmp_path / "db")
     assert store.next_epoch() == 1
-    number = store.keep([record("s-1"), record("s-2")], LINE)
-    store.reached(number, "n0: reached")
+    number = store.save_records([record("s-1"), record("s-2")], LINE)
+    store.set_audit_outcome(number, "n0: reached")
     store.set_limiter("n0", True, 12, 34)
     # no close: the process is killed
     again = Store(tmp_path / "db")
@@ -124,7 +124,7 @@
     assert [(line.what, line.reached) for line in again.audit(9)] == [("drain box s-1", "n0: reached")]
     assert again.limiter("n0") == (True, 12, 34) and again.limiter("n9") is None
     assert again.next_epoch() == 2
-    again.forget([record("s-1")], LINE)
+    again.delete_records([record("s-1")], LINE)
     assert again.records() == (record("s-2"),)
 
 
@@ -134,7 +134,7 @@
     Failing.countdown, Failing.writes = -1, 0
     store = Store(tmp_path / "db", Failing)
     before = Failing.writes
-    store.keep([record("s-0"), record("s-00")], LINE)
+    store.save_records([record("s-0"), record("s-00")], LINE)
     count = Failing.writes - before
     assert count >= 6
     for nth in range(1, count + 1):
@@ -142,23 +142,23 @@
         change = [record(f"s-{nth}"), record(f"t-{nth}")]
         held, lines = store.records(), store.audit(99)
         with pytest.raises(StoreError, match="disk I/O error"):
-            store.keep(change, LINE)
+            store.save_records(change, LINE)
         assert store.records() == held and store.audit(99) == lines
-        store.keep(change, LINE)
+        store.save_records(change, LINE)
         assert set(store.records()) - set(held) == set(change)
     assert Store(tmp_path / "db").records() == store.records()
 
 
 def test_a_full_disk_keeps_what_was_there(tmp_path: Path) -> None:
     store = Store(tmp_path / "db")
-    store.keep([record("s-1")], LINE)
+    store.save_records([record("s-1")], LINE)
     pages = store._db.execute("PRAGMA page_count").fetchone()[0]
     store._db.execute(f"PRAGMA max_page_count={pages}")
     with pytest.raises(StoreError, match="full"):
-        store.keep([Record("box", f"s-{n}", True, 1, "o" * 400, "an", 5.0) for n in range(100)], LINE)
+        store.save_records([Record("box", f"s-{n}", True, 1, "o" * 400, "an", 5.0) for n in range(100)], LINE)
     assert store.records() == (record("s-1"),)
     store._db.execute("PRAGMA max_page_count=1000000")
-    store.keep([record("s-2")], LINE)
+    store.save_records([record("s-2")], LINE)
     assert len(store.records()) == 2
 
 
@@ -167,9 +167,9 @@
     other = sqlite3.connect(tmp_path / "db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
     with pytest.raises(StoreError, match="locked"):
-        store.keep([record("s-1")], LINE)
+        store.save_records([record("s-1")], LINE)
     other.execute("ROLLBACK")
-    store.keep([record("s-1")], LINE)
+    store.save_records([record("s-1")], LINE)
     assert len(store.records()) == 1
 
 
@@ -178,17 +178,17 @@
     path = tmp_path / "db"
     if damage is None:
         store = Store(path)
-        store.keep([record(f"s-{n}") for n in range(200)], LINE)
+        store.save_records([record(f"s-{n}") for n in range(200)], LINE)
         store.close()
         raw = bytearray(path.read_bytes())
         raw[4096:12288] = b"\xff" * 8192  # whole pages inside a file that begins well
         damage = bytes(raw)
     path.write_bytes(damage)
     store = Store(path)
-    assert store.set_aside is not None and store.set_aside.read_bytes() == damage
+    assert store.damaged_file is not None and store.damaged_file.read_bytes() == damage
     assert store.records() == ()
-    store.keep([record("s-1")], LINE)
-    assert Store(path).set_aside is None
+    store.save_records([record("s-1")], LINE)
+    assert Store(path).damaged_file is None
 
 
 def test_a_store_of_a_later_version_is_left_alone(tmp_path: Path) -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 
 from elderlock.fleet.agent.agent import Agent
-from elderlock.fleet.client.drain_commands import Order, Result, carry_out, order_limiters, see
+from elderlock.fleet.client.drain_commands import Order, Result, carry_out, observe_group, order_limiters
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
 from elderlock.fleet.config import read_agent
-from elderlock.fleet.supervision.limiter_process import born
+from elderlock.fleet.supervision.limiter_process import process_start_ticks
 from elderlock.standins.boxes import STD
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
@@ -42,7 +42,7 @@
         return await carry_out(self.group, order, lambda *_: None)
 
     async def answering(self) -> None:
-        while len([s for s in (await see(self.group)).states() if s.ready]) < self.world.limiters:
+        while len([s for s in (await observe_group(self.group)).states() if s.ready]) < self.world.limiters:
             await asyncio.sleep(0.05)
 
     def sent_by(self, limiter: int) -> int:
@@ -168,7 +168,7 @@
         async with running(tmp_path) as here:
             os.kill(here.pid("n1"), signal.SIGSTOP)
             result = await here.drain("s-01", after=0.3)
-            told = {row.limiter: row for row in result.accounts[0].rows()}
+            told = {row.limiter: row for row in result.reports[0].rows()}
             assert result.exit is Exit.PART
             assert {name: row.state for name, row in told.items()} == {
                 "n0": "reached",
@@ -178,7 +178,7 @@
             os.kill(here.pid("n1"), signal.SIGCONT)
             again = await here.drain("s-01", after=20.0)
             assert again.exit is Exit.DONE
-            since = max(row.at for row in again.accounts[0].rows())
+            since = max(row.at for row in again.reports[0].rows())
             await here.some_work()
             assert here.late("s-01", since) == []
             await no_request_was_lost(here)
@@ -236,8 +236,8 @@
             await here.agent.start()
             await here.answering()
             assert {name: here.pid(name) for name in here.world.limiter_names} == pids
-            assert all(charge.adopted for charge in here.agent.limiters.values())
-            seen = await see(here.group)
+            assert all(charge.is_adopted for charge in here.agent.limiters.values())
+            seen = await observe_group(here.group)
             assert {r.target for s in seen.states() for r in s.records} == {"s-04"}
             # an adopted one is watched, though it is no child of ours any more
             os.kill(pids["n2"], signal.SIGKILL)
@@ -262,7 +262,7 @@
             client.send("PING")
             assert str(await client.answer()) == "LOADING drained by an operator"
             await here.some_work()
-            seen = {s.limiter: s for s in (await see(here.group)).states()}
+            seen = {s.limiter: s for s in (await observe_group(here.group)).states()}
             assert seen["n1"].is_drained and seen["n1"].open_requests == 0 and not seen["n0"].is_drained
             assert (await here.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
             await until(lambda: here.front.part[1])
@@ -295,7 +295,7 @@
             charge = here.agent.limiters["n2"]
             await until(lambda: charge.supervisor.phase == "gave-up")
             drained = await here.drain("s-05")
-            rows = {row.limiter: row.state for row in drained.accounts[0].rows()}
+            rows = {row.limiter: row.state for row in drained.reports[0].rows()}
             assert drained.exit is Exit.DONE and rows["n2"] == "at-start"
             config.write_text(good)
             started = await order_limiters(here.group, "start", ["n2"], False, 1.0, 20.0, lambda _: None)
@@ -316,7 +316,7 @@
             await here.some_work(20)
             pid = here.pid("n2")
             stopped = await order_limiters(here.group, "stop", ["n2"], False, 1.0, 20.0, lambda _: None)
-            assert stopped.exit is Exit.DONE and born(pid) == 0
+            assert stopped.exit is Exit.DONE and process_start_ticks(pid) == 0
             last = await order_limiters(here.group, "stop", ["n0", "n1"], False, 1.0, 20.0, lambda _: None)
             assert last.exit is Exit.UNSAFE
             assert last.unsafe == ("it takes the last limiter in service: 2 serve now, 0 would be left",)
@@ -329,11 +329,11 @@
     async def test() -> None:
         async with running(tmp_path, load=False) as here:
             result = await here.drain("s-00", "s-03")  # both of floor-2
-            assert result.exit is Exit.UNSAFE and result.accounts == []
+            assert result.exit is Exit.UNSAFE and result.reports == []
             assert result.unsafe == ("it takes the last box of floor-2, which has 2 in service",)
             assert not len(here.agent.records)
             forced = await here.drain("s-00", "s-03", force=True)
-            assert forced.exit is Exit.DONE and len(forced.accounts) == 2  # in two steps
+            assert forced.exit is Exit.DONE and len(forced.reports) == 2  # in two steps
             unknown = await here.drain("s-99")
             assert unknown.exit is Exit.NOTHING and unknown.lines == ["box s-99 is not known"]
 
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -17,8 +17,8 @@
 from elderlock.control.records import Record
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.answers import Missing
-from elderlock.fleet.client.drain_commands import see
-from elderlock.fleet.client.explanation import Explanation, entries, explain
+from elderlock.fleet.client.drain_commands import observe_group
+from elderlock.fleet.client.explanation import Explanation, explain, summarize_evidence
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation, observe
 from elderlock.gossip.health_evidence import EJECTION_WEIGHT, FRESH_MS
@@ -42,7 +42,7 @@
 
 
 async def until_seen(group: Group, holds: Callable[[GroupObservation], bool]) -> GroupObservation:
-    while not holds(seen := await see(group, accounts=0)):
+    while not holds(seen := await observe_group(group, accounts=0)):
         await asyncio.sleep(0.1)
     return seen
 
@@ -53,7 +53,7 @@
 
 def ejecting_limiters(seen: GroupObservation) -> list[str]:
     """Return the limiters that eject the server."""
-    return [word.limiter for word in of(seen).words if word.health is not None and word.health.ejected_ms >= 0.0]
+    return [word.limiter for word in of(seen).statements if word.health is not None and word.health.ejected_ms >= 0.0]
 
 
 async def command(ground: Ground, *words: str) -> tuple[int, Any, str]:
@@ -79,7 +79,9 @@
             faults, group = TrialFaults(ground), group_of(ground)
             ground.ask()
             faults.begin(0, SILENT)
-            await until_seen(group, lambda seen: any(len(w.health.ejected_by) > 1 for w in of(seen).words if w.health))
+            await until_seen(
+                group, lambda seen: any(len(w.health.ejected_by) > 1 for w in of(seen).statements if w.health)
+            )
             while True:
                 exit, told, _ = await command(ground, "explain", "box", BOX, "--json")
                 out = [word for word in told["words"] if word["health"] and word["health"]["left_out_ms"] >= 0.0]
@@ -126,16 +128,16 @@
     )
     assert tables.shared(seen, False)[0].startswith("no limiter that answers shares evidence")
     plain = explain(seen, "s-0", 5000.0)
-    assert [word.used for word in plain.words] == [True, True] and plain.silent == ("agent agent-1",)
+    assert [word.is_used for word in plain.statements] == [True, True] and plain.silent == ("agent agent-1",)
     out = explain(seen, "s-1", 5000.0)
-    assert out.words[0].since_ms == 4000.0 and not out.words[0].used and not out.words[1].listed
+    assert out.statements[0].since_ms == 4000.0 and not out.statements[0].is_used and not out.statements[1].is_listed
     lines = tables.explained(out, False)
     assert lines[:2] == [
         "s-1 (floor-2, std-2c, weight 2) is used by 0 of 2 limiters",
         "drained by an, generation 7: fan is loud",
     ]
     assert "1 of 2: its list does not name the box" in lines and lines[-1] == "says nothing: agent agent-1"
-    assert not explain(seen, "s-9", 5000.0).known
+    assert not explain(seen, "s-9", 5000.0).is_known
 
 
 def cut(whence: list[int], whither: list[int]) -> list[Fault]:
@@ -174,13 +176,15 @@
             good: list[float] = []
 
             def found(seen: GroupObservation) -> bool:
-                good.extend(entry.weighed for entry in entries(seen.states()) if entry.box != BOX)
+                good.extend(entry.weighed for entry in summarize_evidence(seen.states()) if entry.server != BOX)
                 return len(ejecting_limiters(seen)) >= 2
 
             await until_seen(group, found)
             assert all(weighed < EJECTION_WEIGHT for weighed in good)
             mend()
-            back = await until_seen(group, lambda seen: [word.used for word in of(seen).words] == [True] * LIMITERS)
+            back = await until_seen(
+                group, lambda seen: [word.is_used for word in of(seen).statements] == [True] * LIMITERS
+            )
             assert ejecting_limiters(back) == []
             assert judged(ground).broken == []
             group.close()
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -215,7 +215,7 @@
             await asyncio.sleep(0.1)
 
     async def plan(self) -> Plan | None:
-        return (await operate.known(self.group, 1.0)).plan("r" * 32)
+        return (await operate.list_plans(self.group, 1.0)).plan("r" * 32)
 
     async def until(self, *outcomes: str) -> Plan:
         while (plan := await self.plan()) is None or plan.outcome() not in outcomes:
@@ -223,8 +223,8 @@
         return plan
 
     async def versions(self) -> dict[str, str]:
-        now = await operate.known(self.group, 1.0)
-        return {name: answer.itself.version for name, answer in now.answers.items()}
+        now = await operate.list_plans(self.group, 1.0)
+        return {name: answer.agent_brief.version for name, answer in now.answers.items()}
 
     async def until_all_run(self, version: str) -> None:
         while sorted((await self.versions()).items()) != [(f"agent-{n}", version) for n in range(3)]:
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -40,8 +40,8 @@
     def __init__(self, ground: Ground) -> None:
         self.ground, self.group = ground, Group.read(ground.group_path, ground.token_path("an"))
 
-    async def known(self) -> operate.Known:
-        return await operate.known(self.group, 1.0)
+    async def known(self) -> operate.PlanAnswers:
+        return await operate.list_plans(self.group, 1.0)
 
     async def begin(
         self, version: str, id: str = "r" * 32, agent: str = "", terms: RolloutPolicy = TERMS
@@ -198,7 +198,7 @@
             for uid in BOXES[4:]:
                 await faults.box_fault(Fault(0.0, what, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
 
-            def waits(known: operate.Known) -> bool:
+            def waits(known: operate.PlanAnswers) -> bool:
                 return any("would be out" in text for answer in known.answers.values() for text in answer.waits)
 
             while not waits(known := await here.known()):
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -441,10 +441,10 @@
         async def agent() -> None:
             host.lock(tmp_path / "lock")
             store = host.store(tmp_path / "store.db")
-            store.keep([], line)
+            store.save_records([], line)
             machine.disk_fails = fails
             with pytest.raises(StoreError):
-                store.keep([], line)
+                store.save_records([], line)
             with pytest.raises(OSError):
                 host.write_private(tmp_path / "file", b"x")
             machine.disk_fails = ""
--- a/tests/trial/test_disk.py
+++ b/tests/trial/test_disk.py
@@ -36,7 +36,7 @@
 for n in range(1, 200):
     host.write_private(home / "boot", b"%d" % n)
     record = Record("box", f"s-{n}", True, n, "o", "an", 0.0)
-    store.keep([record], AuditLine(0.0, "an", "operator", "drain", n, ""))
+    store.save_records([record], AuditLine(0.0, "an", "operator", "drain", n, ""))
     print(n, flush=True)  # told: from here on it must be there
 """
 
@@ -65,7 +65,7 @@
     if lost == "power":
         disk.lose_power(home, disk.load(seam.with_suffix(".durable")), random.Random(after))
     store = Store(home / "store.db")
-    assert store.set_aside is None
+    assert store.damaged_file is None
     held = {record.generation for record in store.records()}
     assert held >= set(range(1, told + 1)) and len(held) <= told + 1
     boot = home / "boot"
@@ -91,9 +91,9 @@
     home, seam, block = grounds(tmp_path)
     host = disk.TrialHost(block, home, seam.with_suffix(".durable"))
     store = host.store(home / "store.db")
-    store.keep([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
+    store.save_records([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
     block.disk = Disk.LIES
-    store.keep([Record("box", "s-2", True, 2, "o", "an", 0.0)], LINE)
+    store.save_records([Record("box", "s-2", True, 2, "o", "an", 0.0)], LINE)
     store.close()
     lost = disk.lose_power(home, disk.load(seam.with_suffix(".durable")))
     assert any(name.startswith("store.db") for name in lost)
@@ -109,12 +109,12 @@
     for fails, words in ((Disk.FULL, "full"), (Disk.ERROR, "I/O error")):
         block.disk = fails
         with pytest.raises(StoreError, match=words):
-            store.keep([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
+            store.save_records([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
         with pytest.raises(OSError):
             host.write_private(home / "boot", b"x")
     block.disk = Disk.GOOD
     assert store.records() == () and not (home / "boot").exists()
-    store.keep([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
+    store.save_records([Record("box", "s-1", True, 1, "o", "an", 0.0)], LINE)
     store.close()
 
 
