--- a/elderlock/fleet/agent_store.py
+++ b/elderlock/fleet/agent_store.py
@@ -1,7 +1,7 @@
-"""What an agent must still know after its death: drains, what shall run, processes, the audit.
+"""The data that an agent keeps across restarts: drain records, limiters, the audit log, its vote and versions.
 
-SQLite with a write-ahead log. A record and its audit line are one transaction: either both are kept or
-neither. Every failure comes out as `StoreError`; nothing is told to a limiter that is not kept first.
+It is an SQLite database with a write-ahead log. A record and its audit line are written in one transaction. Every
+failure is raised as `StoreError`. An agent stores a record before it sends it to a limiter.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 from elderlock.rollout.caspaxos import Ballot
 
 SCHEMA_VERSION = 3
-BUSY_WITHIN = 0.2  # s that another's lock is waited for
-MOST_AUDIT = 10_000  # lines kept
+BUSY_TIMEOUT_S = 0.2  # for a lock that another connection holds
+MAXIMUM_AUDIT_LINES = 10_000
+MS_PER_S = 1000
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value INTEGER NOT NULL) STRICT;
 CREATE TABLE IF NOT EXISTS records (
@@ -38,28 +39,41 @@
 
 
 class StoreError(Exception):
-    """It was not kept; the text says why."""
+    """The store cannot be read or written; the text says why."""
 
 
 class Store:
-    """`factory` makes the connection, so that tests can fail each write in turn."""
+    """The store of one agent.
+
+    Attributes:
+        damaged_file: The new path of a damaged database that was found and moved; None where there was none.
+    """
 
     def __init__(self, path: Path, factory: type[sqlite3.Connection] = sqlite3.Connection) -> None:
+        """Open the store, and make it if it does not exist.
+
+        Args:
+            path: The path of the database.
+            factory: The class of the connection, with which tests make writes fail.
+
+        Raises:
+            StoreError: The store cannot be opened.
+        """
         self._path, self._factory = path, factory
-        self.damaged_file: Path | None = None  # what was there and could not be read
+        self.damaged_file: Path | None = None
         try:
             self._db = self._open()
-        except sqlite3.OperationalError as error:  # locked, full, no rights: it may be whole
+        except sqlite3.OperationalError as error:  # locked, full, no permission: the file may be intact
             raise StoreError(f"{path}: {error}") from None
         except sqlite3.DatabaseError:
-            self.damaged_file = self._aside()
+            self.damaged_file = self._move_damaged_file()
             try:
                 self._db = self._open()
             except sqlite3.Error as error:
                 raise StoreError(f"{path}: {error}") from None
 
     def _open(self) -> sqlite3.Connection:
-        db = sqlite3.connect(self._path, timeout=BUSY_WITHIN, isolation_level=None, factory=self._factory)
+        db = sqlite3.connect(self._path, timeout=BUSY_TIMEOUT_S, isolation_level=None, factory=self._factory)
         try:
             if db.execute("PRAGMA quick_check(1)").fetchone()[0] != "ok":
                 raise sqlite3.DatabaseError("the file is damaged")
@@ -67,7 +81,9 @@
             db.execute("PRAGMA synchronous=FULL")
             version = db.execute("PRAGMA user_version").fetchone()[0]
             if version > SCHEMA_VERSION:
-                raise sqlite3.OperationalError(f"version {version} is of a later elderlock")
+                raise sqlite3.OperationalError(
+                    f"schema version {version} is of a later elderlock, this one has {SCHEMA_VERSION}"
+                )
             if version < SCHEMA_VERSION:
                 db.executescript(SCHEMA)
                 db.execute(f"PRAGMA user_version={SCHEMA_VERSION}")
@@ -76,18 +92,18 @@
             db.close()
             raise
 
-    def _aside(self) -> Path:
-        """A damaged file is kept for a look, never written over."""
-        aside = self._path.with_name(f"{self._path.name}.damaged-{int(time.time() * 1000)}")
-        self._path.rename(aside)
+    def _move_damaged_file(self) -> Path:
+        """Rename a damaged database, which is never overwritten, so that it can be inspected."""
+        damaged_file = self._path.with_name(f"{self._path.name}.damaged-{int(time.time() * MS_PER_S)}")
+        self._path.rename(damaged_file)
         for suffix in ("-wal", "-shm"):
-            rest = self._path.with_name(self._path.name + suffix)
-            if rest.exists():
-                rest.rename(aside.with_name(aside.name + suffix))
-        return aside
+            companion = self._path.with_name(self._path.name + suffix)
+            if companion.exists():
+                companion.rename(damaged_file.with_name(damaged_file.name + suffix))
+        return damaged_file
 
     def _write(self, *statements: tuple[str, tuple[object, ...]]) -> None:
-        """All of them or none."""
+        """Execute all statements in one transaction."""
         try:
             self._db.execute("BEGIN IMMEDIATE")
             try:
@@ -108,15 +124,17 @@
             raise StoreError(str(error)) from None
 
     def next_epoch(self) -> int:
-        """Greater at each start of the agent, and kept before it is used."""
+        """Store and return an epoch greater than any before; called once at each start of the agent."""
         self.raise_epoch(self.epoch() + 1)
         return self.epoch()
 
     def epoch(self) -> int:
+        """Return the stored epoch; 0 where there is none."""
         rows = self._rows("SELECT value FROM meta WHERE name='epoch'")
         return int(str(rows[0][0])) if rows else 0
 
     def raise_epoch(self, epoch: int) -> None:
+        """Store an epoch, unless a greater one is stored."""
         self._write(
             (
                 "INSERT INTO meta VALUES ('epoch', ?) ON CONFLICT (name) DO UPDATE "
@@ -126,6 +144,7 @@
         )
 
     def records(self) -> tuple[Record, ...]:
+        """Return the drain records."""
         rows = self._rows("SELECT kind, target, drained, generation, origin, by, at, reason FROM records")
         return tuple(
             Record(
@@ -142,57 +161,62 @@
         )
 
     def save_records(self, records: Iterable[Record], line: AuditLine) -> int:
-        """The records with their audit line; returns its id, for `reached`."""
+        """Store drain records and their audit line; return the line's id, for `set_audit_outcome`."""
         statements: list[tuple[str, tuple[object, ...]]] = [
             (
                 "INSERT OR REPLACE INTO records VALUES (?, ?, ?, ?, ?, ?, ?, ?)",
                 (
-                    r.kind,
-                    r.target,
-                    int(r.is_drained),
-                    r.generation,
-                    r.origin,
-                    r.requested_by,
-                    r.created_at_unix_ms,
-                    r.reason,
+                    record.kind,
+                    record.target,
+                    int(record.is_drained),
+                    record.generation,
+                    record.origin,
+                    record.requested_by,
+                    record.created_at_unix_ms,
+                    record.reason,
                 ),
             )
-            for r in records
+            for record in records
         ]
-        return self._audited(statements, line)
+        return self._write_with_audit_line(statements, line)
 
     def delete_records(self, records: Iterable[Record], line: AuditLine) -> int:
-        gone: list[tuple[str, tuple[object, ...]]] = [
-            ("DELETE FROM records WHERE kind=? AND target=?", (r.kind, r.target)) for r in records
+        """Delete the records of the same targets and store the audit line; return the line's id."""
+        statements: list[tuple[str, tuple[object, ...]]] = [
+            ("DELETE FROM records WHERE kind=? AND target=?", (record.kind, record.target)) for record in records
         ]
-        return self._audited(gone, line)
+        return self._write_with_audit_line(statements, line)
 
-    def _audited(self, statements: list[tuple[str, tuple[object, ...]]], line: AuditLine) -> int:
-        number = int(str(self._rows("SELECT coalesce(max(id), 0) + 1 FROM audit")[0][0]))
-        values = (number, line.at, line.who, line.role, line.what, line.generation, line.reached)
+    def _write_with_audit_line(self, statements: list[tuple[str, tuple[object, ...]]], line: AuditLine) -> int:
+        line_id = int(str(self._rows("SELECT coalesce(max(id), 0) + 1 FROM audit")[0][0]))
+        values = (line_id, line.at, line.who, line.role, line.what, line.generation, line.reached)
         self._write(
             *statements,
             ("INSERT INTO audit VALUES (?, ?, ?, ?, ?, ?, ?)", values),
-            ("DELETE FROM audit WHERE id <= ?", (number - MOST_AUDIT,)),
+            ("DELETE FROM audit WHERE id <= ?", (line_id - MAXIMUM_AUDIT_LINES,)),
         )
-        return number
+        return line_id
 
-    def set_audit_outcome(self, number: int, text: str) -> None:
-        """Completes an audit line with how far its command came."""
-        self._write(("UPDATE audit SET reached=? WHERE id=?", (text, number)))
+    def set_audit_outcome(self, line_id: int, text: str) -> None:
+        """Add the outcome of the command to its audit line."""
+        self._write(("UPDATE audit SET reached=? WHERE id=?", (text, line_id)))
 
-    def audit(self, most: int) -> tuple[AuditLine, ...]:
+    def audit(self, maximum_lines: int) -> tuple[AuditLine, ...]:
+        """Return the newest lines of the audit log, the oldest of them first."""
         rows = self._rows(
-            "SELECT at, who, role, what, generation, reached FROM audit ORDER BY id DESC LIMIT ?", (most,)
+            "SELECT at, who, role, what, generation, reached FROM audit ORDER BY id DESC LIMIT ?", (maximum_lines,)
         )
         lines = [
-            AuditLine(float(str(at)), str(who), str(role), str(what), int(str(gen)), str(reached))
-            for at, who, role, what, gen, reached in rows
+            AuditLine(float(str(at)), str(who), str(role), str(what), int(str(generation)), str(reached))
+            for at, who, role, what, generation, reached in rows
         ]
         return tuple(reversed(lines))
 
     def vote(self) -> tuple[Ballot, Ballot, bytes] | None:
-        """What this agent promised and accepted; None where it never did, or the store is another than it was."""
+        """Return the promised ballot, the accepted ballot and the accepted value.
+
+        None where the agent has stored no vote, or had stored it in a store that is lost.
+        """
         rows = self._rows("SELECT promised, promised_by, accepted, accepted_by, value FROM vote")
         if not rows:
             return None
@@ -204,25 +228,30 @@
         )
 
     def save_vote(self, promised: Ballot, accepted: Ballot, value: bytes) -> None:
-        """Before the answer leaves that tells of it."""
+        """Store the agent's vote; it has to be stored before the agent sends it."""
         self._write(("INSERT OR REPLACE INTO vote VALUES (1, ?, ?, ?, ?, ?)", (*promised, *accepted, value)))
 
     def limiter(self, name: str) -> tuple[bool, int, int] | None:
-        """Whether it shall run, its process and when that was born (the kernel's ticks)."""
+        """Return whether a limiter has to run, its pid and its start time in the kernel's ticks; None if not stored."""
         rows = self._rows("SELECT wanted, pid, born FROM limiters WHERE name=?", (name,))
         return (bool(rows[0][0]), int(str(rows[0][1])), int(str(rows[0][2]))) if rows else None
 
-    def set_limiter(self, name: str, wanted: bool, pid: int, born: int) -> None:
-        self._write(("INSERT OR REPLACE INTO limiters VALUES (?, ?, ?, ?)", (name, int(wanted), pid, born)))
+    def set_limiter(self, name: str, wanted: bool, pid: int, start_ticks: int) -> None:
+        """Store whether a limiter has to run, its pid and its start time in the kernel's ticks."""
+        self._write(("INSERT OR REPLACE INTO limiters VALUES (?, ?, ?, ?)", (name, int(wanted), pid, start_ticks)))
 
     def version(self, name: str) -> tuple[str, int, str]:
-        """Which version the limiter is to run, by which generation, and which one its process was started on; empty for
-        the one in the agent's file."""
+        """Return the version that a limiter has to run, the generation of that decision, and the running version.
+
+        An empty version is the one in the agent's file.
+        """
         rows = self._rows("SELECT wanted, generation, runs FROM versions WHERE name=?", (name,))
         return (str(rows[0][0]), int(str(rows[0][1])), str(rows[0][2])) if rows else ("", 0, "")
 
-    def set_version(self, name: str, wanted: str, generation: int, runs: str) -> None:
-        self._write(("INSERT OR REPLACE INTO versions VALUES (?, ?, ?, ?)", (name, wanted, generation, runs)))
+    def set_version(self, name: str, wanted: str, generation: int, running: str) -> None:
+        """Store the version that a limiter has to run, the generation of that decision, and the running version."""
+        self._write(("INSERT OR REPLACE INTO versions VALUES (?, ?, ?, ?)", (name, wanted, generation, running)))
 
     def close(self) -> None:
+        """Close the database."""
         self._db.close()
--- a/elderlock/fleet/auth.py
+++ b/elderlock/fleet/auth.py
@@ -1,4 +1,7 @@
-"""Who may do what: tokens from files whose mode is checked, roles, mutual TLS. Tokens are never logged."""
+"""Authentication and authorisation: tokens, roles and mutual TLS.
+
+Files with secrets are read only if no other user can read them. Tokens are never logged.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,12 @@
 from elderlock.fleet.messages import Role
 
 if TYPE_CHECKING:
-    import ssl  # loaded where there is TLS alone: it is a tenth of the command's start
+    import ssl  # imported at run time only where TLS is used: it takes a tenth of the start of a command
 
 ROLES: tuple[Role, ...] = ("viewer", "operator", "agent")
-SHORTEST = 16  # characters
-ALLOWED_MESSAGES: dict[str, frozenset[str]] = {
+MINIMUM_TOKEN_LENGTH = 16
+OTHERS_MODE_MASK = 0o077  # the permission bits of the group and of other users
+ALLOWED_MESSAGES: dict[str, frozenset[str]] = {  # the tags of the messages that each role may send
     "viewer": frozenset({"show", "progress", "audit", "standing", "plans"}),
     "operator": frozenset(
         {"show", "progress", "audit", "intend", "order", "lend", "ask", "standing", "begin", "steer", "plans"}
@@ -29,28 +33,44 @@
 
 
 class Identity(msgspec.Struct, frozen=True):
+    """The caller that a token belongs to.
+
+    Attributes:
+        name: The name of the operator or agent.
+        role: Its role.
+    """
+
     name: str
     role: Role
 
 
-def _private(path: Path) -> str:
-    """The text of a file that only its owner, who is us, can read. Raises `FileError`."""
+def _read_private(path: Path) -> str:
+    """Return the text of a file that this user owns and no other user can read.
+
+    Raises:
+        FileError: Another user owns the file or can read it, or it cannot be read.
+    """
     try:
-        about = path.stat()
-        mode = stat.S_IMODE(about.st_mode)
-        if about.st_uid != os.geteuid() or mode & 0o077:
+        status = path.stat()
+        mode = stat.S_IMODE(status.st_mode)
+        if status.st_uid != os.geteuid() or mode & OTHERS_MODE_MASK:
             raise FileError(f"{path}: others can read it (mode {mode:04o}); chmod 600 and own it")
         return path.read_text(encoding="utf-8")
     except OSError as error:
         raise FileError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise FileError(f"{path}: not plain text") from None
+        raise FileError(f"{path}: not UTF-8 text") from None
 
 
 def read_token(path: Path) -> str:
-    token = _private(path).strip()
-    if len(token) < SHORTEST or any(c.isspace() for c in token):
-        raise FileError(f"{path}: a token has {SHORTEST} characters at least and no spaces")
+    """Read a file that holds one token.
+
+    Raises:
+        FileError: The file cannot be used.
+    """
+    token = _read_private(path).strip()
+    if len(token) < MINIMUM_TOKEN_LENGTH or any(character.isspace() for character in token):
+        raise FileError(f"{path}: a token needs at least {MINIMUM_TOKEN_LENGTH} characters and no spaces")
     return token
 
 
@@ -59,42 +79,59 @@
 
 
 class Tokens:
-    """The tokens of an agent, held as digests: nothing that prints this object shows one."""
+    """The tokens that an agent accepts, stored as digests so that printing this object shows none."""
 
     def __init__(self, entries: list[tuple[bytes, Identity]]) -> None:
+        """Make a list of tokens from their digests and identities."""
         self._entries = entries
 
     @classmethod
     def read(cls, path: Path) -> Tokens:
-        """Lines of `role name token`; `#` begins a comment. Raises `FileError`, without the token."""
+        """Read a file of tokens: lines of `role name token`, and comments that begin with `#`.
+
+        Raises:
+            FileError: The file cannot be used; the text contains no token.
+        """
         entries, names = [], set()
-        for number, line in enumerate(_private(path).splitlines(), 1):
+        for number, line in enumerate(_read_private(path).splitlines(), 1):
             if not line.strip() or line.lstrip().startswith("#"):
                 continue
-            parts = line.split()
-            if len(parts) != 3 or parts[0] not in ROLES or not NAME.fullmatch(parts[1]):
+            words = line.split()
+            if len(words) != 3 or words[0] not in ROLES or not NAME.fullmatch(words[1]):
                 raise FileError(f"{path}: line {number} is not 'role name token', roles {', '.join(ROLES)}")
-            if len(parts[2]) < SHORTEST:
-                raise FileError(f"{path}: line {number}: a token has {SHORTEST} characters at least")
-            if parts[1] in names:
-                raise FileError(f"{path}: line {number}: {parts[1]} has a token already")
-            names.add(parts[1])
-            entries.append((_digest(parts[2]), Identity(parts[1], cast(Role, parts[0]))))
+            role, name, token = words
+            if len(token) < MINIMUM_TOKEN_LENGTH:
+                raise FileError(f"{path}: line {number}: a token needs at least {MINIMUM_TOKEN_LENGTH} characters")
+            if name in names:
+                raise FileError(f"{path}: line {number}: {name} has a token already")
+            names.add(name)
+            entries.append((_digest(token), Identity(name, cast(Role, role))))
         if not entries:
-            raise FileError(f"{path}: no token in it")
+            raise FileError(f"{path}: it contains no token")
         return cls(entries)
 
     def identify(self, token: str) -> Identity | None:
-        """Looks at every entry, each in constant time: how long it takes tells nothing."""
-        given, found = _digest(token), None
+        """Return the identity that a token belongs to; None if it belongs to none.
+
+        All entries are compared, each in constant time, so that the duration reveals nothing about the tokens.
+        """
+        token_digest, found_identity = _digest(token), None
         for digest, identity in self._entries:
-            if hmac.compare_digest(digest, given):
-                found = identity
-        return found
+            if hmac.compare_digest(digest, token_digest):
+                found_identity = identity
+        return found_identity
 
 
 def server_tls(part: TlsPart, folder: Path) -> ssl.SSLContext:
-    """Wants a certificate of each client. Raises `FileError`."""
+    """Return the TLS context of a server that requires a certificate of each client.
+
+    Args:
+        part: The paths of the certificates.
+        folder: The folder that relative paths start at.
+
+    Raises:
+        FileError: A file cannot be used.
+    """
     import ssl
 
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -103,7 +140,15 @@
 
 
 def client_tls(part: TlsPart, folder: Path) -> ssl.SSLContext:
-    """Trusts the group's own authority alone, and the address that its certificates name."""
+    """Return the TLS context of a client that trusts only the group's authority and checks the server's address.
+
+    Args:
+        part: The paths of the certificates.
+        folder: The folder that relative paths start at.
+
+    Raises:
+        FileError: A file cannot be used.
+    """
     import ssl
 
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
@@ -115,7 +160,7 @@
 
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
-        _private(folder / part.key)
+        _read_private(folder / part.key)
         context.load_cert_chain(folder / part.certificate, folder / part.key)
         context.load_verify_locations(folder / part.ca)
     except (OSError, ssl.SSLError) as error:
--- a/elderlock/fleet/client/__init__.py
+++ b/elderlock/fleet/client/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's side: asks the agents of a group and carries out commands over it."""
+"""The operators' side: sends requests to the agents of a group and executes commands on the group."""
--- a/elderlock/fleet/client/drain_commands.py
+++ b/elderlock/fleet/client/drain_commands.py
@@ -1,4 +1,8 @@
-"""An operator's commands over a group: sees, plans, tells all agents, goes on until all is reached."""
+"""The operators' commands that drain targets, and start and stop limiters.
+
+A command reads the state of the group, plans its steps, sends its intents to all agents, and repeats this until all
+limiters are reached.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +14,8 @@
 import msgspec
 
 from elderlock.control.records import Key, Kind, Record
-from elderlock.fleet import messages as f
-from elderlock.fleet.client import plan_commands as operate_plans
+from elderlock.fleet import messages
+from elderlock.fleet.client import plan_commands
 from elderlock.fleet.client.answers import Refusal, failure_reason
 from elderlock.fleet.client.drain_plan import Plan, limiter_drain_risks, plan_server_drain, summarize_servers
 from elderlock.fleet.client.group_client import Group
@@ -19,25 +23,48 @@
 from elderlock.fleet.client.report import CommandReport, Exit
 from elderlock.rollout.plans import RolloutPolicy
 
-SEE_WITHIN = 1.0  # s for each agent
-FRESH_WITHIN = 400.0  # ms that agents wait for their limiters, to show them
-PLAN_WITHIN = 30.0  # ms, to plan a drain: one silent limiter must not hold up what the others are told
-LIMITERS_WITHIN = 200.0  # ms that agents wait for their limiters before they answer
-PERMIT_WITHIN = 3.0  # s that an agent has to ask the others for a permit
-AGAIN_EVERY = 0.2  # s between looks at how far it came
+OBSERVE_TIMEOUT_S = 1.0  # for each agent
+FRESH_TIMEOUT_MS = 400.0  # that agents wait for fresh states of their limiters, to show them
+PLAN_FRESH_TIMEOUT_MS = 30.0  # the same, to plan a drain: one silent limiter must not delay the drain at the others
+LIMITERS_TIMEOUT_MS = 200.0  # that agents wait for their limiters to apply the records
+PERMIT_TIMEOUT_S = 3.0  # includes the time that the agent needs to ask the other agents
+RETRY_INTERVAL_S = 0.2
+FINAL_REFUSAL_CODES = frozenset({"role", "token", "version", "name"})  # a repeated request would be refused again
 
 
 async def observe_group(
-    group: Group, accounts: int = 20, timeout_s: float = SEE_WITHIN, fresh_timeout_ms: float = FRESH_WITHIN
+    group: Group,
+    accounts: int = 20,
+    timeout_s: float = OBSERVE_TIMEOUT_S,
+    fresh_timeout_ms: float = FRESH_TIMEOUT_MS,
 ) -> GroupObservation:
-    """`timeout_s` for each agent; `fresh_timeout_ms` that an agent waits for its limiters, whose last word
-    from up to two seconds ago it shows else."""
-    return observe(await group.ask_all(lambda id: f.Show(id, accounts, fresh_timeout_ms), f.Shown, timeout_s))
+    """Request the state of the group from all agents.
+
+    Args:
+        group: The group.
+        accounts: The maximum number of accounts that each limiter lists.
+        timeout_s: The timeout for each agent.
+        fresh_timeout_ms: How long an agent waits for fresh states of its limiters. After that it shows their last
+            states, which may be two seconds old.
+    """
+    answers = await group.ask_all(lambda id: messages.Show(id, accounts, fresh_timeout_ms), messages.Shown, timeout_s)
+    return observe(answers)
 
 
 class Order(msgspec.Struct, frozen=True):
-    """`expect`: a generation that the operator saw, in place of what is seen now. `give_up_after` and
-    `deadline` in s; None goes on until it is told not to."""
+    """The options of a drain or undrain command.
+
+    Attributes:
+        kind: The kind of the targets.
+        targets: The uids of the servers or the names of the limiters.
+        drained: Whether to drain or to undrain them.
+        reason: The operator's reason, for people.
+        expect: The generation of the targets' records that the operator acted on; None for the one observed now.
+        force: Whether to do it without a permit and although it is unsafe.
+        deadline: The timeout for each request to an agent (s).
+        give_up_after: How long to repeat the command (s); None for no limit.
+        wait_finished: Whether to wait until no request is open at the drained targets.
+    """
 
     kind: Kind
     targets: tuple[str, ...]
@@ -51,6 +78,16 @@
 
 
 class Result(msgspec.Struct):
+    """The result of a command.
+
+    Attributes:
+        exit: The exit code.
+        plan: The plan of the drain; None where there is none.
+        unsafe: Why the command is unsafe, for people.
+        reports: The report of each step.
+        lines: More about the result, for people.
+    """
+
     exit: Exit
     plan: Plan | None
     unsafe: tuple[str, ...]
@@ -58,46 +95,61 @@
     lines: list[str]
 
 
-Told = Callable[[str, CommandReport], None]
+ProgressCallback = Callable[[str, CommandReport], None]
 
 
 async def carry_out(
-    group: Group, order: Order, told: Told, planned: Callable[[list[str]], None] = lambda lines: None
+    group: Group,
+    order: Order,
+    on_progress: ProgressCallback,
+    on_plan_change: Callable[[list[str]], None] = lambda lines: None,
 ) -> Result:
-    """`told` hears of each step's progress whenever something changed; `planned` of that of a plan in the group."""
-    seen = await observe_group(group, accounts=0, timeout_s=order.deadline, fresh_timeout_ms=PLAN_WITHIN)
-    if not seen.shown:
-        lines = [f"agent {name}: {failure_reason(m)}" for name, m in seen.missing.items()]
+    """Drain or undrain targets.
+
+    Args:
+        group: The group.
+        order: What to do.
+        on_progress: Is called with the title and report of a step whenever the report has changed.
+        on_plan_change: Is called with the state of the group's plan, for people, whenever it has changed, if the group
+            carries out the drain.
+    """
+    observation = await observe_group(
+        group, accounts=0, timeout_s=order.deadline, fresh_timeout_ms=PLAN_FRESH_TIMEOUT_MS
+    )
+    if not observation.shown:
+        lines = [f"agent {name}: {failure_reason(failure)}" for name, failure in observation.missing.items()]
         return Result(Exit.NOTHING, None, (), [], [*lines, "no agent answers: nothing was done"])
-    plan, unsafe, steps = _plan(seen, order)
-    unknown = _unknown(seen, order, plan)
+    plan, unsafe, steps = _plan(observation, order)
+    unknown = _unknown_targets(observation, order, plan)
     if unknown:
         return Result(Exit.NOTHING, plan, (), [], [f"{order.kind} {name} is not known" for name in unknown])
     if unsafe and not order.force:
         return Result(Exit.UNSAFE, plan, unsafe, [], [])
-    accounts: list[CommandReport] = []
+    reports: list[CommandReport] = []
     loop = asyncio.get_running_loop()
-    ends = None if order.give_up_after is None else loop.time() + order.give_up_after
+    deadline_s = None if order.give_up_after is None else loop.time() + order.give_up_after
     if group.budget and order.drained and not order.force and len(steps) > 1 and order.expect is None:
-        return await _planned(group, order, plan, steps, ends, planned)
+        return await _drain_by_plan(group, order, plan, steps, deadline_s, on_plan_change)
     for number, step in enumerate(steps, 1):
-        account, refused = await _permitted(group, order, step, seen, ends)
-        if refused:
-            left = [target for later in steps[number - 1 :] for target in later]
-            lines = [*refused, f"not begun: {', '.join(left)}"]
-            exit = Exit.PART if accounts else Exit.UNSAFE
-            return Result(exit, plan, unsafe, accounts, lines)
-        await _step(group, order, account, seen, ends, f"step {number} of {len(steps)}", told)
-        accounts.append(account)
-        if account.outcome() is not Exit.DONE and number < len(steps):
-            left = [target for later in steps[number:] for target in later]
-            lines = [f"not begun, as a step before was not done: {', '.join(left)}"]
-            return Result(max(_worst(accounts), Exit.PART), plan, unsafe, accounts, lines)
-    return Result(_worst(accounts), plan, unsafe, accounts, [])
-
-
-def _worst(accounts: Iterable[CommandReport]) -> Exit:
-    outcomes = {account.outcome() for account in accounts}
+        report, refusals = await _begin_step(group, order, step, observation, deadline_s)
+        if refusals:
+            remaining = [target for later in steps[number - 1 :] for target in later]
+            lines = [*refusals, f"not begun: {', '.join(remaining)}"]
+            exit = Exit.PART if reports else Exit.UNSAFE
+            return Result(exit, plan, unsafe, reports, lines)
+        title = f"step {number} of {len(steps)}"
+        await _execute_step(group, order, report, observation, deadline_s, title, on_progress)
+        reports.append(report)
+        if report.outcome() is not Exit.DONE and number < len(steps):
+            remaining = [target for later in steps[number:] for target in later]
+            lines = [f"not begun, as an earlier step was not done: {', '.join(remaining)}"]
+            return Result(max(_combined_exit(reports), Exit.PART), plan, unsafe, reports, lines)
+    return Result(_combined_exit(reports), plan, unsafe, reports, [])
+
+
+def _combined_exit(reports: Iterable[CommandReport]) -> Exit:
+    """Return the exit code of several steps."""
+    outcomes = {report.outcome() for report in reports}
     for exit in (Exit.OVERTAKEN, Exit.PART):
         if exit in outcomes:
             return exit
@@ -106,156 +158,191 @@
     return Exit.PART if Exit.DONE in outcomes else Exit.NOTHING
 
 
-def _plan(seen: GroupObservation, order: Order) -> tuple[Plan | None, tuple[str, ...], tuple[tuple[str, ...], ...]]:
+def _plan(
+    observation: GroupObservation, order: Order
+) -> tuple[Plan | None, tuple[str, ...], tuple[tuple[str, ...], ...]]:
+    """Return the plan of a drain of servers, why the command is unsafe, and its steps."""
     if not order.drained:
         return None, (), (order.targets,)
     if order.kind == "limiter":
-        return None, limiter_drain_risks(seen.serving(), order.targets), (order.targets,)
-    plan = plan_server_drain(summarize_servers(seen.states()), order.targets)
+        return None, limiter_drain_risks(observation.serving(), order.targets), (order.targets,)
+    plan = plan_server_drain(summarize_servers(observation.states()), order.targets)
     planned = {uid for step in plan.steps for uid in step}
-    # what is out of service already still gets its record, which outlives discovery's word; at once
-    rest = tuple(uid for uid in order.targets if uid not in planned)
-    return plan, plan.unsafe, ((rest,) if rest else ()) + plan.steps
+    # Targets that are out of service already get their record at once: it remains in force when discovery reports
+    # them as running again.
+    others = tuple(uid for uid in order.targets if uid not in planned)
+    return plan, plan.unsafe, ((others,) if others else ()) + plan.steps
+
 
+def server_drain_steps(observation: GroupObservation, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
+    """Return the steps in which servers would be drained.
 
-def server_drain_steps(seen: GroupObservation, targets: Sequence[str]) -> tuple[tuple[str, ...], ...]:
-    """The steps in which these boxes would go, as the group is seen."""
-    return _plan(seen, Order("box", tuple(targets), True))[2]
+    Args:
+        observation: The state of the group.
+        targets: The uids of the servers.
+    """
+    return _plan(observation, Order("box", tuple(targets), True))[2]
 
 
-async def _planned(
+async def _drain_by_plan(
     group: Group,
     order: Order,
     plan: Plan | None,
     steps: tuple[tuple[str, ...], ...],
-    ends: float | None,
-    planned: Callable[[list[str]], None],
+    deadline_s: float | None,
+    on_plan_change: Callable[[list[str]], None],
 ) -> Result:
-    """A drain of several steps is the group's to carry out: the tool begins it and looks on."""
-    make = operate_plans.begin(
+    """Have the group carry out a drain of several steps as a plan, and watch the plan."""
+    make_request = plan_commands.begin(
         os.urandom(16).hex(), "drain", "", order.targets, steps, RolloutPolicy(wave_pause_s=0.0), order.reason
     )
-    left = None if ends is None else max(0.0, ends - asyncio.get_running_loop().time())
-    begun = await operate_plans.ask_any(group, make, f.BeginAnswer, left)
+    remaining_s = None if deadline_s is None else max(0.0, deadline_s - asyncio.get_running_loop().time())
+    begun = await plan_commands.ask_any(group, make_request, messages.BeginAnswer, remaining_s)
     if begun.plan is None or begun.exit is not Exit.DONE:
         return Result(begun.exit, plan, (), [], begun.lines)
-    answer = await operate_plans.watch(group, begun.plan.id, order.deadline, planned, left)
+    answer = await plan_commands.watch(group, begun.plan.id, order.deadline, on_plan_change, remaining_s)
     return Result(answer.exit, plan, (), [], answer.lines)
 
 
-def _unknown(seen: GroupObservation, order: Order, plan: Plan | None) -> list[str]:
+def _unknown_targets(observation: GroupObservation, order: Order, plan: Plan | None) -> list[str]:
+    """Return the targets that no agent knows and that have no record."""
     if order.kind == "limiter":
-        known = {name for names in seen.limiters().values() for name in names}
+        known = {name for names in observation.limiters().values() for name in names}
     else:
-        known = {box.uid for state in seen.states() for box in state.servers}
-    held = {record.target for record in seen.records if record.kind == order.kind}
-    return [target for target in order.targets if target not in known | held]
+        known = {server.uid for state in observation.states() for server in state.servers}
+    with_record = {record.target for record in observation.records if record.kind == order.kind}
+    return [target for target in order.targets if target not in known | with_record]
 
 
-async def _permitted(
-    group: Group, order: Order, targets: Sequence[str], seen: GroupObservation, ends: float | None
+async def _begin_step(
+    group: Group, order: Order, targets: Sequence[str], observation: GroupObservation, deadline_s: float | None
 ) -> tuple[CommandReport, list[str]]:
-    """The account of a step, with its permits where the group has a budget; or why there are none. Any agent may be
-    asked: one that was asked and did not answer may have granted them, and the next one finds them by the origin."""
+    """Make the report of a step and request its permits, where the group has a budget.
+
+    Any agent can be asked. One that did not answer may have granted the permits; the next one finds them by the
+    origin.
+
+    Returns:
+        The report, and why there are no permits, for people; empty where the step may begin.
+    """
     keys: list[Key] = [(order.kind, target) for target in targets]
-    account = CommandReport(os.urandom(16).hex(), {key: order.drained for key in keys}, known_limiters=seen.limiters())
-    drained = seen.records.drained_targets(order.kind)
-    wanted = tuple((order.kind, target) for target in targets if target not in drained)
-    if not group.budget or not order.drained or order.force or not wanted:
-        return account, []
-    ask = lambda id: f.RequestPermits(id, account.origin, wanted, order.reason, seen.records.greatest_generation())  # noqa: E731
-    loop, said = asyncio.get_running_loop(), ["no agent answers"]
-    while True:
-        for name in random.sample(list(seen.shown), len(seen.shown)):
-            answer = await group.ask(name, ask, f.PermitsAnswer, PERMIT_WITHIN)
-            if isinstance(answer, f.PermitsAnswer) and answer.outcome == "granted":
-                account.permits = answer.permits
-                return account, []
-            if isinstance(answer, f.PermitsAnswer) and answer.outcome == "refused":
-                return account, [f"no permit: {reason}" for reason in answer.reasons]
-            said = (
-                list(answer.reasons)
-                if isinstance(answer, f.PermitsAnswer)
-                else [f"agent {name}: {failure_reason(answer)}"]
-            )
-        if ends is None or loop.time() >= ends:
-            return account, [f"no permit: {text}" for text in said]
-        await asyncio.sleep(AGAIN_EVERY)
+    report = CommandReport(
+        os.urandom(16).hex(), {key: order.drained for key in keys}, known_limiters=observation.limiters()
+    )
+    drained = observation.records.drained_targets(order.kind)
+    permit_targets = tuple((order.kind, target) for target in targets if target not in drained)
+    if not group.budget or not order.drained or order.force or not permit_targets:
+        return report, []
 
+    def make_request(id: int) -> messages.RequestPermits:
+        generation = observation.records.greatest_generation()
+        return messages.RequestPermits(id, report.origin, permit_targets, order.reason, generation)
 
-async def _step(
+    loop, failures = asyncio.get_running_loop(), ["no agent answers"]
+    while True:
+        for name in random.sample(list(observation.shown), len(observation.shown)):
+            answer = await group.ask(name, make_request, messages.PermitsAnswer, PERMIT_TIMEOUT_S)
+            if isinstance(answer, messages.PermitsAnswer) and answer.outcome == "granted":
+                report.permits = answer.permits
+                return report, []
+            if isinstance(answer, messages.PermitsAnswer) and answer.outcome == "refused":
+                return report, [f"no permit: {reason}" for reason in answer.reasons]
+            if isinstance(answer, messages.PermitsAnswer):
+                failures = list(answer.reasons)
+            else:
+                failures = [f"agent {name}: {failure_reason(answer)}"]
+        if deadline_s is None or loop.time() >= deadline_s:
+            return report, [f"no permit: {text}" for text in failures]
+        await asyncio.sleep(RETRY_INTERVAL_S)
+
+
+async def _execute_step(
     group: Group,
     order: Order,
-    account: CommandReport,
-    seen: GroupObservation,
-    ends: float | None,
+    report: CommandReport,
+    observation: GroupObservation,
+    deadline_s: float | None,
     title: str,
-    told: Told,
+    on_progress: ProgressCallback,
 ) -> CommandReport:
+    """Send a step's intents to all agents, and repeat it until the step is done or the deadline has passed."""
     loop = asyncio.get_running_loop()
-    keys = list(account.wanted)
-    held = {key: seen.records.get(*key) for key in keys}
-    wishes = tuple(f.DrainIntent(order.kind, key[1], order.drained, _expect(order, held[key])) for key in keys)
-    known = tuple(record for record in held.values() if record is not None)
-    generation = max((permit.generation for permit in account.permits), default=seen.records.greatest_generation() + 1)
-
-    def intend(id: int) -> f.Message:
-        return f.SubmitIntents(
-            id, account.origin, generation, wishes, known, order.reason, LIMITERS_WITHIN, account.permits, order.force
+    keys = list(report.wanted)
+    records = {key: observation.records.get(*key) for key in keys}
+    intents = tuple(
+        messages.DrainIntent(order.kind, key[1], order.drained, _expected_generation(order, records[key]))
+        for key in keys
+    )
+    known = tuple(record for record in records.values() if record is not None)
+    next_generation = observation.records.greatest_generation() + 1
+    generation = max((permit.generation for permit in report.permits), default=next_generation)
+
+    def make_request(id: int) -> messages.Message:
+        return messages.SubmitIntents(
+            id,
+            report.origin,
+            generation,
+            intents,
+            known,
+            order.reason,
+            LIMITERS_TIMEOUT_MS,
+            report.permits,
+            order.force,
         )
 
-    pending, before = set(group.names), ""
+    pending, last_progress = set(group.names), ""
     while True:
         asked = sorted(pending)
-        intended, progressed = await asyncio.gather(
-            group.ask_all(intend, f.IntentsAnswer, order.deadline, asked),
+        intents_answers, progress_answers = await asyncio.gather(
+            group.ask_all(make_request, messages.IntentsAnswer, order.deadline, asked),
             group.ask_all(
-                lambda id: f.Progress(id, tuple((order.kind, key[1]) for key in keys)),
-                f.Progressed,
+                lambda id: messages.Progress(id, tuple((order.kind, key[1]) for key in keys)),
+                messages.Progressed,
                 order.deadline,
                 [name for name in group.names if name not in pending],
             ),
         )
-        for name, answer in intended.items():
-            account.add_answer(name, answer)
-            if isinstance(answer, f.IntentsAnswer) or (isinstance(answer, Refusal) and answer.code in FINAL):
+        for name, answer in intents_answers.items():
+            report.add_answer(name, answer)
+            is_final_refusal = isinstance(answer, Refusal) and answer.code in FINAL_REFUSAL_CODES
+            if isinstance(answer, messages.IntentsAnswer) or is_final_refusal:
                 pending.discard(name)
-        for name, progress in progressed.items():
-            if name in account.decisions or isinstance(progress, f.Progressed):
-                account.add_answer(name, progress)
-        now = repr((account.rows(), account.text()))
-        if now != before:
-            told(title, account)
-            before = now
-        if _over(account, order) or (ends is not None and loop.time() >= ends):
-            return account
-        await asyncio.sleep(AGAIN_EVERY)
-
-
-FINAL = frozenset({"role", "token", "version", "name"})  # refusals that no repetition changes
-
-
-def _over(account: CommandReport, order: Order) -> bool:
-    if account.overtaken() or (not account.taken() and not account.sent and _all_refused(account)):
+        for name, progress in progress_answers.items():
+            if name in report.decisions or isinstance(progress, messages.Progressed):
+                report.add_answer(name, progress)
+        current_progress = repr((report.rows(), report.text()))
+        if current_progress != last_progress:
+            on_progress(title, report)
+            last_progress = current_progress
+        if _is_step_over(report, order) or (deadline_s is not None and loop.time() >= deadline_s):
+            return report
+        await asyncio.sleep(RETRY_INTERVAL_S)
+
+
+def _is_step_over(report: CommandReport, order: Order) -> bool:
+    """Return whether repeating a step would change nothing."""
+    if report.overtaking_records():
+        return True
+    if not report.is_accepted() and not report.sent and _is_refused_by_all(report):
         return True
-    return account.is_finished() if order.wait_finished and order.drained else account.is_complete()
+    return report.is_finished() if order.wait_finished and order.drained else report.is_complete()
 
 
-def _all_refused(account: CommandReport) -> bool:
-    """No agent took it and none is left that might: all that could be asked said no."""
-    refused = {name for name, m in account.missing.items() if isinstance(m, Refusal)}
+def _is_refused_by_all(report: CommandReport) -> bool:
+    """Return whether at least one agent refused the step, and none accepted it."""
+    refusing = {name for name, failure in report.missing.items() if isinstance(failure, Refusal)}
     stale = {
         name
-        for name, decisions in account.decisions.items()
-        if all(d.outcome in ("stale", "refused") for d in decisions)
+        for name, decisions in report.decisions.items()
+        if all(decision.outcome in ("stale", "refused") for decision in decisions)
     }
-    return bool(refused | stale) and not set(account.decisions) - stale
+    return bool(refusing | stale) and not set(report.decisions) - stale
 
 
-def _expect(order: Order, held: Record | None) -> int:
+def _expected_generation(order: Order, record: Record | None) -> int:
     if order.expect is not None:
         return order.expect
-    return held.generation if held is not None else 0
+    return record.generation if record is not None else 0
 
 
 async def order_limiters(
@@ -263,57 +350,69 @@
     action: str,
     names: Sequence[str],
     force: bool,
-    deadline: float,
-    give_up_after: float | None,
-    told: Callable[[str], None],
+    timeout_s: float,
+    give_up_after_s: float | None,
+    on_progress: Callable[[str], None],
 ) -> Result:
-    """Starts or stops limiters and waits until they run or are gone."""
-    seen = await observe_group(group, accounts=0, timeout_s=deadline)
-    where = {name: agent for agent, limiters in seen.limiters().items() for name in limiters}
-    unknown = [name for name in names if name not in where]
+    """Start or stop limiters, and wait until they run or have stopped.
+
+    Args:
+        group: The group.
+        action: `start` or `stop`.
+        names: The names of the limiters.
+        force: Whether to do it although it is unsafe.
+        timeout_s: The timeout for each request to an agent.
+        give_up_after_s: How long to wait; None for no limit.
+        on_progress: Is called with a line for people whenever something has changed.
+    """
+    observation = await observe_group(group, accounts=0, timeout_s=timeout_s)
+    agent_of = {name: agent for agent, limiters in observation.limiters().items() for name in limiters}
+    unknown = [name for name in names if name not in agent_of]
     if unknown:
-        gone = [f"agent {name}: {failure_reason(m)}" for name, m in seen.missing.items()]
-        return Result(Exit.NOTHING, None, (), [], [f"limiter {n} is not known" for n in unknown] + gone)
-    if action == "stop" and not force and (unsafe := limiter_drain_risks(seen.serving(), names)):
+        failures = [f"agent {name}: {failure_reason(failure)}" for name, failure in observation.missing.items()]
+        return Result(Exit.NOTHING, None, (), [], [f"limiter {name} is not known" for name in unknown] + failures)
+    if action == "stop" and not force and (unsafe := limiter_drain_risks(observation.serving(), names)):
         return Result(Exit.UNSAFE, None, unsafe, [], [])
-    want = "running" if action == "start" else "stopped"
-    lines, done, left = [], set(), set(names)
+    wanted_phase = "running" if action == "start" else "stopped"
+    lines: list[str] = []
+    done: set[str] = set()
+    pending = set(names)
     ordered: set[str] = set()
     loop = asyncio.get_running_loop()
-    ends = None if give_up_after is None else loop.time() + give_up_after
+    deadline_s = None if give_up_after_s is None else loop.time() + give_up_after_s
     refused: set[str] = set()
-    while left:
-        for name in sorted(left - ordered):
+    while pending:
+        for name in sorted(pending - ordered):
             answer = await group.ask(
-                where[name],
-                lambda id, name=name: f.Order(id, action, name),  # type: ignore[misc,arg-type]
-                f.Ordered,
-                deadline,
+                agent_of[name],
+                lambda id, name=name: messages.Order(id, action, name),  # type: ignore[misc,arg-type]
+                messages.Ordered,
+                timeout_s,
             )
-            if isinstance(answer, f.Ordered):
+            if isinstance(answer, messages.Ordered):
                 ordered.add(name)
-                told(f"{name}: {answer.text}")
+                on_progress(f"{name}: {answer.text}")
             elif isinstance(answer, Refusal):
                 refused.add(name)
-                lines.append(f"{name}: agent {where[name]} refuses: {answer.text}")
-        left -= refused
-        now = await observe_group(group, accounts=0, timeout_s=deadline)
-        for shown in now.shown.values():
+                lines.append(f"{name}: agent {agent_of[name]} refuses: {answer.text}")
+        pending -= refused
+        observation = await observe_group(group, accounts=0, timeout_s=timeout_s)
+        for shown in observation.shown.values():
             for limiter in shown.limiters:
-                if limiter.name in left & ordered and limiter.phase in (want, "gave-up"):
-                    if limiter.phase == want:
+                if limiter.name in pending & ordered and limiter.phase in (wanted_phase, "gave-up"):
+                    if limiter.phase == wanted_phase:
                         done.add(limiter.name)
                     else:
-                        gave_up = f"given up after {limiter.restarts} restarts; see its log"
-                        lines.append(f"{limiter.name}: {gave_up}")
-                    told(f"{limiter.name}: {limiter.phase}")
-                    left.discard(limiter.name)
-        if left and ends is not None and loop.time() >= ends:
+                        reason = f"given up after {limiter.restarts} restarts; see its log"
+                        lines.append(f"{limiter.name}: {reason}")
+                    on_progress(f"{limiter.name}: {limiter.phase}")
+                    pending.discard(limiter.name)
+        if pending and deadline_s is not None and loop.time() >= deadline_s:
             break
-        if left:
-            await asyncio.sleep(AGAIN_EVERY)
-    for name in sorted(left):
-        unknown_word = "told, not seen to be done" if name in ordered else "not reached"
-        lines.append(f"{name}: {unknown_word} (agent {where[name]})")
+        if pending:
+            await asyncio.sleep(RETRY_INTERVAL_S)
+    for name in sorted(pending):
+        state = "ordered, not observed to be done" if name in ordered else "not reached"
+        lines.append(f"{name}: {state} (agent {agent_of[name]})")
     exit = Exit.DONE if done == set(names) else Exit.PART if done or ordered else Exit.NOTHING
     return Result(exit, None, (), [], lines)
--- a/elderlock/fleet/client/drain_plan.py
+++ b/elderlock/fleet/client/drain_plan.py
@@ -1,8 +1,8 @@
-"""What a drain does to what is left, whether that is safe, and in which steps. Free of I/O.
+"""Plans a drain: its effect on what remains in service, whether it is safe, and its steps. No I/O.
 
-Capacity is counted in the weights that discovery gives. A box counts as serving where it runs, no operator
-drained it and no limiter leaves it out. Reported queues say how pressed the boxes are: what waits at the
-boxes that go is shared by those that stay.
+Capacity is the sum of the weights that discovery reports. A server counts as in service if it runs and no operator has
+drained it. Reported queues show how loaded the servers are: the requests that wait at the drained servers are
+distributed over the remaining ones.
 """
 
 from __future__ import annotations
@@ -13,14 +13,25 @@
 
 from elderlock.control.messages import LimiterState, ServerStatus
 
-MINIMUM_CAPACITY_LEFT = 0.5  # of the weight of all boxes, drained ones included
-MOST_QUEUE = 4.0  # requests waiting for each unit of weight that is left
-MAXIMUM_STEP_SHARE = 0.25  # of the weight in service that one step takes at most
-LEAST_LIMITERS = 1
+MINIMUM_CAPACITY_LEFT = 0.5  # of the weight of all servers, drained ones included
+MAXIMUM_QUEUE = 4.0  # waiting requests for each unit of weight that remains in service
+MAXIMUM_STEP_SHARE = 0.25  # of the weight in service, for one step
+MINIMUM_LIMITERS = 1  # in service
 
 
 class ServerSummary(msgspec.Struct, frozen=True):
-    """A box as all limiters that answered believe it: `queue` is the freshest report, -1 where none came."""
+    """A server as all limiters that answered report it.
+
+    Attributes:
+        uid: The uid of the server.
+        zone: Its zone.
+        kind: Its kind.
+        weight: Its weight, by discovery.
+        serving: Whether it is in service.
+        queue: The length of its queue in its newest load report; -1 where there is none.
+        report_age_ms: The age of that report; -1 where there is none.
+        open_requests: How many attempts all limiters have open at it.
+    """
 
     uid: str
     zone: str = msgspec.field(name="floor")
@@ -33,102 +44,127 @@
 
 
 def summarize_servers(states: Iterable[LimiterState]) -> dict[str, ServerSummary]:
-    """One view of the boxes from many. One limiter that has heard of a drain outweighs those that have
-    not yet: a box that any of them leaves out for a drain or the list is not counted on."""
-    found: dict[str, list[ServerStatus]] = {}
+    """Combine the limiters' views of the servers, by uid.
+
+    A limiter that has received a drain overrides those that have not yet: a server that any limiter reports as drained
+    or as not running does not count as in service.
+    """
+    views: dict[str, list[ServerStatus]] = {}
     for state in states:
-        for box in state.servers:
-            found.setdefault(box.uid, []).append(box)
-    return {uid: _sum(boxes) for uid, boxes in sorted(found.items())}
+        for server in state.servers:
+            views.setdefault(server.uid, []).append(server)
+    return {uid: _summarize_server(statuses) for uid, statuses in sorted(views.items())}
 
 
-def _sum(boxes: Sequence[ServerStatus]) -> ServerSummary:
-    reports = [(b.report_age_ms, b.queue) for b in boxes if b.queue >= 0]
-    age, queue = min(reports, default=(-1.0, -1))
-    first = boxes[0]
+def _summarize_server(statuses: Sequence[ServerStatus]) -> ServerSummary:
+    reports = [(status.report_age_ms, status.queue) for status in statuses if status.queue >= 0]
+    age_ms, queue = min(reports, default=(-1.0, -1))
+    first = statuses[0]
     return ServerSummary(
         first.uid,
         first.zone,
         first.kind,
-        max(b.weight for b in boxes),
-        all(b.state == "running" and not b.drained_by for b in boxes),
+        max(status.weight for status in statuses),
+        all(status.state == "running" and not status.drained_by for status in statuses),
         queue,
-        age,
-        sum(b.open_requests for b in boxes),
+        age_ms,
+        sum(status.open_requests for status in statuses),
     )
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """`unsafe` gives each reason with its figures; empty where nothing speaks against it."""
+    """The plan of a drain.
+
+    Attributes:
+        steps: The uids of the servers that each step drains.
+        unknown: The targets that no limiter knows.
+        capacity_before: The fraction of the weight of all servers that is in service now.
+        capacity_after: The fraction that remains in service after the drain.
+        queue_after: The waiting requests for each remaining unit of weight; -1 where no server reports its queue.
+        unsafe: Why the drain is unsafe, with figures, for people; empty where it is safe.
+    """
 
     steps: tuple[tuple[str, ...], ...]
-    unknown: tuple[str, ...]  # targets that no limiter knows
-    capacity_before: float  # share of all weight that serves
+    unknown: tuple[str, ...]
+    capacity_before: float
     capacity_after: float
-    queue_after: float  # waiting for each unit of weight left; -1 where nothing reports
+    queue_after: float
     unsafe: tuple[str, ...]
 
 
-def plan_server_drain(boxes: dict[str, ServerSummary], targets: Sequence[str]) -> Plan:
-    """The drain of `targets` from the group as it is seen now."""
-    unknown = tuple(uid for uid in targets if uid not in boxes)
-    going = [boxes[uid] for uid in dict.fromkeys(targets) if uid in boxes and boxes[uid].serving]
-    uids = {box.uid for box in going}
-    staying = [box for box in boxes.values() if box.serving and box.uid not in uids]
-    full = sum(box.weight for box in boxes.values())
-    before = sum(box.weight for box in boxes.values() if box.serving)
-    after = sum(box.weight for box in staying)
-    reported = [box.queue for box in (*staying, *going) if box.queue >= 0]
-    queue = sum(reported) / after if reported and after > 0 else -1.0
+def plan_server_drain(servers: dict[str, ServerSummary], targets: Sequence[str]) -> Plan:
+    """Plan the drain of servers.
+
+    Args:
+        servers: All servers by uid.
+        targets: The uids of the servers to drain.
+    """
+    unknown = tuple(uid for uid in targets if uid not in servers)
+    drained = [servers[uid] for uid in dict.fromkeys(targets) if uid in servers and servers[uid].serving]
+    drained_uids = {server.uid for server in drained}
+    remaining = [server for server in servers.values() if server.serving and server.uid not in drained_uids]
+    full_weight = sum(server.weight for server in servers.values())
+    weight_before = sum(server.weight for server in servers.values() if server.serving)
+    weight_after = sum(server.weight for server in remaining)
+    queues = [server.queue for server in (*remaining, *drained) if server.queue >= 0]
+    queue_after = sum(queues) / weight_after if queues and weight_after > 0 else -1.0
     unsafe = []
-    for floor in sorted({box.zone for box in going}):
-        left = sum(1 for box in staying if box.zone == floor)
-        if not left:
-            unsafe.append(f"it takes the last box of {floor}, which has {_count(going, floor)} in service")
-    if going and full > 0 and after < MINIMUM_CAPACITY_LEFT * full:
+    for zone in sorted({server.zone for server in drained}):
+        if not _count_in_zone(remaining, zone):
+            unsafe.append(f"it takes the last box of {zone}, which has {_count_in_zone(drained, zone)} in service")
+    if drained and full_weight > 0 and weight_after < MINIMUM_CAPACITY_LEFT * full_weight:
         unsafe.append(
-            f"{100 * after / full:.0f} % of all capacity would be left in service; "
-            f"{100 * MINIMUM_CAPACITY_LEFT:.0f} % is the least (now {100 * before / full:.0f} %)"
+            f"{100 * weight_after / full_weight:.0f} % of all capacity would be left in service; "
+            f"{100 * MINIMUM_CAPACITY_LEFT:.0f} % is the least (now {100 * weight_before / full_weight:.0f} %)"
         )
-    if going and queue > MOST_QUEUE:
+    if drained and queue_after > MAXIMUM_QUEUE:
         unsafe.append(
-            f"{sum(reported)} requests wait: {queue:.1f} for each unit of weight left, " f"{MOST_QUEUE:.0f} is the most"
+            f"{sum(queues)} requests wait: {queue_after:.1f} for each unit of weight left, "
+            f"{MAXIMUM_QUEUE:.0f} is the most"
         )
     return Plan(
-        _steps(going, before),
+        _split_into_steps(drained, weight_before),
         unknown,
-        before / full if full else 0.0,
-        after / full if full else 0.0,
-        queue,
+        weight_before / full_weight if full_weight else 0.0,
+        weight_after / full_weight if full_weight else 0.0,
+        queue_after,
         tuple(unsafe),
     )
 
 
-def _count(boxes: Sequence[ServerSummary], floor: str) -> int:
-    return sum(1 for box in boxes if box.zone == floor)
-
-
-def _steps(going: Sequence[ServerSummary], before: float) -> tuple[tuple[str, ...], ...]:
-    """Each step takes `MAXIMUM_STEP_SHARE` of the weight in service at most, one box at least; the emptiest go
-    first, and neighbours of one floor go in different steps where that can be."""
-    most, steps = MAXIMUM_STEP_SHARE * before, []
-    left = sorted(going, key=lambda box: (max(box.queue, 0) + box.open_requests, box.uid))
-    while left:
-        step, weight, floors = [left[0]], left[0].weight, {left[0].zone}
-        for box in left[1:]:
-            if weight + box.weight <= most and box.zone not in floors:
-                step.append(box)
-                weight += box.weight
-                floors.add(box.zone)
-        steps.append(tuple(box.uid for box in step))
-        left = [box for box in left if box not in step]
+def _count_in_zone(servers: Sequence[ServerSummary], zone: str) -> int:
+    return sum(1 for server in servers if server.zone == zone)
+
+
+def _split_into_steps(drained: Sequence[ServerSummary], weight_in_service: float) -> tuple[tuple[str, ...], ...]:
+    """Split a drain into steps of at least one server and at most `MAXIMUM_STEP_SHARE` of the weight in service.
+
+    The least loaded servers are drained first, and two servers of one zone are in different steps.
+    """
+    maximum_weight, steps = MAXIMUM_STEP_SHARE * weight_in_service, []
+    pending = sorted(drained, key=lambda server: (max(server.queue, 0) + server.open_requests, server.uid))
+    while pending:
+        step, weight, zones = [pending[0]], pending[0].weight, {pending[0].zone}
+        for server in pending[1:]:
+            if weight + server.weight <= maximum_weight and server.zone not in zones:
+                step.append(server)
+                weight += server.weight
+                zones.add(server.zone)
+        steps.append(tuple(server.uid for server in step))
+        pending = [server for server in pending if server not in step]
     return tuple(steps)
 
 
 def limiter_drain_risks(serving: Iterable[str], targets: Sequence[str]) -> tuple[str, ...]:
-    """Why the drain or stop of these limiters is unsafe; empty where it is not."""
+    """Return why the drain or stop of limiters is unsafe, for people; empty where it is safe.
+
+    Args:
+        serving: The names of the limiters in service.
+        targets: The names of the limiters to drain or stop.
+    """
     before = set(serving)
-    left = before - set(targets)
-    if before & set(targets) and len(left) < LEAST_LIMITERS:
-        return (f"it takes the last limiter in service: {len(before)} serve now, {len(left)} would be left",)
+    remaining = before - set(targets)
+    if before & set(targets) and len(remaining) < MINIMUM_LIMITERS:
+        text = f"it takes the last limiter in service: {len(before)} serve now, {len(remaining)} would be left"
+        return (text,)
     return ()
--- a/elderlock/fleet/client/group_client.py
+++ b/elderlock/fleet/client/group_client.py
@@ -1,4 +1,4 @@
-"""Asks all agents of a group at once, each with its own deadline; any of them can be gone."""
+"""A client that sends requests to the agents of a group, each with its own deadline; any agent may be down."""
 
 from __future__ import annotations
 
@@ -9,29 +9,48 @@
 from typing import TypeVar
 
 from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.auth import client_tls, read_token
 from elderlock.fleet.client.answers import Missing, Refusal
 from elderlock.fleet.config import GroupFile, address, read_group
 
-MOST_AT_ONCE = 256  # connections that are being opened or asked at once
-KEPT = 128  # connections kept open between questions; the others are made anew
-T = TypeVar("T", bound=f.Message)
+MAXIMUM_CONCURRENT_REQUESTS = 256  # including those whose connection is being opened
+MAXIMUM_IDLE_CONNECTIONS = 128  # in a larger group, each connection is closed after its request
+AnswerType = TypeVar("AnswerType", bound=messages.Message)
 
 
 class Group:
-    """The agents that a group file names."""
+    """The agents that a group file lists.
+
+    Attributes:
+        budget: Whether the group has a disruption budget, so that drains need permits.
+    """
 
     def __init__(self, file: GroupFile, token: str, tls: ssl.SSLContext | None) -> None:
+        """Make a client without connections.
+
+        Args:
+            file: The group's file.
+            token: The caller's token.
+            tls: The TLS context for connections; None for no TLS.
+        """
         self._addresses = {member.name: address(member.address) for member in file.agent}
         self._token, self._tls = token, tls
-        self.budget = file.budget is not None  # drains need permits
-        self._callers: dict[str, RequestClient[f.FromAgent]] = {}
-        self._slots = asyncio.Semaphore(MOST_AT_ONCE)
+        self.budget = file.budget is not None
+        self._clients: dict[str, RequestClient[messages.FromAgent]] = {}
+        self._slots = asyncio.Semaphore(MAXIMUM_CONCURRENT_REQUESTS)
 
     @classmethod
     def read(cls, path: Path, token_file: Path | None = None) -> Group:
-        """Raises `FileError`. Paths in the file count from its folder."""
+        """Make a client from a group's file. Relative paths in it start at the file's folder.
+
+        Args:
+            path: The group's file.
+            token_file: The file with the caller's token; by default the one that the group's file names.
+
+        Raises:
+            FileError: A file cannot be used.
+        """
         file = read_group(path)
         folder = path.resolve().parent
         token = read_token(token_file or folder / file.group.token)
@@ -39,83 +58,117 @@
 
     @property
     def names(self) -> tuple[str, ...]:
+        """The names of the agents."""
         return tuple(self._addresses)
 
     async def ask_all(
         self,
-        make: Callable[[int], f.Message],
-        answer: type[T],
-        within: float,
+        make_request: Callable[[int], messages.Message],
+        answer_type: type[AnswerType],
+        timeout_s: float,
         agents: Iterable[str] | None = None,
-    ) -> dict[str, T | Missing | Refusal]:
-        """`make` is given an id. `within` seconds for each agent, its connection included."""
+    ) -> dict[str, AnswerType | Missing | Refusal]:
+        """Send a request to several agents at once.
+
+        Args:
+            make_request: Makes the request from its id.
+            answer_type: The class of the answer.
+            timeout_s: The timeout for each agent, including the time to connect.
+            agents: The names of the agents; by default all of the group.
+
+        Returns:
+            The answer of each agent, by its name.
+        """
         names = list(self._addresses if agents is None else agents)
-        found = await asyncio.gather(*(self.ask(name, make, answer, within) for name in names))
-        return dict(zip(names, found, strict=True))
+        answers = await asyncio.gather(*(self.ask(name, make_request, answer_type, timeout_s) for name in names))
+        return dict(zip(names, answers, strict=True))
 
     async def ask(
-        self, agent: str, make: Callable[[int], f.Message], answer: type[T], within: float
-    ) -> T | Missing | Refusal:
+        self,
+        agent: str,
+        make_request: Callable[[int], messages.Message],
+        answer_type: type[AnswerType],
+        timeout_s: float,
+    ) -> AnswerType | Missing | Refusal:
+        """Send a request to one agent and return its answer.
+
+        Args:
+            agent: The name of the agent.
+            make_request: Makes the request from its id.
+            answer_type: The class of the answer.
+            timeout_s: The timeout, including the time to connect.
+        """
         async with self._slots:
             loop = asyncio.get_running_loop()
-            ends = loop.time() + within
+            deadline_s = loop.time() + timeout_s
             try:
-                async with asyncio.timeout_at(ends):
-                    caller = await self._caller(agent, within)
+                async with asyncio.timeout_at(deadline_s):
+                    client = await self._connect(agent, timeout_s)
             except TimeoutError:
-                return Missing(agent, f"no connection within {within:g} s", False)
+                return Missing(agent, f"no connection within {timeout_s:g} s", False)
             except RefusedError as error:
                 return Refusal(agent, error.code, str(error))
             except (OSError, ssl.SSLError, NotSentError, NoAnswerError) as error:
-                return Missing(agent, _plain(error), False)
+                return Missing(agent, _describe_error(error), False)
             try:
-                said = await caller.request(make(caller.next_request_id()), max(0.0, ends - loop.time()))
+                request = make_request(client.next_request_id())
+                answer = await client.request(request, max(0.0, deadline_s - loop.time()))
             except NotSentError as error:
                 return Missing(agent, str(error), False)
             except NoAnswerError as error:
                 return Missing(agent, str(error), True)
             finally:
-                if len(self._addresses) > KEPT:
-                    self._callers.pop(agent, caller).close()
-        if isinstance(said, f.Refused):
-            return Refusal(agent, said.code, said.text)
-        if not isinstance(said, answer):
-            return Missing(agent, f"it answers with {type(said).__name__}", True)
-        return said
-
-    async def _caller(self, agent: str, within: float) -> RequestClient[f.FromAgent]:
-        caller = self._callers.get(agent)
-        if caller is not None and not caller.disconnected.is_set():
-            return caller
-        caller = RequestClient(f.decode_answer, f.LONGEST)
+                if len(self._addresses) > MAXIMUM_IDLE_CONNECTIONS:
+                    self._clients.pop(agent, client).close()
+        if isinstance(answer, messages.Refused):
+            return Refusal(agent, answer.code, answer.text)
+        if not isinstance(answer, answer_type):
+            return Missing(agent, f"it answers with {type(answer).__name__}", True)
+        return answer
+
+    async def _connect(self, agent: str, timeout_s: float) -> RequestClient[messages.FromAgent]:
+        """Return the open connection to an agent, or open one."""
+        client = self._clients.get(agent)
+        if client is not None and not client.disconnected.is_set():
+            return client
+        client = RequestClient(messages.decode_answer, messages.LONGEST)
         try:
-            await caller.connect_tcp(*self._addresses[agent], self._tls)
-            said = await caller.request(f.Hello((f.VERSION,), self._token), within)
+            await client.connect_tcp(*self._addresses[agent], self._tls)
+            answer = await client.request(messages.Hello((messages.VERSION,), self._token), timeout_s)
         except BaseException:
-            caller.close()
+            client.close()
             raise
-        if isinstance(said, f.Refused):
-            caller.close()
-            raise RefusedError(said.code, said.text)
-        if isinstance(said, f.Welcome) and said.agent != agent:
-            caller.close()
-            raise RefusedError("name", f"at its address agent {said.agent} answers")
-        self._callers[agent] = caller
-        return caller
+        if isinstance(answer, messages.Refused):
+            client.close()
+            raise RefusedError(answer.code, answer.text)
+        if isinstance(answer, messages.Welcome) and answer.agent != agent:
+            client.close()
+            raise RefusedError("name", f"at its address agent {answer.agent} answers")
+        self._clients[agent] = client
+        return client
 
     def close(self) -> None:
-        for caller in self._callers.values():
-            caller.close()
-        self._callers.clear()
+        """Close all connections."""
+        for client in self._clients.values():
+            client.close()
+        self._clients.clear()
 
 
 class RefusedError(Exception):
+    """An agent refused the connection.
+
+    Attributes:
+        code: The code of the refusal; see `messages.Refused`, or `name` where another agent answered.
+    """
+
     def __init__(self, code: str, text: str) -> None:
+        """Make the error with its code and the reason for people."""
         super().__init__(text)
         self.code = code
 
 
-def _plain(error: BaseException) -> str:
+def _describe_error(error: BaseException) -> str:
+    """Return an error that prevented a connection, for people."""
     if isinstance(error, ConnectionRefusedError):
         return "nothing listens there"
     if isinstance(error, ConnectionResetError):
--- a/elderlock/fleet/client/observation.py
+++ b/elderlock/fleet/client/observation.py
@@ -1,4 +1,4 @@
-"""A group as its agents told it: what each says of itself, apart from what others heard of it. No I/O."""
+"""The state of a group as its agents reported it, with what they report about agents that do not answer. No I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,27 @@
 
 from elderlock.control.messages import LimiterState
 from elderlock.control.records import Records
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.client.answers import Missing, Refusal
 
 
 class GroupObservation(msgspec.Struct, frozen=True):
-    """The group as its agents told it at one moment."""
+    """The group as its agents reported it at one time.
 
-    shown: dict[str, f.Shown]
+    Attributes:
+        shown: The reports of the agents that answered, by agent.
+        missing: Why the other agents did not answer, by agent.
+        records: The newest drain records of all agents.
+        heard: The newest observation that others have of an agent that did not answer, by agent.
+    """
+
+    shown: dict[str, messages.Shown]
     missing: dict[str, Missing | Refusal]
     records: Records
-    heard: dict[str, f.AgentObservation]  # of agents that did not answer: the newest that others heard
+    heard: dict[str, messages.AgentObservation]
 
     def states(self) -> list[LimiterState]:
-        """What limiters say of themselves, fresh ones alone."""
+        """Return the states of the limiters that answer their agent."""
         return [
             limiter.state
             for shown in self.shown.values()
@@ -28,29 +35,35 @@
         ]
 
     def limiters(self) -> dict[str, tuple[str, ...]]:
-        """By agent; of an agent that did not answer as others last heard it."""
-        known = {name: tuple(each.name for each in shown.limiters) for name, shown in self.shown.items()}
-        for name, heard in self.heard.items():
-            known[name] = tuple(brief.name for brief in heard.limiters)
-        return known
+        """Return the names of the limiters by agent; for an agent that did not answer, as others observed it."""
+        names = {agent: tuple(limiter.name for limiter in shown.limiters) for agent, shown in self.shown.items()}
+        for agent, observation in self.heard.items():
+            names[agent] = tuple(brief.name for brief in observation.limiters)
+        return names
 
     def serving(self) -> list[str]:
+        """Return the names of the limiters that are in service."""
         return [state.limiter for state in self.states() if state.ready and not state.is_drained]
 
 
-def observe(answers: dict[str, f.Shown | Missing | Refusal]) -> GroupObservation:
-    shown = {name: a for name, a in answers.items() if isinstance(a, f.Shown)}
-    missing = {name: a for name, a in answers.items() if not isinstance(a, f.Shown)}
-    records = Records(record for a in shown.values() for record in a.records)
-    heard: dict[str, f.AgentObservation] = {}
+def observe(answers: dict[str, messages.Shown | Missing | Refusal]) -> GroupObservation:
+    """Combine the agents' answers to `Show`.
+
+    Args:
+        answers: The answers by agent.
+    """
+    shown = {name: answer for name, answer in answers.items() if isinstance(answer, messages.Shown)}
+    missing = {name: answer for name, answer in answers.items() if not isinstance(answer, messages.Shown)}
+    records = Records(record for answer in shown.values() for record in answer.records)
+    heard: dict[str, messages.AgentObservation] = {}
     for answer in shown.values():
-        for each in answer.heard:
-            best = heard.get(each.agent)
-            newer = best is None or (each.incarnation, each.sequence, -each.age_ms) > (
-                best.incarnation,
-                best.sequence,
-                -best.age_ms,
+        for observation in answer.heard:
+            newest = heard.get(observation.agent)
+            is_newer = newest is None or (observation.incarnation, observation.sequence, -observation.age_ms) > (
+                newest.incarnation,
+                newest.sequence,
+                -newest.age_ms,
             )
-            if each.agent in missing and each.age_ms >= 0 and newer:
-                heard[each.agent] = each
+            if observation.agent in missing and observation.age_ms >= 0 and is_newer:
+                heard[observation.agent] = observation
     return GroupObservation(shown, missing, records, heard)
--- a/elderlock/fleet/client/plan_commands.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -1,5 +1,7 @@
-"""An operator's commands over plans that live in the group: begins one, looks on, steers it. Whoever asks holds
-nothing: the plan goes on without the tool, and any agent may be asked."""
+"""The operators' commands on plans that a group carries out: begin a plan, watch it, steer it.
+
+A command stores nothing: the group carries out the plan without it, and any agent can answer.
+"""
 
 from __future__ import annotations
 
@@ -9,162 +11,223 @@
 
 import msgspec
 
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
 from elderlock.rollout.plans import Plan, RolloutPolicy, Unit
 
-ANSWER_WITHIN = 6.0  # s that an agent has to ask the others and to have a majority agree
-AGAIN_EVERY = 0.25  # s between looks at a plan, and between tries
+ANSWER_TIMEOUT_S = 6.0  # includes the time that the agent needs to have a majority agree
+RETRY_INTERVAL_S = 0.25  # between requests for the state of a plan, and between attempts
 
 
 class PlanAnswers(msgspec.Struct, frozen=True):
-    """What agents know of plans: the one with the newest ledger speaks for all."""
+    """What the agents report about plans. The report with the newest ledger counts.
+
+    Attributes:
+        answers: The reports by agent.
+        missing: Why the other agents did not answer, by agent.
+    """
 
-    answers: dict[str, f.PlansStatus]
-    missing: dict[str, str]  # agent: why it does not say
+    answers: dict[str, messages.PlansStatus]
+    missing: dict[str, str]
 
     @property
-    def newest(self) -> f.PlansStatus | None:
+    def newest(self) -> messages.PlansStatus | None:
+        """The report with the newest ledger; None where no agent answered."""
         answers = list(self.answers.values())
-        return max(answers, key=lambda each: each.version) if answers else None
+        return max(answers, key=lambda answer: answer.version) if answers else None
 
     def plan(self, id: str) -> Plan | None:
-        """By its id or how that begins; without one the plan that is under way, or the last."""
+        """Return a plan.
+
+        Args:
+            id: The id of the plan or the beginning of it; empty for the only active plan, or the last one if none is
+                active.
+
+        Returns:
+            The plan; None if there is none, or more than one.
+        """
         plans = self.newest.plans if self.newest is not None else ()
         if id:
-            found = [plan for plan in plans if plan.id.startswith(id)]
-            return found[0] if len(found) == 1 else None
-        under_way = [plan for plan in plans if plan.state != "over"]
-        if len(under_way) > 1:
+            matches = [plan for plan in plans if plan.id.startswith(id)]
+            return matches[0] if len(matches) == 1 else None
+        active = [plan for plan in plans if plan.state != "over"]
+        if len(active) > 1:
             return None
-        return under_way[0] if under_way else plans[-1] if plans else None
+        return active[0] if active else plans[-1] if plans else None
 
     def lines(self, plan: Plan) -> list[str]:
-        """How it stands, for people: what is known, what is not, whose permits are out, what it waits for."""
-        said = f"{plan.title()} ({plan.id[:8]}) of {plan.requested_by}: {plan.outcome()}"
+        """Return the state of a plan for people: its units, permits and leader, and what it waits for."""
+        title = f"{plan.title()} ({plan.id[:8]}) of {plan.requested_by}: {plan.outcome()}"
         if plan.state != "over":
-            way = "the way back, " if plan.direction == "back" else ""
-            said += f", {way}wave {plan.current_wave() + 1} of {plan.wave_count()}"
-        lines = [said + (f"; {plan.reason}" if plan.reason else "")]
+            direction = "rolling back, " if plan.direction == "back" else ""
+            title += f", {direction}wave {plan.current_wave() + 1} of {plan.wave_count()}"
+        lines = [title + (f"; {plan.reason}" if plan.reason else "")]
         if plan.state_reason:
-            lines.append(f"  {'halted' if plan.state == 'halted' else 'last turn'}: {plan.state_reason}")
-        runs = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
+            lines.append(f"  {'halted' if plan.state == 'halted' else 'last change'}: {plan.state_reason}")
+        versions = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
         if plan.kind == "agents":
-            runs = {
-                name: f.RunningVersion(
+            versions = {
+                name: messages.RunningVersion(
                     name, answer.agent_brief.version, answer.agent_brief.version, answer.agent_brief.progress
                 )
                 for name, answer in self.answers.items()
             }
         for unit in sorted(plan.units, key=lambda unit: (unit.wave, unit.target)):
-            lines.append(f"  wave {unit.wave + 1}  {unit.target}: {_unit(plan, unit, runs.get(unit.target))}")
+            description = _describe_unit(plan, unit, versions.get(unit.target))
+            lines.append(f"  wave {unit.wave + 1}  {unit.target}: {description}")
         newest = self.newest
         for permit in newest.permits if newest is not None else ():
             if permit.origin.startswith(f"{plan.id}/"):
                 lines.append(f"  permit for {permit.kind} {permit.target}, generation {permit.generation}")
         if plan.state != "over":
-            lines.append(f"  led by {plan.leader or 'nobody yet'} (term {plan.term})")
-            leading = [answer for answer in self.answers.values() if plan.id in answer.leads]
-            lines += [f"  {text}" for answer in leading for text in answer.waits]
-            for id, turn, text in {halt for answer in self.answers.values() for halt in answer.halts}:
-                if id == plan.id and turn == plan.revision and plan.state == "running":
-                    lines.append(f"  {text}: in force where it was heard of, a majority has not agreed on it yet")
-        lines += [f"  agent {name} does not say: {text}" for name, text in sorted(self.missing.items())]
+            lines.append(f"  led by {plan.leader or 'no agent yet'} (term {plan.term})")
+            leaders = [answer for answer in self.answers.values() if plan.id in answer.leads]
+            lines += [f"  {text}" for answer in leaders for text in answer.waits]
+            for id, revision, text in {halt for answer in self.answers.values() for halt in answer.halts}:
+                if id == plan.id and revision == plan.revision and plan.state == "running":
+                    lines.append(f"  {text}: in force where agents received it, not yet agreed on by a majority")
+        lines += [f"  agent {name} does not answer: {text}" for name, text in sorted(self.missing.items())]
         return lines
 
 
-def _unit(plan: Plan, unit: Unit, run: f.RunningVersion | None) -> str:
+def _describe_unit(plan: Plan, unit: Unit, running: messages.RunningVersion | None) -> str:
+    """Return the state of one unit of a plan, for people."""
     if unit.stage == "waiting":
-        return "waits" if unit.direction == "to" else "waits to go back"
+        return "waits" if unit.direction == "to" else "waits to roll back"
     if plan.kind == "drain":
-        words = {"out": "going", "trial": "coming back", "done": "out" if unit.direction == "to" else "back"}
-        return words[unit.stage]
+        texts = {
+            "out": "being drained",
+            "trial": "being undrained",
+            "done": "drained" if unit.direction == "to" else "undrained",
+        }
+        return texts[unit.stage]
     if unit.direction == "back" and unit.stage == "done" and not unit.generation:
-        return "never went"
-    words = {"out": "out", "trial": "on trial", "done": "done"}
-    said = f"{words[unit.stage]}{', back' if unit.direction == 'back' else ''}"
-    if run is None:
-        return f"{said}; what it runs is not known"
-    said += f", runs {run.version or 'the version of the files'}"
-    if run.progress.stage and unit.stage != "done":
-        said += f" ({run.progress.stage}{': ' + run.progress.reason if run.progress.reason else ''})"
-    if run.version != run.wanted and unit.stage != "out":
-        said += f", and is to run {run.wanted or 'the version of the files'} from its next start on"
-    return said
-
-
-async def list_plans(group: Group, deadline: float) -> PlanAnswers:
-    answers = await group.ask_all(f.ListPlans, f.PlansStatus, deadline)
+        return "was never changed"
+    texts = {"out": "out of service", "trial": "on trial", "done": "done"}
+    description = f"{texts[unit.stage]}{', rolling back' if unit.direction == 'back' else ''}"
+    if running is None:
+        return f"{description}; its running version is not known"
+    description += f", runs {running.version or 'the version of the files'}"
+    if running.progress.stage and unit.stage != "done":
+        reason = f": {running.progress.reason}" if running.progress.reason else ""
+        description += f" ({running.progress.stage}{reason})"
+    if running.version != running.wanted and unit.stage != "out":
+        description += f", will run {running.wanted or 'the version of the files'} from its next start on"
+    return description
+
+
+async def list_plans(group: Group, timeout_s: float) -> PlanAnswers:
+    """Request the plans from all agents.
+
+    Args:
+        group: The group.
+        timeout_s: The timeout for each agent.
+    """
+    answers = await group.ask_all(messages.ListPlans, messages.PlansStatus, timeout_s)
     return PlanAnswers(
-        {name: a for name, a in answers.items() if isinstance(a, f.PlansStatus)},
-        {name: failure_reason(a) for name, a in answers.items() if isinstance(a, Missing | Refusal)},
+        {name: answer for name, answer in answers.items() if isinstance(answer, messages.PlansStatus)},
+        {name: failure_reason(answer) for name, answer in answers.items() if isinstance(answer, Missing | Refusal)},
     )
 
 
 class Answer(msgspec.Struct):
-    """`lines` say why, where there is no `plan`."""
+    """The result of a command on a plan.
+
+    Attributes:
+        exit: The exit code.
+        plan: The plan; None where there is none.
+        lines: The result for people; why there is no plan, where there is none.
+    """
 
     exit: Exit
     plan: Plan | None
     lines: list[str]
 
 
-EXITS = {"begun": Exit.DONE, "planned": Exit.DONE, "done": Exit.DONE, "refused": Exit.UNSAFE, "away": Exit.NOTHING}
+EXIT_OF_OUTCOME = {
+    "begun": Exit.DONE,
+    "planned": Exit.DONE,
+    "done": Exit.DONE,
+    "refused": Exit.UNSAFE,
+    "away": Exit.NOTHING,
+}
 
 
 async def ask_any(
     group: Group,
-    make: Callable[[int], f.Message],
-    answer: type[f.BeginAnswer | f.SteerAnswer],
-    give_up_after: float | None,
+    make_request: Callable[[int], messages.Message],
+    answer_type: type[messages.BeginAnswer | messages.SteerAnswer],
+    give_up_after_s: float | None,
 ) -> Answer:
-    """Any agent may be asked, and each again under the same origin: one that did not answer may have done it. An agent
-    whose side of a cut has no majority is passed over. None of `give_up_after` s tries each agent once."""
+    """Send a request to one agent after another until one can answer it.
+
+    An agent that did not answer may have executed the request, so it is repeated under the same origin. An agent that
+    reaches no majority is passed over.
+
+    Args:
+        group: The group.
+        make_request: Makes the request from its id.
+        answer_type: The class of the answer.
+        give_up_after_s: How long to repeat the request; None to send it to each agent once.
+    """
     loop = asyncio.get_running_loop()
-    ends = loop.time() + (give_up_after or 0.0)
-    said: list[str] = ["no agent answers"]
+    deadline_s = loop.time() + (give_up_after_s or 0.0)
+    failures: list[str] = ["no agent answers"]
     while True:
         for name in random.sample(group.names, len(group.names)):
-            got: object = await group.ask(name, make, answer, ANSWER_WITHIN)
-            if isinstance(got, Missing | Refusal):
-                said = [f"agent {name}: {failure_reason(got)}"]
-            elif not isinstance(got, f.BeginAnswer | f.SteerAnswer):
+            answer: object = await group.ask(name, make_request, answer_type, ANSWER_TIMEOUT_S)
+            if isinstance(answer, Missing | Refusal):
+                failures = [f"agent {name}: {failure_reason(answer)}"]
+            elif not isinstance(answer, messages.BeginAnswer | messages.SteerAnswer):
                 continue
-            elif got.outcome == "away":
-                said = [f"agent {name}: {reason}" for reason in got.reasons]
+            elif answer.outcome == "away":
+                failures = [f"agent {name}: {reason}" for reason in answer.reasons]
             else:
-                lines = got.lines if isinstance(got, f.BeginAnswer) else ()
-                return Answer(EXITS[got.outcome], got.plan, [*got.reasons, *lines])
-        if loop.time() >= ends:
-            return Answer(Exit.NOTHING, None, said)
-        await asyncio.sleep(AGAIN_EVERY)
+                lines = answer.lines if isinstance(answer, messages.BeginAnswer) else ()
+                return Answer(EXIT_OF_OUTCOME[answer.outcome], answer.plan, [*answer.reasons, *lines])
+        if loop.time() >= deadline_s:
+            return Answer(Exit.NOTHING, None, failures)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 async def watch(
-    group: Group, id: str, deadline: float, told: Callable[[list[str]], None], give_up_after: float | None = None
+    group: Group,
+    id: str,
+    timeout_s: float,
+    on_change: Callable[[list[str]], None],
+    give_up_after_s: float | None = None,
 ) -> Answer:
-    """Until the plan is over or halted. `told` hears of it whenever something changed."""
+    """Wait until a plan is over or halted.
+
+    Args:
+        group: The group.
+        id: The id of the plan.
+        timeout_s: The timeout for each request to an agent.
+        on_change: Is called with the state of the plan, for people, whenever it has changed.
+        give_up_after_s: How long to wait; None for no limit.
+    """
     loop = asyncio.get_running_loop()
-    ends = None if give_up_after is None else loop.time() + give_up_after
-    before: list[str] = []
+    deadline_s = None if give_up_after_s is None else loop.time() + give_up_after_s
+    last_lines: list[str] = []
     while True:
-        now = await list_plans(group, deadline)
-        plan = now.plan(id)
+        answers = await list_plans(group, timeout_s)
+        plan = answers.plan(id)
         if plan is not None:
-            lines = now.lines(plan)
-            if lines != before:
-                told(lines)
-                before = lines
+            lines = answers.lines(plan)
+            if lines != last_lines:
+                on_change(lines)
+                last_lines = lines
             if plan.state != "running":
                 return Answer(exit_of(plan), plan, [])
-        if ends is not None and loop.time() >= ends:
-            return Answer(Exit.PART, plan, ["it goes on in the group"])
-        await asyncio.sleep(AGAIN_EVERY)
+        if deadline_s is not None and loop.time() >= deadline_s:
+            return Answer(Exit.PART, plan, ["the plan continues in the group"])
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 def exit_of(plan: Plan) -> Exit:
+    """Return the exit code for a plan that is over or halted."""
     if plan.state == "over":
         return Exit.DONE if plan.direction == "to" else Exit.NOTHING
     return Exit.PART
@@ -176,21 +239,34 @@
     version: str,
     targets: Sequence[str],
     waves: Sequence[Sequence[str]],
-    terms: RolloutPolicy,
+    policy: RolloutPolicy,
     reason: str,
     dry: bool = False,
-) -> Callable[[int], f.Message]:
-    def make(id: int) -> f.Message:
-        return f.BeginPlan(
+) -> Callable[[int], messages.Message]:
+    """Return a function that makes the request to begin a plan from the request's id.
+
+    Args:
+        origin: The unique id of the command.
+        kind: The kind of the plan.
+        version: The version to release; empty for a drain.
+        targets: The targets of the plan; empty for all limiters.
+        waves: The targets of each wave; empty for the default waves.
+        policy: The policy of the rollout.
+        reason: The operator's reason, for people.
+        dry: Whether to only report what the plan would do.
+    """
+
+    def make_request(id: int) -> messages.Message:
+        return messages.BeginPlan(
             id,
             origin,
             kind,  # type: ignore[arg-type]
             version,
             tuple(targets),
-            tuple(tuple(w) for w in waves),
-            terms,
+            tuple(tuple(wave) for wave in waves),
+            policy,
             reason,
             dry,
         )
 
-    return make
+    return make_request
--- a/elderlock/fleet/drain_intents.py
+++ b/elderlock/fleet/drain_intents.py
@@ -1,4 +1,4 @@
-"""What becomes of an operator's wish, and how far a record came at a limiter. Free of I/O."""
+"""Decides about operators' intents, and tracks how far each record got at a limiter. No I/O."""
 
 from __future__ import annotations
 
@@ -8,27 +8,49 @@
 from elderlock.fleet.messages import Decision, DrainIntent, Reach, Reached, SubmitIntents
 
 
-def decide_intent(records: Records, wish: DrainIntent, intend: SubmitIntents, by: str, now: float) -> Decision:
-    """One record, one outcome: a wish that already holds joins its record, whoever made it; one that acts
-    on what was before another's change is stale. Nothing is changed here; `now` is Unix ms."""
-    held = records.get(wish.kind, wish.target)
-    if held is not None and held.origin == intend.origin:
-        return Decision("made", held)  # repeated after a lost answer
-    if held is not None and held.is_drained == wish.is_drained:
-        return Decision("joined", held, f"{describe_record(held)} already")
-    if held is None and not wish.is_drained:
+def decide_intent(
+    records: Records, intent: DrainIntent, request: SubmitIntents, requested_by: str, now_unix_ms: float
+) -> Decision:
+    """Decide about one intent; nothing is changed.
+
+    An intent that the target's record already fulfils joins that record, whoever made it. An intent that was based on
+    an older record than the target's is stale.
+
+    Args:
+        records: The records that the agent holds.
+        intent: The intent.
+        request: The request that the intent is part of.
+        requested_by: The operator.
+        now_unix_ms: The time.
+    """
+    current = records.get(intent.kind, intent.target)
+    if current is not None and current.origin == request.origin:
+        return Decision("made", current)  # the request was repeated after a lost answer
+    if current is not None and current.is_drained == intent.is_drained:
+        return Decision("joined", current, f"{describe_record(current)} already")
+    if current is None and not intent.is_drained:
         return Decision("joined", None, "was not drained")
-    generation = held.generation if held is not None else 0
-    if generation != wish.expect:
-        seen = f"generation {wish.expect}" if wish.expect else "no record"
-        return Decision("stale", held, f"you acted on {seen}, but it is {describe_record(held)} since")
-    if intend.generation <= generation:
-        return Decision("refused", held, f"generation {intend.generation} is not above {generation}")
-    record = Record(wish.kind, wish.target, wish.is_drained, intend.generation, intend.origin, by, now, intend.reason)
+    generation = current.generation if current is not None else 0
+    if generation != intent.expect:
+        expected = f"generation {intent.expect}" if intent.expect else "no record"
+        return Decision("stale", current, f"you acted on {expected}, but it is {describe_record(current)} since")
+    if request.generation <= generation:
+        return Decision("refused", current, f"generation {request.generation} is not above {generation}")
+    record = Record(
+        intent.kind,
+        intent.target,
+        intent.is_drained,
+        request.generation,
+        request.origin,
+        requested_by,
+        now_unix_ms,
+        request.reason,
+    )
     return Decision("made", record)
 
 
 def describe_record(record: Record | None) -> str:
+    """Return what a record says, for people."""
     if record is None:
         return "without a record"
     verb = "drained" if record.is_drained else "undrained"
@@ -36,52 +58,78 @@
 
 
 class RecordProgress:
-    """What is known of the records at one limiter: sent there, or told by it to be in force.
+    """How far records got at one limiter: whether they were sent, and whether the limiter reported them in force.
 
-    A limiter that answers has reached what it names. What was sent and not answered may be in force or
-    may not: that is `unknown`, and never counted as one of the other two.
+    A record is `reached` only by the limiter's own report. One that was sent but not answered may be in force or not:
+    it is `unknown`, and never counts as reached or as not reached.
+
+    Attributes:
+        open_attempts: How many attempts of the limiter are open at each drained server, by the server's uid.
+        open_requests: How many requests the limiter has open.
     """
 
     def __init__(self) -> None:
         self._sent: dict[Key, tuple[int, str]] = {}
-        self._held: dict[Key, tuple[tuple[int, str], float]] = {}
-        self.out: dict[str, int] = {}
-        self.open = 0
+        self._in_force: dict[Key, tuple[tuple[int, str], float]] = {}  # order and time in Unix ms
+        self.open_attempts: dict[str, int] = {}
+        self.open_requests = 0
 
     def record_sent(self, records: Iterable[Record]) -> None:
+        """Note that records were sent to the limiter."""
         for record in records:
             self._sent[record.key] = max(record.order, self._sent.get(record.key, record.order))
 
-    def record_applied(self, records: Iterable[Record], at: float, out: dict[str, int], open: int) -> None:
-        """The limiter's own word. `at` is kept from when it first named a record."""
+    def record_applied(
+        self,
+        records: Iterable[Record],
+        at_unix_ms: float,
+        open_attempts: dict[str, int],
+        open_requests: int,
+    ) -> None:
+        """Take the limiter's report of the records that it has in force.
+
+        Args:
+            records: The records.
+            at_unix_ms: When the limiter applied them. The time of the first report of a record is kept.
+            open_attempts: How many attempts of the limiter are open at each drained server, by the server's uid.
+            open_requests: How many requests the limiter has open.
+        """
         for record in records:
-            held = self._held.get(record.key)
-            if held is None or held[0] != record.order:
-                self._held[record.key] = (record.order, at)
-        self.out, self.open = out, open
+            known = self._in_force.get(record.key)
+            if known is None or known[0] != record.order:
+                self._in_force[record.key] = (record.order, at_unix_ms)
+        self.open_attempts, self.open_requests = open_attempts, open_requests
 
     def reset(self) -> None:
-        """The process has ended or is another: what it held says nothing of the next."""
+        """Forget everything, as the process has exited or is another one."""
         self._sent.clear()
-        self._held.clear()
-        self.out, self.open = {}, 0
-
-    def reach(self, limiter: str, record: Record, runs: bool, why: str) -> Reach:
-        held, sent = self._held.get(record.key), self._sent.get(record.key)
+        self._in_force.clear()
+        self.open_attempts, self.open_requests = {}, 0
+
+    def reach(self, limiter: str, record: Record, is_running: bool, link_reason: str) -> Reach:
+        """Return how far a record got.
+
+        Args:
+            limiter: The name of the limiter.
+            record: The record.
+            is_running: Whether a process of the limiter runs.
+            link_reason: Why the limiter does not answer, for people; empty where it does.
+        """
+        in_force, sent = self._in_force.get(record.key), self._sent.get(record.key)
         state: Reached
-        if held is not None and held[0] >= record.order:
-            state, at, why = "reached", held[1], ""
-        elif sent is not None and sent >= record.order:  # whatever its socket says since: it may live on
-            state, at = "unknown", 0.0
-            why = why or "sent, no answer: it may be in force"
-        elif not runs:
-            state, at, why = "at-start", 0.0, "not running; in force before its first request"
+        if in_force is not None and in_force[0] >= record.order:
+            state, at_unix_ms, why = "reached", in_force[1], ""
+        elif sent is not None and sent >= record.order:  # even if its socket is down: the process may still run
+            state, at_unix_ms, why = "unknown", 0.0, link_reason or "sent, no answer: it may be in force"
+        elif not is_running:
+            state, at_unix_ms, why = "at-start", 0.0, "not running; in force before its first request"
         else:
-            state, at, why = "not-reached", 0.0, why or "not sent yet"
-        left = self.open if record.kind == "limiter" else self.out.get(record.target, 0)
-        return Reach(limiter, record.kind, record.target, state, at, why, left if runs else 0)
+            state, at_unix_ms, why = "not-reached", 0.0, link_reason or "not sent yet"
+        is_limiter = record.kind == "limiter"
+        open_requests = self.open_requests if is_limiter else self.open_attempts.get(record.target, 0)
+        return Reach(limiter, record.kind, record.target, state, at_unix_ms, why, open_requests if is_running else 0)
 
 
 def concerns(record: Record, limiter: str) -> bool:
-    """Whether a limiter has to act on it: a box's drain concerns all, a limiter's that one alone."""
+    """Return whether a limiter has to act on a record: on all records of servers, and on its own."""
     return record.kind == "box" or record.target == limiter
--- a/elderlock/fleet/launcher/__init__.py
+++ b/elderlock/fleet/launcher/__init__.py
@@ -1,1 +1,1 @@
-"""The launcher that starts an agent and falls back to its version before."""
+"""The launcher, which starts an agent and falls back to the agent's previous version."""
--- a/elderlock/fleet/messages/__init__.py
+++ b/elderlock/fleet/messages/__init__.py
@@ -1,4 +1,4 @@
-"""What the command line and agents send to an agent, and agents to one another: typed and versioned messages."""
+"""The typed and versioned messages that the command line and other agents exchange with an agent."""
 
 from __future__ import annotations
 
--- a/elderlock/fleet/messages/codec.py
+++ b/elderlock/fleet/messages/codec.py
@@ -1,4 +1,4 @@
-"""The messages to and from an agent, and their encoding as MessagePack."""
+"""Encoding and decoding of the messages to and from an agent as MessagePack."""
 
 from __future__ import annotations
 
@@ -63,7 +63,8 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-# made when first needed: a command reads the one and an agent the other, and each takes a while to make
+# Each decoder is built on first use: building one takes a while, and a command needs only the decoder of answers, an
+# agent mainly the one of requests.
 @cache
 def _request_decoder() -> msgspec.msgpack.Decoder[ToAgent]:
     return msgspec.msgpack.Decoder(ToAgent)
@@ -75,12 +76,23 @@
 
 
 def encode(message: Message) -> bytes:
+    """Return the MessagePack encoding of a message."""
     return _encoder.encode(message)
 
 
 def decode_request(body: bytes) -> ToAgent:
+    """Decode a message to an agent.
+
+    Raises:
+        msgspec.DecodeError: `body` is not such a message.
+    """
     return _request_decoder().decode(body)
 
 
 def decode_answer(body: bytes) -> FromAgent:
+    """Decode a message from an agent.
+
+    Raises:
+        msgspec.DecodeError: `body` is not such a message.
+    """
     return _answer_decoder().decode(body)
--- a/elderlock/fleet/messages/consensus.py
+++ b/elderlock/fleet/messages/consensus.py
@@ -1,4 +1,4 @@
-"""Permits and the votes of agents on them."""
+"""Messages about permits and about the votes of agents on them."""
 
 from __future__ import annotations
 
@@ -10,8 +10,17 @@
 
 
 class RequestPermits(Message, tag="ask"):
-    """For permits to take these out, all or none. Repeating it under its `origin` finds the same ones. `generation`:
-    the greatest that the caller saw in a record."""
+    """Requests permits to take targets out of service: for all of them or none.
+
+    A repeated request with the same `origin` returns the permits that were granted before.
+
+    Attributes:
+        id: The id of the request.
+        origin: The unique id of the command.
+        targets: The kind and name of each target.
+        reason: The operator's reason, for people.
+        generation: The greatest generation of any record that the caller has received.
+    """
 
     id: int
     origin: str
@@ -21,8 +30,18 @@
 
 
 class PermitsAnswer(Message, tag="granted"):
-    """`outcome`: granted, refused (the budget says no, `reasons` why), or away: another agent may say more. No majority
-    answers (nobody can grant anything, or it was not to be learnt whether it did), or this agent knows too little."""
+    """The answer to `RequestPermits`.
+
+    The outcome is `away` where another agent may give a better answer: this agent knows too little, or it reaches no
+    majority, so that either nobody can grant anything or it is unknown whether the permits were granted.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        outcome: granted, refused (the budget does not allow it) or away.
+        permits: The granted permits.
+        reasons: Why nothing was granted, for people.
+    """
 
     id: int
     agent: str
@@ -32,12 +51,29 @@
 
 
 class Prepare(Message, tag="prepare"):
+    """The first phase of a consensus round: requests the promise of a ballot.
+
+    Attributes:
+        id: The id of the request.
+        number: The number of the ballot.
+        by: The proposer of the ballot.
+    """
+
     id: int
     number: int
     by: str
 
 
 class Accept(Message, tag="accept"):
+    """The second phase of a consensus round: requests that a value is accepted.
+
+    Attributes:
+        id: The id of the request.
+        number: The number of the ballot.
+        by: The proposer of the ballot.
+        value: The encoded ledger.
+    """
+
     id: int
     number: int
     by: str
@@ -45,7 +81,17 @@
 
 
 class Voted(Message, tag="voted"):
-    """An acceptor's answer to either. `voting` is false for one that may have lost its state: it promised nothing."""
+    """An acceptor's answer to `Prepare` or `Accept`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the acceptor.
+        voting: Whether the acceptor votes. One that may have lost its state does not: it has promised nothing.
+        ok: Whether it promised the ballot or accepted the value.
+        promised: The greatest ballot that it promised, as number and proposer.
+        accepted: The ballot of the value that it accepted last, as number and proposer.
+        value: The value that it accepted last.
+    """
 
     id: int
     agent: str
@@ -57,14 +103,28 @@
 
 
 class Recall(Message, tag="recall"):
-    """What the asker has to know before it votes again: whether others saw it promise more than it remembers."""
+    """Asks which promises of the calling agent the receiver has observed.
+
+    The caller needs the answers before it votes again: they show whether it promised more than its store holds.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the calling agent.
+    """
 
     id: int
     agent: str
 
 
 class Recalled(Message, tag="recalled"):
-    """`seen`: the greatest ballot that this one saw the asker promise. `empty`: it has never accepted anything."""
+    """The answer to `Recall`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        seen: The greatest ballot that the answering agent observed the caller promise, as number and proposer.
+        empty: Whether the answering agent has never accepted anything.
+    """
 
     id: int
     agent: str
@@ -73,15 +133,30 @@
 
 
 class ShowBudget(Message, tag="standing"):
+    """Requests the state of the disruption budget.
+
+    Attributes:
+        id: The id of the request.
+    """
+
     id: int
 
 
 class BudgetStatus(Message, tag="stood"):
-    """How the budget stands, as this agent knows it: `lines` for people."""
+    """The state of the disruption budget, as the answering agent knows it.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        voting: `yes`, `no`, or why the agent does not vote yet.
+        version: The version of the agent's ledger.
+        permits: The permits that are in use.
+        lines: The state of the budget, for people.
+    """
 
     id: int
     agent: str
-    voting: str  # yes, no, or why not yet
+    voting: str
     version: int
     permits: tuple[Permit, ...]
     lines: tuple[str, ...]
--- a/elderlock/fleet/messages/plans.py
+++ b/elderlock/fleet/messages/plans.py
@@ -1,4 +1,4 @@
-"""Plans that the group carries out, and how operators steer them."""
+"""Messages about plans that the group carries out, and about steering them."""
 
 from __future__ import annotations
 
@@ -14,14 +14,25 @@
 
 
 class BeginPlan(Message, tag="begin"):
-    """A plan that the group carries out. Repeating it under its `origin` finds the same one. `waves` as the asker wants
-    them, or empty for the usual ones. `dry`: only says what would be done."""
+    """Begins a plan. A repeated request with the same `origin` returns the plan that was begun before.
+
+    Attributes:
+        id: The id of the request.
+        origin: The unique id of the command.
+        kind: The kind of the plan.
+        version: The version to release; empty for a drain.
+        targets: The targets of the plan; empty for all limiters.
+        waves: The targets of each wave; empty for the default waves.
+        terms: The policy of the rollout.
+        reason: The operator's reason, for people.
+        dry: Whether to only report what the plan would do.
+    """
 
     id: int
     origin: str
     kind: PlanKind
     version: str
-    targets: tuple[str, ...]  # empty: all limiters
+    targets: tuple[str, ...]
     waves: tuple[tuple[str, ...], ...]
     terms: RolloutPolicy
     reason: str
@@ -29,20 +40,37 @@
 
 
 class BeginAnswer(Message, tag="begun"):
-    """`outcome`: begun, planned (a dry one), refused (`reasons` why) or away (too few agents answer, or this
-    one knows too little)."""
+    """The answer to `BeginPlan`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        outcome: begun, planned (the answer to a dry run), refused, or away (too few agents answer, or this one knows
+            too little).
+        plan: The plan.
+        reasons: Why it was not begun, for people.
+        lines: What would remain in service during the plan, for people.
+    """
 
     id: int
     agent: str
     outcome: Literal["begun", "planned", "refused", "away"]
     plan: Plan | None = None
     reasons: tuple[str, ...] = ()
-    lines: tuple[str, ...] = ()  # what it would leave, for people
+    lines: tuple[str, ...] = ()
 
 
 class SteerPlan(Message, tag="steer"):
-    """An operator's word on a plan, or on an agent that is gone (`plan` is then the agent's name). `turn`: the one that
-    the operator saw, for a go-on."""
+    """An operator's instruction for a plan, or for an agent that is lost for good.
+
+    Attributes:
+        id: The id of the request.
+        plan: The id of the plan; the name of the agent where the instruction is for an agent.
+        action: The instruction. `go-on` resumes and `back` rolls back; `give-up` declares an agent lost for
+            good, and `take-in` reverses that.
+        turn: For `go-on`, the revision of the plan that the operator acted on.
+        reason: The operator's reason, for people.
+    """
 
     id: int
     plan: str
@@ -52,7 +80,16 @@
 
 
 class SteerAnswer(Message, tag="steered"):
-    """`outcome` away: no majority answers. A halt is in force all the same wherever it is heard of."""
+    """The answer to `SteerPlan`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        outcome: done, refused, or away (no majority answers). A halt that is `away` is in force nevertheless at each
+            agent that receives it.
+        reasons: Why it was not done, for people.
+        plan: The plan after the instruction.
+    """
 
     id: int
     agent: str
@@ -62,11 +99,24 @@
 
 
 class ListPlans(Message, tag="plans"):
+    """Requests the plans that an agent knows.
+
+    Attributes:
+        id: The id of the request.
+    """
+
     id: int
 
 
 class RunningVersion(msgspec.Struct):
-    """`version`: of its process; `wanted`: that the group agreed on."""
+    """The version of one limiter.
+
+    Attributes:
+        limiter: The name of the limiter.
+        version: The version of its process.
+        wanted: The version that the group agreed on.
+        progress: How far its agent is with the plan's unit.
+    """
 
     limiter: str
     version: str
@@ -75,7 +125,22 @@
 
 
 class PlansStatus(Message, tag="planned"):
-    """What an agent knows of plans. `waits`: of those that it leads; `versions`: with digests, that lie on its disk."""
+    """The answer to `ListPlans`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        version: The version of the agent's ledger.
+        plans: The plans in the ledger.
+        leads: The ids of the plans that the agent leads.
+        waits: What those plans wait for, for people.
+        runs: The versions of the agent's limiters.
+        versions: The versions on the agent's disk, each with its digest.
+        given_up: The agents that were declared lost for good, each with the operator who did so.
+        halts: The halts that the agent has received: the id of the plan, its revision and the reason.
+        permits: The permits in the ledger.
+        agent_brief: The status of the agent itself.
+    """
 
     id: int
     agent: str
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -1,4 +1,4 @@
-"""The status of limiters and agents: what an agent shows, and what agents exchange about one another."""
+"""Messages about the status of limiters and agents, to operators and between agents."""
 
 from __future__ import annotations
 
@@ -16,14 +16,27 @@
 
 
 class LimiterStatus(msgspec.Struct):
-    """A limiter as its agent supervises it; `state` is what the limiter said of itself `heard_age_ms` ago."""
+    """A limiter, as the agent that supervises it sees it.
+
+    Attributes:
+        name: The name of the limiter.
+        phase: The phase of its process.
+        pid: Its process id; 0 where none runs.
+        adopted: Whether the agent found the process running instead of starting it.
+        restarts: How often the process was restarted after it exited.
+        next_start_ms: The time to the next start during a backoff, else -1.
+        link: The state of the agent's connection to it.
+        link_why: Why the connection is in that state, and why the limiter could not be started, for people.
+        heard_age_ms: The age of `state`; -1 where the limiter has not reported any.
+        state: The last state that the limiter reported.
+    """
 
     name: str
     phase: Phase
     pid: int
     adopted: bool
     restarts: int
-    next_start_ms: float  # till the next start while it backs off, else -1
+    next_start_ms: float
     link: Literal["answering", "silent", "down", "claimed"]
     link_why: str
     heard_age_ms: float
@@ -31,7 +44,21 @@
 
 
 class LimiterBrief(msgspec.Struct):
-    """Enough of a limiter for others to tell when its agent is gone."""
+    """The short status of a limiter. Other agents report it while the limiter's agent does not answer.
+
+    Attributes:
+        name: The name of the limiter.
+        phase: The phase of its process.
+        link: The state of its agent's connection to it.
+        open: How many requests it has open.
+        is_drained: Whether it is drained.
+        boxes_drained: How many servers its agent has drain records of.
+        version: The version that its process runs; empty for the one in its agent's file.
+        serving: Whether it answers, has its endpoint list and accepts clients.
+        restarts: How often its process was restarted after it exited.
+        figures: The metrics of its answers.
+        progress: How far its agent is with the unit of a release.
+    """
 
     name: str
     phase: Phase
@@ -39,16 +66,23 @@
     open: int
     is_drained: bool = msgspec.field(name="drained")
     boxes_drained: int
-    version: str = ""  # that its process runs; empty for the one in its agent's file
-    serving: bool = False  # it answers, has its list and takes clients
+    version: str = ""
+    serving: bool = False
     restarts: int = 0
     figures: AnswerMetrics = AnswerMetrics()
-    progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())  # of a release
+    progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())
 
 
 class AgentBrief(msgspec.Struct, frozen=True):
-    """An agent of itself. `based`: a base started it, so it can be released. `starts`: of its process on this
-    version."""
+    """The short status of an agent, as it reports it itself.
+
+    Attributes:
+        version: The version that the agent runs.
+        based: Whether a launcher started it, so that a release can switch its version.
+        starts: How often its process was started on this version.
+        serving: Whether a majority of the group hears it and its limiters run and answer.
+        progress: How far it is with its unit of a release.
+    """
 
     version: str = ""
     based: bool = False
@@ -58,19 +92,35 @@
 
 
 class AgentObservation(msgspec.Struct):
-    """What the answering agent last heard of another: not what that one says of itself."""
+    """What the answering agent last received about another agent, directly or through a third one.
+
+    Attributes:
+        agent: The name of the observed agent.
+        standing: Whether the observed agent counts as alive, suspect or unreachable.
+        incarnation: Its incarnation, greater at each of its starts.
+        sequence: The sequence number of its status within the incarnation.
+        age_ms: The age of that status; -1 where there is none.
+        via: The agent that forwarded the status; empty where it came directly.
+        limiters: The limiters of the observed agent.
+    """
 
     agent: str
     standing: Literal["alive", "suspect", "unreachable"]
     incarnation: int
     sequence: int
-    age_ms: float  # since that one spoke; -1 where it never did
-    via: str  # who told, where it was not that one
+    age_ms: float
+    via: str
     limiters: tuple[LimiterBrief, ...]
 
 
 class Show(Message, tag="show"):
-    """`within_ms`: how long the agent waits for its limiters' fresh word."""
+    """Requests the status of an agent and its limiters.
+
+    Attributes:
+        id: The id of the request.
+        accounts: The maximum number of accounts that each limiter lists.
+        within_ms: How long the agent waits for fresh states from its limiters.
+    """
 
     id: int
     accounts: int = 20
@@ -78,19 +128,50 @@
 
 
 class Shown(Message, tag="shown"):
+    """The answer to `Show`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        build: The version of its program.
+        incarnation: Its incarnation, greater at each of its starts.
+        uptime_ms: How long it has run.
+        store: Why its store fails, for people; empty where it works.
+        limiters: Its limiters.
+        records: The drain records that it holds.
+        heard: The other agents of the group, as it observes them.
+    """
+
     id: int
     agent: str
     build: str
     incarnation: int
     uptime_ms: float
-    store: str  # in words, empty where all is well
+    store: str
     limiters: tuple[LimiterStatus, ...]
     records: tuple[Record, ...]
     heard: tuple[AgentObservation, ...]
 
 
 class Exchange(Message, tag="exchange"):
-    """One agent to another, and its answer: what it is, holds and last heard of the others."""
+    """The status that one agent sends to another; the answer is a message of the same class.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the sender.
+        incarnation: The incarnation of the sender.
+        sequence: The sequence number of the status within the incarnation.
+        limiters: The limiters of the sender.
+        digest: The digest of the sender's drain records.
+        records: The records; empty where the receiver's last message had the same digest.
+        heard: The sender's observations of agents that the receiver has not heard from.
+        ledger: The newest encoded ledger that the sender knows to be chosen; empty where the receiver has it already.
+        ledger_version: The version of the sender's ledger; -1 where it has none.
+        unheard_agents: The agents that the sender has not heard from recently; None from a sender that does not list
+            them.
+        halts: The halts of plans, as plan id, revision and reason. They are in force at once, also without a majority.
+        agent_brief: The status of the sending agent itself.
+    """
 
     id: int
     agent: str
@@ -98,12 +179,10 @@
     sequence: int
     limiters: tuple[LimiterBrief, ...]
     digest: str
-    records: tuple[Record, ...]  # empty where the last answer's digest was the same
-    heard: tuple[AgentObservation, ...]  # of those that the other lacks
-    ledger: bytes = b""  # the newest that it knows to be chosen, where the other has an older one
+    records: tuple[Record, ...]
+    heard: tuple[AgentObservation, ...]
+    ledger: bytes = b""
     ledger_version: int = -1
-    unheard_agents: tuple[str, ...] | None = msgspec.field(
-        name="lacks", default=None
-    )  # of whom it has heard nothing lately; None for one that does not say
-    halts: tuple[tuple[str, int, str], ...] = ()  # plan, turn and why: in force at once, also where no majority answers
+    unheard_agents: tuple[str, ...] | None = msgspec.field(name="lacks", default=None)
+    halts: tuple[tuple[str, int, str], ...] = ()
     agent_brief: AgentBrief = msgspec.field(name="itself", default=AgentBrief())
--- a/elderlock/fleet/messages/worker_leasing.py
+++ b/elderlock/fleet/messages/worker_leasing.py
@@ -1,4 +1,4 @@
-"""Workers of the load generator that an agent's machine leases to an operator's run."""
+"""Messages that lease load generator workers on an agent's machine to an operator's run."""
 
 from __future__ import annotations
 
@@ -6,10 +6,20 @@
 
 
 class LeaseWorker(Message, tag="lend"):
-    """Words for a worker of load that this agent's machine lends, and the request for what it has said since.
-    The first of a `job` starts it. Its frames are its own protocol's: the agent passes them on unread. They are
-    numbered from 0 each way, so that asking again after a lost answer loses nothing and says nothing twice:
-    `first` is the number of the first of `frames`, `have` how many of the worker's have come."""
+    """Sends frames to a leased load worker and requests the frames that it has sent since.
+
+    The first message of a job starts the worker. The frames belong to the worker's own protocol, and the agent forwards
+    them unread. In each direction they are numbered from 0, so that a repeated request after a lost answer neither
+    loses nor duplicates a frame.
+
+    Attributes:
+        id: The id of the request.
+        job: The id of the lease.
+        first: The number of the first of `frames`.
+        frames: The frames to the worker.
+        have: How many of the worker's frames the caller has received.
+        end: Whether to end the worker.
+    """
 
     id: int
     job: str
@@ -20,8 +30,16 @@
 
 
 class WorkerLeased(Message, tag="lent"):
-    """`ended` says in words how the process ended, and is empty while it lives or has words left. `taken`:
-    how many of the caller's frames have come."""
+    """The answer to `LeaseWorker`.
+
+    Attributes:
+        id: The id of the request.
+        agent: The name of the answering agent.
+        taken: How many of the caller's frames have arrived.
+        first: The number of the first of `frames`.
+        frames: Frames from the worker.
+        ended: How the worker's process ended, for people; empty while it runs or still has frames to deliver.
+    """
 
     id: int
     agent: str
--- a/elderlock/fleet/supervision/versions.py
+++ b/elderlock/fleet/supervision/versions.py
@@ -1,7 +1,8 @@
-"""Versions of limiters that lie side by side on an agent's disk: `FOLDER/NAME/version.toml`.
+"""The versions of limiters and agents on an agent's disk, each described by `FOLDER/NAME/version.toml`.
 
-A version says what differs from the limiter's part in the agent's file: its command, its directory, its configuration.
-`{limiter}` in it stands for the limiter's name, `{agent}` for the agent's and `{version}` for the version's own folder.
+A version file says what differs from the limiter's section in the agent's file: the command, the working directory or
+the configuration file. In its values `{limiter}` is replaced by the name of the limiter, `{agent}` by that of the agent
+and `{version}` by the folder of the version.
 """
 
 from __future__ import annotations
@@ -14,69 +15,109 @@
 from elderlock.control.files import read_toml
 from elderlock.fleet.config import NAME, AgentFile, FileError, LimiterPart
 
+DIGEST_LENGTH = 16
+
 
 class VersionFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What is empty is as in the agent's file. Paths count from the agent's folder."""
+    """A version file. An empty value stands for the one in the agent's file.
+
+    Attributes:
+        command: The command of the limiter.
+        directory: The working directory of the limiter, relative to the folder of the agent's file.
+        config: The configuration file of the limiter, relative to the folder of the agent's file.
+        agent: The command with which a launcher starts the agent, without the argument for the agent's file.
+    """
 
     command: tuple[str, ...] = ()
     directory: str = ""
     config: str = ""
-    agent: tuple[str, ...] = ()  # how a base starts the agent, less the agent's file; empty: as it does by itself
+    agent: tuple[str, ...] = ()
 
 
 class Launch(msgspec.Struct, frozen=True):
+    """How to start a limiter.
+
+    Attributes:
+        command: The command line.
+        directory: The working directory.
+        config: The configuration file.
+    """
+
     command: tuple[str, ...]
     directory: str
     config: str
 
 
 class Versions:
+    """The version folders of an agent."""
+
     def __init__(self, folder: Path, file: AgentFile) -> None:
+        """Make a reader of the version folders.
+
+        Args:
+            folder: The folder of the agent's file, which paths in the file are relative to.
+            file: The agent's file.
+        """
         self._folder = folder / file.versions.folder if file.versions is not None else None
 
     def launch(self, part: LimiterPart, version: str) -> Launch:
-        """How the limiter is started on that version; empty for the one in the agent's file. Raises `FileError`."""
+        """Return how a limiter is started.
+
+        Args:
+            part: The limiter's section in the agent's file.
+            version: The version; empty for the one in the agent's file.
+
+        Raises:
+            FileError: The version cannot be used.
+        """
         if not version:
             return Launch(part.command, part.directory, part.config)
-        file, here = self._read(version)
+        file, version_folder = self._read(version)
 
-        def filled(text: str) -> str:
-            return text.replace("{limiter}", part.name).replace("{version}", str(here))
+        def fill_in(text: str) -> str:
+            return text.replace("{limiter}", part.name).replace("{version}", str(version_folder))
 
         return Launch(
-            tuple(filled(word) for word in file.command) or part.command,
-            filled(file.directory) or part.directory,
-            filled(file.config) or part.config,
+            tuple(fill_in(word) for word in file.command) or part.command,
+            fill_in(file.directory) or part.directory,
+            fill_in(file.config) or part.config,
         )
 
     def agent(self, version: str, name: str) -> tuple[str, ...]:
-        """The command that starts the agent of that name on that version; empty for the base's own. Raises
-        `FileError`."""
+        """Return the command that starts an agent on a version.
+
+        Args:
+            version: The version; empty for the launcher's own, whose command is empty.
+            name: The name of the agent.
+
+        Raises:
+            FileError: The version cannot be used.
+        """
         if not version:
             return ()
-        file, here = self._read(version)
+        file, version_folder = self._read(version)
         if not file.agent:
-            raise FileError(f"{here / 'version.toml'}: it says no agent")
-        return tuple(word.replace("{agent}", name).replace("{version}", str(here)) for word in file.agent)
+            raise FileError(f"{version_folder / 'version.toml'}: it has no `agent` command")
+        return tuple(word.replace("{agent}", name).replace("{version}", str(version_folder)) for word in file.agent)
 
     def _read(self, version: str) -> tuple[VersionFile, Path]:
         if self._folder is None:
             raise FileError("this agent's file has no [versions]")
         if not NAME.fullmatch(version):
             raise FileError(f"{version!r} is no name for a version: letters, digits, '.', '_', '-'")
-        here = self._folder / version
-        file = read_toml(here / "version.toml", VersionFile, FileError)
+        version_folder = self._folder / version
+        file = read_toml(version_folder / "version.toml", VersionFile, FileError)
         if not (file.command or file.directory or file.config or file.agent):
-            raise FileError(f"{here / 'version.toml'}: it says neither command, directory, config nor agent")
-        return file, here
+            raise FileError(f"{version_folder / 'version.toml'}: it has neither command, directory, config nor agent")
+        return file, version_folder
 
     def digests(self) -> tuple[tuple[str, str], ...]:
-        """Of all that can be used."""
-        found = []
+        """Return the name and digest of each version that can be used."""
+        digests = []
         for path in sorted(self._folder.glob("*/version.toml")) if self._folder is not None else ():
             try:
                 self._read(path.parent.name)
-                found.append((path.parent.name, hashlib.sha256(path.read_bytes()).hexdigest()[:16]))
+                digests.append((path.parent.name, hashlib.sha256(path.read_bytes()).hexdigest()[:DIGEST_LENGTH]))
             except (FileError, OSError):
                 continue
-        return tuple(found)
+        return tuple(digests)
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -1,4 +1,4 @@
-"""What an agent reads and keeps: files that are wrong, tokens, and a store that fails at each write."""
+"""Reading the agent's and the group's file, tokens, and a store whose writes fail."""
 
 import sqlite3
 from pathlib import Path
@@ -28,22 +28,22 @@
         (AGENT.replace("127.0.0.1:0", "10.0.0.1:99"), "10.0.0.1 is not loopback: .* with .agent.tls. only"),
         (AGENT.replace("127.0.0.1:0", "0.0.0.0:99"), "is not loopback"),
         (AGENT + 'sate = "x"\n', "unknown field `sate`"),
-        (AGENT + 'group = "g"\n', "agent.group and agent.peer_token go together"),
-        (AGENT + LIMITER + LIMITER, "limiter n0 stands there twice"),
+        (AGENT + 'group = "g"\n', "agent.group and agent.peer_token have to be set together"),
+        (AGENT + LIMITER + LIMITER, "limiter n0 is listed twice"),
         (AGENT + LIMITER.replace('["x"]', "[]"), "limiter n0 has no command"),
         (AGENT + LIMITER + f'control = "{"x" * 120}"\n', "is too long for a socket"),
-        (AGENT + "[supervise]\ncrashes = 0\n", "one crash at least"),
+        (AGENT + "[supervise]\ncrashes = 0\n", "at least one crash"),
         (AGENT + '[supervise]\nwindow = "x"\n', "Expected `float`"),
     ],
 )
-def test_a_wrong_agent_file_is_named(text: str, message: str, tmp_path: Path) -> None:
+def test_an_error_in_an_agent_file_is_reported(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "agent.toml"
     path.write_text(text)
     with pytest.raises(FileError, match=message):
         read_agent(path)
 
 
-def test_off_loopback_with_tls_is_taken_and_a_missing_file_is_named(tmp_path: Path) -> None:
+def test_an_address_off_loopback_is_accepted_with_tls_and_a_missing_file_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "agent.toml"
     path.write_text(AGENT.replace("127.0.0.1:0", "10.0.0.1:99") + TLS + LIMITER)
     assert read_agent(path).limiter[0].name == "n0"
@@ -54,13 +54,13 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("", "no .*agent.* is named"),
+        ("", "no .*agent.* is listed"),
         ('[[agent]]\nname = "a"\naddress = "x"\n', "agent a: 'x' is not an address"),
-        ('[[agent]]\nname = "a"\naddress = "10.0.0.1:7"\n', "off loopback and needs"),
-        ('[[agent]]\nname = "a"\naddress = "127.0.0.1:7"\n' * 2, "agent a stands there twice"),
+        ('[[agent]]\nname = "a"\naddress = "10.0.0.1:7"\n', "is not on loopback and needs"),
+        ('[[agent]]\nname = "a"\naddress = "127.0.0.1:7"\n' * 2, "agent a is listed twice"),
     ],
 )
-def test_a_wrong_group_file_is_named(text: str, message: str, tmp_path: Path) -> None:
+def test_an_error_in_a_group_file_is_reported(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "group.toml"
     path.write_text(text)
     with pytest.raises(FileError, match=message):
@@ -70,7 +70,7 @@
 SECRET = "0123456789abcdef"
 
 
-def test_tokens_that_others_can_read_are_not_used(tmp_path: Path) -> None:
+def test_a_token_file_that_others_can_read_is_refused(tmp_path: Path) -> None:
     path = private(tmp_path / "tokens", f"operator an {SECRET}\n")
     path.chmod(0o640)
     for read in (Tokens.read, read_token):
@@ -82,23 +82,23 @@
     ("text", "message"),
     [
         (f"operator an {SECRET}\noperator an {SECRET}x\n", "line 2: an has a token already"),
-        ("operator an short\n", "line 1: a token has 16 characters"),
+        ("operator an short\n", "line 1: a token needs at least 16 characters"),
         (f"root an {SECRET}\n", "line 1 is not 'role name token'"),
         (f"an {SECRET}\n", "line 1 is not"),
-        ("# nobody\n\n", "no token in it"),
+        ("# nobody\n\n", "it contains no token"),
     ],
 )
-def test_a_wrong_token_file_is_named_without_its_tokens(text: str, message: str, tmp_path: Path) -> None:
+def test_an_error_in_a_token_file_is_reported_without_its_tokens(text: str, message: str, tmp_path: Path) -> None:
     with pytest.raises(FileError, match=message) as raised:
         Tokens.read(private(tmp_path / "tokens", text))
     assert SECRET not in str(raised.value) and "short" not in str(raised.value)
 
 
-def test_a_token_tells_who_and_is_shown_nowhere(tmp_path: Path) -> None:
+def test_a_token_identifies_its_owner_and_is_not_shown(tmp_path: Path) -> None:
     tokens = Tokens.read(private(tmp_path / "tokens", f"viewer lam {SECRET}\noperator an {SECRET}2\n"))
     lam, an = tokens.identify(SECRET), tokens.identify(SECRET + "2")
     assert lam is not None and an is not None
-    assert [(who.name, who.role) for who in (lam, an)] == [("lam", "viewer"), ("an", "operator")]
+    assert [(identity.name, identity.role) for identity in (lam, an)] == [("lam", "viewer"), ("an", "operator")]
     assert tokens.identify(SECRET[:-1]) is None and tokens.identify("") is None
     assert SECRET not in repr(vars(tokens))
 
@@ -112,48 +112,49 @@
     return Record("box", target, True, generation, "o", "an", 5.0, "loud")
 
 
-def test_what_was_kept_is_there_after_a_death(tmp_path: Path) -> None:
+def test_stored_data_is_there_after_the_process_was_killed(tmp_path: Path) -> None:
     store = Store(tmp_path / "db")
     assert store.next_epoch() == 1
-    number = store.save_records([record("s-1"), record("s-2")], LINE)
-    store.set_audit_outcome(number, "n0: reached")
+    line_id = store.save_records([record("s-1"), record("s-2")], LINE)
+    store.set_audit_outcome(line_id, "n0: reached")
     store.set_limiter("n0", True, 12, 34)
-    # no close: the process is killed
-    again = Store(tmp_path / "db")
-    assert again.records() == (record("s-1"), record("s-2"))
-    assert [(line.what, line.reached) for line in again.audit(9)] == [("drain box s-1", "n0: reached")]
-    assert again.limiter("n0") == (True, 12, 34) and again.limiter("n9") is None
-    assert again.next_epoch() == 2
-    again.delete_records([record("s-1")], LINE)
-    assert again.records() == (record("s-2"),)
-
-
-def test_a_disk_error_at_each_write_in_turn_keeps_all_of_a_change_or_nothing(tmp_path: Path) -> None:
-    """BEGIN, each record, the audit line, its trimming, COMMIT: whichever fails, nothing of it is there,
-    and the same change goes through when it is tried again."""
+    # The store is not closed, as if the process was killed.
+    reopened = Store(tmp_path / "db")
+    assert reopened.records() == (record("s-1"), record("s-2"))
+    assert [(line.what, line.reached) for line in reopened.audit(9)] == [("drain box s-1", "n0: reached")]
+    assert reopened.limiter("n0") == (True, 12, 34) and reopened.limiter("n9") is None
+    assert reopened.next_epoch() == 2
+    reopened.delete_records([record("s-1")], LINE)
+    assert reopened.records() == (record("s-2"),)
+
+
+def test_a_change_is_atomic_whichever_of_its_writes_fails(tmp_path: Path) -> None:
+    """BEGIN, each record, the audit line, the removal of old lines and COMMIT fail in turn.
+
+    After each failure nothing of the change is stored, and the same change succeeds when it is repeated."""
     Failing.countdown, Failing.writes = -1, 0
     store = Store(tmp_path / "db", Failing)
     before = Failing.writes
     store.save_records([record("s-0"), record("s-00")], LINE)
-    count = Failing.writes - before
-    assert count >= 6
-    for nth in range(1, count + 1):
-        Failing.countdown = nth
-        change = [record(f"s-{nth}"), record(f"t-{nth}")]
-        held, lines = store.records(), store.audit(99)
+    write_count = Failing.writes - before
+    assert write_count >= 6
+    for failing_write in range(1, write_count + 1):
+        Failing.countdown = failing_write
+        change = [record(f"s-{failing_write}"), record(f"t-{failing_write}")]
+        records, lines = store.records(), store.audit(99)
         with pytest.raises(StoreError, match="disk I/O error"):
             store.save_records(change, LINE)
-        assert store.records() == held and store.audit(99) == lines
+        assert store.records() == records and store.audit(99) == lines
         store.save_records(change, LINE)
-        assert set(store.records()) - set(held) == set(change)
+        assert set(store.records()) - set(records) == set(change)
     assert Store(tmp_path / "db").records() == store.records()
 
 
-def test_a_full_disk_keeps_what_was_there(tmp_path: Path) -> None:
+def test_stored_data_stays_when_the_disk_is_full(tmp_path: Path) -> None:
     store = Store(tmp_path / "db")
     store.save_records([record("s-1")], LINE)
-    pages = store._db.execute("PRAGMA page_count").fetchone()[0]
-    store._db.execute(f"PRAGMA max_page_count={pages}")
+    page_count = store._db.execute("PRAGMA page_count").fetchone()[0]
+    store._db.execute(f"PRAGMA max_page_count={page_count}")
     with pytest.raises(StoreError, match="full"):
         store.save_records([Record("box", f"s-{n}", True, 1, "o" * 400, "an", 5.0) for n in range(100)], LINE)
     assert store.records() == (record("s-1"),)
@@ -162,7 +163,7 @@
     assert len(store.records()) == 2
 
 
-def test_a_locked_store_is_an_error_in_bounded_time_and_whole_afterwards(tmp_path: Path) -> None:
+def test_writing_to_a_locked_store_fails_in_bounded_time_and_succeeds_after_the_lock(tmp_path: Path) -> None:
     store = Store(tmp_path / "db")
     other = sqlite3.connect(tmp_path / "db", isolation_level=None)
     other.execute("BEGIN IMMEDIATE")
@@ -174,15 +175,15 @@
 
 
 @pytest.mark.parametrize("damage", [b"no database at all" * 100, None])
-def test_a_damaged_store_is_put_aside_and_kept(damage: bytes | None, tmp_path: Path) -> None:
+def test_a_damaged_store_is_moved_and_kept(damage: bytes | None, tmp_path: Path) -> None:
     path = tmp_path / "db"
     if damage is None:
         store = Store(path)
         store.save_records([record(f"s-{n}") for n in range(200)], LINE)
         store.close()
-        raw = bytearray(path.read_bytes())
-        raw[4096:12288] = b"\xff" * 8192  # whole pages inside a file that begins well
-        damage = bytes(raw)
+        content = bytearray(path.read_bytes())
+        content[4096:12288] = b"\xff" * 8192  # whole pages of a file whose header is intact
+        damage = bytes(content)
     path.write_bytes(damage)
     store = Store(path)
     assert store.damaged_file is not None and store.damaged_file.read_bytes() == damage
@@ -191,7 +192,7 @@
     assert Store(path).damaged_file is None
 
 
-def test_a_store_of_a_later_version_is_left_alone(tmp_path: Path) -> None:
+def test_a_store_of_a_later_schema_version_is_not_changed(tmp_path: Path) -> None:
     path = tmp_path / "db"
     Store(path)._db.execute("PRAGMA user_version=99")
     with pytest.raises(StoreError, match="version 99 is of a later elderlock"):
@@ -200,7 +201,7 @@
 
 
 def test_the_example_files_can_be_used(tmp_path: Path) -> None:
-    """What operators copy must be taken as it is."""
+    """Operators copy the example files, so they have to be valid."""
     folder = Path(__file__).parent.parent.parent / "deploy"
     assert read_agent(folder / "agent.example.toml").limiter[0].name == "n0"
     assert [agent.name for agent in read_group(folder / "group.example.toml").agent] == ["floor-2", "floor-3"]
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -251,7 +251,7 @@
 def test_a_machine_lends_none_unless_its_file_says_so(tmp_path: Path) -> None:
     world = World(tmp_path, limiters=1, lend=65)
     world.write_files()
-    with pytest.raises(FileError, match="workers lies between 0 and 64"):
+    with pytest.raises(FileError, match="workers must be between 0 and 64"):
         read_agent(world.agent_path(0))
     assert "lends no workers" in WorkerLeasing(0).refusal()
 
