--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -1,5 +1,8 @@
-"""What stands on sockets outside the typed messages, as it was before the Python names changed: datagrams between
-limiters, commands and answers in RESP, questions to discovery, frames. The bytes here are never touched by a rename."""
+"""Checks that data on sockets outside the typed messages has the same bytes as before the Python names changed.
+
+These are datagrams between limiters, commands and answers in RESP, requests to discovery, and frames. A rename must not
+change the bytes in this file.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("kind", "latest", "message", "data", "read"), SINGLES)
-def test_a_single_between_limiters_is_written_and_read_as_stored(
+def test_a_single_message_between_limiters_is_encoded_and_decoded_as_stored(
     kind: str, latest: int, message: Message, data: str, read: Message
 ) -> None:
     assert peer_messages.encode(latest, message).hex() == data, kind
@@ -58,7 +61,7 @@
 
 
 @pytest.mark.parametrize(("kind", "latest", "message", "data"), BATCHES)
-def test_a_batch_between_limiters_is_written_and_read_as_stored(
+def test_a_batch_of_messages_between_limiters_is_encoded_and_decoded_as_stored(
     kind: str, latest: int, message: Message, data: str
 ) -> None:
     assert peer_messages.encode(latest, message).hex() == data, kind
@@ -69,16 +72,18 @@
     assert (wire.server_key("box-1"), wire.server_key("box-2")) == (0x6D835758, 0xF48A06E2)
 
 
-def test_health_evidence_of_every_kind_is_written_as_stored() -> None:
+def test_health_evidence_of_every_kind_is_encoded_as_stored() -> None:
     observations = [
         wire.Observation(wire.server_key("box-1"), 2, 1, wire.ObservationKind(0), 10_000.0),
         wire.Observation(wire.server_key("box-2"), 65535, wire.UNKNOWN_ZONE, wire.ObservationKind(1), 9_000.0),
-        wire.Observation(MOST_KEY, 0, 0, wire.ObservationKind(2), -90_000.0),  # older than an age can tell
+        wire.Observation(
+            MOST_KEY, 0, 0, wire.ObservationKind(2), -90_000.0
+        ),  # older than the greatest age that can be encoded
     ]
     assert wire.encode(observations, NOW).hex() == EVIDENCE
 
 
-def test_stored_health_evidence_is_read_with_its_values() -> None:
+def test_stored_health_evidence_is_decoded_with_its_values() -> None:
     assert wire.is_evidence(bytes.fromhex(EVIDENCE))
     assert wire.decode(bytes.fromhex(EVIDENCE), NOW, 65536) == [
         wire.Observation(0x6D835758, 2, 1, wire.ObservationKind(0), NOW - 250.0),
@@ -87,24 +92,24 @@
     ]
 
 
-def test_health_evidence_without_rows_has_a_stamp_that_begins_again() -> None:
+def test_the_timestamp_of_health_evidence_wraps_around() -> None:
     assert wire.encode([], 4294967296.0 + 5).hex() == "5e0100000005"
 
 
-def test_a_want_of_ceiling_units_is_written_and_read_as_stored() -> None:
-    want = ceilings.EscrowRequest(KEY, 0xA0B0C0D0, 2, 5, 4, 12.5)
+def test_a_request_for_ceiling_units_is_encoded_and_decoded_as_stored() -> None:
+    request = ceilings.EscrowRequest(KEY, 0xA0B0C0D0, 2, 5, 4, 12.5)
     data = "5f010001020304a0b0c0d0020005000400000c80"
-    assert ceilings.encode(want).hex() == data
-    assert ceilings.decode(bytes.fromhex(data)) == want
+    assert ceilings.encode(request).hex() == data
+    assert ceilings.decode(bytes.fromhex(data)) == request
 
 
-def test_a_grant_of_ceiling_units_is_rounded_down_and_read_as_stored() -> None:
+def test_a_grant_of_ceiling_units_is_rounded_down_and_decoded_as_stored() -> None:
     data = "5f01010102030400000340"
     assert ceilings.encode(ceilings.EscrowGrant(KEY, 3.2509765625)).hex() == data
     assert ceilings.decode(bytes.fromhex(data)) == ceilings.EscrowGrant(KEY, 3.25)
 
 
-def test_a_read_goes_on_to_a_server_as_stored() -> None:
+def test_a_read_is_forwarded_to_a_server_as_stored() -> None:
     parts = [b"API.READ", CUSTOMER.encode(), b"9b1f", b"c=lookup,t=team,d=3000,units=1,spread=1,first=0,r=1"]
     assert _reader().parse(parts).encode(812.7) == (
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n"
@@ -112,7 +117,7 @@
     )
 
 
-def test_a_write_goes_on_to_a_server_with_its_body_as_stored() -> None:
+def test_a_write_is_forwarded_to_a_server_with_its_body_as_stored() -> None:
     parts = [b"API.WRITE", CUSTOMER.encode(), b"9b1f", b"c=pay,t=tiny,d=3000,units=2.5,spread=1,first=0", b"bo\r\ndy"]
     assert _reader().parse(parts).encode(0.2) == (
         b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n"
@@ -125,7 +130,7 @@
     return CommandParser(config.settings, config.socket_settings.largest_request_units)
 
 
-def test_a_servers_stored_answers_are_read_with_value_and_report() -> None:
+def test_a_servers_stored_answers_are_parsed_with_value_and_report() -> None:
     reader = resp.AnswerReader()
     reader.feed(b"*3\r\n$5\r\nvalue\r\n$-1\r\n$7\r\nqueue=2\r\n")
     assert reader.next_message() == (b"value", b"queue=2")
@@ -173,18 +178,18 @@
     )
 
 
-def test_a_call_to_the_shared_counter_is_written_as_stored() -> None:
+def test_a_call_to_the_shared_counter_is_encoded_as_stored() -> None:
     assert tally.encode_call(CounterCall(1, "a:1:2", 2.5, 1500.0)) == (
         b"*4\r\n$5\r\nTALLY\r\n$5\r\na:1:2\r\n$3\r\n2.5\r\n$4\r\n1500\r\n"
     )
 
 
-def test_a_frame_of_a_message_is_written_and_read_as_stored() -> None:
+def test_a_frame_of_a_message_is_encoded_and_decoded_as_stored() -> None:
     assert encode_frame(b"abc") == bytes.fromhex("00000003616263")
     assert FrameDecoder(16).feed(bytes.fromhex("00000003616263")) == [b"abc"]
 
 
-def test_a_follower_asks_discovery_for_the_list_and_then_watches_from_its_version() -> None:
+def test_a_follower_requests_the_list_from_discovery_and_then_watches_from_its_version() -> None:
     async def test() -> None:
         asked: list[bytes] = []
         both = asyncio.Event()
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -1,5 +1,8 @@
-"""Encoded messages, files and printed records as they were before the Python names changed: each is read by today's
-class and written again as the same bytes. A rename touches the tables here, never the data."""
+"""Checks that messages, files and printed records are encoded as before the Python names changed.
+
+Each stored encoding is decoded by the current class and encoded again as the same bytes. A rename changes the tables
+here, but must not change the stored data.
+"""
 
 from __future__ import annotations
 
@@ -217,28 +220,28 @@
     "sim-seed.seed": sim_seeds.Seed,
 }
 
-# Internal: no instance is encoded for a socket, a file or --json
+# Classes whose instances are never encoded for a socket, a file or --json, and why
 NOT_ENCODED: dict[type[msgspec.Struct], str] = {
-    authz_mapping.Asked: "a gRPC question as read, handed on within the process",
-    authz_permissions.Verdict: "an answer on its way to gRPC, which has forms of its own",
-    authz_routing._Member: "the router's count of a limiter",
+    authz_mapping.Asked: "a decoded gRPC request, used only within the process",
+    authz_permissions.Verdict: "an answer that is converted to a gRPC message",
+    authz_routing._Member: "the router's state of a limiter",
     control_messages.Message: "the base class of the control messages",
     fleet_messages.Message: "the base class of the agents' messages",
     load_messages.Message: "the base class of the load workers' messages",
     load_scenario.Strict: "the base class of the parts of scenario files",
-    fleet_auth.Identity: "who a token belongs to; the tokens' file has lines of its own",
+    fleet_auth.Identity: "the owner of a token; the file of tokens has its own format",
     fleet_operate.Order: "a command's options",
-    fleet_operate.Result: "a command's result; the command line prints it under keys of its own",
-    fleet_operate_plans.PlanAnswers: "answers gathered by a command; printed under keys of its own",
-    fleet_operate_plans.Answer: "a plan command's result; printed under keys of its own",
-    fleet_report.Row: "a line of a command's report; printed under keys of its own",
+    fleet_operate.Result: "a command's result; the command line prints it under other keys",
+    fleet_operate_plans.PlanAnswers: "answers that a command collects; printed under other keys",
+    fleet_operate_plans.Answer: "a plan command's result; printed under other keys",
+    fleet_report.Row: "a row of a command's report; printed under other keys",
     fleet_report.CommandReport: "a command's report; printed by its records and rows",
-    fleet_seen.GroupObservation: "answers gathered by a command; printed under keys of its own",
-    fleet_supervise.Policy: "the supervisor's settings, made from the agent's file",
-    fleet_versions.Launch: "how a process is started, made from the agent's file and the version's",
+    fleet_seen.GroupObservation: "answers that a command collects; printed under other keys",
+    fleet_supervise.Policy: "the supervisor's settings, converted from the agent's file",
+    fleet_versions.Launch: "how a process is started, combined from the agent's file and the version file",
 }
 
-# The product's own decoders of tagged messages, by the first part of the label
+# The decoders of tagged messages in the package, by the first part of the label
 READERS: dict[str, tuple[Callable[[bytes], Any], ...]] = {
     "control": (control_messages.decode_request, control_messages.decode_answer),
     "fleet": (fleet_messages.decode_request, fleet_messages.decode_answer),
@@ -246,7 +249,7 @@
     "base-word": (fleet_based.message_decoder.decode,),
 }
 
-# Parts of messages, which no decoder of the product reads by themselves
+# Parts of messages, which have no decoder of their own
 UNTAGGED = {
     "base-word.started",
     "control.box",
@@ -293,54 +296,54 @@
 
 
 def defaults_in(value: Any, path: str) -> Iterator[str]:
-    """Where a struct or a named tuple within the value has a field at its default."""
+    """Yield the path of each field of a nested struct or named tuple that equals its default."""
     if isinstance(value, msgspec.Struct):
         for field in msgspec.structs.fields(value):
-            mine = getattr(value, field.name)
+            actual = getattr(value, field.name)
             default = field.default
             if field.default_factory is not msgspec.NODEFAULT:
                 default = field.default_factory()
-            if default is not msgspec.NODEFAULT and mine == default:
+            if default is not msgspec.NODEFAULT and actual == default:
                 yield f"{path}.{field.name}"
-            yield from defaults_in(mine, f"{path}.{field.name}")
+            yield from defaults_in(actual, f"{path}.{field.name}")
     elif isinstance(value, tuple) and hasattr(value, "_field_defaults"):  # a named tuple
         defaults: dict[str, Any] = value._field_defaults
-        for name, mine in ((name, getattr(value, name)) for name in getattr(value, "_fields", ())):
-            if name in defaults and mine == defaults[name]:
+        for name, actual in ((name, getattr(value, name)) for name in getattr(value, "_fields", ())):
+            if name in defaults and actual == defaults[name]:
                 yield f"{path}.{name}"
-            yield from defaults_in(mine, f"{path}.{name}")
+            yield from defaults_in(actual, f"{path}.{name}")
     elif isinstance(value, dict):
-        for key, each in value.items():
-            yield from defaults_in(each, f"{path}[{key!r}]")
+        for key, item in value.items():
+            yield from defaults_in(item, f"{path}[{key!r}]")
     elif isinstance(value, list | tuple):
-        for number, each in enumerate(value):
-            yield from defaults_in(each, f"{path}[{number}]")
-
-
-def choices(of: Any) -> set[Any]:
-    """The values of the literals and enumerations that stand in a field's type, but not those of structs within."""
-    if isinstance(of, inspect.LiteralType):
-        return set(of.values)
-    if isinstance(of, inspect.EnumType):
-        return {each.value for each in of.cls}
-    if isinstance(of, inspect.UnionType | inspect.TupleType):
-        parts = of.types if isinstance(of, inspect.UnionType) else of.item_types
-        return {each for part in parts for each in choices(part)}
-    if isinstance(of, inspect.CollectionType):
-        return choices(of.item_type)
-    if isinstance(of, inspect.DictType):
-        return choices(of.key_type) | choices(of.value_type)
+        for index, item in enumerate(value):
+            yield from defaults_in(item, f"{path}[{index}]")
+
+
+def choices(field_type: Any) -> set[Any]:
+    """Return the values of the literals and enumerations in a field's type, without those of nested structs."""
+    if isinstance(field_type, inspect.LiteralType):
+        return set(field_type.values)
+    if isinstance(field_type, inspect.EnumType):
+        return {member.value for member in field_type.cls}
+    if isinstance(field_type, inspect.UnionType | inspect.TupleType):
+        parts = field_type.types if isinstance(field_type, inspect.UnionType) else field_type.item_types
+        return {choice for part in parts for choice in choices(part)}
+    if isinstance(field_type, inspect.CollectionType):
+        return choices(field_type.item_type)
+    if isinstance(field_type, inspect.DictType):
+        return choices(field_type.key_type) | choices(field_type.value_type)
     return set()
 
 
-def choices_of(form: type[msgspec.Struct]) -> dict[str, list[Any]]:
-    info = inspect.type_info(form)
+def choices_of(struct_type: type[msgspec.Struct]) -> dict[str, list[Any]]:
+    info = inspect.type_info(struct_type)
     assert isinstance(info, inspect.StructType)
     found = {field.encode_name: sorted(choices(field.type), key=str) for field in info.fields}
     return {name: values for name, values in found.items() if values}
 
 
-def declared() -> set[type[msgspec.Struct]]:
+def declared_structs() -> set[type[msgspec.Struct]]:
     found = set()
     for module in pkgutil.walk_packages(elderlock.__path__, "elderlock."):
         if module.name.endswith("__main__"):
@@ -352,7 +355,7 @@
 
 
 @pytest.mark.parametrize("label", STORED)
-def test_stored_message_is_decoded_and_encoded_as_the_same_bytes(label: str) -> None:
+def test_a_stored_message_is_decoded_and_encoded_as_the_same_bytes(label: str) -> None:
     assert encoded(label, decoded(label)) == STORED[label]["data"]
 
 
@@ -362,7 +365,7 @@
 
 
 @pytest.mark.parametrize("label", [label for label in STORED if label.split(".")[0] in READERS])
-def test_the_products_decoder_reads_a_tagged_message_as_the_class_of_the_table(label: str) -> None:
+def test_the_packages_decoder_reads_a_tagged_message_as_the_class_in_the_table(label: str) -> None:
     if not MESSAGES[label].__struct_config__.tag:
         assert label in UNTAGGED
         return
@@ -370,7 +373,7 @@
     for read in READERS[label.split(".")[0]]:
         try:
             found.append(type(read(raw(label))))
-        except msgspec.ValidationError:  # the other direction's message
+        except msgspec.ValidationError:  # the message belongs to the other direction
             continue
     assert found.count(MESSAGES[label]) >= 1
 
@@ -381,7 +384,7 @@
 
 
 @pytest.mark.parametrize("label", STORED)
-def test_the_choices_of_every_field_are_as_stored(label: str) -> None:
+def test_the_allowed_values_of_every_field_are_as_stored(label: str) -> None:
     assert choices_of(MESSAGES[label]) == CHOICES.get(label, {})
 
 
@@ -390,7 +393,7 @@
     assert set(CHOICES) <= set(STORED)
 
 
-def test_every_struct_of_the_product_is_in_the_table_or_named_as_not_encoded() -> None:
-    tabled = set(MESSAGES.values())
-    assert not tabled & set(NOT_ENCODED)
-    assert declared() == tabled | set(NOT_ENCODED)
+def test_every_struct_of_the_package_is_in_the_table_or_listed_as_not_encoded() -> None:
+    in_table = set(MESSAGES.values())
+    assert not in_table & set(NOT_ENCODED)
+    assert declared_structs() == in_table | set(NOT_ENCODED)
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -1,5 +1,7 @@
-"""What commands print with --json, where keys are made of a record's Python fields or stand in the command: as it was
-before the Python names changed. A rename never touches the data."""
+"""Checks that commands print the same text with `--json` as before the Python names changed.
+
+The keys come from the fields of a record or are written in the command. A rename must not change the files in `data`.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +42,7 @@
 
 
 def seen() -> GroupObservation:
-    """Two limiters that answer and differ in their build."""
+    """Return an observation with two limiters that answer and have different builds."""
     shown, other = message("fleet.shown", messages.Shown), message("control.state", LimiterState)
     first = shown.limiters[0]
     first.link = "answering"
@@ -52,7 +54,7 @@
 
 
 class Answers:
-    """In place of a group: what the agents answered."""
+    """A fake group that returns prepared answers of its agents."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
         self._answers = answers
@@ -139,11 +141,11 @@
     assert capsys.readouterr().out == PRINTED[name]
 
 
-def test_every_printed_text_that_is_kept_is_held() -> None:
+def test_every_stored_text_belongs_to_a_command() -> None:
     assert set(PRINTED) == set(COMMANDS)
 
 
-def test_exit_codes_and_their_printed_words_are_as_documented() -> None:
+def test_exit_codes_and_their_names_are_as_documented() -> None:
     assert {each.name: int(each) for each in Exit} == {
         "DONE": 0, "USAGE": 2, "PART": 3, "NOTHING": 4, "UNSAFE": 5, "OVERTAKEN": 6,
     }  # fmt: skip
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -1,5 +1,7 @@
-"""Files made before the Python names changed, opened by the product's readers: the values that were put in come out, and
-what is written anew has the same bytes. A rename never touches the files in `data`."""
+"""Checks that files written before the Python names changed are read with the same values and written as the same bytes.
+
+The files are in `data`. A rename must not change them.
+"""
 
 from __future__ import annotations
 
@@ -74,7 +76,7 @@
     return made
 
 
-def test_a_kept_agents_store_gives_its_records_and_audit(store: Store) -> None:
+def test_an_old_agent_store_is_read_with_its_records_and_audit_log(store: Store) -> None:
     assert store.records() == RECORDS
     assert store.audit(10) == (
         AuditLine(1700000000124.0, "ann", "operator", "drain box box-7", 12, ""),
@@ -82,14 +84,14 @@
     )
 
 
-def test_a_kept_agents_store_gives_its_epoch_limiters_and_versions(store: Store) -> None:
+def test_an_old_agent_store_is_read_with_its_epoch_limiters_and_versions(store: Store) -> None:
     assert store.epoch() == 42
     assert store.limiter("n0") == (True, 4711, 987654)
     assert store.limiter("n1") == (False, 0, 0)
     assert store.version("n0") == ("v8", 14, "v7")
 
 
-def test_a_kept_agents_store_gives_its_vote_with_the_ledger(store: Store) -> None:
+def test_an_old_agent_store_is_read_with_its_vote_and_ledger(store: Store) -> None:
     vote = store.vote()
     assert vote is not None
     promised, accepted, value = vote
@@ -98,7 +100,7 @@
     assert ledger.encode_ledger(ledger.decode_ledger(value)) == value
 
 
-def test_a_kept_agents_store_is_written_to_without_a_table_more(store: Store, tmp_path: Path) -> None:
+def test_writing_to_an_old_agent_store_adds_no_table(store: Store, tmp_path: Path) -> None:
     assert store.next_epoch() == 43
     store.save_vote(Ballot(10, "a2:43"), Ballot(8, "a1:41"), b"x")
     store.set_limiter("n0", False, 1, 2)
@@ -120,14 +122,14 @@
     assert ledger.decode_ledger(old) == ledger.Ledger(2, 3, 9, (permit,))
 
 
-def test_the_records_kept_for_a_limiters_start_are_read(tmp_path: Path) -> None:
+def test_old_records_for_the_start_of_a_limiter_are_read(tmp_path: Path) -> None:
     data = bytes.fromhex((DATA / "limiter_records.hex").read_text())
     (tmp_path / "records").write_bytes(data)
     assert read_records_file(tmp_path / "records") == RECORDS
     assert msgspec.msgpack.encode(RECORDS) == data
 
 
-def test_the_state_kept_by_a_base_is_held_after_its_start(tmp_path: Path) -> None:
+def test_an_old_launcher_state_is_read_at_the_launchers_start(tmp_path: Path) -> None:
     data = (DATA / "base_state.json").read_bytes()
     (tmp_path / "a").mkdir()
     (tmp_path / "a" / "base").write_bytes(data)
@@ -143,7 +145,7 @@
     assert msgspec.json.encode(held) + b"\n" == data
 
 
-def test_a_limiters_configuration_is_read_with_its_values() -> None:
+def test_an_old_limiter_configuration_is_read_with_its_values() -> None:
     config = load_config({"PROXY_CONFIG": str(DATA / "limiter_config.json")})
     assert (config.name, config.seed) == ("n0", 0x8C1F30D27A5BE964)
     assert (config.listen_address, config.discovery_address) == (("127.0.0.1", 7001), ("127.0.0.1", 7002))
@@ -156,7 +158,7 @@
     assert (config.socket_settings.max_open_requests, config.socket_settings.largest_request_units) == (2001, 4.0)
 
 
-def test_a_kept_seed_is_read_with_its_values_and_written_as_the_same_text(tmp_path: Path) -> None:
+def test_an_old_seed_is_read_with_its_values_and_written_as_the_same_text(tmp_path: Path) -> None:
     path = DATA / "kept_seed.toml"
     seed = seeds.read(path)
     assert (seed.seed, seed.floor, seed.broke) == (77, "decisions", ("drain reported as it is",))
@@ -173,9 +175,10 @@
     assert (tmp_path / "again.toml").read_text() == path.read_text()
 
 
-def test_kept_results_of_a_sweep_are_done_for_the_same_experiment(tmp_path: Path) -> None:
-    """Their digests are of the experiment's scenarios as encoded: under another name of a field they would differ, and
-    the sweep would refuse its own results."""
+def test_old_results_of_a_sweep_belong_to_the_same_experiment(tmp_path: Path) -> None:
+    """The digests of the results are computed from the encoded scenarios of the experiment.
+
+    If a field were encoded under another name, the digests would differ and the sweep would refuse its own results."""
     experiment = read_experiment(DATA / "experiment.toml")
     done = sweep.Records(database("sweep_results.sql", tmp_path)).done(experiment)
     assert list(done) == [Cell("kept", "a", 3), Cell("kept", "b", 3)]
@@ -217,7 +220,7 @@
     assert made == stored
 
 
-def test_a_kept_load_report_is_read_with_its_figures_and_written_as_the_same_bytes() -> None:
+def test_an_old_load_report_is_read_with_its_figures_and_written_as_the_same_bytes() -> None:
     data = (DATA / "load_report.json").read_bytes()
     made = report.decode(data)
     assert report.encode(made) + b"\n" == data
@@ -226,12 +229,12 @@
     assert made.bounds == {"late_p99_ms": 20.0, "late_most_ms": 100.0, "connect_ms": 500.0, "verify": False}
     assert (made.targets_changed, made.trouble) == ([(0.5, 0, True)], [(1.0, "a box was stopped")])
     assert made.by["all"]["all"].latency["p99"] == 30.015
-    # from the histogram alone, which has no such point among the stored ones
+    # p75 is not stored, so it is computed from the histogram.
     assert report.judged(made, ["p75>29ms"]) == ["p75>29ms: it is 30.015"]
     assert report.judged(made, ["p99>20ms"]) == made.failed
 
 
-def test_a_report_that_is_made_has_the_keys_of_the_kept_one() -> None:
+def test_a_new_load_report_has_the_keys_of_the_old_one() -> None:
     made = report.report(
         Totals(Truth(), 1), Scenario("made"), scheduled=0, began_at=0.0, lasted=1.0, notes=[], incomplete=False
     )
@@ -244,7 +247,7 @@
     ]
 
 
-def test_a_kept_history_of_a_trial_is_read_and_written_as_the_same_lines(tmp_path: Path) -> None:
+def test_an_old_trial_history_is_read_and_written_as_the_same_lines(tmp_path: Path) -> None:
     path = DATA / "trial_history.jsonl"
     events = history.read(path)
     assert events == [
@@ -256,7 +259,7 @@
     assert (tmp_path / "again.jsonl").read_text() == path.read_text()
 
 
-def test_the_words_of_a_recorded_history_are_as_kept() -> None:
+def test_the_event_names_of_a_trial_history_are_unchanged() -> None:
     assert history.HEARD == (
         "asked", "answered", "excused", "sent", "ran", "told", "started", "spent", "limiter_began", "claimed", "failure",
         "undrained", "ceiling", "counted",
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -1,4 +1,4 @@
-"""Real limiters under an agent in this process, over stand-in boxes and under open-loop load."""
+"""Real limiter processes managed by an agent in this process, with fake servers and open-loop load."""
 
 import asyncio
 import os
@@ -22,13 +22,15 @@
 from elderlock.standins.waiting import run, unix_ms, until
 from elderlock.standins.world import World
 
-GRACE = 250.0  # ms after a drain is in force within which new work may still reach a box, as the rule says
-REQUESTS = 60.0  # a second
+GRACE_MS = 250.0  # after a drain is in force, within which a server may still get new requests by the specification
+REQUEST_RATE = 60.0  # per second
 
 
-class Running:
-    def __init__(self, world: World, agent: Agent, group: Group, front: Front) -> None:
-        self.world, self.agent, self.group, self.front = world, agent, group, front
+class RunningGroup:
+    """An agent with its limiters, fake servers, a client for commands and a front that sends requests."""
+
+    def __init__(self, world: World, agent: Agent, client: Group, front: Front) -> None:
+        self.world, self.agent, self.client, self.front = world, agent, client, front
 
     def pid(self, limiter: str) -> int:
         process = self.agent.limiters[limiter].process
@@ -36,305 +38,314 @@
         return process.pid
 
     async def drain(
-        self, *targets: str, drained: bool = True, kind: str = "box", after: float | None = 10.0, force: bool = False
+        self,
+        *targets: str,
+        drained: bool = True,
+        kind: str = "box",
+        give_up_after: float | None = 10.0,
+        force: bool = False,
     ) -> Result:
-        order = Order(kind, targets, drained, give_up_after=after, force=force)  # type: ignore[arg-type]
-        return await carry_out(self.group, order, lambda *_: None)
+        order = Order(kind, targets, drained, give_up_after=give_up_after, force=force)  # type: ignore[arg-type]
+        return await carry_out(self.client, order, lambda *_: None)
 
-    async def answering(self) -> None:
-        while len([s for s in (await observe_group(self.group)).states() if s.ready]) < self.world.limiters:
+    async def wait_until_all_answer(self) -> None:
+        while len([s for s in (await observe_group(self.client)).states() if s.ready]) < self.world.limiters:
             await asyncio.sleep(0.05)
 
-    def sent_by(self, limiter: int) -> int:
+    def count_sent_by(self, limiter: int) -> int:
         return sum(sent.door == limiter for box in self.world.boxes.values() for sent in box.sent)
 
-    def late(self, uid: str, since: float) -> list[object]:
-        """What reached the box after the grace."""
-        return [sent for sent in self.world.boxes[uid].sent if sent.at > since + GRACE]
+    def late_requests(self, uid: str, drained_at: float) -> list[object]:
+        """Return the requests that reached a server after the grace time."""
+        return [sent for sent in self.world.boxes[uid].sent if sent.at > drained_at + GRACE_MS]
 
-    async def some_work(self, count: int = 30) -> None:
-        """Until so many requests more have been answered: load went on, whatever the tool says."""
+    async def wait_for_answers(self, count: int = 30) -> None:
+        """Wait until so many more requests were answered, which shows that the load continues."""
         ends = self.front.ledger.ends
         goal = sum(ends.values()) + count
         await until(lambda: sum(ends.values()) >= goal)
 
 
 @asynccontextmanager
-async def running(folder: Path, limiters: int = 3, supervise: str = "", load: bool = True) -> AsyncIterator[Running]:
+async def running_group(
+    folder: Path, limiters: int = 3, supervise: str = "", load: bool = True
+) -> AsyncIterator[RunningGroup]:
+    """Start a group with one agent; kill its limiters at the end."""
     world = World(folder, limiters, boxes=6)
     await world.open()
     path = world.write_agent(0, supervise=supervise)
     agent = Agent(path, read_agent(path), random.Random(1))
     await agent.start()
-    group = Group.read(world.group_path)
-    made = Running(world, agent, group, Front(world.listens, REQUESTS, seed=1))
+    client = Group.read(world.group_path)
+    group = RunningGroup(world, agent, client, Front(world.listens, REQUEST_RATE, seed=1))
     try:
-        await made.answering()
+        await group.wait_until_all_answer()
         if load:
-            made.front.start()
-            await until(lambda: all(made.front.part))
-            await made.some_work()
-        yield made
+            group.front.start()
+            await until(lambda: all(group.front.part))
+            await group.wait_for_answers()
+        yield group
     finally:
-        group.close()
-        for charge in made.agent.limiters.values():
-            charge.supervisor.wanted = False
-            if charge.process is not None:
-                charge.process.signal(signal.SIGCONT)
-                charge.process.signal(signal.SIGKILL)
-        await until(lambda: all(c.process is None for c in made.agent.limiters.values()))
-        made.agent.close()
+        client.close()
+        for limiter in group.agent.limiters.values():
+            limiter.supervisor.wanted = False
+            if limiter.process is not None:
+                limiter.process.signal(signal.SIGCONT)
+                limiter.process.signal(signal.SIGKILL)
+        await until(lambda: all(limiter.process is None for limiter in group.agent.limiters.values()))
+        group.agent.close()
         await world.close()
 
 
-async def no_request_was_lost(here: Running) -> None:
-    ledger = await here.front.stop()
+async def check_no_request_was_lost(group: RunningGroup) -> None:
+    """Stop the load and check that every request got exactly one answer."""
+    ledger = await group.front.stop()
     assert ledger.ends["lost"] == ledger.ends["wrong"] == ledger.ends["nowhere"] == ledger.answered_twice == 0
-    # refusals of boxes that a test made slow are answers too; but this was no run in which nothing was served
+    # Refusals of servers that a test made slow count as answers, but at least half of the requests were served.
     assert ledger.ends["served"] > 0.5 * ledger.sent
 
 
-def test_work_stops_at_a_drained_box_and_whatever_discovery_does_does_not_bring_it_back(tmp_path: Path) -> None:
-    """Discovery removes, re-adds and un-drains it, breaks its watches and falls silent."""
+def test_a_drained_server_gets_no_requests_whatever_discovery_reports(tmp_path: Path) -> None:
+    """Discovery removes and adds the server again, reports it as up, breaks its watches and stops answering."""
 
     async def test() -> None:
-        async with running(tmp_path) as here:
-            box = here.world.boxes["s-00"]
-            assert (await here.drain("s-00")).exit is Exit.DONE
-            since = unix_ms()
-            registry = here.world.registry
+        async with running_group(tmp_path) as group:
+            box = group.world.boxes["s-00"]
+            assert (await group.drain("s-00")).exit is Exit.DONE
+            drained_at = unix_ms()
+            registry = group.world.registry
             registry.remove("s-00")
-            await here.some_work(10)
+            await group.wait_for_answers(10)
             box.state = "up"
             registry.add(box)
-            await here.some_work(10)
+            await group.wait_for_answers(10)
             for state in ("draining", "up"):
                 box.state = state
                 registry.changed(box)
-            registry.discovery.reset()  # the watches break: whole lists are told anew
-            await here.some_work()
+            registry.discovery.reset()  # the watches break, and the limiters get complete lists again
+            await group.wait_for_answers()
             await registry.fail(Fault.SILENT)
-            await here.some_work()
-            assert here.late("s-00", since) == []
+            await group.wait_for_answers()
+            assert group.late_requests("s-00", drained_at) == []
             await registry.fail(Fault.NONE)
-            assert (await here.drain("s-00", drained=False)).exit is Exit.DONE
+            assert (await group.drain("s-00", drained=False)).exit is Exit.DONE
             count = len(box.sent)
             await until(lambda: len(box.sent) > count)
-            await no_request_was_lost(here)
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_a_drain_needs_no_word_of_discovery(tmp_path: Path) -> None:
-    """Discovery is silent from before the drain until after it."""
+def test_a_drain_needs_no_answer_of_discovery(tmp_path: Path) -> None:
+    """Discovery does not answer from before the drain until after it."""
 
     async def test() -> None:
-        async with running(tmp_path) as here:
-            await here.world.registry.fail(Fault.SILENT)
-            here.world.registry.discovery.reset()
-            assert (await here.drain("s-05")).exit is Exit.DONE
-            since = unix_ms()
-            await here.some_work()
-            assert here.late("s-05", since) == []
-            count = len(here.world.boxes["s-05"].sent)
-            assert (await here.drain("s-05", drained=False)).exit is Exit.DONE
-            await until(lambda: len(here.world.boxes["s-05"].sent) > count)
-            await no_request_was_lost(here)
+        async with running_group(tmp_path) as group:
+            await group.world.registry.fail(Fault.SILENT)
+            group.world.registry.discovery.reset()
+            assert (await group.drain("s-05")).exit is Exit.DONE
+            drained_at = unix_ms()
+            await group.wait_for_answers()
+            assert group.late_requests("s-05", drained_at) == []
+            count = len(group.world.boxes["s-05"].sent)
+            assert (await group.drain("s-05", drained=False)).exit is Exit.DONE
+            await until(lambda: len(group.world.boxes["s-05"].sent) > count)
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_a_drain_ends_with_the_boxs_uid_and_not_with_its_address(tmp_path: Path) -> None:
+def test_a_drain_applies_to_the_servers_uid_and_not_to_its_address(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            await here.drain("s-00")
-            old = here.world.registry.remove("s-00")
+        async with running_group(tmp_path) as group:
+            await group.drain("s-00")
+            old = group.world.registry.remove("s-00")
             for door in old.doors:
                 await door.close()
-            new = await here.world.add_box("s-new", STD, FLOORS[0])
-            for door, was in zip(new.doors, old.doors, strict=True):
+            new = await group.world.add_box("s-new", STD, FLOORS[0])
+            for door, old_door in zip(new.doors, old.doors, strict=True):
                 await door.close()
-                door.port = was.port
+                door.port = old_door.port
                 await door.listen()
-            here.world.registry.changed(new)
+            group.world.registry.changed(new)
             await until(lambda: len(new.sent) > 3)
-            await no_request_was_lost(here)
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_a_limiter_stopped_partway_is_unknown_and_drained_when_it_goes_on(tmp_path: Path) -> None:
+def test_a_paused_limiter_is_unknown_and_applies_the_drain_when_it_resumes(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            os.kill(here.pid("n1"), signal.SIGSTOP)
-            result = await here.drain("s-01", after=0.3)
-            told = {row.limiter: row for row in result.reports[0].rows()}
+        async with running_group(tmp_path) as group:
+            os.kill(group.pid("n1"), signal.SIGSTOP)
+            result = await group.drain("s-01", give_up_after=0.3)
+            rows = {row.limiter: row for row in result.reports[0].rows()}
             assert result.exit is Exit.PART
-            assert {name: row.state for name, row in told.items()} == {
+            assert {name: row.state for name, row in rows.items()} == {
                 "n0": "reached",
                 "n1": "unknown",
                 "n2": "reached",
             }
-            os.kill(here.pid("n1"), signal.SIGCONT)
-            again = await here.drain("s-01", after=20.0)
+            os.kill(group.pid("n1"), signal.SIGCONT)
+            again = await group.drain("s-01", give_up_after=20.0)
             assert again.exit is Exit.DONE
-            since = max(row.at for row in again.reports[0].rows())
-            await here.some_work()
-            assert here.late("s-01", since) == []
-            await no_request_was_lost(here)
+            drained_at = max(row.at for row in again.reports[0].rows())
+            await group.wait_for_answers()
+            assert group.late_requests("s-01", drained_at) == []
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_a_killed_limiter_has_its_drains_before_its_first_request(tmp_path: Path) -> None:
+def test_a_restarted_limiter_has_its_drains_before_its_first_request(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            assert (await here.drain("s-02")).exit is Exit.DONE
-            since = unix_ms()
-            before = here.pid("n0")
-            os.kill(before, signal.SIGKILL)
-            await until(lambda: here.agent.limiters["n0"].process is not None and here.pid("n0") != before)
-            await until(lambda: not here.front.part[0])
-            await until(lambda: here.front.part[0])  # it has answered PING: requests come
-            count = here.sent_by(0)
-            await until(lambda: here.sent_by(0) > count)
-            await here.some_work()
-            assert here.late("s-02", since) == []
-            assert here.agent.limiters["n0"].supervisor.restarts == 1
-            ledger = await here.front.stop()
+        async with running_group(tmp_path) as group:
+            assert (await group.drain("s-02")).exit is Exit.DONE
+            drained_at = unix_ms()
+            killed_pid = group.pid("n0")
+            os.kill(killed_pid, signal.SIGKILL)
+            await until(lambda: group.agent.limiters["n0"].process is not None and group.pid("n0") != killed_pid)
+            await until(lambda: not group.front.part[0])
+            await until(lambda: group.front.part[0])  # it has answered PING, so the front sends requests
+            count = group.count_sent_by(0)
+            await until(lambda: group.count_sent_by(0) > count)
+            await group.wait_for_answers()
+            assert group.late_requests("s-02", drained_at) == []
+            assert group.agent.limiters["n0"].supervisor.restarts == 1
+            ledger = await group.front.stop()
             assert ledger.answered_twice == 0
 
     run(test(), within=60.0)
 
 
-def test_a_reload_during_a_drain_keeps_it(tmp_path: Path) -> None:
+def test_a_drain_survives_a_reload_of_the_configuration(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            here.world.boxes["s-03"].crowd = 400.0  # so that work is out there while the signal comes
-            drain = asyncio.create_task(here.drain("s-03"))
-            for name in here.world.limiter_names:
-                os.kill(here.pid(name), signal.SIGHUP)
+        async with running_group(tmp_path) as group:
+            group.world.boxes["s-03"].crowd = 400.0  # so that requests are open there when the signal arrives
+            drain = asyncio.create_task(group.drain("s-03"))
+            for name in group.world.limiter_names:
+                os.kill(group.pid(name), signal.SIGHUP)
             assert (await drain).exit is Exit.DONE
-            since = unix_ms()
-            for name in here.world.limiter_names:
-                os.kill(here.pid(name), signal.SIGHUP)
-            await here.some_work()
-            assert here.late("s-03", since) == []
-            await no_request_was_lost(here)
+            drained_at = unix_ms()
+            for name in group.world.limiter_names:
+                os.kill(group.pid(name), signal.SIGHUP)
+            await group.wait_for_answers()
+            assert group.late_requests("s-03", drained_at) == []
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_a_new_agent_adopts_what_runs_and_ends_no_process(tmp_path: Path) -> None:
+def test_a_new_agent_adopts_the_running_limiters_and_stops_none(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            await here.drain("s-04")
-            pids = {name: here.pid(name) for name in here.world.limiter_names}
-            here.agent.close()  # nothing more is told or written, as after a kill
-            path = here.world.agent_path(0)
-            here.agent = Agent(path, read_agent(path), random.Random(2))
-            await here.agent.start()
-            await here.answering()
-            assert {name: here.pid(name) for name in here.world.limiter_names} == pids
-            assert all(charge.is_adopted for charge in here.agent.limiters.values())
-            seen = await observe_group(here.group)
-            assert {r.target for s in seen.states() for r in s.records} == {"s-04"}
-            # an adopted one is watched, though it is no child of ours any more
+        async with running_group(tmp_path) as group:
+            await group.drain("s-04")
+            pids = {name: group.pid(name) for name in group.world.limiter_names}
+            group.agent.close()  # nothing more is sent or stored, as after SIGKILL
+            path = group.world.agent_path(0)
+            group.agent = Agent(path, read_agent(path), random.Random(2))
+            await group.agent.start()
+            await group.wait_until_all_answer()
+            assert {name: group.pid(name) for name in group.world.limiter_names} == pids
+            assert all(limiter.is_adopted for limiter in group.agent.limiters.values())
+            observation = await observe_group(group.client)
+            assert {r.target for s in observation.states() for r in s.records} == {"s-04"}
+            # An adopted process is watched although it is not a child of the new agent.
             os.kill(pids["n2"], signal.SIGKILL)
-            await until(lambda: here.agent.limiters["n2"].process is not None and here.pid("n2") != pids["n2"])
-            await here.front.stop()
+            await until(lambda: group.agent.limiters["n2"].process is not None and group.pid("n2") != pids["n2"])
+            await group.front.stop()
 
     run(test(), within=60.0)
 
 
-def test_a_drained_limiter_answers_what_it_has_and_the_front_stays_away(tmp_path: Path) -> None:
+def test_a_drained_limiter_finishes_its_requests_and_gets_no_new_ones(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            for box in here.world.boxes.values():
-                box.crowd = 200.0  # so that requests are under way
-            await here.some_work(20)
-            result = await here.drain("n1", kind="limiter")
+        async with running_group(tmp_path) as group:
+            for box in group.world.boxes.values():
+                box.crowd = 200.0  # so that requests are open
+            await group.wait_for_answers(20)
+            result = await group.drain("n1", kind="limiter")
             assert result.exit is Exit.DONE
-            await until(lambda: not here.front.part[1])
-            await until(lambda: not here.front.idle[1])  # idle connections are closed
-            host, _, port = here.world.listens[1].rpartition(":")
+            await until(lambda: not group.front.part[1])
+            await until(lambda: not group.front.idle[1])  # idle connections are closed
+            host, _, port = group.world.listens[1].rpartition(":")
             client = Client(*await asyncio.open_connection(host, int(port)))
             client.send("PING")
             assert str(await client.answer()) == "LOADING drained by an operator"
-            await here.some_work()
-            seen = {s.limiter: s for s in (await observe_group(here.group)).states()}
-            assert seen["n1"].is_drained and seen["n1"].open_requests == 0 and not seen["n0"].is_drained
-            assert (await here.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
-            await until(lambda: here.front.part[1])
-            await no_request_was_lost(here)
+            await group.wait_for_answers()
+            states = {s.limiter: s for s in (await observe_group(group.client)).states()}
+            assert states["n1"].is_drained and states["n1"].open_requests == 0 and not states["n0"].is_drained
+            assert (await group.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
+            await until(lambda: group.front.part[1])
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_what_still_comes_to_a_drained_limiter_is_served(tmp_path: Path) -> None:
+def test_a_request_to_a_drained_limiter_is_served(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path, load=False) as here:
-            await here.drain("n0", kind="limiter")
-            host, _, port = here.world.listens[0].rpartition(":")
+        async with running_group(tmp_path, load=False) as group:
+            await group.drain("n0", kind="limiter")
+            host, _, port = group.world.listens[0].rpartition(":")
             client = Client(*await asyncio.open_connection(host, int(port)))
             answer = await client.ask("late", t="shop")
             assert isinstance(answer, bytes) and b"request=late" in answer
-            assert await client.answer() is None  # and then its connection is closed
+            assert await client.answer() is None  # the connection is closed after the answer
 
     run(test(), within=60.0)
 
 
-def test_a_limiter_that_cannot_run_is_given_up_and_the_others_are_not_touched(tmp_path: Path) -> None:
+def test_a_limiter_that_cannot_start_is_given_up_and_the_others_continue(tmp_path: Path) -> None:
     async def test() -> None:
         supervise = "first_backoff = 0.01\nmost_backoff = 0.02\ncrashes = 3\n"
-        async with running(tmp_path, supervise=supervise) as here:
-            config = here.world.config_path(2)
-            good = config.read_text()
+        async with running_group(tmp_path, supervise=supervise) as group:
+            config = group.world.config_path(2)
+            valid_config = config.read_text()
             config.write_text("{")
-            os.kill(here.pid("n2"), signal.SIGKILL)
-            charge = here.agent.limiters["n2"]
-            await until(lambda: charge.supervisor.phase == "gave-up")
-            drained = await here.drain("s-05")
+            os.kill(group.pid("n2"), signal.SIGKILL)
+            limiter = group.agent.limiters["n2"]
+            await until(lambda: limiter.supervisor.phase == "gave-up")
+            drained = await group.drain("s-05")
             rows = {row.limiter: row.state for row in drained.reports[0].rows()}
             assert drained.exit is Exit.DONE and rows["n2"] == "at-start"
-            config.write_text(good)
-            started = await order_limiters(here.group, "start", ["n2"], False, 1.0, 20.0, lambda _: None)
+            config.write_text(valid_config)
+            started = await order_limiters(group.client, "start", ["n2"], False, 1.0, 20.0, lambda _: None)
             assert started.exit is Exit.DONE
-            await until(lambda: charge.link.state is not None)
-            assert charge.link.state is not None
-            assert {r.target for r in charge.link.state.records} == {"s-05"}
-            await here.front.stop()
+            await until(lambda: limiter.link.state is not None)
+            assert limiter.link.state is not None
+            assert {r.target for r in limiter.link.state.records} == {"s-05"}
+            await group.front.stop()
 
     run(test(), within=60.0)
 
 
-def test_stop_ends_a_limiter_once_all_it_took_is_answered(tmp_path: Path) -> None:
+def test_a_stopped_limiter_exits_after_it_has_answered_all_its_requests(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path) as here:
-            for box in here.world.boxes.values():
+        async with running_group(tmp_path) as group:
+            for box in group.world.boxes.values():
                 box.crowd = 200.0
-            await here.some_work(20)
-            pid = here.pid("n2")
-            stopped = await order_limiters(here.group, "stop", ["n2"], False, 1.0, 20.0, lambda _: None)
+            await group.wait_for_answers(20)
+            pid = group.pid("n2")
+            stopped = await order_limiters(group.client, "stop", ["n2"], False, 1.0, 20.0, lambda _: None)
             assert stopped.exit is Exit.DONE and process_start_ticks(pid) == 0
-            last = await order_limiters(here.group, "stop", ["n0", "n1"], False, 1.0, 20.0, lambda _: None)
+            last = await order_limiters(group.client, "stop", ["n0", "n1"], False, 1.0, 20.0, lambda _: None)
             assert last.exit is Exit.UNSAFE
             assert last.unsafe == ("it takes the last limiter in service: 2 serve now, 0 would be left",)
-            await no_request_was_lost(here)
+            await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
 
 
-def test_an_unsafe_drain_is_refused_with_its_figures_and_nothing_is_touched(tmp_path: Path) -> None:
+def test_an_unsafe_drain_is_refused_with_figures_and_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        async with running(tmp_path, load=False) as here:
-            result = await here.drain("s-00", "s-03")  # both of floor-2
+        async with running_group(tmp_path, load=False) as group:
+            result = await group.drain("s-00", "s-03")  # both of floor-2
             assert result.exit is Exit.UNSAFE and result.reports == []
             assert result.unsafe == ("it takes the last box of floor-2, which has 2 in service",)
-            assert not len(here.agent.records)
-            forced = await here.drain("s-00", "s-03", force=True)
+            assert not len(group.agent.records)
+            forced = await group.drain("s-00", "s-03", force=True)
             assert forced.exit is Exit.DONE and len(forced.reports) == 2  # in two steps
-            unknown = await here.drain("s-99")
+            unknown = await group.drain("s-99")
             assert unknown.exit is Exit.NOTHING and unknown.lines == ["box s-99 is not known"]
 
     run(test(), within=60.0)
