--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -217,7 +217,7 @@
 async def all_run(group: Group, version: str) -> bool:
     for _ in range(100):
         known = await operate.list_plans(group, 1.0)
-        runs = [run.version for answer in known.answers.values() for run in answer.runs]
+        runs = [run.version for answer in known.answers.values() for run in answer.running_versions]
         if len(runs) == LIMITERS and set(runs) == {version}:
             return True
         await asyncio.sleep(0.1)
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -52,7 +52,7 @@
     return {
         "agents": msgspec.to_builtins(seen.shown),
         "missing": {name: msgspec.structs.asdict(missing) for name, missing in seen.missing.items()},
-        "heard_by_others": msgspec.to_builtins(seen.heard),
+        "heard_by_others": msgspec.to_builtins(seen.observations),
         "records": msgspec.to_builtins(list(seen.records)),
     }
 
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -212,7 +212,7 @@
     phase = limiter.phase + (f" ({limiter.restarts} restarts)" if limiter.restarts else "")
     if limiter.next_start_ms >= 0:
         phase += f", next in {age(limiter.next_start_ms)}"
-    link = limiter.link if limiter.link == "answering" else f"{limiter.link} ({age(limiter.heard_age_ms)})"
+    link = limiter.link if limiter.link == "answering" else f"{limiter.link} ({age(limiter.state_age_ms)})"
     if state is None:
         return [limiter.name, agent, phase, link, *["-"] * 9]
     return [
@@ -264,7 +264,7 @@
     lines = []
     for agent, missing in sorted(seen.missing.items()):
         lines.append(f"agent {agent} does not answer: {failure_reason(missing)}")
-        heard = seen.heard.get(agent)
+        heard = seen.observations.get(agent)
         if heard is None:
             lines.append("  no other agent has heard of it")
             continue
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -122,7 +122,7 @@
     def apply_exchange(self, exchange: f.Exchange) -> None:
         now = now_ms()
         self.membership.record_direct(exchange.agent, exchange.incarnation, exchange.sequence, exchange.limiters, now)
-        self.membership.record_relayed(exchange.heard, exchange.agent, now)
+        self.membership.record_relayed(exchange.observations, exchange.agent, now)
         self._agent.agent_release.record_peer(exchange.agent, exchange.agent_brief)
         if self._agent.consensus_member is not None and exchange.ledger:
             self._agent.consensus_member.record_ledger(exchange.ledger)
--- a/elderlock/fleet/client/observation.py
+++ b/elderlock/fleet/client/observation.py
@@ -17,13 +17,13 @@
         shown: The reports of the agents that answered, by agent.
         missing: Why the other agents did not answer, by agent.
         records: The newest drain records of all agents.
-        heard: The newest observation that others have of an agent that did not answer, by agent.
+        observations: The newest observation that others have of an agent that did not answer, by agent.
     """
 
     shown: dict[str, messages.Shown]
     missing: dict[str, Missing | Refusal]
     records: Records
-    heard: dict[str, messages.AgentObservation]
+    observations: dict[str, messages.AgentObservation]
 
     def states(self) -> list[LimiterState]:
         """Return the states of the limiters that answer their agent."""
@@ -37,7 +37,7 @@
     def limiters(self) -> dict[str, tuple[str, ...]]:
         """Return the names of the limiters by agent; for an agent that did not answer, as others observed it."""
         names = {agent: tuple(limiter.name for limiter in shown.limiters) for agent, shown in self.shown.items()}
-        for agent, observation in self.heard.items():
+        for agent, observation in self.observations.items():
             names[agent] = tuple(brief.name for brief in observation.limiters)
         return names
 
@@ -55,15 +55,15 @@
     shown = {name: answer for name, answer in answers.items() if isinstance(answer, messages.Shown)}
     missing = {name: answer for name, answer in answers.items() if not isinstance(answer, messages.Shown)}
     records = Records(record for answer in shown.values() for record in answer.records)
-    heard: dict[str, messages.AgentObservation] = {}
+    observations: dict[str, messages.AgentObservation] = {}
     for answer in shown.values():
-        for observation in answer.heard:
-            newest = heard.get(observation.agent)
+        for observation in answer.observations:
+            newest = observations.get(observation.agent)
             is_newer = newest is None or (observation.incarnation, observation.sequence, -observation.age_ms) > (
                 newest.incarnation,
                 newest.sequence,
                 -newest.age_ms,
             )
             if observation.agent in missing and observation.age_ms >= 0 and is_newer:
-                heard[observation.agent] = observation
-    return GroupObservation(shown, missing, records, heard)
+                observations[observation.agent] = observation
+    return GroupObservation(shown, missing, records, observations)
--- a/elderlock/fleet/client/plan_commands.py
+++ b/elderlock/fleet/client/plan_commands.py
@@ -66,7 +66,7 @@
         lines = [title + (f"; {plan.reason}" if plan.reason else "")]
         if plan.state_reason:
             lines.append(f"  {'halted' if plan.state == 'halted' else 'last change'}: {plan.state_reason}")
-        versions = {run.limiter: run for answer in self.answers.values() for run in answer.runs}
+        versions = {run.limiter: run for answer in self.answers.values() for run in answer.running_versions}
         if plan.kind == "agents":
             versions = {
                 name: messages.RunningVersion(
@@ -83,8 +83,8 @@
                 lines.append(f"  permit for {permit.kind} {permit.target}, generation {permit.generation}")
         if plan.state != "over":
             lines.append(f"  led by {plan.leader or 'no agent yet'} (term {plan.term})")
-            leaders = [answer for answer in self.answers.values() if plan.id in answer.leads]
-            lines += [f"  {text}" for answer in leaders for text in answer.waits]
+            leaders = [answer for answer in self.answers.values() if plan.id in answer.led_plan_ids]
+            lines += [f"  {text}" for answer in leaders for text in answer.waiting_reasons]
             for id, revision, text in {halt for answer in self.answers.values() for halt in answer.halts}:
                 if id == plan.id and revision == plan.revision and plan.state == "running":
                     lines.append(f"  {text}: in force where agents received it, not yet agreed on by a majority")
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -156,11 +156,11 @@
         return True, vote
 
     def prepared(self, asked: f.Prepare) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
+        ballot = Ballot(asked.number, asked.proposer)
         return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.prepare(ballot)))
 
     def accepted(self, asked: f.Accept) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
+        ballot = Ballot(asked.number, asked.proposer)
         return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.accept(ballot, asked.value)))
 
     def _voted(self, id: int, voting: bool, vote: Vote) -> f.Voted:
@@ -326,7 +326,7 @@
         make = lambda id: f.Recall(id, self._owner.name)  # noqa: E731
         asks = [ways[name].ask(make, VOTE_WITHIN) for name in others if name in ways]
         answers = [each for each in await answers_of(asks) if isinstance(each, f.Recalled)]
-        told = [(Ballot(*each.seen), each.empty) for each in answers]
+        told = [(Ballot(*each.promised), each.empty) for each in answers]
         do, self.why = decide_join(len(self.voters), self._remembers, self._acceptor.promised, told)
         if do is not JoinDecision.RECOVER:
             return do is JoinDecision.VOTE
--- a/elderlock/fleet/drain_intents.py
+++ b/elderlock/fleet/drain_intents.py
@@ -31,8 +31,8 @@
     if current is None and not intent.is_drained:
         return Decision("joined", None, "was not drained")
     generation = current.generation if current is not None else 0
-    if generation != intent.expect:
-        expected = f"generation {intent.expect}" if intent.expect else "no record"
+    if generation != intent.expected_generation:
+        expected = f"generation {intent.expected_generation}" if intent.expected_generation else "no record"
         return Decision("stale", current, f"you acted on {expected}, but it is {describe_record(current)} since")
     if request.generation <= generation:
         return Decision("refused", current, f"generation {request.generation} is not above {generation}")
--- a/elderlock/fleet/messages/consensus.py
+++ b/elderlock/fleet/messages/consensus.py
@@ -4,6 +4,8 @@
 
 from typing import Literal
 
+import msgspec
+
 from elderlock.control.records import Kind
 from elderlock.fleet.messages.base import Message
 from elderlock.rollout.permit_ledger import Permit
@@ -56,12 +58,12 @@
     Attributes:
         id: The id of the request.
         number: The number of the ballot.
-        by: The proposer of the ballot.
+        proposer: The proposer of the ballot.
     """
 
     id: int
     number: int
-    by: str
+    proposer: str = msgspec.field(name="by")
 
 
 class Accept(Message, tag="accept"):
@@ -70,13 +72,13 @@
     Attributes:
         id: The id of the request.
         number: The number of the ballot.
-        by: The proposer of the ballot.
+        proposer: The proposer of the ballot.
         value: The encoded ledger.
     """
 
     id: int
     number: int
-    by: str
+    proposer: str = msgspec.field(name="by")
     value: bytes
 
 
@@ -122,13 +124,13 @@
     Attributes:
         id: The id of the request.
         agent: The name of the answering agent.
-        seen: The greatest ballot that the answering agent observed the caller promise, as number and proposer.
+        promised: The greatest ballot that the answering agent observed the caller promise, as number and proposer.
         empty: Whether the answering agent has never accepted anything.
     """
 
     id: int
     agent: str
-    seen: tuple[int, str]
+    promised: tuple[int, str] = msgspec.field(name="seen")
     empty: bool
 
 
--- a/elderlock/fleet/messages/drains.py
+++ b/elderlock/fleet/messages/drains.py
@@ -22,13 +22,13 @@
         kind: Whether the target is a server (`box`) or a limiter.
         target: The uid of the server or the name of the limiter.
         is_drained: Whether the target has to be drained.
-        expect: The generation of the target's record that the operator acted on; 0 where it had no record.
+        expected_generation: The generation of the target's record that the operator acted on; 0 where it had no record.
     """
 
     kind: Kind
     target: str
     is_drained: bool = msgspec.field(name="drained")
-    expect: int
+    expected_generation: int = msgspec.field(name="expect")
 
 
 class SubmitIntents(Message, tag="intend"):
--- a/elderlock/fleet/messages/plans.py
+++ b/elderlock/fleet/messages/plans.py
@@ -23,7 +23,7 @@
         version: The version to release; empty for a drain.
         targets: The targets of the plan; empty for all limiters.
         waves: The targets of each wave; empty for the default waves.
-        terms: The policy of the rollout.
+        policy: The policy of the rollout.
         reason: The operator's reason, for people.
         dry: Whether to only report what the plan would do.
     """
@@ -34,7 +34,7 @@
     version: str
     targets: tuple[str, ...]
     waves: tuple[tuple[str, ...], ...]
-    terms: RolloutPolicy
+    policy: RolloutPolicy = msgspec.field(name="terms")
     reason: str
     dry: bool = False
 
@@ -68,14 +68,14 @@
         plan: The id of the plan; the name of the agent where the instruction is for an agent.
         action: The instruction. `go-on` resumes and `back` rolls back; `give-up` declares an agent lost for
             good, and `take-in` reverses that.
-        turn: For `go-on`, the revision of the plan that the operator acted on.
+        revision: For `go-on`, the revision of the plan that the operator acted on.
         reason: The operator's reason, for people.
     """
 
     id: int
     plan: str
     action: Literal["halt", "go-on", "back", "give-up", "take-in"]
-    turn: int = 0
+    revision: int = msgspec.field(name="turn", default=0)
     reason: str = ""
 
 
@@ -132,9 +132,9 @@
         agent: The name of the answering agent.
         version: The version of the agent's ledger.
         plans: The plans in the ledger.
-        leads: The ids of the plans that the agent leads.
-        waits: What those plans wait for, for people.
-        runs: The versions of the agent's limiters.
+        led_plan_ids: The ids of the plans that the agent leads.
+        waiting_reasons: What those plans wait for, for people.
+        running_versions: The versions of the agent's limiters.
         versions: The versions on the agent's disk, each with its digest.
         given_up: The agents that were declared lost for good, each with the operator who did so.
         halts: The halts that the agent has received: the id of the plan, its revision and the reason.
@@ -146,9 +146,9 @@
     agent: str
     version: int
     plans: tuple[Plan, ...]
-    leads: tuple[str, ...]
-    waits: tuple[str, ...]
-    runs: tuple[RunningVersion, ...]
+    led_plan_ids: tuple[str, ...] = msgspec.field(name="leads")
+    waiting_reasons: tuple[str, ...] = msgspec.field(name="waits")
+    running_versions: tuple[RunningVersion, ...] = msgspec.field(name="runs")
     versions: tuple[tuple[str, str], ...]
     given_up: tuple[tuple[str, str], ...]
     halts: tuple[tuple[str, int, str], ...] = ()
--- a/elderlock/fleet/messages/status.py
+++ b/elderlock/fleet/messages/status.py
@@ -22,24 +22,24 @@
         name: The name of the limiter.
         phase: The phase of its process.
         pid: Its process id; 0 where none runs.
-        adopted: Whether the agent found the process running instead of starting it.
+        is_adopted: Whether the agent found the process running instead of starting it.
         restarts: How often the process was restarted after it exited.
         next_start_ms: The time to the next start during a backoff, else -1.
         link: The state of the agent's connection to it.
         link_why: Why the connection is in that state, and why the limiter could not be started, for people.
-        heard_age_ms: The age of `state`; -1 where the limiter has not reported any.
+        state_age_ms: The age of `state`; -1 where the limiter has not reported any.
         state: The last state that the limiter reported.
     """
 
     name: str
     phase: Phase
     pid: int
-    adopted: bool
+    is_adopted: bool = msgspec.field(name="adopted")
     restarts: int
     next_start_ms: float
     link: Literal["answering", "silent", "down", "claimed"]
     link_why: str
-    heard_age_ms: float
+    state_age_ms: float = msgspec.field(name="heard_age_ms")
     state: LimiterState | None
 
 
@@ -54,9 +54,9 @@
         is_drained: Whether it is drained.
         boxes_drained: How many servers its agent has drain records of.
         version: The version that its process runs; empty for the one in its agent's file.
-        serving: Whether it answers, has its endpoint list and accepts clients.
+        is_serving: Whether it answers, has its endpoint list and accepts clients.
         restarts: How often its process was restarted after it exited.
-        figures: The metrics of its answers.
+        answer_metrics: The metrics of its answers.
         progress: How far its agent is with the unit of a release.
     """
 
@@ -67,9 +67,9 @@
     is_drained: bool = msgspec.field(name="drained")
     boxes_drained: int
     version: str = ""
-    serving: bool = False
+    is_serving: bool = msgspec.field(name="serving", default=False)
     restarts: int = 0
-    figures: AnswerMetrics = AnswerMetrics()
+    answer_metrics: AnswerMetrics = msgspec.field(name="figures", default=AnswerMetrics())
     progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())
 
 
@@ -78,16 +78,16 @@
 
     Attributes:
         version: The version that the agent runs.
-        based: Whether a launcher started it, so that a release can switch its version.
-        starts: How often its process was started on this version.
-        serving: Whether a majority of the group hears it and its limiters run and answer.
+        has_launcher: Whether a launcher started it, so that a release can switch its version.
+        start_count: How often its process was started on this version.
+        is_serving: Whether a majority of the group hears it and its limiters run and answer.
         progress: How far it is with its unit of a release.
     """
 
     version: str = ""
-    based: bool = False
-    starts: int = 0
-    serving: bool = False
+    has_launcher: bool = msgspec.field(name="based", default=False)
+    start_count: int = msgspec.field(name="starts", default=0)
+    is_serving: bool = msgspec.field(name="serving", default=False)
     progress: ExecutionProgress = msgspec.field(name="said", default=ExecutionProgress())
 
 
@@ -139,7 +139,7 @@
         store: Why its store fails, for people; empty where it works.
         limiters: Its limiters.
         records: The drain records that it holds.
-        heard: The other agents of the group, as it observes them.
+        observations: The other agents of the group, as it observes them.
     """
 
     id: int
@@ -150,7 +150,7 @@
     store: str
     limiters: tuple[LimiterStatus, ...]
     records: tuple[Record, ...]
-    heard: tuple[AgentObservation, ...]
+    observations: tuple[AgentObservation, ...] = msgspec.field(name="heard")
 
 
 class Exchange(Message, tag="exchange"):
@@ -164,7 +164,7 @@
         limiters: The limiters of the sender.
         digest: The digest of the sender's drain records.
         records: The records; empty where the receiver's last message had the same digest.
-        heard: The sender's observations of agents that the receiver has not heard from.
+        observations: The sender's observations of agents that the receiver has not heard from.
         ledger: The newest encoded ledger that the sender knows to be chosen; empty where the receiver has it already.
         ledger_version: The version of the sender's ledger; -1 where it has none.
         unheard_agents: The agents that the sender has not heard from recently; None from a sender that does not list
@@ -180,7 +180,7 @@
     limiters: tuple[LimiterBrief, ...]
     digest: str
     records: tuple[Record, ...]
-    heard: tuple[AgentObservation, ...]
+    observations: tuple[AgentObservation, ...] = msgspec.field(name="heard")
     ledger: bytes = b""
     ledger_version: int = -1
     unheard_agents: tuple[str, ...] | None = msgspec.field(name="lacks", default=None)
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -59,7 +59,9 @@
 
     def told(self) -> dict[str, TargetReport]:
         return {
-            name: TargetReport(name, *brief.progress, is_serving=brief.serving, restarts=brief.starts, age_ms=age)
+            name: TargetReport(
+                name, *brief.progress, is_serving=brief.is_serving, restarts=brief.start_count, age_ms=age
+            )
             for name, (age, brief) in self.briefs().items()
         }
 
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -209,7 +209,7 @@
                 age, brief = briefs.get(name, (-1.0, f.AgentBrief()))
                 if not 0.0 <= age < 8000.0:
                     found.append(f"agent {name} was not heard of lately")
-                elif not brief.based:
+                elif not brief.has_launcher:
                     found.append(f"agent {name} was not started by a base (elderlock base FILE)")
         if not asked.version:
             return found
@@ -229,7 +229,7 @@
     def _drawn(self, asked: f.BeginPlan, by: str, now: float) -> Plan:
         if asked.kind == "drain":
             waves = asked.waves or tuple((target,) for target in asked.targets)
-            return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.terms)
+            return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.policy)
         if asked.kind == "agents":
             before = {name: brief.version for name, (_, brief) in self._owner.agent_release.briefs().items()}
         else:
@@ -245,7 +245,7 @@
             waves = tuple(tuple(wave) for wave in plans.waves_over_zones(floors))
         kind: Literal["release", "agents"] = "agents" if asked.kind == "agents" else "release"
         return plans.new_release_plan(
-            asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind
+            asked.origin, asked.version, waves, before, by, asked.reason, now, asked.policy, kind
         )
 
     def _stopped(self) -> set[str]:
@@ -294,13 +294,15 @@
             if plan is None or plan.state == "running":
                 # in force here and, from the next word on, everywhere, whether or not a majority can be had; also of a
                 # plan that this agent has not learnt of yet, as its operator saw it elsewhere
-                turn = plan.revision if plan is not None else asked.turn
+                turn = plan.revision if plan is not None else asked.revision
                 self.record_halts([(asked.plan, turn, f"halt of {by}{reason}")])
             made = await self._keeper.change(
                 lambda held: plan_steering.halt_plan(held, asked.plan, f"halt of {by}{reason}")
             )
         elif asked.action == "go-on":
-            made = await self._keeper.change(lambda held: plan_steering.resume_plan(held, asked.plan, asked.turn, by))
+            made = await self._keeper.change(
+                lambda held: plan_steering.resume_plan(held, asked.plan, asked.revision, by)
+            )
         else:
             made = await self._keeper.change(
                 lambda held: plan_steering.roll_back_plan(held, asked.plan, f"back, said {by}{reason}")
@@ -497,9 +499,9 @@
     async def _lead(self) -> None:
         now = self._now()
         for name, charge in self._owner.limiters.items():
-            self._series.record(name, charge.figures(), now)
+            self._series.record(name, charge.answer_metrics(), now)
         for _, _, brief in self._owner.peer_limiter_briefs():
-            self._series.record(brief.name, brief.figures, now)
+            self._series.record(brief.name, brief.answer_metrics, now)
         for plan in self._keeper.ledger.active_plans():
             soft = self.halts.get(plan.id)
             if soft is not None and soft[0] == plan.revision and plan.state == "running":
@@ -614,10 +616,10 @@
             brief.name,
             *brief.progress,
             brief.phase,
-            brief.serving,
+            brief.is_serving,
             brief.restarts,
             record.requested_by if record is not None and others else "",
-            brief.figures,
+            brief.answer_metrics,
             age,
         )
 
--- a/elderlock/fleet/supervision/managed_limiter.py
+++ b/elderlock/fleet/supervision/managed_limiter.py
@@ -357,11 +357,11 @@
             self.version(),
             state is not None and state.ready and self.unavailable_reason() == "",
             self.supervisor.restarts,
-            self.figures(),
+            self.answer_metrics(),
             self.progress,
         )
 
-    def figures(self) -> AnswerMetrics:
+    def answer_metrics(self) -> AnswerMetrics:
         """Return the metrics of the limiter's answers, as it last reported them."""
         state = self.link.state
         if state is None:
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -504,7 +504,7 @@
             assert set(seen.shown) == {"agent-0", "agent-1"}
             missing = seen.missing["agent-2"]
             assert isinstance(missing, Missing) and missing.why == "nothing listens there"
-            assert [brief.name for brief in seen.heard["agent-2"].limiters] == ["n2"]
+            assert [brief.name for brief in seen.observations["agent-2"].limiters] == ["n2"]
             assert seen.limiters()["agent-2"] == ("n2",)
 
     run(test())
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -65,7 +65,11 @@
         return plan
 
     async def runs(self) -> dict[str, str]:
-        return {run.limiter: run.version for answer in (await self.known()).answers.values() for run in answer.runs}
+        return {
+            run.limiter: run.version
+            for answer in (await self.known()).answers.values()
+            for run in answer.running_versions
+        }
 
     async def tool(self, *words: str) -> Child:
         ground = self.ground
@@ -116,7 +120,7 @@
             await tool.end()
             while (now := (await here.known()).plan("x" * 32)) is None or now.term == plan.term:
                 if now is not None and now.state == "halted":  # halted, it needs no leader
-                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.revision)
+                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", revision=now.revision)
                     await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
             assert now.leader != plan.leader
@@ -124,7 +128,7 @@
             await here.ground._start_agent(here.ground.agent_processes[int(plan.leader[6:])])
             while (now := (await here.known()).plan("x" * 32)) is None or now.state != "over":
                 if now is not None and now.state == "halted":  # it was silent for too long: an operator goes on
-                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.revision)
+                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", revision=now.revision)
                     await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
             want = "v2" if now.direction == "to" else ""
@@ -199,7 +203,9 @@
                 await faults.box_fault(Fault(0.0, what, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
 
             def waits(known: operate.PlanAnswers) -> bool:
-                return any("would be out" in text for answer in known.answers.values() for text in answer.waits)
+                return any(
+                    "would be out" in text for answer in known.answers.values() for text in answer.waiting_reasons
+                )
 
             while not waits(known := await here.known()):
                 await asyncio.sleep(0.05)
