--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -140,7 +140,7 @@
             case f.BeginPlan() | f.SteerPlan() | f.ListPlans():
                 return await self._planned(who, message)
             case f.Audit():
-                lines = self._agent.store.audit(max(0, min(message.most, 1000)))
+                lines = self._agent.store.audit(max(0, min(message.maximum_lines, 1000)))
                 return f.Audited(message.id, self._agent.name, lines)
             case _:
                 return f.Refused("bad-message", "hello comes once")
--- a/elderlock/fleet/messages/audit.py
+++ b/elderlock/fleet/messages/audit.py
@@ -32,11 +32,11 @@
 
     Attributes:
         id: The id of the request.
-        most: The maximum number of entries.
+        maximum_lines: The maximum number of entries.
     """
 
     id: int
-    most: int = 50
+    maximum_lines: int = msgspec.field(name="most", default=50)
 
 
 class Audited(Message, tag="audited"):
