--- a/elderlock/fleet/__init__.py
+++ b/elderlock/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many limiters as one group: drains as records, plans, supervision, the agent and its API."""
+"""Management of many limiters as one group: drains, plans, supervision, the agent and its API."""
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -106,7 +106,7 @@
 
 
 def test_a_drained_server_gets_no_requests_whatever_discovery_reports(tmp_path: Path) -> None:
-    """Discovery removes and adds the server again, reports it as up, breaks its watches and stops answering."""
+    """Discovery removes and adds the server again, reports it as draining and up, breaks its watches and stops answering."""
 
     async def test() -> None:
         async with running_group(tmp_path) as group:
