--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -148,7 +148,7 @@
         vote = decide(trial)
         if vote.ok:
             try:
-                self._owner.store.keep_vote(*trial.durable_state())
+                self._owner.store.save_vote(*trial.durable_state())
             except StoreError as error:
                 log.error("a vote could not be kept", error=str(error))
                 return False, Vote(False, self._acceptor.promised)
@@ -156,11 +156,11 @@
         return True, vote
 
     def prepared(self, asked: f.Prepare) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
+        ballot = Ballot(asked.number, asked.proposer)
         return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.prepare(ballot)))
 
     def accepted(self, asked: f.Accept) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
+        ballot = Ballot(asked.number, asked.proposer)
         return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.accept(ballot, asked.value)))
 
     def _voted(self, id: int, voting: bool, vote: Vote) -> f.Voted:
@@ -326,7 +326,7 @@
         make = lambda id: f.Recall(id, self._owner.name)  # noqa: E731
         asks = [ways[name].ask(make, VOTE_WITHIN) for name in others if name in ways]
         answers = [each for each in await answers_of(asks) if isinstance(each, f.Recalled)]
-        told = [(Ballot(*each.seen), each.empty) for each in answers]
+        told = [(Ballot(*each.promised), each.empty) for each in answers]
         do, self.why = decide_join(len(self.voters), self._remembers, self._acceptor.promised, told)
         if do is not JoinDecision.RECOVER:
             return do is JoinDecision.VOTE
@@ -335,7 +335,7 @@
         if round.phase is not Phase.CHOSEN:
             return False
         try:
-            self._owner.store.keep_vote(round.ballot, round.ballot, round.value)
+            self._owner.store.save_vote(round.ballot, round.ballot, round.value)
         except StoreError:
             return False
         self._acceptor, self._remembers = Acceptor(round.ballot, round.ballot, round.value), True
--- a/elderlock/fleet/messages/__init__.py
+++ b/elderlock/fleet/messages/__init__.py
@@ -1,4 +1,4 @@
-"""What the command line and agents send to an agent, and agents to one another: typed and versioned messages."""
+"""The typed and versioned messages that the command line and other agents exchange with an agent."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from elderlock.fleet.messages.codec import (
     FromAgent,
     ToAgent,
+    decode_answer,
+    decode_request,
     encode,
-    from_agent,
-    to_agent,
 )
 from elderlock.fleet.messages.consensus import (
     Accept,
@@ -124,6 +124,6 @@
     "Welcome",
     "DrainIntent",
     "encode",
-    "from_agent",
-    "to_agent",
+    "decode_answer",
+    "decode_request",
 ]
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -209,7 +209,7 @@
                 age, brief = briefs.get(name, (-1.0, f.AgentBrief()))
                 if not 0.0 <= age < 8000.0:
                     found.append(f"agent {name} was not heard of lately")
-                elif not brief.based:
+                elif not brief.has_launcher:
                     found.append(f"agent {name} was not started by a base (elderlock base FILE)")
         if not asked.version:
             return found
@@ -229,7 +229,7 @@
     def _drawn(self, asked: f.BeginPlan, by: str, now: float) -> Plan:
         if asked.kind == "drain":
             waves = asked.waves or tuple((target,) for target in asked.targets)
-            return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.terms)
+            return plans.new_drain_plan(asked.origin, waves, by, asked.reason, now, asked.policy)
         if asked.kind == "agents":
             before = {name: brief.version for name, (_, brief) in self._owner.agent_release.briefs().items()}
         else:
@@ -245,7 +245,7 @@
             waves = tuple(tuple(wave) for wave in plans.waves_over_zones(floors))
         kind: Literal["release", "agents"] = "agents" if asked.kind == "agents" else "release"
         return plans.new_release_plan(
-            asked.origin, asked.version, waves, before, by, asked.reason, now, asked.terms, kind
+            asked.origin, asked.version, waves, before, by, asked.reason, now, asked.policy, kind
         )
 
     def _stopped(self) -> set[str]:
@@ -294,13 +294,15 @@
             if plan is None or plan.state == "running":
                 # in force here and, from the next word on, everywhere, whether or not a majority can be had; also of a
                 # plan that this agent has not learnt of yet, as its operator saw it elsewhere
-                turn = plan.revision if plan is not None else asked.turn
+                turn = plan.revision if plan is not None else asked.revision
                 self.record_halts([(asked.plan, turn, f"halt of {by}{reason}")])
             made = await self._keeper.change(
                 lambda held: plan_steering.halt_plan(held, asked.plan, f"halt of {by}{reason}")
             )
         elif asked.action == "go-on":
-            made = await self._keeper.change(lambda held: plan_steering.resume_plan(held, asked.plan, asked.turn, by))
+            made = await self._keeper.change(
+                lambda held: plan_steering.resume_plan(held, asked.plan, asked.revision, by)
+            )
         else:
             made = await self._keeper.change(
                 lambda held: plan_steering.roll_back_plan(held, asked.plan, f"back, said {by}{reason}")
@@ -341,7 +343,7 @@
         ]
         wanted = dict(ledger.limiter_versions)
         runs = tuple(
-            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.said)
+            f.RunningVersion(each, charge.version(), wanted.get(each, ""), charge.progress)
             for each, charge in self._owner.limiters.items()
         )
         return f.PlansStatus(
@@ -368,8 +370,8 @@
         wanted = dict(ledger.limiter_versions)
         out = {unit.target for plan in ledger.active_plans() for unit in plan.units if unit.stage == "out"}
         for name, charge in self._owner.limiters.items():
-            if wanted.get(name, "") != charge.wanted and name not in out:
-                charge.to_run(wanted.get(name, ""), max(ledger.generation, charge.generation + 1))
+            if wanted.get(name, "") != charge.wanted_version and name not in out:
+                charge.set_wanted_version(wanted.get(name, ""), max(ledger.generation, charge.wanted_generation + 1))
 
     async def _carry(self) -> None:
         self.catch_up()
@@ -398,11 +400,11 @@
         if plan.state == "over" and (record is None or record.generation >= unit.generation):
             return
         if unit.stage == "out":
-            charge.link.kick()  # its word is asked for at once: the plan waits for it
-        look = charge.look(record)
+            charge.link.wake()  # its word is asked for at once: the plan waits for it
+        look = charge.observe(record)
         before = carrier.progress
         act = carrier.next_action(plan, unit, look, self._now(), self.halted(plan))
-        charge.said = carrier.progress
+        charge.progress = carrier.progress
         if carrier.progress != before:
             self._owner.notify_peer(plan.leader)
         if act is not None:
@@ -444,7 +446,7 @@
                 if act == "drain":
                     self._record(plan, unit, True)
                 else:
-                    charge.to_run(plan.target_version(unit), unit.generation)
+                    charge.set_wanted_version(plan.target_version(unit), unit.generation)
                     restarts = charge.supervisor.restarts
                     charge.switch()
                     carrier.on_switched(self._now(), restarts)
@@ -497,9 +499,9 @@
     async def _lead(self) -> None:
         now = self._now()
         for name, charge in self._owner.limiters.items():
-            self._series.record(name, charge.figures(), now)
+            self._series.record(name, charge.answer_metrics(), now)
         for _, _, brief in self._owner.peer_limiter_briefs():
-            self._series.record(brief.name, brief.figures, now)
+            self._series.record(brief.name, brief.answer_metrics, now)
         for plan in self._keeper.ledger.active_plans():
             soft = self.halts.get(plan.id)
             if soft is not None and soft[0] == plan.revision and plan.state == "running":
@@ -595,7 +597,7 @@
             return self._owner.agent_release.told()
         told: dict[str, TargetReport] = {}
         for name, charge in self._owner.limiters.items():
-            age = self._now() - 1000.0 * charge.link.state_at if charge.link.state is not None else 0.0
+            age = self._now() - 1000.0 * charge.link.state_at_s if charge.link.state is not None else 0.0
             # our own word on it is fresh, whatever the limiter does
             told[name] = self._of(plan, charge.brief(self._owner.records), min(age, 0.0))
         for _, age, brief in self._owner.peer_limiter_briefs():
@@ -612,12 +614,12 @@
         others = record is not None and record.is_drained and not record.origin.startswith(f"{plan.id}/")
         return TargetReport(
             brief.name,
-            *brief.said,
+            *brief.progress,
             brief.phase,
-            brief.serving,
+            brief.is_serving,
             brief.restarts,
             record.requested_by if record is not None and others else "",
-            brief.figures,
+            brief.answer_metrics,
             age,
         )
 
@@ -651,7 +653,7 @@
                 own = [reach for reach in answer.reach if reach.target == unit.target]
                 held = any(r.target == unit.target and r.generation >= unit.generation for r in answer.records)
                 reached &= held and all(reach.state in ("reached", "at-start") for reach in own)
-                left += sum(reach.out for reach in own)
+                left += sum(reach.open_requests for reach in own)
             done = known and reached
             up = done and (unit.stage != "out" or left == 0)
             self._boxes[unit.target] = TargetReport(unit.target, unit.generation, "up" if up else "", is_serving=done)
