--- a/elderlock/control/shared.py
+++ b/elderlock/control/shared.py
@@ -26,7 +26,7 @@
     quotas = limiter.quotas
     peer_messages_per_s = limiter.context.settings.quota_sources.peer_messages_per_s
     maximum_sent_per_s = quota_escrow.SEND_FRACTION * peer_messages_per_s
-    return m.CeilingStatus(quotas.given_units, quotas.taken_units, quotas.in_transit_units(), maximum_sent_per_s)
+    return m.CeilingStatus(quotas.granted_units, quotas.received_units, quotas.in_transit_units(), maximum_sent_per_s)
 
 
 class EvidenceView:
@@ -50,7 +50,7 @@
             evidence_lifetime_ms=FRESH_MS,
             servers=len(evidence),
             disbelieved=tuple(evidence.distrusted_origins(self._ready_server_count(), now_ms)),
-            is_silent=evidence.distrusts_itself(now_ms),
+            is_silent=evidence.is_self_distrusted(now_ms),
         )
 
     def shown_keys(self) -> set[int]:
--- a/elderlock/gossip/evidence_limiter.py
+++ b/elderlock/gossip/evidence_limiter.py
@@ -140,7 +140,7 @@
         self.evidence.record(observation, now_ms)
         if now_ms - self._reported_at_ms.get((key, kind), float("-inf")) < REPORT_INTERVAL_MS:
             return
-        if kind is ObservationKind.ANSWERED or not self.evidence.distrusts_itself(now_ms):
+        if kind is ObservationKind.ANSWERED or not self.evidence.is_self_distrusted(now_ms):
             self._reported_at_ms[key, kind] = now_ms
             self.rumours.add(observation)
 
--- a/elderlock/gossip/health_evidence.py
+++ b/elderlock/gossip/health_evidence.py
@@ -143,7 +143,7 @@
         limit = max(DISTRUST_MIN_SERVERS, DISTRUST_FRACTION * ready_server_count)
         return len(accused) > limit and _count_fresh(accused.values(), now_ms) > limit
 
-    def distrusts_itself(self, now_ms: float) -> bool:
+    def is_self_distrusted(self, now_ms: float) -> bool:
         """Return whether so many servers that were tried lately failed this limiter that it is likelier at fault."""
         fresh_from_ms = now_ms - FRESH_MS
         tried = [key for key, tried_at_ms in self._own_attempts.items() if tried_at_ms > fresh_from_ms]
--- a/elderlock/gossip/quota_escrow.py
+++ b/elderlock/gossip/quota_escrow.py
@@ -85,15 +85,15 @@
     fraction of the burst at most, and what it gave away counts against that until nobody can take it any more.
 
     Attributes:
-        given_units: Units that were given since the start.
-        taken_units: Units that were taken since the start.
+        granted_units: Units that were granted since the start.
+        received_units: Units that were received since the start.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         """Start with no units moved."""
         super().__init__(context)
-        self.given_units = 0.0
-        self.taken_units = 0.0
+        self.granted_units = 0.0
+        self.received_units = 0.0
         self._rng = random.Random(context.rng.random())
         self._latest_request_id = self._rng.getrandbits(REQUEST_ID_BITS)  # differs from an earlier process's ids
         self._pending: dict[int, PendingRequest] = {}  # by request id
@@ -251,9 +251,9 @@
         self.refresh(account)
         in_transit_units = _sum_units(self._in_transit.get(account.key, []))
         headroom_units = _part_capacity_units(account) - in_transit_units - account.ceiling_units
-        taken_units = max(0.0, min(grant.units, headroom_units))
-        account.ceiling_units += taken_units
-        self.taken_units += taken_units
+        received_units = max(0.0, min(grant.units, headroom_units))
+        account.ceiling_units += received_units
+        self.received_units += received_units
 
     def _handle_request(self, sender: int, request: EscrowRequest) -> None:
         """Grant a request what this limiter does not need itself, once."""
@@ -274,7 +274,7 @@
         account.ceiling_units -= units
         in_transit = UnitsInTransit(now_ms + REQUEST_LIFETIME_MS, units)
         self._in_transit.setdefault(request.customer_key, []).append(in_transit)
-        self.given_units += units
+        self.granted_units += units
         self._outbox.append((sender, EscrowGrant(request.request_id, units)))
 
     def _account_for(self, sender: int, request: EscrowRequest) -> Account | None:
--- a/tests/escrow_histories.py
+++ b/tests/escrow_histories.py
@@ -92,7 +92,7 @@
             busy = rng.choice(list(group))
         node = group[number]
         if rng.random() < 0.01:
-            moved += getattr(node.quotas, "taken_units", 0.0)
+            moved += getattr(node.quotas, "received_units", 0.0)
             group[number] = node = Node(number, now, rng.randrange(1 << 30), kind)
         if rng.random() < 0.03:
             asleep[number] = now + rng.choice((100.0, REQUEST_LIFETIME_MS, 4000.0, 60_000.0))
@@ -126,5 +126,5 @@
             _, sender, to, data = each
             flown.append((sender, to, data))
             group[to].receive(now, sender, data)
-    moved += sum(getattr(node.quotas, "taken_units", 0.0) for node in group.values())
+    moved += sum(getattr(node.quotas, "received_units", 0.0) for node in group.values())
     return reference.least, moved
--- a/tests/gossip/test_health_evidence.py
+++ b/tests/gossip/test_health_evidence.py
@@ -105,10 +105,10 @@
         evidence.record_own_attempt(server, NOW)
     for server in range(2):
         evidence.record(failed(server, 3), NOW)
-    assert not evidence.distrusts_itself(NOW)
+    assert not evidence.is_self_distrusted(NOW)
     evidence.record(failed(2, 3), NOW)
-    assert evidence.distrusts_itself(NOW)
-    assert not evidence.distrusts_itself(NOW + FRESH_MS)
+    assert evidence.is_self_distrusted(NOW)
+    assert not evidence.is_self_distrusted(NOW + FRESH_MS)
 
 
 def test_evidence_on_ten_thousand_servers_is_bounded_and_ages_out() -> None:
