--- a/elderlock/rollout/agent_launcher.py
+++ b/elderlock/rollout/agent_launcher.py
@@ -1,9 +1,9 @@
 """Decide which version of an agent runs, and when to fall back to the one before. No I/O.
 
-An agent cannot watch its own successor fail. So a launcher, a small process that no release changes, starts the agent
-and durably stores the version that it has to run with the one before it. When a version on trial exits, or does not
-report in time that it is up, the launcher starts the previous version again. The release of the agents decides when the
-trial is over.
+An agent cannot observe the failure of the version that replaces it. A launcher, a small process that no release
+changes, therefore starts the agent and durably stores both the version to run and the previous one. When a version on
+trial exits, or does not report within its start timeout that it is up, the launcher starts the previous version again.
+The release of the agents decides when the trial is over.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 LauncherPhase = Literal["down", "starting", "up", "stopping"]
 FIRST_BACKOFF_MS = 200.0
 MAXIMUM_BACKOFF_MS = 30_000.0
-BACKOFF_RESET_AFTER_MS = 10_000.0  # of running, after which the next backoff is the first again
-BACKOFF_JITTER = (0.5, 1.0)  # the fraction of the backoff that is waited, drawn uniformly
-STOP_TIMEOUT_MS = 6_000.0  # from SIGTERM to SIGKILL
-START_TIMEOUT_MS = 20_000.0  # for a version to report that it is up, unless the request says otherwise
+BACKOFF_RESET_AFTER_MS = 10_000.0  # a process that ran this long restarts with the first backoff again
+BACKOFF_JITTER = (0.5, 1.0)  # the wait is the backoff times a factor that is uniform in this range
+STOP_TIMEOUT_MS = 6_000.0  # between SIGTERM and SIGKILL
+START_TIMEOUT_MS = 20_000.0  # the default time within which a version has to report that it is up
 MS_PER_S = 1000.0
 
 
@@ -29,8 +29,8 @@
     """A version of the agent.
 
     Attributes:
-        version: The name of the version; empty for the launcher's own.
-        command: The command that starts it; empty for the launcher's own.
+        version: The name of the version; empty for the version that the launcher itself was installed with.
+        command: The command that starts it; empty for the launcher's own version.
     """
 
     version: str = ""
@@ -38,10 +38,10 @@
 
 
 class SwitchRequest(msgspec.Struct, frozen=True):
-    """The request to switch to another version.
+    """A request to switch to another version.
 
     Attributes:
-        generation: The generation of the plan's unit, greater than that of any request before.
+        generation: The generation of the plan's unit, greater than that of any earlier request.
         target: The version to switch to.
         start_timeout_ms: How long the version may take to report that it is up.
     """
@@ -55,13 +55,13 @@
     """What the launcher stores durably.
 
     Attributes:
-        generation: The generation of the request that `current` is from; 0 after a fall back.
-        current: The version that has to run.
+        generation: The generation of the request that set `current`; 0 after a fall back.
+        current: The version to run.
         previous: The version to fall back to.
         is_on_trial: Whether `current` is on trial.
         start_timeout_ms: How long `current` may take to report that it is up.
-        failed_generation: The generation of the request whose version the launcher last fell back from.
-        failure_reason: Why it fell back.
+        failed_generation: The generation of the request whose version failed its trial last.
+        failure_reason: Why the launcher fell back from that version.
     """
 
     generation: int = 0
@@ -76,13 +76,13 @@
 class AgentLauncher:
     """The launcher's decisions. All times are in ms on the monotonic clock.
 
-    Invariants: at most one process is asked for at a time; a request that is not newer than the last changes nothing; a
-    version that exited during its trial is not started again for the same request.
+    Invariants: at most one process is started at a time; a request that is not newer than the last one changes nothing;
+    a version that exited during its trial is not started again for the same request.
 
     Attributes:
-        state: What is stored, or has to be.
-        phase: What the agent's process does.
-        due_ms: When `on_timer` has something to do; None while it has not.
+        state: The state that is stored, or has to be stored next.
+        phase: The state of the agent's process.
+        due_ms: When `on_timer` has to be called next; None while no timer is set.
         start_count: How often the current version was started.
     """
 
@@ -102,10 +102,10 @@
         return self._start(now_ms)
 
     def state_after_switch(self, request: SwitchRequest) -> LauncherState | None:
-        """Return what has to be stored before `switch`; None for a request that is not newer than the last."""
+        """Return the state to store before `switch`; None for a request that is not newer than the last one."""
         if request.generation <= max(self.state.generation, self.state.failed_generation):
             return None
-        # A version that is still on trial is nothing to fall back to.
+        # A version that is still on trial is not proven, so the launcher never falls back to it.
         previous = self.state.previous if self.state.is_on_trial else self.state.current
         return LauncherState(
             request.generation,
@@ -118,7 +118,7 @@
         )
 
     def switch(self, state: LauncherState, now_ms: float) -> LauncherAction | None:
-        """Switch to the version of a state that has been stored."""
+        """Switch to the current version of `state`, which has been stored."""
         self._set_version(state)
         if self.phase == "down":
             return self._start(now_ms)
@@ -127,7 +127,7 @@
         return None
 
     def stop(self, now_ms: float) -> LauncherAction | None:
-        """Shut down, as the launcher itself has to end; `has_ended` says when it may."""
+        """Stop the agent because the launcher shuts down; `has_ended` tells when the launcher may exit."""
         self._is_shutting_down = True
         if self.phase in ("starting", "up"):
             return self._stop(now_ms)
@@ -135,34 +135,34 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the launcher was shut down and no process runs any more."""
+        """Whether the launcher is shutting down and the agent's process has exited."""
         return self._is_shutting_down and self.phase == "down"
 
     def on_ready(self) -> None:
-        """Take the agent's report that it is up and that a majority of its group hears it."""
+        """Handle the agent's report that it is up and reaches a majority of its group."""
         if self.phase == "starting":
             self.phase = "up"
             self.due_ms = None
 
     def on_settled(self, generation: int) -> LauncherState | None:
-        """End the trial of a generation; return what has to be stored."""
+        """End the trial of a generation; return the state to store, or None where no such trial is under way."""
         if generation < self.state.generation or not self.state.is_on_trial:
             return None
         self.state = msgspec.structs.replace(self.state, is_on_trial=False)
         return self.state
 
     def on_exit(self, description: str, now_ms: float) -> tuple[LauncherState | None, LauncherAction | None]:
-        """Take the end of the process.
+        """Handle the exit of the agent's process.
 
-        A disk that fails must not prevent the fall back: the state is stored on a best effort, and the next launcher
-        falls back from the same trial.
+        A failing disk must not prevent the fall back: the state is stored on a best-effort basis, and if that fails,
+        the next launcher process falls back from the same trial.
 
         Args:
-            description: How it ended, for people.
+            description: The exit code or signal, for operators.
             now_ms: The time.
 
         Returns:
-            What has to be stored, and what to do next.
+            The state to store, and the next action.
         """
         was_stopping = self.phase == "stopping"
         self.phase = "down"
@@ -172,13 +172,13 @@
         if was_stopping:
             return None, self._start(now_ms)
         if self.state.is_on_trial:
-            self._set_version(self._fallen_back(self._timeout_reason or f"it ended with {description}"))
+            self._set_version(self._state_after_fall_back(self._timeout_reason or f"it ended with {description}"))
             return self.state, self._start(now_ms)
         self._schedule_restart(now_ms)
         return None, None
 
     def on_timer(self, now_ms: float) -> LauncherAction | None:
-        """Do what is due, if anything is."""
+        """Return the action that is due, if any."""
         if self.due_ms is None or now_ms < self.due_ms:
             return None
         self.due_ms = None
@@ -186,8 +186,8 @@
             return self._start(now_ms)
         if self.phase == "starting":
             timeout_s = self.state.start_timeout_ms / MS_PER_S
-            self._timeout_reason = f"it did not say within {timeout_s:g} s that its group hears it"
-            self.phase = "up"  # so that its exit counts as a failed trial
+            self._timeout_reason = f"it did not say within {timeout_s:g} s that it reaches a majority of its group"
+            self.phase = "up"  # on_exit then counts the exit as a failed trial, not as a requested stop
             return "kill"
         return "kill" if self.phase == "stopping" else None
 
@@ -209,7 +209,7 @@
         self.due_ms = now_ms + STOP_TIMEOUT_MS
         return "terminate"
 
-    def _fallen_back(self, reason: str) -> LauncherState:
+    def _state_after_fall_back(self, reason: str) -> LauncherState:
         """Return the state after a failed trial."""
         return LauncherState(
             generation=0,
@@ -234,17 +234,23 @@
 ) -> str:
     """Return why an agent may not be taken out of service now; empty where it may.
 
-    One voter goes at a time, and only if the remaining voters that are heard of form a majority: without one nothing
-    could be agreed on, the roll back of this release included.
+    Voters are taken out one at a time, and only while the remaining reachable voters form a majority: without a
+    majority the group cannot agree on anything, not even on rolling this release back.
+
+    Args:
+        voters: The agents that vote on the ledger.
+        out_agents: The agents that the release has out of service or on trial.
+        silent_agents: The agents without a recent report.
+        target: The agent to take out.
     """
     if target not in voters:
         return ""
-    out_voters = [name for name in voters if name in out_agents]
-    if out_voters:
-        return f"agent {out_voters[0]} votes too and is not done yet"
-    heard_voters = [name for name in voters if name != target and name not in silent_agents]
+    voters_out = [name for name in voters if name in out_agents]
+    if voters_out:
+        return f"agent {voters_out[0]} votes too and is not done yet"
+    reachable_voters = [name for name in voters if name != target and name not in silent_agents]
     majority = len(voters) // 2 + 1
-    if len(heard_voters) < majority:
-        heard = f"{len(heard_voters)} of {len(voters)}"
+    if len(reachable_voters) < majority:
+        heard = f"{len(reachable_voters)} of {len(voters)}"
         return f"without agent {target} {heard} that vote would be heard: no majority"
     return ""
--- a/elderlock/rollout/caspaxos.py
+++ b/elderlock/rollout/caspaxos.py
@@ -1,18 +1,18 @@
-"""Replicate one value over a majority of agents with CASPaxos, without I/O.
+"""Replicate one value over a majority of agents with CASPaxos. No I/O.
 
 CASPaxos is a replicated register without a log and without a leader (Denis Rystsov, "CASPaxos: Replicated State
-Machines without Logs", 2018). It is the single-decree synod of Paxos (Leslie Lamport, "The Part-Time Parliament",
-1998) whose proposer reads the register in the first phase and writes a function of it in the second:
+Machines without Logs", 2018). It is single-decree Paxos (Leslie Lamport, "The Part-Time Parliament", 1998) in which the
+proposer reads the register in the first phase and writes a function of its value in the second:
 
-1. prepare(ballot): each acceptor that has seen no greater ballot promises to accept no smaller one, and returns the
-   value that it accepted last with that value's ballot. Otherwise it answers with a conflict.
+1. prepare(ballot): an acceptor that has promised no greater ballot promises to accept no smaller one, and returns the
+   value that it accepted last with that value's ballot. Any other acceptor answers with a conflict.
 2. Once a majority has promised, the proposer takes the value with the greatest accepted ballot and applies its change
    function.
-3. accept(ballot, value): each acceptor that has not promised a greater ballot stores the new value. Once a majority
-   has accepted it, the value is chosen, and each later round reads it.
+3. accept(ballot, value): an acceptor that has not promised a greater ballot stores the new value. Once a majority has
+   accepted it, the value is chosen, and every later round reads it.
 
-Two concurrent proposers cost one of them a retry and cannot lose a chosen value. An acceptor stores its state durably
-before it answers.
+If two proposers run concurrently, one of them has to retry; a chosen value is never lost. An acceptor stores its state
+durably before it answers.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """A ballot number; totally ordered and unique.
 
     Attributes:
-        number: The counter that a proposer increases with each round.
+        number: A counter that the proposer increases with each round.
         proposer: The proposer's name with its epoch, so that no two proposers use the same ballot.
     """
 
@@ -41,7 +41,7 @@
     """An acceptor's answer to prepare or accept.
 
     Attributes:
-        ok: Whether the acceptor promised, or accepted; False for a conflict.
+        ok: Whether the acceptor promised or accepted; False for a conflict.
         promised: The greatest ballot that the acceptor has promised, also in a conflict.
         accepted: The ballot of `value`; only in a promise.
         value: The value that the acceptor accepted last; only in a promise.
@@ -54,7 +54,7 @@
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor stores durably; the attributes are those of `Acceptor`."""
+    """The state that an acceptor stores durably; see `Acceptor` for the attributes."""
 
     promised: Ballot
     accepted: Ballot
@@ -62,15 +62,15 @@
 
 
 class Acceptor:
-    """An acceptor's part of a round.
+    """The acceptor's side of a round.
 
-    Whoever owns an acceptor stores `durable_state()` before an answer leaves. An agent that may have lost that state
-    must not vote until `decide_join` allows it.
+    The caller has to store `durable_state()` before it sends an answer. An agent that may have lost that state must not
+    vote until `decide_join` allows it.
 
     Invariant: neither ballot ever decreases.
 
     Attributes:
-        promised: The greatest ballot that was promised.
+        promised: The greatest ballot that this acceptor has promised.
         accepted: The ballot of `value`.
         value: The value that was accepted last.
     """
@@ -81,18 +81,18 @@
         self.value = value
 
     def durable_state(self) -> AcceptorState:
-        """Return what has to be stored before an answer leaves."""
+        """Return the state to store before an answer is sent."""
         return AcceptorState(self.promised, self.accepted, self.value)
 
     def prepare(self, ballot: Ballot) -> Vote:
-        """Answer the first phase: promise a ballot that is greater than any before."""
+        """Answer the first phase: promise the ballot if it is greater than any before."""
         if ballot <= self.promised:
             return Vote(False, self.promised)
         self.promised = ballot
         return Vote(True, ballot, self.accepted, self.value)
 
     def accept(self, ballot: Ballot, value: bytes) -> Vote:
-        """Answer the second phase: accept a value unless a greater ballot was promised."""
+        """Answer the second phase: accept the value unless a greater ballot was promised."""
         if ballot < self.promised:
             return Vote(False, self.promised)
         self.promised = ballot
@@ -102,11 +102,11 @@
 
 
 class JoinDecision(Enum):
-    """What a voter that has just started has to do before it may vote."""
+    """The next step of a voter that has just started."""
 
     WAIT = "wait"
     VOTE = "vote"
-    RECOVER = "recover"  # its stored votes are lost: it has to read the register through the others first
+    RECOVER = "recover"  # its stored state is lost or outdated: it has to read the register from the other voters first
 
 
 def decide_join(
@@ -118,59 +118,62 @@
         voter_count: How many voters the group has, this one included.
         has_stored_state: Whether this voter found a stored acceptor state.
         promised: The greatest ballot that this voter has promised, as stored.
-        answers: What each other voter that answered says: the greatest ballot that it saw this voter promise, and
-            whether the other voter has never accepted a value.
+        answers: The answers of the other voters. Each holds the greatest ballot that the other voter saw this voter
+            promise, and whether the other voter has never accepted a value.
 
     Returns:
-        The decision, and why the voter may not vote yet.
+        The decision, and the reason why the voter may not vote yet.
     """
     other_count = voter_count - 1
     needed_count = voter_count // 2
-    if has_stored_state and all(seen <= promised for seen, _ in answers):
+    if has_stored_state and all(observed <= promised for observed, _ in answers):
         decision = JoinDecision.VOTE if len(answers) >= needed_count else JoinDecision.WAIT
-        return decision, f"{len(answers)} others have answered, {needed_count} have to"
+        return decision, f"{len(answers)} other voters have answered, {needed_count} are needed"
     if not has_stored_state and all(is_empty for _, is_empty in answers):
-        # In a group that has never chosen a value each new voter must hear all others. Recovering through them instead
-        # would make them promise, so that they are not empty any more, and all would wait for one another.
+        # In a group that has never chosen a value, each new voter needs an answer of every other voter. If it recovered
+        # instead, the others would have to promise and would no longer be empty, and all would wait for one another.
         decision = JoinDecision.VOTE if len(answers) == other_count else JoinDecision.WAIT
-        return decision, f"nothing was agreed on yet, as {len(answers)} of {other_count} others say"
-    return JoinDecision.RECOVER, "it has lost its votes, and reads them through the others"
+        return (
+            decision,
+            f"no value is chosen yet according to {len(answers)} of {other_count} other voters, all have to answer",
+        )
+    return JoinDecision.RECOVER, "it has lost its stored votes and is reading the register from the other voters"
 
 
 def recovery_read_count(voter_count: int) -> int:
-    """Return through how many others a voter that lost its state has to read the register.
+    """Return from how many other voters a voter that lost its state has to read the register.
 
-    With so many, every majority that the voter was part of has one of them.
+    This many intersect every majority that the voter was part of.
     """
     return voter_count - voter_count // 2
 
 
 class Phase(Enum):
-    """How far a round is."""
+    """The progress of a round."""
 
     PREPARE = "prepare"
     ACCEPT = "accept"
     CHOSEN = "chosen"
-    DECLINED = "declined"  # the change function declined to change the value that a majority holds
-    FAILED = "failed"  # a voter has seen a greater ballot, or too few voters answer
+    DECLINED = "declined"  # the change function left the value that a majority holds unchanged
+    FAILED = "failed"  # too few voters are left that can answer: the others have a greater ballot or do not answer
 
 
 ChangeFunction = Callable[[bytes], "bytes | None"]
 
 
 class Round:
-    """A proposer's part of one round.
+    """The proposer's side of one round.
 
     Invariant: `Phase.CHOSEN` means that a quorum accepted `value` under `ballot`. The value of a round that failed in
-    its second phase may have been chosen all the same: whoever retries must recognise its own change.
+    its second phase may be chosen nevertheless, so a change function that is retried must recognise its own change.
 
     Attributes:
         ballot: The ballot of the round.
         voters: The names of the acceptors.
         quorum: How many acceptors have to answer each phase.
-        phase: How far the round is.
-        value: The new value from the second phase on; the value read where the change was declined.
-        greatest_ballot: The greatest ballot that any answer named.
+        phase: The progress of the round.
+        value: The new value from the second phase on; the value that was read where the change was declined.
+        greatest_ballot: The greatest ballot in any answer.
     """
 
     def __init__(self, ballot: Ballot, voters: Iterable[str], change: ChangeFunction, quorum: int = 0) -> None:
@@ -180,8 +183,8 @@
             ballot: A ballot that was never used before.
             voters: The names of the acceptors.
             change: Returns the new value for the current one, or None to leave the register unchanged.
-            quorum: How many answers a phase needs; 0 for a majority. A voter that recovers may not count its own vote
-                and needs another number.
+            quorum: How many answers a phase needs; 0 for a majority. A recovering voter may not count its own vote and
+                passes `recovery_read_count`.
         """
         self.ballot = ballot
         self.voters = frozenset(voters)
@@ -195,7 +198,7 @@
         self._failed_voters: set[str] = set()
 
     def on_promise(self, voter: str, vote: Vote) -> None:
-        """Take an answer to prepare; the quorum's last promise starts the second phase."""
+        """Handle an answer to prepare; the promise that completes the quorum starts the second phase."""
         if self.phase is not Phase.PREPARE or voter not in self.voters:
             return
         if not vote.ok:
@@ -215,7 +218,7 @@
             self._failed_voters.clear()
 
     def on_acceptance(self, voter: str, vote: Vote) -> None:
-        """Take an answer to accept; the quorum's last acceptance chooses the value."""
+        """Handle an answer to accept; the acceptance that completes the quorum chooses the value."""
         if self.phase is not Phase.ACCEPT or voter not in self.voters:
             return
         if not vote.ok:
@@ -226,7 +229,7 @@
             self.phase = Phase.CHOSEN
 
     def on_no_answer(self, voter: str) -> None:
-        """Note that a voter will not answer this phase."""
+        """Record that a voter will not answer this phase."""
         if self.phase in (Phase.PREPARE, Phase.ACCEPT) and voter in self.voters:
             self._add_failed_voter(voter)
 
--- a/elderlock/rollout/disruption_budget.py
+++ b/elderlock/rollout/disruption_budget.py
@@ -1,10 +1,11 @@
-"""Decide how much of a group may be out of service at once, and whether more may be taken out. No I/O.
+"""Decide whether servers or limiters may be taken out of service under the group's disruption budget. No I/O.
 
 Everything that is out of service counts, whatever the cause: an operator's drain, an unused permit, discovery, an
-ejection by the limiters, a crash, or an unknown state. What is out involuntarily stops new disruption. It never blocks
-a repair, because only taking something out of service is checked against the budget.
+ejection by the limiters, a crash, or an unknown state. Involuntary outages therefore prevent further disruption. They
+never block a repair, because the budget is only checked when something is taken out of service.
 
-The idea is that of a Kubernetes PodDisruptionBudget, with bounds per zone, kind, weight and set of limiters.
+This is the concept of a Kubernetes PodDisruptionBudget, with additional bounds per zone, hardware kind, capacity weight
+and set of limiters.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=100_000)]
 Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
-FRACTION_TOLERANCE = 1e-9
+FRACTION_TOLERANCE = 1e-9  # absorbs floating-point rounding
 
 
 class DisruptionLimits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Bounds on the servers, or the limiters, that are out of service at once.
+    """Bounds on the servers, or on the limiters, that are out of service at the same time.
 
-    A count of 0 and a maximum fraction of 1 stand for no bound.
+    A count of 0 or a maximum fraction of 1 means that there is no bound.
 
     Attributes:
-        maximum_out: How many may be out.
+        maximum_out: The number that may be out.
         maximum_out_fraction: The fraction of all that may be out.
         zone_maximum_out_fraction: The fraction of each zone that may be out.
         kind_maximum_out_fraction: The fraction of each kind that may be out.
         weight_maximum_out_fraction: The fraction of the total weight that may be out.
-        minimum_in_service: How many must stay in service.
-        zone_minimum_in_service: How many of each zone must stay in service.
+        minimum_in_service: The number that must stay in service.
+        zone_minimum_in_service: The number in each zone that must stay in service.
     """
 
     maximum_out: Count = msgspec.field(name="most", default=0)
@@ -49,13 +50,13 @@
 class DisruptionBudget(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """The `[budget]` table of the group's file.
 
-    A customer is served by `set_size` limiters with consecutive numbers, so each such set has a bound of its own.
+    Each customer is served by `set_size` limiters with consecutive numbers, so each such set has its own bound.
 
     Attributes:
         servers: The bounds on servers.
         limiters: The bounds on limiters.
-        set_size: How many limiters with consecutive numbers form a set.
-        set_minimum_in_service: How many limiters of each set must stay in service.
+        set_size: The number of limiters with consecutive numbers that form a set.
+        set_minimum_in_service: The number of limiters of each set that must stay in service.
     """
 
     servers: DisruptionLimits = msgspec.field(
@@ -67,9 +68,9 @@
     set_minimum_in_service: Count = msgspec.field(name="set_least", default=1)
 
     def validation_error(self) -> str:
-        """Return how the budget contradicts itself; empty where it does not."""
+        """Return why the settings contradict each other; empty where they do not."""
         if self.set_minimum_in_service > self.set_size:
-            return f"set_least is {self.set_minimum_in_service}, and a set has {self.set_size} limiters"
+            return f"set_least is {self.set_minimum_in_service}, but a set has only {self.set_size} limiters (set_size)"
         return ""
 
 
@@ -92,12 +93,12 @@
 
 
 class Inventory(NamedTuple):
-    """What one agent knows of the group.
+    """The servers and limiters of a group, as one agent knows them.
 
     Attributes:
         servers: All known servers.
         limiters: All known limiters, in the order of their numbers.
-        insufficient_reason: Why too little is known to take anything out; empty where enough is known.
+        insufficient_reason: Why the agent knows too little to take anything out; empty where it knows enough.
     """
 
     servers: tuple[InventoryItem, ...]
@@ -109,22 +110,22 @@
         return self.servers if kind == "box" else self.limiters
 
     def unknown_names(self, kind: str, names: Iterable[str]) -> list[str]:
-        """Return the names that the inventory has no item for, sorted."""
+        """Return the names that are not in the inventory, sorted."""
         return sorted(set(names) - {item.name for item in self.items_of_kind(kind)})
 
     def lacks_knowledge_of(self, keys: Iterable[Key]) -> bool:
-        """Whether this agent knows too little to decide about `keys`, so that another agent has to be asked."""
+        """Whether this agent knows too little to decide about `keys`, so that another agent has to decide."""
         return bool(self.insufficient_reason) or any(self.unknown_names(kind, [name]) for kind, name in keys)
 
 
 class _Removal(NamedTuple):
-    """A set of items to check against the bounds of one kind.
+    """A set of items to take out of service, checked against the bounds for one kind.
 
     Attributes:
         kind: `box` or `limiter`.
         items: All items of that kind.
-        already_out: The names that are out before the removal.
-        removed: The names that the removal adds to them.
+        already_out: The names of the items that are out before the removal.
+        removed: The names of the items that the removal takes out.
     """
 
     kind: str
@@ -142,38 +143,38 @@
 
 
 def refusal_reasons(
-    budget: DisruptionBudget, inventory: Inventory, held: Mapping[Key, str], going: Iterable[Key]
+    budget: DisruptionBudget, inventory: Inventory, permit_holders: Mapping[Key, str], targets: Iterable[Key]
 ) -> list[str]:
-    """Return why `going` may not be taken out of service as well; empty where they may.
+    """Return why `targets` may not be taken out of service in addition; empty where they may.
 
-    What is already out costs nothing more. Permits must keep each bound by themselves too: what is out involuntarily
-    may be back a moment later, as all servers are that a power loss left warming up. A bound that `going` does not
-    touch is not checked, however far it is exceeded.
+    A target that is already out does not count again. The permits alone must respect each bound too, because what is
+    out involuntarily may be back at any moment: after a power loss, for example, all servers are out while they warm
+    up, and return together. A bound that the targets do not affect is not checked, however far it is exceeded.
 
     Args:
         budget: The bounds.
-        inventory: What is known of the group.
-        held: The targets that permits are held for, with the holder's name.
-        going: The targets to take out of service.
+        inventory: The group, as this agent knows it.
+        permit_holders: The targets for which permits are held, with the operator that holds each.
+        targets: The targets to take out of service.
     """
-    wanted = set(going)
+    requested = set(targets)
     reasons: list[str] = []
     for kind, limits in (("box", budget.servers), ("limiter", budget.limiters)):
         items = inventory.items_of_kind(kind)
         known_names = {item.name for item in items}
-        permitted = {name for held_kind, name in held if held_kind == kind and name in known_names}
-        wanted_names = {name for wanted_kind, name in wanted if wanted_kind == kind}
-        if unknown := inventory.unknown_names(kind, wanted_names):
+        permitted = {name for held_kind, name in permit_holders if held_kind == kind and name in known_names}
+        requested_names = {name for requested_kind, name in requested if requested_kind == kind}
+        if unknown := inventory.unknown_names(kind, requested_names):
             reasons.append(inventory.insufficient_reason or f"{kind} {', '.join(unknown)} is not known")
-        wanted_names &= known_names
+        requested_names &= known_names
         out_of_service = {item.name for item in items if item.out_reason} | permitted
         for already_out in (out_of_service, permitted):
-            removed = wanted_names - already_out
+            removed = requested_names - already_out
             if not removed:
                 continue
             removal = _Removal(kind, items, already_out, removed)
-            if refused := _removal_refusals(budget, limits, inventory.insufficient_reason, removal):
-                reasons += refused
+            if refusals := _removal_refusals(budget, limits, inventory.insufficient_reason, removal):
+                reasons += refusals
                 break
     return reasons
 
@@ -184,55 +185,55 @@
     """Return why one removal is refused; empty where it is not."""
     if insufficient_reason:
         return [insufficient_reason]
-    refused = _total_refusals(limits, removal)
-    refused += _zone_refusals(limits, removal)
-    refused += _kind_refusals(limits, removal)
+    refusals = _total_refusals(limits, removal)
+    refusals += _zone_refusals(limits, removal)
+    refusals += _kind_refusals(limits, removal)
     if removal.kind == "limiter":
-        refused += _set_refusals(budget, removal)
-    return refused
+        refusals += _set_refusals(budget, removal)
+    return refusals
 
 
 def _total_refusals(limits: DisruptionLimits, removal: _Removal) -> list[str]:
-    """Check the bounds on all items of a kind together."""
-    refused: list[str] = []
+    """Check the bounds on the total of all items of a kind."""
+    refusals: list[str] = []
     count = len(removal.items)
     out_count = len(removal.out_after)
     plural = removal.plural
     if limits.maximum_out and out_count > limits.maximum_out:
-        refused.append(f"{out_count} {plural} would be out, {limits.maximum_out} are the most")
+        refusals.append(f"{out_count} {plural} would be out, {limits.maximum_out} are the most")
     if _exceeds_fraction(out_count, count, limits.maximum_out_fraction):
-        refused.append(_fraction_text(out_count, count, limits.maximum_out_fraction, plural))
+        refusals.append(_fraction_text(out_count, count, limits.maximum_out_fraction, plural))
     out_weight = sum(item.weight for item in removal.items if item.name in removal.out_after)
     total_weight = sum(item.weight for item in removal.items)
     if _exceeds_fraction(out_weight, total_weight, limits.weight_maximum_out_fraction):
         unit = f"of all {plural}' weight"
-        refused.append(_fraction_text(out_weight, total_weight, limits.weight_maximum_out_fraction, unit))
+        refusals.append(_fraction_text(out_weight, total_weight, limits.weight_maximum_out_fraction, unit))
     if count - out_count < limits.minimum_in_service:
-        refused.append(f"{count - out_count} {plural} would be left, {limits.minimum_in_service} are the least")
-    return refused
+        refusals.append(f"{count - out_count} {plural} would be left, {limits.minimum_in_service} are the least")
+    return refusals
 
 
 def _zone_refusals(limits: DisruptionLimits, removal: _Removal) -> list[str]:
-    """Check the bounds on each zone that loses an item."""
-    refused: list[str] = []
+    """Check the bounds on each zone that the removal affects."""
+    refusals: list[str] = []
     for zone, members in _names_by_group((item.zone, item.name) for item in removal.items):
         if not members & removal.removed:
             continue
-        refused += _group_fraction_refusals(limits.zone_maximum_out_fraction, removal, zone, members)
-        left_count = len(members - removal.out_after)
+        refusals += _group_fraction_refusals(limits.zone_maximum_out_fraction, removal, zone, members)
+        remaining_count = len(members - removal.out_after)
         minimum = limits.zone_minimum_in_service
-        if left_count < minimum:
-            refused.append(f"{left_count} {removal.plural} of {zone} would be left, {minimum} are the least")
-    return refused
+        if remaining_count < minimum:
+            refusals.append(f"{remaining_count} {removal.plural} of {zone} would be left, {minimum} are the least")
+    return refusals
 
 
 def _kind_refusals(limits: DisruptionLimits, removal: _Removal) -> list[str]:
-    """Check the bound on each hardware kind that loses an item."""
-    refused: list[str] = []
+    """Check the bound on each hardware kind that the removal affects."""
+    refusals: list[str] = []
     for kind, members in _names_by_group((item.kind, item.name) for item in removal.items):
         if members & removal.removed:
-            refused += _group_fraction_refusals(limits.kind_maximum_out_fraction, removal, kind, members)
-    return refused
+            refusals += _group_fraction_refusals(limits.kind_maximum_out_fraction, removal, kind, members)
+    return refusals
 
 
 def _group_fraction_refusals(maximum_fraction: float, removal: _Removal, group: str, members: set[str]) -> list[str]:
@@ -243,7 +244,7 @@
 
 
 def _names_by_group(groups_and_names: Iterable[tuple[str, str]]) -> list[tuple[str, set[str]]]:
-    """Return each group with its members' names, sorted by group; names without a group are skipped."""
+    """Return each group with the names of its members, sorted by group; names without a group are skipped."""
     members: dict[str, set[str]] = defaultdict(set)
     for group, name in groups_and_names:
         if group:
@@ -252,21 +253,23 @@
 
 
 def _set_refusals(budget: DisruptionBudget, removal: _Removal) -> list[str]:
-    """Check the sets of limiters with consecutive numbers; the last number is followed by the first."""
+    """Check the sets of limiters with consecutive numbers; the numbering wraps around from the last to the first."""
     names = [item.name for item in removal.items]
     count = len(names)
     size = min(budget.set_size, count)
     minimum = min(budget.set_minimum_in_service, size)
     for first in range(count):
         members = [names[(first + offset) % count] for offset in range(size)]
-        left_count = sum(name not in removal.out_after for name in members)
-        if left_count < minimum and removal.removed.intersection(members):
-            return [f"of the set {', '.join(members)} {left_count} limiters would be left, {minimum} are the least"]
+        remaining_count = sum(name not in removal.out_after for name in members)
+        if remaining_count < minimum and removal.removed.intersection(members):
+            return [
+                f"of the set {', '.join(members)} {remaining_count} limiters would be left, {minimum} are the least"
+            ]
     return []
 
 
 def _exceeds_fraction(out: float, total: float, maximum_fraction: float) -> bool:
-    """Whether `out` is more than the fraction of `total`; a fraction of 1 is no bound."""
+    """Whether `out` exceeds the fraction of `total`; a fraction of 1 means no bound."""
     return maximum_fraction < 1.0 and total > 0 and out > maximum_fraction * total + FRACTION_TOLERANCE
 
 
@@ -278,23 +281,23 @@
     return "boxes" if kind == "box" else "limiters"
 
 
-def budget_status_lines(budget: DisruptionBudget, inventory: Inventory, held: Mapping[Key, str]) -> list[str]:
-    """Return what is out of service against the budget, as lines for people.
+def budget_status_lines(budget: DisruptionBudget, inventory: Inventory, permit_holders: Mapping[Key, str]) -> list[str]:
+    """Return lines for operators that list what is out of service, and the bounds.
 
     Args:
         budget: The bounds.
-        inventory: What is known of the group.
-        held: The targets that permits are held for, with the holder's name.
+        inventory: The group, as this agent knows it.
+        permit_holders: The targets for which permits are held, with the operator that holds each.
     """
     lines: list[str] = []
     for kind, limits in (("box", budget.servers), ("limiter", budget.limiters)):
         items = inventory.items_of_kind(kind)
-        permitted = {name for held_kind, name in held if held_kind == kind}
+        permitted = {name for held_kind, name in permit_holders if held_kind == kind}
         out_items = [item for item in items if item.out_reason or item.name in permitted]
-        bounds = ", ".join(_bound_texts(limits)) or "no bound but the least"
+        bounds = ", ".join(_bound_texts(limits)) or "no maximum"
         lines.append(f"{_plural(kind)}: {len(out_items)} of {len(items)} out; {bounds}")
         for item in out_items:
-            permit = f"permit of {held[kind, item.name]}" if item.name in permitted else ""
+            permit = f"permit of {permit_holders[kind, item.name]}" if item.name in permitted else ""
             causes = [cause for cause in (item.out_reason, permit) if cause]
             lines.append(f"  {item.name}: {'; '.join(causes)}")
     return lines
--- a/elderlock/rollout/inventory.py
+++ b/elderlock/rollout/inventory.py
@@ -1,4 +1,4 @@
-"""Build the inventory that the disruption budget counts, from what one agent knows of its group. No I/O."""
+"""Build the inventory for the disruption budget from the state that one agent knows of its group. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class KnownLimiter(NamedTuple):
-    """A limiter as its own agent, or another agent, reports it.
+    """A limiter, as reported by the agent that runs it or by another agent.
 
     Attributes:
         name: The limiter's name.
@@ -27,17 +27,17 @@
 def build_inventory(
     states: Sequence[LimiterState], limiters: Iterable[KnownLimiter], unheard_agents: Iterable[str]
 ) -> Inventory:
-    """Combine what the limiters report into one inventory.
+    """Combine the reports of the limiters into one inventory.
 
     Args:
         states: The states of this agent's own limiters, each of which sees all servers. A limiter that has received no
-            endpoint list yet (`list_age_ms` below 0) says nothing about servers.
+            endpoint list yet (`list_age_ms` below 0) knows no servers and is ignored.
         limiters: All limiters of the group, as far as known.
-        unheard_agents: The agents that this agent has heard nothing of since it started.
+        unheard_agents: The agents from which this agent has received nothing since it started.
     """
     insufficient_reason = ""
     if unheard := sorted(unheard_agents):
-        insufficient_reason = f"nothing was heard of {', '.join(unheard)} yet: what their limiters do is not known"
+        insufficient_reason = f"no report of {', '.join(unheard)} yet: the state of their limiters is not known"
     states_with_list = [state for state in states if state.list_age_ms >= 0]
     if not states_with_list:
         missing = "has a list" if states else "answers"
@@ -55,7 +55,7 @@
 
 
 def _server_item(uid: str, views: Sequence[ServerStatus]) -> InventoryItem:
-    """Combine several limiters' views of one server."""
+    """Combine several limiters' views of one server into an item."""
     weight = max(view.weight for view in views)
     return InventoryItem(uid, views[0].zone, views[0].kind, weight, _server_out_reason(views))
 
@@ -63,17 +63,17 @@
 def _server_out_reason(views: Sequence[ServerStatus]) -> str:
     """Return why a server is out of service; empty where it serves.
 
-    One limiter that knows of a drain is enough, as the others may not have heard of it yet. An ejection counts once
-    more than half of the limiters have ejected the server.
+    A drain counts as soon as one limiter knows of it, as the record may not have reached the others yet. An ejection
+    counts once more than half of the limiters have ejected the server.
     """
     for view in views:
         if view.state != "running":
-            return f"{view.state}, as discovery says"
+            return f"{view.state} in discovery"
         if view.drained_by:
             return f"drained by {view.drained_by}"
     ejection_reasons = [view.unavailable_reason for view in views if view.unavailable_reason]
     if 2 * len(ejection_reasons) > len(views):
-        return f"left out: {ejection_reasons[0]}"
+        return f"ejected: {ejection_reasons[0]}"
     return ""
 
 
--- a/elderlock/rollout/metrics_history.py
+++ b/elderlock/rollout/metrics_history.py
@@ -8,10 +8,10 @@
 
 from elderlock.rollout.canary_analysis import AnswerMetrics, ComparisonWindow
 
-BASELINE_MS = 60_000.0  # of metrics before a trial that form its baseline
+BASELINE_MS = 60_000.0  # the period before a trial whose metrics form its baseline
 MINIMUM_BASELINE_MS = BASELINE_MS / 4
 HISTORY_MS = 4 * BASELINE_MS
-SAMPLE_INTERVAL_MS = 5000.0  # between two samples with equal totals
+SAMPLE_INTERVAL_MS = 5000.0  # between two samples while the totals do not change
 
 
 class _Sample(NamedTuple):
@@ -22,11 +22,11 @@
 
 
 class _ProcessMetrics(NamedTuple):
-    """A limiter's counters across restarts.
+    """A limiter's counters, continued across restarts of its process.
 
     Attributes:
-        earlier: The sum over the processes before the current one.
-        latest: The last counters of the current process.
+        earlier: The sum over all processes before the current one.
+        latest: The latest counters of the current process.
     """
 
     earlier: AnswerMetrics
@@ -36,8 +36,8 @@
 class MetricsHistory:
     """The metrics of all limiters over the last minutes.
 
-    Each agent records them whether it leads a plan or not, so that one that takes a plan over knows the baselines. The
-    totals continue over a restart of a limiter, so that its own past can be compared with.
+    Every agent records them, whether it leads a plan or not, so that an agent that takes over a plan has the baselines.
+    The totals continue across restarts of a limiter, so that it can be compared with its own past.
     """
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         if is_same_report and now_ms - self._sampled_at_ms.get(name, now_ms) <= SAMPLE_INTERVAL_MS:
             return
         if metrics.since(latest) is None:
-            earlier = earlier.plus(latest)  # a new process counts from zero
+            earlier = earlier.plus(latest)  # a new process starts counting at zero
         self._processes[name] = _ProcessMetrics(earlier, metrics)
         total = earlier.plus(metrics)
         samples = self._samples.setdefault(name, deque())
@@ -68,10 +68,10 @@
         Args:
             name: The limiter.
             start_ms: When the trial began.
-            settled_ms: When the settling time of the trial was over.
+            settled_ms: When the settling time of the trial ended.
 
         Returns:
-            The window, with a baseline where enough is known of the time before; None where nothing is known.
+            The window, with a baseline where the history reaches back far enough; None where there is no sample.
         """
         samples = self._samples.get(name)
         if not samples:
@@ -90,10 +90,10 @@
 
 def _total_at(samples: Iterable[_Sample], at_ms: float) -> AnswerMetrics:
     """Return the last total recorded up to a time; the first total where none is that old."""
-    found: AnswerMetrics | None = None
+    latest_total: AnswerMetrics | None = None
     for sample in samples:
-        if found is not None and sample.at_ms > at_ms:
+        if latest_total is not None and sample.at_ms > at_ms:
             break
-        found = sample.total
-    assert found is not None
-    return found
+        latest_total = sample.total
+    assert latest_total is not None
+    return latest_total
--- a/elderlock/rollout/permit_ledger.py
+++ b/elderlock/rollout/permit_ledger.py
@@ -1,13 +1,13 @@
-"""Hold what a group has agreed on: the permits to take something out of service, and the plans. No I/O.
+"""The state that a group has agreed on: the permits to take targets out of service, and the plans. No I/O.
 
-The ledger is the one value of the replicated register (`elderlock.rollout.caspaxos`), and each change is a function
-from one ledger to the next.
+The ledger is the value of the replicated register (`elderlock.rollout.caspaxos`). Each change is a function from one
+ledger to the next.
 
-A permit counts as out of service from the moment it is chosen, used or not, until nobody can act on it any more: its
-target has a newer, undrained record, and every limiter of the group holds that record or is known to start with it.
-Limiters refuse older records, so the generation of the permit is a fencing token: the permit's own record cannot come
-into force again, even through a process that was suspended meanwhile. A permit does not expire by time, so no clock
-has to be trusted.
+The target of a permit counts as out of service from the moment the permit is chosen, used or not, until no process can
+act on the permit any more. That is the case once the target has a newer record that undrains it, and every limiter of
+the group holds that record or is known to start with it. Limiters refuse older records, so the generation of the permit
+is a fencing token: the permit's own record cannot take effect again, even if a process that was suspended resumes and
+sends it. A permit does not expire after a time, so its safety does not depend on clocks.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from elderlock.rollout.plans import Plan
 
 LEDGER_FORMAT = 2
-READABLE_FORMATS = (1, 2)  # a ledger of format 1 has permits alone
+READABLE_FORMATS = (1, 2)  # a ledger of format 1 has only permits
 MAXIMUM_PERMITS = 5000
 
 
 class LedgerError(Exception):
-    """An encoded ledger that this program cannot read."""
+    """An encoded ledger cannot be decoded."""
 
 
 class Permit(msgspec.Struct, frozen=True):
@@ -36,12 +36,12 @@
     Attributes:
         kind: Whether the target is a server (`box`) or a limiter.
         target: A server's uid or a limiter's name.
-        origin: The unique id of the command that asked for the permit.
-        requested_by: The operator that asked.
-        reason: The operator's reason, for people.
+        origin: The unique id of the command that requested the permit.
+        requested_by: The operator that requested it.
+        reason: The operator's reason, for display.
         generation: The generation of the drain record that the permit allows.
         ledger_version: The version of the first ledger that contains the permit.
-        requested_at_unix_ms: When it was asked for, for people.
+        requested_at_unix_ms: When it was requested, for display.
     """
 
     kind: Kind
@@ -64,12 +64,12 @@
     """A request for permits.
 
     Attributes:
-        targets: What to take out of service.
-        origin: The unique id of the command that asks.
-        requested_by: The operator that asks.
-        reason: The operator's reason, for people.
+        targets: The targets to take out of service.
+        origin: The unique id of the command that requests them.
+        requested_by: The operator that requests them.
+        reason: The operator's reason, for display.
         known_generation: The greatest generation of any record that the granting agent knows.
-        requested_at_unix_ms: When it was asked, for people.
+        requested_at_unix_ms: The time of the request, for display.
     """
 
     targets: tuple[tuple[Kind, str], ...]
@@ -81,17 +81,17 @@
 
 
 class Ledger(msgspec.Struct, frozen=True):
-    """Everything that a group has agreed on.
+    """The state that a group has agreed on.
 
     Attributes:
         format: The format of the encoded ledger.
-        version: How many changes have been made.
-        generation: The greatest generation that was assigned to a record.
+        version: The number of changes made so far.
+        generation: The greatest generation assigned to a record so far.
         permits: The permits in force.
-        plans: The plans under way and the last finished ones, oldest first.
-        limiter_versions: The version that each limiter has to run, by limiter name, where that is not the one in its
-            agent's file.
-        given_up: The agents that an operator declared lost for good, by agent name, with the operator's name.
+        plans: The plans under way and the most recent finished ones, oldest first.
+        limiter_versions: Pairs of a limiter's name and the version that it has to run, where that is not the version in
+            its agent's configuration file.
+        given_up: Pairs of the name of an agent that was declared permanently lost, and the operator that did so.
     """
 
     format: int = LEDGER_FORMAT
@@ -103,11 +103,11 @@
     given_up: tuple[tuple[str, str], ...] = ()
 
     def permit_holders(self) -> dict[Key, str]:
-        """Return the targets that permits are held for, with the operator that holds each."""
+        """Return the targets for which permits are held, with the operator that holds each."""
         return {permit.key: permit.requested_by for permit in self.permits}
 
     def permits_of_origin(self, origin: str) -> tuple[Permit, ...]:
-        """Return the permits that the command `origin` asked for."""
+        """Return the permits that the command `origin` requested."""
         return tuple(permit for permit in self.permits if permit.origin == origin)
 
     def find_permit(self, key: Key) -> Permit | None:
@@ -129,10 +129,10 @@
 
 
 def decode_ledger(value: bytes) -> Ledger:
-    """Decode a value of the register; an empty value is an empty ledger.
+    """Decode a value of the register; an empty value stands for an empty ledger.
 
     Raises:
-        LedgerError: The value is malformed, or of a format that this program does not know.
+        LedgerError: The value is malformed, or its format is not supported.
     """
     if not value:
         return Ledger()
@@ -141,7 +141,7 @@
     except msgspec.DecodeError as error:
         raise LedgerError(f"the ledger cannot be read: {error}") from None
     if ledger.format not in READABLE_FORMATS:
-        raise LedgerError(f"the ledger is of format {ledger.format}, this agent's is {LEDGER_FORMAT}")
+        raise LedgerError(f"the ledger has format {ledger.format}, this agent reads formats {READABLE_FORMATS}")
     return msgspec.structs.replace(ledger, format=LEDGER_FORMAT)
 
 
@@ -150,29 +150,29 @@
 ) -> Ledger | list[str]:
     """Grant permits for all targets of a request, or for none.
 
-    A command that asks again under the same origin gets the ledger unchanged.
+    A request that is repeated under the same origin leaves the ledger unchanged.
 
     Args:
         ledger: The ledger to change.
-        request: What is asked for.
+        request: The request.
         budget: The bounds that the permits have to respect.
-        inventory: What the granting agent knows of the group.
+        inventory: The group, as the granting agent knows it.
 
     Returns:
         The ledger with the permits, or the reasons for the refusal.
     """
-    wanted = tuple(dict.fromkeys(request.targets))
-    own_permits = ledger.permits_of_origin(request.origin)
-    if own_permits and {permit.key for permit in own_permits} >= set(wanted):
+    targets = tuple(dict.fromkeys(request.targets))
+    earlier_permits = ledger.permits_of_origin(request.origin)
+    if earlier_permits and {permit.key for permit in earlier_permits} >= set(targets):
         return ledger
     holders = ledger.permit_holders()
-    conflicts = [f"{key[0]} {key[1]} has a permit of {holders[key]}" for key in wanted if key in holders]
+    conflicts = [f"{key[0]} {key[1]} has a permit of {holders[key]}" for key in targets if key in holders]
     if conflicts:
         return conflicts
-    if len(ledger.permits) + len(wanted) > MAXIMUM_PERMITS:
-        return [f"{len(ledger.permits)} permits are out, {MAXIMUM_PERMITS} are the most"]
-    if refused := refusal_reasons(budget, inventory, holders, wanted):
-        return refused
+    if len(ledger.permits) + len(targets) > MAXIMUM_PERMITS:
+        return [f"{len(ledger.permits)} permits are in force, {len(targets)} more would exceed {MAXIMUM_PERMITS}"]
+    if refusals := refusal_reasons(budget, inventory, holders, targets):
+        return refusals
     version = ledger.version + 1
     generation = max(ledger.generation, request.known_generation) + 1
     permits = tuple(
@@ -186,17 +186,17 @@
             version,
             request.requested_at_unix_ms,
         )
-        for kind, target in wanted
+        for kind, target in targets
     )
     return msgspec.structs.replace(ledger, version=version, generation=generation, permits=(*ledger.permits, *permits))
 
 
 def release_fenced_permits(ledger: Ledger, fenced: Mapping[Key, int]) -> Ledger | None:
-    """Remove the permits that nobody can act on any more.
+    """Remove the permits that no process can act on any more.
 
     Args:
         ledger: The ledger to change.
-        fenced: By target, a generation such that every limiter refuses older records of the target.
+        fenced: For each target, a generation such that every limiter refuses the target's older records.
 
     Returns:
         The changed ledger; None where no permit can be removed.
@@ -222,6 +222,7 @@
 def is_permit_valid(ledger: Ledger, permit: Permit) -> bool:
     """Whether a permit may be acted on, as far as this agent knows.
 
-    A permit of a later version than `ledger` cannot be checked here and counts as valid; any other has to be in it.
+    A permit that was granted in a later version than `ledger` cannot be checked here and counts as valid. Any other
+    permit has to be in the ledger.
     """
     return permit.ledger_version > ledger.version or ledger.find_permit(permit.key) == permit
--- a/elderlock/rollout/plan_executor.py
+++ b/elderlock/rollout/plan_executor.py
@@ -1,8 +1,8 @@
-"""Decide what the agent in charge of a target does for a plan: drain, stop, start on a version, report. No I/O.
+"""Decide how the agent that runs a target carries out a plan: drain, switch the version, undrain, report. No I/O.
 
-What takes a target out of service (drain, switch) is done only for a unit that the ledger has as out, and only after
-the caller has read the ledger through a majority, so that an agent that was suspended learns first what happened
-meanwhile. What brings a target back (start, undrain) needs no confirmation.
+Actions that take a target out of service (drain, switch) are carried out only for a unit in the stage `out`, and only
+after the caller has read the ledger through a majority, so that an agent that was suspended first learns of the changes
+made in the meantime. Actions that bring a target back into service (start, undrain) need no such confirmation.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 
 
 class LimiterObservation(NamedTuple):
-    """A limiter as its agent sees it.
+    """The state of a limiter, as its agent sees it.
 
     Attributes:
         version: The version that its process runs, or was last set to.
         phase: The state of its process.
-        is_drained: Whether its record says that it is drained.
+        is_drained: Whether its current record drains it.
         generation: The generation of its record.
-        open_requests: How many requests are open at it, by its own report since it holds the drain; -1 before that.
+        open_requests: The number of requests in flight at it, as it reports since it received the drain record; -1
+            before.
         is_up: Whether it answers and has its endpoint list.
         restarts: How often its process was restarted after a crash.
-        error: The last error of its process, for people.
+        error: The last error of its process, for operators.
     """
 
     version: str
@@ -42,12 +43,12 @@
 
 
 class ExecutionProgress(NamedTuple):
-    """How far an agent is with a unit, for the leader of the plan.
+    """The progress of an agent with a unit, as reported to the leader of the plan.
 
     Attributes:
         generation: The generation of the unit.
-        stage: An `ExecutionStage`; empty before the first. Other versions of agents may send other texts.
-        reason: Why it is at that stage, for people.
+        stage: An `ExecutionStage`; empty before the first one. Agents of other versions may send other values.
+        reason: Why it is at that stage, for operators.
     """
 
     generation: int = 0
@@ -56,7 +57,7 @@
 
 
 class _UnitKey(NamedTuple):
-    """What a plan wants of a limiter."""
+    """The unit, stage and version that the executor currently works on."""
 
     plan_id: str
     generation: int
@@ -65,12 +66,13 @@
 
 
 class LimiterPlanExecutor:
-    """What an agent does with one of its limiters.
+    """Carries out a plan for one of the agent's limiters.
 
-    Invariant: while a unit is out, `next_action` asks for no second switch to a version after `on_switched`.
+    Invariant: while a unit is out, `next_action` does not return a second `switch` to the same version after
+    `on_switched`.
 
     Attributes:
-        progress: What to report to the leader.
+        progress: The progress to report to the leader.
     """
 
     def __init__(self) -> None:
@@ -81,21 +83,21 @@
         self._restarts_at_switch = 0
 
     def on_switched(self, now_ms: float, restarts: int) -> None:
-        """Note that the limiter was set to the version that it has to run."""
+        """Record that the limiter was switched to the version that it has to run."""
         self._switched_at_ms = now_ms
         self._restarts_at_switch = restarts
 
     def next_action(
         self, plan: Plan, unit: Unit, observation: LimiterObservation, now_ms: float, halted: bool
     ) -> LimiterAction | None:
-        """Return what to do next, and set `progress`.
+        """Return the next action, and update `progress`.
 
         Args:
-            plan: The plan as the ledger has it.
+            plan: The plan in the ledger.
             unit: The plan's unit for the limiter.
-            observation: The limiter.
+            observation: The state of the limiter.
             now_ms: The time on the monotonic clock.
-            halted: Whether the plan is halted, also where only this agent has heard of it yet.
+            halted: Whether the plan is halted, in the ledger or by a halt that only this agent has received yet.
         """
         key = _UnitKey(plan.id, unit.generation, unit.stage, plan.target_version(unit))
         if key != self._unit_key:
@@ -112,13 +114,13 @@
     def _out_action(
         self, plan: Plan, unit: Unit, observation: LimiterObservation, now_ms: float, halted: bool
     ) -> LimiterAction | None:
-        """Drain the limiter, then switch it, then wait for it to start."""
+        """Drain the limiter, switch it, then wait for it to start."""
         if observation.generation > unit.generation and not observation.is_drained:
             self._report(unit, "failed", "its permit was taken back")
             return None
         is_on_version = observation.version == plan.target_version(unit)
         runs_version = is_on_version and (observation.is_up or observation.phase != "running")
-        # While the process before is still ending, a second switch would end its successor.
+        # A second switch while the previous process is still exiting would stop the new process.
         if self._switched_at_ms is not None or runs_version:
             self._report_start(plan, unit, observation, now_ms)
             return None
@@ -137,14 +139,14 @@
         return "switch"
 
     def _report_start(self, plan: Plan, unit: Unit, observation: LimiterObservation, now_ms: float) -> None:
-        """Report whether the limiter comes up on the version that it was set to, and stays up."""
+        """Report whether the limiter starts on the version that it was switched to, without crashing."""
         if self._switched_at_ms is None:
-            # An agent before this one has set it, or it ran that version already.
+            # A previous process of this agent switched it, or it ran that version already.
             self.on_switched(now_ms, observation.restarts)
         assert self._switched_at_ms is not None
         start_timeout_s = plan.policy.start_timeout_s
-        # Only an exit counts as a crash. A start that is held back for a moment, as the socket is still in use after a
-        # crash of the version before, is in the phase `backing-off` as well.
+        # Only an exit counts as a crash. The phase `backing-off` alone does not: a start that is delayed because the
+        # socket is still in use after a crash of the previous version has that phase too.
         if observation.phase == "gave-up" or observation.restarts > self._restarts_at_switch:
             self._report(unit, "failed", f"it crashed as it started: {observation.error or observation.phase}")
         elif observation.is_up and observation.version == plan.target_version(unit):
@@ -156,7 +158,7 @@
             self._report(unit, "starting", observation.error)
 
     def _in_service_action(self, unit: Unit, observation: LimiterObservation) -> LimiterAction | None:
-        """Undrain the limiter, then wait for it to serve."""
+        """Undrain the limiter, then wait until it serves."""
         if observation.generation < unit.generation:
             return "undrain"
         if observation.is_up and not observation.is_drained:
@@ -171,21 +173,21 @@
 
 def _drain_text(open_requests: int) -> str:
     if open_requests > 0:
-        return f"{open_requests} requests are open"
-    return "it has not said that it holds the drain"
+        return f"{open_requests} requests are in flight"
+    return "it has not confirmed the drain record yet"
 
 
 class AgentObservation(NamedTuple):
-    """An agent as it sees itself.
+    """The state of an agent, as it sees itself.
 
     Attributes:
         version: The version that it runs.
-        generation: The generation of the request that its launcher started it for.
+        generation: The generation of the switch request for which its launcher started it.
         is_on_trial: Whether that version is on trial.
-        failed_generation: The generation of the request whose version its launcher last fell back from.
-        failure_reason: Why its launcher fell back.
-        has_majority: Whether a majority of the group has answered it since its start.
-        is_serving: Whether it serves, with all its limiters that have to run.
+        failed_generation: The generation of the switch request whose version failed its trial last.
+        failure_reason: Why its launcher fell back from that version.
+        has_majority: Whether it has had answers of a majority of the group since its start.
+        is_serving: Whether the agent and all its limiters that have to run are in service.
     """
 
     version: str
@@ -200,16 +202,17 @@
 def next_agent_action(
     plan: Plan, unit: Unit, observation: AgentObservation, halted: bool
 ) -> tuple[ExecutionProgress, AgentAction | None]:
-    """Decide what an agent does for a release of agents that includes it.
+    """Decide the next action of an agent in a release of agents that includes it.
 
     Args:
-        plan: The plan as the ledger has it.
+        plan: The plan in the ledger.
         unit: The plan's unit for the agent.
-        observation: The agent.
-        halted: Whether the plan is halted, also where only this agent has heard of it yet.
+        observation: The state of the agent.
+        halted: Whether the plan is halted, in the ledger or by a halt that only this agent has received yet.
 
     Returns:
-        What to report to the leader, and what to do: `switch` once a majority confirms it, `settle` to end the trial.
+        The progress to report to the leader, and the action: `switch`, for which the caller needs the confirmation of a
+        majority, or `settle` to end the trial.
     """
     if unit.stage == "out":
         return _agent_out_action(plan, unit, observation, halted)
@@ -241,12 +244,12 @@
         may_settle = unit.stage == "done" and observation.is_on_trial and observation.is_serving
         return progress, "settle" if may_settle else None
     if unit.stage == "done" and observation.failed_generation < unit.generation:
-        # The unit was finished while this agent was suspended, and its launcher fell back before the trial was settled.
-        # It switches once more, and once only: the launcher ignores a request that is not newer than its last failure.
+        # The unit was finished while this agent was suspended, and its launcher fell back before the trial was ended.
+        # The agent switches exactly once more: the launcher ignores a request that is not newer than its last failure.
         return ExecutionProgress(unit.generation, "switching"), "switch"
-    reason = observation.failure_reason or f"it runs {observation.version or 'the version of the files'}"
+    reason = observation.failure_reason or f"it runs {observation.version or 'the configured version'}"
     return _fell_back(unit, version, reason), None
 
 
 def _fell_back(unit: Unit, version: str, reason: str) -> ExecutionProgress:
-    return ExecutionProgress(unit.generation, "failed", f"its base fell back from version {version}: {reason}")
+    return ExecutionProgress(unit.generation, "failed", f"its launcher fell back from version {version}: {reason}")
--- a/elderlock/rollout/plan_leader.py
+++ b/elderlock/rollout/plan_leader.py
@@ -1,8 +1,8 @@
 """Decide the next action of the agent that leads a plan, from the plan and the reports on its targets. No I/O.
 
 Each action is carried out as one transition of the ledger (`elderlock.rollout.plan_transitions`) under the leader's
-term. All state here may be lost: a leader that takes over starts its waits anew, which makes the plan slower and never
-less careful.
+term. The state in this module may be lost: a new leader restarts all waiting times, which delays the plan but weakens
+none of its checks.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 
 class LeaderAction(NamedTuple):
-    """What the leader does next.
+    """An action of the leader.
 
     Attributes:
-        kind: `send` takes targets out of service, `serve` puts one back on trial, `pass` finishes targets, `close` ends
-            the plan, `halt` halts it.
-        targets: The targets that the action is about.
+        kind: `send` takes targets out of service, `serve` puts one target back into service on trial, `pass` finishes
+            targets, `close` ends the plan, `halt` halts it.
+        targets: The targets of the action.
         reason: Why the plan halts.
     """
 
@@ -55,7 +55,7 @@
 
 
 class _WaveStart(NamedTuple):
-    """When a wave became due."""
+    """The time at which a wave in a direction became due."""
 
     wave: int
     direction: str
@@ -66,8 +66,8 @@
     """The times of a trial.
 
     Attributes:
-        start_ms: When the last unit on trial was seen to serve.
-        settled_ms: When the settling time is over.
+        start_ms: When the last unit on trial began to serve, as the leader saw it.
+        settled_ms: When the settling time ends.
         is_due: Whether the bake time is over.
         is_final: Whether the maximum bake time is over.
     """
@@ -81,11 +81,11 @@
 class PlanLeader:
     """The leader of one plan in one term.
 
-    Invariant: it takes no unit of a wave out before all units of the wave before are done, and none while anything that
-    the plan acted on is known to be faulty.
+    Invariant: it takes no unit of a wave out of service before all units of the previous wave are done, and none at all
+    while a unit that the plan has acted on is known to be faulty. A roll back skips units without a recent report.
 
     Attributes:
-        waiting_for: What the plan waits for, for people.
+        waiting_for: What the plan waits for, for operators.
     """
 
     def __init__(self, now_ms: float, history: MetricsHistory) -> None:
@@ -94,31 +94,31 @@
         self._stage_since_ms: dict[_StageKey, float] = {}
         self._first_restarts: dict[tuple[str, int], int] = {}  # by target and generation
         self._serving_since_ms: dict[tuple[str, int], float] = {}  # on trial, by target and generation
-        self._blocked_since_ms: float | None = None  # nothing may be taken out, and nothing is under way
-        self._send_count = 0  # how many are taken out at once; 0 for all of the wave
+        self._blocked_since_ms: float | None = None  # since when nothing may be taken out while nothing is under way
+        self._send_count = 0  # the number of targets to take out at once; 0 for all of the wave
         self._retry_at_ms = 0.0
-        self._rotation = 0  # which target is tried first, so that one that is refused does not block the others
+        self._rotation = 0  # the index of the target to try first, so that a refused target does not block the others
         self._wave_start = _WaveStart(-1, "", now_ms)
         self._analyzed_at_ms = 0.0
 
     def on_refused(self, reasons: Iterable[str], count: int, now_ms: float) -> None:
-        """Note that the ledger refused to take `count` targets out at once."""
+        """Handle the refusal of the ledger to take `count` targets out of service at once."""
         self._send_count = max(1, count // 2)
         self._rotation += count == 1
         self._retry_at_ms = now_ms + BUDGET_RETRY_MS
         self.waiting_for = tuple(reasons)
 
     def on_sent(self) -> None:
-        """Note that the ledger took targets out."""
+        """Handle the confirmation that targets were taken out of service."""
         self._blocked_since_ms = None
         self.waiting_for = ()
 
     def next_action(self, plan: Plan, reports: Mapping[str, TargetReport], now_ms: float) -> LeaderAction | None:
-        """Return what to do next; None to wait, `waiting_for` then says for what.
+        """Return the next action; None to wait, with the reason in `waiting_for`.
 
         Args:
-            plan: The plan as the ledger has it.
-            reports: The reports on the targets, and on the limiters that the plan does not act on, by name.
+            plan: The plan in the ledger.
+            reports: The reports by name, on the targets and on the limiters that the plan does not act on.
             now_ms: The time on the monotonic clock.
         """
         if plan.state != "running":
@@ -140,7 +140,7 @@
     # Faults
 
     def _fault(self, plan: Plan, reports: Mapping[str, TargetReport], now_ms: float) -> str:
-        """Return why the plan has to halt by itself; empty where no fault is known."""
+        """Return the fault for which the plan has to halt; empty where no fault is known."""
         for unit in plan.units:
             is_finished_rollback = unit.direction == "back" and unit.stage == "done"
             if unit.direction != plan.direction or unit.stage == "waiting" or is_finished_rollback:
@@ -155,25 +155,25 @@
         return ""
 
     def _silence_fault(self, unit: Unit, now_ms: float) -> str:
-        """Check a unit that nothing is heard of.
+        """Check a unit without a recent report.
 
-        A roll back goes on: to halt it would leave more units on the version that is to be left.
+        A roll back continues, because halting it would leave more units on the faulty version.
         """
         silent_for_ms = now_ms - self._stage_since_ms[_stage_key(unit)]
         if silent_for_ms <= SILENT_AFTER_MS or unit.stage == "done" or unit.direction == "back":
             return ""
-        return f"too little is known: nothing was heard of {unit.target} for {SILENT_AFTER_MS / MS_PER_S:g} s"
+        return f"too little is known: no report on {unit.target} for {SILENT_AFTER_MS / MS_PER_S:g} s"
 
     def _reported_fault(self, plan: Plan, unit: Unit, report: TargetReport) -> str:
-        """Check a unit's report for a failed start or a crash."""
+        """Check the report on a unit for a failed start or a crash."""
         if report.generation == unit.generation and report.stage == "failed":
-            prefix = "on the way back, " if unit.direction == "back" else ""
+            prefix = "during the roll back, " if unit.direction == "back" else ""
             return f"{prefix}{unit.target}: {report.reason}"
         if unit.stage not in ("trial", "done") or unit.direction == "back":
             return ""
         first_restarts = self._first_restarts.setdefault((unit.target, unit.generation), report.restarts)
         if report.restarts > first_restarts or report.phase in ("backing-off", "gave-up"):
-            return f"{unit.target} crashed on {plan.version or 'the version of the files'}"
+            return f"{unit.target} crashed on {plan.version or 'the configured version'}"
         return ""
 
     # Releases
@@ -199,7 +199,7 @@
     def _trial_action(
         self, plan: Plan, on_trial: list[Unit], reports: Mapping[str, TargetReport], now_ms: float
     ) -> LeaderAction | None:
-        """Wait for the units on trial to serve, then for the outcome of their trial."""
+        """Wait for the units on trial to serve, then for the verdict on their trial."""
         not_serving = [unit for unit in on_trial if not is_heard_serving(reports.get(unit.target))]
         if not_serving:
             return self._await_serving(not_serving, plan.policy.start_timeout_s, now_ms)
@@ -225,14 +225,16 @@
         names = ", ".join(unit.target for unit in not_serving)
         longest_ms = max(now_ms - self._stage_since_ms[_stage_key(unit)] for unit in not_serving)
         if longest_ms > MS_PER_S * timeout_s:
-            return LeaderAction("halt", reason=f"{names} does not serve, {timeout_s:g} s after it may")
+            return LeaderAction(
+                "halt", reason=f"{names} did not serve within {timeout_s:g} s of the start of the trial"
+            )
         self.waiting_for = (f"{names} to serve again",)
         return None
 
     def _agents_trial_action(
         self, policy: RolloutPolicy, serving_since_ms: dict[str, float], now_ms: float
     ) -> LeaderAction | None:
-        """Finish the agents that have served long enough; an agent answers no requests that could be compared."""
+        """Finish the agents that have served long enough; agents have no request metrics to compare."""
         self.waiting_for = (f"{', '.join(serving_since_ms)} on trial",)
         trial_ms = MS_PER_S * (policy.settle_time_s + policy.bake_time_s)
         passed = tuple(name for name, since_ms in serving_since_ms.items() if now_ms - since_ms >= trial_ms)
@@ -241,12 +243,12 @@
     def _verdict(
         self, plan: Plan, names: tuple[str, ...], reports: Mapping[str, TargetReport], timing: _TrialTiming
     ) -> Verdict:
-        """Compare the limiters on trial with those that are not yet released."""
+        """Compare the limiters on trial with the control group."""
         controls = _control_names(plan, reports)
         released = [window for name in names if (window := self._window(name, timing)) is not None]
         control = [window for name in controls if (window := self._window(name, timing)) is not None]
         if len(released) < len(names) or not control:
-            return Verdict("unclear", "no figures to compare with")
+            return Verdict("unclear", "no metrics to compare with")
         return analyze_canary(released, control, timing.is_due, timing.is_final)
 
     def _window(self, name: str, timing: _TrialTiming) -> ComparisonWindow | None:
@@ -257,13 +259,13 @@
     ) -> LeaderAction | None:
         if verdict.kind == "bad":
             return LeaderAction("halt", reason=f"{', '.join(names)}: {verdict.text}")
-        left_s = (timing.settled_ms - now_ms) / MS_PER_S + plan.policy.bake_time_s
-        remaining = f", {left_s:.0f} s more" if left_s > 0 else ""
+        remaining_s = (timing.settled_ms - now_ms) / MS_PER_S + plan.policy.bake_time_s
+        remaining = f", {remaining_s:.0f} s left" if remaining_s > 0 else ""
         self.waiting_for = (f"{', '.join(names)} on trial, {verdict.text}{remaining}",)
         wave = plan.current_wave()
         if any(unit.stage in ("waiting", "out") for unit in plan.units if unit.wave == wave):
             return None
-        # A limiter with hardly any traffic never gets a clear verdict, and must not hold the plan up for ever.
+        # A limiter with little traffic never gets a clear verdict. It must not block the plan for ever.
         if (timing.is_due and verdict.kind == "good") or timing.is_final:
             return LeaderAction("pass", names)
         return None
@@ -287,7 +289,9 @@
             return LeaderAction("pass", tuple(done))
         under_way = [unit.target for unit in due_units if unit.stage in ("out", "trial")]
         if under_way:
-            self.waiting_for = (f"all limiters to hold it, and for what is out at {', '.join(under_way)}",)
+            self.waiting_for = (
+                f"all limiters to confirm the record, and requests in flight to finish at {', '.join(under_way)}",
+            )
         return None
 
     # Taking out of service
@@ -295,13 +299,13 @@
     def _send_action(
         self, plan: Plan, due_units: list[Unit], reports: Mapping[str, TargetReport], now_ms: float
     ) -> LeaderAction | None:
-        """Take waiting units out, after the pause between waves and as far as the budget allows."""
+        """Take waiting units out of service, after the pause between waves and as far as the budget allows."""
         waiting = [unit.target for unit in due_units if unit.stage == "waiting"]
         if not waiting:
             return None
         pause_left_ms = self._pause_left_ms(plan, now_ms)
         if pause_left_ms > 0:
-            self.waiting_for = (f"the pause between waves, {pause_left_ms / MS_PER_S:.0f} s more",)
+            self.waiting_for = (f"the pause between waves, {pause_left_ms / MS_PER_S:.0f} s left",)
             return None
         if now_ms < self._retry_at_ms:
             return self._blocked_action(plan, due_units, now_ms)
@@ -316,7 +320,7 @@
         return LeaderAction("send", tuple(rotated[: self._send_count or len(rotated)]))
 
     def _pause_left_ms(self, plan: Plan, now_ms: float) -> float:
-        """Return how long the pause before the current wave still lasts; there is none in a roll back."""
+        """Return the remaining pause before the current wave; a roll back has no pauses."""
         wave = plan.current_wave()
         if (self._wave_start.wave, self._wave_start.direction) != (wave, plan.direction):
             self._wave_start = _WaveStart(wave, plan.direction, now_ms)
@@ -326,7 +330,7 @@
         return self._wave_start.at_ms + MS_PER_S * plan.policy.wave_pause_s - now_ms
 
     def _blocked_action(self, plan: Plan, due_units: list[Unit], now_ms: float) -> LeaderAction | None:
-        """Halt a release that could take nothing out for too long while nothing was under way."""
+        """Halt a release that for too long could take nothing out of service while nothing was under way."""
         if any(unit.stage in ("out", "trial") for unit in due_units):
             self._blocked_since_ms = None
             return None
@@ -335,7 +339,7 @@
         is_too_long = now_ms - self._blocked_since_ms > MS_PER_S * plan.policy.patience_s
         if is_too_long and plan.kind != "drain" and plan.direction == "to":
             self._blocked_since_ms = None
-            reason = f"the budget is short: {'; '.join(self.waiting_for)}"
+            reason = f"the budget is exhausted: {'; '.join(self.waiting_for)}"
             return LeaderAction("halt", reason=reason[:MAXIMUM_REASON_LENGTH])
         return None
 
@@ -343,9 +347,10 @@
 def _due_units(plan: Plan, reports: Mapping[str, TargetReport]) -> list[Unit]:
     """Return the units that are due: those of the current wave, and all that are under way.
 
-    In a roll back a unit that nothing is heard of does not hold the others up, so the current wave is that of the first
-    unit that is heard of. What is under way is due whatever its wave: it may have gone out while an earlier wave was
-    silent, and that wave, once it is heard again, would wait for it under the budget for ever.
+    In a roll back a unit without a recent report must not block the others, so the current wave is the earliest wave
+    with an unfinished unit that has a recent report. Units that are under way are due whatever their wave. Such a unit
+    may have been taken out while an earlier wave had no reports; if it were ignored when that wave reports again, its
+    permit would exhaust the budget and the earlier wave would wait for ever.
     """
     wave = plan.current_wave()
     if plan.direction == "back":
@@ -359,7 +364,7 @@
 
 
 def _control_names(plan: Plan, reports: Mapping[str, TargetReport]) -> list[str]:
-    """Return the limiters to compare with: those on the previous version, else the ones that are already released."""
+    """Return the control group: the limiters on the previous version, else those that are already released."""
     waiting = [unit.target for unit in plan.units if unit.stage == "waiting"]
     others = [name for name in reports if plan.find_unit(name) is None and reports[name].is_serving]
     return waiting + others or [unit.target for unit in plan.units if unit.stage == "done"]
--- a/elderlock/rollout/plan_steering.py
+++ b/elderlock/rollout/plan_steering.py
@@ -1,6 +1,7 @@
-"""Halt, resume and roll back plans, and give up lost agents: what operators do to the ledger. No I/O.
+"""The transitions that operators cause: halt, resume and roll back plans, give up and readmit agents. No I/O.
 
-A command needs no term. The revision of the plan that the operator saw decides which of two crossing commands holds.
+These transitions need no term. Where two commands cross, the revision of the plan that the operator saw decides which
+one takes effect.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 def halt_plan(
     ledger: Ledger, plan_id: str, reason: str, revision: int | None = None, roll_back: bool = False
 ) -> TransitionResult:
-    """Halt a plan; the reason of the first halt stays.
+    """Halt a plan; a plan that is halted already keeps its reason.
 
     Args:
         ledger: The ledger to change.
-        plan_id: The plan.
+        plan_id: The id of the plan.
         reason: Why it halts.
         revision: The revision that the leader saw; None for an operator, whose halt applies to any.
-        roll_back: Whether the plan is rolled back at once, unless it already is.
+        roll_back: Whether to roll the plan back at once, unless a roll back is already under way.
     """
     plan = ledger.find_plan(plan_id)
     if plan is None or plan.state == "over":
@@ -34,28 +35,29 @@
         return [ALREADY_DONE]
     halted = msgspec.structs.replace(plan, state="halted", state_reason=reason, revision=plan.revision + 1)
     if roll_back and plan.direction == "to":
-        halted = _rolled_back(halted, f"taken back by itself: {reason}")
+        halted = _rolled_back(halted, f"rolled back automatically: {reason}")
     return with_plan(ledger, halted)
 
 
 def resume_plan(ledger: Ledger, plan_id: str, revision: int, operator: str) -> TransitionResult:
-    """Resume a plan from the halt that the operator saw; a command that crosses another halt is refused."""
+    """Resume a plan from the halt that the operator saw; refuse a command that crosses another halt."""
     plan = ledger.find_plan(plan_id)
     if plan is None or plan.state == "over":
         return [PLAN_OVER]
     if plan.state == "running":
         if plan.revision == revision + 1:
             return [ALREADY_DONE]
-        return [f"it runs, by {plan.state_reason or plan.requested_by}"]
+        return [f"it runs already: {plan.state_reason or plan.requested_by}"]
     if plan.revision != revision:
         return [f"it was halted again since you looked: {plan.state_reason}"]
     return _resumed(ledger, plan, f"go-on of {operator}")
 
 
 def roll_back_plan(ledger: Ledger, plan_id: str, reason: str) -> TransitionResult:
-    """Take all that was touched back to what it was, the last wave first; what never went out stays.
+    """Take all units that the plan has acted on back to their previous versions, the last wave first.
 
-    A roll back that is under way is not changed, and one that was halted is resumed.
+    Units that were never taken out of service are not touched. A roll back that is under way is not changed, and one
+    that was halted is resumed.
     """
     plan = ledger.find_plan(plan_id)
     if plan is None or (plan.state == "over" and plan.direction == "back"):
@@ -65,15 +67,15 @@
             return [ALREADY_DONE]
         return _resumed(ledger, plan, reason)
     if plan.state == "over" and any(other.kind == plan.kind for other in ledger.active_plans()):
-        return ["another plan of its kind is under way since"]
+        return ["another plan of its kind has begun since"]
     return with_plan(ledger, _rolled_back(msgspec.structs.replace(plan, revision=plan.revision + 1), reason))
 
 
 def _resumed(ledger: Ledger, plan: Plan, reason: str) -> Ledger:
-    """Set a halted plan running again.
+    """Return the ledger with a halted plan running again.
 
-    Agents that are out get new generations: one that failed is reported as failed under its old generation for ever,
-    and each resumption would halt at once.
+    Agents that are out get new generations. An agent that failed reports the failure of its old generation for ever, so
+    without a new one the plan would halt again at once.
     """
     for unit in plan.units:
         if plan.kind == "agents" and unit.stage == "out":
@@ -98,10 +100,10 @@
 
 
 def give_up_agent(ledger: Ledger, agent: str, targets: Iterable[Key], operator: str) -> TransitionResult:
-    """Declare an agent lost for good, with all its limiters.
+    """Declare an agent and all its limiters permanently lost.
 
-    Its permits end and its units are done. The ledger names the agent until it is readmitted: if it comes back all the
-    same, it reads that and does nothing.
+    Its permits are removed and its units are done. The ledger lists the agent until it is readmitted: if the agent
+    comes back nevertheless, it finds itself in the list and does nothing.
 
     Args:
         ledger: The ledger to change.
@@ -130,7 +132,7 @@
 
 
 def readmit_agent(ledger: Ledger, agent: str) -> TransitionResult:
-    """Let an agent act again that had been given up."""
+    """Allow an agent that was given up to act again."""
     if agent not in dict(ledger.given_up):
         return [f"{agent} was not given up"]
     remaining = tuple(entry for entry in ledger.given_up if entry[0] != agent)
--- a/elderlock/rollout/plan_transitions.py
+++ b/elderlock/rollout/plan_transitions.py
@@ -1,8 +1,9 @@
-"""The transitions of a plan, each a function from one ledger to the next, or to the reasons for a refusal. No I/O.
+"""The transitions of a plan: functions from one ledger to the next, or to the reasons for a refusal. No I/O.
 
-The agent that leads a plan makes its transitions under its term: one of an older term is refused, whoever believes to
-lead. What operators do to a plan needs no term and is in `elderlock.rollout.plan_steering`. The register may apply a
-transition more than once, so each recognises its own earlier result.
+The agent that leads a plan makes transitions under its term. A transition under an older term is refused, even if the
+agent still believes that it leads. The transitions that operators cause need no term and are in
+`elderlock.rollout.plan_steering`. The register may apply a transition more than once, so each transition recognises its
+own earlier result.
 
 The stages of a unit:
 
@@ -10,7 +11,7 @@
     waiting --> out --> done                a server of a drain
     waiting --> trial --> done              a server of a drain that is rolled back
 
-Whatever was touched starts from `waiting` again when the plan is rolled back.
+When a plan is rolled back, every unit that it has acted on starts again from `waiting`.
 """
 
 from __future__ import annotations
@@ -26,36 +27,37 @@
 from elderlock.rollout.plans import MAXIMUM_FINISHED_PLANS, MAXIMUM_UNITS, Plan, replace_unit
 
 TransitionResult = Ledger | list[str]
-ALREADY_DONE = "it is so already"
+ALREADY_DONE = "this is done already"
 PLAN_OVER = "the plan is over"
 
 
 def permit_kind(plan: Plan) -> Kind:
-    """Return the kind of target that the plan's permits are for."""
+    """Return the kind of the targets for which the plan holds permits."""
     return "box" if plan.kind == "drain" else "limiter"
 
 
 def begin_plan(ledger: Ledger, plan: Plan) -> TransitionResult:
     """Add a plan to the ledger.
 
-    A release is refused while another one is not over, of limiters or of agents: two would move the same limiters back
-    and forth, and a limiter whose agent is away is silent to its own release. A drain is refused while another one has
-    a server in common with it, as each would count on the other's permit.
+    A release is refused while another release, of limiters or of agents, is not over: two releases of limiters would
+    switch the same limiters back and forth, and a limiter whose agent is out of service sends no reports to its own
+    release. A drain is refused while another drain has a server in common with it, as each would rely on the other's
+    permit.
     """
     if ledger.find_plan(plan.id) is not None:
         return ledger
     if not plan.units:
-        return ["it takes nothing"]
+        return ["the plan has no targets"]
     if len(plan.units) > MAXIMUM_UNITS:
-        return [f"it takes {len(plan.units)}, {MAXIMUM_UNITS} are the most"]
+        return [f"the plan has {len(plan.units)} targets, at most {MAXIMUM_UNITS} are allowed"]
     for other in ledger.active_plans():
         if _conflicts(plan, other):
-            what = f"{other.title()} {other.id[:8]} of {other.requested_by}"
-            return [f"{what} is {other.state}: go on with it, or take it back first"]
+            other_plan = f"{other.title()} {other.id[:8]} of {other.requested_by}"
+            return [f"{other_plan} is {other.state}: go on with it, or take it back first"]
     finished = [earlier for earlier in ledger.plans if earlier.state == "over"]
     excess_count = max(0, len(finished) + 1 - MAXIMUM_FINISHED_PLANS)
-    forgotten_ids = {earlier.id for earlier in finished[:excess_count]}
-    remaining = tuple(earlier for earlier in ledger.plans if earlier.id not in forgotten_ids)
+    discarded_ids = {earlier.id for earlier in finished[:excess_count]}
+    remaining = tuple(earlier for earlier in ledger.plans if earlier.id not in discarded_ids)
     return msgspec.structs.replace(ledger, version=ledger.version + 1, plans=(*remaining, plan))
 
 
@@ -73,16 +75,16 @@
     """Make `agent` the leader of the next term, if the term is still `after_term`."""
     plan = ledger.find_plan(plan_id)
     if plan is None or plan.state == "over":
-        return ["there is nothing to lead"]
+        return ["there is no such plan under way"]
     if (plan.leader, plan.term) == (agent, after_term + 1):
         return ledger
     if plan.term != after_term:
-        return [f"{plan.leader} leads in term {plan.term}"]
+        return [f"{plan.leader} leads the plan in term {plan.term}"]
     return with_plan(ledger, msgspec.structs.replace(plan, leader=agent, term=after_term + 1))
 
 
 def record_heartbeat(ledger: Ledger, plan_id: str, agent: str, term: int) -> TransitionResult:
-    """Record that the leader reaches a majority."""
+    """Increase the heartbeat of a leader that reaches a majority."""
     plan = _plan_led_by(ledger, plan_id, agent, term)
     if isinstance(plan, list):
         return plan
@@ -100,18 +102,18 @@
     known_generation: int,
     now_unix_ms: float,
 ) -> TransitionResult:
-    """Take the waiting ones of `targets` out of service under permits: all of them, or none.
+    """Take those of `targets` that are waiting out of service under permits, either all of them or none.
 
     Args:
         ledger: The ledger to change.
-        plan_id: The plan.
-        agent: The agent that believes to lead the plan.
-        term: The term that it believes to lead in.
-        targets: The targets to take out.
+        plan_id: The id of the plan.
+        agent: The agent that acts as the leader of the plan.
+        term: The term in which it acts.
+        targets: The targets to take out of service.
         budget: The bounds on what may be out.
-        inventory: What the leader knows of the group.
+        inventory: The group, as the leader knows it.
         known_generation: The greatest generation of any record that the leader knows.
-        now_unix_ms: The time, for people.
+        now_unix_ms: The time, for display.
     """
     plan = _running_plan_led_by(ledger, plan_id, agent, term)
     if isinstance(plan, list):
@@ -122,7 +124,7 @@
         if unit is None or unit.stage != "waiting":
             continue
         kind = permit_kind(plan)
-        changed = _without_own_permit(changed, plan, (kind, target))
+        changed = _without_plan_permit(changed, plan, (kind, target))
         request = PermitRequest(
             targets=((kind, target),),
             origin=plan.permit_origin(unit),
@@ -145,19 +147,20 @@
     return with_plan(changed, plan)
 
 
-def _without_own_permit(ledger: Ledger, plan: Plan, key: Key) -> Ledger:
-    """Remove the permit that the plan holds for a target whose direction has changed, so that it can get a new one."""
-    own = ledger.find_permit(key)
-    if own is None or not own.origin.startswith(f"{plan.id}/"):
+def _without_plan_permit(ledger: Ledger, plan: Plan, key: Key) -> Ledger:
+    """Remove the permit that the plan holds for a target, so that the target can get a permit for its new direction."""
+    plan_permit = ledger.find_permit(key)
+    if plan_permit is None or not plan_permit.origin.startswith(f"{plan.id}/"):
         return ledger
-    return msgspec.structs.replace(ledger, permits=tuple(permit for permit in ledger.permits if permit is not own))
+    remaining = tuple(permit for permit in ledger.permits if permit is not plan_permit)
+    return msgspec.structs.replace(ledger, permits=remaining)
 
 
 def _inventory_for(plan: Plan, target: str, inventory: Inventory) -> Inventory:
-    """Return the inventory that a target's permit is weighed against.
+    """Return the inventory to check a target's permit against.
 
-    A target that is out involuntarily is repaired whatever else is out. It may be back a moment later, so permits by
-    themselves still have to respect the budget: all that no permit is held for counts as in service.
+    A target that is out involuntarily may be repaired whatever else is out. As it may be back at any moment, the
+    permits alone still have to respect the budget: for this check everything without a permit counts as in service.
     """
     items = inventory.items_of_kind(permit_kind(plan))
     is_repair = any(item.name == target and item.out_reason for item in items)
@@ -193,19 +196,19 @@
     silent_agents: Sequence[str],
     known_generation: int,
 ) -> TransitionResult:
-    """Take those of the waiting agents out of service that may go now.
+    """Take those of the waiting agents out of service that may be taken out now.
 
-    No permits are needed: only one release of agents is under way at a time, so its units are all the agents that are
-    out deliberately.
+    No permits are needed: only one release of agents is under way at a time, so its units are the only agents that are
+    deliberately out of service.
 
     Args:
         ledger: The ledger to change.
-        plan_id: The plan.
-        agent: The agent that believes to lead the plan.
-        term: The term that it believes to lead in.
-        targets: The agents to take out.
+        plan_id: The id of the plan.
+        agent: The agent that acts as the leader of the plan.
+        term: The term in which it acts.
+        targets: The agents to take out of service.
         voters: The agents that vote on the ledger.
-        silent_agents: The agents that the leader hears nothing of.
+        silent_agents: The agents without a recent report to the leader.
         known_generation: The greatest generation of any record that the leader knows.
     """
     plan = _running_plan_led_by(ledger, plan_id, agent, term)
@@ -217,8 +220,8 @@
         unit = plan.find_unit(target)
         if unit is None or unit.stage != "waiting":
             continue
-        out = [other.target for other in plan.units if other.stage in ("out", "trial")]
-        if refusal := agent_removal_refusal(voters, out, silent_agents, target):
+        out_agents = [other.target for other in plan.units if other.stage in ("out", "trial")]
+        if refusal := agent_removal_refusal(voters, out_agents, silent_agents, target):
             last_refusal = refusal
             continue
         changed = with_new_generation(changed, known_generation)
@@ -233,8 +236,8 @@
 ) -> TransitionResult:
     """Put a target back into service, on trial, under a new generation for the record that undrains it.
 
-    A limiter or an agent comes from `out`. A server comes from `waiting`: it gets here only when its drain is rolled
-    back, and is not taken out again for that.
+    A limiter or an agent comes from the stage `out`. A server comes from `waiting`: it is put on trial only when its
+    drain is rolled back, and does not have to be taken out again first.
     """
     plan = _plan_led_by(ledger, plan_id, agent, term)
     if isinstance(plan, list):
@@ -249,7 +252,7 @@
 
 
 def transition_to_done(ledger: Ledger, plan_id: str, agent: str, term: int, targets: Iterable[str]) -> TransitionResult:
-    """Finish what was on trial, and the servers that are out with no open requests left."""
+    """Finish targets that are on trial, and servers that are out and have no request in flight."""
     plan = _plan_led_by(ledger, plan_id, agent, term)
     if isinstance(plan, list):
         return plan
@@ -267,7 +270,7 @@
     if isinstance(plan, list):
         return plan
     if any(unit.stage != "done" for unit in plan.units):
-        return ["not all of it is done"]
+        return ["some units are not done yet"]
     return with_plan(ledger, msgspec.structs.replace(plan, state="over"))
 
 
@@ -277,7 +280,7 @@
     if plan is None or plan.state == "over":
         return [PLAN_OVER]
     if (plan.leader, plan.term) != (agent, term):
-        return [f"{plan.leader} leads in term {plan.term}"]
+        return [f"{plan.leader} leads the plan in term {plan.term}"]
     return plan
 
 
--- a/elderlock/rollout/plans.py
+++ b/elderlock/rollout/plans.py
@@ -1,7 +1,7 @@
-"""Plans: a release, or a drain of many servers, as a value that a group of agents agrees on. No I/O.
+"""Plans: a release or a drain of many servers, as a value that a group of agents agrees on. No I/O.
 
-A plan is a part of the permit ledger (`elderlock.rollout.permit_ledger`), so a majority of the voters holds it and it
-outlives the tool and the agent that began it. Each step of a plan is one change of the ledger, under the term of the
+A plan is a part of the permit ledger (`elderlock.rollout.permit_ledger`). A majority of the voters stores it, so it
+outlives the command and the agent that began it. Each step of a plan is one change of the ledger, under the term of the
 agent that leads the plan; the steps are in `elderlock.rollout.plan_transitions`.
 """
 
@@ -17,26 +17,26 @@
 PlanState = Literal["running", "halted", "over"]
 PlanKind = Literal["release", "drain", "agents"]  # a release of limiters, a drain of servers, a release of agents
 MAXIMUM_UNITS = 5000
-MAXIMUM_FINISHED_PLANS = 5  # that stay in the ledger for people to look at
+MAXIMUM_FINISHED_PLANS = 5  # the number that stay in the ledger for display
 SECOND_WAVE_MINIMUM = 2
-SECOND_WAVE_FRACTION_DIVISOR = 10  # the second wave takes a tenth of all
+SECOND_WAVE_FRACTION_DIVISOR = 10  # the second wave has a tenth of all targets
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86_400.0)]
 
 
 class RolloutPolicy(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How carefully a plan is carried out. All times are in seconds.
+    """The waiting times and timeouts of a plan. All times are in seconds.
 
     Attributes:
-        drain_timeout_s: For open requests to end, before a limiter is stopped all the same.
-        start_timeout_s: For a limiter to answer after its start.
-        settle_time_s: After a limiter serves again, in which its latency is not compared: it opens its connections and
-            learns its servers' load.
-        bake_time_s: Of traffic after the settling time, before a limiter is analysed.
-        maximum_bake_time_s: Of traffic, at most, while the analysis is inconclusive.
-        wave_pause_s: Between two waves.
-        patience_s: For a budget that is exhausted, before the plan halts.
-        automatic_rollback: Whether a plan that halts by itself is rolled back.
+        drain_timeout_s: How long to wait for requests in flight before a limiter is stopped anyway.
+        start_timeout_s: How long a limiter may take to answer after its start.
+        settle_time_s: How long after a limiter serves again its latency is not compared, while it opens connections and
+            learns the load of its servers.
+        bake_time_s: How long a limiter serves traffic after the settling time before the final analysis.
+        maximum_bake_time_s: How long the bake time is extended at most while the analysis is inconclusive.
+        wave_pause_s: The pause between two waves.
+        patience_s: How long the budget may be exhausted before the plan halts.
+        automatic_rollback: Whether a plan that halts because of a fault is rolled back.
     """
 
     drain_timeout_s: Seconds = msgspec.field(name="drain_within", default=10.0)
@@ -55,10 +55,10 @@
     Attributes:
         target: The name of the limiter or agent, or the uid of the server.
         wave: The number of its wave, from 0.
-        previous_version: The version that ran when the plan began; empty for the one in the agent's file.
+        previous_version: The version that ran when the plan began; empty for the one in the agent's configuration file.
         direction: Whether the unit goes to the plan's version or back to the previous one.
-        stage: How far it is in that direction: waiting; out of service (limiters and servers under a permit); on trial,
-            serving while it is analysed; done.
+        stage: The progress in that direction: waiting; out of service (for limiters and servers under a permit); on
+            trial, serving while it is analysed; done.
         generation: The generation of the record that the stage allows: the drain record while the unit is out, the
             undrain record from the trial on.
     """
@@ -76,24 +76,25 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A plan and how far it is.
+    """A plan and its progress.
 
     Invariants: at most one agent leads in a term, and `term` never decreases. `revision` increases with each operator's
-    command and with each halt, so that a command that crosses a halt is recognised as older.
+    command and with each halt, so that a command that crosses a halt is recognised as outdated.
 
     Attributes:
         id: The unique id of the command that began the plan.
-        kind: What the plan acts on.
-        version: The version that a release goes to; empty for the one in the agents' files, and for drains.
+        kind: Whether the plan releases limiters, drains servers or releases agents.
+        version: The version that a release installs; empty for the one in the agents' configuration files, and for
+            drains.
         requested_by: The operator that began the plan.
-        reason: The operator's reason, for people.
-        requested_at_unix_ms: When it began, for people.
-        units: What the plan acts on, wave by wave.
-        policy: How carefully it is carried out.
-        state: Whether it runs, is halted, or is over.
-        direction: Whether it goes on to the version or rolls back.
+        reason: The operator's reason, for display.
+        requested_at_unix_ms: When it began, for display.
+        units: The targets that the plan acts on, wave by wave.
+        policy: The waiting times and timeouts.
+        state: Whether it is running, halted or over.
+        direction: Whether it goes to the version or rolls back.
         state_reason: Why it was last halted, resumed or rolled back.
-        revision: How many commands and halts there have been.
+        revision: The number of commands and halts so far.
         leader: The agent that leads the plan.
         term: The term of the leader.
         heartbeat: A counter that the leader increases while it reaches a majority.
@@ -120,11 +121,11 @@
         return next((unit for unit in self.units if unit.target == target), None)
 
     def target_version(self, unit: Unit) -> str:
-        """Return the version that a unit goes to, or has gone to."""
+        """Return the version that a unit has to run in its current direction."""
         return self.version if unit.direction == "to" else unit.previous_version
 
     def current_wave(self) -> int:
-        """Return the number of the wave under way; the count of waves once all are done."""
+        """Return the number of the first unfinished wave; the count of waves once all are done."""
         return min((unit.wave for unit in self.units if unit.stage != "done"), default=self.wave_count())
 
     def wave_count(self) -> int:
@@ -134,19 +135,19 @@
     def permit_origin(self, unit: Unit) -> str:
         """Return the origin that a unit's permit is requested under.
 
-        Each direction has its own, so that a request that is repeated finds its own permit.
+        The origin differs by direction, so that a repeated request finds the permit of its own direction.
         """
         return f"{self.id}/{unit.direction}/{unit.target}"
 
     def title(self) -> str:
-        """Return what the plan does, for people."""
+        """Return a short description of the plan, for operators."""
         if self.kind == "drain":
             return "drain"
         subject = "release of agents" if self.kind == "agents" else "release"
-        return f"{subject} {self.version or 'of the files'}"
+        return f"{subject} {self.version or 'of the configured version'}"
 
     def outcome(self) -> str:
-        """Return the state of the plan, or how it ended, for people."""
+        """Return the state of the plan, or its result once it is over, for operators."""
         if self.state != "over":
             return self.state
         return "done" if self.direction == "to" else "taken back"
@@ -163,12 +164,12 @@
 ) -> list[list[str]]:
     """Divide the targets of a release into waves, each spread over the zones.
 
-    The first wave has one target, the second a few, and each later one a fraction of all.
+    The first wave has one target, the second a few, and each later wave a fraction of all targets.
 
     Args:
         zones: The name and the zone of each target, in the order of their numbers.
-        second_wave_count: How many the second wave takes; 0 for a tenth of all, at least two.
-        later_wave_fraction: The fraction of all that each later wave takes.
+        second_wave_count: The number of targets in the second wave; 0 for a tenth of all, at least two.
+        later_wave_fraction: The fraction of all targets in each later wave.
     """
     names_by_zone: dict[str, list[str]] = {}
     for name, zone in zones:
@@ -197,7 +198,7 @@
     policy: RolloutPolicy,
     kind: Literal["release", "agents"] = "release",
 ) -> Plan:
-    """Make a plan that takes limiters or agents to a version, wave by wave."""
+    """Make a plan that switches limiters or agents to a version, wave by wave."""
     units = tuple(
         Unit(name, wave, previous_versions.get(name, "")) for wave, names in enumerate(waves) for name in names
     )
--- a/tests/budget_fixtures.py
+++ b/tests/budget_fixtures.py
@@ -1,4 +1,4 @@
-"""A group of six servers and six limiters for tests of the disruption budget."""
+"""A group of six servers and six limiters, for tests of the disruption budget."""
 
 from __future__ import annotations
 
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Verdicts on released limiters, from random metrics."""
+"""Canary analysis of random metrics."""
 
 from __future__ import annotations
 
@@ -11,45 +11,47 @@
 
 
 def random_windows(
-    rng: random.Random, names: list[str], count: int, slower: float = 0.0, bad: float = 0.01
+    rng: random.Random, names: list[str], count: int, slowdown: float = 0.0, refused_fraction: float = 0.01
 ) -> list[ComparisonWindow]:
-    """A window of each limiter, whose mean log latencies differ by chance; the baseline has twice as many answers."""
+    """Return a window of each limiter, with random differences of mean log latency and a baseline of twice as many answers."""
     windows = []
     for name in names:
         bias = rng.gauss(0.0, 0.05)
-        after = random_metrics(rng, count, slower, bad, bias)
-        windows.append(ComparisonWindow(name, after, after, random_metrics(rng, 2 * count, bias=bias)))
+        trial = random_metrics(rng, count, slowdown, refused_fraction, bias)
+        windows.append(ComparisonWindow(name, trial, trial, random_metrics(rng, 2 * count, bias=bias)))
     return windows
 
 
-def test_the_verdict_tells_a_slow_release_from_noise() -> None:
-    """Of 100 good releases none is bad at an early look, of 100 slow ones nearly all are bad at the final one."""
-    bad_of_good, bad_of_slow = 0, 0
+def test_the_verdict_distinguishes_a_slow_release_from_noise() -> None:
+    """Of 100 good releases none is judged bad at an early test; of 100 slow ones at least 90 are at the final one."""
+    false_alarms, detected = 0, 0
     for seed in range(100):
         rng = random.Random(seed)
-        old = random_windows(rng, NAMES[1:], 900)
-        bad_of_good += analyze_canary(random_windows(rng, ["n0"], 900), old, last=False).kind == "bad"
-        bad_of_slow += (
-            analyze_canary(random_windows(rng, ["n0"], 900, slower=0.2), old, last=True, final=True).kind == "bad"
-        )
-    assert bad_of_good == 0 and bad_of_slow >= 90
+        control = random_windows(rng, NAMES[1:], 900)
+        false_alarms += analyze_canary(random_windows(rng, ["n0"], 900), control, is_due=False).kind == "bad"
+        released = random_windows(rng, ["n0"], 900, slowdown=0.2)
+        detected += analyze_canary(released, control, is_due=True, is_final=True).kind == "bad"
+    assert false_alarms == 0 and detected >= 90
 
 
-def test_a_load_spike_on_all_is_not_bad_and_refusals_are_bad_at_once() -> None:
+def test_a_load_spike_on_all_limiters_is_not_bad_and_refusals_are_bad_at_once() -> None:
     rng = random.Random(3)
-    spike = random_windows(rng, NAMES[1:], 900, slower=0.8, bad=0.2)
-    assert analyze_canary(random_windows(rng, ["n0"], 900, slower=0.8, bad=0.2), spike, last=True).kind != "bad"
-    verdict = analyze_canary(random_windows(rng, ["n0"], 12, bad=1.0), random_windows(rng, NAMES[1:], 12), last=False)
+    control = random_windows(rng, NAMES[1:], 900, slowdown=0.8, refused_fraction=0.2)
+    released = random_windows(rng, ["n0"], 900, slowdown=0.8, refused_fraction=0.2)
+    assert analyze_canary(released, control, is_due=True).kind != "bad"
+    released = random_windows(rng, ["n0"], 12, refused_fraction=1.0)
+    verdict = analyze_canary(released, random_windows(rng, NAMES[1:], 12), is_due=False)
     assert verdict.kind == "bad" and "100% refused or failed" in verdict.text
 
 
 def test_no_answers_are_bad_only_where_the_control_group_has_traffic() -> None:
     rng = random.Random(4)
-    nothing = [ComparisonWindow("n0", AnswerMetrics(), AnswerMetrics())]
+    no_answers = [ComparisonWindow("n0", AnswerMetrics(), AnswerMetrics())]
     assert (
-        analyze_canary(nothing, random_windows(rng, NAMES[1:], 900), last=True).text
-        == "n0 answered nothing, the others 900 each"
+        analyze_canary(no_answers, random_windows(rng, NAMES[1:], 900), is_due=True).text
+        == "n0 answered no request, the control group 900 each in the median"
     )
     assert (
-        analyze_canary(nothing, [ComparisonWindow("n1", AnswerMetrics(), AnswerMetrics())], last=True).kind == "unclear"
+        analyze_canary(no_answers, [ComparisonWindow("n1", AnswerMetrics(), AnswerMetrics())], is_due=True).kind
+        == "unclear"
     )
--- a/tests/rollout/test_permit_ledger.py
+++ b/tests/rollout/test_permit_ledger.py
@@ -1,4 +1,4 @@
-"""Permits: granting, releasing and encoding them."""
+"""Granting, releasing and encoding permits."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     *servers: str,
     origin: str = "o",
     budget: DisruptionBudget | None = None,
-    known: Inventory = INVENTORY,
+    inventory: Inventory = INVENTORY,
 ) -> Ledger | list[str]:
-    """Ask for permits for servers, from an agent whose newest record has generation 7."""
+    """Request permits for servers from an agent whose newest record has generation 7."""
     request = PermitRequest(tuple(("box", name) for name in servers), origin, "an", "", 7, 0.0)
-    return grant_permits(ledger, request, budget or DisruptionBudget(), known)
+    return grant_permits(ledger, request, budget or DisruptionBudget(), inventory)
 
 
-def test_permits_are_granted_all_or_none_and_a_repeated_request_finds_its_own() -> None:
+def test_permits_are_granted_all_or_none_and_a_repeated_request_gets_the_same_permits() -> None:
     first = request_permits(Ledger(), "s-0", "s-1")
     assert isinstance(first, Ledger) and first.version == 1
-    assert {permit.generation for permit in first.permits} == {8}  # above all that was seen
+    assert {permit.generation for permit in first.permits} == {8}  # greater than the newest known generation
     assert request_permits(first, "s-0", "s-1") is first
     assert request_permits(first, "s-1", "s-2", origin="other") == ["box s-1 has a permit of an"]
     refused = request_permits(first, "s-3", "s-4", origin="other")
@@ -43,20 +43,20 @@
 
 
 def test_a_permit_is_released_only_once_all_limiters_hold_a_newer_record() -> None:
-    made = request_permits(Ledger(), "s-0")
-    assert isinstance(made, Ledger)
-    (permit,) = made.permits
+    granted = request_permits(Ledger(), "s-0")
+    assert isinstance(granted, Ledger)
+    (permit,) = granted.permits
     assert (
-        release_fenced_permits(made, {}) is None
-        and release_fenced_permits(made, {permit.key: permit.generation}) is None
+        release_fenced_permits(granted, {}) is None
+        and release_fenced_permits(granted, {permit.key: permit.generation}) is None
     )
-    after = release_fenced_permits(made, {permit.key: permit.generation + 1})
-    assert after is not None and after.permits == () and after.version == 2
-    assert is_permit_valid(made, permit) and not is_permit_valid(after, permit)
-    assert is_permit_valid(Ledger(), permit)  # one that this agent has not heard of yet
-    assert with_new_generation(after, 20).generation == 21
-    again = request_permits(after, "s-0", origin="next")
-    assert isinstance(again, Ledger) and again.permits[0].generation > permit.generation
+    released = release_fenced_permits(granted, {permit.key: permit.generation + 1})
+    assert released is not None and released.permits == () and released.version == 2
+    assert is_permit_valid(granted, permit) and not is_permit_valid(released, permit)
+    assert is_permit_valid(Ledger(), permit)  # from a ledger that this agent has not received yet
+    assert with_new_generation(released, 20).generation == 21
+    second = request_permits(released, "s-0", origin="next")
+    assert isinstance(second, Ledger) and second.permits[0].generation > permit.generation
 
 
 def test_decoding_an_unreadable_ledger_raises_ledger_error() -> None:
--- a/tests/rollout/test_plan_executor.py
+++ b/tests/rollout/test_plan_executor.py
@@ -1,4 +1,4 @@
-"""What the agent in charge of a limiter does for a plan."""
+"""The steps of a plan that an agent carries out for one of its limiters."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def observation(**changes: object) -> LimiterObservation:
-    """A limiter that serves on its file's version, with some changes."""
+    """Return the state of a limiter that serves on its configured version, with `changes`."""
     return LimiterObservation("", "running", False, 0, -1, True, 0)._replace(**changes)  # type: ignore[arg-type]
 
 
@@ -24,26 +24,28 @@
     )
     plan, unit = latest_plan(ledger), latest_plan(ledger).units[0]
     executor = LimiterPlanExecutor()
-    assert executor.next_action(plan, unit, observation(), 0.0, halted=True) is None  # a halt that only it has heard of
+    assert (
+        executor.next_action(plan, unit, observation(), 0.0, halted=True) is None
+    )  # only this agent has received the halt
     assert executor.next_action(plan, unit, observation(), 0.0, halted=False) == "drain"
     drained = observation(is_drained=True, generation=unit.generation)
     assert (
         executor.next_action(plan, unit, drained, 10.0, False) is None
-        and executor.progress.reason == "it has not said that it holds the drain"
+        and executor.progress.reason == "it has not confirmed the drain record yet"
     )
     assert executor.next_action(plan, unit, drained._replace(open_requests=2), 20.0, False) is None
     assert executor.next_action(plan, unit, drained._replace(open_requests=0), 30.0, False) == "switch"
     assert (
         executor.next_action(plan, unit, drained._replace(open_requests=2), 10_100.0, False) == "switch"
-    )  # it has waited long enough
+    )  # the drain timeout is over
     executor.on_switched(10_100.0, 0)
-    on_new = drained._replace(version="v2", is_up=False, phase="starting")
-    assert executor.next_action(plan, unit, on_new, 10_200.0, True) is None and executor.progress.stage == "starting"
+    switched = drained._replace(version="v2", is_up=False, phase="starting")
+    assert executor.next_action(plan, unit, switched, 10_200.0, True) is None and executor.progress.stage == "starting"
     assert (
-        executor.next_action(plan, unit, on_new._replace(is_up=True), 10_300.0, False) is None
+        executor.next_action(plan, unit, switched._replace(is_up=True), 10_300.0, False) is None
         and executor.progress.stage == "up"
     )
-    crashed = on_new._replace(phase="backing-off", restarts=1)
+    crashed = switched._replace(phase="backing-off", restarts=1)
     assert executor.next_action(plan, unit, crashed, 10_400.0, False) is None and executor.progress.stage == "failed"
     trial = msgspec.structs.replace(unit, stage="trial", generation=unit.generation + 1)
     assert executor.next_action(plan, trial, drained._replace(version="v2"), 10_500.0, True) == "undrain"
@@ -58,32 +60,32 @@
     executor = LimiterPlanExecutor()
     assert executor.next_action(plan, unit, drained, 0.0, False) == "switch"  # v2 has crashed once
     executor.on_switched(0.0, 1)
-    held_back = drained._replace(version="", error="its socket is in use")
-    assert executor.next_action(plan, unit, held_back, 100.0, False) is None and executor.progress.stage == "starting"
-    up = held_back._replace(phase="running", is_up=True)
+    delayed = drained._replace(version="", error="its socket is in use")
+    assert executor.next_action(plan, unit, delayed, 100.0, False) is None and executor.progress.stage == "starting"
+    up = delayed._replace(phase="running", is_up=True)
     assert executor.next_action(plan, unit, up, 1200.0, False) is None and executor.progress.stage == "up"
 
 
-def test_a_switch_is_asked_for_once_while_the_previous_process_is_ending() -> None:
+def test_a_switch_is_requested_once_while_the_previous_process_is_exiting() -> None:
     plan = release_plan()
     unit = msgspec.structs.replace(plan.units[0], stage="out", generation=3)
     ready = observation(is_drained=True, generation=3, open_requests=0)
     executor = LimiterPlanExecutor()
     assert executor.next_action(plan, unit, ready, 0.0, False) == "switch"
     executor.on_switched(0.0, 0)
-    for ending in (ready, ready._replace(phase="stopping", is_up=False)):
-        assert executor.next_action(plan, unit, ending, 100.0, False) is None and executor.progress.stage == "starting"
+    for exiting in (ready, ready._replace(phase="stopping", is_up=False)):
+        assert executor.next_action(plan, unit, exiting, 100.0, False) is None and executor.progress.stage == "starting"
     assert (
         executor.next_action(plan, unit, ready._replace(version="v2"), 200.0, False) is None
         and executor.progress.stage == "up"
     )
-    turned = msgspec.structs.replace(unit, direction="back")
+    rolled_back = msgspec.structs.replace(unit, direction="back")
     assert (
-        executor.next_action(plan, turned, ready._replace(version="v2"), 300.0, False) == "switch"
-    )  # another version, once more
+        executor.next_action(plan, rolled_back, ready._replace(version="v2"), 300.0, False) == "switch"
+    )  # the roll back needs another version
 
 
-def test_a_permit_that_was_taken_back_is_not_used() -> None:
+def test_a_revoked_permit_is_not_used() -> None:
     plan = release_plan()
     unit = msgspec.structs.replace(plan.units[0], stage="out", generation=3)
     executor = LimiterPlanExecutor()
