--- a/elderlock/gossip/__init__.py
+++ b/elderlock/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""Soft state that limiters share: evidence on servers, spread as rumours in datagrams, each with a stated bound."""
+"""State that limiters share in datagrams: health evidence on servers, spread as rumours, and units of hard ceilings."""
--- a/elderlock/gossip/escrow_limiter.py
+++ b/elderlock/gossip/escrow_limiter.py
@@ -1,4 +1,4 @@
-"""A limiter whose parts of hard ceilings move by demand."""
+"""A limiter that exchanges units of hard ceilings with its peers according to demand."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class EscrowLimiter(Limiter):
-    """A limiter with `EscrowQuotas`, whose datagrams it sends and receives.
+    """A limiter that keeps its accounts in `EscrowQuotas` and carries its datagrams.
 
     Attributes:
-        quotas: The accounts.
+        quotas: The accounts of all customers.
     """
 
     quotas: EscrowQuotas
@@ -25,7 +25,7 @@
         now: float,
         coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
-        """Put `EscrowQuotas` in the place of the coordinator's accounts; see `Limiter`."""
+        """Create a limiter whose coordinator uses `EscrowQuotas`; see `Limiter`."""
         super().__init__(settings, seed, now, type("Escrow", (coordinator_class,), {"quotas_class": EscrowQuotas}))
         self._handle_other_message = self.handlers[api.PeerMessage]
         self.handlers[api.PeerMessage] = self._handle_escrow_message
@@ -38,7 +38,7 @@
             self._handle_other_message(event)
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Handle an event; the actions include the datagrams that are due."""
+        """Handle an event; the returned actions include the datagrams that are due."""
         actions = super().handle(event, now)
         actions += [
             api.SendPeerMessage(datagram.peer_index, datagram.payload) for datagram in self.quotas.due_datagrams()
--- a/elderlock/gossip/escrow_messages.py
+++ b/elderlock/gossip/escrow_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams by which limiters move units of a hard ceiling: a request for units, and a grant."""
+"""The datagrams with which limiters transfer units of a hard ceiling: a request for units, and a grant."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 HEADER = Struct(">BBB")  # format, version, type
 REQUEST = Struct(">IIBHHI")  # request id, customer key, plan, limiters, first limiter, units
 GRANT = Struct(">II")  # request id, units
-FRACTIONS_PER_UNIT = 256  # in which units are sent
+FRACTIONS_PER_UNIT = 256  # units are encoded as multiples of 1/256
 MAX_FRACTIONS = (1 << 32) - 1
 
 
@@ -21,12 +21,12 @@
     """A request for units of one customer's hard ceiling.
 
     Attributes:
-        request_id: Number of the request.
+        request_id: The id of the request, unique for the sender.
         customer_key: The customer.
-        plan_index: Number of the customer's plan in the settings.
-        limiter_count: Limiters by which the ceiling is split.
-        first_limiter: Number of the first of them.
-        units: Units that are requested.
+        plan_index: The index of the customer's plan in the settings.
+        limiter_count: The number of limiters among which the ceiling is split.
+        first_limiter: The index of the first of them.
+        units: The requested units.
     """
 
     request_id: int
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EscrowGrant:
-    """Units that are given for a request.
+    """Units that are granted for a request.
 
     Attributes:
-        request_id: Number of the request.
-        units: Units that are given.
+        request_id: The id of the request.
+        units: The granted units.
     """
 
     request_id: int
@@ -51,7 +51,7 @@
 
 
 def encode(message: EscrowRequest | EscrowGrant) -> bytes:
-    """Return a datagram; units are rounded down."""
+    """Encode a message as a datagram; units are rounded down."""
     fractions = min(MAX_FRACTIONS, int(message.units * FRACTIONS_PER_UNIT))
     if isinstance(message, EscrowGrant):
         return HEADER.pack(FORMAT, VERSION, GRANT_TYPE) + GRANT.pack(message.request_id, fractions)
@@ -66,12 +66,12 @@
 
 
 def is_escrow(datagram: bytes) -> bool:
-    """Return whether a datagram is of this format, in whatever version."""
+    """Return whether a datagram has this format, in any version."""
     return datagram[:1] == bytes([FORMAT])
 
 
 def decode(datagram: bytes) -> EscrowRequest | EscrowGrant | None:
-    """Return the message of a datagram; None where it is not of this form or of an unknown version."""
+    """Decode a datagram; return None where it is malformed or has another format or version."""
     if datagram[:2] != bytes([FORMAT, VERSION]):
         return None
     message_type = datagram[2:3]
--- a/elderlock/gossip/evidence_limiter.py
+++ b/elderlock/gossip/evidence_limiter.py
@@ -1,6 +1,6 @@
 """A limiter that shares health evidence.
 
-The outcomes of its own attempts go out as rumours; what other limiters saw counts as if it had seen it itself, within
+It sends the outcomes of its own attempts as rumours. It treats the observations of other limiters like its own, within
 the bounds of `health_evidence` and of the outlier detector.
 """
 
@@ -28,25 +28,25 @@
 from elderlock.interface import Outcome
 from elderlock.state import Server
 
-REPORT_INTERVAL_MS = 250.0  # between two rumours of the same kind on one server
-MIN_ERROR_FRACTION = 0.02  # of a server's answers, above which a good one is reported
+REPORT_INTERVAL_MS = 250.0  # between two own rumours of the same kind on one server
+MIN_ERROR_FRACTION = 0.02  # the error fraction of a server above which its successful answers are reported
 RUMOUR_SEED_MASK = 0x5E
 
 
 class EvidenceLimiter(Limiter):
     """A limiter that ejects servers on the evidence of all limiters.
 
-    Invariant: with no other limiter heard of for `FRESH_MS` it ejects servers on its own evidence alone, as `Limiter`
-    does; an ejection that began before goes on, for `LATER_TRIAL_FACTOR` times its own time at most. Evidence ejects no
-    more servers than `OutlierDetector` allows one limiter.
+    Invariant: if it has received no evidence from other limiters for `FRESH_MS`, it ejects servers on its own evidence
+    alone, as `Limiter` does. An ejection that began earlier continues, for at most `LATER_TRIAL_FACTOR` times its usual
+    duration. Evidence ejects no more servers than `OutlierDetector` allows one limiter.
 
     Attributes:
-        evidence: What all limiters saw of the servers.
-        rumours: What is still to be sent.
-        outlier_detector: Which servers are ejected.
-        received_datagrams: Datagrams of evidence that were accepted.
-        refused_datagrams: Datagrams of evidence that were not.
-        sent_datagrams: Datagrams of evidence that were sent.
+        evidence: The observations of all limiters.
+        rumours: The observations that are still to be sent.
+        outlier_detector: The detector that ejects servers.
+        received_datagrams: The number of evidence datagrams that were accepted.
+        refused_datagrams: The number of evidence datagrams that were malformed or too old.
+        sent_datagrams: The number of evidence datagrams that were sent.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
             settings.limiter_index,
             settings.limiter_count,
             settings.quota_sources.peer_messages_per_s,
-            random.Random(seed ^ RUMOUR_SEED_MASK),  # the decisions' own draws stay as they are without evidence
+            random.Random(seed ^ RUMOUR_SEED_MASK),  # so that decisions draw the same numbers as without evidence
             now,
         )
         self.outlier_detector = SharedOutlierDetector(self.context, self._record_own_failure)
@@ -74,7 +74,7 @@
         self.sent_datagrams = 0
         self._servers_by_key: dict[int, Server] = {}
         self._reported_at_ms: dict[tuple[int, ObservationKind], float] = {}  # by server key and kind
-        self._attempt_began_at_ms = now  # of the attempt whose end is handled
+        self._attempt_began_at_ms = now  # of the attempt whose end is being handled
         self.handlers[api.AttemptEnded] = self._handle_attempt_end
         self.handlers[api.PeerMessage] = self._handle_peer_message
         self.handlers[api.ServerList] = self._handle_server_list
@@ -82,7 +82,7 @@
     # Own observations
 
     def _handle_server_list(self, event: api.ServerList) -> None:
-        """Apply a list or its changes, at the cost of the entries that it names."""
+        """Apply a full server list, or changes to it in time proportional to their number."""
         servers = self.endpoints.servers
         server_ids = [entry.server_id for entry in event.entries]
         started_before = {
@@ -113,12 +113,12 @@
             self.evidence.record_own_attempt(server_key(event.server_id), self.context.now_ms)
             if event.outcome is Outcome.ERROR:
                 self._observe(server, ObservationKind.ERROR)
-            elif self._is_answer_news(server):
+            elif self._is_answer_relevant(server):
                 self._observe(server, ObservationKind.ANSWERED)
         self._send_rumours()
 
-    def _is_answer_news(self, server: Server) -> bool:
-        """Return whether failures or errors of the server still weigh, which a good answer undoes."""
+    def _is_answer_relevant(self, server: Server) -> bool:
+        """Return whether a successful answer would cancel failures or errors of the server that still count."""
         if server.error_fraction > MIN_ERROR_FRACTION:
             return True
         ready_count = self.endpoints.load_estimator.ready_server_count
@@ -130,10 +130,10 @@
         self._observe(server, ObservationKind.FAILED)
 
     def _observe(self, server: Server, kind: ObservationKind) -> None:
-        """Record what came of the attempt that has ended, and spread it if that is due."""
+        """Record the outcome of the attempt that has ended, and send it as a rumour unless one was sent recently."""
         now_ms = self.context.now_ms
         if self._attempt_began_at_ms < server.entry.started_at_ms:
-            return  # it is of the process before
+            return  # the attempt went to an earlier process of the server
         key = server_key(server.entry.server_id)
         limiter_index = self.context.settings.limiter_index
         observation = Observation(key, limiter_index, self.evidence.zone, kind, self._attempt_began_at_ms)
@@ -163,11 +163,11 @@
         self._send_rumours()
 
     def _learn(self, observation: Observation, ready_count: int) -> None:
-        """Record another limiter's observation; spread and apply it if it is news and its origin is believed."""
+        """Record another limiter's observation; forward and apply it if it is new and its origin is trusted."""
         now_ms = self.context.now_ms
         server = self._servers_by_key.get(observation.server_key)
         if server is None or server.is_removed or observation.began_at_ms < server.entry.started_at_ms:
-            return  # not on our list, or of the process before
+            return  # the server is not on the list, or the observation is of an earlier process
         is_own = observation.origin_index == self.context.settings.limiter_index
         if is_own or not self.evidence.record(observation, now_ms):
             return
@@ -190,7 +190,7 @@
                     self.endpoints.update_ejection(server, was_ejected=True)
 
     def _weigh_failures(self, server: Server, ready_count: int) -> None:
-        """Eject a server whose failures weigh enough; an ejected one stays so, as another limiter tried it in vain."""
+        """Eject a server whose failures have enough weight, or extend its ejection after a failed trial elsewhere."""
         key = server_key(server.entry.server_id)
         if self.evidence.failure_weight(key, ready_count, self.context.now_ms) < EJECTION_WEIGHT:
             return
@@ -200,7 +200,7 @@
             self._eject(server, ready_count)
 
     def _eject(self, server: Server, ready_count: int) -> None:
-        """Count the other limiters' failures as the one that is still missing for an ejection."""
+        """Eject a server: the failures at other limiters count as the last consecutive failure that is needed."""
         detector = self.outlier_detector
         ejected_count = len(detector.ejected) + 1
         origins = self._failure_origins(server)
@@ -210,18 +210,18 @@
             self.endpoints.reinstate(reinstated)
         self.endpoints.update_ejection(server, was_ejected=False)
         if server in detector.ejected:
-            text = f"{server.entry.server_id} is left out, one of {ejected_count}: it failed at limiters "
+            text = f"{server.entry.server_id} is ejected ({ejected_count} in all) after failures at limiters "
             self.context.actions.append(api.Log(text + ", ".join(map(str, origins))))
 
     def _failure_origins(self, server: Server) -> tuple[int, ...]:
-        """Return the limiters whose failures of the server are fresh, the latest first."""
+        """Return the limiters that observed recent failures of the server, the latest first."""
         witnesses = self.evidence.witnesses(server_key(server.entry.server_id), self.context.now_ms)
         return tuple(witness.origin_index for witness in witnesses if 0.0 <= witness.failed_age_ms <= FRESH_MS)
 
     # Maintenance
 
     def maintain(self) -> None:
-        """Run the limiter's maintenance, and send the rumours that are due."""
+        """Run the limiter's maintenance and send the rumours that are due."""
         super().maintain()
         self._send_rumours()
 
@@ -235,9 +235,9 @@
             self.context.actions.append(api.SendPeerMessage(datagram.peer_index, payload))
 
     def end_control_period(self, elapsed: float) -> None:
-        """End a control period, and forget evidence that is no longer fresh; `elapsed` in seconds."""
+        """End a control period of `elapsed` seconds and remove expired evidence."""
         super().end_control_period(elapsed)
         self.evidence.age_out(self.context.now_ms)
         oldest_ms = self.context.now_ms - REPORT_INTERVAL_MS
-        for report in [report for report, at_ms in self._reported_at_ms.items() if at_ms <= oldest_ms]:
-            del self._reported_at_ms[report]
+        for key_and_kind in [key for key, at_ms in self._reported_at_ms.items() if at_ms <= oldest_ms]:
+            del self._reported_at_ms[key_and_kind]
--- a/elderlock/gossip/evidence_messages.py
+++ b/elderlock/gossip/evidence_messages.py
@@ -1,7 +1,7 @@
 """Health evidence as datagrams: a header and rows of observations, 256 bytes at most.
 
-An observation carries its age, so that it is placed in time by its receiver's clock alone. The stamp in the header says
-when the datagram was made: one that was delayed or is replayed is too old to be accepted.
+An observation carries its age, so that the receiver computes its time from its own clock alone. The header carries the
+time at which the datagram was encoded, so that delayed or replayed datagrams can be refused as too old.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 FORMAT = 0x5E
 VERSION = 1
-HEADER = Struct(">BBI")  # format, version, stamp
+HEADER = Struct(">BBI")  # format, version, timestamp
 ROW = Struct(">IHBBH")  # server key, origin, zone, kind, age in ms
 MAX_DATAGRAM_BYTES = 256
 MAX_ROWS = (MAX_DATAGRAM_BYTES - HEADER.size) // ROW.size
 UNKNOWN_ZONE = 255
 MAX_AGE_MS = 65_535
-STAMP_PERIOD_MS = 1 << 32
+TIMESTAMP_PERIOD_MS = 1 << 32
 MAX_DATAGRAM_AGE_MS = 2000.0
 
 
 class ObservationKind(IntEnum):
-    """What came of an attempt: silence, a reset or no connection; an error; a good answer."""
+    """The outcome of an attempt: FAILED for a timeout, a reset or no connection; ERROR; ANSWERED for success."""
 
     FAILED = 0
     ERROR = 1
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one limiter saw of one server by one attempt.
+    """The outcome of one attempt by one limiter at one server.
 
     Attributes:
-        server_key: Key of the server's id (`server_key`).
-        origin_index: Number of the limiter that made the attempt.
-        origin_zone: Zone of that limiter, or `UNKNOWN_ZONE`.
-        kind: What came of the attempt.
-        began_at_ms: When the attempt began, by the clock of the limiter that holds this. The observation is of the
-            process that ran under the server's id then.
+        server_key: The key of the server's id (`server_key`).
+        origin_index: The index of the limiter that made the attempt.
+        origin_zone: The zone of that limiter, or `UNKNOWN_ZONE`.
+        kind: The outcome.
+        began_at_ms: When the attempt began, by the clock of the limiter that stores the observation. The observation
+            refers to the process that ran under the server's id at that time.
     """
 
     server_key: int
@@ -52,21 +52,21 @@
 
 
 class EvidenceMessageError(Exception):
-    """A datagram that is not of this form, or too old; the text says what was found and what was wanted."""
+    """A datagram is malformed or too old; the text gives the actual and the expected value."""
 
 
 def server_key(server_id: str) -> int:
-    """Return the number by which datagrams name a server.
+    """Return the number that identifies a server in datagrams.
 
-    Two servers may share one; each is then taken for the other.
+    If two server ids have the same key, observations of one server count for the other as well.
     """
     return zlib.crc32(server_id.encode())
 
 
 def encode(observations: list[Observation], now_ms: float) -> bytes:
-    """Return a datagram of the first `MAX_ROWS` observations, made at `now_ms`."""
+    """Encode the first `MAX_ROWS` observations as a datagram with the timestamp `now_ms`."""
     rows = [_encode_row(observation, now_ms) for observation in observations[:MAX_ROWS]]
-    return HEADER.pack(FORMAT, VERSION, int(now_ms) % STAMP_PERIOD_MS) + b"".join(rows)
+    return HEADER.pack(FORMAT, VERSION, int(now_ms) % TIMESTAMP_PERIOD_MS) + b"".join(rows)
 
 
 def _encode_row(observation: Observation, now_ms: float) -> bytes:
@@ -75,42 +75,44 @@
 
 
 def is_evidence(datagram: bytes) -> bool:
-    """Return whether a datagram is of this format, in whatever version."""
+    """Return whether a datagram has this format, in any version."""
     return datagram[:1] == bytes([FORMAT])
 
 
 def decode(datagram: bytes, now_ms: float, limiter_count: int) -> list[Observation]:
-    """Return the observations of a datagram.
+    """Decode a datagram.
 
     Raises:
-        EvidenceMessageError: The datagram is wrong in one place at least; nothing of it is accepted.
+        EvidenceMessageError: Any part of the datagram is malformed, or it is too old; none of its observations is used.
     """
     if not HEADER.size <= len(datagram) <= MAX_DATAGRAM_BYTES or (len(datagram) - HEADER.size) % ROW.size:
         raise EvidenceMessageError(
-            f"{len(datagram)} bytes: wanted a header of {HEADER.size}, rows of {ROW.size} and "
+            f"datagram of {len(datagram)} bytes: expected a header of {HEADER.size} bytes and rows of {ROW.size}, "
             f"{MAX_DATAGRAM_BYTES} at most"
         )
-    form, version, stamp = HEADER.unpack_from(datagram)
-    if (form, version) != (FORMAT, VERSION):
-        raise EvidenceMessageError(f"format {form}, version {version}: wanted {FORMAT}, {VERSION}")
-    age_ms = _age_of_stamp(stamp, now_ms)
+    message_format, version, timestamp_ms = HEADER.unpack_from(datagram)
+    if (message_format, version) != (FORMAT, VERSION):
+        raise EvidenceMessageError(
+            f"datagram of format {message_format}, version {version}: expected {FORMAT}, {VERSION}"
+        )
+    age_ms = _datagram_age_ms(timestamp_ms, now_ms)
     if abs(age_ms) > MAX_DATAGRAM_AGE_MS:
         raise EvidenceMessageError(
-            f"made {age_ms} ms ago by its sender's clock: wanted {MAX_DATAGRAM_AGE_MS:g} ms at most"
+            f"datagram sent {age_ms} ms ago by its sender's clock: expected {MAX_DATAGRAM_AGE_MS:g} ms at most"
         )
     return [_decode_row(row, now_ms, limiter_count) for row in ROW.iter_unpack(datagram[HEADER.size :])]
 
 
-def _age_of_stamp(stamp: int, now_ms: float) -> int:
-    """Return the age of a stamp in ms, within half of the stamps' period."""
-    half_period_ms = STAMP_PERIOD_MS // 2
-    return (int(now_ms) - stamp + half_period_ms) % STAMP_PERIOD_MS - half_period_ms
+def _datagram_age_ms(timestamp_ms: int, now_ms: float) -> int:
+    """Return the age for a timestamp that wraps around; negative ages are timestamps ahead of this clock."""
+    half_period_ms = TIMESTAMP_PERIOD_MS // 2
+    return (int(now_ms) - timestamp_ms + half_period_ms) % TIMESTAMP_PERIOD_MS - half_period_ms
 
 
 def _decode_row(row: tuple[int, int, int, int, int], now_ms: float, limiter_count: int) -> Observation:
     key, origin_index, origin_zone, kind, age_ms = row
     if origin_index >= limiter_count:
-        raise EvidenceMessageError(f"origin {origin_index}: wanted a number below {limiter_count}")
+        raise EvidenceMessageError(f"origin {origin_index}: expected a limiter index below {limiter_count}")
     if kind > ObservationKind.ANSWERED:
-        raise EvidenceMessageError(f"kind {kind}: wanted {ObservationKind.ANSWERED.value} at most")
+        raise EvidenceMessageError(f"observation kind {kind}: expected {ObservationKind.ANSWERED.value} at most")
     return Observation(key, origin_index, origin_zone, ObservationKind(kind), now_ms - age_ms)
--- a/elderlock/gossip/health_evidence.py
+++ b/elderlock/gossip/health_evidence.py
@@ -1,4 +1,4 @@
-"""Health evidence on servers from all limiters, weighed into one question: whether a server is to be ejected."""
+"""Health evidence on servers from all limiters, combined into a weight that decides whether to eject a server."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 from elderlock.gossip.evidence_messages import Observation, ObservationKind
 
-FRESH_MS = 4000.0  # for which an observation counts
-SAME_ATTEMPT_MS = 100.0  # observations of one origin, server and kind closer than this are one: hops blur the age
-EJECTION_WEIGHT = 3.0  # failures of different limiters, as many as one alone needs in a row
+FRESH_MS = 4000.0  # how long an observation counts
+SAME_ATTEMPT_MS = 100.0  # observations with the same origin, server and kind within this are one: hops distort ages
+EJECTION_WEIGHT = 3.0  # equals the consecutive failures that one limiter alone needs for an ejection
 SAME_ZONE_WEIGHT = 1.0
-OTHER_ZONE_WEIGHT = 0.5  # the path from another zone may be at fault
-MAX_ORIGINS_PER_SERVER = 16  # the one with the oldest observation gives way
-MAX_SERVERS = 512  # the one that was heard of longest ago gives way
-DISTRUST_FRACTION = 0.25  # of the ready servers; an origin that says that more failed is not believed
+OTHER_ZONE_WEIGHT = 0.5  # lower, because the network path from the other zone may be at fault
+MAX_ORIGINS_PER_SERVER = 16  # the origin with the oldest observation is evicted
+MAX_SERVERS = 512  # the server with the oldest update is evicted
+DISTRUST_FRACTION = 0.25  # of the ready servers; an origin that reports more of them as failed is distrusted
 DISTRUST_MIN_SERVERS = 3
-SELF_DISTRUST_FRACTION = 0.5  # of the servers tried lately; where as many failed, the limiter itself is at fault
+SELF_DISTRUST_FRACTION = 0.5  # of the recently tried servers; if this many failed, the limiter itself is at fault
 SELF_DISTRUST_MIN_SERVERS = 4
 NEVER_MS = float("-inf")
 NO_AGE_MS = -1.0
 
 
 class OriginRecord:
-    """What one origin saw last of one server.
+    """The latest observations of one server by one origin.
 
     Attributes:
         zone: The origin's zone.
-        failed_at_ms: When its latest attempt that failed began.
-        answered_at_ms: When its latest attempt that was answered began.
+        failed_at_ms: When its latest failed attempt began.
+        answered_at_ms: When its latest answered attempt began.
     """
 
     __slots__ = ("answered_at_ms", "failed_at_ms", "zone")
 
     def __init__(self, zone: int) -> None:
-        """Start with nothing seen."""
+        """Create a record without observations."""
         self.zone = zone
         self.failed_at_ms = NEVER_MS
         self.answered_at_ms = NEVER_MS
@@ -45,8 +45,8 @@
         """Return when the latest attempt began."""
         return max(self.failed_at_ms, self.answered_at_ms)
 
-    def learn_zone(self, observation: Observation) -> None:
-        """Take the zone of the latest observation; of two at once the lower one, in whatever order they come."""
+    def update_zone(self, observation: Observation) -> None:
+        """Use the zone of the latest observation; of two simultaneous ones the lower, so that order has no effect."""
         latest_at_ms = self.latest_at_ms()
         if observation.began_at_ms > latest_at_ms + SAME_ATTEMPT_MS:
             self.zone = observation.origin_zone
@@ -56,13 +56,13 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class Witness:
-    """What an origin saw of a server, for operators.
+    """The evidence of one origin on a server, for display to operators.
 
     Attributes:
-        origin_index: Number of the limiter.
+        origin_index: The index of the limiter.
         zone: Its zone.
-        failed_age_ms: Age of its latest attempt that failed; -1 for none.
-        answered_age_ms: Age of its latest attempt that was answered; -1 for none.
+        failed_age_ms: The age of its latest failed attempt; -1 for none.
+        answered_age_ms: The age of its latest answered attempt; -1 for none.
     """
 
     origin_index: int
@@ -76,14 +76,14 @@
 
 
 class HealthEvidence:
-    """What all limiters saw of the servers within `FRESH_MS`.
+    """The observations of all limiters within `FRESH_MS`.
 
-    Invariant: the same observations give the same state in whatever order and however often they are recorded, as long
-    as no bound was reached. No origin weighs more than one failure, and one that says that many servers failed weighs
-    nothing.
+    Invariant: the same observations lead to the same state, regardless of their order and repetition, as long as no
+    bound is reached. An origin has at most the weight of one failure, and an origin that reports failures of many
+    servers has no weight.
 
     Attributes:
-        limiter_index: Number of this limiter.
+        limiter_index: The index of this limiter.
         zone: Its zone.
     """
 
@@ -92,15 +92,15 @@
         self.limiter_index = limiter_index
         self.zone = zone
         self._records: OrderedDict[int, dict[int, OriginRecord]] = OrderedDict()  # by server key and origin
-        self._accused: dict[int, dict[int, float]] = {}  # by origin and server key, when the failed attempt began
-        self._own_attempts: dict[int, float] = {}  # by server key, the time of our latest outcome
+        self._failures: dict[int, dict[int, float]] = {}  # by origin and server key, the start of the failed attempt
+        self._own_attempts: dict[int, float] = {}  # by server key, the time of this limiter's latest outcome
 
     def __len__(self) -> int:
-        """Return the number of servers on which there is evidence."""
+        """Return the number of servers with evidence."""
         return len(self._records)
 
     def record(self, observation: Observation, now_ms: float) -> bool:
-        """Record an observation; return whether it is fresh and news."""
+        """Record an observation; return whether it is recent and new."""
         if not now_ms - FRESH_MS < observation.began_at_ms <= now_ms + SAME_ATTEMPT_MS:
             return False
         record = self._record_of(observation)
@@ -111,14 +111,14 @@
         self._records.move_to_end(observation.server_key)
         if has_failed:
             record.failed_at_ms = observation.began_at_ms
-            accused = self._accused.setdefault(observation.origin_index, {})
-            accused[observation.server_key] = observation.began_at_ms
+            failures = self._failures.setdefault(observation.origin_index, {})
+            failures[observation.server_key] = observation.began_at_ms
         else:
             record.answered_at_ms = observation.began_at_ms
         return True
 
     def _record_of(self, observation: Observation) -> OriginRecord:
-        """Return the origin's record of the server with its zone brought up to date; make room for a new one."""
+        """Return the origin's record of the server with an updated zone; create it if needed, evicting an old one."""
         origins = self._records.get(observation.server_key)
         if origins is None:
             if len(self._records) >= MAX_SERVERS:
@@ -130,32 +130,32 @@
                 del origins[min(origins, key=lambda origin: origins[origin].latest_at_ms())]
             record = origins[observation.origin_index] = OriginRecord(observation.origin_zone)
         else:
-            record.learn_zone(observation)
+            record.update_zone(observation)
         return record
 
     def record_own_attempt(self, server_key: int, now_ms: float) -> None:
-        """Record that an attempt of this limiter had an outcome."""
+        """Record that an attempt of this limiter at the server ended."""
         self._own_attempts[server_key] = now_ms
 
     def is_distrusted(self, origin_index: int, ready_server_count: int, now_ms: float) -> bool:
-        """Return whether an origin says that so many servers failed that its own path to them is likelier at fault."""
-        accused = self._accused.get(origin_index, {})
+        """Return whether an origin reports so many failed servers that its own network path is more likely at fault."""
+        failures = self._failures.get(origin_index, {})
         limit = max(DISTRUST_MIN_SERVERS, DISTRUST_FRACTION * ready_server_count)
-        return len(accused) > limit and _count_fresh(accused.values(), now_ms) > limit
+        return len(failures) > limit and _count_fresh(failures.values(), now_ms) > limit
 
     def is_self_distrusted(self, now_ms: float) -> bool:
-        """Return whether so many servers that were tried lately failed this limiter that it is likelier at fault."""
+        """Return whether so many recently tried servers failed that this limiter itself is more likely at fault."""
         fresh_from_ms = now_ms - FRESH_MS
         tried = [key for key, tried_at_ms in self._own_attempts.items() if tried_at_ms > fresh_from_ms]
-        accused = self._accused.get(self.limiter_index, {})
-        failing = _count_fresh((accused.get(key, NEVER_MS) for key in tried), now_ms)
-        return len(tried) >= SELF_DISTRUST_MIN_SERVERS and failing >= SELF_DISTRUST_FRACTION * len(tried)
+        failures = self._failures.get(self.limiter_index, {})
+        failed_count = _count_fresh((failures.get(key, NEVER_MS) for key in tried), now_ms)
+        return len(tried) >= SELF_DISTRUST_MIN_SERVERS and failed_count >= SELF_DISTRUST_FRACTION * len(tried)
 
     def failure_weight(self, server_key: int, ready_server_count: int, now_ms: float) -> float:
-        """Return how heavily a server's failures weigh.
+        """Return the total weight of a server's failures.
 
-        An answer undoes the failures before it that were seen from its zone; an answer in this limiter's zone undoes
-        all failures before it. Origins that are not believed weigh nothing.
+        An answer cancels the earlier failures that were observed from the same zone; an answer in this limiter's zone
+        cancels all earlier failures. Distrusted origins have no weight.
         """
         origins = self._records.get(server_key)
         if origins is None:
@@ -175,11 +175,11 @@
         return weight
 
     def forget(self, server_key: int) -> None:
-        """Forget a server: another process runs under its id."""
+        """Remove the evidence on a server, because a new process runs under its id."""
         self._records.pop(server_key, None)
 
     def witnesses(self, server_key: int, now_ms: float) -> list[Witness]:
-        """Return what each origin saw of a server, the latest first."""
+        """Return the evidence of each origin on a server, the latest first."""
         witnesses = [
             Witness(
                 origin_index=origin_index,
@@ -192,27 +192,27 @@
         return sorted(witnesses, key=Witness.latest_age_ms)
 
     def latest_servers(self, max_servers: int) -> list[int]:
-        """Return the keys of the servers that were heard of last, the latest first."""
+        """Return the keys of the servers with the latest evidence, the latest first."""
         return list(islice(reversed(self._records), max_servers))
 
     def distrusted_origins(self, ready_server_count: int, now_ms: float) -> list[int]:
-        """Return the origins that are not believed."""
+        """Return the origins that are distrusted."""
         return sorted(
             origin_index
-            for origin_index in self._accused
+            for origin_index in self._failures
             if self.is_distrusted(origin_index, ready_server_count, now_ms)
         )
 
     def age_out(self, now_ms: float) -> None:
-        """Forget what is no longer fresh."""
+        """Remove the observations that are older than `FRESH_MS`."""
         oldest_ms = now_ms - FRESH_MS
         for server_key, origins in list(self._records.items()):
             if all(record.latest_at_ms() <= oldest_ms for record in origins.values()):
                 del self._records[server_key]
-        for origin_index, accused in list(self._accused.items()):
-            _remove_until(accused, oldest_ms)
-            if not accused:
-                del self._accused[origin_index]
+        for origin_index, failures in list(self._failures.items()):
+            _remove_until(failures, oldest_ms)
+            if not failures:
+                del self._failures[origin_index]
         _remove_until(self._own_attempts, oldest_ms)
 
 
@@ -221,7 +221,7 @@
 
 
 def _remove_until(times_ms: dict[int, float], oldest_ms: float) -> None:
-    """Remove the entries whose time is `oldest_ms` or before."""
+    """Remove the entries with a time of `oldest_ms` or earlier."""
     for key in [key for key, time_ms in times_ms.items() if time_ms <= oldest_ms]:
         del times_ms[key]
 
--- a/elderlock/gossip/options.py
+++ b/elderlock/gossip/options.py
@@ -1,4 +1,4 @@
-"""Which limiter decides, by what the operators' file says is shared."""
+"""The choice of the limiter class by the `[shared]` table of the operators' file."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class EvidenceAndEscrowLimiter(EscrowLimiter, EvidenceLimiter):
-    """A limiter that shares health evidence and whose parts of hard ceilings move by demand."""
+    """A limiter that shares health evidence and exchanges units of hard ceilings."""
 
 
 def limiter_class(shares_evidence: bool, shares_ceilings: bool) -> type[Limiter]:
-    """Return the class of the limiter that shares what is switched on."""
+    """Return the limiter class for the enabled kinds of sharing."""
     if shares_evidence:
         return EvidenceAndEscrowLimiter if shares_ceilings else EvidenceLimiter
     return EscrowLimiter if shares_ceilings else Limiter
--- a/elderlock/gossip/outlier_sharing.py
+++ b/elderlock/gossip/outlier_sharing.py
@@ -1,4 +1,4 @@
-"""Outlier detection where limiters share health evidence: few of them try an ejected server again first."""
+"""Outlier detection for limiters that share health evidence: only a few of them retry an ejected server first."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 from elderlock.state import Server
 
-FIRST_TRIAL_LIMITERS = 9.0  # that try a server again first, over all zones, on average
-LATER_TRIAL_FACTOR = 3.0  # by which the others wait longer, unless evidence comes before
-PEERS_HEARD_WITHIN_MS = 3000.0  # in which another limiter must have been heard of for this one to wait longer
+FIRST_TRIAL_LIMITERS = 9.0  # the average number, over all zones, that retry an ejected server first
+LATER_TRIAL_FACTOR = 3.0  # by which the others wait longer, unless evidence reinstates the server earlier
+PEERS_HEARD_WITHIN_MS = 3000.0  # a limiter that received no evidence for this long does not wait longer
 
 
 @dataclass(frozen=True, slots=True)
 class Ejection:
-    """Why a server is ejected, for operators.
+    """The cause of an ejection, for display to operators.
 
     Attributes:
-        since_ms: When it was ejected.
+        since_ms: When the server was ejected.
         origins: The limiters whose failures led to it.
     """
 
@@ -34,30 +34,30 @@
 
 
 class SharedOutlierDetector(OutlierDetector):
-    """An outlier detector that is also given the failures of other limiters.
+    """An outlier detector that also counts the failures at other limiters.
 
     Attributes:
-        heard_at_ms: When another limiter was last heard of.
-        ejections: Why the ejected servers are ejected.
+        heard_at_ms: When evidence of another limiter was last received.
+        ejections: The causes of the current ejections.
     """
 
-    def __init__(self, context: DecisionContext, own_failure: Callable[[Server], None]) -> None:
-        """Create a detector that has seen no failure and calls `own_failure` at each of this limiter's own."""
+    def __init__(self, context: DecisionContext, on_own_failure: Callable[[Server], None]) -> None:
+        """Create a detector without failures that calls `on_own_failure` at each failure at this limiter."""
         super().__init__(context)
-        self._own_failure = own_failure
+        self._on_own_failure = on_own_failure
         self.heard_at_ms = float("-inf")
         self.ejections: dict[Server, Ejection] = {}
 
     def record_failure(self, server: Server, ready_count: int, ready_weight_milli: int) -> list[Server]:
-        """Record a failure of this limiter's own; see `OutlierDetector.record_failure`."""
-        self._own_failure(server)
+        """Record a failure at this limiter; see `OutlierDetector.record_failure`."""
+        self._on_own_failure(server)
         own_origin = (self.context.settings.limiter_index,)
         return self.record_failure_of(own_origin, server, ready_count, ready_weight_milli)
 
     def record_failure_of(
         self, origins: tuple[int, ...], server: Server, ready_count: int, ready_weight_milli: int
     ) -> list[Server]:
-        """Record a failure that the limiters `origins` saw; see `OutlierDetector.record_failure`."""
+        """Record a failure that the limiters `origins` observed; see `OutlierDetector.record_failure`."""
         was_ejected = server.is_ejected
         reinstated = super().record_failure(server, ready_count, ready_weight_milli)
         if server.is_ejected and not was_ejected:
@@ -70,7 +70,7 @@
         self.ejections.pop(server, None)
 
     def _schedule_trial(self, server: Server) -> None:
-        """Let a few limiters, drawn at random, try the server again first, if others are heard of."""
+        """Schedule the next trial: early at a few randomly chosen limiters, and at a limiter that hears no other."""
         context = self.context
         is_first = context.rng.random() * context.settings.limiter_count < FIRST_TRIAL_LIMITERS
         is_alone = context.now_ms - self.heard_at_ms > PEERS_HEARD_WITHIN_MS
@@ -79,11 +79,11 @@
         self.schedule_reinstatement(server, ejection_ms(server) * jitter_factor * trial_factor)
 
     def extend_ejection(self, server: Server) -> None:
-        """Begin the ejection anew, as another limiter tried the server in vain; never end it sooner."""
-        left_ms = server.reinstate_at_ms - self.context.now_ms
-        self.schedule_reinstatement(server, max(ejection_ms(server), left_ms))
+        """Restart the ejection because another limiter's trial failed; never shorten it."""
+        remaining_ms = server.reinstate_at_ms - self.context.now_ms
+        self.schedule_reinstatement(server, max(ejection_ms(server), remaining_ms))
 
 
 def ejection_ms(server: Server) -> float:
-    """Return for how long an ejected server is ejected, before jitter."""
+    """Return the duration of an ejected server's ejection, before jitter."""
     return min(BASE_EJECTION_MS * 2.0 ** (server.consecutive_ejections - 1), MAX_EJECTION_MS)
--- a/elderlock/gossip/quota_escrow.py
+++ b/elderlock/gossip/quota_escrow.py
@@ -1,12 +1,12 @@
-"""Hard ceilings by demand: a limiter that needs more than its even part is given what others can spare.
+"""Hard ceilings split by demand: a limiter that needs more than its even part requests spare units from others.
 
-Published as escrow (O'Neil, "The escrow transactional method", 1986) and as the demarcation protocol (Barbara and
-Garcia-Molina, 1994).
+The method is known as escrow (O'Neil, "The escrow transactional method", 1986) and as the demarcation protocol (Barbara
+and Garcia-Molina, 1994).
 
-Units move, and none is made: a giver takes them off its own part before it sends the grant, and a receiver takes them
-once, for a request of its own that is `REQUEST_LIFETIME_MS` old at most by its own clock. A message that is lost, late,
-repeated, out of order, or meant for an earlier process costs units and never adds any. `docs/design/shared.md` has the
-proof that all parts together stay within one bucket.
+Units are transferred and never created: the granting limiter subtracts them from its own part before it sends the
+grant, and the receiver adds them once, for a request of its own that is at most `REQUEST_LIFETIME_MS` old by its own
+clock. A message that is lost, late, repeated, out of order, or meant for an earlier process may lose units but never
+adds any. `docs/design/shared.md` has the proof that all parts together stay within one bucket.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from elderlock.gossip.escrow_messages import FRACTIONS_PER_UNIT, EscrowGrant, EscrowRequest, encode
 from elderlock.state import Account, OpenRequest
 
-REQUEST_LIFETIME_MS = 500.0  # in which a request may be granted
+REQUEST_LIFETIME_MS = 500.0  # how long a grant for a request is accepted
 REQUEST_INTERVAL_MS = 100.0  # between two requests for one customer
 PEERS_PER_REQUEST = 2
-NEED_MS = MS_PER_SECOND  # a limiter needs what it uses in this time, and keeps it when it gives ...
-NEED_REQUESTS = 2.0  # ... and the units of so many requests, where it sent any within that time
-MIN_GRANT_REQUESTS = 0.5  # a grant below so many requests' units is not sent
-SEND_FRACTION = 0.05  # of what a limiter takes in
+NEED_MS = MS_PER_SECOND  # a limiter needs the units that it uses in this time, and does not grant them ...
+NEED_REQUESTS = 2.0  # ... plus the units of this many requests if it sent any within that time
+MIN_GRANT_REQUESTS = 0.5  # a grant smaller than the mean units of this many requests is not sent
+SEND_FRACTION = 0.05  # of the peer messages that a limiter can receive
 BURST_DATAGRAMS = 8.0
-MAX_OPENED_ACCOUNTS = 1024  # of customers that come to other limiters alone
+MAX_OPENED_ACCOUNTS = 1024  # of customers that only use other limiters so far
 REQUEST_ID_BITS = 32
 NEVER_MS = float("-inf")
 
@@ -39,13 +39,13 @@
     Attributes:
         customer_key: The customer.
         sent_at_ms: When it was sent.
-        asked_peers: The limiters that may still grant it.
+        asked_peers: The limiters that received it and have not granted it yet.
     """
 
     __slots__ = ("asked_peers", "customer_key", "sent_at_ms")
 
     def __init__(self, customer_key: int, sent_at_ms: float, asked_peers: set[int]) -> None:
-        """Create a request that none of `asked_peers` has granted."""
+        """Create a request that none of `asked_peers` has granted yet."""
         self.customer_key = customer_key
         self.sent_at_ms = sent_at_ms
         self.asked_peers = asked_peers
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitsInTransit:
-    """Units that were given and may still be taken.
+    """Units that were granted and that the receiver may still add to its part.
 
     Attributes:
-        until_ms: From when nobody can take them any more.
-        units: How many.
+        until_ms: When the receiver can no longer accept the grant.
+        units: The number of units.
     """
 
     until_ms: float
@@ -69,7 +69,7 @@
     """A datagram to send.
 
     Attributes:
-        peer_index: Number of the limiter to send to.
+        peer_index: The index of the limiter to send to.
         payload: The encoded message.
     """
 
@@ -78,27 +78,28 @@
 
 
 class EscrowQuotas(Quotas):
-    """Accounts whose parts of a hard ceiling move between limiters.
+    """Accounts whose parts of a hard ceiling are transferred between limiters.
 
-    Invariant: over all limiters by which a ceiling is split, the levels of their parts and the units in transit are its
-    burst at most. So all together send no more than one bucket of that rate and burst lets through: a part holds its
-    fraction of the burst at most, and what it gave away counts against that until nobody can take it any more.
+    Invariant: over all limiters that share a ceiling, the levels of their parts and the units in transit add up to at
+    most its burst. All limiters together therefore send no more than one bucket of that rate and burst allows. This
+    holds because the capacity of a part is its fraction of the burst, less the units that it granted and that the
+    receiver may still add.
 
     Attributes:
-        granted_units: Units that were granted since the start.
-        received_units: Units that were received since the start.
+        granted_units: The units granted since the start.
+        received_units: The units received since the start.
     """
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start with no units moved."""
+        """Create accounts without transferred units."""
         super().__init__(context)
         self.granted_units = 0.0
         self.received_units = 0.0
         self._rng = random.Random(context.rng.random())
-        self._latest_request_id = self._rng.getrandbits(REQUEST_ID_BITS)  # differs from an earlier process's ids
+        self._latest_request_id = self._rng.getrandbits(REQUEST_ID_BITS)  # random, unlike an earlier process's
         self._pending: dict[int, PendingRequest] = {}  # by request id
         self._requested_at_ms: dict[int, float] = {}  # by customer
-        self._next_peer: dict[int, int] = {}  # by customer, an index into its peers
+        self._next_peer: dict[int, int] = {}  # by customer, the index into its peers
         self._in_transit: dict[int, list[UnitsInTransit]] = {}  # by customer, the oldest first
         self._answered_at_ms: dict[tuple[int, int], float] = {}  # by sender and request id
         self._opened_accounts: set[int] = set()
@@ -110,7 +111,7 @@
     # The part
 
     def refresh(self, account: Account) -> None:
-        """Bring an account up to now; see `Quotas.refresh`."""
+        """Refill an account up to the current time; see `Quotas.refresh`."""
         level_units = account.ceiling_units
         refreshed_at_ms = account.refreshed_at_ms
         super().refresh(account)
@@ -118,12 +119,12 @@
             account.ceiling_units = self._refilled(account, level_units, refreshed_at_ms)
 
     def _refilled(self, account: Account, level_units: float, refreshed_at_ms: float) -> float:
-        """Return the part's level now, under a bound that rises as units in transit expire.
+        """Return the current level of the part, whose capacity grows as units in transit expire.
 
         Args:
-            account: The account, which has units in transit.
+            account: An account with units in transit.
             level_units: The level at `refreshed_at_ms`.
-            refreshed_at_ms: The time of that level.
+            refreshed_at_ms: The time of the last refill.
         """
         now_ms = self.context.now_ms
         capacity_units = _part_capacity_units(account)
@@ -141,48 +142,51 @@
         return min(refilled_units, capacity_units - _sum_units(in_transit))
 
     def refund(self, request: OpenRequest) -> None:
-        """Return a request's units; see `Quotas.refund`."""
+        """Return the units of a request to its account; see `Quotas.refund`."""
         super().refund(request)
         account = request.account
         in_transit_units = _sum_units(self._in_transit.get(account.key, []))
         account.ceiling_units = min(account.ceiling_units, _part_capacity_units(account) - in_transit_units)
 
     def in_transit_units(self) -> float:
-        """Return the units that were given and may still be taken, over all customers."""
+        """Return the units in transit of all customers."""
         now_ms = self.context.now_ms
         return sum(
-            each.units for in_transit in self._in_transit.values() for each in in_transit if each.until_ms > now_ms
+            transfer.units
+            for in_transit in self._in_transit.values()
+            for transfer in in_transit
+            if transfer.until_ms > now_ms
         )
 
     # Requests
 
     def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
-        """Return whether `units` exceed this limiter's part, and request more if they do."""
+        """Return whether `units` exceed this limiter's part; request more units if they do."""
         is_exceeded = super().exceeds_hard_ceiling(account, units)
         if is_exceeded:
             self._request_units(account)
         return is_exceeded
 
     def charge(self, request: OpenRequest) -> None:
-        """Charge a request that is sent, and request more units if the part runs short."""
+        """Charge a request that is sent, and request more units if the part runs low."""
         super().charge(request)
         self._request_units(request.account)
 
     def _needed_units(self, account: Account) -> float:
-        """Return what the limiter needs to hold: its use over `NEED_MS`, and never more than its part may hold."""
+        """Return the units that the limiter needs: its use over `NEED_MS`, limited by the capacity of its part."""
         has_sent_lately = self.context.now_ms - account.sent_at_ms < NEED_MS
         used_units = account.own_rate_per_s * NEED_MS / MS_PER_SECOND
         needed_units = used_units + NEED_REQUESTS * account.mean_request_units * has_sent_lately
         return min(needed_units, _part_capacity_units(account))
 
     def _request_units(self, account: Account) -> None:
-        """Request from the next peers in turn what the limiter needs and does not hold."""
+        """Request the units that the limiter lacks from the next peers in round-robin order."""
         now_ms = self.context.now_ms
         if account.plan.ceiling_rate_per_s <= 0 or account.limiter_count <= 1:
             return
-        lacking_units = self._needed_units(account) - account.ceiling_units
+        missing_units = self._needed_units(account) - account.ceiling_units
         requested_at_ms = self._requested_at_ms.get(account.key, NEVER_MS)
-        if lacking_units < account.mean_request_units or now_ms - requested_at_ms < REQUEST_INTERVAL_MS:
+        if missing_units < account.mean_request_units or now_ms - requested_at_ms < REQUEST_INTERVAL_MS:
             return
         if not self._may_send():
             return
@@ -197,12 +201,12 @@
             plan_index=self.context.settings.plans.index(account.plan),
             limiter_count=account.limiter_count,
             first_limiter=account.first_limiter,
-            units=lacking_units / len(asked_peers),  # units that two give for the same lack are lost
+            units=missing_units / len(asked_peers),  # if several peers granted all of it, the excess would be lost
         )
         self._outbox += [(peer_index, request) for peer_index in asked_peers]
 
     def _take_peers(self, account: Account) -> list[int]:
-        """Return the peers to ask now, and move the turn on."""
+        """Return the next peers to ask, and advance the round-robin index."""
         peers = self._peers(account)
         first = self._next_peer.get(account.key, self._rng.randrange(len(peers)))
         count = min(PEERS_PER_REQUEST, len(peers), int(self._available_datagrams))
@@ -210,13 +214,13 @@
         return [peers[(first + offset) % len(peers)] for offset in range(count)]
 
     def _peers(self, account: Account) -> list[int]:
-        """Return the other limiters by which the account's ceiling is split."""
+        """Return the other limiters that share the account's ceiling."""
         settings = self.context.settings
         members = [(account.first_limiter + offset) % settings.limiter_count for offset in range(account.limiter_count)]
         return [member for member in members if member != settings.limiter_index]
 
     def _may_send(self) -> bool:
-        """Return whether the budget holds a datagram."""
+        """Refill the budget of datagrams, and return whether it allows one."""
         now_ms = self.context.now_ms
         refilled_datagrams = self._rate_per_s * (now_ms - self._budget_updated_at_ms) / MS_PER_SECOND
         self._available_datagrams = min(BURST_DATAGRAMS, self._available_datagrams + refilled_datagrams)
@@ -224,21 +228,21 @@
         return self._available_datagrams >= 1
 
     def due_datagrams(self) -> list[EscrowDatagram]:
-        """Return what is to be sent now."""
+        """Return the datagrams to send now."""
         outbox, self._outbox = self._outbox, []
         return [EscrowDatagram(peer_index, encode(message)) for peer_index, message in outbox]
 
     # Messages of other limiters
 
     def handle_message(self, sender: int, message: EscrowRequest | EscrowGrant) -> None:
-        """Handle a message of the limiter `sender`."""
+        """Handle a message from the limiter `sender`."""
         if isinstance(message, EscrowGrant):
             self._handle_grant(sender, message)
         else:
             self._handle_request(sender, message)
 
     def _handle_grant(self, sender: int, grant: EscrowGrant) -> None:
-        """Take the units of a grant, once and in time, as far as the part may hold them."""
+        """Add the units of a grant up to the capacity of the part, once and only while the request is valid."""
         pending = self._pending.get(grant.request_id)
         if pending is None or sender not in pending.asked_peers:
             return
@@ -256,14 +260,14 @@
         self.received_units += received_units
 
     def _handle_request(self, sender: int, request: EscrowRequest) -> None:
-        """Grant a request what this limiter does not need itself, once."""
+        """Grant the units that this limiter does not need, at most once per request."""
         now_ms = self.context.now_ms
         account = self._account_for(sender, request)
         answer_key = (sender, request.request_id)
         if account is None or answer_key in self._answered_at_ms or not self._may_send():
             return
         if now_ms - self._requested_at_ms.get(request.customer_key, NEVER_MS) < REQUEST_LIFETIME_MS:
-            return  # this limiter is short itself
+            return  # this limiter needs units itself
         self.refresh(account)
         spare_units = min(request.units, account.ceiling_units - self._needed_units(account))
         units = int(spare_units * FRACTIONS_PER_UNIT) / FRACTIONS_PER_UNIT
@@ -278,28 +282,29 @@
         self._outbox.append((sender, EscrowGrant(request.request_id, units)))
 
     def _account_for(self, sender: int, request: EscrowRequest) -> Account | None:
-        """Return this limiter's account of a request's customer.
+        """Return this limiter's account for the customer of a request.
 
-        It is opened where the customer has not come here yet: there is a part of its ceiling here all the same.
+        The account is opened if the customer has not used this limiter yet, because this limiter holds a part of the
+        ceiling in any case.
 
         Returns:
-            None where the ceiling is not split as the sender says, or one of both has no part of it.
+            The account; None where the sender's view of the split differs, or one of the two limiters has no part.
         """
         settings = self.context.settings
         if request.plan_index >= len(settings.plans) or not 1 < request.limiter_count <= settings.limiter_count:
             return None
         plan = settings.plans[request.plan_index]
-        sender_place = (sender - request.first_limiter) % settings.limiter_count
-        own_place = (settings.limiter_index - request.first_limiter) % settings.limiter_count
-        if plan.ceiling_rate_per_s <= 0 or sender_place == own_place:
+        sender_offset = (sender - request.first_limiter) % settings.limiter_count
+        own_offset = (settings.limiter_index - request.first_limiter) % settings.limiter_count
+        if plan.ceiling_rate_per_s <= 0 or sender_offset == own_offset:
             return None
-        if max(sender_place, own_place) >= request.limiter_count:
+        if max(sender_offset, own_offset) >= request.limiter_count:
             return None
         account = self.accounts.get(request.customer_key)
         if account is None and len(self._opened_accounts) < MAX_OPENED_ACCOUNTS:
             account = self._open_for(request, plan)
-        is_split_alike = account is not None and account.plan is plan and account.limiter_count == request.limiter_count
-        return account if is_split_alike else None
+        is_same_split = account is not None and account.plan is plan and account.limiter_count == request.limiter_count
+        return account if is_same_split else None
 
     def _open_for(self, request: EscrowRequest, plan: api.Plan) -> Account:
         account = self._open_account(request.customer_key, plan, request.limiter_count, request.first_limiter)
@@ -311,7 +316,7 @@
     # Maintenance
 
     def expire_accounts(self) -> None:
-        """Forget idle accounts, and requests that can no longer be granted; see `Quotas.expire_accounts`."""
+        """Remove idle accounts and expired requests; see `Quotas.expire_accounts`."""
         super().expire_accounts()
         now_ms = self.context.now_ms
         self._pending = {
@@ -333,9 +338,9 @@
 
 
 def _part_capacity_units(account: Account) -> float:
-    """Return the units that a limiter's part of the account's ceiling holds at most."""
+    """Return the capacity of one limiter's part of the account's ceiling."""
     return account.plan.ceiling_burst_units / account.limiter_count
 
 
 def _sum_units(in_transit: list[UnitsInTransit]) -> float:
-    return sum(each.units for each in in_transit)
+    return sum(transfer.units for transfer in in_transit)
--- a/elderlock/gossip/rumours.py
+++ b/elderlock/gossip/rumours.py
@@ -1,10 +1,10 @@
-"""Dissemination of observations by epidemic algorithms.
+"""Dissemination of observations by an epidemic algorithm.
 
-Published as rumour mongering (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987), in its
-push form with counters: a limiter that has learnt of a rumour sends it a bounded number of times, then no more.
+The algorithm is rumour mongering (Demers et al., "Epidemic algorithms for replicated database maintenance", 1987) in
+its push variant with counters: a limiter that has received a rumour sends it a bounded number of times.
 
-Bound: a limiter sends a rumour half the binary logarithm of the limiters and `EXTRA_TRANSMISSIONS` times, or in a group
-of up to `SMALL_GROUP_PEERS` + 1 to each of the others once, and in all no more datagrams than its budget holds.
+Bound: a limiter sends a rumour log2(limiters) / 2 + `EXTRA_TRANSMISSIONS` times. In a group of at most
+`SMALL_GROUP_PEERS` + 1 limiters it sends the rumour once to each of the others. The budget of datagrams limits both.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from elderlock.gossip.evidence_messages import MAX_ROWS, Observation
 
 MS_PER_SECOND = 1000.0
-MAX_RUMOURS = 256  # the oldest gives way
+MAX_RUMOURS = 256  # the oldest is evicted
 SMALL_GROUP_PEERS = 8
-EXTRA_TRANSMISSIONS = 2  # with them one of 400 limiters does not learn of a rumour among 200
-SEND_FRACTION = 0.05  # of what a limiter takes in; quota messages have the rest
+EXTRA_TRANSMISSIONS = 2  # a rumour then misses about 1 in 400 limiters in a group of 200
+SEND_FRACTION = 0.05  # of the peer messages that a limiter can receive; the rest is for quota messages
 BURST_DATAGRAMS = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class RumourDatagram:
-    """What to send to one peer.
+    """Observations to send to one peer.
 
     Attributes:
-        peer_index: Number of the limiter to send to.
-        observations: What to send, `MAX_ROWS` at most.
+        peer_index: The index of the limiter to send to.
+        observations: The observations, `MAX_ROWS` at most.
     """
 
     peer_index: int
@@ -39,24 +39,24 @@
 class RumourQueue:
     """The observations that are still to be sent, and the budget of datagrams.
 
-    Invariant: each limiter sends a rumour a bounded number of times, and no more than `BURST_DATAGRAMS` at once and
-    `SEND_FRACTION` of the intake a second, whatever there is to send.
+    Invariant: each limiter sends a rumour a bounded number of times. It sends at most `BURST_DATAGRAMS` at once, and on
+    average at most the fraction `SEND_FRACTION` of the intake.
     """
 
     def __init__(
         self, limiter_index: int, limiter_count: int, intake_per_s: float, rng: random.Random, now_ms: float
     ) -> None:
-        """Start with nothing to send.
+        """Create an empty queue.
 
         Args:
-            limiter_index: Number of this limiter.
-            limiter_count: Number of limiters.
-            intake_per_s: Datagrams that a limiter takes in a second.
-            rng: Randomness for the order of the peers.
-            now_ms: The time now.
+            limiter_index: The index of this limiter.
+            limiter_count: The number of limiters.
+            intake_per_s: The datagrams that a limiter can receive per second.
+            rng: The random numbers for the order of the peers.
+            now_ms: The current time.
         """
         self._peers = [peer for peer in range(limiter_count) if peer != limiter_index]
-        rng.shuffle(self._peers)  # in turn: by chance alone some would be sent much and others nothing
+        rng.shuffle(self._peers)  # used in turn, as random choices would leave some peers out
         self._next_peer = 0
         is_small_group = len(self._peers) <= SMALL_GROUP_PEERS
         self._max_transmissions = (
@@ -68,17 +68,17 @@
         self._updated_at_ms = now_ms
 
     def __len__(self) -> int:
-        """Return the number of rumours."""
+        """Return the number of rumours in the queue."""
         return len(self._transmissions)
 
     def add(self, observation: Observation) -> None:
-        """Add an observation that is news."""
+        """Add a new observation."""
         if len(self._transmissions) >= MAX_RUMOURS:
             del self._transmissions[next(iter(self._transmissions))]
         self._transmissions[observation] = 0
 
     def due_datagrams(self, now_ms: float, fresh_ms: float) -> list[RumourDatagram]:
-        """Return what to send now. Observations that are older than `fresh_ms` are dropped."""
+        """Return the datagrams to send now. Observations that are older than `fresh_ms` are dropped."""
         self._refill_budget(now_ms)
         datagrams: list[RumourDatagram] = []
         while self._transmissions and self._peers and self._available_datagrams >= 1.0:
@@ -99,14 +99,15 @@
         self._updated_at_ms = now_ms
 
     def _drop_older_than(self, oldest_ms: float) -> None:
-        for observation in [known for known in self._transmissions if known.began_at_ms <= oldest_ms]:
+        expired = [observation for observation in self._transmissions if observation.began_at_ms <= oldest_ms]
+        for observation in expired:
             del self._transmissions[observation]
 
     def _least_sent(self) -> list[Observation]:
-        """Return the observations of the next datagram: those sent least often, of these the latest."""
-        transmissions = self._transmissions
-        by_need = sorted(transmissions, key=lambda known: (transmissions[known], -known.began_at_ms))
-        return by_need[:MAX_ROWS]
+        """Return the observations for the next datagram: those sent least often first, and among them the latest."""
+        counts = self._transmissions
+        by_priority = sorted(counts, key=lambda observation: (counts[observation], -observation.began_at_ms))
+        return by_priority[:MAX_ROWS]
 
     def _count_transmission(self, observations: list[Observation]) -> None:
         for observation in observations:
--- a/tests/gossip/test_escrow_histories.py
+++ b/tests/gossip/test_escrow_histories.py
@@ -1,9 +1,17 @@
-"""Whatever happens to messages and processes, no more is sent than one bucket of the ceiling lets through."""
+"""Random histories: all limiters together send no more than one bucket of the ceiling allows."""
 
 from __future__ import annotations
 
 import pytest
-from escrow_histories import FIRST, HISTORIES, RATE, SLACK, WARM, history, nodes
+from escrow_histories import (
+    FILL_MS,
+    FIRST,
+    HISTORY_COUNT,
+    RATE_PER_S,
+    SLACK_UNITS,
+    make_nodes,
+    run_history,
+)
 
 from elderlock.decisions.quotas import Quotas
 from elderlock.gossip.escrow_messages import EscrowGrant, EscrowRequest
@@ -12,14 +20,14 @@
 )
 
 
-def test_limiters_send_no_more_than_one_bucket_whatever_happens_to_messages_and_processes() -> None:
-    found = [history(seed) for seed in range(HISTORIES)]
-    assert min(least for least, _ in found) >= -SLACK
-    assert sum(moved for _, moved in found) > 5.0 * HISTORIES  # and units do move
+def test_limiters_stay_within_one_bucket_under_any_faults_of_messages_and_processes() -> None:
+    results = [run_history(seed) for seed in range(HISTORY_COUNT)]
+    assert min(lowest_units for lowest_units, _ in results) >= -SLACK_UNITS
+    assert sum(transferred_units for _, transferred_units in results) > 5.0 * HISTORY_COUNT
 
 
-class TakesTwice(EscrowQuotas):
-    """A grant counts as often as it comes."""
+class AcceptsGrantTwice(EscrowQuotas):
+    """A mutant that adds the units of a grant each time it arrives."""
 
     def _handle_grant(self, sender: int, grant: EscrowGrant) -> None:
         super()._handle_grant(sender, grant)
@@ -27,8 +35,8 @@
             self._pending[grant.request_id].asked_peers.add(sender)
 
 
-class TakesLate(EscrowQuotas):
-    """A grant counts however late it comes."""
+class AcceptsLateGrant(EscrowQuotas):
+    """A mutant that accepts a grant after the lifetime of its request."""
 
     def _handle_grant(self, sender: int, grant: EscrowGrant) -> None:
         if grant.request_id in self._pending:
@@ -36,35 +44,35 @@
         super()._handle_grant(sender, grant)
 
 
-class GivesAndKeeps(EscrowQuotas):
-    """Who gives does not take it off."""
+class KeepsGrantedUnits(EscrowQuotas):
+    """A mutant that does not subtract granted units from its own part."""
 
-    def _handle_request(self, sender: int, want: EscrowRequest) -> None:
-        super()._handle_request(sender, want)
+    def _handle_request(self, sender: int, request: EscrowRequest) -> None:
+        super()._handle_request(sender, request)
         for account in self.accounts.values():
-            account.ceiling_units += sum(each.units for each in self._in_transit.pop(account.key, []))
+            account.ceiling_units += sum(transfer.units for transfer in self._in_transit.pop(account.key, []))
 
 
-@pytest.mark.parametrize("mutant", [TakesTwice, TakesLate, GivesAndKeeps])
+@pytest.mark.parametrize("mutant", [AcceptsGrantTwice, AcceptsLateGrant, KeepsGrantedUnits])
 def test_random_histories_detect_each_mutant(mutant: type[EscrowQuotas]) -> None:
-    assert any(history(seed, mutant)[0] < -SLACK for seed in range(HISTORIES))
+    assert any(run_history(seed, mutant)[0] < -SLACK_UNITS for seed in range(HISTORY_COUNT))
 
 
-def served_by_one(kind: type[Quotas]) -> int:
-    """One limiter of three is asked all there is, twice the ceiling's rate; datagrams take 2 ms."""
-    group, count, now = nodes(0.0, kind), 0, WARM
+def served_by_one_limiter(quotas_class: type[Quotas]) -> int:
+    """Send requests at twice the ceiling's rate to one of three limiters; return how many it serves."""
+    nodes, served_count, now_ms = make_nodes(0.0, quotas_class), 0, FILL_MS
     for step in range(2000):
-        now += 1000.0 / (2.0 * RATE)
-        count += group[FIRST].ask(now)
+        now_ms += 1000.0 / (2.0 * RATE_PER_S)
+        served_count += nodes[FIRST].request(now_ms)
         for _ in range(2):
-            for node in group.values():
-                for to, data in node.due():
-                    group[to].receive(now + 2.0, node.number, data)
+            for node in nodes.values():
+                for receiver, payload in node.due_datagrams():
+                    nodes[receiver].receive(now_ms + 2.0, node.number, payload)
         assert step < 2000
-    return count
+    return served_count
 
 
 def test_a_limiter_with_all_requests_serves_nearly_the_entire_ceiling() -> None:
-    even, shared = served_by_one(Quotas), served_by_one(EscrowQuotas)
+    even, shared = served_by_one_limiter(Quotas), served_by_one_limiter(EscrowQuotas)
     ceiling_units = 2000 / 2.0
     assert even < 0.4 * ceiling_units and 0.95 * ceiling_units < shared < 1.05 * ceiling_units
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -1,4 +1,4 @@
-"""Limiters and fleets whose parts of ceilings move by demand, and what operators see of them."""
+"""Limiters and fleets that transfer units of hard ceilings, their options, and their status for operators."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import msgspec
 import pytest
-from escrow_histories import FIRST, LIMITERS, MEMBERS, PLAN, WARM
+from escrow_histories import FILL_MS, FIRST, LIMITER_COUNT, MEMBER_COUNT, PLAN
 from helpers import limiter_settings
 from playing import played
 
 from elderlock import interface as api
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.shared import ceiling_status
 from elderlock.decisions.limiter import Limiter
 from elderlock.gossip.escrow_limiter import EscrowLimiter
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, kind",
+    "text, limiter_class",
     [
         ("[shared]", Limiter),
         ("[shared]\nevidence = true", EvidenceLimiter),
@@ -39,48 +39,50 @@
         ("[shared]\nevidence = true\nceilings = true", EvidenceAndEscrowLimiter),
     ],
 )
-def test_the_operators_file_selects_the_limiter_class(text: str, kind: type[Limiter], tmp_path: Path) -> None:
+def test_the_operators_file_selects_the_limiter_class(text: str, limiter_class: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert OptionalFeatures(path).limiter_type(limiter_settings(peers=True)) is kind
+    assert OptionalFeatures(path).limiter_type(limiter_settings(peers=True)) is limiter_class
 
 
 @pytest.mark.parametrize(
-    "text, why",
+    "text, message",
     [
         ("[shared]\nceilings = true\n[quota]\nstore = 'tally'", "with [quota] the counter holds them"),
         ("[shared]\nceilings = 3", "bool"),
         ("[shared]\nceiling = true", "ceiling"),
     ],
 )
-def test_bad_sharing_options_are_refused_with_one_line(text: str, why: str, tmp_path: Path) -> None:
+def test_bad_sharing_options_are_refused_with_one_line(text: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    with pytest.raises(ConfigError, match=re.escape(why)) as error:
+    with pytest.raises(ConfigError, match=re.escape(message)) as error:
         OptionalFeatures(path).limiter_type(limiter_settings(peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
-def test_operators_see_units_given_and_in_transit() -> None:
-    limiter = EscrowLimiter(replace(limiter_settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
-    want = encode(EscrowRequest(9, 77, 0, MEMBERS, FIRST, 3.0))
-    (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
+def test_the_status_shows_granted_units_and_units_in_transit() -> None:
+    limiter = EscrowLimiter(
+        replace(limiter_settings(LIMITER_COUNT, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0
+    )
+    request = encode(EscrowRequest(9, 77, 0, MEMBER_COUNT, FIRST, 3.0))
+    (answer,) = limiter.handle(api.PeerMessage(FIRST, request), 2.0 * FILL_MS)
     assert (
         isinstance(answer, api.SendPeerMessage)
         and decode(answer.payload) == EscrowGrant(9, 3.0)
         and answer.receiver_index == FIRST
     )
-    assert ceiling_status(limiter) == m.CeilingStatus(
+    assert ceiling_status(limiter) == messages.CeilingStatus(
         given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
     )
-    assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
+    assert limiter.handle(api.PeerMessage(FIRST, request[:-1]), 2.0 * FILL_MS) == []  # of this format but malformed
     assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
 
 
 # Fleets
 
 
-def scenario(shared: bool, limiters: int, spread: int, rate: float) -> Scenario:
+def ceiling_scenario(is_shared: bool, limiters: int, spread: int, rate: float) -> Scenario:
     raw = {
         "name": "ceilings",
         "lasts_s": 20.0,
@@ -110,26 +112,26 @@
                 "shape": [{"kind": "steady", "rate": rate}],
             }
         ],
-        "settings": {"shared_ceilings": shared},
+        "settings": {"shared_ceilings": is_shared},
     }
     return msgspec.convert(raw, Scenario)
 
 
 @pytest.mark.parametrize("limiters, spread, rate", [(12, 4, 80.0), (60, 8, 40.0), (60, 8, 80.0)])
 def test_a_fleet_rejects_less_and_stays_within_its_ceilings(limiters: int, spread: int, rate: float) -> None:
-    """Near the ceiling, where the even parts are at times too small by chance alone."""
+    """The load is near the ceiling, where random fluctuations alone exceed the even parts at times."""
     refused = {False: 0, True: 0}
-    for shared in refused:
+    for is_shared in refused:
         for seed in (1, 2):
-            result = DecisionWorld(scenario(shared, limiters, spread, rate), seed).play()
+            result = DecisionWorld(ceiling_scenario(is_shared, limiters, spread, rate), seed).play()
             assert result.good()
-            refused[shared] += result.figures.outcomes.get("refused", 0)
+            refused[is_shared] += result.figures.outcomes.get("refused", 0)
     assert refused[True] < 0.9 * refused[False], refused
 
 
 def test_ceilings_hold_on_real_processes_under_datagram_faults_a_pause_a_kill_and_a_cut() -> None:
     plan = sim.Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
-    given = sim.Scenario(
+    scenario = sim.Scenario(
         "ceilings",
         lasts_s=6.0,
         warm_s=0.5,
@@ -147,5 +149,5 @@
             Fault(3.0, "cut", "way:limiter:0>limiter:3", 2.0),
         ),
     )
-    outcome = played(sim.of_load(0.4, given, 2))
+    outcome = played(sim.of_load(0.4, scenario, 2))
     assert outcome.verdict() != "broken", outcome.text()
--- a/tests/gossip/test_escrow_quotas.py
+++ b/tests/gossip/test_escrow_quotas.py
@@ -1,11 +1,11 @@
-"""Requests and grants of a ceiling's units: what is taken, what is not, and how many datagrams they cost."""
+"""Requests for units of a ceiling and their grants: which are accepted, and how many datagrams are sent."""
 
 from __future__ import annotations
 
 from dataclasses import replace
 
 import pytest
-from escrow_histories import FIRST, FULL, LIMITERS, MEMBERS, RATE, WARM, Node, nodes
+from escrow_histories import BURST_UNITS, FILL_MS, FIRST, LIMITER_COUNT, MEMBER_COUNT, RATE_PER_S, Node, make_nodes
 
 from elderlock.decisions.context import MS_PER_SECOND
 from elderlock.gossip.escrow_messages import FORMAT, VERSION, EscrowGrant, EscrowRequest, decode, encode
@@ -18,121 +18,130 @@
 )
 
 
-def granted() -> tuple[dict[int, Node], float, list[tuple[int, bytes]]]:
-    """Its part is spent and it has asked; nobody has answered yet."""
-    group, now = nodes(), 2.0 * WARM
+def nodes_with_pending_request() -> tuple[dict[int, Node], float, list[tuple[int, bytes]]]:
+    """Let the first limiter spend its part; return the limiters, the time, and the requests that it sends."""
+    nodes, now_ms = make_nodes(), 2.0 * FILL_MS
     for other in (5, 0):
-        assert group[other].ask(now - 900.0) and group[other].due() == []
-    while group[FIRST].ask(now):
+        assert nodes[other].request(now_ms - 900.0) and nodes[other].due_datagrams() == []
+    while nodes[FIRST].request(now_ms):
         pass
-    return group, now, group[FIRST].due()
-
-
-def answers(group: dict[int, Node], now: float, wants: list[tuple[int, bytes]]) -> list[tuple[int, bytes]]:
-    found = []
-    for to, data in wants:
-        group[to].receive(now, FIRST, data)
-        found += [(to, answer) for _, answer in group[to].due()]
-    return found
-
-
-def test_a_grant_is_taken_once_in_time_and_only_from_a_limiter_that_was_asked() -> None:
-    group, now, wants = granted()
-    assert sorted(to for to, _ in wants) == [0, 5]
-    (giver, data), *_ = given = answers(group, now, wants)
-    assert len(given) == 2
-    before = group[FIRST].level()
-    group[FIRST].receive(now, 3, data)  # it was not asked
-    assert group[FIRST].level() == before
-    group[FIRST].receive(now + 1.0, giver, data)
-    after = group[FIRST].level()
-    assert after > before + 0.5
-    group[FIRST].receive(now + 1.0, giver, data)
-    assert group[FIRST].level() == after
-    other, late = given[1]
-    group[FIRST].receive(now + REQUEST_LIFETIME_MS, other, late)
-    group[FIRST].ask(now + REQUEST_LIFETIME_MS, 1000.0)  # only looks: so much no bucket holds
-    assert group[FIRST].level() == pytest.approx(after + RATE / MEMBERS * (REQUEST_LIFETIME_MS - 1.0) / MS_PER_SECOND)
-
-
-def test_a_restarted_process_takes_no_grant_for_the_process_before() -> None:
-    group, now, wants = granted()
-    given = answers(group, now, wants)
-    anew = Node(FIRST, now, 99)
-    assert not anew.ask(now, 4.0)
-    before = anew.level()
-    for giver, data in given:
-        anew.receive(now + 1.0, giver, data)
-    assert anew.level() == before
-
-
-def test_a_giver_does_not_refill_while_its_grant_can_still_be_taken() -> None:
-    group, now, wants = granted()
-    answers(group, now, wants)
-    giver, part = group[5], FULL / MEMBERS
-    left = giver.level()
-    giver.ask(now + REQUEST_LIFETIME_MS - 1.0, 1000.0)
-    assert giver.level() <= part - (part - left) + RATE / MEMBERS * REQUEST_LIFETIME_MS / MS_PER_SECOND
-    giver.ask(now + REQUEST_LIFETIME_MS + WARM, 1000.0)
-    assert giver.level() == pytest.approx(part)
+    return nodes, now_ms, nodes[FIRST].due_datagrams()
+
+
+def replies_to(nodes: dict[int, Node], now_ms: float, requests: list[tuple[int, bytes]]) -> list[tuple[int, bytes]]:
+    """Deliver requests; return the limiters that reply, with their replies."""
+    replies = []
+    for receiver, payload in requests:
+        nodes[receiver].receive(now_ms, FIRST, payload)
+        replies += [(receiver, reply) for _, reply in nodes[receiver].due_datagrams()]
+    return replies
+
+
+def test_a_grant_is_accepted_once_in_time_and_only_from_a_limiter_that_was_asked() -> None:
+    nodes, now_ms, requests = nodes_with_pending_request()
+    assert sorted(receiver for receiver, _ in requests) == [0, 5]
+    (granting_peer, payload), *_ = grants = replies_to(nodes, now_ms, requests)
+    assert len(grants) == 2
+    level_before = nodes[FIRST].level_units()
+    nodes[FIRST].receive(now_ms, 3, payload)  # limiter 3 was not asked
+    assert nodes[FIRST].level_units() == level_before
+    nodes[FIRST].receive(now_ms + 1.0, granting_peer, payload)
+    level_after = nodes[FIRST].level_units()
+    assert level_after > level_before + 0.5
+    nodes[FIRST].receive(now_ms + 1.0, granting_peer, payload)
+    assert nodes[FIRST].level_units() == level_after
+    other_peer, late_grant = grants[1]
+    nodes[FIRST].receive(now_ms + REQUEST_LIFETIME_MS, other_peer, late_grant)
+    nodes[FIRST].request(now_ms + REQUEST_LIFETIME_MS, 1000.0)  # refused, as no bucket holds that much; it only refills
+    assert nodes[FIRST].level_units() == pytest.approx(
+        level_after + RATE_PER_S / MEMBER_COUNT * (REQUEST_LIFETIME_MS - 1.0) / MS_PER_SECOND
+    )
+
+
+def test_a_restarted_process_accepts_no_grant_for_the_previous_process() -> None:
+    nodes, now_ms, requests = nodes_with_pending_request()
+    grants = replies_to(nodes, now_ms, requests)
+    restarted = Node(FIRST, now_ms, 99)
+    assert not restarted.request(now_ms, 4.0)
+    level_before = restarted.level_units()
+    for granting_peer, payload in grants:
+        restarted.receive(now_ms + 1.0, granting_peer, payload)
+    assert restarted.level_units() == level_before
+
+
+def test_granted_units_are_not_refilled_while_the_grant_is_still_valid() -> None:
+    nodes, now_ms, requests = nodes_with_pending_request()
+    replies_to(nodes, now_ms, requests)
+    granting_node, capacity_units = nodes[5], BURST_UNITS / MEMBER_COUNT
+    remaining_units = granting_node.level_units()
+    granting_node.request(now_ms + REQUEST_LIFETIME_MS - 1.0, 1000.0)
+    assert (
+        granting_node.level_units() <= remaining_units + RATE_PER_S / MEMBER_COUNT * REQUEST_LIFETIME_MS / MS_PER_SECOND
+    )
+    granting_node.request(now_ms + REQUEST_LIFETIME_MS + FILL_MS, 1000.0)
+    assert granting_node.level_units() == pytest.approx(capacity_units)
 
 
 def test_a_request_is_granted_once_and_only_if_both_limiters_have_a_part() -> None:
-    group, now, wants = granted()
-    want = decode(wants[0][1])
-    assert isinstance(want, EscrowRequest)
-    to = wants[0][0]
-    assert len(answers(group, now, [wants[0]])) == 1 and answers(group, now, [wants[0]]) == []
-    wrong = [
-        replace(want, request_id=1, plan_index=3),
-        replace(want, request_id=2, limiter_count=2),
-        replace(want, request_id=3, limiter_count=LIMITERS + 1),
-        replace(want, request_id=4, first_limiter=0),
-        replace(want, request_id=5, limiter_count=0),
+    nodes, now_ms, requests = nodes_with_pending_request()
+    request = decode(requests[0][1])
+    assert isinstance(request, EscrowRequest)
+    receiver = requests[0][0]
+    assert len(replies_to(nodes, now_ms, [requests[0]])) == 1 and replies_to(nodes, now_ms, [requests[0]]) == []
+    invalid_requests = [
+        replace(request, request_id=1, plan_index=3),
+        replace(request, request_id=2, limiter_count=2),
+        replace(request, request_id=3, limiter_count=LIMITER_COUNT + 1),
+        replace(request, request_id=4, first_limiter=0),
+        replace(request, request_id=5, limiter_count=0),
     ]
-    for each in wrong:
-        assert answers(group, now, [(to, encode(each))]) == []
-    group[to].receive(now, 3, encode(replace(want, request_id=6)))  # not one of those that the ceiling is split by
-    assert group[to].due() == []
+    for invalid_request in invalid_requests:
+        assert replies_to(nodes, now_ms, [(receiver, encode(invalid_request))]) == []
+    nodes[receiver].receive(now_ms, 3, encode(replace(request, request_id=6)))  # limiter 3 has no part of the ceiling
+    assert nodes[receiver].due_datagrams() == []
 
 
-def test_a_limiter_that_is_short_itself_gives_nothing() -> None:
-    group, now, wants = granted()
-    while group[5].ask(now):
+def test_a_limiter_that_needs_units_itself_grants_none() -> None:
+    nodes, now_ms, requests = nodes_with_pending_request()
+    while nodes[5].request(now_ms):
         pass
-    assert group[5].due()
-    assert [to for to, _ in answers(group, now, wants)] == [0]
+    assert nodes[5].due_datagrams()
+    assert [receiver for receiver, _ in replies_to(nodes, now_ms, requests)] == [0]
 
 
-def test_a_limiter_gives_for_customers_it_has_not_seen_up_to_a_bound() -> None:
+def test_a_limiter_grants_units_of_customers_without_an_account_up_to_a_bound() -> None:
     node = Node(5, 0.0, 1)
     for key in range(MAX_OPENED_ACCOUNTS + 50):
-        node.receive(WARM + 1000.0 * key, FIRST, encode(EscrowRequest(key, key, 0, MEMBERS, FIRST, 4.0)))
-    assert len(node.quotas.accounts) == MAX_OPENED_ACCOUNTS and len(node.due()) == MAX_OPENED_ACCOUNTS
-    node.core.now_ms += 1e9
+        node.receive(FILL_MS + 1000.0 * key, FIRST, encode(EscrowRequest(key, key, 0, MEMBER_COUNT, FIRST, 4.0)))
+    assert len(node.quotas.accounts) == MAX_OPENED_ACCOUNTS and len(node.due_datagrams()) == MAX_OPENED_ACCOUNTS
+    node.context.now_ms += 1e9
     node.quotas.expire_accounts()
     assert not node.quotas.accounts
 
 
 def test_requests_stay_within_their_fraction_of_the_intake() -> None:
-    node, sent, seconds = Node(FIRST, 0.0, 1), 0, 20
-    for step in range(100 * seconds):
-        now = WARM + 10.0 * step
+    node, sent_count, duration_s = Node(FIRST, 0.0, 1), 0, 20
+    for step in range(100 * duration_s):
+        now_ms = FILL_MS + 10.0 * step
         for customer in range(20):
-            while node.ask(now, 4.0, f"c{customer}"):
+            while node.request(now_ms, 4.0, f"c{customer}"):
                 pass
-        sent += len(node.due())
-    assert 0 < sent <= BURST_DATAGRAMS + SEND_FRACTION * 100.0 * (seconds + WARM / MS_PER_SECOND)
+        sent_count += len(node.due_datagrams())
+    assert 0 < sent_count <= BURST_DATAGRAMS + SEND_FRACTION * 100.0 * (duration_s + FILL_MS / MS_PER_SECOND)
 
 
 def test_a_second_request_waits_for_the_request_interval() -> None:
-    group, now, wants = granted()
-    assert wants and not group[FIRST].ask(now + REQUEST_INTERVAL_MS - 1.0, 50.0) and group[FIRST].due() == []
-    assert not group[FIRST].ask(now + REQUEST_INTERVAL_MS, 50.0) and group[FIRST].due() != []
+    nodes, now_ms, requests = nodes_with_pending_request()
+    assert (
+        requests
+        and not nodes[FIRST].request(now_ms + REQUEST_INTERVAL_MS - 1.0, 50.0)
+        and nodes[FIRST].due_datagrams() == []
+    )
+    assert not nodes[FIRST].request(now_ms + REQUEST_INTERVAL_MS, 50.0) and nodes[FIRST].due_datagrams() != []
 
 
 @pytest.mark.parametrize(
-    "data",
+    "payload",
     [
         b"",
         bytes([FORMAT]),
@@ -144,8 +153,8 @@
         b"\x5c" * 12,
     ],
 )
-def test_bytes_of_another_form_decode_to_nothing(data: bytes) -> None:
-    assert decode(data) is None
+def test_malformed_datagrams_decode_to_none(payload: bytes) -> None:
+    assert decode(payload) is None
 
 
 def test_units_are_sent_rounded_down() -> None:
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -1,5 +1,4 @@
-"""What limiters share as operators see it, on real processes with faults between them: a server that falls silent while
-datagrams are lost, while a zone hears nothing, while one says and never hears, while one sleeps, while all restart."""
+"""The status of shared evidence that operators see, on real processes with link faults while one server is silent."""
 
 from __future__ import annotations
 
@@ -15,7 +14,7 @@
 
 from elderlock.cli import tables
 from elderlock.control.records import Record
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.client.answers import Missing
 from elderlock.fleet.client.drain_commands import see
 from elderlock.fleet.client.explanation import Explanation, entries, explain
@@ -41,27 +40,32 @@
     return Group.read(ground.direct_path)
 
 
-async def until_seen(group: Group, holds: Callable[[GroupObservation], bool]) -> GroupObservation:
-    while not holds(seen := await see(group, accounts=0)):
+async def wait_for(group: Group, condition: Callable[[GroupObservation], bool]) -> GroupObservation:
+    while not condition(observed := await see(group, accounts=0)):
         await asyncio.sleep(0.1)
-    return seen
+    return observed
 
 
-def of(seen: GroupObservation) -> Explanation:
-    return explain(seen, BOX, time.time() * 1000.0)
+def explain_server(observed: GroupObservation) -> Explanation:
+    """Explain which limiters use the silent server."""
+    return explain(observed, BOX, time.time() * 1000.0)
 
 
-def ejecting_limiters(seen: GroupObservation) -> list[str]:
+def ejecting_limiters(observed: GroupObservation) -> list[str]:
     """Return the limiters that eject the server."""
-    return [word.limiter for word in of(seen).words if word.health is not None and word.health.ejected_ms >= 0.0]
+    return [
+        word.limiter
+        for word in explain_server(observed).words
+        if word.health is not None and word.health.ejected_ms >= 0.0
+    ]
 
 
-async def command(ground: Ground, *words: str) -> tuple[int, Any, str]:
+async def run_command(ground: Ground, *arguments: str) -> tuple[int, Any, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "elderlock.cli.main",
-        *words,
+        *arguments,
         "--group",
         str(ground.direct_path),
         "--token-file",
@@ -69,90 +73,104 @@
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
-    out, err = await process.communicate()
-    return process.returncode or 0, json.loads(out) if "--json" in words and out else out.decode(), err.decode()
+    stdout, stderr = await process.communicate()
+    output = json.loads(stdout) if "--json" in arguments and stdout else stdout.decode()
+    return process.returncode or 0, output, stderr.decode()
 
 
-def test_operators_see_which_limiters_eject_a_server_and_by_whose_failures() -> None:
+def test_the_status_shows_which_limiters_eject_a_server_and_whose_failures_led_to_it() -> None:
     async def test() -> None:
         async with harness_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
             ground.ask()
             faults.begin(0, SILENT)
-            await until_seen(group, lambda seen: any(len(w.health.ejected_by) > 1 for w in of(seen).words if w.health))
+            await wait_for(
+                group,
+                lambda observed: any(
+                    len(word.health.ejected_by) > 1 for word in explain_server(observed).words if word.health
+                ),
+            )
             while True:
-                exit, told, _ = await command(ground, "explain", "box", BOX, "--json")
-                out = [word for word in told["words"] if word["health"] and word["health"]["left_out_ms"] >= 0.0]
-                if out:
+                exit_code, explanation, _ = await run_command(ground, "explain", "box", BOX, "--json")
+                ejecting = [
+                    word for word in explanation["words"] if word["health"] and word["health"]["left_out_ms"] >= 0.0
+                ]
+                if ejecting:
                     break
-            assert exit == 0 and told["used_by"] <= LIMITERS - len(out) and told["silent"] == []
-            assert all("failures in a row" in word["why"] and word["since_ms"] >= 0.0 for word in out)
+            assert exit_code == 0 and explanation["used_by"] <= LIMITERS - len(ejecting) and explanation["silent"] == []
+            assert all("failures in a row" in word["why"] and word["since_ms"] >= 0.0 for word in ejecting)
             while True:
-                _, shared, _ = await command(ground, "show", "shared", "--json")
+                _, shared, _ = await run_command(ground, "show", "shared", "--json")
                 if any(box["box"] == BOX and box["failed"] for box in shared["boxes"]):
                     break
             assert set(shared["limiters"]) == {f"n{n}" for n in range(LIMITERS)} and shared["shares_nothing"] == []
             assert all(each["counts_ms"] == FRESH_MS for each in shared["limiters"].values())
             assert sum(each["told"] for each in shared["limiters"].values()) > 0
-            _, text, _ = await command(ground, "explain", "box", BOX)
+            _, text, _ = await run_command(ground, "explain", "box", BOX)
             assert text.splitlines()[0].endswith(f"of {LIMITERS} limiters") and "FAILED AT (AGO)" in text
-            _, text, _ = await command(ground, "show", "shared")
+            _, text, _ = await run_command(ground, "show", "shared")
             assert "FAILURES WEIGH" in text and BOX in text
-            exit, _, said = await command(ground, "explain", "box", "s-99")
-            assert exit == 4 and f"box s-99 is not known to {LIMITERS} limiters" in said
+            exit_code, _, stderr = await run_command(ground, "explain", "box", "s-99")
+            assert exit_code == 4 and f"box s-99 is not known to {LIMITERS} limiters" in stderr
 
             ground.signal("n5", signal.SIGSTOP, "it was stopped")
-            await until_seen(group, lambda seen: "n5" in of(seen).silent)
-            exit, told, _ = await command(ground, "explain", "box", BOX, "--json")
-            assert exit == 3 and told["silent"] == ["n5"] and len(told["words"]) == LIMITERS - 1
+            await wait_for(group, lambda observed: "n5" in explain_server(observed).silent)
+            exit_code, explanation, _ = await run_command(ground, "explain", "box", BOX, "--json")
+            assert exit_code == 3 and explanation["silent"] == ["n5"] and len(explanation["words"]) == LIMITERS - 1
             ground.signal("n5", signal.SIGCONT, "")
             group.close()
 
     run(test(), within=120.0)
 
 
-def test_without_sharing_the_status_says_so_and_servers_are_still_explained() -> None:
-    boxes = [box("s-0"), box("s-1", unavailable_reason="drained by an", drained_by="an", generation=7)]
-    drained = Record("box", "s-1", True, 7, "o", "an", 1000.0, "fan is loud")
-    status = [
-        f.LimiterStatus(name, "running", 1, False, 0, -1.0, "answering", "", 10.0, state(name, each))
-        for name, each in (("n0", boxes), ("n1", boxes[:1]))
+def test_without_sharing_the_status_says_so_and_explains_servers_nevertheless() -> None:
+    servers = [box("s-0"), box("s-1", unavailable_reason="drained by an", drained_by="an", generation=7)]
+    drain_record = Record("box", "s-1", True, 7, "o", "an", 1000.0, "fan is loud")
+    statuses = [
+        messages.LimiterStatus(name, "running", 1, False, 0, -1.0, "answering", "", 10.0, state(name, known_servers))
+        for name, known_servers in (("n0", servers), ("n1", servers[:1]))
     ]
-    seen = observe(
+    observed = observe(
         {
-            "agent-0": f.Shown(1, "agent-0", "1", 1, 1.0, "", tuple(status), (drained,), ()),
+            "agent-0": messages.Shown(1, "agent-0", "1", 1, 1.0, "", tuple(statuses), (drain_record,), ()),
             "agent-1": Missing("agent-1", "no answer in 1 s", True),
         }
     )
-    assert tables.shared(seen, False)[0].startswith("no limiter that answers shares evidence")
-    plain = explain(seen, "s-0", 5000.0)
-    assert [word.used for word in plain.words] == [True, True] and plain.silent == ("agent agent-1",)
-    out = explain(seen, "s-1", 5000.0)
-    assert out.words[0].since_ms == 4000.0 and not out.words[0].used and not out.words[1].listed
-    lines = tables.explained(out, False)
+    assert tables.shared(observed, False)[0].startswith("no limiter that answers shares evidence")
+    serving = explain(observed, "s-0", 5000.0)
+    assert [word.used for word in serving.words] == [True, True] and serving.silent == ("agent agent-1",)
+    out_of_service = explain(observed, "s-1", 5000.0)
+    first, second = out_of_service.words
+    assert first.since_ms == 4000.0 and not first.used and not second.listed
+    lines = tables.explained(out_of_service, False)
     assert lines[:2] == [
         "s-1 (floor-2, std-2c, weight 2) is used by 0 of 2 limiters",
         "drained by an, generation 7: fan is loud",
     ]
     assert "1 of 2: its list does not name the box" in lines and lines[-1] == "says nothing: agent agent-1"
-    assert not explain(seen, "s-9", 5000.0).known
+    assert not explain(observed, "s-9", 5000.0).known
 
 
-def cut(whence: list[int], whither: list[int]) -> list[Fault]:
-    return [Fault(0.0, "cut", f"way:limiter:{a}>limiter:{b}", FOREVER) for a in whence for b in whither if a != b]
+def cut(senders: list[int], receivers: list[int]) -> list[Fault]:
+    return [
+        Fault(0.0, "cut", f"way:limiter:{sender}>limiter:{receiver}", FOREVER)
+        for sender in senders
+        for receiver in receivers
+        if sender != receiver
+    ]
 
 
-ZONE = [0, 3]  # limiters of the first of three floors
+ZONE = [0, 3]  # the limiters of the first of three zones
 OTHERS = [n for n in range(LIMITERS) if n not in ZONE]
 LINK_FAULTS: dict[str, list[Fault]] = {
-    "datagrams are lost, late, repeated and out of order, and one sleeps and wakes": [
+    "datagrams are lost, late, repeated and out of order, and one limiter pauses": [
         Fault(0.0, "loss", "peers", FOREVER, 0.5),
         Fault(0.0, "reorder", "peers", FOREVER),
         Fault(0.0, "duplicate", "peers", FOREVER, 0.5),
         Fault(0.0, "pause", "limiter:1", 3.0),
     ],
-    "a zone hears nothing and is not heard": cut(ZONE, OTHERS) + cut(OTHERS, ZONE),
-    "all limiters restart, and one is heard and hears nobody": [
+    "a zone is cut off from the others in both directions": cut(ZONE, OTHERS) + cut(OTHERS, ZONE),
+    "all limiters restart, and one can send to the others but not receive": [
         *cut(list(range(1, LIMITERS)), [0]),
         *[Fault(0.0, "kill", f"limiter:{n}") for n in range(LIMITERS)],
     ],
@@ -161,8 +179,7 @@
 
 @pytest.mark.parametrize("link_faults", LINK_FAULTS.values(), ids=LINK_FAULTS)
 def test_a_silent_server_is_ejected_and_reinstated_under_each_link_fault(link_faults: list[Fault]) -> None:
-    """Some eject it, evidence counts against no other server, all use it again once it answers, and no invariant is
-    broken."""
+    """Some limiters eject it and no other server; all use it again once it answers; no invariant is violated."""
 
     async def test() -> None:
         async with harness_of_six() as ground:
@@ -170,18 +187,20 @@
             ground.ask()
             for number, fault in enumerate(link_faults):
                 faults.begin(number, fault)
-            mend = faults.silence(ground.listing.boxes[BOX].uid)
-            good: list[float] = []
-
-            def found(seen: GroupObservation) -> bool:
-                good.extend(entry.weighed for entry in entries(seen.states()) if entry.box != BOX)
-                return len(ejecting_limiters(seen)) >= 2
-
-            await until_seen(group, found)
-            assert all(weighed < EJECTION_WEIGHT for weighed in good)
-            mend()
-            back = await until_seen(group, lambda seen: [word.used for word in of(seen).words] == [True] * LIMITERS)
-            assert ejecting_limiters(back) == []
+            end_silence = faults.silence(ground.listing.boxes[BOX].uid)
+            other_weights: list[float] = []
+
+            def is_ejected(observed: GroupObservation) -> bool:
+                other_weights.extend(entry.weighed for entry in entries(observed.states()) if entry.box != BOX)
+                return len(ejecting_limiters(observed)) >= 2
+
+            await wait_for(group, is_ejected)
+            assert all(weight < EJECTION_WEIGHT for weight in other_weights)
+            end_silence()
+            reinstated = await wait_for(
+                group, lambda observed: [word.used for word in explain_server(observed).words] == [True] * LIMITERS
+            )
+            assert ejecting_limiters(reinstated) == []
             assert judged(ground).broken == []
             group.close()
 
--- a/tests/gossip/test_sharing_processes.py
+++ b/tests/gossip/test_sharing_processes.py
@@ -1,4 +1,4 @@
-"""Eight processes of the program on loopback that share evidence: what some saw of a server keeps the others off it."""
+"""Limiter processes on loopback that share evidence and ceilings."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from sharing import PROCESSES, WARM, Fleet
+from sharing import GOOD_SERVERS, PROCESSES, Fleet
 
 from elderlock.decisions.outlier_detection import FAILURES_BEFORE_EJECTION
 from elderlock.gossip.evidence_limiter import EvidenceLimiter
@@ -20,23 +20,25 @@
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 
-WITNESSES = int(EJECTION_WEIGHT) + 2  # some to spare, as a datagram may be lost
+WITNESSES = int(EJECTION_WEIGHT) + 2  # more than needed, as a datagram may be lost
 
 
-async def witnessed(fleet: Fleet, count: int) -> None:
-    """The first `count` have attempts broken off by the bad server, all in one moment: each asks as much at once as there
-    are servers, and as none answers yet one request goes to each."""
+async def fail_attempts(fleet: Fleet, count: int) -> None:
+    """Let the bad server break one attempt of each of the first `count` limiters.
+
+    Each limiter gets one request for each server at once. No server answers yet, so one request goes to each of them.
+    """
     witnesses = range(count)
     for number in witnesses:
-        for _ in range(WARM + 1):
+        for _ in range(GOOD_SERVERS + 1):
             fleet.read(number)
-    # where they share, the last of them may hear of it before its own request is out
-    least = EJECTION_WEIGHT if "true" in fleet.shared else count
-    await until(lambda: sum(map(bool, map(fleet.bad.of, witnesses))) >= least)
+    # with sharing, the last of them may learn of the failures before it sends its own request
+    minimum = EJECTION_WEIGHT if "true" in fleet.shared else count
+    await until(lambda: sum(map(bool, map(fleet.bad.count_from, witnesses))) >= minimum)
     fleet.release.set()
     for number in witnesses:
-        for _ in range(WARM + 1):
-            assert await fleet.clients[number].answer() == b"value"  # what was broken off went on to another server
+        for _ in range(GOOD_SERVERS + 1):
+            assert await fleet.clients[number].answer() == b"value"  # broken attempts are retried at another server
 
 
 def test_failures_at_some_processes_eject_the_server_at_the_others(tmp_path: Path) -> None:
@@ -44,15 +46,15 @@
         fleet = Fleet(tmp_path, "evidence = true")
         await fleet.open()
         try:
-            await witnessed(fleet, WITNESSES)
+            await fail_attempts(fleet, WITNESSES)
             others = range(WITNESSES, PROCESSES)
-            await until(lambda: all(map(fleet.has_ejected_bad_server, others)))  # none of them has sent it anything
-            assert not any(map(fleet.bad.of, others))
+            await until(lambda: all(map(fleet.has_ejected_bad_server, others)))
+            assert not any(map(fleet.bad.count_from, others))  # none of them has sent it a request
             for number in others:
                 for _ in range(10):
                     assert await fleet.ask(number) == b"value"
-            # alone, each would have found out by as many failures of its own
-            assert all(fleet.bad.of(number) < FAILURES_BEFORE_EJECTION for number in others)
+            # without sharing, each would need this many failures of its own
+            assert all(fleet.bad.count_from(number) < FAILURES_BEFORE_EJECTION for number in others)
         finally:
             await fleet.close()
 
@@ -64,7 +66,7 @@
         fleet = Fleet(tmp_path, "evidence = false")
         await fleet.open()
         try:
-            await witnessed(fleet, PROCESSES)  # each finds out by itself
+            await fail_attempts(fleet, PROCESSES)  # each process sees one failure of its own
             assert not any(map(fleet.has_ejected_bad_server, range(PROCESSES)))
         finally:
             await fleet.close()
@@ -85,44 +87,46 @@
                     "ELDERLOCK_OPERATORS": str(tmp_path / "operators.toml"),
                 },
             )
-            _, said = await process.communicate()
-            assert process.returncode == 2 and said.count(b"\n") == 1 and b"do not let limiters talk" in said
+            _, stderr = await process.communicate()
+            assert process.returncode == 2 and stderr.count(b"\n") == 1 and b"do not let limiters talk" in stderr
 
     run(test(), within=90.0)
 
 
-RATE, BURST, SLACK, SPLIT = 30.0, 30.0, 3.0, 3
-CEILED = {
+RATE_PER_S, BURST_UNITS, SLACK_UNITS, LIMITERS = 30.0, 30.0, 3.0, 3
+PLAN_WITH_CEILING = {
     "name": "team",
     "quota-rate": 1e5,
     "burst": 1e5,
-    "hard-rate": RATE,
-    "never-over-depth": BURST,
-    "hard-slack": SLACK,
+    "hard-rate": RATE_PER_S,
+    "never-over-depth": BURST_UNITS,
+    "hard-slack": SLACK_UNITS,
 }
 
 
 @pytest.mark.parametrize("evidence", ["false", "true"])
-def test_of_three_processes_the_busy_one_is_given_the_others_parts_of_a_ceiling(evidence: str, tmp_path: Path) -> None:
-    """Asked without a pause till it has sent on far more than its even part can have filled meanwhile; all the while no more
-    than the whole ceiling allows."""
+def test_the_busy_one_of_three_processes_receives_the_others_parts_of_a_ceiling(evidence: str, tmp_path: Path) -> None:
+    """One process serves requests until it has forwarded far more than its even part, but never more than the ceiling."""
 
     async def test() -> None:
-        fleet = Fleet(tmp_path, f"evidence = {evidence}\nceilings = true", SPLIT, CEILED)
+        fleet = Fleet(tmp_path, f"evidence = {evidence}\nceilings = true", LIMITERS, PLAN_WITH_CEILING)
         fleet.release.set()
-        began = time.monotonic()
+        start = time.monotonic()
         await fleet.open()
         try:
-            passed = 0.0
+            forwarded = 0.0
             while True:
-                answer = await fleet.ask(0, spread=SPLIT)
-                elapsed = time.monotonic() - began  # from before the first began: what each part has filled at most
-                passed += answer == b"value"
-                assert passed <= BURST + SLACK + RATE * elapsed
-                if passed > 2.0 * (BURST + SLACK + RATE * elapsed) / SPLIT + 1.0:
+                answer = await fleet.ask(0, spread=LIMITERS)
+                elapsed_s = (
+                    time.monotonic() - start
+                )  # from before the processes started: an upper bound of the refill time
+                forwarded += answer == b"value"
+                ceiling_units = BURST_UNITS + SLACK_UNITS + RATE_PER_S * elapsed_s
+                assert forwarded <= ceiling_units
+                if forwarded > 2.0 * ceiling_units / LIMITERS + 1.0:
                     break
                 if answer != b"value":
-                    await asyncio.sleep(0.01)  # as a client that is refused would
+                    await asyncio.sleep(0.01)  # a refused client waits before it retries
         finally:
             await fleet.close()
 
@@ -133,10 +137,10 @@
     "data", [b"", b"\x5e", b"\x5e\x01" + bytes(300), b"\x5e\x09" + bytes(13), b"\x5e\x01" + bytes(13)]
 )
 def test_random_bytes_in_an_evidence_datagram_change_nothing(data: bytes) -> None:
-    """From a peer's own address: a stranger's datagrams are not taken at all."""
+    """The datagrams come from a peer's address; datagrams from other addresses are never accepted."""
     settings = read_settings({**facts(peers=True), "peers-total": PROCESSES})
     limiter = EvidenceLimiter(settings, 1, 0.0)
     limiter.start(0.0)
-    for at in range(1000):
-        assert limiter.handle(PeerMessage(1, data), float(at)) == []
+    for now_ms in range(1000):
+        assert limiter.handle(PeerMessage(1, data), float(now_ms)) == []
     assert limiter.refused_datagrams == (1000 if data else 0) and len(limiter.evidence) == 0
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -1,4 +1,4 @@
-"""Real limiters on loopback that share what the operators' file says, over servers that a test holds and breaks."""
+"""A harness with real limiter processes on loopback that share evidence, and servers that a test delays or breaks."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from elderlock.standins.settings import facts, raw_config, target
 from elderlock.standins.world import ROOT, free_address, own_host
 
-PROCESSES, WARM = 8, 3
-PATIENCE = 20_000.0  # ms
+PROCESSES, GOOD_SERVERS = 8, 3
+TIMEOUT_MS = 20_000.0
 PLAN = {"name": "team", "quota-rate": 1e5, "burst": 1e5}
 
 
-class Breaking(Server):
-    """Ends a connection on a command, and that one alone: the others' commands may be on their way."""
+class ConnectionBreakingServer(Server):
+    """A server that aborts each connection on which a command arrives, and leaves the other connections open."""
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = hiredis.Reader(notEnoughData=MISSING)
@@ -40,20 +40,22 @@
                 self.commands.append(command)
                 writer.transport.abort()
 
-    def of(self, number: int) -> int:
-        """Commands that came by that limiter."""
+    def count_from(self, number: int) -> int:
+        """Return the number of commands that were sent by a limiter."""
         return sum(command[2].startswith(b"%d-" % number) for command in self.commands)
 
 
 class Fleet:
+    """Limiter processes with a client each, in front of shared servers of which one breaks its connections."""
+
     def __init__(self, folder: Path, shared: str, processes: int = PROCESSES, plan: dict[str, Any] = PLAN) -> None:
-        """`shared`: what the operators' file says under that name."""
+        """Create a fleet; `shared` is the content of the `[shared]` table of the operators' file."""
         rng = random.SystemRandom()
         self.folder, self.shared, self.count, self.plan = folder, shared, processes, plan
         self.listens = [free_address(own_host(rng)) for _ in range(processes)]
         self.addresses = [free_address(own_host(rng)) for _ in range(processes)]
         self.release = asyncio.Event()
-        self.good, self.bad = [Server(self._answer) for _ in range(WARM)], Breaking()
+        self.good, self.bad = [Server(self._answer) for _ in range(GOOD_SERVERS)], ConnectionBreakingServer()
         self.processes: list[asyncio.subprocess.Process] = []
         self.clients: list[Client] = []
         self.log_lines: list[list[str]] = [[] for _ in range(self.count)]
@@ -70,10 +72,10 @@
         for number in range(self.count):
             raw = raw_config(self.listens[number], "%s:%d" % self.discovery.address)
             raw.update(seed=secrets.token_hex(8), peers=self.addresses, peer_listen=self.addresses[number])
-            # times that a busy machine does not reach: what is held here is neither late nor given up
-            slow = facts(peers=True, **{"dial-timeout": PATIENCE / 4.0})
-            service = {"name": "lookup", "goal-time": PATIENCE, "deadline": PATIENCE, "effect": "free"}
-            raw["settings"] = {**slow, "ordinal": number, "peers-total": self.count, "services": [service]}
+            # long timeouts, so that requests that a test delays do not time out on a busy machine
+            settings = facts(peers=True, **{"dial-timeout": TIMEOUT_MS / 4.0})
+            service = {"name": "lookup", "goal-time": TIMEOUT_MS, "deadline": TIMEOUT_MS, "effect": "free"}
+            raw["settings"] = {**settings, "ordinal": number, "peers-total": self.count, "services": [service]}
             raw["settings"]["plans"] = [self.plan]
             path = self.folder / f"{number}.json"
             path.write_text(json.dumps(raw))
@@ -103,14 +105,14 @@
             self.log_lines[number].append(line.decode())
 
     def read(self, number: int, spread: int = 1) -> None:
-        self.clients[number].read(f"{number}-{time.monotonic_ns():x}", first=number, spread=spread, d=int(PATIENCE))
+        self.clients[number].read(f"{number}-{time.monotonic_ns():x}", first=number, spread=spread, d=int(TIMEOUT_MS))
 
     async def ask(self, number: int, spread: int = 1) -> Any:
         self.read(number, spread)
         return await self.clients[number].answer()
 
     def has_ejected_bad_server(self, number: int) -> bool:
-        return any("bad is left out" in line for line in self.log_lines[number])
+        return any("bad is ejected" in line for line in self.log_lines[number])
 
     async def close(self) -> None:
         for client in self.clients:
