--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -1,4 +1,4 @@
-"""Connects a limiter with its counter. Loaded only where the operators' file has `[quota]`."""
+"""The connection of a limiter to its counter. Loaded only if the operators' file has a `[quota]` table."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from elderlock import interface as api
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.interface import Outcome
 from elderlock.net.config import ConfigError, parse_address
 from elderlock.net.gateway import Gateway
@@ -24,28 +24,28 @@
 from elderlock.quota.store_client import StoreClient, StoreEvents
 from elderlock.quota.tally_client import TallyClient
 
-__all__ = ["CounterAttachment", "QuotaOptions"]  # one import that fails where the extra is missing
+__all__ = ["CounterAttachment", "QuotaOptions"]  # importing both here fails at once if the extra is not installed
 log = logging.getLogger(__name__)
 
 
 class CounterAttachment:
-    """Carries the decision module's calls to the store, and the store's answers to the decision module.
+    """Passes the decision module's calls to the store, and the store's answers to the decision module.
 
     Attributes:
         book: The limiter's ledgers.
     """
 
     def __init__(self, options: QuotaOptions, config_path: Path, gateway: Gateway, settings: api.Settings) -> None:
-        """Make the store's client and connect it with `gateway`.
+        """Create the store's client and connect it to `gateway`.
 
         Args:
-            options: `[quota]` of the operators' file.
-            config_path: The limiter's configuration, which names the platform's counter.
-            gateway: The limiter's gateway, whose coordinator is made by `options`.
+            options: The `[quota]` table of the operators' file.
+            config_path: The limiter's configuration, which has the address of the platform's counter.
+            gateway: The limiter's gateway, with a coordinator of the class from `options`.
             settings: The limiter's settings.
 
         Raises:
-            ConfigError: The store has no address, or its extra is not installed.
+            ConfigError: The store has no usable address, or its extra is not installed.
         """
         coordinator = gateway.limiter.quota_coordinator
         assert isinstance(coordinator, CountedCoordinator)
@@ -76,12 +76,12 @@
                 raise ConfigError(f"[quota] store {self._options.store} needs addresses")
             return [parse_address(json.loads(self._config_path.read_text(encoding="utf-8"))["counter"])]
         except (OSError, ValueError, KeyError, TypeError) as error:
-            raise ConfigError(f"[quota] has no counter's address to use: {error!r}") from None
+            raise ConfigError(f"[quota] has no usable address of a counter: {error!r}") from None
 
     def _make_client(self, addresses: list[tuple[str, int]]) -> StoreClient:
         loop = asyncio.get_running_loop()
         options = self._options
-        events = StoreEvents(self._answered, self._failed, self._connection_lost)
+        events = StoreEvents(self._on_answered, self._on_failed, self._on_connection_lost)
         if options.store == "tally":
             return TallyClient(loop, addresses[0], options.answer_ms, events)
         try:
@@ -94,10 +94,10 @@
     def _send(self, token: int, name: str, amount_units: float, lifetime_ms: float) -> None:
         self._client.send([CounterCall(token, name, amount_units, lifetime_ms)])
 
-    def _answered(self, token: int, total: float) -> None:
+    def _on_answered(self, token: int, total: float) -> None:
         self._gateway.counter_answered(api.CounterAnswered(token, Outcome.OK, total, 0.0))
 
-    def _failed(self, token: int, may_have_added: bool, is_busy: bool) -> None:
+    def _on_failed(self, token: int, may_have_added: bool, is_busy: bool) -> None:
         if is_busy:
             outcome = Outcome.FULL
         elif may_have_added:
@@ -106,25 +106,25 @@
             outcome = Outcome.CONNECT_FAILED
         self._gateway.counter_answered(api.CounterAnswered(token, outcome, 0.0, 0.0))
 
-    def _connection_lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         self.book.connection_lost(self._gateway.now_ms())
 
     def reload(self) -> None:
-        """Follow the counter to the address that the configuration names now. A bad file changes nothing."""
+        """Connect to the counter's address in the current configuration; an unusable file changes nothing."""
         try:
             addresses = self._addresses()
         except ConfigError as error:
-            log.error("the counter stays where it was: %s", error)  # noqa: TRY400
+            log.error("the counter's address is not changed: %s", error)  # noqa: TRY400
             return
         if isinstance(self._client, TallyClient):
             self._client.follow(addresses[0])
 
-    def status(self, max_leases: int) -> m.CounterStatus:
-        """Return the counter's state, with the leases of the `max_leases` customers that use most."""
+    def status(self, max_leases: int) -> messages.CounterStatus:
+        """Return the counter's state, with the leases of the `max_leases` customers with the highest use."""
         book = self.book
         now_ms = self._gateway.now_ms()
         busiest = nlargest(max_leases, book.ledgers.values(), key=lambda ledger: ledger.own_use.rate_per_s(now_ms))
-        return m.CounterStatus(
+        return messages.CounterStatus(
             mode=book.mode.value,
             since_ms=now_ms - book.health.changed_at_ms,
             generation=book.health.generation,
@@ -136,7 +136,7 @@
         )
 
     def _largest_error_units(self, now_ms: float) -> float:
-        """Return the stated error of the plan where it is largest, with this limiter cut off for as long as it is."""
+        """Return the largest stated error of all plans, which grows while this limiter is cut off."""
         terms = self._options.terms(self._settings.limiter_count)
         is_shared = self.book.mode is CounterMode.SHARED
         cut_off_ms = 0.0 if is_shared else now_ms - self.book.health.changed_at_ms
@@ -149,8 +149,8 @@
         return max(errors, default=0.0)
 
     @staticmethod
-    def _lease_status(ledger: LeaseLedger, now_ms: float) -> m.LeaseStatus:
-        return m.LeaseStatus(
+    def _lease_status(ledger: LeaseLedger, now_ms: float) -> messages.LeaseStatus:
+        return messages.LeaseStatus(
             ledger.key,
             ledger.level_units(now_ms),
             ledger.bucket.burst_units,
--- a/elderlock/quota/counted_quotas.py
+++ b/elderlock/quota/counted_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas by a shared counter, in the place of the quota coordinator of the decision module."""
+"""Quotas by a shared counter: replaces the quota coordinator of the decision module."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from elderlock.quota.lease_book import LeaseBook, LeaseDecision
 from elderlock.state import Account, OpenRequest
 
-BUSY_POLL_MS = 5.0  # between rounds of upkeep while a request waits
-IDLE_POLL_MS = 50.0
-MAX_OVER_QUOTA_MS = 600.0  # for which a customer is taken as over its quota; another limiter's surplus returns sooner
-POLL_QUERY_ID = -1  # of the upkeep's timer; queries to owners have ids from 0 on
-CEILING_SUFFIX = "!"  # of a ceiling's name, and of a request that waits for it
+BUSY_POLL_MS = 5.0  # between polls of the lease book while a request waits
+IDLE_POLL_MS = 50.0  # between polls otherwise
+MAX_OVER_QUOTA_MS = 600.0  # limits how long a customer counts as over quota, as others may return surplus sooner
+POLL_QUERY_ID = -1  # the id of the poll timer; queries to owners have ids from 0 on
+CEILING_SUFFIX = "!"  # marks the counter name of a ceiling, and the id of a request that waits for one
 
 
 def is_ceiling_counted(account: Account) -> bool:
-    """Return whether a customer's hard ceiling is held by the counter.
+    """Return whether a customer's hard ceiling is enforced by the counter.
 
-    Where requests over the quota are worth forwarding, they go without a reading, and the ceiling stays split evenly.
+    In plans where requests over the quota are worth forwarding, they are forwarded without asking the counter, so the
+    ceiling of such a plan stays split evenly.
     """
     plan = account.plan
     return (
@@ -37,9 +38,9 @@
 
 
 class CountedQuotas(Quotas):
-    """Accounts whose hard ceilings may be held by the counter.
+    """Accounts whose hard ceilings may be enforced by the counter.
 
-    Invariant: such a ceiling is held by its ledger at the reading, which comes before each first attempt.
+    Invariant: such a ceiling is checked by its ledger before the first attempt of each request.
     """
 
     def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
@@ -48,13 +49,13 @@
 
 
 class CountedCoordinator(QuotaCoordinator):
-    """Decides requests by leases from the counter, or by the even part while it is unreachable.
+    """Decides requests by leases from the counter, or by the limiter's even part while the counter is unreachable.
 
-    Invariant: every request that is read is decided once. A ceiling that the counter holds is exceeded by no more than
-    the stated error (`error_bound.stated_error_units`).
+    Invariant: every request that is passed to `request_reading` is decided exactly once. A ceiling that the counter
+    enforces is exceeded by no more than the stated error (`error_bound.stated_error_units`).
 
     Attributes:
-        terms: The terms on which the counter is used; a subclass sets them.
+        terms: The parameters for the use of the counter; set by a subclass.
         book: The ledgers of this limiter.
     """
 
@@ -69,10 +70,10 @@
         requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
     ) -> None:
-        """Start with no ledgers; the first sentinel is called at the first poll."""
+        """Create a coordinator without ledgers; the first poll calls the first sentinel."""
         super().__init__(context, quotas, load_estimator, requests, decide)
         self.book = LeaseBook(self.terms, random.Random(context.rng.random()), context.now_ms)
-        self._buckets: dict[tuple[str, int], SharedBucket] = {}  # by plan and limiters
+        self._buckets: dict[tuple[str, int], SharedBucket] = {}  # by plan name and number of limiters
         self._ceilings: dict[tuple[str, int], SharedBucket] = {}
         context.schedule_timer(BUSY_POLL_MS, POLL_QUERY_ID)
 
@@ -99,15 +100,15 @@
         return bucket
 
     def request_reading(self, request: OpenRequest) -> None:
-        """Have the request decided by the counter, unless its customer comes to this limiter alone."""
+        """Let the counter decide the request, unless its customer uses only this limiter."""
         account = request.account
         if account.plan.rate_per_s <= 0 or account.limiter_count <= 1:
             super().request_reading(request)
             return
-        self._ask_for_quota(request)
+        self._admit_to_quota(request)
         self._run_book()
 
-    def _ask_for_quota(self, request: OpenRequest) -> None:
+    def _admit_to_quota(self, request: OpenRequest) -> None:
         account = request.account
         arrival = request.arrival
         bucket = self.quota_bucket(account.plan, account.limiter_count)
@@ -115,9 +116,9 @@
             arrival.request_id, _counter_key(account), bucket, arrival.units, self.context.now_ms
         )
         if is_granted is not None:
-            self._quota_decided(request, is_granted, 0.0)
+            self._on_quota_decided(request, is_granted, 0.0)
 
-    def _ask_for_ceiling(self, request: OpenRequest) -> None:
+    def _admit_to_ceiling(self, request: OpenRequest) -> None:
         account = request.account
         arrival = request.arrival
         is_granted = self.book.admit(
@@ -130,10 +131,10 @@
         if is_granted is not None:
             self._finish(request, is_granted, 0.0)
 
-    def _quota_decided(self, request: OpenRequest, is_granted: bool, wait_ms: float) -> None:
-        """Go on to the ceiling; a request over its quota takes nothing of it."""
+    def _on_quota_decided(self, request: OpenRequest, is_granted: bool, wait_ms: float) -> None:
+        """Check the ceiling next; a request over its quota does not draw on the ceiling."""
         if is_granted and is_ceiling_counted(request.account):
-            self._ask_for_ceiling(request)
+            self._admit_to_ceiling(request)
         else:
             self._finish(request, is_granted, wait_ms)
 
@@ -141,7 +142,7 @@
         account = request.account
         units = request.arrival.units
         self._apply_latest_total(account)
-        if is_granted:  # the units are leased: nobody else may spend them
+        if is_granted:  # the units are leased, so no other limiter can spend them
             account.shared_units = max(account.shared_units, units)
             account.bucket_units = max(account.bucket_units, units)
         elif wait_ms > 0.0:
@@ -149,7 +150,7 @@
         self.decide(request, is_granted)
 
     def _apply_latest_total(self, account: Account) -> None:
-        """Bring the customer's account up to the counter's latest total."""
+        """Update the customer's account from the counter's latest total."""
         now_ms = self.context.now_ms
         bucket = self.quota_bucket(account.plan, account.limiter_count)
         _, ledger = self.book.ledger_for(_counter_key(account), bucket, now_ms)
@@ -158,7 +159,7 @@
             self.quotas.apply_owner_reading(account, ledger.level_units(now_ms), rate_per_s)
 
     def handle_query_timeout(self, query_id: int) -> None:
-        """Run the upkeep for its own timer; go on without an owner's answer for any other."""
+        """Poll the lease book at its timer; at any other timer, proceed without the answer of a quota owner."""
         if query_id != POLL_QUERY_ID:
             super().handle_query_timeout(query_id)
             return
@@ -168,7 +169,7 @@
         self.context.schedule_timer(BUSY_POLL_MS if had_waiting else IDLE_POLL_MS, POLL_QUERY_ID)
 
     def handle_counter_answer(self, event: api.CounterAnswered) -> None:
-        """Take in the outcome of a call to the counter."""
+        """Handle the outcome of a call to the counter."""
         now_ms = self.context.now_ms
         if event.outcome is Outcome.OK:
             self.book.call_answered(event.token, event.total, now_ms)
@@ -179,24 +180,24 @@
         self._run_book()
 
     def _run_book(self) -> None:
-        """Make the calls that are due, and carry out the decisions on requests that waited."""
+        """Make the calls that are due, and apply the decisions on requests that waited."""
         for call in self.book.due_calls(self.context.now_ms):
             self.context.actions.append(api.AddToCounter(call.token, call.name, call.amount_units, call.lifetime_ms))
         decisions = self.book.decisions
         self.book.decisions = []
         for decision in decisions:
-            self._carry_out(decision)
-        if decisions:  # a quota's decision may have led to a call for a ceiling
+            self._apply_decision(decision)
+        if decisions:  # a decision on a quota may have caused a call for a ceiling
             self._run_book()
 
-    def _carry_out(self, decision: LeaseDecision) -> None:
+    def _apply_decision(self, decision: LeaseDecision) -> None:
         request = self.requests.get(decision.request_id.removesuffix(CEILING_SUFFIX))
         if request is None:
             return
         if decision.request_id.endswith(CEILING_SUFFIX):
             self._finish(request, decision.is_granted, decision.wait_ms)
         else:
-            self._quota_decided(request, decision.is_granted, decision.wait_ms)
+            self._on_quota_decided(request, decision.is_granted, decision.wait_ms)
 
 
 def _counter_key(account: Account) -> str:
--- a/elderlock/quota/counter_call.py
+++ b/elderlock/quota/counter_call.py
@@ -1,4 +1,4 @@
-"""What the lease book exchanges with the client of a store."""
+"""The calls that the lease book passes to the client of a store."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     """`TALLY name amount lifetime`: adds to a name's total and returns the new total.
 
     Attributes:
-        token: Number under which the answer, or that there is none, is reported.
-        name: Name in the counter.
-        amount_units: What to add; may be negative or 0.
-        lifetime_ms: After which the counter forgets a new name.
+        token: The id under which the outcome of the call is reported.
+        name: The name in the counter.
+        amount_units: The units to add; may be negative or 0.
+        lifetime_ms: The time after which the counter deletes a new name.
     """
 
     token: int
--- a/elderlock/quota/counter_draws.py
+++ b/elderlock/quota/counter_draws.py
@@ -1,4 +1,4 @@
-"""What a ledger draws from the counter, and what it holds of it."""
+"""Draws of a ledger from the counter, and the leases that result."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Draw:
-    """One addition to a counter's total, or a reading of a total.
+    """An addition to a counter's total, or a read of a total.
 
-    `amount_units` = `wanted_units` + `raised_units` + `reported_units` - `returned_units`. All are 0 for a reading.
+    `amount_units` = `wanted_units` + `raised_units` + `reported_units` - `returned_units`. All are 0 for a read.
 
     Attributes:
         name: The name in the counter.
-        amount_units: What is added.
+        amount_units: The units that are added.
         sent_at_ms: When the call was made.
-        window: Number of the window that the ledger was in.
-        generation: Generation of the counter (`CounterHealth.generation`) that the call belongs to.
-        wanted_units: Units that are to be leased.
-        raised_units: Units that move the line's end up to rate x time, where it has fallen behind.
-        reported_units: Use that was admitted without a call.
-        returned_units: Units of earlier draws that nobody will spend.
-        is_read: Whether the call reads the end of the window before and adds nothing.
+        window: The number of the window that the ledger was in.
+        generation: The generation of the counter (`CounterHealth.generation`) that the call belongs to.
+        wanted_units: The units to lease.
+        raised_units: The units that move the end of the line up to rate x time, if it has fallen behind.
+        reported_units: The units that were admitted without a call.
+        returned_units: The units of earlier draws that this limiter will not spend.
+        is_read: Whether the call reads the end of the previous window and adds nothing.
     """
 
     name: str
@@ -38,12 +38,12 @@
 
 @dataclass(slots=True)
 class Lease:
-    """Units that were drawn and may be spent once their positions have come due.
+    """Units that were drawn and may be spent once their positions are due.
 
     Attributes:
-        units: Units that are left.
-        start_position: Position of the first of them on the line.
-        drawn_at_ms: When the counter's answer came.
+        units: The remaining units.
+        start_position: The position of the first of them on the line.
+        drawn_at_ms: When the counter's answer arrived.
     """
 
     units: float
@@ -53,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OthersReading:
-    """What the other limiters had added to the current name's total.
+    """The units that the other limiters had added to the total of the current name.
 
     Attributes:
-        added_units: Their additions.
+        added_units: The sum of their additions.
         read_at_ms: When the total was read.
     """
 
--- a/elderlock/quota/counter_health.py
+++ b/elderlock/quota/counter_health.py
@@ -1,7 +1,7 @@
-"""Whether the counter can be relied on, and whether it still holds its counts.
+"""Detection of whether the counter is reachable, and of whether it has lost its counts.
 
-A sentinel is a count of the limiter's own that only grows. One that is smaller than it was has been lost, and with it
-whatever lay on the same part of the counter.
+A sentinel is a name in the counter whose total only grows. If a total is smaller than before, the counter has lost it,
+together with all other counts on the same partition of the counter.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from elderlock.quota.counter_terms import CounterTerms
 
-MAX_BUSY_MS = 300.0  # after which a counter that answers nothing but -BUSY is taken as unreachable
+MAX_BUSY_MS = 300.0  # after which a counter that only answers -BUSY counts as unreachable
 HEARTBEAT_JITTER_LOW = 0.75
 HEARTBEAT_JITTER_HIGH = 1.25
 FIRST_PROBE_JITTER_LOW = 0.5
@@ -19,7 +19,7 @@
 
 
 class CounterMode(Enum):
-    """How a limiter decides: by the counter, by its even part, or by its even part while it asks a sentinel."""
+    """How a limiter decides: by the counter; by its even part; or by its even part while it probes a sentinel."""
 
     SHARED = "shared"
     LOCAL = "local"
@@ -29,20 +29,21 @@
 class CounterHealth:
     """The state of the counter as one limiter sees it.
 
-    Invariant: units are drawn in mode SHARED alone, which is entered only through an answer of a sentinel. Each loss of
-    counts and each return is a new generation; answers to calls of an older generation grant nothing.
+    Invariant: units are only drawn in mode SHARED, which is only entered after an answer for a sentinel. Each loss of
+    counts and each return of the counter begins a new generation; answers to calls of an older generation grant
+    nothing.
 
     Attributes:
-        terms: The terms on which the counter is used.
+        terms: The parameters for the use of the counter.
         mode: The current mode.
-        generation: Number of times that SHARED was entered or counts were lost.
+        generation: The number of times that SHARED was entered or counts were lost.
         lost_counts: Whether counts were lost at the latest change of generation. True at the start, as an earlier
-            process of this limiter may have spent what it did not report.
-        changed_at_ms: Time of the latest change of mode or generation.
+            process of this limiter may have spent units that it did not report.
+        changed_at_ms: The time of the latest change of mode or generation.
     """
 
     def __init__(self, terms: CounterTerms, rng: random.Random, now_ms: float) -> None:
-        """Start in mode RECOVERING, with a sentinel due at once."""
+        """Create the state in mode RECOVERING, with a sentinel due at once."""
         self.terms = terms
         self.mode = CounterMode.RECOVERING
         self.generation = 0
@@ -68,40 +69,42 @@
         return f"sentinel-{self._sentinel_index}:{int(now_ms // self.terms.window_ms)}"
 
     def sentinel_answered(self, name: str, total: float, now_ms: float) -> None:
-        """Compare a sentinel's total with the one before, and enter SHARED or a new generation as it shows."""
+        """Compare a sentinel's total with the previous one; enter SHARED, or a new generation if counts were lost."""
         window = name.rpartition(":")[2]
         self._sentinel_totals = {
-            known: known_total
-            for known, known_total in self._sentinel_totals.items()
-            if known.rpartition(":")[2] == window
+            other_name: other_total
+            for other_name, other_total in self._sentinel_totals.items()
+            if other_name.rpartition(":")[2] == window
         }
         previous_total = self._sentinel_totals.get(name)
         is_lost = previous_total is not None and total < previous_total + 1.0
         if is_lost:
-            self._sentinel_totals.clear()  # the others would show the same loss again
+            self._sentinel_totals.clear()  # the other sentinels would report the same loss again
         self._sentinel_totals[name] = total
         self.call_answered(now_ms)
         if is_lost or self.mode is not CounterMode.SHARED:
             self._enter_shared(is_lost, now_ms)
 
     def counts_lost(self, now_ms: float) -> None:
-        """Take in that a ledger found its counts lost.
+        """Handle a loss of counts that a ledger has detected.
 
-        This does not bring back a counter that is off: no sentinel was asked, and other answers may still be missing.
+        This does not end the modes LOCAL and RECOVERING: no sentinel was answered, and other answers may still be
+        missing.
         """
         self._sentinel_totals.clear()
         if self.mode is CounterMode.SHARED:
             self._enter_shared(True, now_ms)
 
     def call_answered(self, now_ms: float) -> None:
-        """Take in that the counter answered a call."""
+        """Record that the counter answered a call."""
         self._missed_answers = 0
         self._answered_at_ms = now_ms
 
     def call_failed(self, is_busy: bool, now_ms: float) -> None:
-        """Take in that a call has no answer, or was refused as the counter is busy.
+        """Record that a call was not answered, or was refused because the counter is busy.
 
-        A counter that refuses all calls for a while is as good as unreachable: a hard ceiling admits nothing meanwhile.
+        A counter that refuses all calls for a while counts as unreachable, because a hard ceiling admits nothing while
+        it is busy.
         """
         self._missed_answers += not is_busy
         is_unreachable = self._missed_answers >= self.terms.missed_answers_limit or (
@@ -111,7 +114,7 @@
             self.connection_lost(now_ms)
 
     def connection_lost(self, now_ms: float) -> None:
-        """Enter LOCAL: the connections broke, the address changed, or too many answers are missing."""
+        """Enter LOCAL because connections broke, the address changed, or too many answers are missing."""
         if self.mode is not CounterMode.LOCAL:
             self.mode = CounterMode.LOCAL
             self.changed_at_ms = now_ms
--- a/elderlock/quota/counter_terms.py
+++ b/elderlock/quota/counter_terms.py
@@ -1,4 +1,4 @@
-"""The bucket that limiters share through a counter, and the terms on which a limiter uses that counter."""
+"""The bucket that limiters share through a counter, and the parameters for the use of the counter."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CounterTermsError(ValueError):
-    """Terms that contradict one another; the text says which, and what was wanted."""
+    """Parameters contradict each other; the text gives the values and the bounds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,12 +16,12 @@
     """A token bucket that several limiters share. It starts full.
 
     Attributes:
-        rate_per_s: Units that the bucket gains a second.
-        burst_units: Units that the bucket holds at most.
-        limiter_count: Limiters that share the bucket.
+        rate_per_s: The units that the bucket gains per second.
+        burst_units: The capacity of the bucket.
+        limiter_count: The number of limiters that share the bucket.
         is_hard_ceiling: Whether the bucket may be exceeded by no more than the stated error
-            (`elderlock/quota/error_bound.py`), which should lie within `slack_units`.
-        slack_units: Units by which a hard ceiling may be exceeded.
+            (`elderlock/quota/error_bound.py`), which should be within `slack_units`.
+        slack_units: The units by which a hard ceiling may be exceeded.
     """
 
     rate_per_s: float
@@ -37,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterTerms:
-    """How a limiter uses the counter. All limiters of a group must have the same terms.
+    """The parameters for the use of the counter. All limiters of a group must have the same.
 
     Attributes:
-        answer_timeout_ms: How long an answer of the counter is waited for.
-        clock_skew_ms: How far the limiters' clocks may lie apart.
+        answer_timeout_ms: How long to wait for an answer of the counter.
+        clock_skew_ms: The maximum difference between the limiters' clocks.
         window_ms: How long units are drawn from one name.
-        name_lifetime_ms: When the counter forgets a name; more than two windows.
-        hold_ms: How long leased units may stay unspent. A hard ceiling's are held for less, see `hold_time_ms`.
-        hold_slack_fraction: Fraction of a hard ceiling's slack that units held by all limiters may use up.
-        prefetch_fraction: Fraction of a limiter's part of the burst that is drawn ahead of demand at most.
-        unreported_fraction: Fraction of the burst that all limiters together may admit before they report it to the
-            counter. Not for hard ceilings.
-        low_use_fraction: Fraction of the rate below which use may go unreported and nothing is drawn ahead.
-        heartbeat_ms: Interval between calls to sentinels.
-        sentinel_count: Names that serve as sentinels (`counter_health.py`).
-        missed_answers_limit: Missing answers in a row after which the counter is taken as unreachable.
-        probe_interval_ms: Interval between calls to a counter that was unreachable.
-        max_cut_off_ms: How long a limiter that cannot reach the counter goes on filling its part of a hard ceiling.
-        max_calls_per_s: Calls that a limiter makes a second at most.
+        name_lifetime_ms: The time after which the counter deletes a name; more than two windows.
+        hold_ms: How long leased units may stay unspent; less for a hard ceiling, see `hold_time_ms`.
+        hold_slack_fraction: The fraction of a hard ceiling's slack that the held units of all limiters may use.
+        prefetch_fraction: The maximum fraction of a limiter's part of the burst that is drawn ahead of demand.
+        unreported_fraction: The fraction of the burst that all limiters together may admit before they report it to the
+            counter. Does not apply to hard ceilings.
+        low_use_fraction: The fraction of the rate below which use may stay unreported and nothing is drawn ahead.
+        heartbeat_ms: The interval between calls to sentinels.
+        sentinel_count: The number of names that serve as sentinels (`counter_health.py`).
+        missed_answers_limit: The number of consecutive missing answers after which the counter counts as unreachable.
+        probe_interval_ms: The interval between calls to an unreachable counter.
+        max_cut_off_ms: How long a limiter that cannot reach the counter continues to refill its part of a hard ceiling.
+        max_calls_per_s: The maximum number of calls per second of one limiter.
     """
 
     answer_timeout_ms: float = 50.0
@@ -75,30 +75,30 @@
     max_calls_per_s: float = 100.0
 
     def __post_init__(self) -> None:
-        """Check the terms.
+        """Validate the parameters.
 
         Raises:
-            CounterTermsError: The terms contradict one another.
+            CounterTermsError: The parameters contradict each other.
         """
         if not 0.0 < self.answer_timeout_ms < self.window_ms / 10.0:
             raise CounterTermsError(
-                f"answer timeout of {self.answer_timeout_ms:g} ms: wanted above 0 and under a tenth of the window "
+                f"answer timeout of {self.answer_timeout_ms:g} ms: expected above 0 and under a tenth of the window "
                 f"of {self.window_ms:g} ms"
             )
-        least_lifetime_ms = 2.0 * self.window_ms + 4.0 * (self.answer_timeout_ms + self.clock_skew_ms)
-        if self.name_lifetime_ms < least_lifetime_ms:
+        min_lifetime_ms = 2.0 * self.window_ms + 4.0 * (self.answer_timeout_ms + self.clock_skew_ms)
+        if self.name_lifetime_ms < min_lifetime_ms:
             raise CounterTermsError(
-                f"name lifetime of {self.name_lifetime_ms:g} ms: wanted {least_lifetime_ms:g} ms at least, two windows "
-                "and the calls that are under way"
+                f"name lifetime of {self.name_lifetime_ms:g} ms: expected at least {min_lifetime_ms:g} ms, "
+                "for two windows and the calls under way"
             )
         if self.clock_skew_ms < 0.0 or self.hold_ms < 0.0:
             raise CounterTermsError(
-                f"clock skew of {self.clock_skew_ms:g} ms and hold time of {self.hold_ms:g} ms: wanted 0 at least"
+                f"clock skew of {self.clock_skew_ms:g} ms and hold time of {self.hold_ms:g} ms: expected at least 0"
             )
         if self.max_calls_per_s <= 0.0 or self.missed_answers_limit < 1:
             raise CounterTermsError(
-                f"{self.max_calls_per_s:g} calls a second, {self.missed_answers_limit} missing answers: "
-                "wanted above 0, and 1 at least"
+                f"limits of {self.max_calls_per_s:g} calls per second and {self.missed_answers_limit} missing answers: "
+                "expected above 0, and at least 1"
             )
 
     def hold_time_ms(self, bucket: SharedBucket) -> float:
@@ -114,7 +114,7 @@
         return self.unreported_fraction * bucket.burst_units / bucket.limiter_count
 
     def prefetch_limit_units(self, bucket: SharedBucket) -> float:
-        """Return the units of `bucket` that one limiter draws ahead of demand at most."""
+        """Return the maximum number of units of `bucket` that one limiter draws ahead of demand."""
         if bucket.is_hard_ceiling:
             return self.hold_slack_fraction * bucket.slack_units / bucket.limiter_count
         return self.prefetch_fraction * bucket.burst_units / bucket.limiter_count
--- a/elderlock/quota/lease_book.py
+++ b/elderlock/quota/lease_book.py
@@ -1,6 +1,6 @@
 """All ledgers of one limiter, and the calls that it makes to the counter.
 
-Many requests wait behind one call, and calls keep to a budget.
+Many requests can wait for one call, and a budget limits the calls.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from elderlock.quota.local_bucket import NEGLIGIBLE_UNITS
 from elderlock.structures.expiry_queue import ExpiryQueue
 
-MAX_CALL_PAUSE_MS = 300.0  # for which no call is made after one found too little
-PROMPT_RETURN_FRACTION = 0.02  # of a burst; a larger surplus is returned at once
-MAX_REPORT_DELAY_MS = 10_000.0  # after which use that was admitted without a call is reported
-MAX_WAIT_ANSWER_TIMEOUTS = 2.0  # for which a request waits
-REST_WINDOWS = 2.0  # after which an unused ledger is forgotten
+MAX_CALL_PAUSE_MS = 300.0  # limits how long no call is made after one that found too few units
+PROMPT_RETURN_FRACTION = 0.02  # of a burst; a larger surplus is returned immediately
+MAX_REPORT_DELAY_MS = 10_000.0  # until units that were admitted without a call are reported
+MAX_WAIT_ANSWER_TIMEOUTS = 2.0  # the maximum wait of a request, in answer timeouts
+IDLE_WINDOWS = 2.0  # the number of windows after which an unused ledger is removed
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseDecision:
-    """What became of a request that waited.
+    """The decision on a request that waited.
 
     Attributes:
-        request_id: The request.
+        request_id: The id of the request.
         is_granted: Whether its units were spent.
         wait_ms: For a rejected request, the time until its units may be available.
     """
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LedgerDraw:
-    """A call that is under way for a ledger."""
+    """The purpose of a call under way: a draw of a ledger."""
 
     ledger_number: int
     draw: Draw
@@ -51,35 +51,35 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentinelCall:
-    """A call that is under way for a sentinel."""
+    """The purpose of a call under way: a sentinel."""
 
     name: str
 
 
 @dataclass(slots=True)
 class _WaitingRequests:
-    """Requests that wait for a ledger's call, in order, as pairs of their id and their units."""
+    """The requests that wait for a ledger's call, in order, as pairs of id and units."""
 
     since_ms: float
     requests: list[tuple[str, float]]
 
 
 class LeaseBook:
-    """Decides requests by leases, and says what to send to the counter.
+    """Decides requests by leases, and determines the calls to the counter.
 
-    Invariant: a request is decided once, within twice the answer timeout. Ledgers that rest are forgotten.
+    Invariant: a request is decided exactly once, within twice the answer timeout. Idle ledgers are removed.
 
     Attributes:
-        terms: The terms on which the counter is used.
-        health: Whether the counter can be relied on.
+        terms: The parameters for the use of the counter.
+        health: The state of the counter, as this limiter sees it.
         budget: The budget of calls.
-        ledgers: Ledgers by their number.
-        decisions: Decisions on requests that waited, for the caller to carry out and to clear.
-        calls_made: Number of calls made since the start.
+        ledgers: The ledgers by their number.
+        decisions: The decisions on requests that waited, for the caller to apply and to clear.
+        calls_made: The number of calls made since the start.
     """
 
     def __init__(self, terms: CounterTerms, rng: random.Random, now_ms: float) -> None:
-        """Start with no ledgers."""
+        """Create a book without ledgers."""
         self.terms = terms
         self.health = CounterHealth(terms, rng, now_ms)
         self.budget = CallBudget(terms.max_calls_per_s, now_ms)
@@ -88,30 +88,30 @@
         self.calls_made = 0
         self._numbers_by_key: dict[str, int] = {}
         self._latest_number = 0
-        self._resting = ExpiryQueue(REST_WINDOWS * terms.window_ms)
-        self._waiting: dict[int, _WaitingRequests] = {}  # by ledger
+        self._idle_ledgers = ExpiryQueue(IDLE_WINDOWS * terms.window_ms)
+        self._waiting: dict[int, _WaitingRequests] = {}  # by ledger number
         self._calls_under_way: dict[int, _LedgerDraw | _SentinelCall] = {}  # by token
-        self._call_deadlines: list[tuple[float, int]] = []  # a heap of times and tokens
-        self._reports_due: OrderedDict[int, float] = OrderedDict()  # by ledger, the time of its next report
+        self._call_deadlines: list[tuple[float, int]] = []  # a heap of deadlines and tokens
+        self._reports_due: OrderedDict[int, float] = OrderedDict()  # by ledger number, the time of its next report
         self._latest_token = 0
 
     @property
     def mode(self) -> CounterMode:
-        """The counter's mode."""
+        """The mode of the counter."""
         return self.health.mode
 
     @property
     def has_waiting(self) -> bool:
-        """Whether any request is not decided yet."""
+        """Whether any request waits for a decision."""
         return bool(self._waiting)
 
     def ledger_for(self, key: str, bucket: SharedBucket, now_ms: float) -> tuple[int, LeaseLedger]:
-        """Return the number and the ledger of a customer, brought up to the counter's generation.
+        """Return the number and the ledger of a customer, updated to the counter's generation.
 
         Args:
             key: The customer's name in the counter.
-            bucket: The customer's bucket; where it differs from the one before, leases of that are dropped.
-            now_ms: The time now.
+            bucket: The customer's bucket. If it differs from the previous one, the leases are dropped.
+            now_ms: The current time.
         """
         health = self.health
         number = self._numbers_by_key.get(key)
@@ -124,14 +124,14 @@
             ledger = self.ledgers[number] = ledger.with_bucket(bucket, health.generation, now_ms)
         if ledger.generation != health.generation:
             ledger.rejoin(health.generation, health.lost_counts, health.changed_at_ms, now_ms)
-        self._resting.touch(number, now_ms)
+        self._idle_ledgers.touch(number, now_ms)
         return number, ledger
 
     def admit(self, request_id: str, key: str, bucket: SharedBucket, units: float, now_ms: float) -> bool | None:
         """Decide a request, or let it wait for a call.
 
         Returns:
-            Whether its units were spent; None where it waits, and its decision comes in `decisions`.
+            Whether its units were spent; None if it waits, in which case its decision is appended to `decisions`.
         """
         number, ledger = self.ledger_for(key, bucket, now_ms)
         if number not in self._waiting and ledger.spend_leased(units, now_ms):
@@ -148,9 +148,9 @@
         return None
 
     def due_calls(self, now_ms: float) -> list[CounterCall]:
-        """Return what to send now.
+        """Return the calls to send now.
 
-        To be called after every event, and every few ms while anything waits.
+        To be called after every event, and every few ms while any request waits.
         """
         calls: list[CounterCall] = []
         sentinel = self.health.due_sentinel(now_ms)
@@ -171,14 +171,14 @@
             del self._reports_due[number]
             ledger = self.ledgers.get(number)
             if ledger is None or number in self._waiting:
-                continue  # the call for the requests that wait reports as well
+                continue  # the call for the waiting requests reports as well
             if ledger.has_report():
                 if self.mode is CounterMode.SHARED:
                     self._add_draw(calls, number, 0.0, now_ms)
                 self._reports_due[number] = now_ms + MAX_REPORT_DELAY_MS
 
     def _add_draw(self, calls: list[CounterCall], number: int, needed_units: float, now_ms: float) -> None:
-        """Add a ledger's call, if it can make one and the budget holds one."""
+        """Add a call of a ledger if it can make one and the budget allows one."""
         ledger = self.ledgers[number]
         if not ledger.can_call(now_ms) or not self.budget.take(now_ms):
             return
@@ -198,7 +198,7 @@
     # Answers
 
     def call_answered(self, token: int, total: float, now_ms: float) -> None:
-        """Take in the total that answers a call. An answer that comes too late is ignored."""
+        """Handle the total that answers a call. A late answer is ignored."""
         match self._calls_under_way.pop(token, None):
             case _SentinelCall(name):
                 self.health.sentinel_answered(name, total, now_ms)
@@ -215,7 +215,7 @@
             self.health.counts_lost(now_ms)
             ledger.rejoin(self.health.generation, True, self.health.changed_at_ms, now_ms)
         if ledger.surplus_units > PROMPT_RETURN_FRACTION * ledger.bucket.burst_units:
-            # until it is returned, the others find the bucket that much emptier
+            # until the surplus is returned, it is missing for the other limiters
             self._reports_due[number] = now_ms
             self._reports_due.move_to_end(number, last=False)
         elif ledger.has_report():
@@ -223,13 +223,14 @@
         self._decide_waiting(number, may_call_again=draw.is_read, now_ms=now_ms)
 
     def call_failed(self, token: int, may_have_added: bool, is_busy: bool, now_ms: float) -> None:
-        """Take in that a call has no total.
+        """Handle a call that has no valid answer.
 
         Args:
-            token: The call.
-            may_have_added: Whether the counter may have added all the same: the answer is late, cut off or garbled.
-            is_busy: Whether the counter refused the call as it is busy.
-            now_ms: The time now.
+            token: The token of the call.
+            may_have_added: Whether the counter may have added the amount nevertheless: the answer is late, truncated or
+                malformed.
+            is_busy: Whether the counter refused the call because it is busy.
+            now_ms: The current time.
         """
         purpose = self._calls_under_way.pop(token, None)
         if purpose is None:
@@ -247,69 +248,69 @@
         self._decide_waiting(purpose.ledger_number, may_call_again=False, now_ms=now_ms)
 
     def connection_lost(self, now_ms: float) -> None:
-        """Take in that the counter's connections broke or its address changed: what it held may be gone."""
+        """Handle broken connections to the counter or a change of its address; its counts may be lost."""
         self.health.connection_lost(now_ms)
 
     def expire(self, now_ms: float) -> None:
-        """Give up calls and requests that waited too long, and forget ledgers that rest. To be called every few ms."""
+        """Time out calls and waiting requests, and remove idle ledgers. To be called every few ms."""
         while self._call_deadlines and self._call_deadlines[0][0] <= now_ms:
             _, token = heapq.heappop(self._call_deadlines)
             self.call_failed(token, may_have_added=True, is_busy=False, now_ms=now_ms)
         for number in [number for number, waiting in self._waiting.items() if self._is_overdue(waiting, now_ms)]:
             self._decide_waiting(number, may_call_again=False, now_ms=now_ms)
-        for number in self._resting.pop_expired(now_ms):
-            self._forget_resting(number, now_ms)
+        for number in self._idle_ledgers.pop_expired(now_ms):
+            self._remove_idle(number, now_ms)
 
     def _is_overdue(self, waiting: _WaitingRequests, now_ms: float) -> bool:
         return now_ms - waiting.since_ms >= MAX_WAIT_ANSWER_TIMEOUTS * self.terms.answer_timeout_ms
 
-    def _forget_resting(self, number: int, now_ms: float) -> None:
-        """Forget a ledger, with use that is too small to be reported; keep one that has more or is waited for."""
+    def _remove_idle(self, number: int, now_ms: float) -> None:
+        """Remove an idle ledger, unless requests wait for it or its unreported use exceeds the limit."""
         ledger = self.ledgers[number]
         limit_units = self.terms.unreported_limit_units(ledger.bucket)
         if ledger.unreported_units > limit_units + NEGLIGIBLE_UNITS or number in self._waiting:
-            self._resting.postpone(number, now_ms + self.terms.window_ms)
+            self._idle_ledgers.postpone(number, now_ms + self.terms.window_ms)
             return
         del self.ledgers[number]
         del self._numbers_by_key[ledger.key]
         self._reports_due.pop(number, None)
 
-    # Requests that wait
+    # Waiting requests
 
     def _decide_waiting(self, number: int, *, may_call_again: bool, now_ms: float) -> None:
         """Decide a ledger's waiting requests in order.
 
         Args:
-            number: The ledger.
-            may_call_again: Whether another call may still serve those that its leases do not.
-            now_ms: The time now.
+            number: The number of the ledger.
+            may_call_again: Whether another call may serve the requests that exceed the leases.
+            now_ms: The current time.
         """
         waiting = self._waiting.pop(number, None)
         if waiting is None:
             return
         ledger = self.ledgers.get(number)
         is_shared = self.mode is CounterMode.SHARED
-        goes_on = may_call_again and is_shared and not self._is_overdue(waiting, now_ms)
-        left: list[tuple[str, float]] = []
+        can_keep_waiting = may_call_again and is_shared and not self._is_overdue(waiting, now_ms)
+        still_waiting: list[tuple[str, float]] = []
         for request_id, units in waiting.requests:
             if ledger is None:
                 self.decisions.append(LeaseDecision(request_id, False))
-            elif not left and ledger.spend_leased(units, now_ms):
+            elif not still_waiting and ledger.spend_leased(units, now_ms):
                 self.decisions.append(LeaseDecision(request_id, True))
-            elif goes_on:
-                left.append((request_id, units))
+            elif can_keep_waiting:
+                still_waiting.append((request_id, units))
             elif is_shared:
                 self.decisions.append(self._decide_without_total(ledger, request_id, units, now_ms))
             else:
                 is_granted = ledger.spend_local(units, now_ms)
                 wait_ms = 0.0 if is_granted else ledger.wait_ms(units, now_ms)
                 self.decisions.append(LeaseDecision(request_id, is_granted, wait_ms))
-        if left:
-            self._waiting[number] = _WaitingRequests(waiting.since_ms, left)
+        if still_waiting:
+            self._waiting[number] = _WaitingRequests(waiting.since_ms, still_waiting)
 
     @staticmethod
     def _decide_without_total(ledger: LeaseLedger, request_id: str, units: float, now_ms: float) -> LeaseDecision:
-        """Decide a request whose call was lost or found too little."""
+        """Decide a request whose call failed or found too few units."""
         if ledger.spend_without_total(units, now_ms):
             return LeaseDecision(request_id, True)
         wait_ms = ledger.wait_ms(units, now_ms)
--- a/elderlock/quota/lease_ledger.py
+++ b/elderlock/quota/lease_ledger.py
@@ -1,9 +1,9 @@
-"""One shared bucket at one limiter: positions on a line, leased from a counter that can only add.
+"""The state of one shared bucket at one limiter: positions on a line, leased from a counter that can only add.
 
 The line is that of the generic cell rate algorithm (ITU-T I.371): a unit at position p may be spent once
-rate x time + burst has reached p. The counter's total is the end of the line. A draw adds what it wants; it also raises
-the line to rate x time where that has fallen behind, so that a bucket that rested holds one burst and no more.
-`docs/design/quota.md` has the reasons.
+rate x time + burst has reached p. The counter's total is the end of the line. A draw adds the units that it wants. If
+the end has fallen behind rate x time, the draw also raises it to there, so that an idle bucket holds no more than one
+burst. `docs/design/quota.md` has the reasons.
 """
 
 from __future__ import annotations
@@ -18,31 +18,31 @@
 
 OTHERS_READING_INTERVAL_MS = 200.0
 OTHERS_RATE_WEIGHT = 0.5  # of a new reading in the moving average
-ROUNDING_FRACTION = 2e-6  # of a total with seven digits
+ROUNDING_FRACTION = 2e-6  # the relative rounding error of a total with seven digits
 
 
 class LeaseLedger:
-    """The leases and the accounts of one limiter for one bucket.
+    """The leases and the unreported use of one limiter for one bucket.
 
-    Invariant: a unit is spent only after a call that added it was answered, at a position that has come due, and is
-    never returned. What was admitted without a call stays in `unreported_units` until a call that reports it was
-    answered, or its customer has rested (`LeaseBook.expire`). One call is under way at a time.
+    Invariant: a leased unit is spent only after the call that added it was answered and its position is due, and is
+    never returned afterwards. Units admitted without a call stay in `unreported_units` until a call that reports them
+    is answered, or until the ledger is removed as idle (`LeaseBook.expire`). At most one call is under way at a time.
 
     Attributes:
         key: The customer's name in the counter.
         bucket: The shared bucket.
-        terms: The terms on which the counter is used.
-        generation: Generation of the counter that the leases belong to.
+        terms: The parameters for the use of the counter.
+        generation: The generation of the counter that the leases belong to.
         line: The positions of the current window.
-        unreported_units: Use that was not reported to the counter.
-        surplus_units: Units to be returned to the counter.
-        leases: Units that were drawn and not spent, oldest first.
+        unreported_units: The units that were admitted and not reported to the counter.
+        surplus_units: The units to return to the counter.
+        leases: The units that were drawn and not spent, oldest first.
         pending_draw: The call that is under way.
-        own_use: This limiter's recent use.
-        others_rate_per_s: Recent use by the other limiters, as totals show it.
-        others_reading: The reading that the next rate is computed from.
-        admitted_since_total_units: Units that were admitted without a call since the latest total.
-        exhausted_until_ms: Until when requests are rejected without a call.
+        own_use: The recent use by this limiter.
+        others_rate_per_s: The recent use by the other limiters, computed from the totals.
+        others_reading: The reading from which the next rate is computed.
+        admitted_since_total_units: The units that were admitted without a call since the latest total.
+        exhausted_until_ms: The time until which requests are rejected without a call.
     """
 
     def __init__(
@@ -54,15 +54,15 @@
         returned_at_ms: float,
         now_ms: float,
     ) -> None:
-        """Start with no leases.
+        """Create a ledger without leases.
 
         Args:
             key: The customer's name in the counter.
             bucket: The shared bucket.
-            terms: The terms on which the counter is used.
+            terms: The parameters for the use of the counter.
             generation: The counter's current generation.
-            returned_at_ms: Since when the counter is back; what a hard ceiling held before counts as used.
-            now_ms: The time now.
+            returned_at_ms: When the counter came back; a hard ceiling counts as empty at that time.
+            now_ms: The current time.
         """
         self.key = key
         self.bucket = bucket
@@ -82,7 +82,7 @@
         self.line.assume_empty_since(returned_at_ms)
 
     def with_bucket(self, bucket: SharedBucket, generation: int, now_ms: float) -> LeaseLedger:
-        """Return a ledger of the same customer for a changed bucket. Leases of the old bucket are dropped."""
+        """Return a ledger for the same customer with a changed bucket, without the leases of the old bucket."""
         ledger = LeaseLedger(self.key, bucket, self.terms, generation, now_ms, now_ms)
         ledger.unreported_units = self.unreported_units
         ledger.pending_draw = self.pending_draw
@@ -92,7 +92,7 @@
     def _enter_window(self, now_ms: float) -> None:
         """Enter the window of `now_ms`.
 
-        Draws of a window end before the next window is read, so that what is read is its end.
+        All draws of a window end before the next window reads its total, so the total is final.
         """
         shift = self.line.enter_window(now_ms)
         if shift is None:
@@ -102,26 +102,26 @@
         self._drop_surplus()
 
     def _drop_surplus(self) -> None:
-        """Forget what belongs to a line that has ended."""
+        """Drop the surplus and the reading, which belong to a line that has ended."""
         self.surplus_units = 0.0
         self.others_reading = None
 
     # Spending
 
     def spend_leased(self, units: float, now_ms: float) -> bool:
-        """Spend `units` of the leases; return False, and spend nothing, where less has come due."""
+        """Spend `units` of the leases; return False and spend nothing if fewer units are due."""
         self._enter_window(now_ms)
         self._expire_leases(now_ms)
-        due = self.line.due_position(now_ms)
-        ready_units = sum(max(0.0, min(lease.units, due - lease.start_position)) for lease in self.leases)
-        if ready_units < units - NEGLIGIBLE_UNITS:
+        due_position = self.line.due_position(now_ms)
+        due_units = sum(max(0.0, min(lease.units, due_position - lease.start_position)) for lease in self.leases)
+        if due_units < units - NEGLIGIBLE_UNITS:
             return False
-        left_units = units
+        remaining_units = units
         for lease in list(self.leases):
-            taken_units = min(left_units, max(0.0, min(lease.units, due - lease.start_position)))
-            lease.units -= taken_units
-            lease.start_position += taken_units
-            left_units -= taken_units
+            spent_units = min(remaining_units, max(0.0, min(lease.units, due_position - lease.start_position)))
+            lease.units -= spent_units
+            lease.start_position += spent_units
+            remaining_units -= spent_units
             if lease.units <= NEGLIGIBLE_UNITS:
                 self.leases.remove(lease)
         self.own_use.record(units, now_ms)
@@ -132,7 +132,7 @@
             self.surplus_units += self.leases.popleft().units
 
     def spend_unreported(self, units: float, now_ms: float) -> bool:
-        """Spend `units` without a call, to be reported later; return False where use is near the quota."""
+        """Spend `units` without a call and report them later; return False if use is near the quota."""
         bucket = self.bucket
         limit_units = self.terms.unreported_limit_units(bucket)
         expected_rate_per_s = self.own_use.rate_per_s_with(units, now_ms) * bucket.limiter_count
@@ -145,7 +145,7 @@
         return True
 
     def spend_without_total(self, units: float, now_ms: float) -> bool:
-        """Spend `units` by the latest total, after a call was lost; a hard ceiling admits nothing."""
+        """Spend `units` on the basis of the latest total after a failed call; a hard ceiling admits nothing."""
         bucket = self.bucket
         if bucket.is_hard_ceiling:
             return False
@@ -157,7 +157,7 @@
         return True
 
     def spend_local(self, units: float, now_ms: float) -> bool:
-        """Spend `units` of the even part, while the counter is unreachable; return False where it holds less."""
+        """Spend `units` of the even part while the counter is unreachable; return False if it holds fewer."""
         if self._local_bucket is None:
             self._local_bucket = LocalBucket(self.bucket, self.terms, now_ms)
         if not self._local_bucket.spend(units, now_ms):
@@ -166,13 +166,13 @@
         return True
 
     def rejoin(self, generation: int, lost_counts: bool, returned_at_ms: float, now_ms: float) -> None:
-        """Go over to a new generation of the counter.
+        """Switch to a new generation of the counter.
 
         Args:
             generation: The new generation.
             lost_counts: Whether the counter lost its counts.
-            returned_at_ms: Since when the counter is back.
-            now_ms: The time now.
+            returned_at_ms: When the counter came back.
+            now_ms: The current time.
         """
         self._enter_window(now_ms)
         if generation == self.generation:
@@ -195,11 +195,11 @@
     # Calls
 
     def has_report(self) -> bool:
-        """Return whether there is use to report or a surplus to return."""
+        """Return whether there are units to report or to return."""
         return self.unreported_units > NEGLIGIBLE_UNITS or self.surplus_units > NEGLIGIBLE_UNITS
 
     def can_call(self, now_ms: float) -> bool:
-        """Return whether a call could begin now."""
+        """Return whether a call may begin now."""
         self._enter_window(now_ms)
         return self.pending_draw is None and not self.line.is_near_window_edge(now_ms)
 
@@ -207,15 +207,15 @@
         """Begin a call.
 
         Args:
-            needed_units: Units that requests wait for; 0 for a call that only reports.
-            now_ms: The time now.
+            needed_units: The units of the waiting requests; 0 for a call that only reports.
+            now_ms: The current time.
 
         Returns:
-            What to ask of the counter, or None where nothing is to be asked now.
+            The call to make; None if there is nothing to call for now.
         """
         if not self.can_call(now_ms):
             return None
-        if self.line.carried_position is None and needed_units:  # a report alone needs no position on the line
+        if self.line.carried_position is None and needed_units:  # a call that only reports needs no position
             name = self.line.counter_name(self.line.window - 1)
             self.pending_draw = Draw(name, 0.0, now_ms, self.line.window, self.generation, is_read=True)
             return self.pending_draw
@@ -240,26 +240,26 @@
         return self.pending_draw
 
     def _prefetch_units(self, now_ms: float) -> float:
-        """Return what is drawn ahead of demand: own use over the hold time, once use nears the rate."""
+        """Return the units to draw ahead of demand: this limiter's use over the hold time, if total use is not low."""
         own_rate_per_s = self.own_use.rate_per_s(now_ms)
         if own_rate_per_s + self.others_rate_per_s < self.terms.low_use_fraction * self.bucket.rate_per_s:
             return 0.0
-        used_while_held_units = own_rate_per_s * self.terms.hold_time_ms(self.bucket) / MS_PER_SECOND
-        return min(self.terms.prefetch_limit_units(self.bucket), used_while_held_units)
+        hold_time_use_units = own_rate_per_s * self.terms.hold_time_ms(self.bucket) / MS_PER_SECOND
+        return min(self.terms.prefetch_limit_units(self.bucket), hold_time_use_units)
 
     def _raised_units(self, now_ms: float) -> float:
-        """Return by how much the line's end has fallen behind rate x time."""
+        """Return by how much the end of the line has fallen behind rate x time."""
         known_end = self.line.end + self.unreported_units - self.surplus_units
         return max(0.0, self.line.lowest_start(now_ms) - known_end)
 
     def accept_total(self, draw: Draw, total: float, now_ms: float) -> bool:
-        """Take in the counter's answer to `draw`.
+        """Handle the counter's answer to `draw`.
 
         Returns:
-            False where the total shows that the counter lost its counts.
+            False if the total shows that the counter lost its counts.
         """
         if draw is not self.pending_draw:
-            return True  # of another generation: what it added belongs to nobody
+            return True  # of another generation: the units that it added are not used
         self.pending_draw = None
         self._enter_window(now_ms)
         if draw.window != self.line.window:
@@ -288,9 +288,9 @@
         self.leases.clear()
 
     def _lease(self, draw: Draw, base: float, now_ms: float) -> None:
-        """Lease what `draw` wanted, from position `base` on, as far as it comes due while it may be held."""
+        """Lease the units of `draw` from position `base` on, as far as they become due within the hold time."""
         start_position = max(base, self.line.lowest_start(draw.sent_at_ms))
-        surplus_units = draw.raised_units - (start_position - base)  # others raised the line at the same time
+        surplus_units = draw.raised_units - (start_position - base)  # others may have raised the line concurrently
         self.surplus_units += max(0.0, surplus_units)
         self.unreported_units += max(0.0, -surplus_units) if draw.wanted_units else 0.0
         hold_units = self.bucket.refill_units(self.terms.hold_time_ms(self.bucket))
@@ -315,10 +315,10 @@
             self.others_reading = OthersReading(others_units, now_ms)
 
     def draw_failed(self, draw: Draw, may_have_added: bool) -> None:
-        """Take in that `draw` has no answer.
+        """Handle a draw without a valid answer.
 
-        What it reported is reported again: counted twice, it errs on the safe side. What it returned is returned again
-        only if it was not added, as it would be available twice.
+        The units that it reported are reported again, which is safe even if they are counted twice. The units that it
+        returned are returned again only if the call was not carried out, as they would otherwise be available twice.
         """
         if draw is not self.pending_draw:
             return
@@ -333,26 +333,26 @@
             self.surplus_units += draw.returned_units
 
     def forget_draw(self, draw: Draw) -> None:
-        """Forget `draw`, a call of an older generation that has no answer."""
+        """Drop `draw`, a call of an older generation without an answer."""
         if self.pending_draw is draw:
             self.pending_draw = None
 
-    # What is left
+    # Remaining units
 
     def leased_units(self) -> float:
-        """Return the units that were drawn and not spent."""
+        """Return the units that were drawn and not yet spent."""
         return sum(lease.units for lease in self.leases)
 
     def level_units(self, now_ms: float) -> float:
-        """Return what the bucket holds by the latest total."""
+        """Return the level of the bucket according to the latest total."""
         used_position = max(self.line.end, self.line.lowest_start(now_ms))
         return min(self.bucket.burst_units, self.line.due_position(now_ms) - used_position)
 
     def wait_ms(self, units: float, now_ms: float) -> float:
         """Return the time until `units` may be available to this limiter.
 
-        This counts the limiter's share of all use: were all to ask as soon as the units of one request have refilled,
-        most would ask in vain.
+        The refill is multiplied by the limiter's share of the total use. If all limiters called as soon as the units of
+        one request are refilled, most of the calls would find too few.
         """
         own_rate_per_s = self.own_use.rate_per_s(now_ms)
         all_rate_per_s = own_rate_per_s + self.others_rate_per_s
--- a/elderlock/quota/options.py
+++ b/elderlock/quota/options.py
@@ -1,4 +1,4 @@
-"""`[quota]` of the operators' file."""
+"""The `[quota]` table of the operators' file."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms
 
-LEAST_HEARTBEAT_MS = 500.0
-HEARTBEAT_MS_PER_LIMITER = 5.0  # all limiters together call 200 sentinels a second at most
+MIN_HEARTBEAT_MS = 500.0
+HEARTBEAT_MS_PER_LIMITER = 5.0  # limits the sentinel calls of all limiters together to 200 per second
 
 PositiveFloat = Annotated[float, msgspec.Meta(gt=0.0)]
 NonNegativeFloat = Annotated[float, msgspec.Meta(ge=0.0)]
 
 
 class QuotaOptions(msgspec.Struct, forbid_unknown_fields=True):
-    """The options of quotas through a counter. The fields are the operators' keys.
+    """The options of quotas through a counter. The fields are the keys in the file.
 
     Attributes:
-        store: `tally` (the platform's counter), `redis` (one server) or `cluster`.
-        addresses: The store's; for `tally` the address that the configuration names, if empty.
-        prefix: Stands before each name in Redis.
-        answer_ms: How long an answer is waited for.
-        skew_ms: How far the limiters' clocks may lie apart.
-        calls_per_s: Calls of this limiter a second at most.
-        cut_most_s: How long a limiter that is cut off goes on filling its part of a hard ceiling.
+        store: `tally` (the platform's counter), `redis` (one Redis server) or `cluster` (a Redis cluster).
+        addresses: The addresses of the store; may be empty for `tally`, whose address is then in the configuration.
+        prefix: The prefix of each name in Redis.
+        answer_ms: How long to wait for an answer.
+        skew_ms: The maximum difference between the limiters' clocks.
+        calls_per_s: The maximum number of calls per second of this limiter.
+        cut_most_s: How long a limiter that is cut off continues to refill its part of a hard ceiling.
     """
 
     store: Literal["tally", "redis", "cluster"] = "tally"
@@ -39,10 +39,10 @@
     cut_most_s: PositiveFloat = 600.0
 
     def terms(self, limiter_count: int) -> CounterTerms:
-        """Return the terms of a group of `limiter_count` limiters.
+        """Return the parameters for a group of `limiter_count` limiters.
 
         Raises:
-            ConfigError: The options contradict one another.
+            ConfigError: The options contradict each other.
         """
         try:
             return CounterTerms(
@@ -56,14 +56,14 @@
             raise ConfigError(f"[quota] {error}") from None
 
     def coordinator_class(self, limiter_count: int) -> type[CountedCoordinator]:
-        """Return the class that takes the place of the quota coordinator in the decision module.
+        """Return the class that replaces the quota coordinator of the decision module.
 
         Raises:
-            ConfigError: The options contradict one another.
+            ConfigError: The options contradict each other.
         """
         return type("Counted", (CountedCoordinator,), {"terms": self.terms(limiter_count)})
 
 
 def heartbeat_ms(limiter_count: int) -> float:
     """Return the interval between a limiter's calls to sentinels."""
-    return max(LEAST_HEARTBEAT_MS, HEARTBEAT_MS_PER_LIMITER * limiter_count)
+    return max(MIN_HEARTBEAT_MS, HEARTBEAT_MS_PER_LIMITER * limiter_count)
--- a/elderlock/quota/position_line.py
+++ b/elderlock/quota/position_line.py
@@ -1,26 +1,26 @@
-"""The line of positions that one customer's total in the counter stands for, window by window.
+"""The line of positions that one customer's total in the counter represents, window by window.
 
 The line is that of the generic cell rate algorithm (ITU-T I.371): a unit at position p may be spent once
-rate x time + burst has reached p. Positions and time count from the start of the current window.
+rate x time + burst has reached p. Positions and times are relative to the start of the current window.
 """
 
 from __future__ import annotations
 
 from elderlock.quota.counter_terms import CounterTerms, SharedBucket
 
-FOREIGN_LINE_BURSTS = 2.0  # by which a line of our own can lie ahead for each limiter
+FOREIGN_LINE_BURSTS = 2.0  # the bursts per limiter by which a valid line can be ahead
 
 
 class PositionLine:
-    """Where the line of the current window begins and ends, as one limiter knows it.
+    """The beginning and the end of the line in the current window, as one limiter knows them.
 
     Attributes:
-        window: Number of the current window.
-        carried_position: Where the line begins in this window; None until the end of the window before was read.
+        window: The number of the current window.
+        carried_position: The beginning of the line in this window; None until the end of the previous window was read.
         end: The counter's latest total.
-        own_added_units: How much of it this limiter added.
-        lowest_position: Position below which nothing is leased, as it is taken as used.
-        abandoned_names: How many names of this window were left, as their totals were not ours.
+        own_added_units: The part of the total that this limiter added.
+        lowest_position: The position below which nothing is leased, because it counts as used.
+        abandoned_names: The number of names of this window that were abandoned because of impossible totals.
     """
 
     __slots__ = (
@@ -36,7 +36,7 @@
     )
 
     def __init__(self, key: str, bucket: SharedBucket, terms: CounterTerms, now_ms: float) -> None:
-        """Begin in the window of `now_ms`."""
+        """Create a line in the window of `now_ms`."""
         self._key = key
         self._bucket = bucket
         self._terms = terms
@@ -51,7 +51,8 @@
         """Enter the window of `now_ms`.
 
         Returns:
-            By how much positions of the window before are lower in this one; None where the window is the same.
+            The difference by which positions of the previous window are lower in this one; None if the window is the
+            same.
         """
         window = int(now_ms // self._terms.window_ms)
         if window == self.window:
@@ -68,16 +69,16 @@
         self.forget_counts()
 
     def forget_counts(self) -> None:
-        """Take in that the counter holds nothing of this line."""
+        """Reset the line because the counter holds no counts of it."""
         self.end = 0.0
         self.own_added_units = 0.0
 
     def window_age_ms(self, now_ms: float) -> float:
-        """Return the time since the current window's start."""
+        """Return the time since the start of the current window."""
         return now_ms - self.window * self._terms.window_ms
 
     def is_near_window_edge(self, now_ms: float) -> bool:
-        """Return whether a call that begins now may be taken for one of another window."""
+        """Return whether a call that begins now may be attributed to another window."""
         age_ms = self.window_age_ms(now_ms)
         margin_ms = self._terms.answer_timeout_ms + self._terms.clock_skew_ms
         return age_ms < self._terms.clock_skew_ms or age_ms > self._terms.window_ms - margin_ms
@@ -92,16 +93,16 @@
         return max(refilled, self.carried_position or 0.0, self.lowest_position)
 
     def assume_empty_since(self, returned_at_ms: float) -> None:
-        """Take as used all that a hard ceiling held at `returned_at_ms`, whoever used it."""
+        """Count a hard ceiling as empty at `returned_at_ms`, because its use until then is not known."""
         if self._bucket.is_hard_ceiling:
             self.lowest_position = max(self.lowest_position, self.due_position(returned_at_ms), 0.0)
 
     def counter_name(self, window: int) -> str:
-        """Return the name that `window` has in the counter."""
+        """Return the name in the counter for `window`."""
         return f"{self._key}:{window}" + "'" * (self.abandoned_names if window == self.window else 0)
 
     def carry_over(self, previous_total: float) -> None:
-        """Begin this window's line where that of the window before ended."""
+        """Begin the line of this window at the end of the previous one."""
         position = previous_total - self._bucket.refill_units(self._terms.window_ms)
         if position > FOREIGN_LINE_BURSTS * self._bucket.limiter_count * self._bucket.burst_units:
             self.carry_over_unknown()
@@ -109,21 +110,22 @@
             self.carried_position = max(0.0, position)
 
     def carry_over_unknown(self) -> None:
-        """Begin this window's line by the worst that can be true, as the end of the window before is not known."""
+        """Begin the line of this window by the worst case, because the end of the previous window is not known."""
         self.carried_position = self._bucket.burst_units if self._bucket.is_hard_ceiling else 0.0
 
     def is_foreign(self, base: float, now_ms: float) -> bool:
-        """Return whether a line lies further ahead than all limiters together can have brought it.
+        """Return whether a line is further ahead than all limiters together can have moved it.
 
-        Each limiter raises the line by a window's refill at most, and draws no further than what is due. Such a total
-        is someone else's, or of a counter that was swapped. All limiters see it, and go on with the same next name.
+        Each limiter raises the line by at most the refill of a window, and draws only units that are due. A greater
+        total was written by other software, or comes from a counter that replaced the previous one. All limiters detect
+        it and continue with the same next name.
         """
         window_units = self._bucket.refill_units(self._terms.window_ms)
         each_units = window_units + FOREIGN_LINE_BURSTS * self._bucket.burst_units
         return base > self.due_position(now_ms) + self._bucket.limiter_count * each_units
 
     def abandon_name(self, now_ms: float) -> None:
-        """Go on with the window's next name, whose line is taken as used up to now."""
+        """Continue with the next name of the window; a hard ceiling counts as empty at `now_ms`."""
         self.abandoned_names += 1
         self._begin(0.0)
         self.assume_empty_since(now_ms)
--- a/elderlock/quota/redis_client.py
+++ b/elderlock/quota/redis_client.py
@@ -1,7 +1,7 @@
 """Redis or Valkey as the counter, one server or a cluster: one script adds, sets a lifetime and returns the total.
 
-The `redis` library speaks the protocol, follows a cluster's redirects and keeps its connections. Its retries are off:
-an addition that was sent twice counts twice.
+The `redis` library implements the protocol, follows the redirects of a cluster and manages the connections. Its retries
+are disabled, because an addition that is sent twice would count twice.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from elderlock.quota.counter_call import CounterCall
 from elderlock.quota.store_client import StoreEvents
 
-# INCRBYFLOAT keeps a name's lifetime; a name that has none is new, or its lifetime was lost with a failover
+# INCRBYFLOAT preserves a name's lifetime. A name without one is new, or lost its lifetime in a failover.
 SCRIPT = """
 local total = redis.call('INCRBYFLOAT', KEYS[1], ARGV[1])
 if redis.call('PTTL', KEYS[1]) < 0 then redis.call('PEXPIRE', KEYS[1], ARGV[2]) end
@@ -38,20 +38,20 @@
 """
 MS_PER_SECOND = 1000.0
 MAX_CALLS_UNDER_WAY = 256
-CALL_ANSWER_TIMEOUTS = 4.0  # after which a call is given up by the client as well
-LOAD_CALL_TIMEOUTS = 2.0
+CALL_ANSWER_TIMEOUTS = 4.0  # the timeout of a call, in answer timeouts
+LOAD_CALL_TIMEOUTS = 2.0  # the timeout for loading the script, in call timeouts
 BUSY_ERRORS = (BusyLoadingError, ClusterDownError, MasterDownError, TryAgainError)
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class RedisOptions:
-    """Where a counter lies in Redis or Valkey.
+    """The location of a counter in Redis or Valkey.
 
     Attributes:
-        addresses: Host and port of one server, or of the servers to ask for a cluster's slots.
-        is_cluster: Whether they are of a cluster.
-        name_prefix: Stands before each name.
+        addresses: The host and port of one server, or of the startup nodes of a cluster.
+        is_cluster: Whether the addresses belong to a cluster.
+        name_prefix: The prefix of each name.
     """
 
     addresses: tuple[tuple[str, int], ...]
@@ -63,7 +63,7 @@
     """A client of one Redis server or of a cluster.
 
     Attributes:
-        broken_connections: Number of calls that ended with a broken connection.
+        broken_connections: The number of times that a call ended with a broken connection.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         answer_timeout_ms: float,
         events: StoreEvents,
     ) -> None:
-        """Start without a connection; the first call opens one."""
+        """Create a client without a connection; the first call opens one."""
         self.broken_connections = 0
         self._loop = loop
         self._options = options
@@ -98,7 +98,7 @@
         return Redis(host=host, port=port, retry=no_retry, single_connection_client=False, **common)
 
     def follow(self, addresses: Sequence[tuple[str, int]]) -> None:
-        """Go over to other addresses. Calls under way at the old ones grant nothing."""
+        """Switch to other addresses. Answers from the old addresses no longer grant anything."""
         if tuple(addresses) == self._options.addresses:
             return
         self._options = replace(self._options, addresses=tuple(addresses))
@@ -110,21 +110,21 @@
         self._client = None
         self._script_hash = ""
         if client is not None:
-            self._own_task(self._loop.create_task(self._close_client(client)))
+            self._keep_task(self._loop.create_task(self._close_client(client)))
 
     @staticmethod
     async def _close_client(client: Any) -> None:
         try:
             await client.aclose()
         except RedisError as error:
-            log.debug("a connection to the counter did not end well: %s", error)
+            log.debug("closing a connection to the counter failed: %s", error)
 
-    def _own_task(self, task: asyncio.Task[None]) -> None:
-        self._tasks.add(task)  # a task without a reference may be collected
+    def _keep_task(self, task: asyncio.Task[None]) -> None:
+        self._tasks.add(task)  # a task without a reference may be garbage-collected
         task.add_done_callback(self._tasks.discard)
 
     def send(self, calls: Sequence[CounterCall]) -> None:
-        """Send calls without waiting. A call that cannot be sent now fails as not added."""
+        """Send calls without waiting. A call that cannot be sent now fails, and the counter adds nothing for it."""
         if self._client is None:
             self._client = self._open()
         if not self._script_hash and self._loading is None:
@@ -133,7 +133,7 @@
             if not self._script_hash or len(self._tasks) >= MAX_CALLS_UNDER_WAY:
                 self._events.failed(call.token, False, bool(self._script_hash))
             else:
-                self._own_task(self._loop.create_task(self._call(self._client, call)))
+                self._keep_task(self._loop.create_task(self._call(self._client, call)))
 
     async def _load_script(self, client: Any) -> None:
         try:
@@ -144,7 +144,7 @@
             if client is self._client:
                 self._script_hash = script_hash if isinstance(script_hash, str) else bytes(script_hash).decode()
         except (RedisError, OSError, TimeoutError) as error:
-            log.debug("the counter takes no script: %s", error)
+            log.debug("loading the script into the counter failed: %s", error)
             if client is self._client:
                 self._drop_client()
         finally:
@@ -158,7 +158,7 @@
                     self._script_hash, 1, name, f"{call.amount_units:.9g}", f"{call.lifetime_ms:.0f}"
                 )
             self._events.answered(call.token, float(total))
-        except NoScriptError:  # a server that restarted or has joined: nothing was added
+        except NoScriptError:  # a server that restarted or joined the cluster; nothing was added
             self._script_hash = ""
             self._events.failed(call.token, False, False)
         except BUSY_ERRORS:
@@ -170,7 +170,7 @@
                 self._drop_client()
                 self._events.connection_lost()
         except (ResponseError, ValueError, TypeError) as error:
-            log.warning("the counter answered %s with %s", call.name, error)
+            log.warning("unexpected answer of the counter for %s: %s", call.name, error)
             self._events.failed(call.token, True, False)
 
     def close(self) -> None:
--- a/elderlock/quota/store_client.py
+++ b/elderlock/quota/store_client.py
@@ -1,4 +1,4 @@
-"""What a client of a counter's store offers, and what it reports. One store is one module."""
+"""The interface of a client of a counter's store, and the events that it reports."""
 
 from __future__ import annotations
 
@@ -11,12 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreEvents:
-    """Where a client reports. Each call has one outcome, which may be reported before `send` returns.
+    """The callbacks of a client. Each call has one outcome, which may be reported before `send` returns.
 
     Attributes:
-        answered: A call's token and the new total.
-        failed: A call's token, whether the store may have added all the same, and whether it refused as it is busy.
-        connection_lost: The connections broke or the address changed: what the store held may be gone.
+        answered: Called with a call's token and the new total.
+        failed: Called with a call's token, whether the store may have added the amount nevertheless, and whether it
+            refused the call because it is busy.
+        connection_lost: Called when the connections broke or the address changed; the store's counts may be lost.
     """
 
     answered: Callable[[int, float], None]
@@ -28,7 +29,7 @@
     """A client of a counter's store."""
 
     def send(self, calls: Sequence[CounterCall]) -> None:
-        """Send calls without waiting. A call that cannot be sent now fails as not added."""
+        """Send calls without waiting. A call that cannot be sent now fails, and the store adds nothing for it."""
 
     def close(self) -> None:
-        """Close the connections. Calls that are under way need not have an outcome."""
+        """Close the connections. The outcomes of calls under way may not be reported."""
--- a/elderlock/quota/tally_client.py
+++ b/elderlock/quota/tally_client.py
@@ -1,4 +1,4 @@
-"""The platform's counter: TALLY over RESP2, pipelined on one connection, without waiting."""
+"""A client of the platform's counter: TALLY commands over RESP2, pipelined on one connection."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from elderlock.quota.store_client import StoreEvents
 
 MS_PER_SECOND = 1000.0
-HANG_ANSWER_TIMEOUTS = 4.0  # after which a connection whose oldest call has no answer is closed
-DIAL_ANSWER_TIMEOUTS = 4.0
+HANG_ANSWER_TIMEOUTS = 4.0  # the age of the oldest unanswered call, in answer timeouts, that ends a connection
+DIAL_ANSWER_TIMEOUTS = 4.0  # the timeout of a connection attempt, in answer timeouts
 MAX_PIPELINED_CALLS = 64
 REDIAL_INTERVAL_S = 0.1
 MAX_TOTAL_UNITS = 1e12
@@ -27,20 +27,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _SentCall:
+    """A call without an answer yet."""
+
     token: int
     sent_at_s: float
 
 
 def encode_call(call: CounterCall) -> bytes:
-    """Return a call as a RESP2 array of bulk strings: TALLY, name, amount, lifetime in ms."""
+    """Encode a call as a RESP2 array of bulk strings: TALLY, name, amount, lifetime in ms."""
     arguments = (b"TALLY", call.name.encode(), b"%.9g" % call.amount_units, b"%d" % call.lifetime_ms)
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments)
 
 
 class _TallyConnection(asyncio.Protocol):
-    """One connection. Answers come in the order of the calls.
+    """A connection. Answers arrive in the order of the calls.
 
-    An answer that cannot be read ends the connection, as those behind it can no longer be matched to their calls.
+    A malformed answer ends the connection, because later answers can no longer be matched to their calls.
     """
 
     def __init__(self, owner: TallyClient) -> None:
@@ -51,18 +53,18 @@
 
     @property
     def pending_calls(self) -> int:
-        """Number of calls without an answer."""
+        """The number of calls without an answer."""
         return len(self._calls)
 
     def oldest_call_age_s(self, now_s: float) -> float:
-        """Return the age of the oldest call without an answer; 0 where there is none."""
+        """Return the age of the oldest call without an answer; 0 if there is none."""
         return now_s - self._calls[0].sent_at_s if self._calls else 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
     def send(self, calls: Sequence[CounterCall], now_s: float) -> None:
-        """Write calls behind those that are under way."""
+        """Send calls in addition to those under way."""
         assert self._transport is not None
         self._calls.extend(_SentCall(call.token, now_s) for call in calls)
         self._transport.write(b"".join(encode_call(call) for call in calls))
@@ -71,7 +73,7 @@
         try:
             self._reader.feed(data)
             while (reply := self._reader.gets()) is not NO_REPLY:
-                if not self._calls:  # the next reply would be taken for another call's
+                if not self._calls:  # a surplus reply; the next one would be matched to the wrong call
                     self.abort()
                     return
                 if not self._accept_reply(self._calls.popleft().token, reply):
@@ -81,7 +83,7 @@
             self.abort()
 
     def _accept_reply(self, token: int, reply: object) -> bool:
-        """Report a call's outcome; return False where the reply is not one to a TALLY."""
+        """Report the outcome of a call; return False if the reply is not a valid answer to TALLY."""
         events = self._owner.events
         if isinstance(reply, hiredis.ReplyError):
             events.failed(token, False, str(reply).startswith("BUSY"))
@@ -97,7 +99,7 @@
         return True
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -109,12 +111,12 @@
 
 
 class TallyClient:
-    """A client of the platform's counter, with one connection at most.
+    """A client of the platform's counter, with at most one connection.
 
     Attributes:
         address: The counter's host and port.
-        events: Where outcomes are reported.
-        broken_connections: Number of connections that ended.
+        events: The callbacks for outcomes.
+        broken_connections: The number of connections that ended.
     """
 
     def __init__(
@@ -124,7 +126,7 @@
         answer_timeout_ms: float,
         events: StoreEvents,
     ) -> None:
-        """Start without a connection; the first call opens one."""
+        """Create a client without a connection; the first call opens one."""
         self.address = address
         self.events = events
         self.broken_connections = 0
@@ -137,7 +139,7 @@
         self._is_closed = False
 
     def follow(self, address: tuple[str, int]) -> None:
-        """Go over to another address at once. Calls under way at the old one fail."""
+        """Switch to another address immediately. Calls under way at the old address fail."""
         if address == self.address:
             return
         self.address = address
@@ -150,7 +152,7 @@
         self.events.connection_lost()
 
     def send(self, calls: Sequence[CounterCall]) -> None:
-        """Send calls without waiting. Calls that find no connection fail as not added."""
+        """Send calls without waiting. Calls without a connection fail, and the counter adds nothing for them."""
         now_s = self._loop.time()
         connection = self._connection
         if connection is not None and connection.oldest_call_age_s(now_s) > self._hang_s:
@@ -176,7 +178,7 @@
                 await self._loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError) as error:
             connection.abort()
-            log.debug("the counter at %s:%d cannot be reached: %s", *self.address, error)
+            log.debug("connecting to the counter at %s:%d failed: %s", *self.address, error)
         else:
             if self._is_closed:
                 connection.abort()
@@ -186,14 +188,14 @@
             self._dialling = None
 
     def connection_ended(self, connection: _TallyConnection) -> None:
-        """Take in that a connection ended."""
+        """Handle the end of a connection."""
         if connection is self._connection:
             self._connection = None
             self.broken_connections += 1
             self.events.connection_lost()
 
     def close(self) -> None:
-        """Close the connection for good."""
+        """Close the connection and open no other."""
         self._is_closed = True
         if self._dialling is not None:
             self._dialling.cancel()
--- a/elderlock/quota/use_meter.py
+++ b/elderlock/quota/use_meter.py
@@ -1,4 +1,4 @@
-"""The recent rate of a limiter's own use of one bucket."""
+"""The recent rate at which one limiter uses a bucket."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
     """Averages use over `USE_AVERAGING_MS`; the average decays linearly while nothing is used.
 
     Attributes:
-        latest_rate_per_s: The average at the latest use, in units a second.
-        used_at_ms: Time of the latest use.
+        latest_rate_per_s: The average at the latest use, in units per second.
+        used_at_ms: The time of the latest use.
     """
 
     __slots__ = ("latest_rate_per_s", "used_at_ms")
 
     def __init__(self, now_ms: float) -> None:
-        """Start with no use."""
+        """Create a meter without use."""
         self.latest_rate_per_s = 0.0
         self.used_at_ms = now_ms
 
     def record(self, units: float, now_ms: float) -> None:
-        """Add `units` that were used at `now_ms`."""
+        """Record `units` that were used at `now_ms`."""
         self.latest_rate_per_s = self.rate_per_s_with(units, now_ms)
         self.used_at_ms = now_ms
 
     def rate_per_s(self, now_ms: float) -> float:
-        """Return the average use now, in units a second."""
+        """Return the current average use, in units per second."""
         return self.latest_rate_per_s * max(0.0, 1.0 - (now_ms - self.used_at_ms) / USE_AVERAGING_MS)
 
     def rate_per_s_with(self, units: float, now_ms: float) -> float:
-        """Return what the average would be if `units` more were used now."""
+        """Return the average use that would result if `units` were used now."""
         return self.rate_per_s(now_ms) + units * MS_PER_SECOND / USE_AVERAGING_MS
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -1,4 +1,4 @@
-"""Datagrams about one customer's quota, for tests of the limiters that send and receive them."""
+"""Datagrams about the quota of one customer, for tests of the limiters that send and receive them."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class SentSingle(NamedTuple):
-    """A datagram about one customer, field by field."""
+    """The fields of a datagram about one customer."""
 
     format: int
     latest_latency: int
@@ -22,7 +22,7 @@
 
 
 def sent_singles(harness: LimiterHarness) -> list[tuple[int, SentSingle]]:
-    """The receivers and datagrams that a limiter sent so far."""
+    """Return the receivers and datagrams that a limiter sent so far."""
     return [
         (action.receiver_index, SentSingle(*SINGLE.unpack(action.payload)))
         for _, action in harness.other_actions
@@ -31,7 +31,7 @@
 
 
 def single(key: int, kind: int, first: int = 4, second: int = UNKNOWN, query_id: int = 1, plan_index: int = 0) -> bytes:
-    """A datagram as another limiter would send it."""
+    """Return a datagram as another limiter would send it."""
     return SINGLE.pack(SINGLE_FORMAT, UNKNOWN, key, kind, plan_index, first, second, query_id)
 
 
@@ -45,10 +45,10 @@
 
 
 def harness_with_pending_query(spread: int = 3, limiters: int = 3) -> HarnessWithQuery:
-    """A limiter that has asked another one for the units of a request."""
+    """Return a limiter that has queried another limiter for the units of a request."""
     harness = start_harness(limiter_settings(limiters=limiters, peers=True))
-    for i in range(100):
-        name = harness.send_request(customer=f"c{i}", spread=spread)
-        if not harness.attempted_servers(name):
-            return HarnessWithQuery(harness, name, *sent_singles(harness)[-1])
-    raise AssertionError("no customer has another owner")
+    for number in range(100):
+        request_id = harness.send_request(customer=f"c{number}", spread=spread)
+        if not harness.attempted_servers(request_id):
+            return HarnessWithQuery(harness, request_id, *sent_singles(harness)[-1])
+    raise AssertionError("none of 100 customers has another limiter as its quota owner")
