--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -22,7 +22,7 @@
 import uvloop
 
 from elderlock.quota.counter_health import CounterMode
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.lease_book import LeaseBook
 from elderlock.standins.counters import Group
@@ -32,10 +32,10 @@
 CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
 QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
 BUSY = (12.0, 9.0, 15.0)
-QUOTA_METHODS: dict[str, CounterTerms] = {
-    "lease": CounterTerms(),
-    "even split": CounterTerms(),
-    "one call a request": CounterTerms(
+QUOTA_METHODS: dict[str, CounterParameters] = {
+    "lease": CounterParameters(),
+    "even split": CounterParameters(),
+    "one call a request": CounterParameters(
         hold_ms=0.0, prefetch_fraction=0.0, unreported_fraction=0.0, max_calls_per_s=1e6
     ),
 }
@@ -184,7 +184,7 @@
 
 def recovery(seed: int) -> list[float]:
     """ms from the counter's return until each limiter draws again."""
-    group = Group(CEILING, CounterTerms(), seed, BUSY).play(3_000.0)
+    group = Group(CEILING, CounterParameters(), seed, BUSY).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
@@ -199,14 +199,14 @@
 
 def light(store: SharedBucket, rate: float) -> float:
     """Calls a request, but the sentinels', for customers far from their quota."""
-    group = Group(store, CounterTerms(), 5, (rate,) * 3).play(60_000.0)
-    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterTerms().heartbeat_ms
+    group = Group(store, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
+    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
     return max(0.0, made) / sum(group.asked.values())
 
 
 def near() -> float:
-    group = Group(QUOTA, CounterTerms(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
-    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterTerms().heartbeat_ms
+    group = Group(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
+    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
     return made / sum(group.asked.values())
 
 
@@ -313,7 +313,7 @@
         "real_calls": calls,
         "real_quota_units": round(store.burst_units + store.refill_units((time.monotonic() - begun) * 1000.0), 1),
         "real_worst_units": round(excess.worst_units, 2),
-        "real_bound_units": round(stated_error_units(store, CounterTerms(), FailureHistory(return_count=2)), 2),
+        "real_bound_units": round(stated_error_units(store, CounterParameters(), FailureHistory(return_count=2)), 2),
     }
 
 
--- a/elderlock/quota/attach.py
+++ b/elderlock/quota/attach.py
@@ -16,7 +16,7 @@
 from elderlock.quota.counted_quotas import CountedCoordinator
 from elderlock.quota.counter_call import CounterCall
 from elderlock.quota.counter_health import CounterMode
-from elderlock.quota.counter_terms import SharedBucket
+from elderlock.quota.counter_parameters import SharedBucket
 from elderlock.quota.error_bound import cut_off_error_units, shared_error_units, slack_warnings
 from elderlock.quota.lease_book import LeaseBook
 from elderlock.quota.lease_ledger import LeaseLedger
@@ -62,10 +62,10 @@
         limiter_count = self._settings.limiter_count
         if limiter_count <= 1:
             return
-        terms = self._options.terms(limiter_count)
+        parameters = self._options.parameters(limiter_count)
         for plan in self._settings.plans:
             if plan.ceiling_rate_per_s > 0:
-                for text in slack_warnings(plan.name, coordinator.ceiling_bucket(plan, limiter_count), terms):
+                for text in slack_warnings(plan.name, coordinator.ceiling_bucket(plan, limiter_count), parameters):
                     log.warning("%s", text)
 
     def _addresses(self) -> list[tuple[str, int]]:
@@ -137,7 +137,7 @@
 
     def _largest_error_units(self, now_ms: float) -> float:
         """Return the largest stated error of all plans, which grows while this limiter is cut off."""
-        terms = self._options.terms(self._settings.limiter_count)
+        parameters = self._options.parameters(self._settings.limiter_count)
         is_shared = self.book.mode is CounterMode.SHARED
         cut_off_ms = 0.0 if is_shared else now_ms - self.book.health.changed_at_ms
         buckets = [
@@ -145,7 +145,9 @@
             for plan in self._settings.plans
             if plan.rate_per_s > 0
         ]
-        errors = (shared_error_units(bucket, terms) + cut_off_error_units(bucket, cut_off_ms) for bucket in buckets)
+        errors = (
+            shared_error_units(bucket, parameters) + cut_off_error_units(bucket, cut_off_ms) for bucket in buckets
+        )
         return max(errors, default=0.0)
 
     @staticmethod
--- a/elderlock/quota/counted_quotas.py
+++ b/elderlock/quota/counted_quotas.py
@@ -11,7 +11,7 @@
 from elderlock.decisions.quota_coordinator import QuotaCoordinator
 from elderlock.decisions.quotas import CEILING_SLACK_FRACTION, Quotas
 from elderlock.interface import Outcome
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.lease_book import LeaseBook, LeaseDecision
 from elderlock.state import Account, OpenRequest
 
@@ -55,11 +55,11 @@
     enforces is exceeded by no more than the stated error (`error_bound.stated_error_units`).
 
     Attributes:
-        terms: The parameters for the use of the counter; set by a subclass.
+        parameters: The parameters for the use of the counter; set by a subclass.
         book: The ledgers of this limiter.
     """
 
-    terms = CounterTerms()
+    parameters = CounterParameters()
     quotas_class = CountedQuotas
 
     def __init__(
@@ -72,7 +72,7 @@
     ) -> None:
         """Create a coordinator without ledgers; the first poll calls the first sentinel."""
         super().__init__(context, quotas, load_estimator, requests, decide)
-        self.book = LeaseBook(self.terms, random.Random(context.rng.random()), context.now_ms)
+        self.book = LeaseBook(self.parameters, random.Random(context.rng.random()), context.now_ms)
         self._buckets: dict[tuple[str, int], SharedBucket] = {}  # by plan name and number of limiters
         self._ceilings: dict[tuple[str, int], SharedBucket] = {}
         context.schedule_timer(BUSY_POLL_MS, POLL_QUERY_ID)
--- a/elderlock/quota/counter_health.py
+++ b/elderlock/quota/counter_health.py
@@ -9,7 +9,7 @@
 import random
 from enum import Enum
 
-from elderlock.quota.counter_terms import CounterTerms
+from elderlock.quota.counter_parameters import CounterParameters
 
 MAX_BUSY_MS = 300.0  # after which a counter that only answers -BUSY counts as unreachable
 HEARTBEAT_JITTER_LOW = 0.75
@@ -34,7 +34,7 @@
     nothing.
 
     Attributes:
-        terms: The parameters for the use of the counter.
+        parameters: The parameters for the use of the counter.
         mode: The current mode.
         generation: The number of times that SHARED was entered or counts were lost.
         lost_counts: Whether counts were lost at the latest change of generation. True at the start, as an earlier
@@ -42,9 +42,9 @@
         changed_at_ms: The time of the latest change of mode or generation.
     """
 
-    def __init__(self, terms: CounterTerms, rng: random.Random, now_ms: float) -> None:
+    def __init__(self, parameters: CounterParameters, rng: random.Random, now_ms: float) -> None:
         """Create the state in mode RECOVERING, with a sentinel due at once."""
-        self.terms = terms
+        self.parameters = parameters
         self.mode = CounterMode.RECOVERING
         self.generation = 0
         self.lost_counts = True
@@ -53,20 +53,22 @@
         self._missed_answers = 0
         self._answered_at_ms = now_ms
         self._sentinel_totals: dict[str, float] = {}
-        self._sentinel_index = rng.randrange(terms.sentinel_count)
+        self._sentinel_index = rng.randrange(parameters.sentinel_count)
         self._sentinel_due_at_ms = now_ms
 
     def due_sentinel(self, now_ms: float) -> str | None:
         """Return the name of the sentinel to add 1 to, if a heartbeat or a probe is due."""
         if now_ms < self._sentinel_due_at_ms:
             return None
-        interval_ms = self.terms.heartbeat_ms if self.mode is CounterMode.SHARED else self.terms.probe_interval_ms
+        interval_ms = (
+            self.parameters.heartbeat_ms if self.mode is CounterMode.SHARED else self.parameters.probe_interval_ms
+        )
         jitter = self._rng.uniform(HEARTBEAT_JITTER_LOW, HEARTBEAT_JITTER_HIGH)
         self._sentinel_due_at_ms = now_ms + interval_ms * jitter
         if self.mode is CounterMode.LOCAL:
             self.mode = CounterMode.RECOVERING
-        self._sentinel_index = (self._sentinel_index + 1) % self.terms.sentinel_count
-        return f"sentinel-{self._sentinel_index}:{int(now_ms // self.terms.window_ms)}"
+        self._sentinel_index = (self._sentinel_index + 1) % self.parameters.sentinel_count
+        return f"sentinel-{self._sentinel_index}:{int(now_ms // self.parameters.window_ms)}"
 
     def sentinel_answered(self, name: str, total: float, now_ms: float) -> None:
         """Compare a sentinel's total with the previous one; enter SHARED, or a new generation if counts were lost."""
@@ -107,7 +109,7 @@
         it is busy.
         """
         self._missed_answers += not is_busy
-        is_unreachable = self._missed_answers >= self.terms.missed_answers_limit or (
+        is_unreachable = self._missed_answers >= self.parameters.missed_answers_limit or (
             is_busy and now_ms - self._answered_at_ms >= MAX_BUSY_MS
         )
         if self.mode is CounterMode.RECOVERING or (self.mode is CounterMode.SHARED and is_unreachable):
@@ -119,7 +121,7 @@
             self.mode = CounterMode.LOCAL
             self.changed_at_ms = now_ms
             jitter = self._rng.uniform(FIRST_PROBE_JITTER_LOW, FIRST_PROBE_JITTER_HIGH)
-            self._sentinel_due_at_ms = now_ms + self.terms.probe_interval_ms * jitter
+            self._sentinel_due_at_ms = now_ms + self.parameters.probe_interval_ms * jitter
 
     def _enter_shared(self, lost_counts: bool, now_ms: float) -> None:
         self.mode = CounterMode.SHARED
--- a/elderlock/quota/counter_terms.py
+++ b/elderlock/quota/counter_parameters.py
@@ -7,7 +7,7 @@
 MS_PER_SECOND = 1000.0
 
 
-class CounterTermsError(ValueError):
+class CounterParametersError(ValueError):
     """Parameters contradict each other; the text gives the values and the bounds."""
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CounterTerms:
+class CounterParameters:
     """The parameters for the use of the counter. All limiters of a group must have the same.
 
     Attributes:
@@ -78,25 +78,25 @@
         """Validate the parameters.
 
         Raises:
-            CounterTermsError: The parameters contradict each other.
+            CounterParametersError: The parameters contradict each other.
         """
         if not 0.0 < self.answer_timeout_ms < self.window_ms / 10.0:
-            raise CounterTermsError(
+            raise CounterParametersError(
                 f"answer timeout of {self.answer_timeout_ms:g} ms: expected above 0 and under a tenth of the window "
                 f"of {self.window_ms:g} ms"
             )
         min_lifetime_ms = 2.0 * self.window_ms + 4.0 * (self.answer_timeout_ms + self.clock_skew_ms)
         if self.name_lifetime_ms < min_lifetime_ms:
-            raise CounterTermsError(
+            raise CounterParametersError(
                 f"name lifetime of {self.name_lifetime_ms:g} ms: expected at least {min_lifetime_ms:g} ms, "
                 "for two windows and the calls under way"
             )
         if self.clock_skew_ms < 0.0 or self.hold_ms < 0.0:
-            raise CounterTermsError(
+            raise CounterParametersError(
                 f"clock skew of {self.clock_skew_ms:g} ms and hold time of {self.hold_ms:g} ms: expected at least 0"
             )
         if self.max_calls_per_s <= 0.0 or self.missed_answers_limit < 1:
-            raise CounterTermsError(
+            raise CounterParametersError(
                 f"limits of {self.max_calls_per_s:g} calls per second and {self.missed_answers_limit} missing answers: "
                 "expected above 0, and at least 1"
             )
--- a/elderlock/quota/error_bound.py
+++ b/elderlock/quota/error_bound.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import MS_PER_SECOND, CounterParameters, SharedBucket
 
 PROBE_JITTER_FACTOR = 1.25  # jitter makes an interval between probes or heartbeats at most this much longer
 
@@ -31,13 +31,13 @@
     largest_request_units: float = 1.0
 
 
-def shared_error_units(bucket: SharedBucket, terms: CounterTerms) -> float:
+def shared_error_units(bucket: SharedBucket, parameters: CounterParameters) -> float:
     """Return the error while the counter answers: R (h + 2a + 2d), plus the units that may stay unreported.
 
     The error arises because units are drawn at one time and spent later. The formula covers all limiters together.
     """
-    delay_ms = terms.hold_time_ms(bucket) + 2.0 * terms.answer_timeout_ms + 2.0 * terms.clock_skew_ms
-    unreported_units = 0.0 if bucket.is_hard_ceiling else terms.unreported_fraction * bucket.burst_units
+    delay_ms = parameters.hold_time_ms(bucket) + 2.0 * parameters.answer_timeout_ms + 2.0 * parameters.clock_skew_ms
+    unreported_units = 0.0 if bucket.is_hard_ceiling else parameters.unreported_fraction * bucket.burst_units
     return bucket.refill_units(delay_ms) + unreported_units
 
 
@@ -49,49 +49,54 @@
     return bucket.refill_units(cut_off_ms) / bucket.limiter_count
 
 
-def detection_error_units(bucket: SharedBucket, terms: CounterTerms) -> float:
+def detection_error_units(bucket: SharedBucket, parameters: CounterParameters) -> float:
     """Return the error of one return of the counter: R (N-1)/N (1.25 x probe interval + 4a).
 
     The limiters detect the return at different times. Those that have not detected it yet count as cut off.
     """
     detection_ms = (
-        PROBE_JITTER_FACTOR * terms.probe_interval_ms + (terms.missed_answers_limit + 2) * terms.answer_timeout_ms
+        PROBE_JITTER_FACTOR * parameters.probe_interval_ms
+        + (parameters.missed_answers_limit + 2) * parameters.answer_timeout_ms
     )
     return cut_off_error_units(bucket, (bucket.limiter_count - 1) * detection_ms)
 
 
-def unseen_loss_error_units(bucket: SharedBucket, terms: CounterTerms) -> float:
+def unseen_loss_error_units(bucket: SharedBucket, parameters: CounterParameters) -> float:
     """Return the error of one loss of counts that breaks no connection: B + R (1.25 x heartbeat x sentinels + 2a).
 
     It is detected by the next heartbeat to the partition of the counter that lost its counts.
     """
-    detection_ms = PROBE_JITTER_FACTOR * terms.heartbeat_ms * terms.sentinel_count + 2.0 * terms.answer_timeout_ms
+    detection_ms = (
+        PROBE_JITTER_FACTOR * parameters.heartbeat_ms * parameters.sentinel_count + 2.0 * parameters.answer_timeout_ms
+    )
     return bucket.burst_units + bucket.refill_units(detection_ms)
 
 
-def stated_error_units(bucket: SharedBucket, terms: CounterTerms, failures: FailureHistory | None = None) -> float:
+def stated_error_units(
+    bucket: SharedBucket, parameters: CounterParameters, failures: FailureHistory | None = None
+) -> float:
     """Return the units above burst + rate x time that may be admitted in any interval.
 
     Args:
         bucket: The bucket that the limiters share.
-        terms: The parameters for the use of the counter.
+        parameters: The parameters for the use of the counter.
         failures: The failures during the history; none by default.
     """
     failures = failures or FailureHistory()
-    total_units = shared_error_units(bucket, terms) + cut_off_error_units(bucket, failures.cut_off_ms)
+    total_units = shared_error_units(bucket, parameters) + cut_off_error_units(bucket, failures.cut_off_ms)
     if not bucket.is_hard_ceiling:  # after a return only a hard ceiling is assumed to be empty
         total_units += bucket.burst_units * (1 + failures.return_count)
-    total_units += failures.return_count * detection_error_units(bucket, terms)
-    total_units += failures.unseen_loss_count * unseen_loss_error_units(bucket, terms)
+    total_units += failures.return_count * detection_error_units(bucket, parameters)
+    total_units += failures.unseen_loss_count * unseen_loss_error_units(bucket, parameters)
     return total_units + failures.largest_request_units
 
 
-def slack_warnings(plan_name: str, bucket: SharedBucket, terms: CounterTerms) -> list[str]:
+def slack_warnings(plan_name: str, bucket: SharedBucket, parameters: CounterParameters) -> list[str]:
     """Return a warning for each case in which a hard ceiling's stated error exceeds its slack."""
     if not bucket.is_hard_ceiling:
         return []
-    shared_units = shared_error_units(bucket, terms)
-    cut_off_units = cut_off_error_units(bucket, terms.max_cut_off_ms)
+    shared_units = shared_error_units(bucket, parameters)
+    cut_off_units = cut_off_error_units(bucket, parameters.max_cut_off_ms)
     texts = []
     if shared_units > bucket.slack_units:
         texts.append(
@@ -100,7 +105,7 @@
         )
     if shared_units + cut_off_units > bucket.slack_units:
         texts.append(
-            f"plan {plan_name}: a limiter cut off for {terms.max_cut_off_ms / MS_PER_SECOND:g} s adds "
+            f"plan {plan_name}: a limiter cut off for {parameters.max_cut_off_ms / MS_PER_SECOND:g} s adds "
             f"{cut_off_units:.2f} units above the ceiling, but its slack is {bucket.slack_units:g}; "
             "a lower cut_most_s reduces this"
         )
--- a/elderlock/quota/lease_book.py
+++ b/elderlock/quota/lease_book.py
@@ -14,7 +14,7 @@
 from elderlock.quota.counter_call import CounterCall
 from elderlock.quota.counter_draws import Draw
 from elderlock.quota.counter_health import CounterHealth, CounterMode
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.lease_ledger import LeaseLedger
 from elderlock.quota.local_bucket import NEGLIGIBLE_UNITS
 from elderlock.structures.expiry_queue import ExpiryQueue
@@ -70,7 +70,7 @@
     Invariant: a request is decided exactly once, within twice the answer timeout. Idle ledgers are removed.
 
     Attributes:
-        terms: The parameters for the use of the counter.
+        parameters: The parameters for the use of the counter.
         health: The state of the counter, as this limiter sees it.
         budget: The budget of calls.
         ledgers: The ledgers by their number.
@@ -78,17 +78,17 @@
         calls_made: The number of calls made since the start.
     """
 
-    def __init__(self, terms: CounterTerms, rng: random.Random, now_ms: float) -> None:
+    def __init__(self, parameters: CounterParameters, rng: random.Random, now_ms: float) -> None:
         """Create a book without ledgers."""
-        self.terms = terms
-        self.health = CounterHealth(terms, rng, now_ms)
-        self.budget = CallBudget(terms.max_calls_per_s, now_ms)
+        self.parameters = parameters
+        self.health = CounterHealth(parameters, rng, now_ms)
+        self.budget = CallBudget(parameters.max_calls_per_s, now_ms)
         self.ledgers: dict[int, LeaseLedger] = {}
         self.decisions: list[LeaseDecision] = []
         self.calls_made = 0
         self._numbers_by_key: dict[str, int] = {}
         self._latest_number = 0
-        self._idle_ledgers = ExpiryQueue(IDLE_WINDOWS * terms.window_ms)
+        self._idle_ledgers = ExpiryQueue(IDLE_WINDOWS * parameters.window_ms)
         self._waiting: dict[int, _WaitingRequests] = {}  # by ledger number
         self._calls_under_way: dict[int, _LedgerDraw | _SentinelCall] = {}  # by token
         self._call_deadlines: list[tuple[float, int]] = []  # a heap of deadlines and tokens
@@ -118,7 +118,9 @@
         if number is None:
             self._latest_number += 1
             number = self._numbers_by_key[key] = self._latest_number
-            self.ledgers[number] = LeaseLedger(key, bucket, self.terms, health.generation, health.changed_at_ms, now_ms)
+            self.ledgers[number] = LeaseLedger(
+                key, bucket, self.parameters, health.generation, health.changed_at_ms, now_ms
+            )
         ledger = self.ledgers[number]
         if ledger.bucket != bucket:
             ledger = self.ledgers[number] = ledger.with_bucket(bucket, health.generation, now_ms)
@@ -192,8 +194,8 @@
         self._latest_token += 1
         self.calls_made += 1
         self._calls_under_way[self._latest_token] = purpose
-        heapq.heappush(self._call_deadlines, (now_ms + self.terms.answer_timeout_ms, self._latest_token))
-        return CounterCall(self._latest_token, name, amount_units, self.terms.name_lifetime_ms)
+        heapq.heappush(self._call_deadlines, (now_ms + self.parameters.answer_timeout_ms, self._latest_token))
+        return CounterCall(self._latest_token, name, amount_units, self.parameters.name_lifetime_ms)
 
     # Answers
 
@@ -262,14 +264,14 @@
             self._remove_idle(number, now_ms)
 
     def _is_overdue(self, waiting: _WaitingRequests, now_ms: float) -> bool:
-        return now_ms - waiting.since_ms >= MAX_WAIT_ANSWER_TIMEOUTS * self.terms.answer_timeout_ms
+        return now_ms - waiting.since_ms >= MAX_WAIT_ANSWER_TIMEOUTS * self.parameters.answer_timeout_ms
 
     def _remove_idle(self, number: int, now_ms: float) -> None:
         """Remove an idle ledger, unless requests wait for it or its unreported use exceeds the limit."""
         ledger = self.ledgers[number]
-        limit_units = self.terms.unreported_limit_units(ledger.bucket)
+        limit_units = self.parameters.unreported_limit_units(ledger.bucket)
         if ledger.unreported_units > limit_units + NEGLIGIBLE_UNITS or number in self._waiting:
-            self._idle_ledgers.postpone(number, now_ms + self.terms.window_ms)
+            self._idle_ledgers.postpone(number, now_ms + self.parameters.window_ms)
             return
         del self.ledgers[number]
         del self._numbers_by_key[ledger.key]
--- a/elderlock/quota/lease_ledger.py
+++ b/elderlock/quota/lease_ledger.py
@@ -11,7 +11,7 @@
 from collections import deque
 
 from elderlock.quota.counter_draws import Draw, Lease, OthersReading
-from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import MS_PER_SECOND, CounterParameters, SharedBucket
 from elderlock.quota.local_bucket import NEGLIGIBLE_UNITS, LocalBucket
 from elderlock.quota.position_line import PositionLine
 from elderlock.quota.use_meter import UseMeter
@@ -31,7 +31,7 @@
     Attributes:
         key: The customer's name in the counter.
         bucket: The shared bucket.
-        terms: The parameters for the use of the counter.
+        parameters: The parameters for the use of the counter.
         generation: The generation of the counter that the leases belong to.
         line: The positions of the current window.
         unreported_units: The units that were admitted and not reported to the counter.
@@ -49,7 +49,7 @@
         self,
         key: str,
         bucket: SharedBucket,
-        terms: CounterTerms,
+        parameters: CounterParameters,
         generation: int,
         returned_at_ms: float,
         now_ms: float,
@@ -59,16 +59,16 @@
         Args:
             key: The customer's name in the counter.
             bucket: The shared bucket.
-            terms: The parameters for the use of the counter.
+            parameters: The parameters for the use of the counter.
             generation: The counter's current generation.
             returned_at_ms: When the counter came back; a hard ceiling counts as empty at that time.
             now_ms: The current time.
         """
         self.key = key
         self.bucket = bucket
-        self.terms = terms
+        self.parameters = parameters
         self.generation = generation
-        self.line = PositionLine(key, bucket, terms, now_ms)
+        self.line = PositionLine(key, bucket, parameters, now_ms)
         self.unreported_units = 0.0
         self.surplus_units = 0.0
         self.leases: deque[Lease] = deque()
@@ -83,7 +83,7 @@
 
     def with_bucket(self, bucket: SharedBucket, generation: int, now_ms: float) -> LeaseLedger:
         """Return a ledger for the same customer with a changed bucket, without the leases of the old bucket."""
-        ledger = LeaseLedger(self.key, bucket, self.terms, generation, now_ms, now_ms)
+        ledger = LeaseLedger(self.key, bucket, self.parameters, generation, now_ms, now_ms)
         ledger.unreported_units = self.unreported_units
         ledger.pending_draw = self.pending_draw
         ledger.own_use = self.own_use
@@ -128,15 +128,15 @@
         return True
 
     def _expire_leases(self, now_ms: float) -> None:
-        while self.leases and now_ms - self.leases[0].drawn_at_ms > self.terms.hold_time_ms(self.bucket):
+        while self.leases and now_ms - self.leases[0].drawn_at_ms > self.parameters.hold_time_ms(self.bucket):
             self.surplus_units += self.leases.popleft().units
 
     def spend_unreported(self, units: float, now_ms: float) -> bool:
         """Spend `units` without a call and report them later; return False if use is near the quota."""
         bucket = self.bucket
-        limit_units = self.terms.unreported_limit_units(bucket)
+        limit_units = self.parameters.unreported_limit_units(bucket)
         expected_rate_per_s = self.own_use.rate_per_s_with(units, now_ms) * bucket.limiter_count
-        is_low_use = expected_rate_per_s <= self.terms.low_use_fraction * bucket.rate_per_s
+        is_low_use = expected_rate_per_s <= self.parameters.low_use_fraction * bucket.rate_per_s
         if bucket.is_hard_ceiling or not is_low_use or self.admitted_since_total_units + units > limit_units:
             return False
         self.admitted_since_total_units += units
@@ -150,7 +150,7 @@
         if bucket.is_hard_ceiling:
             return False
         level_units = self.level_units(now_ms) - self.unreported_units * bucket.limiter_count
-        if level_units < units or self.unreported_units + units > self.terms.unreported_limit_units(bucket):
+        if level_units < units or self.unreported_units + units > self.parameters.unreported_limit_units(bucket):
             return False
         self.unreported_units += units
         self.own_use.record(units, now_ms)
@@ -159,7 +159,7 @@
     def spend_local(self, units: float, now_ms: float) -> bool:
         """Spend `units` of the even part while the counter is unreachable; return False if it holds fewer."""
         if self._local_bucket is None:
-            self._local_bucket = LocalBucket(self.bucket, self.terms, now_ms)
+            self._local_bucket = LocalBucket(self.bucket, self.parameters, now_ms)
         if not self._local_bucket.spend(units, now_ms):
             return False
         self.own_use.record(units, now_ms)
@@ -242,10 +242,10 @@
     def _prefetch_units(self, now_ms: float) -> float:
         """Return the units to draw ahead of demand: this limiter's use over the hold time, if total use is not low."""
         own_rate_per_s = self.own_use.rate_per_s(now_ms)
-        if own_rate_per_s + self.others_rate_per_s < self.terms.low_use_fraction * self.bucket.rate_per_s:
+        if own_rate_per_s + self.others_rate_per_s < self.parameters.low_use_fraction * self.bucket.rate_per_s:
             return 0.0
-        hold_time_use_units = own_rate_per_s * self.terms.hold_time_ms(self.bucket) / MS_PER_SECOND
-        return min(self.terms.prefetch_limit_units(self.bucket), hold_time_use_units)
+        hold_time_use_units = own_rate_per_s * self.parameters.hold_time_ms(self.bucket) / MS_PER_SECOND
+        return min(self.parameters.prefetch_limit_units(self.bucket), hold_time_use_units)
 
     def _raised_units(self, now_ms: float) -> float:
         """Return by how much the end of the line has fallen behind rate x time."""
@@ -293,7 +293,7 @@
         surplus_units = draw.raised_units - (start_position - base)  # others may have raised the line concurrently
         self.surplus_units += max(0.0, surplus_units)
         self.unreported_units += max(0.0, -surplus_units) if draw.wanted_units else 0.0
-        hold_units = self.bucket.refill_units(self.terms.hold_time_ms(self.bucket))
+        hold_units = self.bucket.refill_units(self.parameters.hold_time_ms(self.bucket))
         leased_units = min(max(0.0, self.line.due_position(now_ms) + hold_units - start_position), draw.wanted_units)
         if leased_units > NEGLIGIBLE_UNITS:
             self.leases.append(Lease(leased_units, start_position, now_ms))
--- a/elderlock/quota/local_bucket.py
+++ b/elderlock/quota/local_bucket.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 
 NEGLIGIBLE_UNITS = 1e-6  # the counter's totals have seven digits
 MIN_CAPACITY_UNITS = 1.0  # so that a small part can admit a request of one unit
@@ -12,7 +12,7 @@
     """One limiter's part: 1/N of the rate and of the burst.
 
     The part of a hard ceiling starts empty, because the remaining units of the ceiling are not known. It is no longer
-    refilled after `CounterTerms.max_cut_off_ms`, because the other limiters may use the entire ceiling.
+    refilled after `CounterParameters.max_cut_off_ms`, because the other limiters may use the entire ceiling.
 
     Attributes:
         used_units: The units that were spent since the start.
@@ -20,11 +20,11 @@
 
     __slots__ = ("_bucket", "_refilled_until_ms", "_level_units", "_max_cut_off_ms", "_started_at_ms", "used_units")
 
-    def __init__(self, bucket: SharedBucket, terms: CounterTerms, now_ms: float) -> None:
+    def __init__(self, bucket: SharedBucket, parameters: CounterParameters, now_ms: float) -> None:
         """Create the part at the time `now_ms`."""
         self.used_units = 0.0
         self._bucket = bucket
-        self._max_cut_off_ms = terms.max_cut_off_ms
+        self._max_cut_off_ms = parameters.max_cut_off_ms
         self._started_at_ms = now_ms
         self._refilled_until_ms = now_ms
         self._level_units = 0.0 if bucket.is_hard_ceiling else bucket.burst_units / bucket.limiter_count
--- a/elderlock/quota/options.py
+++ b/elderlock/quota/options.py
@@ -8,7 +8,7 @@
 
 from elderlock.net.config import ConfigError
 from elderlock.quota.counted_quotas import CountedCoordinator
-from elderlock.quota.counter_terms import MS_PER_SECOND, CounterTerms
+from elderlock.quota.counter_parameters import MS_PER_SECOND, CounterParameters
 
 MIN_HEARTBEAT_MS = 500.0
 HEARTBEAT_MS_PER_LIMITER = 5.0  # limits the sentinel calls of all limiters together to 200 per second
@@ -38,14 +38,14 @@
     calls_per_s: PositiveFloat = 100.0
     cut_most_s: PositiveFloat = 600.0
 
-    def terms(self, limiter_count: int) -> CounterTerms:
+    def parameters(self, limiter_count: int) -> CounterParameters:
         """Return the parameters for a group of `limiter_count` limiters.
 
         Raises:
             ConfigError: The options contradict each other.
         """
         try:
-            return CounterTerms(
+            return CounterParameters(
                 answer_timeout_ms=self.answer_ms,
                 clock_skew_ms=self.skew_ms,
                 max_calls_per_s=self.calls_per_s,
@@ -61,7 +61,7 @@
         Raises:
             ConfigError: The options contradict each other.
         """
-        return type("Counted", (CountedCoordinator,), {"terms": self.terms(limiter_count)})
+        return type("Counted", (CountedCoordinator,), {"parameters": self.parameters(limiter_count)})
 
 
 def heartbeat_ms(limiter_count: int) -> float:
--- a/elderlock/quota/position_line.py
+++ b/elderlock/quota/position_line.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 
 FOREIGN_LINE_BURSTS = 2.0  # the bursts per limiter by which a valid line can be ahead
 
@@ -26,7 +26,7 @@
     __slots__ = (
         "_bucket",
         "_key",
-        "_terms",
+        "_parameters",
         "abandoned_names",
         "carried_position",
         "end",
@@ -35,12 +35,12 @@
         "window",
     )
 
-    def __init__(self, key: str, bucket: SharedBucket, terms: CounterTerms, now_ms: float) -> None:
+    def __init__(self, key: str, bucket: SharedBucket, parameters: CounterParameters, now_ms: float) -> None:
         """Create a line in the window of `now_ms`."""
         self._key = key
         self._bucket = bucket
-        self._terms = terms
-        self.window = int(now_ms // terms.window_ms)
+        self._parameters = parameters
+        self.window = int(now_ms // parameters.window_ms)
         self.carried_position: float | None = None
         self.end = 0.0
         self.own_added_units = 0.0
@@ -54,10 +54,10 @@
             The difference by which positions of the previous window are lower in this one; None if the window is the
             same.
         """
-        window = int(now_ms // self._terms.window_ms)
+        window = int(now_ms // self._parameters.window_ms)
         if window == self.window:
             return None
-        shift = (window - self.window) * self._bucket.refill_units(self._terms.window_ms)
+        shift = (window - self.window) * self._bucket.refill_units(self._parameters.window_ms)
         self.lowest_position = max(0.0, self.lowest_position - shift)
         self.window = window
         self.abandoned_names = 0
@@ -75,13 +75,13 @@
 
     def window_age_ms(self, now_ms: float) -> float:
         """Return the time since the start of the current window."""
-        return now_ms - self.window * self._terms.window_ms
+        return now_ms - self.window * self._parameters.window_ms
 
     def is_near_window_edge(self, now_ms: float) -> bool:
         """Return whether a call that begins now may be attributed to another window."""
         age_ms = self.window_age_ms(now_ms)
-        margin_ms = self._terms.answer_timeout_ms + self._terms.clock_skew_ms
-        return age_ms < self._terms.clock_skew_ms or age_ms > self._terms.window_ms - margin_ms
+        margin_ms = self._parameters.answer_timeout_ms + self._parameters.clock_skew_ms
+        return age_ms < self._parameters.clock_skew_ms or age_ms > self._parameters.window_ms - margin_ms
 
     def due_position(self, now_ms: float) -> float:
         """Return the position up to which units may be spent."""
@@ -103,7 +103,7 @@
 
     def carry_over(self, previous_total: float) -> None:
         """Begin the line of this window at the end of the previous one."""
-        position = previous_total - self._bucket.refill_units(self._terms.window_ms)
+        position = previous_total - self._bucket.refill_units(self._parameters.window_ms)
         if position > FOREIGN_LINE_BURSTS * self._bucket.limiter_count * self._bucket.burst_units:
             self.carry_over_unknown()
         else:
@@ -120,7 +120,7 @@
         total was written by other software, or comes from a counter that replaced the previous one. All limiters detect
         it and continue with the same next name.
         """
-        window_units = self._bucket.refill_units(self._terms.window_ms)
+        window_units = self._bucket.refill_units(self._parameters.window_ms)
         each_units = window_units + FOREIGN_LINE_BURSTS * self._bucket.burst_units
         return base > self.due_position(now_ms) + self._bucket.limiter_count * each_units
 
--- a/elderlock/quota/use_meter.py
+++ b/elderlock/quota/use_meter.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from elderlock.quota.counter_terms import MS_PER_SECOND
+from elderlock.quota.counter_parameters import MS_PER_SECOND
 
 USE_AVERAGING_MS = 2000.0
 
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -20,7 +20,7 @@
 from elderlock.net.gateway import DEADLINE_MARGIN_MS
 from elderlock.net.server_pool import CONNECT_OBJECTIVE_FRACTION, IDLE_KEEPALIVE_FRACTION
 from elderlock.quota.counted_quotas import CountedCoordinator
-from elderlock.quota.counter_terms import CounterTerms
+from elderlock.quota.counter_parameters import CounterParameters
 from elderlock.quota.options import heartbeat_ms
 from elderlock.sim.virtual.processes import Machine
 from elderlock.standins.model import BoxModel, Word, Work
@@ -115,8 +115,8 @@
         self.connections = 0
         source: type[QuotaCoordinator] = QuotaCoordinator
         if world.scenario.settings.counter:
-            terms = CounterTerms(heartbeat_ms=heartbeat_ms(world.scenario.limiters))
-            source = type("Counted", (CountedCoordinator,), {"terms": terms})
+            terms = CounterParameters(heartbeat_ms=heartbeat_ms(world.scenario.limiters))
+            source = type("Counted", (CountedCoordinator,), {"parameters": terms})
         settings = world.settings(number)
         wanted, peers = world.scenario.settings, settings.capabilities.can_message_peers
         kind = limiter_class(wanted.shared and peers, wanted.shared_ceilings and peers and not wanted.counter)
--- a/elderlock/standins/counters.py
+++ b/elderlock/standins/counters.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory
 from elderlock.quota.lease_book import LeaseBook
 from elderlock.standins.simulation import Simulation
@@ -38,7 +38,7 @@
     def __init__(
         self,
         store: SharedBucket,
-        terms: CounterTerms,
+        terms: CounterParameters,
         seed: int,
         rates: Sequence[float],
         parts: int = 2,
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -18,7 +18,7 @@
 from elderlock.net.config import ConfigError
 from elderlock.quota.counted_quotas import CountedCoordinator, is_ceiling_counted
 from elderlock.quota.counter_health import CounterMode
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.options import QuotaOptions
 from elderlock.standins.boxes import Server
@@ -61,7 +61,7 @@
 
 
 def start_counter_harness(limiters: int = 3) -> CounterHarness:
-    coordinator_class = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
+    coordinator_class = type("Counted", (CountedCoordinator,), {"parameters": CounterParameters()})
     settings = limiter_settings(limiters=limiters)
     harness = CounterHarness(Limiter(settings, 7, 1_000.0, coordinator_class), now_ms=1_000.0)
     harness.carry_out(harness.limiter.start(1_000.0))
@@ -118,7 +118,7 @@
         waits_ms.append(harness.now_ms - sent_at_ms)
         harness.end_attempt(name)
         harness.run_until(harness.now_ms + 50.0)
-    assert max(waits_ms) <= 2 * CounterTerms().answer_timeout_ms + 55.0
+    assert max(waits_ms) <= 2 * CounterParameters().answer_timeout_ms + 55.0
     assert coordinator_of(harness).book.mode is not CounterMode.SHARED
     forwarded_count = len(send_requests(harness, 400, 25.0))
     assert 0.6 * 33 <= forwarded_count <= 1.4 * 33  # a third of 10 per second, for 10 s
@@ -135,7 +135,9 @@
     harness.run_until(harness.now_ms + 300.0)
     bucket = coordinator_of(harness).quota_bucket(limiter_settings().plans[0], 3)
     # units that were drawn ahead before, or that may stay unreported
-    available_units = CounterTerms().prefetch_limit_units(bucket) + CounterTerms().unreported_limit_units(bucket) + 1.0
+    available_units = (
+        CounterParameters().prefetch_limit_units(bucket) + CounterParameters().unreported_limit_units(bucket) + 1.0
+    )
     assert len(send_requests(harness, 100)) <= available_units
     refused = harness.send_request(customer="busy", spread=3)
     harness.run_until(harness.now_ms + 120.0)
@@ -194,7 +196,7 @@
     harness.is_reachable = True
     times_ms += forwarding_times_ms(harness, 600, 10.0)
     assert worst_excess_units(times_ms) <= stated_error_units(
-        SharedBucket(12.0, 24.0, 3, True, 1.92), CounterTerms(), FailureHistory(return_count=2)
+        SharedBucket(12.0, 24.0, 3, True, 1.92), CounterParameters(), FailureHistory(return_count=2)
     )
     assert len(times_ms) > 60 and coordinator_of(harness).book.mode is CounterMode.SHARED
 
@@ -254,10 +256,10 @@
     lines = [line.removeprefix("# ") for line in path.read_text()[start:].split("\n\n")[0].splitlines()]
     (tmp_path / "o.toml").write_text("\n".join(lines))
     options = msgspec.convert(read_operators_file(tmp_path / "o.toml").quota, QuotaOptions)
-    assert options == QuotaOptions() and options.terms(3).max_calls_per_s == 100.0
+    assert options == QuotaOptions() and options.parameters(3).max_calls_per_s == 100.0
     invalid_options = msgspec.structs.replace(options, answer_ms=5000.0)
     with pytest.raises(ConfigError):
-        invalid_options.terms(3)
+        invalid_options.parameters(3)
 
 
 def test_the_program_uses_the_counter_and_continues_to_serve_without_its_answers(tmp_path: Path) -> None:
--- a/tests/quota/test_error_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from elderlock.quota.counter_health import CounterMode
-from elderlock.quota.counter_terms import CounterTerms, SharedBucket
+from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import (
     ExcessMeter,
     FailureHistory,
@@ -22,19 +22,19 @@
 
 CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
 QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
-TERMS = CounterTerms()
+PARAMETERS = CounterParameters()
 BUSY_RATES = (12.0, 9.0, 15.0)  # requests per second at each limiter, nearly three times the ceiling in all
 
 
 def make_group(
     bucket: SharedBucket = CEILING, seed: int = 1, rates: tuple[float, ...] = BUSY_RATES, **options: object
 ) -> Group:
-    return Group(bucket, TERMS, seed, rates, **options)  # type: ignore[arg-type]
+    return Group(bucket, PARAMETERS, seed, rates, **options)  # type: ignore[arg-type]
 
 
 def check_bound(group: Group) -> Group:
     """Assert that the excess is within the stated error; return the group."""
-    bound = stated_error_units(group.store, TERMS, group.known_failures())
+    bound = stated_error_units(group.store, PARAMETERS, group.known_failures())
     assert group.excess.worst_units <= bound, (group.excess.worst_units, bound)
     return group
 
@@ -59,13 +59,13 @@
 def test_while_the_counter_answers_the_bucket_is_used_up_and_not_exceeded(bucket: SharedBucket) -> None:
     group = check_bound(make_group(bucket).play(60_000.0))  # two changes of the window
     assert 0.85 < used_fraction(group, 60_000.0) < 1.1
-    assert group.slowest <= 2.0 * TERMS.answer_timeout_ms + 5.0
+    assert group.slowest <= 2.0 * PARAMETERS.answer_timeout_ms + 5.0
 
 
 def test_low_use_needs_few_calls_and_a_large_bucket_less_than_one_per_request() -> None:
     low_use = make_group(QUOTA, rates=(0.2, 0.2, 0.2)).play(30_000.0)
     assert sum(low_use.granted.values()) == sum(low_use.asked.values()) > 10
-    calls = sum(book.calls_made for book in low_use.books) - 3 * 30_000.0 / TERMS.heartbeat_ms
+    calls = sum(book.calls_made for book in low_use.books) - 3 * 30_000.0 / PARAMETERS.heartbeat_ms
     assert calls < sum(low_use.asked.values()) * 1.5
     large = make_group(
         SharedBucket(rate_per_s=300.0, burst_units=600.0, limiter_count=3), rates=(90.0, 90.0, 90.0)
@@ -94,7 +94,7 @@
     group = make_group(seed=3).play(9_000.0)
     group.lose(told=False)
     generations_before = [book.health.generation for book in group.books]
-    group.play(TERMS.heartbeat_ms * TERMS.sentinel_count * 2.0)
+    group.play(PARAMETERS.heartbeat_ms * PARAMETERS.sentinel_count * 2.0)
     assert all(book.health.generation > before for book, before in zip(group.books, generations_before, strict=True))
     check_bound(group.play(10_000.0))
 
@@ -104,7 +104,7 @@
     group = make_group(seed=3).play(9_000.0)
     generations_before = [book.health.generation for book in group.books]
     group.lose()
-    group.play(TERMS.heartbeat_ms * TERMS.sentinel_count * 2.0)
+    group.play(PARAMETERS.heartbeat_ms * PARAMETERS.sentinel_count * 2.0)
     assert [book.health.generation for book in group.books] == [before + 1 for before in generations_before]
 
 
@@ -164,9 +164,9 @@
 
 
 def test_the_bound_holds_with_clocks_that_differ_by_the_stated_skew() -> None:
-    terms = CounterTerms(clock_skew_ms=200.0)
-    group = Group(CEILING, terms, 9, BUSY_RATES, skews=(0.0, 100.0, -100.0)).play(60_000.0)
-    assert group.excess.worst_units <= stated_error_units(CEILING, terms, FailureHistory())
+    parameters = CounterParameters(clock_skew_ms=200.0)
+    group = Group(CEILING, parameters, 9, BUSY_RATES, skews=(0.0, 100.0, -100.0)).play(60_000.0)
+    assert group.excess.worst_units <= stated_error_units(CEILING, parameters, FailureHistory())
 
 
 def test_the_bound_holds_with_lost_answers_on_a_slow_link() -> None:
@@ -180,7 +180,7 @@
 
 def test_limiters_let_a_busy_counter_recover() -> None:
     bucket = SharedBucket(rate_per_s=200.0, burst_units=200.0, limiter_count=8)
-    group = Group(bucket, CounterTerms(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
+    group = Group(bucket, CounterParameters(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
     group.accounts = tuple(f"a{number}" for number in range(40))
     group.play(10_000.0)
     busy_before, served_before = group.busy, group.served_calls
@@ -215,9 +215,9 @@
 
     Sentinel calls every half second would use four fifths of the calls that the counter serves.
     """
-    terms = QuotaOptions(calls_per_s=5.0).terms(999)
-    assert terms.heartbeat_ms == 4_995.0
-    group = Group(CEILING, terms, 13, [0.3] * 999, per_s=2500.0, parts=2)
+    parameters = QuotaOptions(calls_per_s=5.0).parameters(999)
+    assert parameters.heartbeat_ms == 4_995.0
+    group = Group(CEILING, parameters, 13, [0.3] * 999, per_s=2500.0, parts=2)
     group.sets, group.accounts = 3, ("many", "of them")
     group.play(4_000.0)
     assert sum(book.mode is CounterMode.SHARED for book in group.books) > 0.9 * 999
@@ -279,14 +279,14 @@
 def test_two_counters_that_both_answer_allow_at_most_two_buckets() -> None:
     """One limiter uses a second counter while the others use the first: each side is limited to a whole bucket."""
     sides = [
-        Group(CEILING, TERMS, 15, (12.0, 9.0, 0.0)).play(9_000.0),
-        Group(CEILING, TERMS, 16, (15.0,)).play(9_000.0),
+        Group(CEILING, PARAMETERS, 15, (12.0, 9.0, 0.0)).play(9_000.0),
+        Group(CEILING, PARAMETERS, 16, (15.0,)).play(9_000.0),
     ]
     for side in sides:
-        assert side.excess.worst_units <= stated_error_units(CEILING, TERMS, FailureHistory())
+        assert side.excess.worst_units <= stated_error_units(CEILING, PARAMETERS, FailureHistory())
     total = sum(sum(side.granted.values()) for side in sides)
     assert total <= 2 * (
-        CEILING.burst_units + CEILING.refill_units(9_000.0) + stated_error_units(CEILING, TERMS, FailureHistory())
+        CEILING.burst_units + CEILING.refill_units(9_000.0) + stated_error_units(CEILING, PARAMETERS, FailureHistory())
     )
 
 
@@ -306,7 +306,7 @@
     bucket = SharedBucket(
         rate_per_s=200.0, burst_units=300.0, limiter_count=limiters, is_hard_ceiling=True, slack_units=30.0
     )
-    group = Group(bucket, TERMS, 18, [8.0] * limiters, per_s=20_000.0).play(4_000.0)
+    group = Group(bucket, PARAMETERS, 18, [8.0] * limiters, per_s=20_000.0).play(4_000.0)
     group.cut(range(10))
     group.play(3_000.0)
     group.heal()
@@ -325,19 +325,21 @@
     doubled = SharedBucket(
         CEILING.rate_per_s * 2, CEILING.burst_units, CEILING.limiter_count, True, CEILING.slack_units
     )
-    assert shared_error_units(doubled, TERMS) > shared_error_units(CEILING, TERMS) > 0
+    assert shared_error_units(doubled, PARAMETERS) > shared_error_units(CEILING, PARAMETERS) > 0
     assert cut_off_error_units(CEILING, 3000.0) == pytest.approx(13.0)
-    assert unseen_loss_error_units(CEILING, TERMS) > CEILING.burst_units
-    assert stated_error_units(QUOTA, TERMS) > QUOTA.burst_units > stated_error_units(CEILING, TERMS)
+    assert unseen_loss_error_units(CEILING, PARAMETERS) > CEILING.burst_units
+    assert stated_error_units(QUOTA, PARAMETERS) > QUOTA.burst_units > stated_error_units(CEILING, PARAMETERS)
 
 
 def test_a_stated_error_above_the_slack_causes_a_warning() -> None:
-    warnings = slack_warnings("enterprise", CEILING, TERMS)
+    warnings = slack_warnings("enterprise", CEILING, PARAMETERS)
     assert [text.partition(":")[0] for text in warnings] == ["plan enterprise"] * len(warnings)
     assert any("cut off for 30 s" in text for text in warnings)
     safe = SharedBucket(rate_per_s=1.0, burst_units=10.0, limiter_count=3, is_hard_ceiling=True, slack_units=4.0)
     assert (
-        slack_warnings("calm", safe, CounterTerms(max_cut_off_ms=2_000.0)) == [] == slack_warnings("soft", QUOTA, TERMS)
+        slack_warnings("calm", safe, CounterParameters(max_cut_off_ms=2_000.0))
+        == []
+        == slack_warnings("soft", QUOTA, PARAMETERS)
     )
 
 
@@ -347,7 +349,7 @@
 )
 def test_contradictory_parameters_are_refused(parameters: dict[str, float]) -> None:
     with pytest.raises(ValueError):
-        CounterTerms(**parameters)  # type: ignore[arg-type]
+        CounterParameters(**parameters)  # type: ignore[arg-type]
 
 
 Step = st.tuples(
