--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -95,8 +95,8 @@
     states = seen.states()
     sharing = [state for state in states if state.shared is not None]
     parts = [
-        f"{state.limiter}: ceilings by demand, {c.given:.1f} units given, {c.taken:.1f} taken, "
-        f"{c.offered:.1f} on their way; {c.maximum_sent_per_s:g} datagrams a second at most"
+        f"{state.limiter}: ceilings by demand, {c.given_units:.1f} units given, {c.taken_units:.1f} taken, "
+        f"{c.offered_units:.1f} on their way; {c.maximum_sent_per_s:g} datagrams a second at most"
         for state in states
         if (c := state.ceilings) is not None
     ]
--- a/elderlock/control/attach.py
+++ b/elderlock/control/attach.py
@@ -28,7 +28,7 @@
 log = logging.getLogger(__name__)
 
 
-class ControlFile(msgspec.Struct, forbid_unknown_fields=True):
+class ControlOptions(msgspec.Struct, forbid_unknown_fields=True):
     """`[control]` of the operators' file.
 
     Attributes:
@@ -41,7 +41,7 @@
     records: str = ""
 
 
-class RoutingFile(msgspec.Struct, forbid_unknown_fields=True):
+class RoutingOptions(msgspec.Struct, forbid_unknown_fields=True):
     """`[routing]` of the operators' file, the same at all limiters of a group.
 
     Attributes:
@@ -64,7 +64,7 @@
         return api.Routing(self.subset, self.away_ms / min(objectives_ms, default=MS_PER_SECOND))
 
 
-class SharedFile(msgspec.Struct, forbid_unknown_fields=True):
+class SharedOptions(msgspec.Struct, forbid_unknown_fields=True):
     """`[shared]` of the operators' file: what limiters tell one another besides quotas.
 
     Attributes:
@@ -79,11 +79,11 @@
 class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True):
     """The operators' file. `authz` and `quota` are checked by the packages that they switch on."""
 
-    control: ControlFile | None = None
-    routing: RoutingFile | None = None
+    control: ControlOptions | None = None
+    routing: RoutingOptions | None = None
     authz: dict[str, Any] | None = None
     quota: dict[str, Any] | None = None
-    shared: SharedFile | None = None
+    shared: SharedOptions | None = None
 
 
 def read_operators_file(path: Path) -> OperatorsFile:
@@ -173,7 +173,7 @@
 
 
 async def attach_control_socket(
-    file: ControlFile, config_path: str, running: LimiterParts, optional: OptionalStatus
+    file: ControlOptions, config_path: str, running: LimiterParts, optional: OptionalStatus
 ) -> ControlSocket:
     """Open the control socket of a limiter.
 
--- a/elderlock/control/status_messages.py
+++ b/elderlock/control/status_messages.py
@@ -204,13 +204,13 @@
     """The units of hard ceilings that a limiter exchanged with others since its start.
 
     Attributes:
-        given: The units that went to others.
-        taken: The units that came from others.
-        offered: The units that were given and may still be taken.
+        given_units: The units that went to others.
+        taken_units: The units that came from others.
+        offered_units: The units that were given and may still be taken.
         maximum_sent_per_s: How many datagrams it may send per second.
     """
 
-    given: float
-    taken: float
-    offered: float = msgspec.field(name="away")
+    given_units: float = msgspec.field(name="given")
+    taken_units: float = msgspec.field(name="taken")
+    offered_units: float = msgspec.field(name="away")
     maximum_sent_per_s: float = msgspec.field(name="told_most")
--- a/tests/control/test_control_socket.py
+++ b/tests/control/test_control_socket.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 from helpers import limiter_settings, start_harness
-from programs import Program, look
+from programs import Program, get_limiter_state
 
 from elderlock.control import messages as m
 from elderlock.control.attach import read_operators_file, read_records_file
@@ -30,14 +30,14 @@
         server = await Server().start()
         program = Program(tmp_path, server)
         process = await program.start()
-        caller = await program.caller()
+        caller = await program.connect_control()
         assert stat.S_IMODE(program.socket.stat().st_mode) == 0o600
         assert stat.S_IMODE(program.socket.parent.stat().st_mode) == 0o700
         client = await program.client()
         for n in range(3):
             assert await client.ask(f"r{n}") == b"value"
         await client.ask("over", t="tiny", units=4)
-        state = await look(caller)
+        state = await get_limiter_state(caller)
         assert (state.limiter, state.pid, state.ready) == ("n0", process.pid, True)
         assert (state.counts.served, state.counts.total(), state.plans["team"].served) == (3, 4, 3)
         assert state.accounts["00000000b4d65521"].total() == 4
@@ -55,7 +55,7 @@
         count = len(server.commands)
         refused = await client.ask("none-left")
         assert str(refused).startswith("BUSY") and len(server.commands) == count
-        assert (await look(caller)).servers[0].unavailable_reason == "drained by an"
+        assert (await get_limiter_state(caller)).servers[0].unavailable_reason == "drained by an"
         assert isinstance(await caller.request(m.Stop(caller.next_request_id()), 10.0), m.Stopping)
         assert await process.wait() == 0
         assert not program.socket.exists()
@@ -192,7 +192,7 @@
         server = await Server().start()
         program = Program(tmp_path, server)
         await program.start()
-        caller = await program.caller()
+        caller = await program.connect_control()
         reader, writer = await asyncio.open_unix_connection(str(program.socket))
         try:
             writer.write(first)
@@ -203,7 +203,7 @@
             pass
         client = await program.client()
         assert await client.ask("served") == b"value"
-        assert (await look(caller)).counts.served == 1
+        assert (await get_limiter_state(caller)).counts.served == 1
         await program.end()
 
     run(test())
@@ -214,7 +214,7 @@
         server = await Server().start()
         program = Program(tmp_path, server)
         process = await program.start()
-        caller = await program.caller()
+        caller = await program.connect_control()
         crowd = []
         for n in range(1000):
             sock = socket.socket(socket.AF_UNIX)
@@ -223,10 +223,10 @@
             sock.connect_ex(str(program.socket))
             crowd.append(sock)
             if n % 50 == 0:
-                await look(caller)
+                await get_limiter_state(caller)
         client = await program.client()
         assert await client.ask("served") == b"value"
-        assert (await look(caller)).counts.served == 1
+        assert (await get_limiter_state(caller)).counts.served == 1
         held = [os.readlink(f"/proc/{process.pid}/fd/{fd}") for fd in os.listdir(f"/proc/{process.pid}/fd")]
         assert sum(name.startswith("socket:") for name in held) < 40
         for sock in crowd:
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -71,7 +71,7 @@
         and answer.receiver_index == FIRST
     )
     assert ceiling_status(limiter) == m.CeilingStatus(
-        given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
+        given_units=3.0, taken_units=0.0, offered_units=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
     )
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
     assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -87,7 +87,7 @@
         )
         return self.process
 
-    async def caller(self, epoch: int = 1) -> RequestClient[m.FromLimiter]:
+    async def connect_control(self, epoch: int = 1) -> RequestClient[m.FromLimiter]:
         while True:
             caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
             try:
@@ -112,7 +112,7 @@
             await self.process.wait()
 
 
-async def look(caller: RequestClient[m.FromLimiter]) -> m.LimiterState:
+async def get_limiter_state(caller: RequestClient[m.FromLimiter]) -> m.LimiterState:
     state = await caller.request(m.GetState(caller.next_request_id()), 10.0)
     assert isinstance(state, m.LimiterState)
     return state
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from helpers import LimiterHarness, limiter_settings, server_entry
-from programs import Program, look
+from programs import Program, get_limiter_state
 
 from elderlock import interface as api
 from elderlock.cli.tables import counter as counter_line
@@ -270,8 +270,8 @@
         answers = [await client.ask(f"r{n}", spread=3) for n in range(60)]
         assert answers.count(b"value") >= 20  # above the even part of the burst
         await until(lambda: any(not name.startswith(b"sentinel") for name in counter.names))
-        caller = await program.caller()
-        told = (await look(caller)).counter
+        caller = await program.connect_control()
+        told = (await get_limiter_state(caller)).counter
         assert told is not None and (told.mode, told.accounts) == ("shared", 1) and told.calls > 0
         assert told.leases[0].burst_units == 30.0 and told.leases[0].stored_units < 30.0 and told.error_units > 0
         assert counter_line("n0", told).startswith("n0: counter shared for ")
@@ -280,7 +280,7 @@
             answer = await client.ask(f"s{n}", spread=3)
             assert answer == b"value" or str(answer).startswith("BUSY")
             await asyncio.sleep(0.005)
-        while (told := (await look(caller)).counter) is not None and told.mode == "shared":
+        while (told := (await get_limiter_state(caller)).counter) is not None and told.mode == "shared":
             await asyncio.sleep(0.01)
         assert told is not None and told.error_units > 0
         await program.end()
