--- a/elderlock/control/limiter_status.py
+++ b/elderlock/control/limiter_status.py
@@ -128,18 +128,18 @@
 
     # What the gateway reports
 
-    def listed(self, listed: EndpointList) -> EndpointList:
+    def on_endpoint_list(self, listed: EndpointList) -> EndpointList:
         """Take an endpoint list; return it with the drains."""
         self._list_received_at_ms = self._gateway.now_ms()
         overlaid = self._overlay.apply_to(listed)
         self._server_status.forget_missing(self._overlay.discovered)
         return overlaid
 
-    def answered(self, command: Command, took: float, answer: bytes | None) -> None:
+    def on_answer(self, command: Command, took: float, answer: bytes | None) -> None:
         """Count an answer, or None for a client that disconnected; `took` is its latency in ms."""
         self._metrics.record(command.plan_index, command.customer_id, took, answer)
 
-    def reported(self, server: str, report: bytes) -> None:
+    def on_load_report(self, server: str, report: bytes) -> None:
         """Keep a server's load report."""
         if report:
             self._server_status.on_report(server, report, self._gateway.now_ms())
--- a/elderlock/net/authorised_requests.py
+++ b/elderlock/net/authorised_requests.py
@@ -66,7 +66,7 @@
             timeout_ms / 1000.0, self._end, request, Outcome.CANCELLED, timeout_ms
         )
         if self.observer is not None:
-            self.observer.answered(request.command, self._now_ms() - request.arrived_at_ms, PERMITTED_ANSWER)
+            self.observer.on_answer(request.command, self._now_ms() - request.arrived_at_ms, PERMITTED_ANSWER)
         address, _ = self._server_pools.endpoints().get(server_id, ("", 0))
         authorisation.on_permitted(server_id, address, timeout_ms)
 
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -110,7 +110,7 @@
         """Set the observer, before `start` so that it sees each list."""
         self._observer = observer
         self._authorised.observer = observer
-        self.server_pools.on_load_report = observer.reported
+        self.server_pools.on_load_report = observer.on_load_report
 
     def start(self) -> None:
         """Start the limiter, with the server list of the configuration if that has one."""
@@ -140,7 +140,7 @@
         self._apply_list(changes, ListKind.CHANGES)
 
     def _with_overlay(self, listed: EndpointList) -> EndpointList:
-        return listed if self._observer is None else self._observer.listed(listed)
+        return listed if self._observer is None else self._observer.on_endpoint_list(listed)
 
     def _apply_list(self, listed: EndpointList, kind: ListKind) -> None:
         # The pools come first: the limiter may send to a server in the very actions that answer the list.
@@ -288,7 +288,7 @@
         self.requests.client_ids.discard(request.command.client_request_id)
         request.cancel_deadline()
         if self._observer is not None:
-            self._observer.answered(request.command, self.now_ms() - request.arrived_at_ms, answer)
+            self._observer.on_answer(request.command, self.now_ms() - request.arrived_at_ms, answer)
         if answer is not None:
             request.reply(answer)
         for attempt in request.attempts:
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -232,7 +232,7 @@
 def refuses_all(patch: Patching) -> None:
     def take(self: Gateway, command: Any, reply: Any, asked: Any) -> None:
         if self._observer is not None:
-            self._observer.answered(command, 0.2, BUSY_ANSWER)
+            self._observer.on_answer(command, 0.2, BUSY_ANSWER)
         reply(BUSY_ANSWER)
 
     patch.setattr(Gateway, "_accept", take)
