--- a/elderlock/net/__init__.py
+++ b/elderlock/net/__init__.py
@@ -1,1 +1,1 @@
-"""The I/O layer of a limiter: everything around the decisions that uses sockets, clocks and files."""
+"""The I/O layer of a limiter process: its sockets, clocks and files. The decisions are in `elderlock.decisions`."""
--- a/elderlock/net/authorised_requests.py
+++ b/elderlock/net/authorised_requests.py
@@ -1,4 +1,4 @@
-"""Requests that their askers forward themselves: the limiter permits them and learns how they ended."""
+"""Requests that the caller forwards itself: the limiter permits them, and the caller reports how they ended."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from elderlock.net.request_observer import RequestObserver
 from elderlock.net.server_pool import ServerPools
 
-# What an observer hears for a permit, which counts as served.
+# The answer that the observer gets for a permit, which counts as served.
 PERMITTED_ANSWER = b"$permitted"
 
 
 class AuthorisedRequests:
-    """The permits that are open.
+    """The open permits.
 
-    A permit ends by its asker's report or by its deadline. Until then its client's id stays open.
+    A permit ends with its caller's report or at its deadline. Until then the client's request id counts as open.
 
     Attributes:
-        observer: Hears each permit, if set.
+        observer: Notified of each permit, if set.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         Args:
             loop: Runs the permits' timers.
             requests: The gateway's requests.
-            server_pools: Knows the servers' addresses and who hears their load reports.
+            server_pools: Has the servers' addresses and the callback for their load reports.
             now_ms: Returns the current time.
             submit: Passes an event to the limiter.
         """
@@ -49,14 +49,14 @@
         self.observer: RequestObserver | None = None
 
     def permit(self, request_id: str, server_id: str, timeout_ms: float) -> None:
-        """Tell the asker that it may forward its request to a server.
+        """Tell the caller that it may forward its request to a server.
 
-        A permit whose end is not reported ends by its deadline. Its outcome is then unknown, and nothing is learnt of
-        the server.
+        A permit whose end is not reported expires at its deadline. Its outcome is then unknown, so it does not change
+        the server's statistics.
         """
         request = self._requests.get(request_id)
         if request is None or request.is_answered or request.authorisation is None:
-            return  # the gateway has answered it meanwhile, as the limiter had failed on an event
+            return  # already answered by the gateway, because the limiter raised an exception on an event
         authorisation = request.authorisation
         authorisation.server_id = server_id
         request.is_answered = True
@@ -70,13 +70,13 @@
         address, _ = self._server_pools.endpoints().get(server_id, ("", 0))
         authorisation.on_permitted(server_id, address, timeout_ms)
 
-    def end_reported(self, request_id: str, outcome: Outcome, duration_ms: float, load_report: bytes) -> bool:
-        """Take the asker's report on a permitted request; return False if the permit has ended already.
+    def record_end(self, request_id: str, outcome: Outcome, duration_ms: float, load_report: bytes) -> bool:
+        """Record the caller's report on a permitted request; return False if the permit has already ended.
 
         Args:
             request_id: The gateway's id of the request.
             outcome: How the request ended at the server.
-            duration_ms: How long it took; 0 if the asker does not say.
+            duration_ms: How long it took; 0 if the caller does not report it.
             load_report: The server's load report, or empty.
         """
         request = self._requests.get(request_id)
@@ -95,6 +95,6 @@
             authorisation.expiry_timer = None
         self._requests.client_ids.discard(request.command.client_request_id)
         request.open_attempts = 0
-        self._requests.remove_if_over(request)
+        self._requests.remove_if_finished(request)
         self._submit(api.AttemptEnded(request.request_id, 0, authorisation.server_id, outcome, duration_ms, True))
         authorisation.on_ended()
--- a/elderlock/net/client_commands.py
+++ b/elderlock/net/client_commands.py
@@ -12,7 +12,7 @@
 
 READ_VERB = b"API.READ"
 WRITE_VERB = b"API.WRITE"
-# Arguments of each request, its verb included; the fifth of a write is its body.
+# Number of arguments of each request, including its verb. The fifth argument of a write is its body.
 ARGUMENT_COUNTS = {READ_VERB: 4, WRITE_VERB: 5}
 MAX_TERMS_BYTES = 1024
 MAX_CACHED_TERMS = 256
@@ -21,13 +21,13 @@
 CUSTOMER_ID_LIMIT = 1 << 33
 CUSTOMER_ID_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
-# The protocol's numbers. float() would also take 1_0, 1e3, infinity and spaces; int() would cut 1.7 to 1.
+# The protocol's number formats. float() would also accept 1_0, 1e3, infinity and spaces; int() would truncate 1.7 to 1.
 INTEGER_PATTERN = re.compile(r"[0-9]{1,9}")
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 
 
 class CommandError(NetError):
-    """A command cannot be accepted; the text is the error that its client is answered."""
+    """A command cannot be accepted; the text is sent to the client as the error."""
 
 
 @dataclass(slots=True)
@@ -41,8 +41,8 @@
         units: Units of quota that the request costs.
         limiter_count: Number of limiters among which the client spreads this customer's requests.
         first_limiter: Index of the first of those limiters.
-        text_before_wait: The list's text up to and including `d=`, as it came.
-        text_after_wait: The list's text behind the value of `d`, as it came.
+        text_before_wait: The list's text up to and including `d=`, as received.
+        text_after_wait: The list's text after the value of `d`, as received.
     """
 
     class_index: int
@@ -56,11 +56,11 @@
 
 
 class CommandParser:
-    """Parses requests against the names in the settings.
+    """Parses requests and resolves the names in them by the settings.
 
-    `API.READ` serves only idempotent classes. `API.WRITE`, which carries a body, serves every class. Whether a request
-    may be repeated depends on its class alone. Clients send few different lists of names and values, so parsed lists
-    are cached.
+    `API.READ` accepts only idempotent classes. `API.WRITE`, which carries a body, accepts every class. Whether a
+    request may be repeated depends on its class alone. Clients send few different lists of names and values, so parsed
+    lists are cached.
     """
 
     def __init__(self, settings: api.Settings, max_units: float) -> None:
@@ -68,7 +68,7 @@
 
         Args:
             settings: Names of the request classes and plans, and the number of limiters.
-            max_units: The most units that one request may cost.
+            max_units: Maximum number of units that one request may cost.
         """
         self._max_units = max_units
         self._classes = {each.name: index for index, each in enumerate(settings.request_classes)}
@@ -81,7 +81,7 @@
         """Parse one request, whose verb must be one of `ARGUMENT_COUNTS`.
 
         Raises:
-            CommandError: The request is not of the protocol's form or names what the settings do not have.
+            CommandError: The request does not follow the protocol, or has a name that is not in the settings.
         """
         verb = parts[0].upper()
         if len(parts) != ARGUMENT_COUNTS[verb]:
@@ -130,7 +130,7 @@
             int(_parse_number(values, "spread", INTEGER_PATTERN, 1, self._limiter_count)),
             int(_parse_number(values, "first", INTEGER_PATTERN, 0, self._limiter_count - 1)),
         )
-        # A server gets the list as it came, except for the value of `d`.
+        # The list is forwarded as received, except for the value of `d`.
         wait_index = [key for key, _, _ in pairs].index("d")
         before = "".join(f"{key}={value}," for key, _, value in pairs[:wait_index])
         after = "".join(f",{key}={value}" for key, _, value in pairs[wait_index + 1 :])
@@ -139,10 +139,10 @@
         return terms
 
 
-def _index_of(indices: dict[str, int], values: dict[str, str], key: str, what: str) -> int:
+def _index_of(indices: dict[str, int], values: dict[str, str], key: str, description: str) -> int:
     index = indices.get(values.get(key, ""))
     if index is None:
-        raise CommandError(f"unknown {what}")
+        raise CommandError(f"unknown {description}")
     return index
 
 
@@ -159,7 +159,7 @@
 def _encoder_for(parts: list[bytes], text_before_wait: bytes, text_after_wait: bytes) -> Callable[[float], bytes]:
     """Return the function that encodes the command for a server.
 
-    The command is forwarded as it came, except for the value of `d`: how long (ms) this limiter waits for the answer.
+    The command is forwarded as received, except for the value of `d`: how long (ms) this limiter waits for the answer.
     """
     head = b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts[:3])
     tail = b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts[4:])
--- a/elderlock/net/client_connection.py
+++ b/elderlock/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: it reads commands and writes their answers in the commands' order."""
+"""A client connection, which reads commands and writes the answers in the order of the commands."""
 
 from __future__ import annotations
 
@@ -17,38 +17,38 @@
 PONG_ANSWER = b"+PONG\r\n"
 NO_LIST_ANSWER = b"-LOADING no list of servers yet\r\n"
 CORDONED_ANSWER = b"-LOADING drained by an operator\r\n"
-# At this many answers pending on one connection, none of its further commands is handled.
+# With this many pending answers on a connection, no further command from it is handled.
 MAX_PENDING_ANSWERS = 64
-# Bytes of unhandled commands at which a connection is no longer read from; two of the longest fit.
+# With this many bytes of unhandled commands, reading from a connection pauses. Two commands of the maximum size fit.
 MAX_UNREAD_BYTES = 1 << 17
-# Recorded arrival times of unhandled bytes; at the limit, later bytes count as having arrived with the last of them.
+# Arrival times recorded for unhandled bytes. At the limit, new bytes get the last recorded arrival time.
 MAX_ARRIVAL_TIMES = 64
-# Errors in a row after which a connection is closed.
+# Consecutive errors after which a connection is closed.
 MAX_CONSECUTIVE_ERRORS = 16
-# How long a client has to read its last answer and to close in turn.
+# How long a client has to read its last answer and to close its side.
 LINGER_S = 0.5
-# Bytes that are read and discarded within that time.
+# Bytes that are read and discarded within that time before the connection is aborted.
 MAX_DISCARDED_BYTES = 1 << 18
-# Wait of a command on its connection that is subtracted from its client's; less is ignored.
+# The time that a command is queued on its connection is subtracted from its client's wait; a shorter time is ignored.
 MIN_COUNTED_WAIT_MS = 1.0
 
 
 class ConnectionState(Enum):
-    """How far a client connection's end has come."""
+    """The state of a client connection."""
 
     OPEN = "open"
-    ENDING = "ending"  # no command is handled any more; the answers that are ready still leave
-    HALF_CLOSED = "half closed"  # this side is shut down, and what comes in is discarded
+    ENDING = "ending"  # no further command is handled; the answers that are ready are still sent
+    HALF_CLOSED = "half closed"  # this side is shut down, and received bytes are discarded
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the listener that accepted it.
+    """The interface that a connection uses of the listener that accepted it.
 
     Attributes:
         loop: The event loop.
-        gateway: Takes the requests.
+        gateway: Handles the requests.
         parser: Parses the requests.
-        receive_buffer: Shared by all connections; what is read is copied before the next read.
+        receive_buffer: Shared by all connections; the bytes are copied out before the next read.
         is_draining: Whether a connection closes once it has no answer pending.
         is_cordoned: Whether an operator drained this limiter.
     """
@@ -74,10 +74,10 @@
 
 
 class PendingAnswer:
-    """The place of one answer among those of its connection.
+    """An entry in a connection's queue of answers, which keeps the order of the commands.
 
     Attributes:
-        answer: The encoded answer; None until there is one.
+        answer: The encoded answer; None until the command is answered.
         request_id: The gateway's id of the request; None for other commands.
     """
 
@@ -91,8 +91,8 @@
 class ClientConnection(asyncio.BufferedProtocol):
     """A client's connection.
 
-    Commands are handled as they come, so that a slow request does not hold up the next; answers leave in the order of
-    their commands. A client that does not read its answers, or that has too many pending, is read from no further.
+    Commands are handled as they arrive, so that a slow request does not delay the next one. Answers are sent in the
+    order of their commands. While a client does not read its answers, or has too many pending, its commands wait.
 
     Attributes:
         has_sent_command: Whether the client has sent a complete command.
@@ -112,7 +112,7 @@
         self._consecutive_errors = 0
         self._discarded_bytes = 0
         self._fed_bytes = 0
-        # of unhandled bytes: the total fed up to and with them, and the loop time (s) at which they came
+        # For unhandled bytes: the total number of bytes fed including them, and the loop time (s) of their arrival.
         self._arrival_times: deque[tuple[int, float]] = deque()
         self._linger_timer: asyncio.TimerHandle | None = None
         self.has_sent_command = False
@@ -126,17 +126,17 @@
         self._listener.connection_opened(self)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Give up what is still pending, as nobody waits for it any more."""
+        """Abandon the pending requests, as the client is gone."""
         self._listener.connection_closed(self)
         if self._linger_timer is not None:
             self._linger_timer.cancel()
         self._abandon_pending()
 
     def eof_received(self) -> None:
-        """Treat the client as gone; a half-close cannot be told from a close.
+        """Treat the client as disconnected, as a half-close cannot be distinguished from a close.
 
-        The descriptor is free once what was written has left, but after `LINGER_S` at the latest: a client that never
-        reads would keep the transport from reporting the connection as lost.
+        The descriptor is released once the written answers are sent, and after `LINGER_S` at the latest: while a client
+        does not read, the transport does not report the connection as lost.
         """
         self._abandon_pending()
         if self._linger_timer is None:
@@ -147,9 +147,9 @@
         return self._listener.receive_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Handle the commands that are complete with the bytes that came."""
+        """Handle the commands that the received bytes complete."""
         if self._state is not ConnectionState.OPEN:
-            # discarded, as a close with unread input would reset the last answer away
+            # Closing with unread input would reset the connection and lose the last answer, so input is discarded.
             self._discarded_bytes += nbytes
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.abort()
@@ -170,7 +170,7 @@
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Go on handling commands."""
+        """Resume handling commands."""
         self._is_write_blocked = False
         self._update_reading()
         self._schedule_read()
@@ -178,11 +178,11 @@
     # Commands
 
     def _has_too_many_pending(self) -> bool:
-        """Whether no further command is handled for now."""
+        """Whether no further command is handled until answers are sent."""
         return self._is_write_blocked or len(self._pending_answers) >= MAX_PENDING_ANSWERS
 
     def _read_commands(self) -> None:
-        """Handle complete commands while not too many answers are pending; the rest stays in the reader."""
+        """Handle complete commands while few enough answers are pending; the others stay in the reader."""
         self._is_reading = True
         try:
             while self._state is ConnectionState.OPEN and not self._has_too_many_pending():
@@ -198,9 +198,9 @@
         self.close_if_done()
 
     def _waited_ms(self) -> float:
-        """Return the time since the last byte of the command read just now came.
+        """Return the time since the last byte of the command just read arrived.
 
-        The client's wait runs from then, also while the command stands behind others on its connection.
+        The client's wait is counted from then, including the time that the command is queued behind others.
         """
         used_bytes = self._fed_bytes - self._reader.pending_bytes()
         while self._arrival_times[0][0] < used_bytes:
@@ -240,8 +240,8 @@
     def _update_reading(self) -> None:
         """Pause or resume the transport's reading.
 
-        Commands are read on into the buffer as long as that is bearable: the end of a connection that is not read from
-        is not seen either.
+        Commands are still read into the buffer up to `MAX_UNREAD_BYTES`, because the end of a connection is only
+        detected while it is being read.
         """
         pause = self._has_too_many_pending() and self._reader.pending_bytes() >= MAX_UNREAD_BYTES
         if self._transport is None or self._transport.is_closing() or pause == self._is_read_paused:
@@ -253,7 +253,7 @@
             self._transport.resume_reading()
 
     def _schedule_read(self) -> None:
-        """Handle commands that wait in the reader, on the loop's next step as this may run within their handling."""
+        """Handle commands that wait in the reader, in the loop's next step: this may run while one is being handled."""
         if self._is_reading or self._state is not ConnectionState.OPEN or self._has_too_many_pending():
             return
         if self._reader.pending_bytes():
@@ -270,8 +270,8 @@
         self._answer(pending, b"-ERR %b\r\n" % text.encode())
         self._consecutive_errors += 1
         if self._consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
-            # each has its answer: one error line more would be read as a second answer to the last
-            self._begin_end()
+            # Each command has its answer: a further error line would be read as a second answer to the last one.
+            self._stop_commands()
             self.close_if_done()
 
     def _write_ready_answers(self) -> None:
@@ -285,22 +285,22 @@
         self.close_if_done()
 
     def _abandon_pending(self) -> None:
-        """Give up what is still pending: none of it is forwarded, or retried, any more."""
-        self._begin_end()
+        """Abandon the pending requests: none of them is forwarded or retried any more."""
+        self._stop_commands()
         abandoned = self._pending_answers
         self._pending_answers = deque()
         for pending in abandoned:
             if pending.request_id is not None and pending.answer is None:
                 self._listener.gateway.client_disconnected(pending.request_id)
 
-    # The end
+    # Closing
 
-    def _begin_end(self) -> None:
+    def _stop_commands(self) -> None:
         if self._state is ConnectionState.OPEN:
             self._state = ConnectionState.ENDING
 
     def close_with_error(self, text: str) -> None:
-        """Answer what is pending, then one error line, and close; nothing that follows can be understood."""
+        """Send the pending answers and one error line, then close: the bytes that follow cannot be parsed."""
         if self._state is not ConnectionState.OPEN:
             return
         self._state = ConnectionState.ENDING
@@ -308,20 +308,20 @@
         self._write_ready_answers()
 
     def close_if_done(self) -> None:
-        """Close the connection if it ends or the listener drains, and no answer is pending."""
+        """Close the connection if it is ending or the listener drains, and no answer is pending."""
         is_open = self._state is ConnectionState.OPEN
         if self._pending_answers or self._transport is None or (is_open and not self._listener.is_draining):
             return
         if is_open and (self._is_reading or self._reader.pending_bytes()):
-            return  # commands that have come in, completely or in part, are answered before a drain closes
+            return  # commands already received, completely or in part, are answered before a drain closes
         self.retire()
 
     def retire(self) -> None:
-        """Shut down our side while no answer is pending; a client whose request crosses that sends it again."""
+        """Shut down this side while no answer is pending; a client whose request crosses the shutdown retries it."""
         if self._transport is None or self._transport.is_closing() or self._state is ConnectionState.HALF_CLOSED:
             return
-        # Only our side is closed, and what still comes in is discarded: a close with unread input, or one that crosses
-        # a further request, would reset the connection and take the last answer with it.
+        # Only this side is closed, and further input is discarded: closing with unread input, or while a further
+        # request arrives, would reset the connection and lose the last answer.
         self._state = ConnectionState.HALF_CLOSED
         self._listener.connection_half_closed(self)
         self._transport.resume_reading()
@@ -329,25 +329,25 @@
         self._linger_timer = self._listener.loop.call_later(LINGER_S, self.abort)
 
     def abort(self) -> None:
-        """Close the connection at once; answers that have not left are lost."""
+        """Close the connection at once; unsent answers are lost."""
         if self._transport is not None:
             self._transport.abort()
 
     # For the listener
 
     def is_idle(self) -> bool:
-        """Whether no answer is pending and all that was answered has left."""
+        """Whether no answer is pending and all written answers have been sent."""
         return not self._pending_answers and self._state is ConnectionState.OPEN and self.is_flushed()
 
     def is_flushed(self) -> bool:
-        """Whether all that was answered has left; an abort would lose the rest."""
+        """Whether all written answers have been sent; an abort would lose the others."""
         return self._transport is None or not self._transport.get_write_buffer_size()
 
     def check_timeout(self, limit_s: float) -> None:
-        """End the connection if it has waited since before `limit_s` (loop time).
+        """Close the connection if it has waited since before `limit_s` (loop time).
 
-        It may wait for a complete command that was begun or never came, or for its client to read. A client that sends
-        nothing, or half a command, would hold its descriptor for good.
+        It may wait for its first command, for the rest of a command, or for its client to read. A client that sends
+        nothing, or half a command, would otherwise hold its descriptor forever.
         """
         if self.waiting_since_s >= limit_s or self._state is ConnectionState.HALF_CLOSED:
             return
@@ -357,5 +357,5 @@
             self.close_with_error("no whole command in time")
 
     def _waits_for_command(self) -> bool:
-        """Whether a complete command is awaited: the first, or one that was begun."""
+        """Whether the connection waits for its first command or for the rest of a command."""
         return not self.has_sent_command or bool(self._reader.pending_bytes())
--- a/elderlock/net/client_listener.py
+++ b/elderlock/net/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: it accepts connections, bounds their number and drains them before an exit."""
+"""The listener for clients: accepts connections, limits their number and drains them before the process exits."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from elderlock.net.client_connection import ClientConnection
 from elderlock.net.gateway import Gateway
 
-# Of the process's descriptors, for all client connections; the connections to servers have a fraction of their own.
+# Fraction of the process's descriptors for client connections; connections to servers have a separate fraction.
 CLIENT_DESCRIPTOR_FRACTION = 0.45
-# Of the process's descriptors, for connections that have sent a command; above it the longest idle one is closed.
-# Clients hold a third at most for requests: if connections idle without limit, other clients could not connect.
+# Fraction of the process's descriptors for connections that have sent a command; above it, the longest idle one is
+# closed. Clients may hold up to a third for requests: without a limit on idle connections, others could not connect.
 IDLE_DESCRIPTOR_FRACTION = 1 / 6
 RECEIVE_BUFFER_BYTES = 1 << 14
 BACKLOG = 1024
-# How long a connection may be without a complete command, or a client not read its answers.
+# How long a connection may wait for a complete command, or for its client to read an answer.
 SILENCE_LIMIT_S = 2.0
 TIMEOUT_CHECK_INTERVAL_S = 0.5
-# A connection whose last command is more recent than this is not closed for being idle.
+# A connection is not closed as idle within this time of its last command.
 RECENT_USE_S = 0.1
-# How long the last answers have to leave before the exit.
+# Time for sending the last answers before the process exits.
 FLUSH_TIMEOUT_S = 0.1
-# In this time the loop reads what has come in already, before connections are closed.
+# Time for the loop to read input that has already arrived, before connections are closed.
 PENDING_INPUT_DELAY_S = 0.01
 
 
@@ -32,12 +32,12 @@
 
     Attributes:
         loop: The event loop.
-        gateway: Takes the clients' requests.
+        gateway: Handles the clients' requests.
         parser: Parses the requests; shared by all connections.
         receive_buffer: Shared by all connections.
         is_draining: Whether each connection closes once it has no answer pending.
-        is_cordoned: Whether an operator drained this limiter, which `uncordon` ends.
-        on_cordon: Called with `is_cordoned` when that changes; for a further frontend that is drained with this one.
+        is_cordoned: Whether an operator drained this limiter; `uncordon` undoes it.
+        on_cordon: Called with `is_cordoned` when it changes, to drain another frontend together with this one.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, gateway: Gateway, max_descriptors: int) -> None:
@@ -45,8 +45,8 @@
 
         Args:
             loop: The event loop.
-            gateway: Takes the clients' requests.
-            max_descriptors: Descriptors that the whole process may hold.
+            gateway: Handles the clients' requests.
+            max_descriptors: Maximum number of file descriptors of the whole process.
         """
         self.loop = loop
         self.gateway = gateway
@@ -57,8 +57,8 @@
         self.on_cordon: Callable[[bool], None] | None = None
         self._max_connections = int(max_descriptors * CLIENT_DESCRIPTOR_FRACTION)
         self._max_idle = int(max_descriptors * IDLE_DESCRIPTOR_FRACTION)
-        # Each connection is in one of these: `_used` in the order of their last complete command, the oldest first;
-        # `_unused` have not sent one yet; `_half_closed` only wait for their client to close.
+        # Each connection is in one of these: `_used` in the order of the last complete command, the oldest first;
+        # `_unused` before its first command; `_half_closed` while it only waits for its client to close.
         self._used: dict[ClientConnection, None] = {}
         self._unused: dict[ClientConnection, None] = {}
         self._half_closed: dict[ClientConnection, None] = {}
@@ -71,7 +71,7 @@
         return len(self._used) + len(self._unused) + len(self._half_closed)
 
     async def listen(self, host: str, port: int) -> int:
-        """Open the listener and return its port, which the kernel chooses if `port` is 0."""
+        """Listen on an address and return the port, which the kernel chooses if `port` is 0."""
         self._server = await self.loop.create_server(lambda: ClientConnection(self), host, port, backlog=BACKLOG)
         self._check_timeouts()
         bound: int = self._server.sockets[0].getsockname()[1]
@@ -83,7 +83,7 @@
         for connection in [*self._used, *self._unused]:
             connection.check_timeout(limit_s)
 
-    # What the connections report
+    # Callbacks of the connections
 
     def connection_opened(self, connection: ClientConnection) -> None:
         """Count a new connection; above the limit, evict one."""
@@ -91,7 +91,7 @@
         self._is_empty.clear()
         if len(self) > self._max_connections:
             evicted = self._eviction_candidate(connection) or connection
-            self.connection_closed(evicted)  # it no longer counts, so that the next one is spared
+            self.connection_closed(evicted)  # stop counting it now, so that the next connection evicts no other
             evicted.abort()
 
     def command_received(self, connection: ClientConnection) -> None:
@@ -118,10 +118,10 @@
     # The limits on connections
 
     def _eviction_candidate(self, newest: ClientConnection) -> ClientConnection | None:
-        """Return the connection whose descriptor a new one gets, or None.
+        """Return the connection to close in favour of a new one, or None.
 
-        The first of each kind is nearly always the one, so that a burst of connections does not cost a pass over all
-        of them each time.
+        The first connection of each kind nearly always qualifies, so a burst of new connections does not scan all
+        connections each time.
         """
         for connection in self._half_closed:
             if connection.is_flushed():
@@ -129,18 +129,18 @@
         for connection in self._unused:
             if connection is not newest and connection.is_idle():
                 return connection
-        # However recently it was used: its client retries on a new connection if a request crosses the close, while a
-        # connection that is rejected nearly always brings a request, which then fails.
+        # Even a recently used connection qualifies: if a request crosses the close, its client retries on a new
+        # connection, while a rejected connection nearly always carries a request, which would fail.
         for connection in self._used:
             if connection.is_idle():
                 return connection
         return None
 
     def _retire_oldest_idle(self) -> None:
-        """Close the longest idle connection, unless that was used just now.
+        """Close the longest idle connection, unless it was used within `RECENT_USE_S`.
 
-        The first is nearly always the one. One that was used just now is in constant use: to close it would cost a
-        connection for each request.
+        The first connection nearly always qualifies. A recently used connection is in constant use: closing it would
+        cost a new connection for each request.
         """
         limit_s = self.loop.time() - RECENT_USE_S
         for connection in self._used:
@@ -153,15 +153,15 @@
     # An operator's drain
 
     def cordon(self) -> None:
-        """Ask the load balancer to stay away, and close each connection once it has no answer pending.
+        """Report to the load balancer that this limiter is drained, and close connections without pending answers.
 
-        What still comes is served, so that a drain loses no request. `uncordon` ends it.
+        Requests that still arrive are served, so that a drain loses no request. `uncordon` undoes it.
         """
         if self.is_cordoned:
             return
         self.is_cordoned = True
         self._notify_cordon()
-        # as in `drain`: a request that is already here must not meet a closed connection
+        # As in `drain`: the connection of a request that has already arrived must not be closed.
         self.loop.call_later(PENDING_INPUT_DELAY_S, self._drain_if_cordoned)
 
     def _drain_if_cordoned(self) -> None:
@@ -184,18 +184,17 @@
         if self.on_cordon is not None:
             self.on_cordon(self.is_cordoned)
 
-    # The shutdown
+    # Shutdown
 
     async def drain(self, accept_for_s: float, time_limit_s: float) -> None:
-        """Drain all connections for the end of the process; returns when none is left.
+        """Drain all connections before the process exits; returns when none is left.
 
         Args:
-            accept_for_s: How long connections are still accepted, as the load balancer goes on sending them for a
-                while.
-            time_limit_s: After this, open requests are failed, and their answers are given the time to leave.
+            accept_for_s: How long connections are still accepted, as the load balancer keeps sending them for a while.
+            time_limit_s: After this time, open requests are failed and their answers are sent.
         """
-        # A request that is already here must not meet a closed connection, and one that was never used was opened to
-        # carry a request just now: both would look lost to the client.
+        # Closing the connection of a request that has already arrived would look to the client like a lost request.
+        # So would closing an unused connection, as it was probably just opened for a request.
         self._is_shutting_down = True
         ends_at_s = self.loop.time() + time_limit_s
         await asyncio.sleep(PENDING_INPUT_DELAY_S)
@@ -206,13 +205,13 @@
             self._server.close()
         await asyncio.sleep(PENDING_INPUT_DELAY_S)
         for connection in [*self._used, *self._unused]:
-            connection.close_if_done()  # now also those that were opened meanwhile and never used
+            connection.close_if_done()  # including connections opened during the wait that were never used
         if not await self._wait_until_empty(ends_at_s - self.loop.time()):
             self.gateway.fail_open_requests()
             await self._wait_until_empty(FLUSH_TIMEOUT_S)
 
     async def _wait_until_empty(self, timeout_s: float) -> bool:
-        """Wait until no connection is left; return whether none is."""
+        """Wait until no connection is left; return False on a timeout."""
         if len(self):
             self._is_empty.clear()
             try:
--- a/elderlock/net/clock.py
+++ b/elderlock/net/clock.py
@@ -10,8 +10,8 @@
 class Clock:
     """Unix time in ms at the start of the process, advanced by the monotonic clock.
 
-    The offset between the two is fixed once. With a varying one, the start time of a server would change from list to
-    list, which would look like a restart, and a step of the system's clock would move every deadline.
+    The offset between the two clocks is fixed at the start. If it varied, a server's start time would change from list
+    to list, which would look like a restart, and a step of the system clock would move every deadline.
     """
 
     def __init__(self) -> None:
--- a/elderlock/net/config.py
+++ b/elderlock/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a limiter process: the file that `$PROXY_CONFIG` names, checked into typed values."""
+"""The configuration of a limiter process: reads the file that `$PROXY_CONFIG` names into validated, typed values."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from elderlock.net.errors import NetError
 from elderlock.settings_reader import SocketSettings, read_settings, read_socket_settings
 
-# With fewer, nothing would be left for clients beside the servers.
+# With fewer descriptors, none would be left for clients next to the connections to servers.
 MIN_SOCKETS = 64
 PORT_LIMIT = 65536
 
@@ -20,7 +20,7 @@
 
 
 class ConfigError(NetError):
-    """The configuration cannot be used; the text is one plain line for the operator."""
+    """The configuration cannot be used; the text is a single line for the operator."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +30,14 @@
     Attributes:
         name: Name of the limiter, for its log.
         seed: Seed of the limiter's random numbers.
-        listen_address: Where clients connect.
-        discovery_address: Where the server list is polled and watched.
-        max_descriptors: Descriptors that the process may hold.
-        memory_mb: Memory that the process may take.
-        peer_listen_address: Where the other limiters' datagrams are received; None without peers.
-        peer_addresses: All limiters' addresses by their index, this one's included.
-        broadcast_address: Reaches all other limiters; None without one.
-        cached_list: The server list of before the start, in discovery's form; None without one.
+        listen_address: The address that clients connect to.
+        discovery_address: The address at which the server list is polled and watched.
+        max_descriptors: Maximum number of file descriptors of the process.
+        memory_mb: Maximum memory of the process in MB.
+        peer_listen_address: The address that receives the other limiters' datagrams; None without peers.
+        peer_addresses: All limiters' addresses by index, including this limiter's.
+        broadcast_address: The address that reaches all other limiters; None if there is none.
+        cached_list: A server list saved before the start, in discovery's format; None if there is none.
         settings: The limiter's settings.
         socket_settings: Timeouts, limits and names for the sockets.
     """
@@ -60,7 +60,7 @@
     """Parse an address like `10.0.0.4:6379`.
 
     Raises:
-        ValueError: The text is no address.
+        ValueError: The text is not an address.
     """
     host, separator, port = str(text).rpartition(":")
     if not separator or not host or not port.isdecimal() or not 0 <= int(port) < PORT_LIMIT:
@@ -73,18 +73,18 @@
 
 
 def _reject_non_finite(name: str) -> None:
-    raise ValueError(f"{name} is no number to be used")
+    raise ValueError(f"{name} is not a finite number")
 
 
 def parse_config(raw: Any) -> Config:
-    """Check a decoded configuration.
+    """Validate a decoded configuration.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: A field is missing, of another type or out of range.
+        KeyError, TypeError, ValueError, AttributeError: A field is missing, of the wrong type or out of range.
     """
     settings = read_settings(raw["settings"])
     socket_settings = read_socket_settings(raw["settings"])
-    # `-BUSY MS` can always say when to retry, also where the settings are of clients that cannot be told.
+    # `-BUSY MS` can always carry a retry delay, whatever the settings say of the clients' capabilities.
     capabilities = replace(
         settings.capabilities, can_send_retry_after=True, connect_timeout_ms=socket_settings.connect_timeout_ms
     )
@@ -92,9 +92,9 @@
     peer_addresses = tuple(parse_address(peer) for peer in raw.get("peers", ()))
     max_descriptors = int(raw["limits"]["sockets"])
     if max_descriptors < MIN_SOCKETS:
-        raise ValueError(f"limits.sockets is {max_descriptors}, {MIN_SOCKETS} are needed")
+        raise ValueError(f"limits.sockets is {max_descriptors}, the minimum is {MIN_SOCKETS}")
     if settings.capabilities.can_message_peers and len(peer_addresses) != settings.limiter_count:
-        raise ValueError(f"peers names {len(peer_addresses)} limiters, the settings say {settings.limiter_count}")
+        raise ValueError(f"peers has {len(peer_addresses)} addresses, peers-total is {settings.limiter_count}")
     return Config(
         name=str(raw["name"]),
         seed=int(raw["seed"], 16),
@@ -126,6 +126,6 @@
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except KeyError as error:
-        raise ConfigError(f"{path}: {error} is missing or not known") from None
+        raise ConfigError(f"{path}: {error} is missing or unknown") from None
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from None
--- a/elderlock/net/discovery.py
+++ b/elderlock/net/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the server list of discovery: the complete list first, then a watch that is renewed when it ends."""
+"""Follows discovery's server list: fetches the complete list, then watches its changes and renews the watch."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from elderlock.net.errors import NetError
 from elderlock.settings_reader import SocketSettings
 
-# What discovery sends must be applied within 6 s, whatever became of a watch or a call. A watch sends an empty line
-# every 2 s. One whose link is cut stays open and silent, and so may the first watch that follows it: twice this limit
-# and a call are less than 6 s.
+# A change that discovery sends must be applied within 6 s, even if a watch or a call is lost. A watch sends an empty
+# line every 2 s. A watch whose link is cut stays open and silent, and the watch that replaces it may do the same: twice
+# this limit plus one call is less than 6 s.
 SILENCE_LIMIT_S = 2.5
-# How long a call is waited for alone; then another begins beside it, as the first may never be answered.
+# After this time without an answer a further call starts in parallel, as the first may never be answered.
 CALL_INTERVAL_S = 0.5
 CALL_INTERVAL_JITTER = (0.75, 1.0)
-# Above it the oldest is cancelled, which has then been waited for all this time.
+# Above this number the oldest call is cancelled, after it has waited for as many intervals.
 MAX_CONCURRENT_CALLS = 4
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.5
 BACKOFF_JITTER = (0.5, 1.0)
-# Of one list or line; a longer one would take the memory of requests.
+# Maximum size of one list or line; a longer one would use memory reserved for requests.
 MAX_LIST_BYTES = 1 << 20
 READ_BYTES = 1 << 16
 HTTP_OK = 200
@@ -38,23 +38,23 @@
 
 
 class DiscoveryError(NetError, ValueError):
-    """An answer of discovery cannot be used."""
+    """An answer from discovery cannot be used."""
 
 
 def _starts_indented_object(line: bytes) -> bool:
-    """Whether an object that begins with this line may be indented: then only its own brackets are unindented."""
+    """Whether the object that begins with this line may span several lines, of which only its braces are unindented."""
     return line.startswith(b"{") and not line.rstrip().endswith(b"}")
 
 
 class JsonObjectSplitter:
-    """Splits the body of a watch into its JSON objects, also where one is indented and spans several lines."""
+    """Splits the body of a watch into its JSON objects, which may be indented over several lines."""
 
     def __init__(self) -> None:
         self._partial_line = b""
-        self._object_lines: list[bytes] = []  # of the object that has begun
+        self._object_lines: list[bytes] = []  # lines of the incomplete object
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the objects that are complete with `data`.
+        """Return the objects that `data` completes.
 
         Raises:
             DiscoveryError: An object is too long.
@@ -64,7 +64,7 @@
         for line in lines:
             is_blank = not line.strip()
             if is_blank or (self._object_lines and line.startswith(b"{")):
-                objects += self._take_object()  # no object spans a blank line, or the next object's start
+                objects += self._take_object()  # a blank line or the start of the next object ends an object
             if not is_blank:
                 self._object_lines.append(line)
                 is_single_line = len(self._object_lines) == 1 and not _starts_indented_object(line)
@@ -81,10 +81,10 @@
 
 
 class DiscoveryCall:
-    """One call to discovery, which may become a watch that lasts until its connection ends.
+    """One call to discovery, which becomes a watch that lasts until its connection ends.
 
     Attributes:
-        last_received_s: Loop time of the last bytes that came, or of its start.
+        last_received_s: Loop time at which the last bytes arrived, or the call started.
         task: Runs the call.
     """
 
@@ -96,8 +96,8 @@
 class ListFollower:
     """Follows the list at one address until it is stopped.
 
-    Invariant: `_active_call` is the latest call that was answered. While it receives, it is the only one. Once it is
-    silent, or where there is none, further calls begin one beside the other until one is answered.
+    Invariant: `_active_call` is the latest call that was answered. While it receives data, it is the only call. While
+    it is silent, or there is no active call, further calls are started in parallel until one is answered.
     """
 
     def __init__(
@@ -107,19 +107,19 @@
         silence_limit_s: float,
         on_list: Callable[[ListFollower, EndpointList], None],
     ) -> None:
-        """Begin to follow.
+        """Start following.
 
         Args:
-            address: Where discovery answers.
+            address: The address of discovery.
             settings: Names of zones and kinds.
-            silence_limit_s: After this time without a byte, a watch is taken for lost.
-            on_list: Called with each list, in the step that read it.
+            silence_limit_s: A watch that receives nothing for this time counts as lost.
+            on_list: Called with each list as soon as it is read.
         """
         self._address = address
         self._settings = settings
         self._on_list = on_list
         self._silence_limit_s = silence_limit_s
-        self._version: int | None = None  # of this address alone: another agent may count its own
+        self._version: int | None = None  # valid for this address only: another agent may number versions differently
         self._loop = asyncio.get_running_loop()
         self._calls: list[DiscoveryCall] = []  # the oldest first
         self._active_call: DiscoveryCall | None = None
@@ -152,19 +152,19 @@
             self._calls.append(call)
             if len(self._calls) > MAX_CONCURRENT_CALLS:
                 self._cancel_calls(self._inactive_calls()[:1])
-            # jittered, so that limiters cut off together do not come back in step
+            # The jitter keeps limiters that lost discovery together from retrying at the same time.
             await asyncio.wait({call.task}, timeout=CALL_INTERVAL_S * random.uniform(*CALL_INTERVAL_JITTER))
             if call.task.done() and call is not self._active_call:
                 await asyncio.sleep(backoff_s * random.uniform(*BACKOFF_JITTER))
                 backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     async def run_call(self, call: DiscoveryCall) -> None:
-        """Fetch the complete list if none is known, then watch its changes."""
+        """Fetch the complete list if there is none yet, then watch its changes."""
         try:
             if self._version is None:
                 await self._fetch(call)
             await self._watch(call)
-        except Exception as error:  # whatever went wrong, the list is followed on  # noqa: BLE001
+        except Exception as error:  # any failure ends only this call; `_run` starts another  # noqa: BLE001
             log.warning("discovery at %s:%d: %r", *self._address, error)
         finally:
             if call is self._active_call:
@@ -195,7 +195,7 @@
                     self._apply_list(text)
 
     async def _get(self, target: str) -> AsyncGenerator[bytes, None]:
-        """Yield the body of an answer as it comes, after an empty part once the answer has begun."""
+        """Yield an empty part once the response has begun, then the parts of its body as they arrive."""
         host, port = self._address
         reader, writer = await asyncio.open_connection(host, port)
         try:
@@ -210,7 +210,7 @@
                     yield bytes(event.data)
                 elif isinstance(event, h11.Response):
                     if event.status_code != HTTP_OK:
-                        raise DiscoveryError(f"status {event.status_code}")
+                        raise DiscoveryError(f"{target}: HTTP status {event.status_code}, expected {HTTP_OK}")
                     yield b""
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     return
@@ -221,20 +221,20 @@
         try:
             listed = parse_endpoint_list(json.loads(text), self._settings)
         except (KeyError, TypeError, ValueError, AttributeError, RecursionError) as error:
-            # What it said is lost, and later changes build on it: the complete list is fetched again.
+            # Later changes build on the unreadable one, so the complete list has to be fetched again.
             self._version = None
             raise DiscoveryError(f"a line cannot be read: {error!r}") from None
         if not listed.is_complete and self._version is not None and listed.version <= self._version:
-            return  # of a call that was answered late: another has brought these changes, and later ones
+            return  # from a call that was answered late: another call has already applied these and later changes
         self._version = listed.version
         self._on_list(self, listed)
 
 
 class Discovery:
-    """The server list at the address of the configuration, which a reload may change.
+    """Follows the server list at the configured address, which a reload may change.
 
     Attributes:
-        silence_limit_s: After this time without a byte, a watch is taken for lost.
+        silence_limit_s: A watch that receives nothing for this time counts as lost.
     """
 
     def __init__(self, settings: SocketSettings, on_list: Callable[[EndpointList], None]) -> None:
@@ -247,20 +247,20 @@
         self._settings = settings
         self._on_list = on_list
         self._address: Address | None = None
-        self._current: ListFollower | None = None  # has sent a list
-        self._next: ListFollower | None = None  # of a new address, and has not sent a list yet
+        self._current: ListFollower | None = None  # has received a list
+        self._next: ListFollower | None = None  # follows a new address and has not received a list yet
         self.silence_limit_s = SILENCE_LIMIT_S
 
     def address(self) -> str:
-        """Return the address that is followed, as text; empty before the first."""
+        """Return the address that is followed, as text; empty before the first call of `follow`."""
         return "%s:%d" % self._address if self._address is not None else ""
 
     def follow(self, address: Address) -> None:
-        """Turn to `address` at once.
+        """Start following `address` at once.
 
-        The old watch stays until the first list of the new one, as the old agent goes on sending for a while and a
-        drain may come by it just then. One that has sent nothing yet is stopped, so that after several reloads only
-        the last address is left.
+        The old watch stays open until the new address sends its first list: the old agent keeps sending for a while,
+        and a drain may arrive through it. A follower that has received nothing yet is stopped, so that after several
+        reloads only the last address is followed.
         """
         if address == self._address:
             return
--- a/elderlock/net/endpoint_list.py
+++ b/elderlock/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Server lists in discovery's form, parsed into typed values. No I/O."""
+"""Parses discovery's server lists into typed values. No I/O."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedServer:
-    """A server as listed.
+    """A server in discovery's list.
 
     Attributes:
-        entry: The server as the limiter knows it.
-        address: Where its connections go.
+        entry: The entry that is passed to the limiter.
+        address: The server's address.
     """
 
     entry: api.ServerEntry
@@ -38,8 +38,8 @@
     """A list of servers, or changes to it.
 
     Attributes:
-        version: Grows with each change; one agent's versions say nothing of another's.
-        is_complete: Whether it names all servers; otherwise only those that changed.
+        version: Increases with each change; versions of different agents cannot be compared.
+        is_complete: Whether it has all servers; otherwise it has only those that changed.
         servers: The servers, in the list's order.
     """
 
@@ -54,7 +54,7 @@
     weight = float(raw.get("capacity_hint", 1.0))
     started_at_ms = float(raw.get("boot_ms", 0))
     if not (isfinite(weight) and isfinite(started_at_ms)):
-        raise ValueError("a number of a server is not finite")
+        raise ValueError(f"capacity_hint {weight} and boot_ms {started_at_ms} must be finite")
     entry = api.ServerEntry(
         server_id=str(raw["uid"]),
         zone=settings.zones.index(zone) if zone in settings.zones else -1,
@@ -62,7 +62,7 @@
         cell=int(raw.get("pod_group", 0)),
         state=SERVER_STATES[raw["state"]],
         weight=weight,
-        started_at_ms=started_at_ms,  # Unix time, as `Clock` gives it
+        started_at_ms=started_at_ms,  # Unix time, like `Clock.now_ms`
     )
     return ListedServer(entry, parse_address(raw["endpoint"]))
 
@@ -70,15 +70,15 @@
 def parse_endpoint_list(raw: Any, settings: SocketSettings) -> EndpointList:
     """Parse one list, or one line of changes.
 
-    An entry that cannot be read is logged and dropped, so that one bad server in discovery does not hide the others.
+    An entry that cannot be parsed is logged and skipped, so that one bad server in discovery does not hide the others.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: The list itself cannot be read.
+        KeyError, TypeError, ValueError, AttributeError: The list itself cannot be parsed.
     """
     servers = []
     for item in raw["targets"]:
         try:
             servers.append(_parse_server(item, settings))
         except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-            log.warning("discovery: an entry is dropped: %r", error)
+            log.warning("discovery: skipped a server that cannot be parsed: %r", error)
     return EndpointList(int(raw["rev"]), bool(raw["all"]), tuple(servers))
--- a/elderlock/net/errors.py
+++ b/elderlock/net/errors.py
@@ -1,7 +1,7 @@
-"""The base class of the errors that this package raises."""
+"""The base class of this package's errors."""
 
 from __future__ import annotations
 
 
 class NetError(Exception):
-    """Base of the errors of `elderlock.net`."""
+    """Base class of the errors of `elderlock.net`."""
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -1,6 +1,6 @@
-"""The gateway between the sockets and the one `Limiter` of this process: events in, actions out.
+"""The gateway between the sockets and the `Limiter` of this process: passes events in and carries out its actions.
 
-It owns the timers and the open requests, and is the only place that answers a request.
+It owns the timers and the open requests. Requests are answered only here.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from elderlock.net.server_connection import Attempt
 from elderlock.net.server_pool import ServerPools
 
-# Part of a client's wait, which runs from its send, for the ways here and back and a busy loop's lateness on both.
+# Part of the client's wait, which starts when it sends: covers the network both ways and delays of a busy event loop.
 DEADLINE_MARGIN_MS = 25.0
 SWEEP_INTERVAL_S = 1.0
 DEFAULT_LATENCY_OBJECTIVE_MS = 1000.0
@@ -38,18 +38,18 @@
 
 
 class Gateway:
-    """Passes what happens to the limiter as events, and carries out its actions.
+    """Passes events to the limiter and carries out its actions.
 
     Attributes:
         now_ms: Returns the current time.
         settings: The limiter's settings.
-        max_request_units: The most units that one request may cost.
+        max_request_units: Maximum number of units that one request may cost.
         server_pools: The connections to the servers.
-        requests: The requests accepted and not over.
-        has_list: Whether any server is or was known.
-        list_received: Set once discovery itself has sent a list.
-        send_peer_message: Sends a datagram to the peer of an index, or to all for -1; None without peers.
-        add_to_counter: Calls the shared counter: token, name, amount, lifetime in ms; None without one.
+        requests: The accepted requests that have not finished.
+        has_list: Whether any list has named a server so far.
+        list_received: Set once discovery has sent a list; a cached list does not set it.
+        send_peer_message: Sends a datagram to the peer with an index, or to all peers for -1; None without peers.
+        add_to_counter: Calls the shared counter with token, name, amount and lifetime in ms; None without a counter.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         loop: asyncio.AbstractEventLoop,
         config: Config,
         clock: Clock,
-        quota_source: type[QuotaCoordinator] = QuotaCoordinator,
-        limiter: type[Limiter] = Limiter,
+        coordinator_type: type[QuotaCoordinator] = QuotaCoordinator,
+        limiter_type: type[Limiter] = Limiter,
     ) -> None:
         """Initialise the gateway and its limiter; `start` starts them.
 
         Args:
             loop: The event loop.
             config: The process's configuration.
-            clock: Times all events.
-            quota_source: The limiter's part that knows customers' use elsewhere.
-            limiter: The limiter's class.
+            clock: Provides the time of all events.
+            coordinator_type: Class of the limiter's part that tracks customers' usage at other limiters.
+            limiter_type: The limiter's class.
         """
         self._loop = loop
         self._config = config
@@ -87,7 +87,7 @@
         )
         self.requests = OpenRequests(config.socket_settings.max_open_requests, config.memory_mb)
         self._authorised = AuthorisedRequests(loop, self.requests, self.server_pools, self.now_ms, self._submit)
-        self._limiter = limiter(config.settings, config.seed, self.now_ms(), quota_source)
+        self._limiter = limiter_type(config.settings, config.seed, self.now_ms(), coordinator_type)
         self._events: deque[api.Event] = deque()
         self._is_handling = False
         self._observer: RequestObserver | None = None
@@ -98,12 +98,12 @@
 
     @property
     def limiter(self) -> Limiter:
-        """The limiter, to be read only: its events all come from here."""
+        """The limiter, for reading only: only the gateway may pass events to it."""
         return self._limiter
 
     @property
     def open_request_count(self) -> int:
-        """Number of requests that are not answered, those permitted and not ended included."""
+        """Number of unanswered requests, including permitted ones that have not ended."""
         return len(self.requests.client_ids)
 
     def set_observer(self, observer: RequestObserver) -> None:
@@ -113,13 +113,13 @@
         self.server_pools.on_load_report = observer.on_load_report
 
     def start(self) -> None:
-        """Start the limiter, with the server list of the configuration if that has one."""
+        """Start the limiter, with the configuration's cached server list if there is one."""
         self._perform_all(self._limiter.start(self.now_ms()))
         if self._config.cached_list is not None:
             try:
                 cached = parse_endpoint_list(self._config.cached_list, self._config.socket_settings)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                log.warning("the cached server list of the configuration cannot be read: %r", error)
+                log.warning("the cached server list in the configuration cannot be parsed: %r", error)
             else:
                 self._apply_list(self._with_overlay(cached), ListKind.CACHED)
         self._sweep()
@@ -131,19 +131,19 @@
     # Server lists
 
     def server_list_received(self, listed: EndpointList) -> None:
-        """Apply a list, or changes to it, from discovery."""
+        """Apply a complete list or changes from discovery."""
         self.list_received.set()
         self._apply_list(self._with_overlay(listed), ListKind.COMPLETE if listed.is_complete else ListKind.CHANGES)
 
     def apply_list_changes(self, changes: EndpointList) -> None:
-        """Apply what an operator's drain, or its end, changes in the list."""
+        """Apply the list changes that result from an operator's drain or undrain."""
         self._apply_list(changes, ListKind.CHANGES)
 
     def _with_overlay(self, listed: EndpointList) -> EndpointList:
         return listed if self._observer is None else self._observer.on_endpoint_list(listed)
 
     def _apply_list(self, listed: EndpointList, kind: ListKind) -> None:
-        # The pools come first: the limiter may send to a server in the very actions that answer the list.
+        # The pools are updated first: the limiter's actions for this list may already send to one of its servers.
         replaced = self.server_pools.apply_list(listed)
         entries = (*(each.entry for each in listed.servers), *replaced)
         self.has_list = self.has_list or bool(entries)
@@ -152,24 +152,25 @@
     # Peers and the shared counter
 
     def peer_message_received(self, sender: int, data: bytes) -> None:
-        """Pass on a datagram from the peer of an index."""
+        """Pass a datagram from the peer with the index `sender` to the limiter."""
         self._submit(api.PeerMessage(sender, data))
 
     def counter_answered(self, event: api.CounterAnswered) -> None:
-        """Pass on the result of a call to the shared counter."""
+        """Pass the result of a call to the shared counter to the limiter."""
         self._submit(event)
 
     # Requests
 
     def request_arrived(self, command: Command, reply: Callable[[bytes], None]) -> str | None:
-        """Accept a request. One whose client's id is open already is not forwarded a second time.
+        """Accept a request, unless a request with the same client id is still open: it gets an error.
 
         Args:
             command: The request.
-            reply: Called exactly once with the encoded answer, perhaps before this returns.
+            reply: Called at most once with the encoded answer, possibly before this returns; not called for a client
+                that has disconnected.
 
         Returns:
-            The gateway's id of the request, for `client_disconnected`; None if it is answered already.
+            The gateway's id of the request, for `client_disconnected`; None if it is already answered.
         """
         return self._accept(command, reply, None)
 
@@ -180,35 +181,35 @@
         on_permitted: Callable[[str, str, float], None],
         on_ended: Callable[[], None],
     ) -> str | None:
-        """Accept a request that its asker forwards itself.
+        """Accept a request that its caller forwards itself.
 
         Exactly one of `on_refused` and `on_permitted` is called, once.
 
         Args:
             command: The request.
-            on_refused: Called with the final answer as RESP2 encodes it.
+            on_refused: Called with the final answer, encoded as RESP2.
             on_permitted: Called with the server, its address and how long (ms) the permit is valid.
-            on_ended: Called when the permit has ended, by `permitted_request_ended` or by its deadline; its client's id
-                stays open until then.
+            on_ended: Called when the permit has ended, by `permitted_request_ended` or at its deadline; the client's
+                request id stays open until then.
 
         Returns:
             The gateway's id of the request, for `client_disconnected` and `permitted_request_ended`; None if it is
-            refused already.
+            already refused.
         """
         return self._accept(command, on_refused, Authorisation(on_permitted, on_ended))
 
     def permitted_request_ended(
         self, request_id: str, outcome: Outcome, duration_ms: float, load_report: bytes
     ) -> bool:
-        """Take the asker's report on a permitted request; return False if the permit has ended already.
+        """Record the caller's report on a permitted request; return False if the permit has already ended.
 
         Args:
             request_id: The gateway's id of the request.
             outcome: How the request ended at the server.
-            duration_ms: How long it took; 0 if the asker does not say.
+            duration_ms: How long it took; 0 if the caller does not report it.
             load_report: The server's load report, or empty.
         """
-        return self._authorised.end_reported(request_id, outcome, duration_ms, load_report)
+        return self._authorised.record_end(request_id, outcome, duration_ms, load_report)
 
     def _accept(
         self, command: Command, reply: Callable[[bytes], None], authorisation: Authorisation | None
@@ -217,7 +218,7 @@
             reply(DUPLICATE_ANSWER)
             return None
         now_ms = self.now_ms()
-        # Its client's wait may be over: it waited behind other commands on its connection.
+        # The client's wait may already have ended while the command was queued on its connection.
         request = self.requests.add(command, reply, now_ms) if command.wait_ms > 0.0 else None
         if request is None:
             reply(BUSY_ANSWER)
@@ -246,26 +247,26 @@
         return max(0, int(account.shared_units)) if account is not None else 0
 
     def client_disconnected(self, request_id: str) -> None:
-        """End a request whose client has gone."""
+        """End a request whose client has disconnected."""
         request = self.requests.get(request_id)
         if request is not None and not request.is_answered:
             self._finish(request, None)
             self._submit(api.ClientDisconnected(request_id))
 
     def fail_open_requests(self) -> None:
-        """Fail each open request, as the process ends."""
+        """Fail all open requests because the process is shutting down."""
         for request in self.requests.unanswered():
             self._deadline_passed(request)
 
     def _deadline_passed(self, request: PendingRequest) -> None:
-        """Fail a request whose client's wait ends, whatever the limiter does."""
+        """Fail a request shortly before its client's wait ends, independently of the limiter."""
         if not request.is_answered:
             self._finish(request, FAILED_ANSWER)
             self._submit(api.ClientDisconnected(request.request_id))
 
     def _attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
         request = self.requests.get(attempt.request_id)
-        assert request is not None  # it is held while an attempt is open
+        assert request is not None  # a request with an open attempt is not removed
         request.open_attempts -= 1
         if outcome is Outcome.OK and value is not None and not request.is_answered:
             self._finish(request, b"$%d\r\n%b\r\n" % (len(value), value))
@@ -280,10 +281,13 @@
                 request.is_answered,
             )
         )
-        self.requests.remove_if_over(request)
+        self.requests.remove_if_finished(request)
 
     def _finish(self, request: PendingRequest, answer: bytes | None) -> None:
-        """Mark a request as answered and answer it; None if its client has gone. Nothing else does either."""
+        """Mark a request as answered and send the answer, or None if its client has disconnected.
+
+        This is the only place that does either.
+        """
         request.is_answered = True
         self.requests.client_ids.discard(request.command.client_request_id)
         request.cancel_deadline()
@@ -292,17 +296,17 @@
         if answer is not None:
             request.reply(answer)
         for attempt in request.attempts:
-            if not attempt.is_sent:  # its connection is coming up: nothing is forwarded once the request is answered
+            if not attempt.is_sent:  # still connecting: nothing is forwarded once the request is answered
                 attempt.abandon(Outcome.CANCELLED)
-        self.requests.remove_if_over(request)
+        self.requests.remove_if_finished(request)
 
     # The limiter
 
     def _submit(self, event: api.Event) -> None:
         """Pass an event to the limiter and carry out its actions.
 
-        What happens while actions are carried out (an attempt that fails at once, say) is queued, as the limiter must
-        not be entered again before all actions of the event before are done.
+        Events that occur while actions are carried out (such as an attempt that fails at once) are queued, because the
+        limiter must not be re-entered before all actions of the previous event are done.
         """
         self._events.append(event)
         if self._is_handling:
@@ -317,8 +321,8 @@
     def _handle(self, event: api.Event) -> None:
         try:
             actions = self._limiter.handle(event, self.now_ms())
-        except Exception:  # one event that the limiter cannot handle must not end all other requests
-            log.exception("the limiter failed on %s", type(event).__name__)
+        except Exception:  # an event that the limiter cannot handle must not affect other requests
+            log.exception("the limiter raised an exception on event %s", type(event).__name__)
             return
         self._perform_all(actions)
 
@@ -326,8 +330,8 @@
         for action in actions:
             try:
                 self._perform(action)
-            except Exception:  # the actions that follow belong to other requests
-                log.exception("an action failed: %s", type(action).__name__)
+            except Exception:  # the following actions may belong to other requests
+                log.exception("action %s failed", type(action).__name__)
 
     def _perform(self, action: api.Action) -> None:  # noqa: C901
         match action:
@@ -353,7 +357,7 @@
             case api.Log(text):
                 log.info("%s", text)
             case api.Subscribe() | api.FetchServerList():
-                pass  # the watch of discovery is always open here
+                pass  # the gateway always watches discovery
 
     def _answer(self, request_id: str, answer: bytes) -> None:
         request = self.requests.get(request_id)
@@ -363,7 +367,7 @@
     def _start_attempt(self, request_id: str, server_id: str, timeout_ms: float) -> None:
         request = self.requests.get(request_id)
         if request is None or request.is_answered:
-            return  # the gateway has answered it meanwhile, as the limiter had failed on an event
+            return  # already answered by the gateway, because the limiter raised an exception on an event
         request.open_attempts += 1
         attempt = self.server_pools.start_attempt(
             request_id, len(request.attempts), server_id, timeout_ms, request.command.encode
--- a/elderlock/net/open_requests.py
+++ b/elderlock/net/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that a gateway has accepted, and the limits on their number and memory."""
+"""The requests that a gateway has accepted, limited in number and memory."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from elderlock.net.server_connection import Attempt
 
 BYTES_PER_MB = 1 << 20
-# Of the memory, for open requests; the program itself and its connections need the rest, also where the limit is 32 MB.
+# Fraction of the memory for open requests; the program and its connections need the rest, even with a limit of 32 MB.
 REQUEST_MEMORY_FRACTION = 0.25
-# Memory that one request takes beside its command, answer included.
+# Memory that a request uses in addition to its command, including the answer.
 REQUEST_OVERHEAD_BYTES = 1 << 13
 
 
 class Authorisation:
-    """The asker's side of a request that it forwards itself.
+    """The callbacks and permit of a request that its caller forwards itself.
 
     Attributes:
         on_permitted: Called once with the server, its address and how long (ms) the permit is valid.
-        on_ended: Called when the permit has ended, by the asker's report or by its deadline.
-        server_id: The server that the request may go to; empty until it is permitted.
+        on_ended: Called when the permit has ended, by the caller's report or at its deadline.
+        server_id: The server that the request may be sent to; empty until it is permitted.
         expiry_timer: Ends the permit at its deadline.
     """
 
@@ -35,20 +35,20 @@
 
 
 class PendingRequest:
-    """A request accepted from a client, until it is answered and none of its attempts is open.
+    """An accepted request, until it is answered and none of its attempts is open.
 
     Attributes:
-        request_id: The gateway's id of the request, by which the limiter knows it. The client's own may come again
-            while an attempt for the answered request is still open.
-        command: The request as parsed.
+        request_id: The gateway's id of the request, also used by the limiter. The client's id cannot be used, as the
+            client may reuse it while an attempt for the answered request is still open.
+        command: The parsed request.
         reply: Called once with the encoded answer.
-        attempts: All attempts so far, by their index.
+        attempts: All attempts so far, by index.
         open_attempts: Number of attempts that have no outcome yet.
         arrived_at_ms: When it was accepted.
-        memory_bytes: Memory that it takes.
-        is_answered: Whether it has its final answer, or its client has gone.
-        authorisation: Set where the asker forwards the request itself.
-        deadline_timer: Fails the request when its client's wait is nearly over.
+        memory_bytes: Memory that it uses.
+        is_answered: Whether it has its final answer, or its client has disconnected.
+        authorisation: Set if the caller forwards the request itself.
+        deadline_timer: Fails the request shortly before its client's wait ends.
     """
 
     __slots__ = (
@@ -91,21 +91,22 @@
 
 
 class OpenRequests:
-    """The accepted requests by their ids, bounded in number and memory.
+    """The accepted requests by id, limited in number and memory.
 
     Attributes:
-        max_count: The most requests held at once.
+        max_count: Maximum number of requests held at once.
         free_bytes: Memory left for further requests.
-        client_ids: Clients' ids of the requests that are not answered. The same id is not accepted twice.
-        get: Returns the request of an id, or None. It is the dictionary's own method, as each request calls it.
+        client_ids: Clients' ids of the unanswered requests. The same id is not accepted twice.
+        get: Returns the request with an id, or None. It is the dictionary's method, without a wrapper, because it is
+            called several times for each request.
     """
 
     def __init__(self, max_count: int, memory_mb: float) -> None:
         """Initialise an empty table.
 
         Args:
-            max_count: The most requests held at once.
-            memory_mb: Memory that the whole process may take.
+            max_count: Maximum number of requests held at once.
+            memory_mb: Maximum memory of the whole process in MB.
         """
         self.max_count = max_count
         self.free_bytes = memory_mb * BYTES_PER_MB * REQUEST_MEMORY_FRACTION
@@ -115,12 +116,12 @@
         self.get = self._requests.get
 
     def __len__(self) -> int:
-        """Return the number of requests held, answered ones with open attempts included."""
+        """Return the number of requests held, including answered ones with open attempts."""
         return len(self._requests)
 
     def add(self, command: Command, reply: Callable[[bytes], None], now_ms: float) -> PendingRequest | None:
         """Accept a request; return None if one more would exceed the limits."""
-        # its command as it came, and once more on its way to a server
+        # The command is held twice: as received, and as encoded for a server.
         memory_bytes = REQUEST_OVERHEAD_BYTES + 2 * command.size_bytes
         free_bytes = self.free_bytes - memory_bytes
         if len(self._requests) >= self.max_count or free_bytes < 0.0:
@@ -136,8 +137,8 @@
         """Return the requests that have no final answer yet."""
         return [request for request in self._requests.values() if not request.is_answered]
 
-    def remove_if_over(self, request: PendingRequest) -> None:
-        """Forget a request that is answered and has no attempt open."""
+    def remove_if_finished(self, request: PendingRequest) -> None:
+        """Remove a request if it is answered and has no open attempt."""
         if not request.is_answered or request.open_attempts != 0:
             return
         if self._requests.pop(request.request_id, None) is not None:
--- a/elderlock/net/peers.py
+++ b/elderlock/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other limiters, which are known by their source addresses."""
+"""Datagrams to and from the other limiters, which are identified by their source addresses."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 
 from elderlock.net.config import Address
 
-# The protocol's limit between limiters.
+# Maximum size of a datagram in the protocol between limiters.
 MAX_DATAGRAM_BYTES = 256
 MS_PER_S = 1000.0
 
 
 class PeerTransport(asyncio.DatagramProtocol):
-    """Sends and receives datagrams. Loss is normal: what cannot be sent, or is not wanted, is dropped silently."""
+    """Sends and receives datagrams.
+
+    Loss is normal: datagrams that cannot be sent or are not accepted are dropped without a log line.
+    """
 
     def __init__(
         self,
@@ -27,10 +30,10 @@
         """Initialise the transport, a protocol for `create_datagram_endpoint`.
 
         Args:
-            peers: All limiters' addresses by their index.
-            broadcast_address: Reaches all other limiters; None without one.
-            max_messages_per_s: Messages received a second, and at once, above which further ones are dropped (a token
-                bucket).
+            peers: All limiters' addresses by index.
+            broadcast_address: The address that reaches all other limiters; None if there is none.
+            max_messages_per_s: Rate and burst of the token bucket that limits received messages; further messages are
+                dropped.
             on_message: Called with the sender's index and the datagram.
             now_ms: Returns the current time.
         """
@@ -45,13 +48,14 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)  # uvloop's transports do not derive from asyncio's
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass on a peer's datagram.
+        """Pass a peer's datagram to `on_message`.
 
-        A stranger must not speak for a peer, nor a flood of datagrams take the CPU from requests.
+        Datagrams from unknown addresses are dropped, so that no other host can impersonate a peer. The rate limit keeps
+        a flood of datagrams from taking CPU time from requests.
         """
         now_ms = self._now_ms()
         refill = self._max_messages_per_s * (now_ms - self._tokens_at_ms) / MS_PER_S
@@ -64,10 +68,10 @@
         self._on_message(sender, data)
 
     def error_received(self, _exc: Exception) -> None:
-        """Ignore the ICMP errors of a peer that is down: the limiter notices its silence."""
+        """Ignore ICMP errors from a peer that is down: the limiter detects that it does not answer."""
 
     def send(self, receiver: int, data: bytes) -> None:
-        """Send a datagram to the peer of an index, or to all for a negative one."""
+        """Send a datagram to the peer with the index `receiver`, or to all peers if it is negative."""
         address = self._broadcast_address if receiver < 0 else self._peers[receiver]
         if self._transport is not None and address is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self._transport.sendto(data, address)
--- a/elderlock/net/request_observer.py
+++ b/elderlock/net/request_observer.py
@@ -1,4 +1,4 @@
-"""What an observer of the gateway hears; the one way in for `elderlock.control`."""
+"""The interface of a gateway's observer, through which `elderlock.control` is connected."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class RequestObserver(Protocol):
-    """Hears the answers of all requests, and applies an operator's drains to the server lists."""
+    """Is notified of all answers and load reports, and applies operators' drains to the server lists."""
 
     def on_endpoint_list(self, listed: EndpointList) -> EndpointList:
-        """Return the list that the limiter shall apply for one from discovery."""
+        """Return the list that the limiter applies in place of a list from discovery."""
 
-    def on_answer(self, command: Command, took: float, answer: bytes | None) -> None:
-        """Record a request's final answer after `took` ms; None if its client has gone."""
+    def on_answer(self, command: Command, latency_ms: float, answer: bytes | None) -> None:
+        """Record a request's final answer after `latency_ms`; None if its client has disconnected."""
 
     def on_load_report(self, server: str, report: bytes) -> None:
-        """Record the load report that came with a server's answer."""
+        """Record the load report in a server's answer."""
--- a/elderlock/net/resp.py
+++ b/elderlock/net/resp.py
@@ -1,9 +1,9 @@
-"""A strict reader of RESP2 as its bytes come: clients' commands and servers' answers.
+"""A strict incremental parser of RESP2, for clients' commands and servers' answers.
 
-Source: the Redis serialisation protocol, version 2. A client library would be too lenient: one that takes any array,
-reserves memory for what a header announces, or skips the line end behind a string lets one wrong length stop the
-process, or shift what follows so that one request gets the answer of another. Whatever is not of the protocol's form is
-a `ProtocolError`, as soon as that can be seen and before the bytes that it announces are taken in.
+Source: the Redis serialisation protocol, version 2. Client libraries are too lenient: they may accept any array,
+allocate the memory that a header announces, or skip the line end after a string. A single wrong length could then stop
+the process, or shift the following bytes so that a request gets another request's answer. Input that violates the
+protocol raises `ProtocolError` as soon as that can be detected, before the announced bytes are buffered.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 from elderlock.net.errors import NetError
 
-# The protocol's limit of a value, and of a command's body.
+# Maximum size of a value and of a command's body in the protocol.
 MAX_VALUE_BYTES = 1 << 16
-# Of a usage figure or a load report.
+# Maximum size of a usage figure or a load report.
 MAX_FIGURE_BYTES = 256
 MAX_ERROR_BYTES = 512
-# Of a line that announces a length.
+# Maximum size of a line that announces a length.
 MAX_HEADER_BYTES = 12
 MAX_ARGUMENTS = 16
-# Of an argument that is not a body.
+# Maximum size of an argument other than the body.
 MAX_ARGUMENT_BYTES = 1 << 12
 # Index of a command's body, if it has one.
 BODY_INDEX = 4
-# Items of a good answer: the value, a usage figure and the load report.
+# Number of items of a successful answer: the value, a usage figure and the load report.
 ANSWER_ITEMS = 3
 LENGTH_PATTERN = re.compile(rb"0|[1-9][0-9]{0,9}")
 INTEGER_PATTERN = re.compile(rb"-?[0-9]{1,19}")
@@ -32,7 +32,7 @@
 ARRAY_MARK = b"*"
 BULK_STRING_MARK = b"$"
 LINE_END = b"\r\n"
-# A command of four arguments within `MAX_ARGUMENT_BYTES`; their lengths are compared with the announced ones apart.
+# A command of four arguments up to `MAX_ARGUMENT_BYTES`; the announced lengths are checked after a match.
 FOUR_ARGUMENT_COMMAND_PATTERN = re.compile(rb"\*4\r\n" + rb"\$(0|[1-9][0-9]{0,3})\r\n([^\r\n]{0,4096}+)\r\n" * 4)
 # The usual answer: a value, no usage figure, and a load report without line ends.
 ANSWER_HEAD_PATTERN = re.compile(rb"\*3\r\n\$(0|[1-9][0-9]{0,4})\r\n")
@@ -40,35 +40,35 @@
 
 
 class ProtocolError(NetError):
-    """What came is of no known form; where the next message begins cannot be seen."""
+    """The input violates the protocol, so the start of the next message cannot be found."""
 
 
 class MessageReader:
-    """The bytes that have come and are not used up.
+    """Buffers received bytes that are not parsed yet.
 
-    A message is read item by item, so that one that comes in pieces is not read from its start at each of them.
+    A message is parsed item by item, so that a message received in pieces is not parsed from its start each time.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._position = 0
-        self._array_length: int | None = None  # of the array begun; None between messages
-        self._string_length: int | None = None  # of the bulk string begun
+        self._array_length: int | None = None  # length of the incomplete array; None between messages
+        self._string_length: int | None = None  # length of the incomplete bulk string
         self._items: list[bytes | None] = []
 
     def feed(self, data: bytes | bytearray | memoryview) -> None:
-        """Append what came."""
+        """Append received bytes."""
         if self._position:
             del self._buffer[: self._position]
             self._position = 0
         self._buffer += data
 
     def pending_bytes(self) -> int:
-        """Return the number of bytes not used up, at least 1 within a message."""
+        """Return the number of unparsed bytes, which is at least 1 within a message."""
         return len(self._buffer) - self._position + (self._array_length is not None)
 
     def _read_line(self, max_bytes: int) -> bytes | None:
-        """Read the next line without its end; return None until that has come."""
+        """Read the next line without its line end; return None until it is complete."""
         end = self._buffer.find(LINE_END, self._position, self._position + max_bytes + 2)
         if end < 0:
             if len(self._buffer) - self._position > max_bytes + 1:
@@ -79,13 +79,13 @@
         return line
 
     def _read_array_header(self, max_items: int) -> bool:
-        """Read the header of an array unless one is begun; return whether one is."""
+        """Read the header of an array unless it is already read; return whether it is."""
         if self._array_length is None and (line := self._read_line(MAX_HEADER_BYTES)) is not None:
             self._array_length = _parse_length(line, ARRAY_MARK, max_items)
         return self._array_length is not None
 
     def _read_bulk_string(self, max_bytes: int) -> bytes | None:
-        """Read the next bulk string; return None until it has come."""
+        """Read the next bulk string; return None until it is complete."""
         if self._string_length is None:
             line = self._read_line(MAX_HEADER_BYTES)
             if line is None:
@@ -104,7 +104,7 @@
         return value
 
     def _take_items(self) -> list[bytes | None]:
-        """Return the items of the array that is complete, and begin the next message."""
+        """Return the items of the complete array, and reset the state for the next message."""
         items = self._items
         self._items = []
         self._array_length = None
@@ -115,10 +115,10 @@
     """Reads one command after another."""
 
     def next_message(self) -> list[bytes] | None:
-        """Read the next command, an array of one bulk string or more; return None until it is complete.
+        """Read the next command, an array of one or more bulk strings; return None until it is complete.
 
         Raises:
-            ProtocolError: What came is no command.
+            ProtocolError: The input is not a command.
         """
         if self._array_length is None:
             if self._position == len(self._buffer):
@@ -139,9 +139,9 @@
         return [item for item in self._take_items() if item is not None]
 
     def _match_four_arguments(self) -> list[bytes] | None:
-        """Read a complete command of four strings without line ends, as nearly all are, in one match.
+        """Read a complete command of four strings without line ends in one match; nearly all commands have this form.
 
-        Whatever else came is left for the reading item by item, which decides on it.
+        Any other input is left for parsing item by item.
         """
         found = FOUR_ARGUMENT_COMMAND_PATTERN.match(self._buffer, self._position)
         if found is None:
@@ -159,18 +159,18 @@
 
 
 class AnswerReader(MessageReader):
-    """Reads the one answer that a server gives to one request."""
+    """Reads a server's answer to a request."""
 
     def next_message(self) -> tuple[bytes | None, bytes] | None:
         """Read the answer; return None until it is complete.
 
-        A load report that cannot be used does not spoil the value, so it is only checked for its form.
+        An unusable load report does not invalidate the value, so only its encoding is checked.
 
         Returns:
-            The value and the load report of a good answer; or None and the text of an error line.
+            The value and the load report of a successful answer, or None and the text of an error line.
 
         Raises:
-            ProtocolError: What came is no answer.
+            ProtocolError: The input is not an answer.
         """
         if self._array_length is None:
             if (usual := self._match_usual_answer()) is not None:
@@ -190,7 +190,7 @@
         return value, load_report or b""
 
     def _read_items(self) -> bool:
-        """Read the items of the array that have come; return whether it is complete."""
+        """Read the items of the array that have arrived; return whether it is complete."""
         while len(self._items) < ANSWER_ITEMS:
             item: bytes | None
             if not self._items:
@@ -205,7 +205,7 @@
         return True
 
     def _match_usual_answer(self) -> tuple[bytes, bytes] | None:
-        """Read a complete answer of the usual form in two matches; whatever else came is left as it is."""
+        """Read a complete answer of the usual form in two matches; any other input is left unchanged."""
         head = ANSWER_HEAD_PATTERN.match(self._buffer, self._position)
         if head is None:
             return None
@@ -221,7 +221,7 @@
         return value, bytes(load_report)
 
     def _read_figure(self) -> tuple[bytes | None] | None:
-        """Read a bulk string, null or integer, in a tuple; return None until it has come."""
+        """Read a bulk string, null or integer into a tuple; return None until it is complete."""
         if self._string_length is None:
             start = self._position
             line = self._read_line(MAX_HEADER_BYTES * 2)
--- a/elderlock/net/server_connection.py
+++ b/elderlock/net/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server, and the attempt that it carries."""
+"""A connection to a server, and the attempt that it carries."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class Attempt:
-    """One copy of a request at one server. It has exactly one outcome, which `end` gives it.
+    """A request sent to one server. It has exactly one outcome, which `end` reports.
 
     Attributes:
         request_id: The gateway's id of the request.
         attempt_index: Index among the request's attempts, from 0.
-        server_id: The server that it goes to.
+        server_id: The server that it is sent to.
         encode: Encodes the command, given how long (ms) this limiter waits for the answer.
-        started_at_ms: When it began, the time to connect included.
+        started_at_ms: When it started, before connecting.
         expires_at_ms: When it times out.
-        is_sent: Whether the command was written: from then on it may run at the server.
-        is_ended: Whether it has its outcome.
-        connection: The connection that carries it, while one does.
-        timer: Its timeout's timer.
+        is_sent: Whether the command was written; from then on the server may execute it.
+        is_ended: Whether it has an outcome.
+        connection: The connection that carries it; None while there is none.
+        timer: The timer of its timeout.
     """
 
     __slots__ = (
@@ -64,7 +64,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def end(self, outcome: Outcome, value: bytes | None = None) -> None:
-        """Give the attempt its outcome; without effect if it has one."""
+        """Set the attempt's outcome; without effect if it already has one."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -76,7 +76,7 @@
     def abandon(self, outcome: Outcome) -> None:
         """Stop waiting for the answer, and end with `outcome`.
 
-        The server learns of it by the end of its connection. A connection that is still coming up goes on, for the
+        The connection is closed, which tells the server. A connection that is still being established is kept for the
         next request.
         """
         connection = self.connection
@@ -85,23 +85,23 @@
         self.end(outcome)
 
     def time_out(self) -> None:
-        """End at the timeout; what was not written to a connection that never came up has not run."""
+        """End the attempt at its timeout. If it was never written, the server has not executed it."""
         self.abandon(Outcome.TIMEOUT if self.is_sent else Outcome.CONNECT_FAILED)
 
 
 class ConnectionState(Enum):
-    """What a connection to a server does."""
+    """The state of a connection to a server."""
 
-    CONNECTING = "connecting"  # not part of its pool yet
+    CONNECTING = "connecting"  # not in its pool yet
     IDLE = "idle"
     BUSY = "busy"  # carries an attempt
 
 
 class ConnectionContext(Protocol):
-    """What all connections to servers share.
+    """Resources and settings that all connections to servers share.
 
     Attributes:
-        receive_buffer: Shared by all connections; what is read is copied before the next read.
+        receive_buffer: Shared by all connections; the bytes are copied out before the next read.
         stall_timeout_s: How long an answer may take from its first byte to its last.
         call_later: Starts a timer on the event loop.
         on_load_report: Called with the server and its load report, if set.
@@ -116,26 +116,26 @@
 
 
 class OwningPool(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """The interface that a connection uses of its pool."""
 
     def release(self, connection: ServerConnection) -> None:
-        """Take back a connection that has its answer."""
+        """Return a connection to the pool once it has its answer."""
 
     def connection_lost(self, connection: ServerConnection) -> None:
         """Stop counting a connection that has ended."""
 
     def remove_idle(self, connection: ServerConnection) -> None:
-        """Take a connection out of the idle ones."""
+        """Remove a connection from the idle connections."""
 
 
 class ServerConnection(asyncio.BufferedProtocol):
     """A connection that carries one attempt at a time.
 
-    Answers come in the order of their requests, so a second request would wait behind a slow first.
+    Servers answer in the order of the requests, so a second request on a connection would wait for a slow first one.
 
     Attributes:
         pool: The pool that it belongs to.
-        state: What it does.
+        state: Its state.
         attempt: The attempt that it carries; None unless it is busy.
         idle_since_ms: When its last attempt ended.
     """
@@ -153,7 +153,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; the pool takes the connection once its task goes on."""
+        """Store the transport; the pool takes the connection over when the task that connects continues."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's transports do not derive from asyncio's
 
     def is_usable(self) -> bool:
@@ -166,7 +166,7 @@
         self.state = ConnectionState.BUSY
         self.attempt = attempt
         attempt.connection = self
-        # From here on it may run: a break before the last byte left cannot be told from one after.
+        # From here on the server may execute it: whether the last byte was sent before a reset is not known.
         attempt.is_sent = True
         self._transport.write(attempt.encode(attempt.expires_at_ms - now_ms))
 
@@ -177,7 +177,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         """Read the answer, and end the attempt once it is complete."""
         if self.attempt is None:
-            # Nothing was asked: a duplicate answer or noise, which must not answer the next request.
+            # No request is open: a duplicate answer or garbage, which must not be taken for the next request's answer.
             self.abort()
             return
         self._reader.feed(self._context.receive_buffer[:nbytes])
@@ -187,11 +187,11 @@
             self._fail_on_bad_answer()
             return
         if answer is None:
-            if self._stall_timer is None:  # the rest of an answer with too great a length never comes
+            if self._stall_timer is None:  # an answer that announces too great a length is never completed
                 self._stall_timer = self._context.call_later(self._context.stall_timeout_s, self._fail_on_bad_answer)
             return
         attempt = self._detach_attempt()
-        if self._reader.pending_bytes():  # more than belongs to the answer, which is good; the connection is not
+        if self._reader.pending_bytes():  # bytes follow the answer: it is valid, but the connection cannot be reused
             self.abort()
         else:
             self.pool.release(self)
@@ -206,7 +206,7 @@
             attempt.end(Outcome.FULL if text.split(b" ", 1)[0] == b"BUSY" else Outcome.ERROR)
 
     def drop(self) -> None:
-        """Stop waiting for the answer, which the server learns of by the end of its connection."""
+        """Stop waiting for the answer and close the connection, which tells the server."""
         self._detach_attempt()
         self.abort()
 
@@ -222,16 +222,16 @@
         return attempt
 
     def _fail_on_bad_answer(self) -> None:
-        """End the attempt as failed: it may have run, and nothing more can be read from this connection."""
+        """End the attempt as failed: the server may have executed it, and the connection can no longer be parsed."""
         attempt = self.attempt
         self.drop()
         if attempt is not None:
             attempt.end(Outcome.ERROR)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End the attempt as reset: it may have run."""
+        """End the attempt as reset: the server may have executed it."""
         attempt = self._detach_attempt()
-        if self.state is not ConnectionState.CONNECTING:  # until then the pool counts the task that connects
+        if self.state is not ConnectionState.CONNECTING:  # while connecting, `ServerPools._connect` does the counting
             self.pool.connection_lost(self)
         if attempt is not None:
             attempt.end(Outcome.RESET)
--- a/elderlock/net/server_pool.py
+++ b/elderlock/net/server_pool.py
@@ -1,4 +1,4 @@
-"""Pools of connections to the servers: by address, bounded together, closed once idle for too long."""
+"""Pools of connections to the servers, one per address, with a common limit and an idle timeout."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from elderlock.net.server_connection import Attempt, AttemptEndedCallback, ConnectionState, ServerConnection
 from elderlock.settings_reader import SocketSettings
 
-# Of the process's descriptors; the rest is for clients, discovery and peers.
+# Fraction of the process's descriptors; the others are for clients, discovery and peers.
 SERVER_DESCRIPTOR_FRACTION = 0.3
-# Of those: one server that hangs must not take the connections of all others.
+# Fraction of those for one server, so that a server that hangs cannot use up the connections of all others.
 MAX_PER_SERVER_FRACTION = 0.5
-# Of the servers' keepalive: a request written once that has run out ends as a reset.
+# Fraction of the servers' keepalive timeout: a request written after the timeout ends as a reset.
 IDLE_KEEPALIVE_FRACTION = 0.8
-# Wait before a connection is used again, in which a duplicate that comes right behind an answer is seen.
+# Delay before a connection is reused; a duplicate that directly follows an answer is detected meanwhile.
 REUSE_DELAY_MS = 20.0
-# Of the latency objective: how long a request waits for a new connection before it goes elsewhere.
+# Fraction of the latency objective: how long a request waits for a new connection before it is sent elsewhere.
 CONNECT_OBJECTIVE_FRACTION = 0.15
-# Of the latency objective: the most between the first byte of an answer and its last.
+# Fraction of the latency objective: the maximum time between the first byte of an answer and its last.
 STALL_OBJECTIVE_FRACTION = 0.1
 RECEIVE_BUFFER_BYTES = 1 << 14
-# Errors of this machine, from which nothing is learnt of the server.
+# Errors caused by this machine's limits, which do not count against the server.
 LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM)
 
 
 class ServerPool:
-    """The connections to one process at one address; a process that restarted gets a new pool.
+    """The connections to one server process at one address; a restarted process gets a new pool.
 
     Attributes:
-        address: Where the connections go.
-        entry: The server as listed when the pool was made.
+        address: The address that the connections are opened to.
+        entry: The server's entry in the list when the pool was created.
         idle: Idle connections, the most recently used last.
-        connection_count: Open connections, and those that are coming up.
+        connection_count: Number of open connections and of those being established.
         is_draining: Whether no new attempt is sent.
         is_closed: Whether the pool is no longer in use.
     """
@@ -54,12 +54,12 @@
         self.is_draining = False
         self.is_closed = False
 
-    def is_of(self, listed: ListedServer) -> bool:
+    def is_same_process(self, listed: ListedServer) -> bool:
         """Whether the listed server is the same process at the same address."""
         return self.address == listed.address and self.entry.started_at_ms == listed.entry.started_at_ms
 
     def release(self, connection: ServerConnection) -> None:
-        """Take back a connection that has its answer, or that came up for nothing."""
+        """Return a connection to the pool once it has its answer, or if its attempt ended before it was established."""
         if self.is_draining or self.is_closed:
             connection.abort()
         elif connection.is_usable():
@@ -75,15 +75,15 @@
             self.remove_idle(connection)
 
     def remove_idle(self, connection: ServerConnection) -> None:
-        """Take a connection out of the idle ones."""
+        """Remove a connection from the idle connections."""
         self.idle.remove(connection)
         del self._pools.idle_connections[connection]
 
     def take_idle(self) -> ServerConnection | None:
-        """Take the most recently used connection that may be used again; return None if there is none.
+        """Take the most recently used connection that can be reused; return None if there is none.
 
-        It must have been idle long enough for whatever came behind its answer to show: a duplicate that arrives once
-        it carries the next request would be taken for that one's answer.
+        It must have been idle long enough to detect bytes that follow its last answer: a duplicate that arrives while
+        it carries the next request would be taken for the answer to that request.
         """
         now_ms = self._pools.now_ms()
         for index in range(len(self.idle) - 1, -1, -1):
@@ -108,7 +108,7 @@
 
 
 class ServerPools:
-    """The pools of all listed servers, bounded together.
+    """The pools of all listed servers, with a common limit.
 
     Attributes:
         now_ms: Returns the current time.
@@ -116,7 +116,7 @@
         stall_timeout_s: How long an answer may take from its first byte to its last.
         idle_limit_ms: How long a connection may be idle.
         reuse_delay_ms: How long a connection must be idle before it is used again.
-        connection_count: Open connections of all pools, and those that are coming up.
+        connection_count: Number of open connections of all pools and of those being established.
         receive_buffer: Shared by all connections.
         on_load_report: Called with the server and its load report, if set.
         idle_connections: Idle connections of all pools, the longest idle first.
@@ -131,15 +131,15 @@
         now_ms: Callable[[], float],
         on_attempt_end: AttemptEndedCallback,
     ) -> None:
-        """Initialise without pools; `apply_list` makes them.
+        """Initialise without pools; `apply_list` creates them.
 
         Args:
             loop: The event loop.
             settings: Timeouts of connections.
-            latency_objective_ms: The shortest objective of the request classes.
-            max_descriptors: Descriptors that the whole process may hold.
+            latency_objective_ms: The shortest latency objective of the request classes.
+            max_descriptors: Maximum number of file descriptors of the whole process.
             now_ms: Returns the current time.
-            on_attempt_end: Called with the one outcome of each attempt.
+            on_attempt_end: Called once for each attempt, with its outcome.
         """
         self._loop = loop
         self._on_attempt_end = on_attempt_end
@@ -157,18 +157,18 @@
         self.on_load_report: Callable[[str, bytes], None] | None = None
         self._pools: dict[str, ServerPool] = {}
         self._by_address: dict[Address, ServerPool] = {}
-        # a plain dict would step over the entries deleted at its front each time
+        # Finding the first key of a plain dict skips all entries that were deleted at its front.
         self.idle_connections: OrderedDict[ServerConnection, None] = OrderedDict()
-        self._connect_tasks: set[asyncio.Task[None]] = set()  # a task that nothing references may be collected
+        self._connect_tasks: set[asyncio.Task[None]] = set()  # an unreferenced task may be garbage-collected
 
-    # The list
+    # Server lists
 
     def apply_list(self, listed: EndpointList) -> list[ServerEntry]:
-        """Make, drain and close pools as a list says.
+        """Create, drain and close pools according to a list.
 
         Returns:
-            The servers whose address another one has by now, as removed: what was sent under the old name would reach
-            a process that nobody meant, one that is still warming up.
+            Entries that mark servers as removed because a newer server has their address. Requests sent to such a
+            server would reach the newer process, which may still be warming up.
         """
         if listed.is_complete:
             named = {each.entry.server_id for each in listed.servers}
@@ -192,7 +192,7 @@
         return replaced
 
     def _older_at_address(self, listed: ListedServer) -> ServerEntry | None:
-        """Return the older of two servers that claim one address, or None if only this one does."""
+        """Return the older of two servers that are listed with the same address, or None if there is only one."""
         other = self._by_address.get(listed.address)
         if other is None or other is self._pools.get(listed.entry.server_id):
             return None
@@ -201,7 +201,7 @@
     def _apply_server(self, listed: ListedServer) -> None:
         server_id = listed.entry.server_id
         pool = self._pools.get(server_id)
-        if pool is not None and not pool.is_of(listed):  # connections of the process before are dead or soon will be
+        if pool is not None and not pool.is_same_process(listed):  # connections to the old process break
             self._remove(server_id)
             pool = None
         if pool is None:
@@ -211,7 +211,7 @@
             pool.close_idle()
 
     def endpoints(self) -> dict[str, tuple[str, int]]:
-        """Return each server's address as text and the number of its connections, those coming up included."""
+        """Return each server's address as text and its number of connections, including those being established."""
         return {server_id: ("%s:%d" % pool.address, pool.connection_count) for server_id, pool in self._pools.items()}
 
     def _remove(self, server_id: str) -> None:
@@ -229,7 +229,7 @@
     def start_attempt(
         self, request_id: str, attempt_index: int, server_id: str, timeout_ms: float, encode: Callable[[float], bytes]
     ) -> Attempt:
-        """Start an attempt; its timeout runs from now, the time to connect included."""
+        """Start an attempt; its timeout starts now and includes the time to connect."""
         attempt = Attempt(request_id, attempt_index, server_id, encode, self._on_attempt_end)
         attempt.started_at_ms = self.now_ms()
         attempt.expires_at_ms = attempt.started_at_ms + timeout_ms
@@ -241,7 +241,7 @@
         if connection is not None:
             self._send_on(attempt, connection)
         elif pool.connection_count >= self._max_per_server or not self._reserve_connection():
-            attempt.end(Outcome.NOT_FORWARDED)  # the limit is this limiter's: nothing is learnt of the server
+            attempt.end(Outcome.NOT_FORWARDED)  # the limit is this limiter's and does not count against the server
         else:
             self._start_connecting(pool, attempt, timeout_ms)
         return attempt
@@ -249,7 +249,8 @@
     def _start_connecting(self, pool: ServerPool, attempt: Attempt, timeout_ms: float) -> None:
         """Open a connection for an attempt.
 
-        One that hangs must leave the request time for another server. It goes on, for the next request.
+        If connecting hangs, the attempt ends early enough for the request to try another server. The connection is
+        still established, for the next request.
         """
         wait_ms = min(timeout_ms, self._connect_wait_ms)
         attempt.timer = self.call_later(max(wait_ms, 0.0) / 1000.0, attempt.time_out)
@@ -267,7 +268,7 @@
         connection.send(attempt, now_ms)
 
     def _reserve_connection(self) -> bool:
-        """Return whether one more may be opened; at the limit, the longest idle one is closed for it."""
+        """Return whether a connection may be opened; at the limit, the longest idle one is closed to make room."""
         if self.connection_count < self._max_connections:
             return True
         if not self.idle_connections:
@@ -288,32 +289,32 @@
             async with asyncio.timeout(self._connect_timeout_s):
                 await self._loop.create_connection(lambda: connection, host, port)
         except (OSError, TimeoutError) as error:
-            connection.abort()  # it may have come up in the same moment
+            connection.abort()  # it may have been established at the same moment
             if isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS:
                 failure = Outcome.NOT_FORWARDED
-        if not connection.is_usable():  # no longer counted, whether or not it was up for a moment
+        if not connection.is_usable():  # stop counting it, even if it was established briefly
             pool.connection_count -= 1
             self.connection_count -= 1
             attempt.end(failure)
             return
         connection.state = ConnectionState.IDLE
-        if attempt.is_ended:  # cancelled or timed out meanwhile: nothing may be written for it any more
+        if attempt.is_ended:  # cancelled or timed out while connecting: nothing may be written for it
             pool.release(connection)
-        elif pool.is_draining or pool.is_closed:  # a list said so while the connection came up
+        elif pool.is_draining or pool.is_closed:  # a list changed this while connecting
             pool.release(connection)
             attempt.end(Outcome.NOT_FORWARDED)
         else:
             self._send_on(attempt, connection)
 
-    # Upkeep
+    # Maintenance
 
     def close_expired(self) -> None:
-        """Close connections that were idle too long, before the servers do so under a request just written."""
+        """Close connections that were idle too long, before a server closes one just as a request is written."""
         limit_ms = self.now_ms() - self.idle_limit_ms
         while self.idle_connections and next(iter(self.idle_connections)).idle_since_ms < limit_ms:
             self._close_longest_idle()
 
     def close(self) -> None:
-        """Close all pools; attempts that are open go on."""
+        """Close all pools; open attempts continue."""
         for pool in self._pools.values():
             self._close(pool)
--- a/elderlock/net/shutdown.py
+++ b/elderlock/net/shutdown.py
@@ -1,8 +1,8 @@
 """The graceful shutdown of a limiter, on SIGTERM, SIGINT or an operator's command.
 
-For a while connections are still accepted, as the load balancer goes on sending them. What comes is served. Each
-connection closes once it has no answer pending. Requests that are open near the time of SIGKILL are failed, so that
-each has its answer.
+Connections are still accepted for a while, because the load balancer keeps sending them, and their requests are served.
+Each connection closes once it has no pending answer. Requests that are still open shortly before SIGKILL are failed, so
+that each of them gets an answer.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 
 # The load balancer may send new connections for 0.4 s after SIGTERM.
 ACCEPT_AFTER_SIGTERM_S = 0.5
-# SIGKILL comes this long after the longest deadline of a request, at the soonest.
+# SIGKILL is sent no sooner than this time after the longest deadline of a request.
 KILL_DELAY_S = 0.7
-# Of a longer deadline, only this much is waited for.
+# Upper limit of the deadline that is waited for.
 MAX_DEADLINE_S = 3.0
-# Before SIGKILL: what is still open is failed, and the answers leave.
+# Time reserved before SIGKILL for failing open requests and sending their answers.
 FINAL_ANSWERS_S = 0.3
 
 log = logging.getLogger(__name__)
 
 
 def drain_time_limit_s(config: Config) -> float:
-    """Return the time from SIGTERM until open requests are failed; SIGKILL would cut them off soon after."""
+    """Return the time from SIGTERM until open requests are failed, which is shortly before SIGKILL."""
     longest_deadline_s = min(config.socket_settings.longest_deadline_ms / 1000.0, MAX_DEADLINE_S)
     return longest_deadline_s + KILL_DELAY_S - FINAL_ANSWERS_S
 
 
 async def shut_down(running: RunningLimiter) -> None:
     """Drain a limiter and close its parts."""
-    log.info("%s stops", running.config.name)
+    log.info("%s is shutting down", running.config.name)
     drain = running.listener.drain(ACCEPT_AFTER_SIGTERM_S, drain_time_limit_s(running.config))
     if running.features is None:
         await drain
--- a/elderlock/net/startup.py
+++ b/elderlock/net/startup.py
@@ -1,4 +1,4 @@
-"""Starts a limiter: makes its parts, connects them, and opens the listener once a server list is known."""
+"""Starts a limiter: creates and connects its parts, and opens the listener once there is a server list."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from elderlock.net.peers import PeerTransport
 from elderlock.net.signals import handle_reload_signal, handle_stop_signals
 
-# How long the first list of discovery is waited for; without it the cached one is used, if there is one.
+# How long to wait for the first list from discovery before clients are accepted without it.
 FIRST_LIST_TIMEOUT_S = 1.0
 
 log = logging.getLogger(__name__)
 
 
 class OptionalFeatures(Protocol):
-    """What the operators' file switches on (`elderlock.operators`), in the order in which it is called."""
+    """The features that the operators' file enables (`elderlock.operators`), in the order of the calls."""
 
     def with_routing(self, config: Config) -> Config:
         """Return the configuration with the file's routing."""
 
     def coordinator_type(self, limiter_count: int) -> type[QuotaCoordinator]:
-        """Return the class that decides whether requests are within the shared quota."""
+        """Return the class of the limiter's part that decides whether requests are within the shared quota."""
 
     def limiter_type(self, settings: api.Settings) -> type[Limiter]:
         """Return the limiter's class."""
@@ -46,19 +46,19 @@
         discovery_status: Callable[[], str],
         stop: Callable[[], None],
     ) -> None:
-        """Start what must see the first server list; before the gateway starts."""
+        """Start the features that must receive the first server list; called before the gateway starts."""
 
     async def start_authz(self) -> None:
-        """Open further frontends; after the listener for clients."""
+        """Start the authorisation service; called after the listener for clients is open."""
 
     def reload(self) -> None:
-        """Read again what a reload may change."""
+        """Read the files again that a reload may change."""
 
     async def stop_authz(self) -> None:
-        """Drain the further frontends, while clients are still answered."""
+        """Drain the authorisation service, while clients are still answered."""
 
     def close(self) -> None:
-        """Close what is left."""
+        """Close the other features."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
         listener: The listener for clients.
         discovery: Follows the server list.
         peers: Datagrams to the other limiters; None without peers.
-        features: What the operators' file switches on; None without one.
+        features: The optional features; None without an operators' file.
     """
 
     config: Config
@@ -87,21 +87,21 @@
 
     Args:
         config: The configuration.
-        features: What the operators' file switches on; None without one.
-        stop: Set by SIGTERM, SIGINT or an operator's command, for the caller to shut down.
+        features: The optional features; None without an operators' file.
+        stop: Set by SIGTERM, SIGINT or an operator's command; the caller then has to shut the limiter down.
 
     Raises:
         OSError: An address cannot be bound.
         ConfigError: The operators' file cannot be used.
     """
     loop = asyncio.get_running_loop()
-    quota_source = QuotaCoordinator
-    limiter = Limiter
+    coordinator_type = QuotaCoordinator
+    limiter_type = Limiter
     if features is not None:
         config = features.with_routing(config)
-        quota_source = features.coordinator_type(config.settings.limiter_count)
-        limiter = features.limiter_type(config.settings)
-    gateway = Gateway(loop, config, Clock(), quota_source, limiter)
+        coordinator_type = features.coordinator_type(config.settings.limiter_count)
+        limiter_type = features.limiter_type(config.settings)
+    gateway = Gateway(loop, config, Clock(), coordinator_type, limiter_type)
     discovery = Discovery(config.socket_settings, gateway.server_list_received)
     handle_reload_signal(loop, discovery, None)
     handle_stop_signals(loop, stop)
@@ -117,8 +117,8 @@
     if features is not None:
         await features.start_authz()
     gc.collect()
-    gc.freeze()  # what start-up made stays: the collector need not walk it again and again
-    log.info("%s listens at %s:%d", config.name, *config.listen_address)
+    gc.freeze()  # objects created at start-up stay alive, so the garbage collector can skip them
+    log.info("%s listens on %s:%d", config.name, *config.listen_address)
     return RunningLimiter(config, gateway, listener, discovery, peers, features)
 
 
@@ -140,9 +140,9 @@
 
 
 async def _wait_for_first_list(gateway: Gateway) -> None:
-    """Wait for discovery: the cached list may be old, and is for when discovery is silent."""
+    """Wait for discovery's list: the cached list may be old and is only a fallback."""
     try:
         async with asyncio.timeout(FIRST_LIST_TIMEOUT_S):
             await gateway.list_received.wait()
     except TimeoutError:
-        log.warning("no list from discovery yet")
+        log.warning("no server list from discovery within %g s", FIRST_LIST_TIMEOUT_S)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of a limiter: what cannot be used is named."""
+"""The configuration of a limiter: the error messages for missing and invalid values."""
 
 import json
 from pathlib import Path
@@ -37,10 +37,12 @@
         ({"settings": {}}, "'rules' is missing"),
         ({"settings": None}, "not subscriptable"),
         ({"limits": {"sockets": 3}}, "limits.sockets is 3"),
-        ({"limits": {"sockets": float("nan")}}, "NaN is no number"),
+        ({"limits": {"sockets": float("nan")}}, "NaN is not a finite number"),
     ],
 )
-def test_bad_configuration_is_named(change: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_error_names_the_invalid_part_of_the_configuration(
+    change: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw_config(), **change}))
     with pytest.raises(ConfigError, match=message):
@@ -57,7 +59,7 @@
         ("services", {"deadline": "soon"}, "deadline is 'soon', a number is wanted"),
         ("services", {"memory-span": -5}, "memory-span is -5"),
         ("plans", {"quota-rate": -0.5}, "quota-rate is -0.5"),
-        ("plans", {"burst": 1e999}, "burst is inf|Infinity is no number"),
+        ("plans", {"burst": 1e999}, "burst is inf|Infinity is not a finite number"),
         ("plans", {"parallel": 1.5}, "parallel is 1.5, a whole number"),
         ("rules", {"fall": 0}, "fall is 0.0, a number above 0"),
         ("rules", {"cold-share": True}, "cold-share is True, a number is wanted"),
@@ -66,10 +68,12 @@
         (None, {"peers-total": -3}, "peers-total is -3"),
     ],
 )
-def test_unusable_settings_are_named(part: str | None, change: dict[str, Any], message: str, tmp_path: Path) -> None:
+def test_error_names_the_invalid_setting(
+    part: str | None, change: dict[str, Any], message: str, tmp_path: Path
+) -> None:
     raw = raw_config()
-    place = raw["settings"][part] if part else raw["settings"]
-    (place[0] if isinstance(place, list) else place).update(change)
+    section = raw["settings"][part] if part else raw["settings"]
+    (section[0] if isinstance(section, list) else section).update(change)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=message):
@@ -86,10 +90,10 @@
         ("plans", "name"),
     ],
 )
-def test_missing_settings_are_named(part: str, name: str, tmp_path: Path) -> None:
+def test_error_names_the_missing_setting(part: str, name: str, tmp_path: Path) -> None:
     raw = raw_config()
-    place = raw["settings"][part]
-    del (place[0] if isinstance(place, list) else place)[name]
+    section = raw["settings"][part]
+    del (section[0] if isinstance(section, list) else section)[name]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
     with pytest.raises(ConfigError, match=f"'{name}' is missing"):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -33,9 +33,9 @@
         raw = raw_config(f"127.0.0.1:{port}", "%s:%d" % agent.address)
         process = await start_program(tmp_path / "config.json", raw)
         client = await connect_when_ready(port)
-        client.read("owed")
+        client.read("open")
         await until(lambda: len(server.commands) == 1)
-        late = await Client.connect(port)  # opened for a request that crosses the signal
+        late = await Client.connect(port)  # its request is sent just after the signal
         process.send_signal(signal.SIGTERM)
         late.read("late")
         await until(lambda: len(server.commands) == 2)
@@ -70,17 +70,17 @@
     run(test())
 
 
-def test_reload_turns_to_the_new_discovery_address_and_keeps_open_requests(tmp_path: Path) -> None:
+def test_reload_follows_the_new_discovery_address_and_keeps_open_requests(tmp_path: Path) -> None:
     async def test() -> None:
         release = asyncio.Event()
 
         async def behave(command: list[bytes]) -> bytes:
             await release.wait()
-            return b"*3\r\n$4\r\nkept\r\n$-1\r\n$-1\r\n"
+            return b"*3\r\n$6\r\nanswer\r\n$-1\r\n$-1\r\n"
 
         server = await Server(behave).start()
-        whole = {"rev": 9, "all": True, "targets": [target("s", server.endpoint)]}
-        old, new = await Discovery(whole).start(), await Discovery({**whole, "rev": 2}).start()
+        complete_list = {"rev": 9, "all": True, "targets": [target("s", server.endpoint)]}
+        old, new = await Discovery(complete_list).start(), await Discovery({**complete_list, "rev": 2}).start()
         port = free_port()
         raw = raw_config(f"127.0.0.1:{port}", "%s:%d" % old.address)
         path = tmp_path / "config.json"
@@ -89,12 +89,16 @@
         client.read("open")
         await until(lambda: len(server.commands) == 1)
         assert process.stderr is not None
-        unknown = {**raw["settings"], "services": [{**raw["settings"]["services"][0], "effect": "twice"}]}
+        bad_settings = {**raw["settings"], "services": [{**raw["settings"]["services"][0], "effect": "twice"}]}
         moved = {**raw, "discovery": "%s:%d" % new.address}
-        for bad in ("{", json.dumps({**moved, "settings": unknown}), json.dumps({**moved, "discovery": "nowhere"})):
-            path.write_text(bad)  # a bad file is told in one line, and nothing changes
+        for bad in (
+            "{",
+            json.dumps({**moved, "settings": bad_settings}),
+            json.dumps({**moved, "discovery": "nowhere"}),
+        ):
+            path.write_text(bad)  # a bad file is logged in one line, and nothing changes
             process.send_signal(signal.SIGHUP)
-            while b"stays as it was" not in await process.stderr.readline():
+            while b"reload failed, the configuration is unchanged" not in await process.stderr.readline():
                 pass
         assert not new.asked
         path.write_text(json.dumps({**raw, "discovery": "%s:%d" % new.address}))
@@ -103,9 +107,9 @@
         await until(lambda: old.lost == len(old.asked))
         assert new.asked[-1].endswith("after=2")
         release.set()
-        assert await client.answer() == b"kept"
-        assert await client.ask("next") == b"kept"
-        assert server.lost == 0  # the pools stay
+        assert await client.answer() == b"answer"
+        assert await client.ask("next") == b"answer"
+        assert server.lost == 0  # the connections to the server stay open
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
 
