--- a/elderlock/control/__init__.py
+++ b/elderlock/control/__init__.py
@@ -1,1 +1,1 @@
-"""What a limiter shows and takes on its local socket, and the messages that both sides share."""
+"""A limiter's control socket: its status, the commands that it accepts, and the messages between agent and limiter."""
--- a/elderlock/control/command_authority.py
+++ b/elderlock/control/command_authority.py
@@ -1,8 +1,8 @@
-"""Decide which agent may command a limiter, and hold the drain records in force. No I/O.
+"""Decides which agent may command a limiter, and holds the drain records in force. No I/O.
 
 One agent owns a limiter at a time. It claims the limiter with an epoch that increases at each start of the agent (a
-fencing token). A claim is a lease: it lasts while the owner is heard from, and `LEASE_MS` longer. An agent with a
-lesser epoch under the owner's name, or another agent while the claim lasts, may look on and change nothing.
+fencing token). A claim is a lease: each message from the owner renews it for `LEASE_MS`. An agent with a lower epoch
+under the owner's name, or another agent while the claim is valid, may read the state but change nothing.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.records import Record, Records
 
 LEASE_MS = 5000.0
 
 
 class ControlledLimiter(Protocol):
-    """The limiter, as the authority needs it.
+    """The interface that the authority uses of the limiter.
 
     Attributes:
         name: The limiter's name.
@@ -32,17 +32,17 @@
     pid: int
     started_at: float
 
-    def state(self, request_id: int, accounts: int, /) -> m.LimiterState:
-        """Return the answer to the request `request_id`, with the counts of that many customers."""
+    def state(self, request_id: int, maximum_accounts: int, /) -> messages.LimiterState:
+        """Return the answer to the request `request_id`, with the counts of at most `maximum_accounts` customers."""
 
-    def drain(self, servers: dict[str, Record], limiter: bool, /) -> None:
-        """Drain exactly these servers, by uid, and the limiter itself if `limiter`."""
+    def drain(self, servers: dict[str, Record], drain_limiter: bool, /) -> None:
+        """Drain exactly these servers, by uid, and the limiter itself if `drain_limiter`."""
 
     def open_requests_at(self, servers: Iterable[str], /) -> dict[str, int]:
-        """Return the count of open requests at each of these servers, by uid."""
+        """Return the number of open requests at each of these servers, by uid."""
 
     def open_requests(self) -> int:
-        """Return the count of all open requests."""
+        """Return the number of all open requests."""
 
     def stop(self) -> None:
         """Shut down."""
@@ -50,11 +50,11 @@
 
 @dataclass(slots=True)
 class Session:
-    """One connection.
+    """The state of one connection.
 
     Attributes:
-        agent: The agent that it said it is.
-        epoch: The epoch that it claimed the limiter with; 0 to only look on.
+        agent: The agent's name, as given in its `Hello`.
+        epoch: The epoch that it claimed the limiter with; 0 for read-only access.
         is_greeted: Whether its `Hello` was accepted.
     """
 
@@ -66,11 +66,12 @@
 class CommandAuthority:
     """The owner of a limiter and the drain records in force.
 
-    Invariants: what the limiter drains is what `records` holds, and no record is replaced by an older one.
+    Invariants: the limiter drains exactly the targets that `records` marks as drained, and no record is replaced by an
+    older one.
 
     Attributes:
         records: The drain records in force.
-        owner: The agent that holds the claim, or held it last.
+        owner: The agent that holds the claim, or held it last; empty before the first claim.
         owner_epoch: The epoch of that claim.
     """
 
@@ -82,34 +83,34 @@
         self._renewed_at_ms = -LEASE_MS
         self._enforce()
 
-    def handle(self, session: Session, message: m.ToLimiter, now_ms: float) -> m.Message:
+    def handle(self, session: Session, message: messages.ToLimiter, now_ms: float) -> messages.Message:
         """Return the answer to a message.
 
         Args:
-            session: The connection that it came on.
+            session: The connection that it arrived on.
             message: The message.
-            now_ms: The time in ms of Unix time.
+            now_ms: The current Unix time in ms.
         """
-        if isinstance(message, m.Hello):
+        if isinstance(message, messages.Hello):
             return self._hello(session, message, now_ms)
         if not session.is_greeted:
-            return m.Refused("bad-message", "a connection begins with hello", message.id)
-        if isinstance(message, m.GetState):
+            return messages.Refused("bad-message", "a connection begins with hello", message.id)
+        if isinstance(message, messages.GetState):
             self._renew(session, now_ms)
             return self._limiter.state(message.id, message.maximum_accounts)
         if not self._is_owner(session):
             return self._refused(message.id, "not-owner")
         self._renew(session, now_ms)
-        if isinstance(message, m.Stop):
+        if isinstance(message, messages.Stop):
             self._limiter.stop()
-            return m.Stopping(message.id)
+            return messages.Stopping(message.id)
         return self._apply(message, now_ms)
 
-    def _hello(self, session: Session, hello: m.Hello, now_ms: float) -> m.Message:
-        if m.PROTOCOL_VERSION not in hello.versions:
+    def _hello(self, session: Session, hello: messages.Hello, now_ms: float) -> messages.Message:
+        if messages.PROTOCOL_VERSION not in hello.versions:
             versions = ", ".join(map(str, hello.versions)) or "none"
-            text = f"version {versions} is not known; this limiter speaks {m.PROTOCOL_VERSION}"
-            return m.Refused("version", text)
+            text = f"version {versions} is not known; this limiter speaks {messages.PROTOCOL_VERSION}"
+            return messages.Refused("version", text)
         if hello.epoch > 0:
             if not self._may_claim(hello, now_ms):
                 return self._refused(0, "claimed")
@@ -120,8 +121,8 @@
         session.epoch = hello.epoch
         session.is_greeted = True
         limiter = self._limiter
-        return m.Welcome(
-            version=m.PROTOCOL_VERSION,
+        return messages.Welcome(
+            version=messages.PROTOCOL_VERSION,
             limiter=limiter.name,
             build=limiter.build,
             pid=limiter.pid,
@@ -130,19 +131,20 @@
             owner_epoch=self.owner_epoch,
         )
 
-    def _may_claim(self, hello: m.Hello, now_ms: float) -> bool:
+    def _may_claim(self, hello: messages.Hello, now_ms: float) -> bool:
         """Whether a claim is accepted.
 
-        Epochs of different agents are not compared. An agent whose claim lapsed and was taken over sees the new owner.
+        Epochs of different agents are not compared. An agent that lost its lapsed claim to another is sent the new
+        owner's name.
         """
         if hello.agent == self.owner:
             return hello.epoch >= self.owner_epoch
         return now_ms - self._renewed_at_ms >= LEASE_MS
 
-    def _apply(self, request: m.ApplyRecords, now_ms: float) -> m.RecordsApplied:
+    def _apply(self, request: messages.ApplyRecords, now_ms: float) -> messages.RecordsApplied:
         if self.records.merge(request.records):
             self._enforce()
-        return m.RecordsApplied(
+        return messages.RecordsApplied(
             id=request.id,
             records=tuple(self.records),
             applied_at_unix_ms=now_ms,
@@ -151,7 +153,7 @@
         )
 
     def _enforce(self) -> None:
-        """Make the limiter drain what the records say."""
+        """Make the limiter drain exactly the targets that the records mark as drained."""
         record = self.records.get("limiter", self._limiter.name)
         self._limiter.drain(self.records.drained_targets("box"), record is not None and record.is_drained)
 
@@ -162,6 +164,6 @@
         if self._is_owner(session):
             self._renewed_at_ms = now_ms
 
-    def _refused(self, request_id: int, code: str) -> m.Refused:
+    def _refused(self, request_id: int, code: str) -> messages.Refused:
         text = f"agent {self.owner or 'nobody'} holds this limiter with epoch {self.owner_epoch}"
-        return m.Refused(code, text, request_id, self.owner, self.owner_epoch)
+        return messages.Refused(code, text, request_id, self.owner, self.owner_epoch)
--- a/elderlock/control/drain_overlay.py
+++ b/elderlock/control/drain_overlay.py
@@ -1,7 +1,7 @@
-"""Lay operators' drains over discovery's endpoint list. No I/O.
+"""Applies operators' drains to discovery's endpoint lists. No I/O.
 
-Discovery may remove, re-add or undrain a server, be unreachable, or restart with an empty list: the overlay is applied
-to every list that it sends, so none of that ends an operator's drain. Drains are held by uid, so a new server at the
+Discovery may remove, re-add or undrain a server, be unreachable, or restart with an empty list. The overlay is applied
+to every list from discovery, so none of this ends an operator's drain. Drains are stored by uid, so a new server at the
 address of a drained one is not drained.
 """
 
@@ -15,9 +15,9 @@
 
 
 class DrainOverlay:
-    """The drained servers of a limiter and the last endpoint list of discovery.
+    """The drained servers of a limiter and the last endpoint list from discovery.
 
-    Invariant: no target whose uid is drained is returned with the state RUNNING.
+    Invariant: no server whose uid is drained is returned with the state RUNNING.
 
     Attributes:
         version: The version of the last endpoint list.
@@ -30,11 +30,11 @@
 
     @property
     def discovered(self) -> dict[str, ListedServer]:
-        """The targets as discovery last reported them, by uid."""
+        """The servers as discovery last reported them, by uid."""
         return self._discovered
 
     def apply_to(self, listed: EndpointList) -> EndpointList:
-        """Take a list or an update of discovery; return it with the drains."""
+        """Record a complete list or changes from discovery; return them with the drains applied."""
         if listed.is_complete:
             self._discovered = {}
         self.version = listed.version
@@ -47,7 +47,7 @@
         return replace(listed, servers=tuple(self._with_drain(target) for target in listed.servers))
 
     def set_drained(self, drained: Iterable[str]) -> EndpointList:
-        """Drain exactly these servers; return an update with the targets that this changes."""
+        """Drain exactly these servers; return list changes with the servers whose state this changes."""
         previous = self._drained
         self._drained = frozenset(drained)
         changed = previous ^ self._drained
--- a/elderlock/control/files.py
+++ b/elderlock/control/files.py
@@ -1,4 +1,4 @@
-"""Read operators' TOML files into typed structs, with one plain line of error."""
+"""Reads operators' TOML files into typed structs, with single-line error messages."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
     Args:
         path: The file.
-        struct_type: The type that its contents have to fit.
+        struct_type: The type to convert its contents to.
         error_type: The type of the error to raise.
 
     Raises:
-        error_type: The file cannot be read, is no TOML or does not fit; the text names the file and what is wrong.
+        error_type: The file cannot be read, is not valid TOML or does not match the type; the text has the file's path
+            and the problem.
     """
     try:
         with path.open("rb") as file:
--- a/elderlock/control/framing.py
+++ b/elderlock/control/framing.py
@@ -1,4 +1,4 @@
-"""Frames on a byte stream: four bytes of length (big-endian), then that many bytes of body. No I/O."""
+"""Length-prefixed frames on a byte stream: a length of four bytes (big-endian), then the body. No I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class FrameError(Exception):
-    """The stream holds no frame that is accepted; nothing after it can be read."""
+    """A frame is not accepted; the rest of the stream cannot be decoded."""
 
 
 class FrameDecoder:
-    """Cuts a stream into frames.
+    """Splits a stream into frames.
 
-    An announced length is checked before any byte of the body is stored, so that noise or an oversized frame costs no
+    An announced length is checked before any byte of the body is stored, so that garbage or an oversized frame uses no
     memory.
 
     Attributes:
-        maximum_bytes: The size that a body may have at most.
+        maximum_bytes: The maximum size of a body.
     """
 
     def __init__(self, maximum_bytes: int) -> None:
@@ -26,7 +26,7 @@
         self._data = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Add received bytes; return the bodies of all frames that are complete now.
+        """Add received bytes; return the bodies of all frames that they complete.
 
         Raises:
             FrameError: A frame is longer than `maximum_bytes`.
@@ -48,7 +48,7 @@
         return bodies
 
     def pending_byte_count(self) -> int:
-        """Return how many bytes of an incomplete frame have been received."""
+        """Return the number of bytes received of an incomplete frame."""
         return len(self._data)
 
 
--- a/elderlock/control/limiter_status.py
+++ b/elderlock/control/limiter_status.py
@@ -1,4 +1,4 @@
-"""Report the state of this process's limiter on its control socket, and carry out its drains."""
+"""Reports the state of this process's limiter on its control socket, and carries out operators' drains."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.drain_overlay import DrainOverlay
 from elderlock.control.records import Record
 from elderlock.control.request_metrics import RequestMetrics
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from elderlock.control.shared import EvidenceView
 
-# the parts of the configuration that all limiters of a group should have in common
+# Parts of the settings that should be the same at all limiters of a group.
 GROUP_SETTINGS = ("services", "plans", "rules", "policy-limits", "family-info", "kinds", "zones", "peers-total")
 DIGEST_LENGTH = 12
 
@@ -35,8 +35,8 @@
     """The digests of a limiter's configuration.
 
     Attributes:
-        file: Of the whole file.
-        parts: Of each part that the limiters of a group should have in common, by name.
+        file: The digest of the whole file.
+        parts: The digests of the parts that should be the same at all limiters of a group, by name.
     """
 
     file: str
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LimiterParts:
-    """The parts of the limiter that runs in this process.
+    """The parts of the limiter in this process that its status is read from.
 
     Attributes:
         gateway: Its gateway.
-        clients: Its client connections.
+        clients: Its listener for clients.
         config: Its configuration.
-        discovery_status: Returns the state of its connection to discovery, for people.
+        discovery_status: Returns the address of discovery, for display.
         stop: Shuts the process down.
     """
 
@@ -64,21 +64,22 @@
 
 @dataclass(frozen=True, slots=True)
 class OptionalStatus:
-    """The status of optional features; None where one is off.
+    """The sources of the status of optional features.
 
     Attributes:
-        counter: Returns the status of the shared counter, with the leases of that many customers.
-        evidence: The shared health evidence.
-        ceilings: Returns the status of exchanged hard ceilings.
+        counter: Returns the status of the shared counter, with the leases of at most the given number of customers;
+            None without a counter.
+        evidence: The shared health evidence; None where limiters do not share it.
+        ceilings: Returns the status of exchanged hard ceilings, or None where limiters do not exchange them.
     """
 
-    counter: Callable[[int], m.CounterStatus] | None = None
+    counter: Callable[[int], messages.CounterStatus] | None = None
     evidence: EvidenceView | None = None
-    ceilings: Callable[[], m.CeilingStatus | None] = lambda: None
+    ceilings: Callable[[], messages.CeilingStatus | None] = lambda: None
 
 
 def json_digest(value: Any) -> str:
-    """Return a short digest of a value that JSON can hold."""
+    """Return a short digest of a value that can be encoded as JSON."""
     return hashlib.sha256(json.dumps(value, sort_keys=True).encode()).hexdigest()[:DIGEST_LENGTH]
 
 
@@ -92,15 +93,16 @@
 
 
 class LimiterStatus:
-    """The limiter as the control socket sees it (`command_authority.ControlledLimiter`).
+    """Implements `command_authority.ControlledLimiter` for the limiter in this process.
 
-    It watches the gateway: it lays the drains over each endpoint list and counts each answer. It changes no other part.
+    As the gateway's observer it applies the drains to each endpoint list and counts each answer. It changes nothing
+    else in the limiter.
 
     Attributes:
         name: The limiter's name.
         build: The version of its program.
         pid: Its process id.
-        started_at: When it started, in ms of Unix time.
+        started_at: When it started, as Unix time in ms.
         read_records: Returns the drain records in force and their digest.
         read_owner: Returns the agent that holds the claim and its epoch.
     """
@@ -126,55 +128,55 @@
         self._is_drained = False
         self._list_received_at_ms = NEVER_MS
 
-    # What the gateway reports
+    # Callbacks of the gateway
 
     def on_endpoint_list(self, listed: EndpointList) -> EndpointList:
-        """Take an endpoint list; return it with the drains."""
+        """Record an endpoint list; return it with the drains applied."""
         self._list_received_at_ms = self._gateway.now_ms()
         overlaid = self._overlay.apply_to(listed)
         self._server_status.forget_missing(self._overlay.discovered)
         return overlaid
 
-    def on_answer(self, command: Command, took: float, answer: bytes | None) -> None:
-        """Count an answer, or None for a client that disconnected; `took` is its latency in ms."""
-        self._metrics.record(command.plan_index, command.customer_id, took, answer)
+    def on_answer(self, command: Command, latency_ms: float, answer: bytes | None) -> None:
+        """Count an answer, or None for a client that disconnected."""
+        self._metrics.record(command.plan_index, command.customer_id, latency_ms, answer)
 
     def on_load_report(self, server: str, report: bytes) -> None:
-        """Keep a server's load report."""
+        """Store a server's load report."""
         if report:
             self._server_status.on_report(server, report, self._gateway.now_ms())
 
-    # What the command authority asks for
+    # Methods for the command authority
 
-    def drain(self, servers: dict[str, Record], limiter: bool) -> None:
-        """Drain exactly these servers, by uid, and the limiter itself if `limiter`."""
+    def drain(self, servers: dict[str, Record], drain_limiter: bool) -> None:
+        """Drain exactly these servers, by uid, and the limiter itself if `drain_limiter`."""
         self._drained_servers = servers
         changes = self._overlay.set_drained(servers)
         if changes.servers:
             self._gateway.apply_list_changes(changes)
-        if limiter == self._is_drained:
+        if drain_limiter == self._is_drained:
             return
-        self._is_drained = limiter
-        if limiter:
+        self._is_drained = drain_limiter
+        if drain_limiter:
             self._clients.cordon()
         else:
             self._clients.uncordon()
 
     def open_requests_at(self, servers: Iterable[str]) -> dict[str, int]:
-        """Return the count of open requests at each of these servers, by uid."""
+        """Return the number of open requests at each of these servers, by uid."""
         known = self._gateway.limiter.endpoints.servers
         return {uid: len(known[uid].in_flight) for uid in servers if uid in known}
 
     def open_requests(self) -> int:
-        """Return the count of all open requests."""
+        """Return the number of all open requests."""
         return self._gateway.open_request_count
 
     def stop(self) -> None:
         """Shut the process down."""
         self._stop()
 
-    def state(self, request_id: int, accounts: int) -> m.LimiterState:
-        """Return the answer to the request `request_id`, with the counts of that many customers."""
+    def state(self, request_id: int, maximum_accounts: int) -> messages.LimiterState:
+        """Return the answer to the request `request_id`, with the counts of at most `maximum_accounts` customers."""
         gateway = self._gateway
         metrics = self._metrics
         optional = self._optional
@@ -183,7 +185,7 @@
         owner, owner_epoch = self.read_owner()
         host, port = self._config.listen_address
         has_list = self._list_received_at_ms > NEVER_MS
-        return m.LimiterState(
+        return messages.LimiterState(
             id=request_id,
             limiter=self.name,
             build=self.build,
@@ -201,7 +203,7 @@
             clients=len(self._clients),
             counts=metrics.total,
             plans=metrics.by_plan,
-            accounts=metrics.busiest_accounts(accounts),
+            accounts=metrics.busiest_accounts(maximum_accounts),
             accounts_known=metrics.account_count(),
             answer_p50_ms=metrics.latencies.quantile(0.5),
             answer_p99_ms=metrics.latencies.quantile(0.99),
@@ -214,26 +216,26 @@
             records_digest=records_digest,
             owner=owner,
             owner_epoch=owner_epoch,
-            counter=optional.counter(accounts) if optional.counter is not None else None,
+            counter=optional.counter(maximum_accounts) if optional.counter is not None else None,
             shared=optional.evidence.summary(now_ms) if optional.evidence is not None else None,
             ceilings=optional.ceilings(),
         )
 
-    def _throttle_status(self) -> m.ThrottleStatus:
+    def _throttle_status(self) -> messages.ThrottleStatus:
         limiter = self._gateway.limiter
         throttle = limiter.throttle
-        return m.ThrottleStatus(
+        return messages.ThrottleStatus(
             throttle.phase.name.lower(),
             throttle.leak_rate_per_s,
             limiter.maintenance.admit_rate_per_s,
             limiter.maintenance.answer_rate_per_s,
         )
 
-    def _peer_statuses(self, now_ms: float) -> tuple[m.PeerStatus, ...]:
+    def _peer_statuses(self, now_ms: float) -> tuple[messages.PeerStatus, ...]:
         settings = self._config.settings
         owners = self._gateway.limiter.quota_coordinator.owners
         return tuple(
-            m.PeerStatus(
+            messages.PeerStatus(
                 number,
                 owners.silent_until_ms.get(number, NEVER_MS) > now_ms,
                 owners.missed_queries.get(number, 0),
--- a/elderlock/control/messages.py
+++ b/elderlock/control/messages.py
@@ -1,8 +1,9 @@
-"""The messages between an agent and a limiter on the control socket, typed and versioned.
+"""The typed and versioned messages between an agent and a limiter on the control socket.
 
 A connection begins with the agent's `Hello`, which the limiter answers with `Welcome` or `Refused`. After that each
-request has an id that its answer repeats; answers may come in any order. Unknown fields are ignored, unknown messages
-are refused. Each message is a MessagePack map whose `type` names it; fields keep their names on the wire (`name=`).
+request has an id that its answer repeats; answers may arrive in any order. Unknown fields are ignored, unknown messages
+are refused. Each message is a MessagePack map with its tag as `type`; `name=` gives a field's name on the wire where it
+differs from the attribute.
 
 Durations are in ms and end in `_ms`; times of day are Unix time in ms.
 """
@@ -59,12 +60,12 @@
 ]
 
 PROTOCOL_VERSION = 1
-MAXIMUM_MESSAGE_BYTES = 4 << 20  # ten thousand records take less
-MAXIMUM_HELLO_BYTES = 4096  # of the first message, from a peer that is not identified yet
+MAXIMUM_MESSAGE_BYTES = 4 << 20  # ten thousand drain records fit
+MAXIMUM_HELLO_BYTES = 4096  # for the first message, as the peer is not identified yet
 
 
 class Message(msgspec.Struct, tag_field="type"):
-    """The base of all messages: the class's tag is sent as `type`."""
+    """The base class of all messages; the class's tag is sent as `type`."""
 
 
 class Hello(Message, tag="hello"):
@@ -73,7 +74,8 @@
     Attributes:
         versions: The protocol versions that the sender speaks.
         agent: The name of the agent.
-        epoch: The epoch that the agent claims the limiter with, greater at each start of the agent; 0 to only look on.
+        epoch: The epoch that the agent claims the limiter with, which increases at each start of the agent; 0 for
+            read-only access.
     """
 
     versions: tuple[int, ...]
@@ -82,15 +84,15 @@
 
 
 class Welcome(Message, tag="welcome"):
-    """The answer to a `Hello` that is accepted.
+    """The answer to an accepted `Hello`.
 
     Attributes:
         version: The protocol version of the limiter.
         limiter: The name of the limiter.
         build: The version of its program.
         pid: Its process id.
-        started_at: When it started, in ms of Unix time.
-        owner: The agent that holds the claim on it; empty where none does.
+        started_at: When it started, as Unix time in ms.
+        owner: The agent that holds the claim on it; empty if there is none.
         owner_epoch: The epoch of that claim.
     """
 
@@ -104,11 +106,11 @@
 
 
 class Refused(Message, tag="refused"):
-    """The answer to what the limiter does not accept.
+    """The answer to a message that the limiter does not accept.
 
     Attributes:
         code: version, claimed, bad-message, unknown-message, not-owner or too-many.
-        text: Why, for people.
+        text: The reason, for display.
         id: The id of the request; 0 for a `Hello`.
         owner: The agent that holds the claim.
         owner_epoch: The epoch of that claim.
@@ -126,7 +128,7 @@
 
     Attributes:
         id: The id of the request.
-        maximum_accounts: Of how many customers to return the counts, the busiest first.
+        maximum_accounts: The maximum number of customers whose counts are returned, the busiest first.
     """
 
     id: int
@@ -150,10 +152,10 @@
 
     Attributes:
         id: The id of the request.
-        records: All records that the limiter holds now.
-        applied_at_unix_ms: Since when they are in force.
-        drained_open_requests: The count of open requests at each drained server, by uid.
-        open_requests: The count of open requests in all.
+        records: All records that the limiter holds after the merge.
+        applied_at_unix_ms: When they were applied.
+        drained_open_requests: The number of open requests at each drained server, by uid.
+        open_requests: The total number of open requests.
     """
 
     id: int
@@ -185,31 +187,31 @@
         pid: Its process id.
         uptime_ms: How long it has run.
         config_digest: The digest of its configuration.
-        config_parts: The digests of the parts that all limiters of a group should have in common, by name.
+        config_parts: The digests of the parts that should be the same at all limiters of a group, by name.
         listen: The address that it listens on.
-        discovery: The state of its connection to discovery, for people.
+        discovery: The address of discovery, for display.
         list_version: The version of its endpoint list.
-        list_age_ms: How long ago that list came; -1 where none has come.
+        list_age_ms: How long ago that list was received; -1 before the first.
         ready: Whether it has a list and accepts clients.
         is_drained: Whether an operator drained it.
-        open_requests: The count of open requests.
-        clients: The count of client connections.
-        counts: The requests by how they ended.
-        plans: The same by plan.
-        accounts: The same for the busiest customers.
-        accounts_known: How many customers it counts.
+        open_requests: The number of open requests.
+        clients: The number of client connections.
+        counts: The number of requests by outcome.
+        plans: The same for each plan.
+        accounts: The same for each of the busiest customers.
+        accounts_known: The number of customers that are counted separately.
         answer_p50_ms: The median of the recent latencies; -1 before any answer.
         answer_p99_ms: The 99th percentile of the recent latencies; -1 before any answer.
-        servers: The servers, as the limiter sees them.
+        servers: The status of each server at this limiter.
         throttle: Its overload throttle.
         peers: The other limiters.
         records: The drain records that it holds.
         records_digest: Their digest.
         owner: The agent that holds the claim on it.
         owner_epoch: The epoch of that claim.
-        counter: The shared counter, where there is one.
-        shared: The shared health evidence, where limiters share it.
-        ceilings: The exchanged units of hard ceilings, where limiters exchange them.
+        counter: The shared counter; None without one.
+        shared: The shared health evidence; None where limiters do not share it.
+        ceilings: The exchanged units of hard ceilings; None where limiters do not exchange them.
         log_time_sum: The sum of the natural logarithms of the served requests' latencies in ms. With the sum of the
             squares and the count, the mean and variance of any period can be computed.
         log_time_square_sum: The sum of the squares of those logarithms.
@@ -256,7 +258,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-# Decoders are made when first needed: a limiter decodes requests, its agent answers, and a command neither.
+# Decoders are created on first use: a limiter decodes only requests, its agent only answers, a command neither.
 @cache
 def _request_decoder() -> msgspec.msgpack.Decoder[ToLimiter]:
     return msgspec.msgpack.Decoder(ToLimiter)
--- a/elderlock/control/records.py
+++ b/elderlock/control/records.py
@@ -1,8 +1,8 @@
-"""Drain records: what operators want of servers and limiters. No I/O.
+"""Drain records: the drain state that operators requested for servers and limiters. No I/O.
 
-A drain is a record, not a call: whoever holds the newest record of a target acts on it, however it came. Of two records
-of one target the one with the greater (generation, origin) wins everywhere, so all who have received both agree, in
-whatever order they came (a last-writer-wins register per target).
+A drain is a record rather than a call: each process applies the newest record of a target, from whatever source it was
+received. Of two records of a target, the one with the greater (generation, origin) wins, so all processes that have
+received both agree, independently of the order (a last-writer-wins register per target).
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 Kind = Literal["box", "limiter"]  # a server is `box` on the wire and in stores
 Key = tuple[str, str]  # kind and target
-MAXIMUM_RECORDS = 10_000  # each takes some 300 bytes, and one message carries all
+MAXIMUM_RECORDS = 10_000  # a record takes about 300 bytes, and a single message carries all records
 DIGEST_LENGTH = 16
 
 
 class Record(msgspec.Struct, frozen=True):
-    """What an operator wants of one target.
+    """The drain state that an operator requested for one target.
 
     Attributes:
         kind: Whether the target is a server (`box`) or a limiter.
         target: A server's uid (never its address) or a limiter's name.
         is_drained: Whether the target has to be drained.
-        generation: The generation; a greater one wins.
-        origin: The unique id of the command that made the record.
+        generation: The generation; the record with the greater one wins.
+        origin: The unique id of the command that created the record.
         requested_by: The operator.
-        created_at_unix_ms: When it was made, for people.
-        reason: The operator's reason, for people.
+        created_at_unix_ms: When it was created, for display and for `Records.forget_obsolete`.
+        reason: The operator's reason, for display.
     """
 
     kind: Kind
@@ -50,12 +50,12 @@
 
     @property
     def order(self) -> tuple[int, str]:
-        """What two records of one target are compared by."""
+        """The key by which two records of one target are compared."""
         return self.generation, self.origin
 
 
 class OfferResult(Enum):
-    """What became of a record that was offered."""
+    """The result of offering a record."""
 
     ACCEPTED = "taken"
     KNOWN = "known"
@@ -79,21 +79,21 @@
         return len(self._by_key)
 
     def get(self, kind: str, target: str) -> Record | None:
-        """Return the record of a target, if there is one."""
+        """Return the record of a target, or None."""
         return self._by_key.get((kind, target))
 
     def check(self, record: Record) -> OfferResult:
-        """Return what `offer` would return, and change nothing."""
+        """Return the result that `offer` would return, without changing anything."""
         current = self._by_key.get(record.key)
         if current is None:
-            # Beyond the maximum a new target is not accepted; whoever offers it sees that it is not held.
+            # Above the maximum a new target is not accepted; the sender sees that the record is missing in the answer.
             return OfferResult.ACCEPTED if len(self._by_key) < MAXIMUM_RECORDS else OfferResult.OLDER
         if current.order == record.order:
             return OfferResult.KNOWN
         return OfferResult.OLDER if current.order > record.order else OfferResult.ACCEPTED
 
     def offer(self, record: Record) -> OfferResult:
-        """Take a record if it is newer than the one of the same target."""
+        """Store a record if it is newer than the stored one of the same target."""
         result = self.check(record)
         if result is OfferResult.ACCEPTED:
             self._by_key[record.key] = record
@@ -108,11 +108,11 @@
         return {record.target: record for record in self._by_key.values() if record.kind == kind and record.is_drained}
 
     def greatest_generation(self) -> int:
-        """Return the greatest generation of any record; 0 where there is none."""
+        """Return the greatest generation of all records; 0 if there are none."""
         return max((record.generation for record in self._by_key.values()), default=0)
 
     def digest(self) -> str:
-        """Return a digest that is the same for all who hold the same records."""
+        """Return a digest that is equal for equal sets of records."""
         lines = [
             f"{kind}/{target}/{record.generation}/{record.origin}"
             for (kind, target), record in sorted(self._by_key.items())
@@ -120,12 +120,12 @@
         return hashlib.sha256("\n".join(lines).encode()).hexdigest()[:DIGEST_LENGTH]
 
     def forget_obsolete(self, before_unix_ms: float, listed_uids: Iterable[str]) -> list[Record]:
-        """Forget the records that have no effect any more; return them.
+        """Forget the records that no longer have an effect; return them.
 
-        Those are undrained targets, and drained servers that no endpoint list has.
+        Those are records of undrained targets, and of drained servers that are in no endpoint list.
 
         Args:
-            before_unix_ms: Only records made before this time are forgotten.
+            before_unix_ms: Only records created before this time are forgotten.
             listed_uids: The uids of all servers in the endpoint lists.
         """
         listed = set(listed_uids)
--- a/elderlock/control/request_client.py
+++ b/elderlock/control/request_client.py
@@ -1,4 +1,4 @@
-"""The client side of framed messages: requests with ids over one connection, answered in any order."""
+"""A client for framed messages: sends requests with ids over one connection and matches the answers by id."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class NotSentError(Exception):
-    """The request was not written at all: it is certain that it had no effect."""
+    """The request was not written, so it had no effect."""
 
 
 class NoAnswerError(Exception):
-    """The request was written and no answer came: it may have had its effect, or may still have."""
+    """The request was written but not answered: it may have had its effect, or may still have it."""
 
 
 class RequestClient(asyncio.Protocol, Generic[MessageType]):
-    """One connection.
+    """A connection to a server of framed messages.
 
     Attributes:
         disconnected: Set once the connection has ended.
-        close_reason: Why it ended, for people.
+        close_reason: Why it ended, for display.
     """
 
     def __init__(
@@ -37,12 +37,12 @@
         maximum_message_bytes: int,
         on_message: Callable[[MessageType], None] | None = None,
     ) -> None:
-        """Make a client that is not connected yet.
+        """Initialise a client that is not connected yet.
 
         Args:
             decode: Decodes the body of a message; raises `msgspec.DecodeError`.
-            maximum_message_bytes: The size that a message may have at most.
-            on_message: Is called with each message, also with the answer to a request that has timed out.
+            maximum_message_bytes: The maximum size of a message.
+            on_message: Called with each message, including the answer to a request that has timed out.
         """
         self._decode = decode
         self._on_message = on_message
@@ -64,7 +64,7 @@
         return self
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by asyncio."""
+        """Store the transport; called by asyncio."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -78,11 +78,11 @@
                 future.set_exception(NoAnswerError(self.close_reason))
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes; called by asyncio."""
+        """Handle received bytes; called by asyncio."""
         try:
             messages = [self._decode(frame) for frame in self._frames.feed(data)]
         except (FrameError, msgspec.DecodeError) as error:
-            self.close_reason = f"it answers what cannot be read: {error}"
+            self.close_reason = f"received a message that cannot be decoded: {error}"
             self.close()
             return
         for message in messages:
@@ -101,8 +101,8 @@
         """Send a request and return its answer; the first message of a connection has no id and counts as 0.
 
         Raises:
-            NotSentError: The connection has ended before.
-            NoAnswerError: No answer came within `timeout_s`, or before the connection ended.
+            NotSentError: The connection had already ended.
+            NoAnswerError: There was no answer within `timeout_s`, or before the connection ended.
         """
         transport = self._transport
         if transport is None or transport.is_closing() or self.disconnected.is_set():
--- a/elderlock/control/request_metrics.py
+++ b/elderlock/control/request_metrics.py
@@ -1,4 +1,4 @@
-"""Count a limiter's answers by plan and customer, and keep their latencies. Bounded; no I/O."""
+"""Counts a limiter's answers by plan and customer, and records their latencies, in bounded memory. No I/O."""
 
 from __future__ import annotations
 
@@ -9,22 +9,23 @@
 
 from elderlock.control.messages import AnswerCounts
 
-MAXIMUM_ACCOUNTS = 4096  # that are counted separately; then the one counted first goes into the sum of the others
+# Customers that are counted separately; above this number, the customer first seen is merged into the others.
+MAXIMUM_ACCOUNTS = 4096
 OTHER_ACCOUNTS = "(others)"
 MAXIMUM_LATENCY_US = 600_000_000
-SIGNIFICANT_DIGITS = 2  # of a histogram: each latency is recorded within one per cent
-RECENT_ANSWERS = 20_000  # after which the older half is forgotten
+SIGNIFICANT_DIGITS = 2  # of the histograms: each latency is recorded with an error of at most one per cent
+RECENT_ANSWERS = 20_000  # answers in both histograms, after which the older half is forgotten
 US_PER_MS = 1000.0
 MINIMUM_LOG_LATENCY_MS = 0.001
 MINIMUM_LATENCY_US = 1
 
-SERVED, REFUSED, FAILED, ABANDONED = range(4)  # positions in a list of counts
+SERVED, REFUSED, FAILED, ABANDONED = range(4)  # indices in a list of counts
 _BUSY = b"-BUSY"
-_BULK_STRING = ord("$")  # the first byte of a RESP bulk string: an answer that was served
+_BULK_STRING = ord("$")  # first byte of a RESP bulk string: the request was served
 
 
 class RecentLatencies:
-    """The latencies of the recent answers, as two HDR histograms: the current half and the one before."""
+    """The latencies of recent answers in two HDR histograms: the current half and the previous half."""
 
     def __init__(self) -> None:
         self._current = _new_histogram()
@@ -39,7 +40,7 @@
             self._current.reset()
 
     def quantile(self, fraction: float) -> float:
-        """Return a quantile in ms, as the upper bound of its histogram class; -1 before any answer."""
+        """Return a quantile in ms, as the upper bound of its histogram bucket; -1 before the first answer."""
         both = _new_histogram()
         both.add(self._previous)
         both.add(self._current)
@@ -59,8 +60,8 @@
 class RequestMetrics:
     """The counts and latencies of a limiter's answers.
 
-    `record` runs at each answer of a limiter with a control socket: it uses plain lists, and keeps customers in no
-    order but that in which they were first seen.
+    `record` runs for each answer of a limiter with a control socket. To be fast, it uses plain lists, and does not
+    reorder customers after their first answer.
 
     Attributes:
         latencies: The recent latencies.
@@ -75,11 +76,11 @@
         self._plan_names = tuple(plans)
         self._total = [0, 0, 0, 0]
         self._by_plan = [[0, 0, 0, 0] for _ in plans]
-        self._by_account: dict[str, list[int]] = {}  # in the order in which they were first seen
+        self._by_account: dict[str, list[int]] = {}  # in the order of the first answers
         self._other_accounts = [0, 0, 0, 0]
 
     def record(self, plan_index: int, account: str, latency_ms: float, answer: bytes | None) -> None:
-        """Record an answer in RESP, or None for a client that disconnected before it."""
+        """Record an answer in RESP, or None for a client that disconnected before its answer."""
         if answer is None:
             kind = ABANDONED
         else:
@@ -97,11 +98,13 @@
         self._total[kind] += 1
 
     def _add_account(self, account: str) -> list[int]:
-        """Count a customer separately; the one counted first makes way for it where there are too many."""
+        """Count a customer separately; above the maximum, the customer first seen is merged into the others."""
         counts = self._by_account[account] = [0, 0, 0, 0]
         if len(self._by_account) > MAXIMUM_ACCOUNTS:
             oldest = self._by_account.pop(next(iter(self._by_account)))
-            self._other_accounts = [a + b for a, b in zip(self._other_accounts, oldest, strict=True)]
+            self._other_accounts = [
+                other_count + count for other_count, count in zip(self._other_accounts, oldest, strict=True)
+            ]
         return counts
 
     @property
@@ -115,11 +118,11 @@
         return {name: _answer_counts(counts) for name, counts in zip(self._plan_names, self._by_plan, strict=True)}
 
     def account_count(self) -> int:
-        """Return how many customers are counted separately."""
+        """Return the number of customers that are counted separately."""
         return len(self._by_account)
 
     def busiest_accounts(self, maximum: int) -> dict[str, AnswerCounts]:
-        """Return the counts of the busiest customers, and the sum of those that are not counted separately any more."""
+        """Return the counts of the busiest customers, and the sum of those no longer counted separately."""
         by_answers = sorted(self._by_account.items(), key=lambda item: -sum(item[1]))
         busiest = by_answers[: max(maximum, 0)]
         shown = {name: _answer_counts(counts) for name, counts in busiest}
--- a/elderlock/control/server_status.py
+++ b/elderlock/control/server_status.py
@@ -1,4 +1,4 @@
-"""Report the servers of a limiter as it sees them, for the control socket."""
+"""Reports a limiter's view of its servers, for the control socket."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from elderlock import interface as api
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.records import Record
 from elderlock.decisions.endpoints import Endpoints
 from elderlock.net.config import Config
@@ -20,20 +20,20 @@
 
 QUEUE_PATTERN = re.compile(rb"(?:^|,)queue=(\d{1,9})(?:\.\d+)?(?:,|$)")
 STATE_NAMES = {api.ServerState.RUNNING: "running", api.ServerState.DRAINING: "draining"}
-FAILING_ERROR_FRACTION = 0.5  # of a server's answers, beyond which it is reported as failing
+FAILING_ERROR_FRACTION = 0.5  # a server with a greater fraction of errors is reported as failing
 MS_PER_S = 1000.0
 NO_QUEUE = -1
 
 
 class _LoadReport(NamedTuple):
-    """A load report as it came; it is parsed only when somebody asks."""
+    """An unparsed load report; it is parsed only when the status is requested."""
 
     body: bytes
     received_at_ms: float
 
 
 class ServerStatusReader:
-    """Reads the status of each server from the parts of the limiter, and changes none of them."""
+    """Reads the status of each server from the parts of the limiter, without changing them."""
 
     def __init__(self, gateway: Gateway, config: Config, evidence: EvidenceView | None) -> None:
         self._gateway = gateway
@@ -42,7 +42,7 @@
         self._reports: dict[str, _LoadReport] = {}
 
     def on_report(self, uid: str, report: bytes, now_ms: float) -> None:
-        """Keep a server's load report."""
+        """Store a server's load report."""
         self._reports[uid] = _LoadReport(report, now_ms)
 
     def forget_missing(self, discovered: Mapping[str, ListedServer]) -> None:
@@ -52,13 +52,13 @@
 
     def statuses(
         self, discovered: Mapping[str, ListedServer], drained: Mapping[str, Record], now_ms: float
-    ) -> tuple[m.ServerStatus, ...]:
+    ) -> tuple[messages.ServerStatus, ...]:
         """Return the status of each server.
 
         Args:
-            discovered: The targets as discovery reports them, by uid.
+            discovered: The servers as discovery reports them, by uid.
             drained: The drain records in force, by uid.
-            now_ms: The time on the gateway's clock.
+            now_ms: The current time of the gateway's clock.
         """
         connections = {uid: count for uid, (_, count) in self._gateway.server_pools.endpoints().items()}
         shown_keys = self._evidence.shown_keys() if self._evidence is not None else set()
@@ -77,9 +77,9 @@
         server: Server | None,
         record: Record | None,
         connections: int,
-        health: m.ServerHealth | None,
+        health: messages.ServerHealth | None,
         now_ms: float,
-    ) -> m.ServerStatus:
+    ) -> messages.ServerStatus:
         entry = target.entry
         zones = self._config.socket_settings.zones
         kinds = self._config.socket_settings.kinds
@@ -93,7 +93,7 @@
         report_age_ms = -1.0
         if queue != NO_QUEUE:
             report_age_ms = now_ms - self._reports[entry.server_id].received_at_ms
-        return m.ServerStatus(
+        return messages.ServerStatus(
             uid=entry.server_id,
             endpoint="%s:%d" % target.address,
             zone=zones[entry.zone] if entry.zone >= 0 else "?",
@@ -113,7 +113,7 @@
         )
 
     def _queue_length(self, uid: str) -> int:
-        """Return the queue length of a server's latest load report; -1 where none can be read."""
+        """Return the queue length in a server's latest load report; -1 if there is none or it cannot be parsed."""
         report = self._reports.get(uid)
         if report is None:
             return NO_QUEUE
@@ -123,7 +123,7 @@
     def _unavailable_reason(
         self, entry: api.ServerEntry, server: Server | None, record: Record | None, now_ms: float
     ) -> str:
-        """Return why a server gets no new requests, or fewer than its weight; empty where it gets them."""
+        """Return why a server gets no new requests, or fewer than its weight; empty if there is no such reason."""
         if record is not None:
             return f"drained by {record.requested_by}"
         if entry.state is not api.ServerState.RUNNING:
@@ -141,7 +141,7 @@
 
 
 def exclusion_reason(endpoints: Endpoints, server: Server, now_ms: float) -> str:
-    """Return why the limiter's own routing sends a server nothing; empty where it does."""
+    """Return why the limiter's routing excludes or restricts a server; empty if it does not."""
     if server.is_ejected:
         wait_s = max(server.reinstate_at_ms - now_ms, 0.0) / MS_PER_S
         return f"{server.consecutive_failures} failures in a row, back in {wait_s:.1f} s"
--- a/elderlock/control/status_messages.py
+++ b/elderlock/control/status_messages.py
@@ -1,6 +1,6 @@
-"""The parts of a limiter's state, as its control socket reports them.
+"""The parts of the `LimiterState` message on the control socket.
 
-Field names on the wire that differ from the attributes are given by `msgspec.field(name=...)`.
+`msgspec.field(name=...)` gives a field's name on the wire where it differs from the attribute.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 
 
 class AnswerCounts(msgspec.Struct):
-    """Counts of requests by how they ended, since the limiter started.
+    """The number of requests by outcome since the limiter started.
 
     Attributes:
-        served: A server's answer was passed on.
-        refused: The limiter refused the request.
-        failed: The request failed.
-        abandoned: The client disconnected before the answer.
+        served: Requests answered with a server's value.
+        refused: Requests that the limiter refused.
+        failed: Requests that failed.
+        abandoned: Requests whose client disconnected before the answer.
     """
 
     served: int = 0
@@ -24,18 +24,18 @@
     abandoned: int = msgspec.field(name="gone", default=0)
 
     def total(self) -> int:
-        """Return the count of all requests."""
+        """Return the number of all requests."""
         return self.served + self.refused + self.failed + self.abandoned
 
 
 class HealthWitness(msgspec.Struct, frozen=True):
-    """The health evidence on a server that came from one limiter, as another limiter holds it.
+    """One limiter's health evidence on a server, as held by another limiter.
 
     Attributes:
-        limiter: The number of the limiter that the evidence is from.
+        limiter: The index of the limiter that the evidence is from.
         zone: The zone of that limiter.
-        failed_age_ms: How long ago its last failed attempt began; -1 for none.
-        answered_age_ms: How long ago its last answered attempt began; -1 for none.
+        failed_age_ms: How long ago its last failed attempt began; -1 if there is none.
+        answered_age_ms: How long ago its last answered attempt began; -1 if there is none.
     """
 
     limiter: int
@@ -45,13 +45,13 @@
 
 
 class ServerHealth(msgspec.Struct, frozen=True):
-    """What limiters that share health evidence know of a server.
+    """The shared health evidence on a server.
 
     Attributes:
         failure_weight: The weighted sum of the failures.
-        ejection_weight: The sum from which the server is ejected.
-        ejected_ms: For how long the server has been ejected; -1 where it is not.
-        ejected_by: The numbers of the limiters whose failures led to the ejection.
+        ejection_weight: The sum from which on the server is ejected.
+        ejected_ms: How long the server has been ejected; -1 if it is not.
+        ejected_by: The indices of the limiters whose failures led to the ejection.
         witnesses: The evidence, by limiter.
     """
 
@@ -63,7 +63,7 @@
 
 
 class ServerStatus(msgspec.Struct, frozen=True):
-    """A server as one limiter sees it; -1 stands for what is not known, as there was no answer or no report yet.
+    """One limiter's view of a server; figures are -1 as long as there was no answer or no load report.
 
     Attributes:
         uid: The server's uid.
@@ -72,16 +72,16 @@
         kind: Its hardware kind.
         weight: Its capacity weight.
         state: Its state as discovery reports it.
-        open_requests: The count of the limiter's open requests at it.
-        connections: The count of the limiter's connections to it.
+        open_requests: The number of the limiter's open requests at it.
+        connections: The number of the limiter's connections to it.
         latency_ms: The limiter's estimate of its latency.
         latency_age_ms: How long ago that estimate was last updated.
-        queue: The queue length of its last load report.
-        report_age_ms: How long ago that report came.
-        unavailable_reason: Why it gets no new requests, or fewer than its weight; empty where it gets them.
-        drained_by: The operator that drained it; empty where none did.
-        generation: The generation of its drain record; 0 where there is none.
-        health: The shared health evidence on it; None where there is none.
+        queue: The queue length in its last load report.
+        report_age_ms: How long ago that report was received.
+        unavailable_reason: Why it gets no new requests, or fewer than its weight; empty if there is no such reason.
+        drained_by: The operator that drained it; empty if none did.
+        generation: The generation of its drain record; 0 if there is none.
+        health: The shared health evidence on it; None if there is none.
     """
 
     uid: str
@@ -103,13 +103,13 @@
 
 
 class ThrottleStatus(msgspec.Struct, frozen=True):
-    """The limiter's overload throttle; the phases have the names of its paper.
+    """The limiter's overload throttle; the phases are named as in the paper that describes it.
 
     Attributes:
         phase: The phase.
-        leak_rate: The leak rate, per second.
-        admit_rate: Admitted requests, per second.
-        answer_rate: Answers, per second.
+        leak_rate: The leak rate per second.
+        admit_rate: Admitted requests per second.
+        answer_rate: Answers per second.
     """
 
     phase: str
@@ -119,12 +119,12 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """Another limiter as this one sees it.
+    """One limiter's view of another.
 
     Attributes:
-        number: Its number.
-        is_skipped: Whether it is skipped as a quota owner, as it did not answer.
-        missed_answers: How many questions in a row it left unanswered.
+        number: The index of the other limiter.
+        is_skipped: Whether it is skipped as a quota owner because it did not answer.
+        missed_answers: How many consecutive queries it did not answer.
     """
 
     number: int
@@ -133,14 +133,14 @@
 
 
 class LeaseStatus(msgspec.Struct, frozen=True):
-    """A customer's token bucket at a limiter that uses a shared counter; all figures in units.
+    """A customer's token bucket at a limiter that uses a shared counter.
 
     Attributes:
         account: The customer.
-        stored_units: What the bucket holds, by the latest total of the counter.
-        burst_units: What the bucket holds at most.
-        drawn_units: What was drawn and is not spent yet.
-        unreported_units: What was admitted and is not reported to the counter yet.
+        stored_units: The bucket's level, according to the latest total of the counter.
+        burst_units: The bucket's capacity.
+        drawn_units: Units that were drawn and are not spent yet.
+        unreported_units: Units that were admitted and are not reported to the counter yet.
     """
 
     account: str
@@ -151,17 +151,17 @@
 
 
 class CounterStatus(msgspec.Struct, frozen=True):
-    """A shared counter as a limiter sees it.
+    """One limiter's view of the shared counter.
 
     Attributes:
         mode: shared, local or recovering.
-        since_ms: For how long it has been in that mode.
+        since_ms: How long it has been in that mode.
         generation: The generation of the counter.
-        accounts: How many customers the limiter holds leases for.
-        calls: How many calls it has made.
-        calls_per_s: How many calls it makes per second.
-        error_units: The stated error bound in force now, of the plan for which it is largest.
-        leases: The leases of the customers that use most.
+        accounts: The number of customers that the limiter holds leases for.
+        calls: The number of calls it has made.
+        calls_per_s: The number of calls it makes per second.
+        error_units: The current error bound, for the plan with the largest one.
+        leases: The leases of the customers with the highest usage.
     """
 
     mode: str
@@ -175,18 +175,18 @@
 
 
 class EvidenceStatus(msgspec.Struct, frozen=True):
-    """The health evidence that a limiter shares.
+    """The state of health evidence sharing at a limiter.
 
     Attributes:
-        received: How many datagrams it received.
-        refused: How many of them it refused.
-        sent: How many datagrams it sent.
-        maximum_sent_per_s: How many it may send per second.
-        received_age_ms: How long ago the last one came; -1 for never.
-        evidence_lifetime_ms: For how long evidence counts.
-        servers: On how many servers it holds evidence.
-        disbelieved: The numbers of the limiters that report failures of too many servers to be believed.
-        is_silent: Whether it reports no failures, as most of its own attempts failed.
+        received: The number of datagrams it received.
+        refused: The number of received datagrams that it refused.
+        sent: The number of datagrams it sent.
+        maximum_sent_per_s: The maximum number of datagrams it may send per second.
+        received_age_ms: How long ago the last one was received; -1 if none was.
+        evidence_lifetime_ms: How long evidence is valid.
+        servers: The number of servers it holds evidence on.
+        disbelieved: The indices of limiters that are ignored because they report failures of too many servers.
+        is_silent: Whether it reports no failures because most of its own attempts failed.
     """
 
     received: int = msgspec.field(name="heard")
@@ -201,13 +201,13 @@
 
 
 class CeilingStatus(msgspec.Struct, frozen=True):
-    """The units of hard ceilings that a limiter exchanged with others since its start.
+    """The units of hard ceilings that a limiter has exchanged with others since its start.
 
     Attributes:
-        given_units: The units that went to others.
-        taken_units: The units that came from others.
-        offered_units: The units that were given and may still be taken.
-        maximum_sent_per_s: How many datagrams it may send per second.
+        given_units: Units given to others.
+        taken_units: Units taken over from others.
+        offered_units: Units given to others that may not have arrived yet.
+        maximum_sent_per_s: The maximum number of datagrams it may send per second.
     """
 
     given_units: float = msgspec.field(name="given")
--- a/elderlock/control/transport.py
+++ b/elderlock/control/transport.py
@@ -1,7 +1,7 @@
-"""A bounded server of framed messages on a Unix socket or a TCP port.
+"""A server of framed messages on a Unix socket or a TCP port.
 
-Sizes, connections and times are bounded: noise, half a message, a slow reader or a thousand connections cost a little
-memory and are closed.
+Message sizes, the number of connections and waiting times are limited: garbage, incomplete messages, slow readers or a
+thousand connections use little memory and are disconnected.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLimits:
-    """The bounds on the connections of a server.
+    """The limits on the connections of a server.
 
     Attributes:
-        maximum_message_bytes: The size of a message.
-        maximum_hello_bytes: The size of the first message, which identifies the peer.
-        maximum_connections: The count of connections.
-        maximum_unsent_bytes: The bytes that a slow reader may leave unread.
-        hello_timeout_s: For the first message.
-        stall_timeout_s: For the rest of a message, or for a reader to read its answers.
+        maximum_message_bytes: The maximum size of a message.
+        maximum_hello_bytes: The maximum size of the first message, which identifies the peer.
+        maximum_connections: The maximum number of connections.
+        maximum_unsent_bytes: The maximum number of bytes buffered for a slow reader.
+        hello_timeout_s: The timeout for the first message.
+        stall_timeout_s: The timeout for the rest of a message, or for a peer to read its answers.
     """
 
     maximum_message_bytes: int
@@ -51,9 +51,9 @@
 
     Attributes:
         server: The server.
-        session: The state that the server's owner keeps for the connection.
+        session: The application's state for the connection.
         is_identified: Whether the peer has identified itself.
-        waiting_since_s: Since when the server waits for the peer, on the loop's clock; None while it does not.
+        waiting_since_s: Loop time since which the server waits for the peer; None while it does not.
     """
 
     def __init__(self, server: FrameServer[SessionType]) -> None:
@@ -65,7 +65,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; called by asyncio."""
+        """Store the transport and count the connection; called by asyncio."""
         self._transport = cast(asyncio.Transport, transport)
         self.server.on_opened(self)
 
@@ -74,7 +74,7 @@
         self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
-        """Take received bytes; called by asyncio."""
+        """Handle received bytes; called by asyncio."""
         try:
             frames = self._frames.feed(data)
         except FrameError as error:
@@ -86,7 +86,7 @@
             self.server.handle(self, frame)
 
     def on_identified(self) -> None:
-        """Note that the peer has identified itself: from now on it may send long messages, and be idle."""
+        """Record that the peer has identified itself: from now on it may send long messages and be idle."""
         self.is_identified = True
         self.waiting_since_s = None
         self._frames.maximum_bytes = self.server.limits.maximum_message_bytes
@@ -103,15 +103,15 @@
             transport.close()
 
     def pause_writing(self) -> None:
-        """Note that the peer does not read; called by asyncio."""
+        """Record that the peer does not read its answers; called by asyncio."""
         self.waiting_since_s = self.server.loop.time()
 
     def resume_writing(self) -> None:
-        """Note that the peer reads again; called by asyncio."""
+        """Record that the peer reads again; called by asyncio."""
         self.waiting_since_s = None
 
     def check_timeout(self, now_s: float) -> None:
-        """Abort the connection if the server has waited for the peer for too long."""
+        """Abort the connection if the server has waited too long for the peer."""
         limits = self.server.limits
         timeout_s = limits.stall_timeout_s if self.is_identified else limits.hello_timeout_s
         if self.waiting_since_s is not None and now_s - self.waiting_since_s > timeout_s:
@@ -128,10 +128,10 @@
 
     Attributes:
         loop: The event loop.
-        limits: The bounds on the connections.
-        new_session: Makes the state of a new connection.
-        handle: Is called with each connection and message.
-        malformed_frame_reply: Makes the last answer to a peer that sent no frame, from the error's text.
+        limits: The limits on the connections.
+        new_session: Creates the state of a new connection.
+        handle: Called with the connection and the message for each received message.
+        malformed_frame_reply: Returns the last answer to a peer that sent a malformed frame, given the error's text.
         connections: The open connections, the oldest first.
     """
 
@@ -152,10 +152,10 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def on_opened(self, connection: Connection[SessionType]) -> None:
-        """Take a new connection.
+        """Add a new connection.
 
-        Where there are too many, the oldest that is not identified is closed: unidentified peers, however many, do not
-        lock an operator out.
+        Above the maximum, the oldest unidentified connection is closed, so that unidentified peers cannot lock out an
+        operator.
         """
         self.connections[connection] = None
         if len(self.connections) <= self.limits.maximum_connections:
@@ -175,7 +175,7 @@
         self._check_timeouts()
 
     async def listen_tcp(self, host: str, port: int, tls: ssl.SSLContext | None) -> int:
-        """Listen on a TCP port; return the port, which the kernel chooses for 0."""
+        """Listen on a TCP port; return the port, which the kernel chooses if `port` is 0."""
         self._server = await self.loop.create_server(lambda: Connection(self), host, port, ssl=tls)
         self._check_timeouts()
         bound_port: int = self._server.sockets[0].getsockname()[1]
@@ -199,19 +199,20 @@
 
 
 def bind_unix_socket(path: Path) -> socket.socket:
-    """Bind a Unix socket of mode 0600 in a directory of mode 0700 that belongs to this user.
+    """Bind a Unix socket with mode 0600 in a directory with mode 0700 that belongs to this user.
 
-    A socket that a dead process left is removed.
+    A socket file left behind by a dead process is removed.
 
     Raises:
-        OSError: The directory has another owner or mode, the path is no socket, or another process answers on it.
+        OSError: The directory has another owner or mode, the path exists and is not a socket, or another process
+            listens on it.
     """
     _check_directory(path.parent)
     if path.exists():
         _remove_stale_socket(path)
     bound = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
-        os.fchmod(bound.fileno(), SOCKET_MODE)  # before the bind, so that it is never open to others
+        os.fchmod(bound.fileno(), SOCKET_MODE)  # before binding, so that other users can never connect
         bound.bind(str(path))
         path.chmod(SOCKET_MODE)
     except OSError:
@@ -225,12 +226,14 @@
     status = directory.stat()
     mode = stat.S_IMODE(status.st_mode)
     if status.st_uid != os.geteuid() or mode & 0o077:
-        raise OSError(f"{directory} must be our own with mode 0700, it has {mode:04o}")
+        raise OSError(
+            f"{directory} must belong to this user with mode 0700: its owner is {status.st_uid}, its mode {mode:04o}"
+        )
 
 
 def _remove_stale_socket(path: Path) -> None:
     if not stat.S_ISSOCK(path.lstat().st_mode):
-        raise OSError(f"{path} exists and is no socket")
+        raise OSError(f"{path} exists and is not a socket")
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
         probe.settimeout(PROBE_TIMEOUT_S)
         try:
--- a/tests/control/test_control_socket.py
+++ b/tests/control/test_control_socket.py
@@ -1,4 +1,4 @@
-"""The control socket of the real limiter: modes, stale sockets, noise, many connections, wrong files."""
+"""The control socket of a limiter process: file modes, stale sockets, garbage input, many connections, invalid files."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from helpers import limiter_settings, start_harness
 from programs import Program, get_limiter_state
 
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.attach import read_operators_file, read_records_file
 from elderlock.control.framing import encode_frame
 from elderlock.control.records import Record
@@ -30,33 +30,33 @@
         server = await Server().start()
         program = Program(tmp_path, server)
         process = await program.start()
-        caller = await program.connect_control()
+        control = await program.connect_control()
         assert stat.S_IMODE(program.socket.stat().st_mode) == 0o600
         assert stat.S_IMODE(program.socket.parent.stat().st_mode) == 0o700
         client = await program.client()
-        for n in range(3):
-            assert await client.ask(f"r{n}") == b"value"
+        for number in range(3):
+            assert await client.ask(f"r{number}") == b"value"
         await client.ask("over", t="tiny", units=4)
-        state = await get_limiter_state(caller)
+        state = await get_limiter_state(control)
         assert (state.limiter, state.pid, state.ready) == ("n0", process.pid, True)
         assert (state.counts.served, state.counts.total(), state.plans["team"].served) == (3, 4, 3)
         assert state.accounts["00000000b4d65521"].total() == 4
-        (box,) = state.servers
-        assert (box.uid, box.state, box.queue, box.unavailable_reason) == ("s-0", "running", 2, "")
-        assert box.latency_ms >= 0 and box.report_age_ms >= 0 and state.answer_p50_ms > 0
+        (status,) = state.servers
+        assert (status.uid, status.state, status.queue, status.unavailable_reason) == ("s-0", "running", 2, "")
+        assert status.latency_ms >= 0 and status.report_age_ms >= 0 and state.answer_p50_ms > 0
         assert set(state.config_parts) >= {"plans", "services", "rules", "limits"}
-        drain = Record("box", "s-0", True, 1, "o", "an", 0.0)
-        applied = await caller.request(m.ApplyRecords(caller.next_request_id(), (drain,)), 10.0)
+        record = Record("box", "s-0", True, 1, "o", "an", 0.0)
+        applied = await control.request(messages.ApplyRecords(control.next_request_id(), (record,)), 10.0)
         assert (
-            isinstance(applied, m.RecordsApplied)
-            and applied.records == (drain,)
+            isinstance(applied, messages.RecordsApplied)
+            and applied.records == (record,)
             and applied.drained_open_requests == {"s-0": 0}
         )
-        count = len(server.commands)
+        command_count = len(server.commands)
         refused = await client.ask("none-left")
-        assert str(refused).startswith("BUSY") and len(server.commands) == count
-        assert (await get_limiter_state(caller)).servers[0].unavailable_reason == "drained by an"
-        assert isinstance(await caller.request(m.Stop(caller.next_request_id()), 10.0), m.Stopping)
+        assert str(refused).startswith("BUSY") and len(server.commands) == command_count
+        assert (await get_limiter_state(control)).servers[0].unavailable_reason == "drained by an"
+        assert isinstance(await control.request(messages.Stop(control.next_request_id()), 10.0), messages.Stopping)
         assert await process.wait() == 0
         assert not program.socket.exists()
 
@@ -71,8 +71,8 @@
         (tmp_path / "records").write_bytes(msgspec.msgpack.encode(records))
         await program.start()
         client = await program.client()
-        for n in range(8):
-            assert await client.ask(f"r{n}") == b"value"
+        for number in range(8):
+            assert await client.ask(f"r{number}") == b"value"
         assert (len(drained.commands), len(other.commands)) == (0, 8)
         await program.end()
 
@@ -81,41 +81,41 @@
 
 def test_servers_in_the_limiters_zone_are_preferred_where_routing_is_configured(tmp_path: Path) -> None:
     async def test() -> None:
-        home, away = await Server().start(), await Server().start()
-        program = Program(tmp_path, home, away)
+        near, far = await Server().start(), await Server().start()
+        program = Program(tmp_path, near, far)
         path = tmp_path / "config.json"
         raw = json.loads(path.read_text())
-        raw["known"]["targets"][1]["az"] = "b"  # the limiter stands on floor a
+        raw["known"]["targets"][1]["az"] = "b"  # the limiter is in zone a
         path.write_text(json.dumps(raw))
         program.operators.write_text(program.operators.read_text() + "[routing]\naway_ms = 500.0\n")
         await program.start()
         client = await program.client()
-        for n in range(12):
-            assert await client.ask(f"r{n}") == b"value"
-        assert (len(home.commands), len(away.commands)) == (12, 0)
+        for number in range(12):
+            assert await client.ask(f"r{number}") == b"value"
+        assert (len(near.commands), len(far.commands)) == (12, 0)
         await program.end()
 
     run(test())
 
 
 def test_the_reason_why_a_server_gets_no_requests_is_reported() -> None:
-    gate = start_harness(limiter_settings(limiters=6), names="abcdefgh")
-    boxes = gate.limiter.endpoints
-    server = boxes.servers["c"]
-    assert exclusion_reason(boxes, server, gate.now_ms) == ""
+    harness = start_harness(limiter_settings(limiters=6), names="abcdefgh")
+    endpoints = harness.limiter.endpoints
+    server = endpoints.servers["c"]
+    assert exclusion_reason(endpoints, server, harness.now_ms) == ""
     for _ in range(3):
-        boxes.outlier_detector.record_failure(server, 8, boxes.directory.total_weight_milli)
-    assert exclusion_reason(boxes, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
-    gate.now_ms = boxes.context.now_ms = server.reinstate_at_ms
-    boxes.review_due_servers()
-    assert exclusion_reason(boxes, server, gate.now_ms) == "on trial, one request at a time"
-    config = replace(limiter_settings(limiters=6), routing=Routing(subset_size=4))
-    boxes = start_harness(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
-    told = {name: exclusion_reason(boxes, one, 0.0) for name, one in boxes.servers.items()}
-    assert {name for name, why in told.items() if not why} == {
-        one.entry.server_id for one in boxes.candidates.all.members()
+        endpoints.outlier_detector.record_failure(server, 8, endpoints.directory.total_weight_milli)
+    assert exclusion_reason(endpoints, server, server.reinstate_at_ms - 1500.0) == "3 failures in a row, back in 1.5 s"
+    harness.now_ms = endpoints.context.now_ms = server.reinstate_at_ms
+    endpoints.review_due_servers()
+    assert exclusion_reason(endpoints, server, harness.now_ms) == "on trial, one request at a time"
+    settings = replace(limiter_settings(limiters=6), routing=Routing(subset_size=4))
+    endpoints = start_harness(settings, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
+    reasons = {uid: exclusion_reason(endpoints, server, 0.0) for uid, server in endpoints.servers.items()}
+    assert {uid for uid, reason in reasons.items() if not reason} == {
+        server.entry.server_id for server in endpoints.candidates.all.members()
     }
-    assert set(told.values()) == {"", "not in this limiter's subset"}
+    assert set(reasons.values()) == {"", "not in this limiter's subset"}
 
 
 @pytest.mark.parametrize(
@@ -124,16 +124,16 @@
         ("[control\n", None, "operators.toml: "),
         ('[control]\nsocket = "s"\nsoket = "x"\n', None, "unknown field `soket`"),
         ("[control]\nsocket = 5\n", None, "Expected `str`, got `int`"),
-        ("[routing]\nsubset = 3\n", None, "[routing] subset is 3: 0 for all boxes, or 8 at least"),
+        ("[routing]\nsubset = 3\n", None, "[routing] subset is 3: use 0 for all servers, or at least 8"),
         ("[routing]\naway_ms = -1.0\n", None, "Expected `float` >= 0.0"),
         ("[routing]\nsubsets = 30\n", None, "unknown field `subsets`"),
-        (None, b"\xc1 damaged", "the drains in it cannot be read"),
+        (None, b"\xc1 damaged", "the drain records cannot be read"),
     ],
 )
-def test_a_wrong_file_ends_the_start_with_one_line(
+def test_an_invalid_file_ends_the_process_at_start_with_one_line(
     operators: str | None, records: bytes | None, message: str, tmp_path: Path
 ) -> None:
-    """Above all where the drains cannot be read: to start without them would send work to a drained box."""
+    """A limiter that started without the drain records in its file would send requests to drained servers."""
 
     async def test() -> None:
         program = Program(tmp_path)
@@ -164,14 +164,14 @@
     first.listen()
     with pytest.raises(OSError, match="in use by another process"):
         bind_unix_socket(path)
-    first.close()  # dead: the file stays behind
+    first.close()  # as if its process had died: the socket file stays
     assert path.exists()
     second = bind_unix_socket(path)
     assert stat.S_IMODE(path.stat().st_mode) == 0o600
     second.close()
     path.unlink()
     path.write_text("precious")
-    with pytest.raises(OSError, match="is no socket"):
+    with pytest.raises(OSError, match="is not a socket"):
         bind_unix_socket(path)
     assert path.read_text() == "precious"
 
@@ -179,23 +179,25 @@
 def test_a_directory_that_others_can_enter_is_refused(tmp_path: Path) -> None:
     (tmp_path / "open").mkdir(mode=0o755)
     (tmp_path / "open").chmod(0o755)
-    with pytest.raises(OSError, match="must be our own with mode 0700, it has 0755"):
+    with pytest.raises(
+        OSError, match=f"must belong to this user with mode 0700: its owner is {os.geteuid()}, its mode 0755"
+    ):
         bind_unix_socket(tmp_path / "open" / "c.sock")
 
 
-NOISE = [b"\xff" * (10 << 20), encode_frame(b"\xc1\xc1"), encode_frame(msgspec.msgpack.encode({"type": "fly"}))]
+INVALID_INPUT = [b"\xff" * (10 << 20), encode_frame(b"\xc1\xc1"), encode_frame(msgspec.msgpack.encode({"type": "fly"}))]
 
 
-@pytest.mark.parametrize("first", NOISE, ids=["noise", "no message", "unknown message"])
-def test_noise_on_the_socket_costs_the_limiter_nothing(first: bytes, tmp_path: Path) -> None:
+@pytest.mark.parametrize("data", INVALID_INPUT, ids=["garbage", "no message", "unknown message"])
+def test_invalid_input_on_the_socket_does_not_affect_the_limiter(data: bytes, tmp_path: Path) -> None:
     async def test() -> None:
         server = await Server().start()
         program = Program(tmp_path, server)
         await program.start()
-        caller = await program.connect_control()
+        control = await program.connect_control()
         reader, writer = await asyncio.open_unix_connection(str(program.socket))
         try:
-            writer.write(first)
+            writer.write(data)
             await writer.drain()
             while await reader.read(1 << 16):
                 pass
@@ -203,7 +205,7 @@
             pass
         client = await program.client()
         assert await client.ask("served") == b"value"
-        assert (await get_limiter_state(caller)).counts.served == 1
+        assert (await get_limiter_state(control)).counts.served == 1
         await program.end()
 
     run(test())
@@ -214,22 +216,22 @@
         server = await Server().start()
         program = Program(tmp_path, server)
         process = await program.start()
-        caller = await program.connect_control()
-        crowd = []
-        for n in range(1000):
+        control = await program.connect_control()
+        connections = []
+        for number in range(1000):
             sock = socket.socket(socket.AF_UNIX)
             sock.setblocking(False)
-            # a full backlog refuses: what is not taken in costs nothing either
+            # With a full backlog the kernel refuses the connection, which uses no resources of the limiter.
             sock.connect_ex(str(program.socket))
-            crowd.append(sock)
-            if n % 50 == 0:
-                await get_limiter_state(caller)
+            connections.append(sock)
+            if number % 50 == 0:
+                await get_limiter_state(control)
         client = await program.client()
         assert await client.ask("served") == b"value"
-        assert (await get_limiter_state(caller)).counts.served == 1
-        held = [os.readlink(f"/proc/{process.pid}/fd/{fd}") for fd in os.listdir(f"/proc/{process.pid}/fd")]
-        assert sum(name.startswith("socket:") for name in held) < 40
-        for sock in crowd:
+        assert (await get_limiter_state(control)).counts.served == 1
+        descriptors = [os.readlink(f"/proc/{process.pid}/fd/{fd}") for fd in os.listdir(f"/proc/{process.pid}/fd")]
+        assert sum(name.startswith("socket:") for name in descriptors) < 40
+        for sock in connections:
             sock.close()
         await program.end()
 
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,4 +1,4 @@
-"""The real limiter as a process, for tests."""
+"""Helpers for tests that run the limiter as a process."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 
 import hiredis
 
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.request_client import RequestClient
 from elderlock.interface import AttemptEnded, Event, Outcome
 from elderlock.spawning import spawn
@@ -23,7 +23,7 @@
 
 
 def free_port() -> int:
-    """Return a port of loopback that is free now."""
+    """Return a loopback port that is currently free."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
@@ -59,7 +59,7 @@
 
 
 class Program:
-    """`python -m elderlock` with an operators' file, in a folder of its own."""
+    """`python -m elderlock` with an operators' file that has `[control]`, in its own directory."""
 
     def __init__(self, folder: Path, *servers: Server) -> None:
         self.folder, self.socket = folder, folder / "run" / "n0.sock"
@@ -87,18 +87,24 @@
         )
         return self.process
 
-    async def connect_control(self, epoch: int = 1) -> RequestClient[m.FromLimiter]:
+    async def connect_control(self, epoch: int = 1) -> RequestClient[messages.FromLimiter]:
+        """Connect to the control socket as agent `a` once it is open."""
         while True:
-            caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
+            caller: RequestClient[messages.FromLimiter] = RequestClient(
+                messages.decode_answer, messages.MAXIMUM_MESSAGE_BYTES
+            )
             try:
                 await caller.connect_unix(self.socket)
                 break
             except (FileNotFoundError, ConnectionRefusedError):
                 await asyncio.sleep(0.01)
-        assert isinstance(await caller.request(m.Hello((m.PROTOCOL_VERSION,), "a", epoch), 10.0), m.Welcome)
+        assert isinstance(
+            await caller.request(messages.Hello((messages.PROTOCOL_VERSION,), "a", epoch), 10.0), messages.Welcome
+        )
         return caller
 
     async def client(self) -> Client:
+        """Connect a client once the limiter listens."""
         host, _, port = self.address.rpartition(":")
         while True:
             try:
@@ -107,26 +113,27 @@
                 await asyncio.sleep(0.01)
 
     async def end(self) -> None:
+        """Kill the process if it still runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
 
-async def get_limiter_state(caller: RequestClient[m.FromLimiter]) -> m.LimiterState:
-    state = await caller.request(m.GetState(caller.next_request_id()), 10.0)
-    assert isinstance(state, m.LimiterState)
+async def get_limiter_state(caller: RequestClient[messages.FromLimiter]) -> messages.LimiterState:
+    state = await caller.request(messages.GetState(caller.next_request_id()), 10.0)
+    assert isinstance(state, messages.LimiterState)
     return state
 
 
 def record_outcomes(limiter: Limiter) -> list[Outcome]:
-    """Collect the outcomes that the limiter gets from now on."""
-    seen: list[Outcome] = []
+    """Return a list that collects the outcomes of attempts reported to the limiter from now on."""
+    outcomes: list[Outcome] = []
     handle = limiter.gateway._limiter.handle
 
     def record(event: Event, now: float) -> list[object]:
         if isinstance(event, AttemptEnded):
-            seen.append(event.outcome)
+            outcomes.append(event.outcome)
         return handle(event, now)  # type: ignore[return-value]
 
     limiter.gateway._limiter.handle = record  # type: ignore[method-assign,assignment]
-    return seen
+    return outcomes
