--- a/elderlock/__init__.py
+++ b/elderlock/__init__.py
@@ -1,4 +1,4 @@
-"""elderlock: the decisions of a gateway that holds customers to their quotas."""
+"""elderlock: a rate limiter and load balancer that enforces customers' quotas in front of servers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The module is loaded when it is asked for: the command line, which decides nothing, starts faster."""
+    """Import `Limiter` on first access, so that the command line, which does not use it, starts faster."""
     if name == "Limiter":
         from elderlock.decisions.limiter import Limiter
 
--- a/elderlock/__main__.py
+++ b/elderlock/__main__.py
@@ -1,8 +1,8 @@
 """Runs one limiter process: `python -m elderlock`.
 
 The environment names the configuration file (`PROXY_CONFIG`) and, optionally, the operators' file
-(`ELDERLOCK_OPERATORS`). SIGHUP makes it read the configuration again (`elderlock.net.signals`); SIGTERM and SIGINT make
-it drain and end (`elderlock.net.shutdown`).
+(`ELDERLOCK_OPERATORS`). On SIGHUP the process reads the configuration again (`elderlock.net.signals`); on SIGTERM and
+SIGINT it drains and exits (`elderlock.net.shutdown`).
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 def load_optional_features() -> OptionalFeatures | None:
-    """Load what the operators' file switches on; without one, nothing of it is imported.
+    """Load the features that the operators' file enables; without such a file, none of their modules are imported.
 
     Raises:
-        ConfigError: The file cannot be used, or its extra is not installed.
+        ConfigError: The file cannot be used, or the extra that it needs is not installed.
     """
     path = os.environ.get("ELDERLOCK_OPERATORS")
     if not path:
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    """Run the process and return its exit code, 2 where the configuration or an address cannot be used."""
+    """Run the process and return its exit code, which is 2 if the configuration or an address cannot be used."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s")
     try:
         config = load_config(os.environ)
@@ -67,7 +67,7 @@
         return _report_bad_configuration(error)
     try:
         uvloop.run(serve(config))
-    except (OSError, ConfigError) as error:  # what cannot be bound, or an operators' file that is wrong
+    except (OSError, ConfigError) as error:  # an address cannot be bound, or the operators' file is wrong
         return _report_bad_configuration(error)
     return EXIT_OK
 
--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -1,8 +1,8 @@
 """Runs limiters in a simulator: `python -m elderlock.adapter`.
 
-Reads batches of events from standard input and writes the limiters' actions to standard output, one `Limiter` for each
-instance. A line of the simulator's wire is a message name and fields like `name=value`. All mapping between the wire's
-names and the interface's is here.
+Reads batches of events from standard input and writes the limiters' actions to standard output. Each instance of the
+simulation has its own `Limiter`. A line of the simulator's protocol is a message name and fields like `name=value`. The
+protocol's names are mapped to those of `elderlock.interface` only here.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
     "refused": api.ListKind.REFUSED,
 }
 FLAGS_BY_DIGIT = {"0": False, "1": True}
-# Fields whose value is the rest of the line, spaces included, by message.
+# Fields whose value is the rest of the line, including spaces, by message.
 FREE_TEXT_FIELDS = {"born": "facts"}
 EMPTY_DATA = "-"
 EXIT_OK = 0
@@ -51,11 +51,11 @@
 
 
 class WireError(Exception):
-    """The input does not follow the wire's format; the text says which line and field."""
+    """The input does not follow the protocol; the text names the message and field."""
 
 
 class LineFields:
-    """The fields of one line, read with their types. Fields that are not known are ignored.
+    """The fields of one line, which are converted to types on access. Unknown fields are ignored.
 
     Attributes:
         message: The name of the line's message.
@@ -65,7 +65,7 @@
         """Split a line.
 
         Raises:
-            WireError: A part of it is no field.
+            WireError: A part of it is not a field.
         """
         self.message, _, rest = line.partition(" ")
         self._values: dict[str, str] = {}
@@ -101,11 +101,11 @@
         return self._typed(name, int, default)
 
     def number(self, name: str, default: float | None = None) -> float:
-        """Return a finite number's field."""
+        """Return a field with a finite number."""
         return self._typed(name, parse_finite_number, default)
 
     def flag(self, name: str) -> bool:
-        """Return a flag's field, 0 or 1; False if it is missing."""
+        """Return a field with a flag, 0 or 1; False if it is missing."""
         return self._typed(name, FLAGS_BY_DIGIT.__getitem__, False)
 
     def data(self, name: str) -> bytes:
@@ -113,19 +113,19 @@
         return self._typed(name, _decode_data, None)
 
     def choice(self, name: str, table: dict[str, T]) -> T:
-        """Return what a table has for a field."""
+        """Return the table's entry for a field's value."""
         return self._typed(name, table.__getitem__, None)
 
     def outcome(self) -> api.Outcome:
-        """Return the outcome that the field `status` stands for."""
+        """Return the outcome for the code in the field `status`."""
         return self._typed("status", lambda value: OUTCOMES_BY_STATUS[int(value)], None)
 
 
 def parse_finite_number(value: str) -> float:
-    """Parse a number.
+    """Parse a finite number.
 
     Raises:
-        ValueError: It is none, or infinite.
+        ValueError: The text is not a number, or not a finite one.
     """
     number = float(value)
     if not isfinite(number):
@@ -203,7 +203,7 @@
     """Decode the settings of a `born` line.
 
     Raises:
-        WireError: They are not JSON, or not settings.
+        WireError: They are not JSON, or not valid settings.
     """
     facts = fields.text("facts")
     try:
@@ -223,7 +223,7 @@
     """Encode an action as a line.
 
     Raises:
-        WireError: The simulator has no such action.
+        WireError: The simulator's protocol has no such action.
     """
     match action:
         case api.SendAttempt(request_id, server_id, timeout_ms):
@@ -245,7 +245,7 @@
         case api.Log(text):
             return f"journal_line msg={text}"
         case api.Permit() | api.AddToCounter():
-            raise WireError(f"the simulator's wire has no {type(action).__name__} here")
+            raise WireError(f"the simulator's protocol has no action {type(action).__name__}")
 
 
 class Adapter:
@@ -254,20 +254,20 @@
     def __init__(self) -> None:
         self._limiters: dict[int, Limiter] = {}
         self._lists_by_slot: dict[int, tuple[api.ServerEntry, ...]] = {}
-        self._instance: int | None = None  # whom the next events are for
-        self._actions: list[tuple[int, str]] = []  # instance and line
+        self._instance: int | None = None  # the instance that the next events are for
+        self._actions: list[tuple[int, str]] = []  # instance and encoded line
 
     def answer_batch(self, lines: list[str]) -> list[str]:
-        """Answer one batch.
+        """Handle one batch and return the answer.
 
         Args:
-            lines: From the batch's `mark` line to the line before `eof_batch`.
+            lines: The batch's lines from `mark` to the line before `eof_batch`.
 
         Returns:
-            The lines of the answer, the last of which says that the batch is done.
+            The lines of the answer, of which the last is `done`.
 
         Raises:
-            WireError: A line does not follow the wire's format.
+            WireError: A line does not follow the protocol.
         """
         mark = LineFields(lines[0])
         if mark.message != "mark":
@@ -289,17 +289,17 @@
         return [*self._answer_lines(), f"done serial={serial}"]
 
     def _read_list(self, fields: LineFields, lines: list[str], start: int) -> int:
-        """Read the item lines from `start` on that belong to a `list` line; return their number."""
+        """Read the `item` lines of a `list` line, which begin at index `start`; return their number."""
         slot = fields.integer("slot")
         rows = fields.integer("rows")
         items = [LineFields(line) for line in lines[start : start + rows]]
         if len(items) != rows or any(item.message != "item" for item in items):
-            raise WireError(f"list: field 'rows' says {rows}, that many item lines do not follow")
+            raise WireError(f"list: field 'rows' is {rows}, but that many item lines do not follow")
         self._lists_by_slot[slot] = tuple(decode_server_entry(item) for item in items)
         return rows
 
     def _answer_lines(self) -> list[str]:
-        """Return the collected actions, with a line before those of each instance."""
+        """Return the encoded actions, with an `as` line before those of each instance."""
         lines: list[str] = []
         instance: int | None = None
         for acting_instance, line in self._actions:
@@ -311,7 +311,7 @@
 
     def _handle_event(self, fields: LineFields, now_ms: float) -> None:
         if self._instance is None:
-            raise WireError(f"{fields.message}: no target_instance before it")
+            raise WireError(f"{fields.message}: there is no target_instance line before it")
         try:
             self._deliver(self._instance, fields, now_ms)
         except WireError as error:
@@ -344,7 +344,7 @@
             return api.ServerList(fields.integer("rev", 0), kind)
         slot = fields.integer("slot")
         if slot not in self._lists_by_slot:
-            raise WireError(f"endpoints: field 'slot' names list {slot}, which has not come")
+            raise WireError(f"endpoints: field 'slot' is {slot}, but there was no list with this slot")
         return api.ServerList(fields.integer("rev"), kind, self._lists_by_slot[slot])
 
     def _queue_actions(self, instance: int, actions: list[api.Action]) -> None:
@@ -355,7 +355,7 @@
     """Answer batches until the input ends.
 
     Raises:
-        WireError: The input does not follow the wire's format, or ends inside a batch.
+        WireError: The input does not follow the protocol, or ends inside a batch.
     """
     adapter = Adapter()
     batch: list[str] = []
@@ -363,7 +363,7 @@
         line = raw_line.rstrip("\r\n")
         if line == "eof_batch":
             if not batch:
-                raise WireError("eof_batch: no batch has begun")
+                raise WireError("eof_batch: there are no lines before it")
             sink.write("\n".join(adapter.answer_batch(batch)) + "\n")
             sink.flush()
             batch = []
--- a/elderlock/logs.py
+++ b/elderlock/logs.py
@@ -1,6 +1,6 @@
-"""Structured log lines of the agents and commands: an event and its fields, as text for people or JSON for a collector.
+"""Structured logging for agents and commands: an event with fields, as readable text or as JSON for a log collector.
 
-The limiter that `run` starts does not load this module.
+A limiter process (`python -m elderlock`) does not load this module.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 LOG_FORMATS: tuple[LogFormat, ...] = ("text", "json")
 
 
-# Until `configure` is called, lines go to the standard library's logging, for programs that embed this and for tests.
+# Until `configure` is called, lines go to the standard library's logging, for tests and programs that embed elderlock.
 structlog.configure(
     processors=[
         structlog.stdlib.filter_by_level,
@@ -28,13 +28,13 @@
 
 
 def configure(log_format: LogFormat, level: int = logging.INFO) -> None:
-    """Log to standard error from now on.
+    """Configure logging to standard error.
 
-    Lines that other modules and libraries log through the standard library come out in the same form.
+    Lines that other modules and libraries log through the standard library have the same format.
 
     Args:
         log_format: Text or JSON.
-        level: The lowest level that is logged.
+        level: The minimum level that is logged.
     """
     shared: list[Any] = [
         structlog.contextvars.merge_contextvars,
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -1,8 +1,8 @@
-"""Switch on a limiter's optional features, as its operators' file says; loaded only where there is such a file.
+"""Enables a limiter's optional features as its operators' file configures them. Loaded only if there is such a file.
 
-The features: `[control]` the control socket, `[routing]` subsets and zones, `[quota]` a shared counter, `[shared]`
-health evidence and hard ceilings exchanged between limiters, `[authz]` the gRPC authorisation service. Each loads its
-package only where the file has its table.
+The features are: `[control]` the control socket, `[routing]` subsets and zones, `[quota]` a shared counter, `[shared]`
+health evidence and hard ceilings exchanged between limiters, `[authz]` the gRPC authorisation service. A feature's
+package is loaded only if the file has its table.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from elderlock.net.gateway import Gateway
 
 if TYPE_CHECKING:
-    from elderlock.authz.door import Door  # loads grpc: some 30 MB
+    from elderlock.authz.door import Door  # loads grpc, which takes about 30 MB
     from elderlock.quota.attach import CounterAttachment, QuotaOptions
 
 CONFIG_PATH_VARIABLE = "PROXY_CONFIG"
@@ -35,15 +35,15 @@
 class OptionalFeatures:
     """The optional features of one limiter.
 
-    The caller calls `with_routing`, `coordinator_type` and `limiter_type` before the gateway is made, `attach` before
-    it starts, `start_authz` once it listens for clients, and `stop_authz` and `close` at the end.
+    The caller calls `with_routing`, `coordinator_type` and `limiter_type` before the gateway exists, `attach` before
+    the gateway starts, `start_authz` once the limiter listens for clients, and `stop_authz` and `close` at shutdown.
     """
 
     def __init__(self, path: Path) -> None:
         """Read the operators' file.
 
         Raises:
-            ConfigError: It cannot be read or does not fit.
+            ConfigError: The file cannot be read or is invalid.
         """
         self._path = path
         self._file = read_operators_file(path)
@@ -57,7 +57,7 @@
         """Return the configuration with the routing of `[routing]`.
 
         Raises:
-            ConfigError: The table does not fit the settings.
+            ConfigError: The table is not valid with these settings.
         """
         if self._file.routing is None:
             return config
@@ -68,10 +68,10 @@
         return replace(config, settings=replace(config.settings, routing=routing))
 
     def coordinator_type(self, limiter_count: int) -> type[QuotaCoordinator]:
-        """Return the class that the decisions ask for quota: that of `[quota]`, or the limiters themselves.
+        """Return the class that coordinates quotas between limiters: the one of `[quota]`, or the default.
 
         Raises:
-            ConfigError: The table is wrong, or its extra is not installed.
+            ConfigError: The table is invalid, or the extra that it needs is not installed.
         """
         if self._file.quota is None:
             return QuotaCoordinator
@@ -86,17 +86,17 @@
             raise self._error(error) from None
 
     def limiter_type(self, settings: api.Settings) -> type[Limiter]:
-        """Return the class that decides: that of `[shared]`, or the ordinary one.
+        """Return the limiter's class: the one of `[shared]`, or the default.
 
         Raises:
-            ConfigError: The settings or another table do not allow what the table asks for.
+            ConfigError: `[shared]` conflicts with the settings or with another table.
         """
         shared = self._file.shared
         if shared is None or not (shared.evidence or shared.ceilings):
             return Limiter
         if not settings.capabilities.can_message_peers:
-            first = "evidence" if shared.evidence else "ceilings"
-            raise self._error(f"[shared] {first}: the settings do not let limiters talk to one another")
+            key = "evidence" if shared.evidence else "ceilings"
+            raise self._error(f"[shared] {key}: the settings do not let limiters talk to one another")
         if shared.ceilings and self._file.quota is not None:
             raise self._error("[shared] ceilings: with [quota] the counter holds them")
         from elderlock.gossip.options import limiter_class
@@ -115,13 +115,13 @@
 
         Args:
             gateway: The limiter's gateway, before it starts.
-            clients: Its client connections.
+            clients: Its listener for clients.
             config: Its configuration.
-            discovery_status: Returns the state of its connection to discovery, for people.
+            discovery_status: Returns the address of discovery, for display.
             stop: Shuts the process down.
 
         Raises:
-            ConfigError: The file does not fit the limiter.
+            ConfigError: The file is not valid for this limiter.
             OSError: The control socket cannot be bound.
         """
         self._gateway = gateway
@@ -146,7 +146,7 @@
             raise self._error(error) from None
 
     def _optional_status(self, gateway: Gateway, config: Config) -> OptionalStatus:
-        """Return what the control socket shows of the optional features."""
+        """Return the sources of the optional features' status, for the control socket."""
         counter = self._quota.status if self._quota is not None else None
         if self._file.shared is None:
             return OptionalStatus(counter)
@@ -163,8 +163,8 @@
         """Start the authorisation service of `[authz]`.
 
         Raises:
-            ConfigError: The table is wrong, or its extra is not installed.
-            OSError: The service cannot listen.
+            ConfigError: The table is invalid, or the extra that it needs is not installed.
+            OSError: The service cannot listen on its address.
         """
         if self._file.authz is None:
             return
@@ -174,8 +174,8 @@
         except ModuleNotFoundError as error:
             raise self._missing_extra("authz", "grpc", error) from None
         try:
-            file = msgspec.convert(self._file.authz, AuthzFile)
-            service = Door(file, self._path.resolve().parent, self._gateway)
+            options = msgspec.convert(self._file.authz, AuthzFile)
+            service = Door(options, self._path.resolve().parent, self._gateway)
             await service.start()
         except (AuthzError, msgspec.ValidationError) as error:
             raise self._error(error) from None
@@ -184,21 +184,21 @@
         self._on_drain_changed(self._clients.is_cordoned)
 
     def _on_drain_changed(self, is_drained: bool) -> None:
-        """Report to the service's clients whether the limiter serves, as PING reports it to the others."""
+        """Report in the service's health check whether the limiter is drained, as PING does for other clients."""
         if self._authz is not None:
             task = asyncio.get_running_loop().create_task(self._authz.serving(not is_drained))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def reload(self) -> None:
-        """Read the files of the features again, after a SIGHUP."""
+        """Read the features' files again, after a SIGHUP."""
         if self._quota is not None:
             self._quota.reload()
         if self._authz is not None:
             self._authz.reload()
 
     async def stop_authz(self) -> None:
-        """Shut the authorisation service down gracefully, while clients are still answered."""
+        """Drain and stop the authorisation service, while clients are still answered."""
         if self._authz is not None:
             await self._authz.stop()
 
--- a/elderlock/spawning.py
+++ b/elderlock/spawning.py
@@ -1,4 +1,4 @@
-"""Starts child processes of a program whose objects must not be collected in a forked copy of it."""
+"""Starts child processes with the garbage collector disabled, which is unsafe to run in a forked child."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import gc
 from typing import Any
 
-# Children that are being started with the collector off.
+# Number of children being started with the garbage collector disabled.
 _starting_count = 0
 
 
 async def spawn(*command: str, **options: Any) -> asyncio.subprocess.Process:
-    """Start a child process with Python's garbage collector off meanwhile.
+    """Start a child process while Python's garbage collector is disabled.
 
-    uvloop forks and runs Python in the child before it executes the new program. A collection there may meet a dead
-    gRPC channel, whose end waits for a thread that the child does not have: the child would spin for good, and the
-    parent, which waits for it within `uv_spawn`, would stand still.
+    uvloop forks and runs Python code in the child before it executes the new program. A garbage collection there may
+    finalise an unreferenced gRPC channel, which waits for a thread that does not exist in the child. The child would
+    then loop forever, and the parent would block, as it waits for the child within `uv_spawn`.
 
     Args:
         command: The program and its arguments.
-        options: As of `asyncio.create_subprocess_exec`.
+        options: Keyword arguments of `asyncio.create_subprocess_exec`.
 
     Raises:
         OSError: The program cannot be started.
