--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,48 +11,53 @@
 from _pytest.terminal import TerminalReporter
 from hypothesis import settings
 
-# how long one example takes depends on the machine and says nothing
+# No deadline: how long one example takes depends on the machine.
 settings.register_profile("any machine", deadline=None)
 settings.load_profile("any machine")
 
 
-def known(config: pytest.Config) -> list[known_red.Known]:
-    return known_red.read(config.rootpath / "KNOWN-RED.txt")
+def known_failures(config: pytest.Config) -> list[known_red.KnownFailure]:
+    return known_red.read_known_failures(config.rootpath / "KNOWN-RED.txt")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    known(config)  # a list that cannot be read fails the run before it begins
+    known_failures(config)  # an invalid list fails the run before it starts
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    whole = config.args == config.getini("testpaths")
-    known_red.mark(items, known(config), whole)
-    items.sort(key=lambda item: item.get_closest_marker("alone") is None)  # first: the others' first tests are short
+    all_tests_collected = config.args == config.getini("testpaths")
+    known_red.mark_known_failures(items, known_failures(config), all_tests_collected)
+    # Tests marked `alone` come first: they start soon, as the first tests of the other processes are short.
+    items.sort(key=lambda item: item.get_closest_marker("alone") is None)
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
-    for one in known(config):
-        terminalreporter.write_line(f"KNOWN RED: {one.test}: {one.cause} ({one.issue})")
+    for failure in known_failures(config):
+        terminalreporter.write_line(f"KNOWN RED: {failure.test}: {failure.cause} ({failure.issue})")
 
 
 @pytest.fixture(autouse=True)
 def _alone(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Iterator[None]:
-    """A test marked `alone` runs while no other process runs one: it fills the machine, and would both slow the
-    others and be slowed beyond the bounds that it is about. All enter by a turnstile, which stays shut while one waits
-    to be alone: else there would always be another that runs, and a process would stand idle to the end."""
+    """Run a test marked `alone` while no other process runs a test: it uses all CPUs, so it would slow other tests
+    down, and they would slow it beyond the limits that it checks.
+
+    The lock is a readers-writer lock, which each test acquires while it holds the turnstile. A test that waits to run
+    alone keeps the turnstile locked, so that no further tests start. Otherwise some test would always be running, and
+    the waiting process would be idle until the end of the run."""
     base = tmp_path_factory.getbasetemp()
-    shared = base.parent if "PYTEST_XDIST_WORKER" in os.environ else base
-    how = fcntl.LOCK_EX if request.node.get_closest_marker("alone") is not None else fcntl.LOCK_SH
-    with (shared / "alone.lock").open("w") as room:
-        with (shared / "turnstile.lock").open("w") as turnstile:
-            fcntl.flock(turnstile, how)
-            fcntl.flock(room, how)
+    shared_directory = base.parent if "PYTEST_XDIST_WORKER" in os.environ else base
+    lock_mode = fcntl.LOCK_EX if request.node.get_closest_marker("alone") is not None else fcntl.LOCK_SH
+    with (shared_directory / "alone.lock").open("w") as test_lock:
+        with (shared_directory / "turnstile.lock").open("w") as turnstile:
+            fcntl.flock(turnstile, lock_mode)
+            fcntl.flock(test_lock, lock_mode)
         yield
 
 
 @pytest.fixture
 def tmp_path() -> Iterator[Path]:
-    """A short one in place of pytest's: a Unix socket's path holds 107 bytes, wherever TMPDIR lies."""
+    """Replace pytest's fixture with one that has a short path, independent of TMPDIR: a Unix socket's path is limited to
+    107 bytes."""
     with tempfile.TemporaryDirectory(prefix="el-", dir="/tmp", ignore_cleanup_errors=True) as folder:
         yield Path(folder)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Tests that are known to fail for a fault that is not mended yet, as `KNOWN-RED.txt` at the root lists them.
+"""Tests that are known to fail because of an open bug, as listed in `KNOWN-RED.txt` at the root of the repository.
 
-A line is `test | cause | issue`. A listed test runs as a strict expected failure, so one that passes again has to leave
-the list; more than three lines, an unknown test or a malformed line fails the run. No file is an empty list."""
+A line is `test | cause | issue`. A listed test runs as a strict expected failure, so a test that passes again has to be
+removed from the list. More than three lines, an unknown test or a malformed line fails the run. A missing file counts
+as an empty list."""
 
 from __future__ import annotations
 
@@ -10,37 +11,44 @@
 
 import pytest
 
-MOST = 3
+MAXIMUM_LINES = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownFailure:
     test: str
     cause: str
     issue: str
 
 
-def read(path: Path) -> list[Known]:
-    """Raises `pytest.UsageError`."""
+def read_known_failures(path: Path) -> list[KnownFailure]:
+    """Read the list; raise `pytest.UsageError` if it is invalid."""
     if not path.exists():
         return []
     lines = [line for line in path.read_text(encoding="utf-8").splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{path.name} has {len(lines)} lines, {MOST} at most")
-    known = []
+    if len(lines) > MAXIMUM_LINES:
+        raise pytest.UsageError(f"{path.name} has {len(lines)} lines, {MAXIMUM_LINES} at most are allowed")
+    known_failures = []
     for line in lines:
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
             raise pytest.UsageError(f"{path.name}: {line!r} is not 'test | cause | issue'")
-        known.append(Known(*parts))
-    return known
+        known_failures.append(KnownFailure(*parts))
+    return known_failures
 
 
-def mark(items: list[pytest.Item], known: list[Known], whole: bool) -> None:
-    """`whole`: whether all tests are collected, so that one that is not there is unknown. Raises `pytest.UsageError`."""
+def mark_known_failures(
+    items: list[pytest.Item], known_failures: list[KnownFailure], all_tests_collected: bool
+) -> None:
+    """Mark the listed tests as strict expected failures.
+
+    If all tests are collected, raise `pytest.UsageError` for a listed test that does not exist.
+    """
     by_name = {item.nodeid: item for item in items}
-    for one in known:
-        if one.test in by_name:
-            by_name[one.test].add_marker(pytest.mark.xfail(strict=True, reason=f"{one.cause} ({one.issue})"))
-        elif whole:
-            raise pytest.UsageError(f"KNOWN-RED.txt names {one.test}, which is no test")
+    for failure in known_failures:
+        if failure.test in by_name:
+            by_name[failure.test].add_marker(
+                pytest.mark.xfail(strict=True, reason=f"{failure.cause} ({failure.issue})")
+            )
+        elif all_tests_collected:
+            raise pytest.UsageError(f"KNOWN-RED.txt names {failure.test}, which is not a test")
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The house and its rooms: who may import whom, and what the limiter that `run` starts loads."""
+"""The import contracts between packages, and the modules that a limiter without optional features loads."""
 
 import subprocess
 import sys
@@ -36,7 +36,7 @@
     "timer_queue",
     "weighted_sampler",
 )
-OWN = {
+LIMITER_MODULES = {
     "elderlock",
     "elderlock.__main__",
     "elderlock.interface",
@@ -76,27 +76,27 @@
 
 
 def test_the_import_contracts_hold() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", "from importlinter.cli import lint_imports_command as c; c()", "--no-cache"],
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "0 broken" in done.stdout
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "0 broken" in completed.stdout
 
 
-def test_the_limiter_that_run_starts_loads_its_own_rooms_alone() -> None:
-    """The ordinary path pays nothing for a room that is off: one import more costs each limiter memory."""
+def test_a_limiter_without_optional_features_loads_only_the_listed_modules() -> None:
+    """Each additional import costs every limiter memory, so disabled features must not be imported."""
     code = (
         "import sys; before = set(sys.modules); import elderlock.__main__;" "print(*sorted(set(sys.modules) - before))"
     )
     command = [sys.executable, "-c", code]
     loaded = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
     modules = set(loaded.stdout.split())
-    assert {m for m in modules if m.split(".")[0] == "elderlock"} == OWN
-    known = LIBRARIES | set(sys.stdlib_module_names) | {"elderlock"}
-    roots = {m.split(".")[0].lstrip("_") for m in modules}
-    roots = {root for root in roots if not root.lower().startswith("cython_")}  # how uvloop is built
-    assert roots <= {k.lstrip("_") for k in known}
+    assert {name for name in modules if name.split(".")[0] == "elderlock"} == LIMITER_MODULES
+    known_roots = LIBRARIES | set(sys.stdlib_module_names) | {"elderlock"}
+    roots = {name.split(".")[0].lstrip("_") for name in modules}
+    roots = {root for root in roots if not root.lower().startswith("cython_")}  # created by uvloop's Cython code
+    assert roots <= {root.lstrip("_") for root in known_roots}
--- a/tests/test_client_commands.py
+++ b/tests/test_client_commands.py
@@ -1,4 +1,4 @@
-"""Clients over loopback: commands, errors in them, and the order of answers."""
+"""Clients over loopback: commands, errors in commands, and the order of answers."""
 
 import asyncio
 
@@ -17,10 +17,10 @@
         limiter = await Limiter.start(server)
         client = await limiter.client()
         assert await client.ask("9b1f", r=1) == b"value"
-        verb, customer, name, text = server.commands[0]
-        assert (verb, customer, name) == (b"API.READ", CUSTOMER.encode(), b"9b1f")
+        verb, customer, request_id, text = server.commands[0]
+        assert (verb, customer, request_id) == (b"API.READ", CUSTOMER.encode(), b"9b1f")
         values = dict(pair.split("=") for pair in text.decode().split(","))
-        assert 0 < int(values.pop("d")) <= 1200  # what we will wait, not what the client will
+        assert 0 < int(values.pop("d")) <= 1200  # how long the limiter waits, not how long the client does
         assert values == {"c": "lookup", "t": "team", "units": "1", "spread": "1", "first": "0", "r": "1"}
 
     run(test())
@@ -97,7 +97,7 @@
         answer = await client.answer()
         assert isinstance(answer, hiredis.ReplyError)
         assert str(answer).startswith("ERR ")
-        assert await client.ask("good") == b"value"  # the connection goes on
+        assert await client.ask("good") == b"value"  # the connection stays open
         assert [command[2] for command in server.commands] == [b"good"]
 
     run(test())
@@ -117,7 +117,7 @@
         b"*0\r\n",
         b"*01\r\n$4\r\nPING\r\n",
         b"*1\r\n$-5\r\n",
-        b"*1\r\n$3\r\nPING\r\n",  # cut, and what follows shifted
+        b"*1\r\n$3\r\nPING\r\n",  # the string is longer than announced, so the following bytes are shifted
         b"*1\r\n$4\r\nPINGxx*1\r\n$4\r\nPING\r\n",
         b"*1\r\n" * 1000,
         b"k" * 3000,
@@ -138,13 +138,13 @@
 
 
 @pytest.mark.parametrize("pieces", [1, 3, 1000])
-def test_excessive_length_after_a_good_command_gets_an_error_in_any_pieces(pieces: int) -> None:
+def test_excessive_length_after_a_valid_command_gets_an_error_however_it_is_split(pieces: int) -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         client = await limiter.client()
         data = b"*1\r\n$4\r\nPING\r\n*1\r\n$90000000\r\nxxx"
-        for at in range(0, len(data), len(data) // min(pieces, len(data))):
-            client.writer.write(data[at : at + len(data) // min(pieces, len(data))])
+        for start in range(0, len(data), len(data) // min(pieces, len(data))):
+            client.writer.write(data[start : start + len(data) // min(pieces, len(data))])
             await asyncio.sleep(0)
         assert await client.answer() is not None
         assert str(await client.answer()).startswith("ERR ")
@@ -159,7 +159,7 @@
 
         async def behave(command: list[bytes]) -> bytes:
             await release.wait()
-            return served(b"own")
+            return served(b"first")
 
         server = await Server(behave).start()
         limiter = await Limiter.start(server)
@@ -168,9 +168,9 @@
         await until(lambda: len(server.commands) == 1)
         assert str(await second.ask("same")).startswith("ERR ")
         release.set()
-        assert await first.answer() == b"own"
+        assert await first.answer() == b"first"
         assert len(server.commands) == 1
-        assert await second.ask("same") == b"own"  # it is answered: no longer open
+        assert await second.ask("same") == b"first"  # the first request is answered, so its id may be used again
 
     run(test())
 
@@ -178,7 +178,7 @@
 def test_request_above_the_limit_of_open_requests_is_rejected_at_once() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(None)).start())
-        assert limiter.gateway.requests.max_count == 2000  # the settings', as 192 MB bear more
+        assert limiter.gateway.requests.max_count == 2000  # from the settings; 192 MB of memory would allow more
         limiter.gateway.requests.max_count = 3
         client = await limiter.client()
         for number in range(3):
@@ -187,7 +187,7 @@
         await until(lambda: len(limiter.gateway.requests) == 3)
         assert str(await other.ask("more")).startswith("BUSY")
         client.close()
-        await until(lambda: not limiter.gateway.requests)  # and nothing of them is left
+        await until(lambda: not limiter.gateway.requests)  # all requests of the closed client are removed
 
     run(test())
 
@@ -199,24 +199,24 @@
         for _ in range(2000):
             client.send("PING")
         client.read("last")
-        got = [await client.answer() for _ in range(2001)]
-        assert got[-1] == b"value"
+        received = [await client.answer() for _ in range(2001)]
+        assert received[-1] == b"value"
 
     run(test())
 
 
 def test_commands_split_anywhere_never_reach_the_limit_of_a_single_command() -> None:
-    """Each chunk ends inside a command, so the reader is never empty while far more than one passes."""
+    """Each chunk ends inside a command, so the reader's buffer never becomes empty while many commands pass."""
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         client = await limiter.client()
         ping = b"*1\r\n$4\r\nPING\r\n"
         stream = ping * 20000
-        for at in range(5, len(stream), 10 * len(ping)):
-            client.writer.write(stream[0 if at == 5 else at : at + 10 * len(ping)])
+        for start in range(5, len(stream), 10 * len(ping)):
+            client.writer.write(stream[0 if start == 5 else start : start + 10 * len(ping)])
             await client.writer.drain()
-            for _ in range(10 if at + 10 * len(ping) <= len(stream) else 0):
+            for _ in range(10 if start + 10 * len(ping) <= len(stream) else 0):
                 assert not isinstance(await client.answer(), hiredis.ReplyError)
 
     run(test())
@@ -227,16 +227,16 @@
         server = await Server(answers(None)).start()
         limiter = await Limiter.start(server)
         client = await limiter.client()
-        client.read("gone")
+        client.read("cancelled")
         await until(lambda: len(server.commands) == 1)
         client.close()
-        await until(lambda: server.lost == 1)  # the server hears of it by the end of its connection
+        await until(lambda: server.lost == 1)  # the limiter closes the connection to cancel the attempt
 
     run(test())
 
 
 def test_request_over_quota_is_rejected_at_once_with_a_retry_delay() -> None:
-    """Nothing is held back to keep a client from asking again: the advice does that."""
+    """The limiter does not delay a rejection to slow the client down: the retry delay in the answer does that."""
 
     async def test() -> None:
         server = await Server().start()
@@ -244,7 +244,7 @@
         client = await limiter.client()
         assert await client.ask("1", t="tiny") == b"value"
         answer = await client.ask("2", t="tiny")
-        assert str(answer) == "BUSY 500"  # as long as clients heed
+        assert str(answer) == "BUSY 500"  # the longest retry delay that clients follow
         assert len(server.commands) == 1
 
     run(test())
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -9,24 +9,24 @@
 from elderlock.standins.parts import Limiter
 from elderlock.standins.waiting import run, until
 
-HOURS = 10000.0
+LONG_TIME_S = 10000.0
 
 
 @pytest.mark.parametrize("sent", [b"", b"*1\r\n$4\r\nPI", b"*"])
 def test_connection_without_a_complete_command_is_closed(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Silent and half-way ones would hold their descriptors for good."""
+    """Clients that send nothing, or half a command, would otherwise hold their descriptors forever."""
     monkeypatch.setattr(client_listener, "SILENCE_LIMIT_S", 0.05)
     monkeypatch.setattr(client_listener, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        kept, client = await limiter.client(), await limiter.client()
-        kept.send("PING")
-        await kept.answer()
+        used, client = await limiter.client(), await limiter.client()
+        used.send("PING")
+        await used.answer()
         client.writer.write(sent)
         assert str(await client.answer()).startswith("ERR ")
         assert await client.answer() is None
-        assert await kept.ask("x") == b"value"  # one that has asked stays, however long ago
+        assert await used.ask("x") == b"value"  # a connection that has sent a command stays open while idle
 
     run(test())
 
@@ -35,49 +35,50 @@
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         limiter.clients._max_connections = 8
-        usual = [await limiter.client() for _ in range(4)]
-        for number, client in enumerate(usual):
+        established = [await limiter.client() for _ in range(4)]
+        for number, client in enumerate(established):
             assert await client.ask(f"a{number}") == b"value"
         flood = [await limiter.client() for _ in range(50)]
         assert [await client.answer() for client in flood[:40]] == [None] * 40
         assert len(limiter.clients) == 8
-        for number, client in enumerate(usual):
+        for number, client in enumerate(established):
             assert await client.ask(f"b{number}") == b"value"
 
     run(test())
 
 
 def test_idle_connections_above_the_limit_are_closed_the_oldest_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients may hold a third of the descriptors: kept for good by some, they would leave the others none. The longest
-    idle ends in an orderly way, one that was used just now does not."""
+    """Clients may hold up to a third of the descriptors: idle connections without a limit would leave none for other
+    clients. The longest idle connection is closed gracefully, a recently used one is not closed."""
     monkeypatch.setattr(client_listener, "RECENT_USE_S", 0.0)
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         limiter.clients._max_idle = 8
-        crowd = []
+        clients = []
         for number in range(30):
-            crowd.append(await limiter.client())
-            assert await crowd[-1].ask(f"a{number}") == b"value"
-        assert [await client.answer() for client in crowd[:22]] == [None] * 22
-        for number, client in enumerate(crowd[-8:]):
+            clients.append(await limiter.client())
+            assert await clients[-1].ask(f"a{number}") == b"value"
+        assert [await client.answer() for client in clients[:22]] == [None] * 22
+        for number, client in enumerate(clients[-8:]):
             assert await client.ask(f"b{number}") == b"value"
         monkeypatch.setattr(client_listener, "RECENT_USE_S", 60.0)
-        more = [await limiter.client() for _ in range(8)]
-        for number, client in enumerate([*more, *crowd[-8:]]):
+        new_clients = [await limiter.client() for _ in range(8)]
+        for number, client in enumerate([*new_clients, *clients[-8:]]):
             assert await client.ask(f"c{number}") == b"value"
 
     run(test())
 
 
 def test_new_connection_is_served_although_all_others_were_just_used() -> None:
-    """A restart nearby brings a crowd at once; those turned away for idle connections would all fail."""
+    """When another limiter restarts, many clients connect here at once. A connection rejected in favour of idle ones
+    would fail its client's request."""
 
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         limiter.clients._max_connections = 8
-        crowd = [await limiter.client() for _ in range(8)]
-        for number, client in enumerate(crowd):
+        clients = [await limiter.client() for _ in range(8)]
+        for number, client in enumerate(clients):
             assert await client.ask(f"a{number}") == b"value"
         late = []
         for number in range(8):
@@ -112,10 +113,10 @@
         client = await limiter.client()
         for _ in range(500):
             client.send("NOSUCH")
-        got = [await client.answer()]
-        while got[-1] is not None:
-            got.append(await client.answer())
-        assert len(got) < 50
+        received = [await client.answer()]
+        while received[-1] is not None:
+            received.append(await client.answer())
+        assert len(received) < 50
 
     run(test())
 
@@ -123,17 +124,17 @@
 def test_drain_answers_all_commands_that_came_together() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
-        client, held = await limiter.client(), await limiter.client()
-        held.writer.write(b"*1\r\n$4\r\nPI")  # begun, so it is owed an answer once it is whole
+        client, partial = await limiter.client(), await limiter.client()
+        partial.writer.write(b"*1\r\n$4\r\nPI")  # an incomplete command, which is answered once it is complete
         client.send("PING")
         await client.answer()
         limiter.clients.is_draining = True
         client.writer.write(b"*1\r\n$4\r\nPING\r\n" * 3)
         answers = [await client.answer() for _ in range(4)]
-        assert answers[-1] is None and not any(a is None for a in answers[:3])
-        held.writer.write(b"NG\r\n")
-        assert await held.answer() is not None
-        assert await held.answer() is None
+        assert answers[-1] is None and not any(answer is None for answer in answers[:3])
+        partial.writer.write(b"NG\r\n")
+        assert await partial.answer() is not None
+        assert await partial.answer() is None
 
     run(test())
 
@@ -151,15 +152,15 @@
         idle, busy = await limiter.client(), await limiter.client()
         idle.send("PING")
         await idle.answer()
-        busy.read("owed")
+        busy.read("open")
         await until(lambda: len(server.commands) == 1)
-        drain = asyncio.ensure_future(limiter.clients.drain(accept_for_s=1.0, time_limit_s=HOURS))
+        drain = asyncio.ensure_future(limiter.clients.drain(accept_for_s=1.0, time_limit_s=LONG_TIME_S))
         assert await idle.answer() is None
         late = await limiter.client()
         late.read("late")
         await until(lambda: len(server.commands) == 2)
         release.set()
-        assert [await busy.answer(), await busy.answer()] == [b"owed", None]
+        assert [await busy.answer(), await busy.answer()] == [b"open", None]
         assert [await late.answer(), await late.answer()] == [b"late", None]
         await drain
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, played on a small suite of its own."""
+"""The list of known failing tests (`KNOWN-RED.txt`), checked by running pytest on a small generated suite."""
 
 import os
 import subprocess
@@ -9,17 +9,17 @@
 
 TESTS = Path(__file__).parent
 SUITE = "def test_red():\n    assert False\n\n\ndef test_green():\n    pass\n"
-RED = "tests/test_suite.py::test_red | it is wrong | #1"
+RED_LINE = "tests/test_suite.py::test_red | it is wrong | #1"
 
 
-def played(folder: Path, listed: str | None) -> subprocess.CompletedProcess[str]:
+def run_suite(folder: Path, known_failures: str | None) -> subprocess.CompletedProcess[str]:
     (folder / "tests").mkdir()
     (folder / "tests" / "test_suite.py").write_text(SUITE)
     for name in ("conftest.py", "known_red.py"):
         (folder / "tests" / name).write_text((TESTS / name).read_text())
     (folder / "pytest.ini").write_text("[pytest]\ntestpaths = tests\npythonpath = tests\n")
-    if listed is not None:
-        (folder / "KNOWN-RED.txt").write_text(listed)
+    if known_failures is not None:
+        (folder / "KNOWN-RED.txt").write_text(known_failures)
     environ = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
     return subprocess.run(
         [sys.executable, "-B", "-m", "pytest", "-q", "-p", "no:cacheprovider"],
@@ -30,30 +30,30 @@
     )
 
 
-def test_a_listed_test_that_fails_is_let_pass_and_printed(tmp_path: Path) -> None:
-    done = played(tmp_path, RED + "\n\n")
-    assert done.returncode == 0, done.stdout
-    assert "1 passed, 1 xfailed" in done.stdout
-    assert "KNOWN RED: tests/test_suite.py::test_red: it is wrong (#1)" in done.stdout
+def test_a_listed_failing_test_is_an_expected_failure_and_is_printed(tmp_path: Path) -> None:
+    completed = run_suite(tmp_path, RED_LINE + "\n\n")
+    assert completed.returncode == 0, completed.stdout
+    assert "1 passed, 1 xfailed" in completed.stdout
+    assert "KNOWN RED: tests/test_suite.py::test_red: it is wrong (#1)" in completed.stdout
 
 
-@pytest.mark.parametrize("listed", [None, "", "\n"])
-def test_no_list_lets_nothing_pass(tmp_path: Path, listed: str | None) -> None:
-    done = played(tmp_path, listed)
-    assert done.returncode == 1 and "1 failed, 1 passed" in done.stdout
+@pytest.mark.parametrize("known_failures", [None, "", "\n"])
+def test_without_listed_tests_a_failing_test_fails_the_run(tmp_path: Path, known_failures: str | None) -> None:
+    completed = run_suite(tmp_path, known_failures)
+    assert completed.returncode == 1 and "1 failed, 1 passed" in completed.stdout
 
 
 @pytest.mark.parametrize(
-    ("listed", "told"),
+    ("known_failures", "message"),
     [
         ("tests/test_suite.py::test_green | it was wrong | #1", "XPASS(strict)"),
-        ("tests/test_suite.py::test_other | it is wrong | #1", "which is no test"),
+        ("tests/test_suite.py::test_other | it is wrong | #1", "which is not a test"),
         ("tests/test_suite.py::test_red | it is wrong", "is not 'test | cause | issue'"),
         ("tests/test_suite.py::test_red |  | #1", "is not 'test | cause | issue'"),
-        ("\n".join([RED] * 4), "4 lines, 3 at most"),
+        ("\n".join([RED_LINE] * 4), "4 lines, 3 at most"),
     ],
 )
-def test_a_list_that_is_wrong_fails_the_run(tmp_path: Path, listed: str, told: str) -> None:
-    done = played(tmp_path, listed)
-    assert done.returncode != 0
-    assert told in done.stdout + done.stderr
+def test_an_invalid_list_fails_the_run(tmp_path: Path, known_failures: str, message: str) -> None:
+    completed = run_suite(tmp_path, known_failures)
+    assert completed.returncode != 0
+    assert message in completed.stdout + completed.stderr
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -1,5 +1,5 @@
-"""Thirty processes of the program on loopback: what all send a cold server together, and a restart of all at once while
-discovery is down."""
+"""Thirty limiter processes on loopback: the load that they put together on a server that is warming up, and a restart of
+all of them at once while discovery is down."""
 
 import asyncio
 import json
@@ -23,78 +23,84 @@
 from elderlock.standins.waiting import run, unix_ms, until
 from elderlock.standins.world import free_address, own_host
 
-PROCESSES, WARM = 30, 4
-EVERY = 0.1  # s between two requests of a client: 300 a second over the fleet
+PROCESS_COUNT, WARM_SERVER_COUNT = 30, 4
+REQUEST_INTERVAL_S = 0.1  # for each client: 300 requests a second over all limiters
 RULES = {"drain-grace": 250.0, "cold": 60000.0, "cold-share": 0.2, "tip-multiple": 2.0, "fall": 500.0}
-READY_WITHIN = 10.0  # s that nine in ten have; reported, as it is the machine's as well as ours
+READY_TIME_S = 10.0  # nine in ten processes should be ready by then; only reported, as it depends on the machine too
 
 
-class Lookup(Server):
-    """Keeps when each command came."""
+class RecordingServer(Server):
+    """Records the arrival time of each command."""
 
     def __init__(self) -> None:
         super().__init__(self._answer)
-        self.came: list[float] = []  # Unix ms
+        self.arrival_times_ms: list[float] = []  # Unix time
 
     async def _answer(self, command: list[bytes]) -> bytes:
-        self.came.append(unix_ms())
+        self.arrival_times_ms.append(unix_ms())
         return served(b"value")
 
 
 class Fleet:
+    """The limiter processes, their servers, discovery, and one client for each limiter."""
+
     def __init__(self, folder: Path, peers: bool) -> None:
         rng = random.SystemRandom()
         self.folder, self.peers = folder, peers
-        self.listens = [free_address(own_host(rng)) for _ in range(PROCESSES)]
-        self.addresses = [free_address(own_host(rng)) for _ in range(PROCESSES)]
-        self.warm, self.cold = [Lookup() for _ in range(WARM)], Lookup()
-        self.cold_at = 0.0
-        self.draining = False
+        self.listen_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.peer_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.warm_servers, self.cold_server = [RecordingServer() for _ in range(WARM_SERVER_COUNT)], RecordingServer()
+        self.cold_started_at_ms = 0.0  # Unix time; 0 until the cold server is listed
+        self.warm_are_draining = False
         self.discovery = Discovery(rows=self.rows)
         self.processes: list[asyncio.subprocess.Process] = []
         self.clients: list[Client] = []
-        self.ready_after: list[float] = []  # s, of the latest start
+        self.ready_times_s: list[float] = []  # of each process, since the latest start
 
     def rows(self, door: int) -> list[dict[str, Any]]:
-        state = "draining" if self.draining else "up"
-        rows = [target(f"w-{n}", server.endpoint, state) for n, server in enumerate(self.warm)]
-        return [*rows, target("cold", self.cold.endpoint, boot_ms=self.cold_at)] if self.cold_at else rows
+        state = "draining" if self.warm_are_draining else "up"
+        rows = [target(f"w-{number}", server.endpoint, state) for number, server in enumerate(self.warm_servers)]
+        return (
+            [*rows, target("cold", self.cold_server.endpoint, boot_ms=self.cold_started_at_ms)]
+            if self.cold_started_at_ms
+            else rows
+        )
 
-    def tell(self) -> None:
+    def send_list(self) -> None:
         self.discovery.rev += 1
         for writer, door in list(self.discovery.watching.items()):
             line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
             self.discovery.line(door, writer, json.dumps(line).encode() + b"\n")
 
-    async def open(self) -> None:
-        for server in (*self.warm, self.cold):
+    async def start_servers(self) -> None:
+        for server in (*self.warm_servers, self.cold_server):
             await server.start()
         await self.discovery.start()
 
-    async def start(self) -> None:
-        """All at once, each with the list as it was."""
-        began = time.monotonic()
-        known = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
+    async def start_limiters(self) -> None:
+        """Start all limiters at once, each with the current list as its cached list."""
+        started_at_s = time.monotonic()
+        cached_list = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
 
-        async def one(number: int) -> Client:
-            raw = raw_config(self.listens[number], "%s:%d" % self.discovery.address)
+        async def start_one(number: int) -> Client:
+            raw = raw_config(self.listen_addresses[number], "%s:%d" % self.discovery.address)
             raw["seed"] = secrets.token_hex(8)
-            settings = {**facts(peers=self.peers), "ordinal": number, "peers-total": PROCESSES, "rules": RULES}
+            settings = {**facts(peers=self.peers), "ordinal": number, "peers-total": PROCESS_COUNT, "rules": RULES}
             settings["plans"] = [{"name": "team", "quota-rate": 1e5, "burst": 1e5}]
             if self.peers:
-                raw.update(peers=self.addresses, peer_listen=self.addresses[number])
+                raw.update(peers=self.peer_addresses, peer_listen=self.peer_addresses[number])
             self.processes.append(
-                await start_program(self.folder / f"{number}.json", {**raw, "settings": settings, "known": known})
+                await start_program(self.folder / f"{number}.json", {**raw, "settings": settings, "known": cached_list})
             )
-            host, _, port = self.listens[number].rpartition(":")
+            host, _, port = self.listen_addresses[number].rpartition(":")
             client = await connect_when_ready(int(port), host)
-            self.ready_after.append(time.monotonic() - began)
+            self.ready_times_s.append(time.monotonic() - started_at_s)
             return client
 
-        self.ready_after, self.processes = [], []
-        self.clients = await asyncio.gather(*map(one, range(PROCESSES)))
+        self.ready_times_s, self.processes = [], []
+        self.clients = await asyncio.gather(*map(start_one, range(PROCESS_COUNT)))
 
-    async def kill(self) -> None:
+    async def kill_limiters(self) -> None:
         for process in self.processes:
             if process.returncode is None:
                 process.send_signal(signal.SIGKILL)
@@ -102,29 +108,33 @@
         for client in self.clients:
             client.close()
 
-    async def work(self, rounds: int, pause: float = EVERY) -> None:
-        """Each client asks so often, all at once and one request after the other."""
+    async def send_requests(self, rounds: int, pause_s: float = REQUEST_INTERVAL_S) -> None:
+        """Send `rounds` requests from each client, one after the other, and from all clients in parallel."""
 
-        async def one(number: int, client: Client) -> None:
-            for turn in range(rounds):
+        async def send_from(number: int, client: Client) -> None:
+            for round_number in range(rounds):
                 assert (
-                    await client.ask(f"{number:x}-{turn:x}-{time.monotonic_ns():x}", first=number, spread=1) is not None
+                    await client.ask(f"{number:x}-{round_number:x}-{time.monotonic_ns():x}", first=number, spread=1)
+                    is not None
                 )
-                await asyncio.sleep(pause)
-
-        await asyncio.gather(*(one(number, client) for number, client in enumerate(self.clients)))
-
-    def carried(self) -> float:
-        """What a warm server carries, in commands a second."""
-        came = sorted(at for server in self.warm for at in server.came)
-        return 1000.0 * len(came) / WARM / (came[-1] - came[0])
-
-    def windows(self, carried: float) -> Iterator[tuple[int, float]]:
-        """For each window that ends with a call to the cold server: its calls, and what the settings allow then."""
-        for last, at in enumerate(self.cold.came):
-            count = sum(before > at - RULES["fall"] for before in self.cold.came[: last + 1])
-            share = RULES["cold-share"] + (1.0 - RULES["cold-share"]) * min(1.0, (at - self.cold_at) / RULES["cold"])
-            yield count, RULES["tip-multiple"] * share * carried * RULES["fall"] / 1000.0
+                await asyncio.sleep(pause_s)
+
+        await asyncio.gather(*(send_from(number, client) for number, client in enumerate(self.clients)))
+
+    def warm_server_rate(self) -> float:
+        """Return the mean rate of commands at a warm server, per second."""
+        arrivals_ms = sorted(time_ms for server in self.warm_servers for time_ms in server.arrival_times_ms)
+        return 1000.0 * len(arrivals_ms) / WARM_SERVER_COUNT / (arrivals_ms[-1] - arrivals_ms[0])
+
+    def cold_windows(self, warm_rate: float) -> Iterator[tuple[int, float]]:
+        """Yield the number of commands and the allowed number, for each time window that ends with a command to the
+        cold server."""
+        for last, end_ms in enumerate(self.cold_server.arrival_times_ms):
+            count = sum(time_ms > end_ms - RULES["fall"] for time_ms in self.cold_server.arrival_times_ms[: last + 1])
+            share = RULES["cold-share"] + (1.0 - RULES["cold-share"]) * min(
+                1.0, (end_ms - self.cold_started_at_ms) / RULES["cold"]
+            )
+            yield count, RULES["tip-multiple"] * share * warm_rate * RULES["fall"] / 1000.0
 
 
 @pytest.mark.alone
@@ -133,48 +143,53 @@
 ) -> None:
     async def test(peers: bool) -> None:
         fleet = Fleet(tmp_path, peers)
-        await fleet.open()
+        await fleet.start_servers()
         try:
-            await fleet.start()
-            await fleet.work(25)
-            carried = fleet.carried()
-            fleet.cold_at = unix_ms()
-            fleet.tell()
-            await fleet.work(10)
-            # all other servers go: each limiter has closed its idle connections there once it has been told
-            fleet.draining = True
-            fleet.tell()
-            await until(lambda: not any(server.writers for server in fleet.warm))
-            await fleet.work(4, pause=0.0)
-
-            assert fleet.cold.came  # it is used
-            await fleet.kill()
+            await fleet.start_limiters()
+            await fleet.send_requests(25)
+            warm_rate = fleet.warm_server_rate()
+            fleet.cold_started_at_ms = unix_ms()
+            fleet.send_list()
+            await fleet.send_requests(10)
+            # All warm servers drain: each limiter closes its idle connections to them when it gets the list.
+            fleet.warm_are_draining = True
+            fleet.send_list()
+            await until(lambda: not any(server.writers for server in fleet.warm_servers))
+            await fleet.send_requests(4, pause_s=0.0)
+
+            assert fleet.cold_server.arrival_times_ms  # it gets requests
+            await fleet.kill_limiters()
             fleet.discovery.muted = fleet.discovery.hangs = True
-            asked = len(fleet.discovery.asked)
-            await fleet.start()  # ready, though discovery has answered nobody
-            assert len(fleet.discovery.asked) > asked
-            await fleet.work(4, pause=0.0)
-            beyond = [(n, allowed) for n, allowed in fleet.windows(carried) if n > allowed + 2.0 * sqrt(allowed) + 2.0]
-            assert beyond == []
-
-            # and what is taken by all of them: warm servers are up again
-            before = [len(server.came) for server in fleet.warm]
-            fleet.draining = fleet.discovery.muted = fleet.discovery.hangs = False
+            call_count = len(fleet.discovery.asked)
+            await fleet.start_limiters()  # they become ready although discovery does not answer
+            assert len(fleet.discovery.asked) > call_count
+            await fleet.send_requests(4, pause_s=0.0)
+            excessive_windows = [
+                (count, allowed)
+                for count, allowed in fleet.cold_windows(warm_rate)
+                if count > allowed + 2.0 * sqrt(allowed) + 2.0
+            ]
+            assert excessive_windows == []
+
+            # All limiters apply a list again: the warm servers are back.
+            counts_before = [len(server.arrival_times_ms) for server in fleet.warm_servers]
+            fleet.warm_are_draining = fleet.discovery.muted = fleet.discovery.hangs = False
             fleet.discovery.rev += 1
-            watching = len(fleet.discovery.watching)
-            await until(lambda: len(fleet.discovery.watching) >= watching + PROCESSES)
-            await fleet.work(1, pause=0.0)
-            assert sum(len(server.came) for server in fleet.warm) > sum(before)
+            watch_count = len(fleet.discovery.watching)
+            await until(lambda: len(fleet.discovery.watching) >= watch_count + PROCESS_COUNT)
+            await fleet.send_requests(1, pause_s=0.0)
+            assert sum(len(server.arrival_times_ms) for server in fleet.warm_servers) > sum(counts_before)
         finally:
-            await fleet.kill()
-        within = sum(after <= READY_WITHIN for after in fleet.ready_after) / PROCESSES
-        record_property("ready_within_10_s", within)
+            await fleet.kill_limiters()
+        ready_fraction = sum(ready_s <= READY_TIME_S for ready_s in fleet.ready_times_s) / PROCESS_COUNT
+        record_property("ready_within_10_s", ready_fraction)
         print(
-            f"sent to the cold server {len(fleet.cold.came)}, in a window {max(fleet.windows(carried))}, "
-            f"ready within {READY_WITHIN:g} s of a restart of all: {within:.2f}, the last after "
-            f"{max(fleet.ready_after):.1f} s",
+            f"sent to the cold server {len(fleet.cold_server.arrival_times_ms)}, "
+            f"in a window {max(fleet.cold_windows(warm_rate))}, "
+            f"ready within {READY_TIME_S:g} s of a restart of all: {ready_fraction:.2f}, the last after "
+            f"{max(fleet.ready_times_s):.1f} s",
             file=sys.stderr,
         )
 
-    for peers in (True, False):  # one after the other, as each fills the machine
+    for peers in (True, False):  # one after the other, as each uses all CPUs
         run(test(peers), within=180.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,25 +9,27 @@
 def test_datagrams_are_attributed_by_address_and_limited_in_rate() -> None:
     async def test() -> None:
         received: list[tuple[int, bytes]] = []
-        clock = [0.0]
+        now_ms = [0.0]
         loop = asyncio.get_running_loop()
 
-        async def bound() -> tuple[asyncio.DatagramTransport, tuple[str, int]]:
+        async def open_socket() -> tuple[asyncio.DatagramTransport, tuple[str, int]]:
             transport, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=("127.0.0.1", 0))
             return transport, transport.get_extra_info("sockname")
 
-        (one, one_at), (stranger, _) = await bound(), await bound()
-        both = (("127.0.0.1", 1), one_at)
-        peers = PeerTransport(both, None, 3.0, lambda n, d: received.append((n, d)), lambda: clock[0])
+        (peer, peer_address), (unknown_host, _) = await open_socket(), await open_socket()
+        addresses = (("127.0.0.1", 1), peer_address)
+        peers = PeerTransport(
+            addresses, None, 3.0, lambda sender, data: received.append((sender, data)), lambda: now_ms[0]
+        )
         transport, _ = await loop.create_datagram_endpoint(lambda: peers, local_addr=("127.0.0.1", 0))
-        at = transport.get_extra_info("sockname")
-        stranger.sendto(b"stranger", at)
-        one.sendto(b"x" * 257, at)
+        address = transport.get_extra_info("sockname")
+        unknown_host.sendto(b"unknown", address)
+        peer.sendto(b"x" * 257, address)
         for number in range(5):
-            one.sendto(b"%d" % number, at)
+            peer.sendto(b"%d" % number, address)
         await until(lambda: len(received) == 3)
-        clock[0] = 1000.0
-        one.sendto(b"last", at)
+        now_ms[0] = 1000.0
+        peer.sendto(b"last", address)
         await until(lambda: received[-1][1] == b"last")
         assert received[:3] == [(1, b"0"), (1, b"1"), (1, b"2")]
         peers.send(-1, b"to nobody")
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback: outcomes, pooled connections, drains and deadlines."""
+"""Attempts over loopback: outcomes, connection pools, drains and deadlines."""
 
 import asyncio
 import contextlib
@@ -33,17 +33,17 @@
         (b"garbage\r\n", Outcome.ERROR),
         (served(b"one") + served(b"two"), Outcome.OK),
         (b"$200000000\r\n" + b"x" * 300000, Outcome.ERROR),
-        (b"*1000000000\r\n", Outcome.ERROR),  # a reader that sets room aside for it stands still
+        (b"*1000000000\r\n", Outcome.ERROR),  # a parser that allocates memory for it would hang
         (b"*3\r\n$3000000000\r\n" + b"x" * 300000, Outcome.ERROR),
         (b"*3\r\n$3\r\nvalue\r\n$-1\r\n$-1\r\n", Outcome.ERROR),  # the length is too short
-        (b"*3\r\n$9\r\nvalue\r\n$-1\r\n$-1\r\n", Outcome.ERROR),  # or too long
-        (b"*3\r\n$99\r\nvalue\r\n$-1\r\n$-1\r\n", Outcome.ERROR),  # so that the rest never comes
+        (b"*3\r\n$9\r\nvalue\r\n$-1\r\n$-1\r\n", Outcome.ERROR),  # the length is too great
+        (b"*3\r\n$99\r\nvalue\r\n$-1\r\n$-1\r\n", Outcome.ERROR),  # the length is too great, so the answer never ends
         (b"*2\r\n$5\r\nvalue\r\n$-1\r\n", Outcome.ERROR),
         (b"*1\r\n$5\r\nvalue\r\n", Outcome.ERROR),
         (b"*4\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n$-1\r\n", Outcome.ERROR),
         (b"$5\r\nvalue\r\n", Outcome.ERROR),
-        (b"-" + b"x" * 3000, Outcome.ERROR),  # a line without an end
-        (b"*3\r\n$5\r\nvalue\r\n$3\r\n?%?\r\n$4\r\n=,=,\r\n", Outcome.OK),  # spoils just the figures
+        (b"-" + b"x" * 3000, Outcome.ERROR),  # a line without a line end
+        (b"*3\r\n$5\r\nvalue\r\n$3\r\n?%?\r\n$4\r\n=,=,\r\n", Outcome.OK),  # only the figures are unusable
         (b"*3\r\n$5\r\nvalue\r\n:86\r\n$7\r\nqueue=x\r\n", Outcome.OK),
         (served(b"one") + b"\x00", Outcome.OK),
     ],
@@ -51,12 +51,12 @@
 def test_each_answer_has_its_outcome(answer: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server(answers(answer)).start())
-        seen = record_outcomes(limiter)
+        outcomes = record_outcomes(limiter)
         client = await limiter.client()
-        got = await client.ask("x")
-        assert seen[0] is outcome
-        assert isinstance(got, bytes) == (outcome is Outcome.OK)
-        assert await client.ask("y") is not None  # and the limiter goes on
+        received = await client.ask("x")
+        assert outcomes[0] is outcome
+        assert isinstance(received, bytes) == (outcome is Outcome.OK)
+        assert await client.ask("y") is not None  # the limiter still answers
 
     run(test())
 
@@ -74,10 +74,10 @@
 
         first, second = await Server(behave).start(), await Server(behave).start()
         limiter = await Limiter.start(first, second)
-        seen = record_outcomes(limiter)
+        outcomes = record_outcomes(limiter)
         client = await limiter.client()
         assert await client.ask("x") == b"again"
-        assert seen == [Outcome.RESET, Outcome.OK]
+        assert outcomes == [Outcome.RESET, Outcome.OK]
 
     run(test())
 
@@ -87,11 +87,11 @@
         server = await Server().start()
         limiter = await Limiter.start()
         limiter.tell(target("s-0", "127.0.0.1:1"))
-        seen = record_outcomes(limiter)
+        outcomes = record_outcomes(limiter)
         client = await limiter.client()
         answer = await client.ask("x")
-        assert str(answer).startswith("BUSY")  # a refusal: it is certain that nothing ran
-        assert set(seen) == {Outcome.CONNECT_FAILED}
+        assert str(answer).startswith("BUSY")  # a refusal, because no server can have executed the request
+        assert set(outcomes) == {Outcome.CONNECT_FAILED}
         limiter.tell(target("s-1", server.endpoint))
         assert await client.ask("y") == b"value"
 
@@ -111,10 +111,10 @@
     run(test())
 
 
-@pytest.mark.parametrize("more", [b"*", b"noise\r\n", served(b"copy")])
-def test_connection_with_bytes_after_its_answer_is_not_reused(more: bytes) -> None:
+@pytest.mark.parametrize("extra_bytes", [b"*", b"garbage\r\n", served(b"duplicate")])
+def test_connection_with_bytes_after_its_answer_is_not_reused(extra_bytes: bytes) -> None:
     async def test() -> None:
-        server = await Server(answers(served(b"one") + more, served(b"two"))).start()
+        server = await Server(answers(served(b"one") + extra_bytes, served(b"two"))).start()
         limiter = await Limiter.start(server)
         limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
@@ -130,19 +130,19 @@
         limiter = await Limiter.start(server)
         client = await limiter.client()
         assert await client.ask("x") == b"value"
-        server.writers[0].write(served(b"copy"))
+        server.writers[0].write(served(b"duplicate"))
         await until(lambda: server.lost == 1)
 
     run(test())
 
 
 def test_connection_is_not_reused_at_once_so_that_a_duplicate_answers_no_request() -> None:
-    """The copy comes when the next request would have been on the connection already."""
+    """The duplicate arrives at a time when a reused connection would already carry the next request."""
 
     async def test() -> None:
         async def behave(command: list[bytes]) -> Answer:
             if command[2] == b"b":
-                server.writers[0].write(served(b"a"))  # again, behind the one that it sent before
+                server.writers[0].write(served(b"a"))  # a duplicate of the first answer
             return served(command[2])
 
         server = await Server(behave).start()
@@ -158,40 +158,40 @@
 def test_connect_that_hangs_leaves_time_for_another_server() -> None:
     async def test() -> None:
         server = await Server().start()
-        with socket.socket() as silent, contextlib.ExitStack() as waiting:
+        with socket.socket() as silent, contextlib.ExitStack() as backlog:
             silent.bind(("127.0.0.1", 0))
             silent.listen(0)
-            for _ in range(4):
-                filler = waiting.enter_context(socket.socket())
+            for _ in range(4):  # fill the backlog, so that further connections get no answer
+                filler = backlog.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(silent.getsockname())
             limiter = await Limiter.start(**{"dial-timeout": 60000.0})
             limiter.tell(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
-            seen = record_outcomes(limiter)
+            outcomes = record_outcomes(limiter)
             client = await limiter.client()
             client.read("x", d=3000)
             await until(lambda: limiter.gateway.server_pools.connection_count == 1)
             limiter.tell(target("s-1", server.endpoint), complete=False)
             assert await client.answer() == b"value"
-            assert set(seen[:-1]) == {Outcome.CONNECT_FAILED} and seen[-1] is Outcome.OK
+            assert set(outcomes[:-1]) == {Outcome.CONNECT_FAILED} and outcomes[-1] is Outcome.OK
 
     run(test())
 
 
 def test_new_server_at_a_known_address_gets_new_connections() -> None:
     async def test() -> None:
-        server, pools = await Server().start(), PoolsOnly()
+        server, pools = await Server().start(), PoolsWithoutGateway()
         pools.apply(target("s-0", server.endpoint))
         pools.send()
-        await until(lambda: pools.ended == [Outcome.OK])
+        await until(lambda: pools.outcomes == [Outcome.OK])
         new = target("s-1", server.endpoint, boot_ms=1e12)
         listed = parse_endpoint_list({"rev": 2, "all": False, "targets": [new]}, pools.settings)
-        gone = pools.server_pools.apply_list(listed)
-        assert [(entry.server_id, entry.state) for entry in gone] == [("s-0", ServerState.REMOVED)]
+        replaced = pools.server_pools.apply_list(listed)
+        assert [(entry.server_id, entry.state) for entry in replaced] == [("s-0", ServerState.REMOVED)]
         await until(lambda: server.lost == 1)
         pools.send()
-        assert pools.ended[-1] is Outcome.NOT_FORWARDED
-        # told again under its old name, late: the younger one keeps the address
+        assert pools.outcomes[-1] is Outcome.NOT_FORWARDED
+        # A late list names the old server again: the newer server keeps the address.
         old = parse_endpoint_list({"rev": 3, "all": False, "targets": [target("s-0", server.endpoint)]}, pools.settings)
         assert [entry.server_id for entry in pools.server_pools.apply_list(old)] == ["s-0"]
 
@@ -205,7 +205,7 @@
         limiter.gateway.server_pools.reuse_delay_ms = 0.0
         client = await limiter.client()
         assert await client.ask("x") == b"value"
-        limiter.gateway.server_pools.idle_limit_ms = -1.0  # all that is idle is too old
+        limiter.gateway.server_pools.idle_limit_ms = -1.0  # every idle connection has expired
         limiter.gateway.server_pools.close_expired()
         await until(lambda: server.lost == 1)
         assert await client.ask("y") == b"value"
@@ -233,13 +233,13 @@
     run(test())
 
 
-class PoolsOnly:
-    """The pools without a gateway, so that a test can act between the start and the end of a connect."""
+class PoolsWithoutGateway:
+    """Server pools without a gateway, so that a test can act while a connection is being established."""
 
     def __init__(self) -> None:
         config = parse_config(raw_config())
         self.settings = config.socket_settings
-        self.ended: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
         loop = asyncio.get_running_loop()
         self.server_pools = ServerPools(
             loop, self.settings, 1200.0, config.max_descriptors, Clock().now_ms, self._attempt_ended
@@ -247,27 +247,27 @@
         self.server_pools.reuse_delay_ms = 0.0
 
     def _attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None) -> None:
-        self.ended.append(outcome)
+        self.outcomes.append(outcome)
 
     def apply(self, *targets: dict[str, object]) -> None:
         self.server_pools.apply_list(
             parse_endpoint_list({"rev": 1, "all": False, "targets": list(targets)}, self.settings)
         )
 
-    def send(self, timeout: float = 60000.0) -> Attempt:
-        return self.server_pools.start_attempt("r", 0, "s-0", timeout, lambda wait: b"*1\r\n$1\r\nx\r\n")
+    def send(self, timeout_ms: float = 60000.0) -> Attempt:
+        return self.server_pools.start_attempt("r", 0, "s-0", timeout_ms, lambda wait_ms: b"*1\r\n$1\r\nx\r\n")
 
 
 def test_drain_listed_while_connecting_stops_the_send() -> None:
-    """The module chose the server before the news; the rule counts from the news."""
+    """The limiter chose the server before the list with the drain arrived. From then on nothing may be sent to it."""
 
     async def test() -> None:
-        server, pools = await Server().start(), PoolsOnly()
+        server, pools = await Server().start(), PoolsWithoutGateway()
         pools.apply(target("s-0", server.endpoint))
         pools.send()
         pools.apply(target("s-0", server.endpoint, state="draining"))
-        await until(lambda: server.lost == 1)  # dialled, and closed again
-        assert pools.ended == [Outcome.NOT_FORWARDED]
+        await until(lambda: server.lost == 1)  # the connection is established and closed again
+        assert pools.outcomes == [Outcome.NOT_FORWARDED]
         assert server.commands == []
 
     run(test())
@@ -275,35 +275,35 @@
 
 def test_attempt_cancelled_or_timed_out_while_connecting_is_never_written() -> None:
     async def test() -> None:
-        server, pools = await Server().start(), PoolsOnly()
+        server, pools = await Server().start(), PoolsWithoutGateway()
         pools.apply(target("s-0", server.endpoint))
         pools.send().abandon(Outcome.CANCELLED)
-        pools.send(timeout=0.0).time_out()
-        assert pools.ended == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
+        pools.send(timeout_ms=0.0).time_out()
+        assert pools.outcomes == [Outcome.CANCELLED, Outcome.CONNECT_FAILED]
         await until(lambda: server.accepted == 2)
-        pools.send()  # on one of the two, which were kept
-        await until(lambda: len(pools.ended) == 3)
-        assert (len(server.commands), pools.ended[-1]) == (1, Outcome.OK)
+        pools.send()  # reuses one of the two connections
+        await until(lambda: len(pools.outcomes) == 3)
+        assert (len(server.commands), pools.outcomes[-1]) == (1, Outcome.OK)
 
     run(test())
 
 
 def test_connect_that_never_succeeds_is_abandoned_and_no_longer_counted() -> None:
-    """A machine that vanished answers nothing: neither a connection nor a refusal."""
+    """A server machine that is down neither accepts nor refuses connections."""
 
     async def test() -> None:
-        pools = PoolsOnly()
-        with socket.socket() as silent, contextlib.ExitStack() as waiting:
+        pools = PoolsWithoutGateway()
+        with socket.socket() as silent, contextlib.ExitStack() as backlog:
             silent.bind(("127.0.0.1", 0))
             silent.listen(0)
-            for _ in range(4):  # the queue of those not accepted fills, and further ones get no answer
-                filler = waiting.enter_context(socket.socket())
+            for _ in range(4):  # fill the backlog, so that further connections get no answer
+                filler = backlog.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(silent.getsockname())
             pools.apply(target("s-0", "127.0.0.1:%d" % silent.getsockname()[1]))
             pools.send()
-            await until(lambda: pools.ended == [Outcome.CONNECT_FAILED])
-            assert pools.server_pools.connection_count == 1  # the dial goes on till the settings' time-out
+            await until(lambda: pools.outcomes == [Outcome.CONNECT_FAILED])
+            assert pools.server_pools.connection_count == 1  # connecting goes on until the timeout in the settings
             await until(lambda: pools.server_pools.connection_count == 0)
 
     run(test())
@@ -311,15 +311,17 @@
 
 def test_connections_are_limited_and_an_idle_one_of_another_server_is_closed() -> None:
     async def test() -> None:
-        server, other, pools = await Server(answers(None)).start(), await Server().start(), PoolsOnly()
+        server, other, pools = await Server(answers(None)).start(), await Server().start(), PoolsWithoutGateway()
         pools.server_pools._max_connections, pools.server_pools._max_per_server = 3, 2
         pools.apply(target("s-0", other.endpoint))
         pools.send()
-        await until(lambda: pools.ended == [Outcome.OK])
-        pools.apply(target("s-0", server.endpoint))  # it moved: what was idle is closed
+        await until(lambda: pools.outcomes == [Outcome.OK])
+        pools.apply(target("s-0", server.endpoint))  # the address changed: the idle connection is closed
         for _ in range(3):
             pools.send()
-        assert pools.ended[1:] == [Outcome.NOT_FORWARDED]  # the bound is ours, and says nothing of the server
+        assert pools.outcomes[1:] == [
+            Outcome.NOT_FORWARDED
+        ]  # the limit is the limiter's and does not count against the server
         await until(lambda: len(server.commands) == 2 and pools.server_pools.connection_count == 2)
 
     run(test())
@@ -331,10 +333,10 @@
         client = await limiter.client()
         handle = limiter.gateway._limiter.handle
 
-        def failing(event: Event, now: float) -> list[object]:
-            if isinstance(event, RequestArrived) and event.deadline_ms - now < 1000.0:
-                raise RuntimeError("a fault in the module")
-            return handle(event, now)  # type: ignore[return-value]
+        def failing(event: Event, now_ms: float) -> list[object]:
+            if isinstance(event, RequestArrived) and event.deadline_ms - now_ms < 1000.0:
+                raise RuntimeError("a bug in the limiter")
+            return handle(event, now_ms)  # type: ignore[return-value]
 
         limiter.gateway._limiter.handle = failing  # type: ignore[method-assign,assignment]
         assert str(await client.ask("x", d=200)).startswith("ERR")
@@ -349,9 +351,9 @@
         limiter = await Limiter.start(server)
         client = await limiter.client()
         answer = await client.ask("x", d=300)
-        assert str(answer).startswith("ERR")  # it may have run, so no refusal
-        waited = dict(pair.split(b"=") for pair in server.commands[0][3].split(b","))
-        assert int(waited[b"d"]) <= 300 - DEADLINE_MARGIN_MS  # the answer has its way back to go in time
+        assert str(answer).startswith("ERR")  # not a refusal, as the server may have executed the request
+        forwarded = dict(pair.split(b"=") for pair in server.commands[0][3].split(b","))
+        assert int(forwarded[b"d"]) <= 300 - DEADLINE_MARGIN_MS  # leaves time for the answer to reach the client
         await until(lambda: server.lost == len(server.commands))
 
     run(test())
--- a/tests/test_spawning.py
+++ b/tests/test_spawning.py
@@ -1,4 +1,4 @@
-"""Children are started from a program with garbage that must not be collected in a forked copy of it."""
+"""Child processes are started without a garbage collection in the forked child."""
 
 import asyncio
 import gc
@@ -13,10 +13,10 @@
 
 
 class Garbage:
-    """Garbage that only the collector finds; its end is recorded with the id of the process that collected it."""
+    """A reference cycle, which only the garbage collector frees; it records the id of the process that collects it."""
 
     def __init__(self, path: Path) -> None:
-        self.path, self.me = path, self
+        self.path, self.itself = path, self
 
     def __del__(self) -> None:
         fd = os.open(self.path, os.O_WRONLY | os.O_APPEND | os.O_CREAT)
@@ -24,9 +24,8 @@
         os.close(fd)
 
 
-_garbage_paths: list[
-    Path
-] = []  # where garbage is made before a fork, and allocated in the copy; empty outside this test
+# Files that `Garbage` created before a fork records to; empty outside this test, so that its fork hooks do nothing.
+_garbage_paths: list[Path] = []
 
 
 def _before_fork() -> None:
@@ -36,17 +35,17 @@
 
 def _after_fork_in_child() -> None:
     if _garbage_paths:
-        [[] for _ in range(5000)]  # enough that the collector runs, if it may
+        [[] for _ in range(5000)]  # enough allocations to trigger the garbage collector if it is enabled
 
 
 os.register_at_fork(before=_before_fork, after_in_child=_after_fork_in_child)
 
 
-@pytest.mark.parametrize("safe", [True, False])
-def test_nothing_is_garbage_collected_in_the_forked_child(tmp_path: Path, safe: bool) -> None:
+@pytest.mark.parametrize("use_spawn", [True, False])
+def test_nothing_is_garbage_collected_in_the_forked_child(tmp_path: Path, use_spawn: bool) -> None:
     async def test() -> None:
         command = (sys.executable, "-S", "-c", "")
-        child = await (spawn(*command) if safe else asyncio.create_subprocess_exec(*command))
+        child = await (spawn(*command) if use_spawn else asyncio.create_subprocess_exec(*command))
         assert await child.wait() == 0
         assert gc.isenabled()
 
@@ -56,6 +55,6 @@
     finally:
         _garbage_paths.clear()
     gc.collect()
-    where = set((tmp_path / "collected").read_text().split())
-    # without the guard the copy collects it too: the test can fail
-    assert (where == {str(os.getpid())}) is safe
+    collecting_pids = set((tmp_path / "collected").read_text().split())
+    # Without `spawn` the child collects it too, which shows that the test can fail.
+    assert (collecting_pids == {str(os.getpid())}) is use_spawn
