--- a/elderlock/adapter.py
+++ b/elderlock/adapter.py
@@ -47,7 +47,7 @@
 EXIT_OK = 0
 EXIT_BROKEN_PIPE = 1
 EXIT_BAD_INPUT = 2
-T = TypeVar("T")
+Value = TypeVar("Value")
 
 
 class WireError(Exception):
@@ -81,7 +81,7 @@
                 raise WireError(f"{self.message}: {part!r} is not a name=value pair")
             self._values[name] = value
 
-    def _typed(self, name: str, convert: Callable[[str], T], default: T | None) -> T:
+    def _typed(self, name: str, convert: Callable[[str], Value], default: Value | None) -> Value:
         value = self._values.get(name)
         if value is None:
             if default is None:
@@ -112,7 +112,7 @@
         """Return a field of bytes in base64, or `-` for none."""
         return self._typed(name, _decode_data, None)
 
-    def choice(self, name: str, table: dict[str, T]) -> T:
+    def choice(self, name: str, table: dict[str, Value]) -> Value:
         """Return the table's entry for a field's value."""
         return self._typed(name, table.__getitem__, None)
 
--- a/elderlock/control/request_metrics.py
+++ b/elderlock/control/request_metrics.py
@@ -41,12 +41,12 @@
 
     def quantile(self, fraction: float) -> float:
         """Return a quantile in ms, as the upper bound of its histogram bucket; -1 before the first answer."""
-        both = _new_histogram()
-        both.add(self._previous)
-        both.add(self._current)
-        if not both.get_total_count():
+        combined = _new_histogram()
+        combined.add(self._previous)
+        combined.add(self._current)
+        if not combined.get_total_count():
             return -1.0
-        return float(both.get_value_at_percentile(100.0 * fraction)) / US_PER_MS
+        return float(combined.get_value_at_percentile(100.0 * fraction)) / US_PER_MS
 
 
 def _new_histogram() -> HdrHistogram:
--- a/elderlock/net/client_commands.py
+++ b/elderlock/net/client_commands.py
@@ -71,8 +71,8 @@
             max_units: Maximum number of units that one request may cost.
         """
         self._max_units = max_units
-        self._classes = {each.name: index for index, each in enumerate(settings.request_classes)}
-        self._idempotency = [each.idempotency for each in settings.request_classes]
+        self._classes = {request_class.name: index for index, request_class in enumerate(settings.request_classes)}
+        self._idempotency = [request_class.idempotency for request_class in settings.request_classes]
         self._plans = {plan.name: index for index, plan in enumerate(settings.plans)}
         self._limiter_count = settings.limiter_count
         self._cached_terms: dict[bytes, RequestTerms] = {}
--- a/elderlock/net/gateway.py
+++ b/elderlock/net/gateway.py
@@ -78,7 +78,7 @@
             loop,
             config.socket_settings,
             min(
-                (each.latency_objective_ms for each in config.settings.request_classes),
+                (request_class.latency_objective_ms for request_class in config.settings.request_classes),
                 default=DEFAULT_LATENCY_OBJECTIVE_MS,
             ),
             config.max_descriptors,
@@ -145,7 +145,7 @@
     def _apply_list(self, listed: EndpointList, kind: ListKind) -> None:
         # The pools are updated first: the limiter's actions for this list may already send to one of its servers.
         replaced = self.server_pools.apply_list(listed)
-        entries = (*(each.entry for each in listed.servers), *replaced)
+        entries = (*(server.entry for server in listed.servers), *replaced)
         self.has_list = self.has_list or bool(entries)
         self._submit(api.ServerList(listed.version, kind, entries))
 
--- a/elderlock/net/resp.py
+++ b/elderlock/net/resp.py
@@ -143,10 +143,10 @@
 
         Any other input is left for parsing item by item.
         """
-        found = FOUR_ARGUMENT_COMMAND_PATTERN.match(self._buffer, self._position)
-        if found is None:
+        match = FOUR_ARGUMENT_COMMAND_PATTERN.match(self._buffer, self._position)
+        if match is None:
             return None
-        length_1, verb, length_2, customer, length_3, request_id, length_4, terms = found.groups()
+        length_1, verb, length_2, customer, length_3, request_id, length_4, terms = match.groups()
         if (
             len(verb) != int(length_1)
             or len(customer) != int(length_2)
@@ -154,7 +154,7 @@
             or len(terms) != int(length_4)
         ):
             return None
-        self._position = found.end()
+        self._position = match.end()
         return [verb, customer, request_id, terms]
 
 
--- a/elderlock/net/server_pool.py
+++ b/elderlock/net/server_pool.py
@@ -171,28 +171,28 @@
             server would reach the newer process, which may still be warming up.
         """
         if listed.is_complete:
-            named = {each.entry.server_id for each in listed.servers}
-            for server_id in [name for name in self._pools if name not in named]:
+            listed_ids = {server.entry.server_id for server in listed.servers}
+            for server_id in [pool_id for pool_id in self._pools if pool_id not in listed_ids]:
                 self._remove(server_id)
         replaced = []
-        for each in listed.servers:
-            server_id = each.entry.server_id
-            if each.entry.state is ServerState.REMOVED:
+        for server in listed.servers:
+            server_id = server.entry.server_id
+            if server.entry.state is ServerState.REMOVED:
                 if server_id in self._pools:
                     self._remove(server_id)
                 continue
-            older = self._older_at_address(each)
+            older = self._older_at_address(server)
             if older is not None:
                 replaced.append(replace(older, state=ServerState.REMOVED))
                 if older.server_id in self._pools:
                     self._remove(older.server_id)
                 if older.server_id == server_id:
                     continue
-            self._apply_server(each)
+            self._apply_server(server)
         return replaced
 
     def _older_at_address(self, listed: ListedServer) -> ServerEntry | None:
-        """Return the older of two servers that are listed with the same address, or None if there is only one."""
+        """Return the older of two servers with the same address, or None if only this one has the address."""
         other = self._by_address.get(listed.address)
         if other is None or other is self._pools.get(listed.entry.server_id):
             return None
--- a/tests/control/test_command_authority.py
+++ b/tests/control/test_command_authority.py
@@ -70,8 +70,8 @@
     cut_off, _ = send_hello(scripted, HELLO_A, 0.0)
     _, welcome = send_hello(scripted, HELLO_B, LEASE_MS)
     assert isinstance(welcome, messages.Welcome)
-    late = scripted.desk.handle(cut_off, messages.ApplyRecords(9, (drain_record(),)), LEASE_MS + 1)
-    assert isinstance(late, messages.Refused) and late.owner == "b"
+    refused = scripted.desk.handle(cut_off, messages.ApplyRecords(9, (drain_record(),)), LEASE_MS + 1)
+    assert isinstance(refused, messages.Refused) and refused.owner == "b"
     assert not scripted.in_force
 
 
--- a/tests/control/test_drain_overlay.py
+++ b/tests/control/test_drain_overlay.py
@@ -32,11 +32,11 @@
     def apply(self, listed: EndpointList) -> None:
         if listed.is_complete:
             self.applied.clear()
-        for each in listed.servers:
-            if each.entry.state is ServerState.REMOVED:
-                self.applied.pop(each.entry.server_id, None)
+        for server in listed.servers:
+            if server.entry.state is ServerState.REMOVED:
+                self.applied.pop(server.entry.server_id, None)
             else:
-                self.applied[each.entry.server_id] = each.entry.state
+                self.applied[server.entry.server_id] = server.entry.state
 
     @rule(
         complete=st.booleans(),
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -64,8 +64,12 @@
     def __init__(self, folder: Path, *servers: Server) -> None:
         self.folder, self.socket = folder, folder / "run" / "n0.sock"
         self.address = free_address(own_host(random.SystemRandom()))
-        known = {"rev": 1, "all": True, "targets": [target(f"s-{n}", s.endpoint) for n, s in enumerate(servers)]}
-        raw = {**raw_config(self.address), "known": known}
+        cached_list = {
+            "rev": 1,
+            "all": True,
+            "targets": [target(f"s-{index}", server.endpoint) for index, server in enumerate(servers)],
+        }
+        raw = {**raw_config(self.address), "known": cached_list}
         (folder / "config.json").write_text(json.dumps(raw))
         self.operators = folder / "operators.toml"
         self.operators.write_text(f'[control]\nsocket = "{self.socket}"\nrecords = "{folder}/records"\n')
--- a/tests/test_client_commands.py
+++ b/tests/test_client_commands.py
@@ -39,7 +39,7 @@
     run(test())
 
 
-def test_answers_leave_in_the_order_of_their_commands() -> None:
+def test_answers_are_sent_in_the_order_of_their_commands() -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -53,7 +53,7 @@
         client = await limiter.client()
         client.read("slow")
         client.read("quick")
-        await until(lambda: len(server.commands) == 2)  # the second does not wait behind the first
+        await until(lambda: len(server.commands) == 2)  # the second is forwarded before the first is answered
         release.set()
         assert [await client.answer(), await client.answer()] == [b"slow", b"quick"]
 
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -80,10 +80,10 @@
         clients = [await limiter.client() for _ in range(8)]
         for number, client in enumerate(clients):
             assert await client.ask(f"a{number}") == b"value"
-        late = []
+        new_clients = []
         for number in range(8):
-            late.append(await limiter.client())
-            assert await late[-1].ask(f"b{number}") == b"value"
+            new_clients.append(await limiter.client())
+            assert await new_clients[-1].ask(f"b{number}") == b"value"
         assert len(limiter.clients) == 8
 
     run(test())
@@ -121,7 +121,7 @@
     run(test())
 
 
-def test_drain_answers_all_commands_that_came_together() -> None:
+def test_drain_answers_all_commands_that_were_received_together() -> None:
     async def test() -> None:
         limiter = await Limiter.start(await Server().start())
         client, partial = await limiter.client(), await limiter.client()
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -1,5 +1,5 @@
-"""Thirty limiter processes on loopback: the load that they put together on a server that is warming up, and a restart of
-all of them at once while discovery is down."""
+"""Thirty limiter processes on loopback: their total load on a server that is warming up, and a restart of all of them at
+once while discovery is down."""
 
 import asyncio
 import json
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -82,7 +82,7 @@
     run(test())
 
 
-def test_refused_connection_counts_as_not_run_and_does_not_reenter_the_limiter() -> None:
+def test_refused_connection_counts_as_not_executed_and_does_not_reenter_the_limiter() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start()
