--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -73,7 +73,7 @@
         and answer.receiver_index == FIRST
     )
     assert ceiling_status(limiter) == messages.CeilingStatus(
-        given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
+        given_units=3.0, taken_units=0.0, offered_units=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
     )
     assert limiter.handle(api.PeerMessage(FIRST, request[:-1]), 2.0 * FILL_MS) == []  # of this format but malformed
     assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from helpers import LimiterHarness, limiter_settings, server_entry
-from programs import Program, look
+from programs import Program, get_limiter_state
 
 from elderlock import interface as api
 from elderlock.cli.tables import counter as counter_line
@@ -279,8 +279,8 @@
         answers = [await client.ask(f"r{n}", spread=3) for n in range(60)]
         assert answers.count(b"value") >= 20  # more than the even part of the burst
         await until(lambda: any(not name.startswith(b"sentinel") for name in counter.names))
-        caller = await program.caller()
-        status = (await look(caller)).counter
+        caller = await program.connect_control()
+        status = (await get_limiter_state(caller)).counter
         assert status is not None and (status.mode, status.accounts) == ("shared", 1) and status.calls > 0
         assert status.leases[0].burst_units == 30.0 and status.leases[0].stored_units < 30.0
         assert status.error_units > 0
@@ -290,7 +290,7 @@
             answer = await client.ask(f"s{n}", spread=3)
             assert answer == b"value" or str(answer).startswith("BUSY")
             await asyncio.sleep(0.005)
-        while (status := (await look(caller)).counter) is not None and status.mode == "shared":
+        while (status := (await get_limiter_state(caller)).counter) is not None and status.mode == "shared":
             await asyncio.sleep(0.01)
         assert status is not None and status.error_units > 0
         await program.end()
