--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -109,7 +109,7 @@
         elif context.now_ms < account.exhausted_until_ms or 0 < account.plan.concurrency_limit <= account.in_flight:
             self._handle_over_quota(request)
         elif self._passes_overload_checks(request, is_within_quota=True):
-            self.quota_coordinator.request_reading(request)
+            self.quota_coordinator.request_quota_decision(request)
 
     def apply_quota_decision(self, request: OpenRequest, is_within_quota: bool) -> None:
         """Go on with a request once it is known whether it is within its quota."""
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -122,8 +122,8 @@
     def _apply_cost(self, request: OpenRequest, event: api.AttemptEnded) -> None:
         """Take in what the answer tells of the customer's use and of the request's true cost."""
         self.quotas.apply_meter_reading(request.account, event.meter)
-        is_cost_known_after = self.context.settings.quota_sources.cost_known_after
-        if event.settled_units > 0 and request.is_within_quota and is_cost_known_after:
+        quota_sources = self.context.settings.quota_sources
+        if event.settled_units > 0 and request.is_within_quota and quota_sources.is_cost_known_at_end:
             self.quotas.settle_units(request.account, event.settled_units - request.arrival.units)
 
     def _count_if_timely(self, request: OpenRequest, event: api.AttemptEnded) -> None:
--- a/elderlock/decisions/quota_coordinator.py
+++ b/elderlock/decisions/quota_coordinator.py
@@ -61,7 +61,7 @@
         self.usage_reports = UsageReports(context, quotas, self.owners, self.quota_owner, self.messenger)
         self.quota_client = QuotaClient(context, quotas, self.messenger, self.usage_reports, requests, decide)
 
-    def request_reading(self, request: OpenRequest) -> None:
+    def request_quota_decision(self, request: OpenRequest) -> None:
         """Have the request decided by the latest reading of its customer's use, at once or once the owner answers."""
         account = request.account
         owner = self.owners.owner_of(account)
--- a/elderlock/interface/settings.py
+++ b/elderlock/interface/settings.py
@@ -132,12 +132,12 @@
     Attributes:
         meter_period_ms: Period over which servers meter a customer's use and report it in answers; 0 without a meter.
         peer_messages_per_s: Datagrams a second that a limiter can take in.
-        cost_known_after: Whether the units of a request are only known when it ends.
+        is_cost_known_at_end: Whether the units of a request are only known when it ends.
     """
 
     meter_period_ms: float = 0.0
     peer_messages_per_s: float = 0.0
-    cost_known_after: bool = False
+    is_cost_known_at_end: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/elderlock/quota/counted_quotas.py
+++ b/elderlock/quota/counted_quotas.py
@@ -98,11 +98,11 @@
             self._ceilings[plan.name, limiter_count] = bucket
         return bucket
 
-    def request_reading(self, request: OpenRequest) -> None:
+    def request_quota_decision(self, request: OpenRequest) -> None:
         """Have the request decided by the counter, unless its customer comes to this limiter alone."""
         account = request.account
         if account.plan.rate_per_s <= 0 or account.limiter_count <= 1:
-            super().request_reading(request)
+            super().request_quota_decision(request)
             return
         self._ask_for_quota(request)
         self._run_book()
--- a/elderlock/settings_reader.py
+++ b/elderlock/settings_reader.py
@@ -202,5 +202,5 @@
     return api.QuotaSources(
         meter_period_ms=read_number(raw, "metering", 0.0),
         peer_messages_per_s=read_number(raw, "peer-intake", 0.0),
-        cost_known_after=bool(raw.get("cost-after", False)),
+        is_cost_known_at_end=bool(raw.get("cost-after", False)),
     )
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -275,7 +275,7 @@
         if outcome is Outcome.OK:
             request.answered = True
         meter = self.rng.randrange(0, 200) if self.settings[0].quota_sources.meter_period_ms else 0
-        units = float(self.rng.randrange(0, 4)) if self.settings[0].quota_sources.cost_known_after else 0.0
+        units = float(self.rng.randrange(0, 4)) if self.settings[0].quota_sources.is_cost_known_at_end else 0.0
         self._handle(number, api.AttemptEnded(name, attempt, server, outcome, took, request.answered, meter, units))
         self._forget(name)
 
--- a/tests/control/test_control_socket.py
+++ b/tests/control/test_control_socket.py
@@ -99,7 +99,7 @@
 
 
 def test_the_reason_why_a_server_gets_no_requests_is_reported() -> None:
-    gate = start_harness(limiter_settings(limiters=6), names="abcdefgh")
+    gate = start_harness(limiter_settings(limiter_count=6), server_ids="abcdefgh")
     boxes = gate.limiter.endpoints
     server = boxes.servers["c"]
     assert exclusion_reason(boxes, server, gate.now_ms) == ""
@@ -109,8 +109,8 @@
     gate.now_ms = boxes.context.now_ms = server.reinstate_at_ms
     boxes.review_due_servers()
     assert exclusion_reason(boxes, server, gate.now_ms) == "on trial, one request at a time"
-    config = replace(limiter_settings(limiters=6), routing=Routing(subset_size=4))
-    boxes = start_harness(config, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
+    config = replace(limiter_settings(limiter_count=6), routing=Routing(subset_size=4))
+    boxes = start_harness(config, server_ids="abcdefghijklmnopqrstuvwx").limiter.endpoints
     told = {name: exclusion_reason(boxes, one, 0.0) for name, one in boxes.servers.items()}
     assert {name for name, why in told.items() if not why} == {
         one.entry.server_id for one in boxes.candidates.all.members()
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -8,25 +8,25 @@
 
 def test_the_concurrency_limit_holds_until_a_request_has_ended() -> None:
     harness = start_harness()
-    first, second, third = (harness.send_request(plan=2) for _ in range(3))
+    first, second, third = (harness.send_request(plan_index=2) for _ in range(3))
     assert harness.attempted_servers(first) and harness.attempted_servers(second)
     assert harness.final_answers[third] == ["Reject"]
     harness.run_until(100.0)
     harness.end_attempt(first)
-    assert harness.attempted_servers(harness.send_request(plan=2))
+    assert harness.attempted_servers(harness.send_request(plan_index=2))
 
 
 def test_a_request_over_quota_is_sent_only_where_it_earns_and_without_overload() -> None:
     harness = start_harness()
-    assert all(harness.is_served(plan=3) for _ in range(6))
+    assert all(harness.is_served(plan_index=3) for _ in range(6))
     harness.limiter.throttle.start_throttling(50.0, harness.now_ms)
-    assert harness.final_answers[harness.send_request(plan=3)] == ["Reject"]
+    assert harness.final_answers[harness.send_request(plan_index=3)] == ["Reject"]
 
 
 @pytest.mark.parametrize(("plan", "kind"), [(-1, 0), (99, 0), (0, -1), (0, 99)])
 def test_a_request_of_an_unknown_plan_or_class_is_rejected(plan: int, kind: int) -> None:
     harness = start_harness()
-    assert harness.final_answers[harness.send_request(plan=plan, kind=kind)] == ["Reject"]
+    assert harness.final_answers[harness.send_request(plan_index=plan, class_index=kind)] == ["Reject"]
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
@@ -39,7 +39,7 @@
 
 
 def test_without_servers_each_request_is_rejected_once() -> None:
-    harness = start_harness(names="")
+    harness = start_harness(server_ids="")
     early = harness.send_request()
     harness.run_until(4000.0)
     harness.apply_list(server_entry("a"))
@@ -51,30 +51,30 @@
 
 
 def test_waiting_requests_do_not_exceed_the_hard_ceiling_together() -> None:
-    harness = start_harness(names="", start=0.0)
+    harness = start_harness(server_ids="", started_at_ms=0.0)
     harness.run_until(10000.0)
-    names = [harness.send_request(plan=1, spread=2) for _ in range(20)]
+    names = [harness.send_request(plan_index=1, limiter_count=2) for _ in range(20)]
     harness.apply_list(server_entry("a"))
     harness.run_until(10500.0)
     assert sum(bool(harness.attempted_servers(n)) for n in names) <= 13
 
 
 def test_queue_pressure_rejects_new_requests_before_answers_are_late() -> None:
-    harness = start_harness(names="ab")
-    names = [harness.send_request(customer=f"c{i}") for i in range(40)]
+    harness = start_harness(server_ids="ab")
+    names = [harness.send_request(customer_id=f"c{i}") for i in range(40)]
     assert any(harness.final_answers.get(n) == ["Reject"] for n in names)
     assert sum(bool(harness.attempted_servers(n)) for n in names) >= 1
 
 
 def test_the_first_request_after_a_start_is_sent() -> None:
-    harness = start_harness(start=77777.0)
-    assert harness.attempted_servers(harness.send_request(spread=3))
+    harness = start_harness(started_at_ms=77777.0)
+    assert harness.attempted_servers(harness.send_request(limiter_count=3))
 
 
 @pytest.mark.parametrize("spread", [-1, 0, 4, 9999])
 def test_a_limiter_count_outside_the_settings_is_clamped(spread: int) -> None:
-    harness = start_harness(limiter_settings(peers=True))
-    name = harness.send_request(spread=spread)
+    harness = start_harness(limiter_settings(can_message_peers=True))
+    name = harness.send_request(limiter_count=spread)
     harness.run_until(1000.0)
     assert harness.attempted_servers(name)
     assert 1 <= account_of(harness).limiter_count <= 3
--- a/tests/decisions/test_attempts.py
+++ b/tests/decisions/test_attempts.py
@@ -16,7 +16,7 @@
 
 def test_a_request_that_is_not_idempotent_is_retried_only_if_it_never_ran() -> None:
     harness = start_harness()
-    name = harness.send_request(kind=2)
+    name = harness.send_request(class_index=2)
     harness.end_attempt(name, Outcome.FULL)
     assert len(harness.attempted_servers(name)) == 2
     harness.end_attempt(name, Outcome.RESET)
@@ -26,7 +26,7 @@
 
 def test_a_keyed_request_is_retried_within_its_deduplication_scope_and_window() -> None:
     harness = start_harness()
-    name = harness.send_request(kind=1)
+    name = harness.send_request(class_index=1)
     harness.end_attempt(name, Outcome.RESET)
     zones = {"abcdef".index(s) % 2 for s in harness.attempted_servers(name)}
     assert len(harness.attempted_servers(name)) == 2 and len(zones) == 1
@@ -38,7 +38,7 @@
 
 def test_a_started_stream_outlives_the_deadline() -> None:
     harness = start_harness()
-    name = harness.send_request(kind=3)
+    name = harness.send_request(class_index=3)
     harness.handle(api.StreamStarted(name, 0, harness.attempted_servers(name)[0], 10.0))
     harness.run_until(9000.0)
     assert name not in harness.final_answers
@@ -59,7 +59,7 @@
     sent = next(s for _, s in harness.sent_attempts if s.request_id == name)
     assert sent.timeout_ms == pytest.approx(1000.0)
     harness.now_ms += 1000.0
-    harness.end_attempt(name, Outcome.TIMEOUT, took=1000.0)
+    harness.end_attempt(name, Outcome.TIMEOUT, duration_ms=1000.0)
     assert harness.final_answers[name] == ["Fail"]
 
 
@@ -78,7 +78,7 @@
 
 def test_a_request_that_reached_no_server_is_rejected_before_half_of_its_time() -> None:
     harness = start_harness()
-    name, left = harness.send_request(left=1600.0), 1600.0
+    name, left = harness.send_request(remaining_ms=1600.0), 1600.0
     harness.now_ms = 0.3 * left
     harness.end_attempt(name, Outcome.CONNECT_FAILED)
     assert len(harness.attempted_servers(name)) == 2 and name not in harness.final_answers
--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -38,10 +38,10 @@
 
     def start(self, subset: int, limiters: int) -> LimiterHarness:
         config = replace(
-            limiter_settings(limiters=limiters, peers=False),
+            limiter_settings(limiter_count=limiters, can_message_peers=False),
             routing=Routing(subset_size=subset, cross_zone_penalty=0.1),
         )
-        self.gateway = start_harness(config, names="")
+        self.gateway = start_harness(config, server_ids="")
         return self.gateway
 
     @rule(subset=st.sampled_from([0, 0, 4, 9]), limiters=st.integers(1, 9))
@@ -73,7 +73,7 @@
     def send_requests(self, count: int, kind: int) -> None:
         limiter_gateway = self.gateway or self.start(0, 3)
         for _ in range(count):
-            name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}", kind=kind)
+            name = limiter_gateway.send_request(customer_id=f"c{limiter_gateway.request_count}", class_index=kind)
             for server in limiter_gateway.attempted_servers(name)[
                 :1
             ]:  # the first attempt goes to a server that may be selected
--- a/tests/decisions/test_load_estimator.py
+++ b/tests/decisions/test_load_estimator.py
@@ -11,9 +11,9 @@
     harness = start_harness()
     for plans, loaded in (((0,), False), ((0, 3), True)):
         for i in range(40):
-            name = harness.send_request(customer=f"c{plans}{i}", plan=plans[i % len(plans)])
-            harness.end_attempt(name, Outcome.FULL, took=200.0)
-            harness.end_attempt(name, Outcome.FULL, took=200.0)
+            name = harness.send_request(customer_id=f"c{plans}{i}", plan_index=plans[i % len(plans)])
+            harness.end_attempt(name, Outcome.FULL, duration_ms=200.0)
+            harness.end_attempt(name, Outcome.FULL, duration_ms=200.0)
             harness.end_attempt(name)
             harness.run_until(harness.now_ms + 10.0)
         assert (harness.limiter.load_estimator.load_level() > 0.4) is loaded
@@ -22,35 +22,35 @@
 def test_errors_are_no_samples_of_load() -> None:
     harness = start_harness()
     for _ in range(20):
-        name = harness.send_request(customer=f"c{harness.request_count}")
+        name = harness.send_request(customer_id=f"c{harness.request_count}")
         while name not in harness.answered_ids:
-            harness.end_attempt(name, Outcome.ERROR, took=1.0)
+            harness.end_attempt(name, Outcome.ERROR, duration_ms=1.0)
     assert harness.limiter.load_estimator.load_level() < 0.4
 
 
 def test_one_slow_server_is_no_load_and_all_slow_servers_are() -> None:
     harness = start_harness()
     for _ in range(30):
-        name = harness.send_request(customer=f"c{harness.request_count}")
+        name = harness.send_request(customer_id=f"c{harness.request_count}")
         slow = harness.attempted_servers(name)[0] == "a"
-        harness.end_attempt(name, took=900.0 if slow else 50.0)
+        harness.end_attempt(name, duration_ms=900.0 if slow else 50.0)
     assert harness.limiter.load_estimator.load_level() < 0.2
     for _ in range(60):
-        harness.end_attempt(harness.send_request(customer=f"d{harness.request_count}"), took=900.0)
+        harness.end_attempt(harness.send_request(customer_id=f"d{harness.request_count}"), duration_ms=900.0)
     assert harness.limiter.load_estimator.load_level() > 0.8
 
 
 def test_three_slow_answers_are_load_and_one_is_not() -> None:
-    harness = start_harness(limiter_settings(limiters=400))
-    harness.end_attempt(harness.send_request(), took=900.0)
+    harness = start_harness(limiter_settings(limiter_count=400))
+    harness.end_attempt(harness.send_request(), duration_ms=900.0)
     assert harness.limiter.load_estimator.load_level() < 0.4
     for i in range(2):
-        harness.end_attempt(harness.send_request(customer=f"c{i}"), took=900.0)
+        harness.end_attempt(harness.send_request(customer_id=f"c{i}"), duration_ms=900.0)
     assert harness.limiter.load_estimator.load_level() > 0.4
 
 
 def test_samples_of_other_limiters_count_until_they_are_old() -> None:
-    harness = start_harness(limiter_settings(limiters=400, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=400, can_message_peers=True))
     for sender in range(1, 20):
         harness.handle(api.PeerMessage(sender, SINGLE.pack(SINGLE_FORMAT, 64, 1, SingleKind.DENIED, 0, 0, 0, 0)))
     assert harness.limiter.load_estimator.load_level() > 0.8
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -20,7 +20,7 @@
     """Send `rounds` requests while the `failing` servers refuse connections; return where the first attempts went."""
     first_servers = []
     for _ in range(rounds):
-        name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}")
+        name = limiter_gateway.send_request(customer_id=f"c{limiter_gateway.request_count}")
         first_servers += limiter_gateway.attempted_servers(name)[:1]
         while name not in limiter_gateway.answered_ids:
             limiter_gateway.end_attempt(
@@ -32,7 +32,7 @@
 
 def test_at_most_half_the_weight_is_ejected_and_the_one_good_server_serves() -> None:
     names = [chr(97 + n) for n in range(20)]
-    limiter_gateway = start_harness(limiter_settings(limiters=1), names="".join(names))
+    limiter_gateway = start_harness(limiter_settings(limiter_count=1), server_ids="".join(names))
     first_servers = ask_with_failing_servers(limiter_gateway, set(names[1:]), 600)
     detector = limiter_gateway.limiter.endpoints.outlier_detector
     assert len(detector.ejected) <= 10
@@ -41,11 +41,11 @@
 
 def test_panic_mode_reinstates_all_servers_when_nearly_all_fail() -> None:
     names = [chr(97 + n) for n in range(20)]
-    limiter_gateway = start_harness(limiter_settings(limiters=1), names="".join(names))
+    limiter_gateway = start_harness(limiter_settings(limiter_count=1), server_ids="".join(names))
     endpoints = limiter_gateway.limiter.endpoints
     max_ejected = 0
     for _ in range(400):
-        name = limiter_gateway.send_request(customer=f"c{limiter_gateway.request_count}")
+        name = limiter_gateway.send_request(customer_id=f"c{limiter_gateway.request_count}")
         while name not in limiter_gateway.answered_ids:
             limiter_gateway.end_attempt(name, Outcome.CONNECT_FAILED)
         max_ejected = max(max_ejected, len(endpoints.outlier_detector.ejected))
@@ -57,21 +57,21 @@
 
 
 def test_a_reinstated_server_gets_one_request_at_a_time_until_it_answers() -> None:
-    limiter_gateway = start_harness(limiter_settings(limiters=1), names="abcd")
+    limiter_gateway = start_harness(limiter_settings(limiter_count=1), server_ids="abcd")
     server = limiter_gateway.limiter.endpoints.servers["b"]
     while not server.is_ejected:
         ask_with_failing_servers(limiter_gateway, {"b"}, 20)
     assert server.consecutive_failures == FAILURES_BEFORE_EJECTION
     while server.is_ejected:
         assert "b" not in ask_with_failing_servers(limiter_gateway, set(), 1)
-    names = [limiter_gateway.send_request(customer=f"d{n}") for n in range(30)]
+    names = [limiter_gateway.send_request(customer_id=f"d{n}") for n in range(30)]
     first_servers = [
         limiter_gateway.attempted_servers(name)[0] for name in names if limiter_gateway.attempted_servers(name)
     ]
     assert len(first_servers) > 5 and first_servers.count("b") <= 1 and server.is_on_probation
     while not server.in_flight:
         ask_with_failing_servers(limiter_gateway, set(), 1)
-        names.append(limiter_gateway.send_request(customer=f"e{limiter_gateway.request_count}"))
+        names.append(limiter_gateway.send_request(customer_id=f"e{limiter_gateway.request_count}"))
     assert server not in limiter_gateway.limiter.endpoints.candidates.all
     limiter_gateway.end_attempt(next(iter(server.in_flight))[0], Outcome.OK)
     assert (
@@ -82,7 +82,7 @@
 
 
 def test_each_further_ejection_lasts_longer_up_to_the_maximum() -> None:
-    detector = OutlierDetector(DecisionContext(limiter_settings(limiters=1), 1, 0.0))
+    detector = OutlierDetector(DecisionContext(limiter_settings(limiter_count=1), 1, 0.0))
     server, waits = Server(server_entry("a"), 0.0, 0.0, weight_milli=10), []
     for _ in range(8):
         while not server.is_ejected:
@@ -97,7 +97,7 @@
 
 
 def test_servers_are_reinstated_when_a_shrinking_list_makes_the_ejected_ones_too_many() -> None:
-    limiter_gateway = start_harness(limiter_settings(limiters=1), names="abcdefgh")
+    limiter_gateway = start_harness(limiter_settings(limiter_count=1), server_ids="abcdefgh")
     endpoints = limiter_gateway.limiter.endpoints
     for name in "abcd":
         for _ in range(FAILURES_BEFORE_EJECTION):
--- a/tests/decisions/test_permits.py
+++ b/tests/decisions/test_permits.py
@@ -10,8 +10,8 @@
 
 
 def test_a_permit_charges_units_once_names_a_server_and_sends_nothing() -> None:
-    harness = start_harness(limiter_settings(limiters=1))
-    name = harness.send_request("c", permission=True, units=2.0)
+    harness = start_harness(limiter_settings(limiter_count=1))
+    name = harness.send_request("c", wants_permit=True, units=2.0)
     assert harness.final_answers[name] == ["Permit"] and harness.sent_attempts == []
     (at, permit) = harness.permits[0]
     account = next(iter(harness.limiter.quotas.accounts.values()))
@@ -25,9 +25,9 @@
 
 def test_the_end_of_a_permitted_attempt_is_learnt_and_nothing_is_left() -> None:
     for outcome in Outcome:
-        harness = start_harness(limiter_settings(limiters=1))
-        name = harness.send_request(permission=True)
-        harness.end_attempt(name, outcome, took=300.0)
+        harness = start_harness(limiter_settings(limiter_count=1))
+        name = harness.send_request(wants_permit=True)
+        harness.end_attempt(name, outcome, duration_ms=300.0)
         assert not harness.limiter.requests and harness.limiter.load_estimator.in_flight == 0
         assert not any(server.in_flight for server in harness.limiter.endpoints.servers.values())
         assert (
@@ -39,8 +39,8 @@
 
 
 def test_a_permit_that_was_not_used_is_refunded_once() -> None:
-    harness = start_harness(limiter_settings(limiters=1))
-    name = harness.send_request(permission=True, units=3.0)
+    harness = start_harness(limiter_settings(limiter_count=1))
+    name = harness.send_request(wants_permit=True, units=3.0)
     account = next(iter(harness.limiter.quotas.accounts.values()))
     assert account.shared_units == 17.0
     harness.end_attempt(name, Outcome.NOT_FORWARDED)
@@ -50,15 +50,15 @@
 
 
 def test_a_permit_over_quota_is_rejected() -> None:
-    harness = start_harness(limiter_settings(limiters=1))
-    kinds = [harness.final_answers[harness.send_request("c", permission=True, units=4.0)][0] for _ in range(6)]
+    harness = start_harness(limiter_settings(limiter_count=1))
+    kinds = [harness.final_answers[harness.send_request("c", wants_permit=True, units=4.0)][0] for _ in range(6)]
     assert kinds == ["Permit"] * 5 + ["Reject"]
 
 
 def test_a_client_that_disconnects_before_the_decision_gets_no_answer() -> None:
-    harness = start_harness(limiter_settings(limiters=3, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=3, can_message_peers=True))
     # the owner is another limiter, which is silent: nothing is decided yet
-    names = [harness.send_request(f"c{n}", permission=True, spread=3) for n in range(9)]
+    names = [harness.send_request(f"c{n}", wants_permit=True, limiter_count=3) for n in range(9)]
     waiting = [name for name in names if name not in harness.final_answers]
     assert waiting
     for name in waiting:
@@ -69,17 +69,17 @@
 
 
 def test_with_a_silent_owner_each_permit_request_gets_one_answer_in_time() -> None:
-    harness = start_harness(limiter_settings(limiters=3, peers=True))
-    names = [harness.send_request(f"c{n}", permission=True, spread=3, left=400.0) for n in range(9)]
+    harness = start_harness(limiter_settings(limiter_count=3, can_message_peers=True))
+    names = [harness.send_request(f"c{n}", wants_permit=True, limiter_count=3, remaining_ms=400.0) for n in range(9)]
     harness.run_until(400.0)
     assert all(len(harness.final_answers[name]) == 1 for name in names)
 
 
 def test_a_draining_server_is_not_permitted() -> None:
-    harness = start_harness(limiter_settings(limiters=1), names="ab")
+    harness = start_harness(limiter_settings(limiter_count=1), server_ids="ab")
     harness.apply_list(server_entry("a", state=api.ServerState.DRAINING), kind=api.ListKind.CHANGES)
     for n in range(20):
-        harness.send_request(f"c{n}", permission=True)
+        harness.send_request(f"c{n}", wants_permit=True)
     assert {permit.server_id for _, permit in harness.permits} == {"b"}
 
 
@@ -87,12 +87,12 @@
     """What one kind of request uses of it the other does not get."""
 
     def sent_count(kinds: tuple[bool, ...]) -> int:
-        harness = start_harness(limiter_settings(limiters=1), names="")
+        harness = start_harness(limiter_settings(limiter_count=1), server_ids="")
         harness.now_ms = 1000.0
         harness.limiter.endpoints.slow_start.warm_answers_per_s = 30.0  # answers per second of a warmed up server
-        harness.apply_list(server_entry("cold", state=RUNNING, at=1000.0))
+        harness.apply_list(server_entry("cold", state=RUNNING, started_at_ms=1000.0))
         for n in range(60):
-            harness.end_attempt(harness.send_request(f"c{n}", permission=kinds[n % len(kinds)], left=20.0))
+            harness.end_attempt(harness.send_request(f"c{n}", wants_permit=kinds[n % len(kinds)], remaining_ms=20.0))
             harness.run_until(harness.now_ms + 20.0)
         return len(harness.sent_attempts) + len(harness.permits)
 
@@ -110,7 +110,7 @@
 )
 def test_permits_and_sends_together_keep_the_hard_ceiling(asked: list[tuple[bool, float, float, Outcome]]) -> None:
     """Units of both kinds, less refunds, never exceed the shared ceiling by more than its slack."""
-    harness = start_harness(limiter_settings(limiters=1))
+    harness = start_harness(limiter_settings(limiter_count=1))
     store, at = CEILING_PLAN.ceiling_burst_units, 0.0
     for permission, units, wait, outcome in asked:
         harness.run_until(harness.now_ms + wait)
@@ -118,7 +118,7 @@
             CEILING_PLAN.ceiling_burst_units, store + CEILING_PLAN.ceiling_rate_per_s * (harness.now_ms - at) / 1000.0
         )
         at = harness.now_ms
-        name = harness.send_request("c", plan=1, units=units, permission=permission)
+        name = harness.send_request("c", plan_index=1, units=units, wants_permit=permission)
         used = bool(harness.attempted_servers(name)) or harness.final_answers.get(name) == ["Permit"]
         store -= units if used else 0.0
         assert store >= -CEILING_PLAN.ceiling_slack_units - 1e-6
--- a/tests/decisions/test_quota_client.py
+++ b/tests/decisions/test_quota_client.py
@@ -37,7 +37,7 @@
     customer = harness.limiter.quotas.accounts[asked.key]
     harness.limiter.quota_coordinator.handle_query_timeout(-1)
     for _ in range(3):
-        harness.send_request(customer=f"c{int(name[1:]) - 1}", spread=3)
+        harness.send_request(customer_id=f"c{int(name[1:]) - 1}", limiter_count=3)
         harness.run_until(harness.now_ms + 250.0)
     assert harness.now_ms < harness.limiter.quota_coordinator.owners.silent_until_ms[owner]
     assert harness.limiter.quota_coordinator.owners.owner_of(customer) != owner
@@ -48,7 +48,9 @@
 def test_400_limiters_agree_on_a_customers_owner() -> None:
     owners: list[int] = []
     for number in (300, 301, 310, 380):
-        harness = start_harness(replace(limiter_settings(limiters=400, peers=True), limiter_index=number))
+        harness = start_harness(
+            replace(limiter_settings(limiter_count=400, can_message_peers=True), limiter_index=number)
+        )
         harness.handle(api.RequestArrived("r", 0, 0, "wide", 1.0, 4000.0, limiter_count=300, first_limiter=250))
         owners.append(harness.limiter.quota_coordinator.owners.owner_of(account_of(harness)) or 0)
     assert len(set(owners)) == 1
@@ -71,5 +73,5 @@
     harness.handle(api.PeerMessage(owner, single(asked.key, SingleKind.DENIED, first=0, query_id=asked.query_id)))
     harness.limiter.quota_coordinator.owners.silent_until_ms[owner] = harness.now_ms + 1e6
     harness.limiter.quotas.accounts[asked.key].exhausted_until_ms = harness.now_ms
-    again = harness.send_request(customer=f"c{int(name[1:]) - 1}", spread=2)
+    again = harness.send_request(customer_id=f"c{int(name[1:]) - 1}", limiter_count=2)
     assert harness.final_answers[again] == ["Reject"]
--- a/tests/decisions/test_quota_owner.py
+++ b/tests/decisions/test_quota_owner.py
@@ -21,7 +21,7 @@
 
 
 def test_the_owner_grants_each_unit_once_over_all_that_ask() -> None:
-    harness = start_harness(limiter_settings(limiters=400, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=400, can_message_peers=True))
     for sender in range(1, 31):
         harness.handle(api.PeerMessage(sender, single(7, SingleKind.QUERY, query_id=sender)))
         harness.run_until(harness.now_ms + 25.0)
@@ -32,13 +32,13 @@
 
 
 def test_a_restarted_owner_opens_a_ledger_at_the_believed_level() -> None:
-    harness = start_harness(limiter_settings(peers=True))
+    harness = start_harness(limiter_settings(can_message_peers=True))
     harness.handle(api.PeerMessage(1, single(7, SingleKind.QUERY, second=0)))
     assert sent_singles(harness)[-1][1].kind == SingleKind.DENIED
 
 
 def test_answers_stay_within_the_message_budget() -> None:
-    harness = start_harness(limiter_settings(limiters=400, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=400, can_message_peers=True))
     for i in range(2000):
         harness.handle(api.PeerMessage(1 + i % 399, single(i, SingleKind.QUERY)))
         harness.run_until(harness.now_ms + 1.0)
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("data", [*UNREADABLE, single(5, SingleKind.QUERY, plan_index=200), single(5, 9)])
 def test_unreadable_datagrams_change_nothing(data: bytes) -> None:
-    harness = start_harness(limiter_settings(peers=True))
+    harness = start_harness(limiter_settings(can_message_peers=True))
     assert harness.handle(api.PeerMessage(1, data)) == []
     assert harness.handle(api.PeerMessage(99, single(5, SingleKind.QUERY))) == []
     assert not harness.limiter.quotas.accounts and not harness.limiter.quota_coordinator.quota_owner.ledgers
--- a/tests/decisions/test_quotas.py
+++ b/tests/decisions/test_quotas.py
@@ -7,8 +7,8 @@
 
 
 def test_the_fill_rate_is_the_own_rate_plus_an_even_part_of_what_is_left() -> None:
-    harness = start_harness(limiter_settings(meter=2000.0))
-    harness.send_request(spread=2)
+    harness = start_harness(limiter_settings(meter_period_ms=2000.0))
+    harness.send_request(limiter_count=2)
     account = account_of(harness)
     account.shared_units = 0.0
     account.own_rate_per_s, account.others_rate_per_s = 3.0, 5.0
@@ -27,12 +27,12 @@
     served = [harness.is_served() for _ in range(25)]
     assert served == [True] * 20 + [False] * 5
     harness.run_until(1000.0)
-    assert harness.attempted_servers(harness.send_request(spread=1))
+    assert harness.attempted_servers(harness.send_request(limiter_count=1))
 
 
 def test_a_meter_reading_sets_the_others_rate_and_loses_confidence_with_age() -> None:
-    harness = start_harness(limiter_settings(meter=2000.0))
-    name = harness.send_request(spread=2)
+    harness = start_harness(limiter_settings(meter_period_ms=2000.0))
+    name = harness.send_request(limiter_count=2)
     harness.end_attempt(name, meter=101)
     account = account_of(harness)
     assert account.others_rate_per_s == pytest.approx(10.0, abs=0.5)
@@ -47,10 +47,13 @@
 
 
 def test_the_bucket_capacity_shrinks_with_what_others_spend_unseen() -> None:
-    busy, calm = start_harness(limiter_settings(meter=2000.0)), start_harness(limiter_settings(meter=2000.0))
+    busy, calm = (
+        start_harness(limiter_settings(meter_period_ms=2000.0)),
+        start_harness(limiter_settings(meter_period_ms=2000.0)),
+    )
     depths = []
     for harness, meter in ((busy, 101), (calm, 21)):
-        harness.end_attempt(harness.send_request(spread=2), meter=meter)
+        harness.end_attempt(harness.send_request(limiter_count=2), meter=meter)
         account = account_of(harness)
         account.shared_units = 8.0
         depths.append(harness.limiter.quotas.bucket_capacity_units(account, 1.0))
@@ -59,31 +62,31 @@
 
 
 def test_without_a_reading_the_bucket_holds_an_even_part_of_the_burst() -> None:
-    harness = start_harness(limiter_settings(meter=2000.0))
-    assert [harness.is_served(spread=2) for _ in range(12)] == [True] * 10 + [False] * 2
+    harness = start_harness(limiter_settings(meter_period_ms=2000.0))
+    assert [harness.is_served(limiter_count=2) for _ in range(12)] == [True] * 10 + [False] * 2
 
 
 def test_a_part_smaller_than_a_request_goes_into_debt_by_one_request() -> None:
-    harness = start_harness(limiter_settings(limiters=400))
-    assert harness.is_served(spread=400)  # the part of the burst is a twentieth of a request
-    assert not harness.is_served(spread=400)
+    harness = start_harness(limiter_settings(limiter_count=400))
+    assert harness.is_served(limiter_count=400)  # the part of the burst is a twentieth of a request
+    assert not harness.is_served(limiter_count=400)
     harness.run_until(37000.0)  # the part of the rate is 1 request in 40 s
-    assert not harness.is_served(spread=400)
+    assert not harness.is_served(limiter_count=400)
     harness.run_until(42000.0)
-    assert harness.is_served(spread=400)
+    assert harness.is_served(limiter_count=400)
 
 
 def test_an_absent_meter_is_no_reading() -> None:
-    harness = start_harness(limiter_settings(meter=2000.0))
-    harness.end_attempt(harness.send_request(spread=2), meter=0)
+    harness = start_harness(limiter_settings(meter_period_ms=2000.0))
+    harness.end_attempt(harness.send_request(limiter_count=2), meter=0)
     assert harness.limiter.quotas.reading_confidence(account_of(harness)) == 0.0
 
 
 def test_settled_units_replace_the_estimated_cost() -> None:
-    harness = start_harness(limiter_settings(settled=True))
+    harness = start_harness(limiter_settings(is_cost_known_at_end=True))
     name = harness.send_request(units=2.0)
     before = account_of(harness).shared_units
-    harness.end_attempt(name, true=5.0)
+    harness.end_attempt(name, settled_units=5.0)
     assert account_of(harness).shared_units == pytest.approx(before - 3.0)
 
 
@@ -97,12 +100,12 @@
 
 
 def test_the_part_of_a_hard_ceiling_is_never_exceeded_and_is_empty_after_a_start() -> None:
-    harness = start_harness(start=5000.0)
-    assert harness.final_answers[harness.send_request(plan=1, spread=2)] == ["Reject"]
+    harness = start_harness(started_at_ms=5000.0)
+    assert harness.final_answers[harness.send_request(plan_index=1, limiter_count=2)] == ["Reject"]
     taken: list[float] = []
     for _ in range(400):
         harness.run_until(harness.now_ms + 25.0)
-        name = harness.send_request(plan=1, spread=2)
+        name = harness.send_request(plan_index=1, limiter_count=2)
         if harness.attempted_servers(name):
             taken.append(harness.now_ms)
             harness.end_attempt(name)
--- a/tests/decisions/test_routing_at_scale.py
+++ b/tests/decisions/test_routing_at_scale.py
@@ -112,7 +112,7 @@
 
 def limiter_with_servers(server_count: int) -> Limiter:
     entries = tuple(server_entry(f"s-{n}", n % 3) for n in range(server_count))
-    limiter = Limiter(limiter_settings(limiters=1), 0, 0.0)
+    limiter = Limiter(limiter_settings(limiter_count=1), 0, 0.0)
     limiter.handle(api.ServerList(1, ListKind.COMPLETE, entries), 0.0)
     return limiter
 
@@ -128,9 +128,11 @@
 
 
 def test_two_thousand_requests_that_time_out_at_once_get_one_answer_each() -> None:
-    limiter_gateway = start_harness(limiter_settings(limiters=1), names="".join(chr(0x4E00 + n) for n in range(1500)))
+    limiter_gateway = start_harness(
+        limiter_settings(limiter_count=1), server_ids="".join(chr(0x4E00 + n) for n in range(1500))
+    )
     limiter_gateway.limiter.attempts.retry_policy.retry_budget = 0.0
-    names = [limiter_gateway.send_request(customer=f"c{n}") for n in range(2000)]
+    names = [limiter_gateway.send_request(customer_id=f"c{n}") for n in range(2000)]
     assert sum(bool(limiter_gateway.attempted_servers(name)) for name in names) == 2000
     limiter_gateway.run_until(limiter_gateway.now_ms + 1100.0)
     assert all(len(limiter_gateway.final_answers[name]) == 1 for name in names)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -33,7 +33,9 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.settings = replace(
-            limiter_settings(limiters=limiters, peers=peers), plans=(UNLIMITED_PLAN,), rules=WARM_UP_RULES
+            limiter_settings(limiter_count=limiters, can_message_peers=peers),
+            plans=(UNLIMITED_PLAN,),
+            rules=WARM_UP_RULES,
         )
         self.sent_at_ms: list[float] = []
         self.entries = [server_entry(f"w{n}", n % 2) for n in range(WARM_SERVER_COUNT)]
@@ -65,12 +67,12 @@
             while self.answers_due and self.answers_due[0][0] <= self.now:
                 _, number, name = heapq.heappop(self.answers_due)
                 self.limiters[number].run_until(self.now)
-                self.limiters[number].end_attempt(name, took=ANSWER_MS)
+                self.limiters[number].end_attempt(name, duration_ms=ANSWER_MS)
                 self.record_sends(number)
             for number, limiter in enumerate(self.limiters):
                 limiter.run_until(self.now)
                 if self.rng.random() < rate(self.now) / len(self.limiters) * STEP_MS / 1000.0:
-                    limiter.send_request(customer=f"c{self.rng.randrange(50)}")
+                    limiter.send_request(customer_id=f"c{self.rng.randrange(50)}")
                 self.record_sends(number)
 
     def record_sends(self, number: int) -> None:
@@ -153,7 +155,7 @@
     config = replace(limiter_settings(), rules=WARM_UP_RULES)
     limiter_gateway = LimiterHarness(Limiter(config, 7, 100_000.0), now_ms=100_000.0)
     limiter_gateway.carry_out(limiter_gateway.limiter.start(100_000.0))
-    limiter_gateway.apply_list(server_entry("new", at=100_500.0 - WARM_UP_RULES.warm_up_ms))
+    limiter_gateway.apply_list(server_entry("new", started_at_ms=100_500.0 - WARM_UP_RULES.warm_up_ms))
     for _ in range(40):
         limiter_gateway.run_until(limiter_gateway.now_ms + 50.0)
         limiter_gateway.is_served()
--- a/tests/decisions/test_subsetting.py
+++ b/tests/decisions/test_subsetting.py
@@ -16,7 +16,7 @@
     limiters = []
     for limiter_index in range(limiter_count):
         config = replace(
-            limiter_settings(limiters=limiter_count),
+            limiter_settings(limiter_count=limiter_count),
             limiter_index=limiter_index,
             routing=Routing(subset_size=subset_size),
         )
--- a/tests/escrow_histories.py
+++ b/tests/escrow_histories.py
@@ -30,7 +30,7 @@
     """A limiter's quotas with a clock of their own, which may stand still beside the world's."""
 
     def __init__(self, number: int, now: float, seed: int, kind: type[Quotas] = EscrowQuotas) -> None:
-        given = limiter_settings(LIMITERS, peers=True)
+        given = limiter_settings(LIMITERS, can_message_peers=True)
         self.number, self.core = number, DecisionContext(replace(given, limiter_index=number, plans=(PLAN,)), seed, now)
         self.quotas = kind(self.core)
 
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -10,7 +10,7 @@
 import pytest
 from escrow_histories import FIRST, LIMITERS, MEMBERS, PLAN, WARM
 from helpers import limiter_settings
-from playing import played
+from trial_runs import run_trial
 
 from elderlock import interface as api
 from elderlock.control import messages as m
@@ -42,7 +42,7 @@
 def test_the_operators_file_selects_the_limiter_class(text: str, kind: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert OptionalFeatures(path).limiter_type(limiter_settings(peers=True)) is kind
+    assert OptionalFeatures(path).limiter_type(limiter_settings(can_message_peers=True)) is kind
 
 
 @pytest.mark.parametrize(
@@ -57,12 +57,14 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(why)) as error:
-        OptionalFeatures(path).limiter_type(limiter_settings(peers=True))
+        OptionalFeatures(path).limiter_type(limiter_settings(can_message_peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
 def test_operators_see_units_given_and_in_transit() -> None:
-    limiter = EscrowLimiter(replace(limiter_settings(LIMITERS, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0)
+    limiter = EscrowLimiter(
+        replace(limiter_settings(LIMITERS, can_message_peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0
+    )
     want = encode(EscrowRequest(9, 77, 0, MEMBERS, FIRST, 3.0))
     (answer,) = limiter.handle(api.PeerMessage(FIRST, want), 2.0 * WARM)
     assert (
@@ -74,7 +76,7 @@
         given=3.0, taken=0.0, offered=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
     )
     assert limiter.handle(api.PeerMessage(FIRST, want[:-1]), 2.0 * WARM) == []  # of this form, and cannot be read
-    assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
+    assert ceiling_status(Limiter(limiter_settings(can_message_peers=True), 1, 0.0)) is None
 
 
 # Fleets
@@ -147,5 +149,5 @@
             Fault(3.0, "cut", "way:limiter:0>limiter:3", 2.0),
         ),
     )
-    outcome = played(sim.of_load(0.4, given, 2))
+    outcome = run_trial(sim.of_load(0.4, given, 2))
     assert outcome.verdict() != "broken", outcome.text()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,38 +31,40 @@
 
 
 def limiter_settings(
-    limiters: int = 3,
-    peers: bool = False,
-    meter: float = 0.0,
-    subscribe: bool = False,
-    cancel: bool = True,
-    settled: bool = False,
+    limiter_count: int = 3,
+    can_message_peers: bool = False,
+    meter_period_ms: float = 0.0,
+    subscribes_to_list: bool = False,
+    can_cancel: bool = True,
+    is_cost_known_at_end: bool = False,
 ) -> api.Settings:
     """Return the settings of a small group of limiters."""
     return api.Settings(
         limiter_index=0,
-        limiter_count=limiters,
+        limiter_count=limiter_count,
         clock_tick_ms=4.0,
         zone=0,
         request_classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, STREAM_CLASS),
         plans=(PLAIN_PLAN, CEILING_PLAN, CONCURRENCY_PLAN, OVER_QUOTA_PLAN),
         rules=RULES,
-        capabilities=api.Capabilities(max_attempts=4, can_cancel=cancel, can_message_peers=peers),
+        capabilities=api.Capabilities(max_attempts=4, can_cancel=can_cancel, can_message_peers=can_message_peers),
         quota_sources=api.QuotaSources(
-            meter_period_ms=meter,
+            meter_period_ms=meter_period_ms,
             peer_messages_per_s=100.0,
-            cost_known_after=settled,
+            is_cost_known_at_end=is_cost_known_at_end,
         ),
-        subscribes_to_list=subscribe,
+        subscribes_to_list=subscribes_to_list,
     )
 
 
 RUNNING = api.ServerState.RUNNING
 
 
-def server_entry(name: str, zone: int = 0, state: api.ServerState = RUNNING, at: float = 0.0) -> api.ServerEntry:
+def server_entry(
+    server_id: str, zone: int = 0, state: api.ServerState = RUNNING, started_at_ms: float = 0.0
+) -> api.ServerEntry:
     """Return an entry of the server list."""
-    return api.ServerEntry(name, zone, 0, zone, state, 1.0, at)
+    return api.ServerEntry(server_id, zone, 0, zone, state, 1.0, started_at_ms)
 
 
 @dataclass
@@ -135,11 +137,11 @@
             else:
                 self.other_actions.append((self.now_ms, action))
 
-    def run_until(self, until: float) -> None:
+    def run_until(self, until_ms: float) -> None:
         """Let timers and time-outs of attempts come as they fall due."""
         while True:
             self.attempt_timeouts = [limit for limit in self.attempt_timeouts if limit[1] in self.attempts_in_flight]
-            due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until), default=None)
+            due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until_ms), default=None)
             if due is None:
                 break
             self.now_ms = max(self.now_ms, due)
@@ -151,72 +153,83 @@
             for timer in [t for t in self.timers if t[0] <= self.now_ms]:
                 self.timers.remove(timer)
                 self.handle(api.TimerFired(timer[1]))
-        self.now_ms = max(self.now_ms, until)
+        self.now_ms = max(self.now_ms, until_ms)
 
     def send_request(
         self,
-        customer: str = "c",
-        plan: int = 0,
+        customer_id: str = "c",
+        plan_index: int = 0,
         units: float = 1.0,
-        kind: int = 0,
-        spread: int = 1,
-        left: float = 4000.0,
-        permission: bool = False,
+        class_index: int = 0,
+        limiter_count: int = 1,
+        remaining_ms: float = 4000.0,
+        wants_permit: bool = False,
     ) -> str:
         """Send a request, or ask for a permit, and return its id.
 
         Args:
-            customer: The customer's id.
-            plan: The index of the plan.
+            customer_id: The customer's id.
+            plan_index: The index of the plan.
             units: The units of the request.
-            kind: The index of the class.
-            spread: How many limiters serve the customer.
-            left: Time until the deadline in ms.
-            permission: Whether a permit is asked for.
+            class_index: The index of the class.
+            limiter_count: How many limiters serve the customer.
+            remaining_ms: Time until the deadline in ms.
+            wants_permit: Whether the client asks for a permit.
         """
         self.request_count += 1
-        name = f"r{self.request_count}"
-        event = api.PermitRequested if permission else api.RequestArrived
-        self.handle(event(name, kind, plan, customer, units, self.now_ms + left, spread, 0))
-        return name
+        request_id = f"r{self.request_count}"
+        event_class = api.PermitRequested if wants_permit else api.RequestArrived
+        deadline_ms = self.now_ms + remaining_ms
+        self.handle(event_class(request_id, class_index, plan_index, customer_id, units, deadline_ms, limiter_count, 0))
+        return request_id
 
     def end_attempt(
         self,
-        name: str,
+        request_id: str,
         outcome: api.Outcome = api.Outcome.OK,
-        took: float = 50.0,
+        duration_ms: float = 50.0,
         meter: int = 0,
-        true: float = 0.0,
+        settled_units: float = 0.0,
     ) -> list[api.Action]:
         """End the oldest attempt in flight of a request."""
-        found = next((o for o in self.attempts_in_flight if o[0] == name), None)
-        if found is None:
+        oldest = next((attempt for attempt in self.attempts_in_flight if attempt[0] == request_id), None)
+        if oldest is None:
             return []
-        self.attempts_in_flight.remove(found)
-        answered = outcome is api.Outcome.OK or name in self.answered_ids
-        return self.handle(api.AttemptEnded(name, found[1], found[2], outcome, took, answered, meter, true))
-
-    def is_served(self, customer: str = "c", plan: int = 0, units: float = 1.0, spread: int = 1) -> bool:
+        self.attempts_in_flight.remove(oldest)
+        _, attempt_index, server_id = oldest
+        is_answered = outcome is api.Outcome.OK or request_id in self.answered_ids
+        return self.handle(
+            api.AttemptEnded(
+                request_id, attempt_index, server_id, outcome, duration_ms, is_answered, meter, settled_units
+            )
+        )
+
+    def is_served(
+        self, customer_id: str = "c", plan_index: int = 0, units: float = 1.0, limiter_count: int = 1
+    ) -> bool:
         """Send a request whose first attempt is answered, and return whether an attempt was sent."""
-        name = self.send_request(customer, plan, units, spread=spread)
-        self.end_attempt(name)
-        return bool(self.attempted_servers(name))
+        request_id = self.send_request(customer_id, plan_index, units, limiter_count=limiter_count)
+        self.end_attempt(request_id)
+        return bool(self.attempted_servers(request_id))
 
     def apply_list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
         """Give a server list to the limiter."""
         self.handle(api.ServerList(1, kind, entries))
 
-    def attempted_servers(self, name: str) -> list[str]:
+    def attempted_servers(self, request_id: str) -> list[str]:
         """Return the servers that attempts of a request were sent to."""
-        return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == name]
-
-
-def start_harness(config: api.Settings | None = None, names: str = "abcdef", start: float = 0.0) -> LimiterHarness:
-    """Start a limiter that knows servers of the given names."""
-    config = config or limiter_settings()
-    harness = LimiterHarness(Limiter(config, 7, start), now_ms=start)
-    harness.carry_out(harness.limiter.start(start))
-    harness.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
+        return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == request_id]
+
+
+def start_harness(
+    settings: api.Settings | None = None, server_ids: str = "abcdef", started_at_ms: float = 0.0
+) -> LimiterHarness:
+    """Start a limiter whose server list has one server for each letter of `server_ids`, in two zones by turns."""
+    settings = settings or limiter_settings()
+    harness = LimiterHarness(Limiter(settings, 7, started_at_ms), now_ms=started_at_ms)
+    harness.carry_out(harness.limiter.start(started_at_ms))
+    entries = [server_entry(server_id, index % 2) for index, server_id in enumerate(server_ids)]
+    harness.apply_list(*entries, kind=api.ListKind.CACHED)
     return harness
 
 
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -57,7 +57,7 @@
 
 def counting_gateway(limiters: int = 3) -> Counting:
     source = type("Counted", (CountedCoordinator,), {"terms": CounterTerms()})
-    config = limiter_settings(limiters=limiters)
+    config = limiter_settings(limiter_count=limiters)
     made = Counting(Limiter(config, 7, 1_000.0, source), now_ms=1_000.0)
     made.carry_out(made.limiter.start(1_000.0))
     made.apply_list(*(server_entry(n) for n in "abcdef"), kind=ListKind.CACHED)
@@ -74,7 +74,7 @@
 def send_many(gate: Counting, count: int, every: float = 5.0, plan: int = 0) -> list[str]:
     sent = []
     for _ in range(count):
-        name = gate.send_request(customer="busy", plan=plan, spread=3)
+        name = gate.send_request(customer_id="busy", plan_index=plan, limiter_count=3)
         gate.run_until(gate.now_ms + every)
         if gate.attempted_servers(name):
             sent.append(name)
@@ -96,7 +96,7 @@
     gate = counting_gateway()
     before = [call for call in gate.calls if not call.counter_name.startswith("sentinel")]
     for n in range(30):
-        assert gate.is_served(customer=f"c{n}", spread=3)
+        assert gate.is_served(customer_id=f"c{n}", limiter_count=3)
     assert [call for call in gate.calls if not call.counter_name.startswith("sentinel")] == before
 
 
@@ -106,7 +106,7 @@
     gate.there = False
     waited = []
     for _ in range(200):
-        name, asked = gate.send_request(customer="busy", spread=3), gate.now_ms
+        name, asked = gate.send_request(customer_id="busy", limiter_count=3), gate.now_ms
         while not gate.attempted_servers(name) and name not in gate.final_answers:
             gate.run_until(gate.now_ms + 1.0)
         waited.append(gate.now_ms - asked)
@@ -134,7 +134,7 @@
         CounterTerms().prefetch_limit_units(store) + CounterTerms().unreported_limit_units(store) + 1.0
     )  # drawn before, or not to be told yet
     assert len(send_many(gate, 100)) <= held
-    refused = gate.send_request(customer="busy", spread=3)
+    refused = gate.send_request(customer_id="busy", limiter_count=3)
     gate.run_until(gate.now_ms + 120.0)
     assert gate.final_answers[refused] == ["Reject"]
 
@@ -143,7 +143,7 @@
     gate = counting_gateway()
     before = len([c for c in gate.calls if not c.counter_name.startswith("sentinel")])
     for _ in range(30):
-        gate.is_served(customer="mine", spread=1)
+        gate.is_served(customer_id="mine", limiter_count=1)
     assert len([c for c in gate.calls if not c.counter_name.startswith("sentinel")]) == before
 
 
@@ -151,7 +151,7 @@
     """When a customer with a ceiling (12 a second, 24 at once; quota 10 and 20) was served."""
     taken = []
     for _ in range(count):
-        name = gate.send_request(customer="ceiled", plan=1, spread=3)
+        name = gate.send_request(customer_id="ceiled", plan_index=1, limiter_count=3)
         gate.run_until(gate.now_ms + every)
         if gate.attempted_servers(name):
             taken.append(gate.now_ms)
@@ -209,7 +209,7 @@
     for turn in range(600):
         gate.there = (turn // 60) % 2 == 0
         gate.delay = 3.0 if turn % 7 else 45.0
-        names.append(gate.send_request(customer=f"c{turn % 3}", spread=3))
+        names.append(gate.send_request(customer_id=f"c{turn % 3}", limiter_count=3))
         gate.run_until(gate.now_ms + 13.0)
         for name in list({out[0] for out in gate.attempts_in_flight}):
             gate.end_attempt(name)
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -46,9 +46,9 @@
 
 def harness_with_pending_query(spread: int = 3, limiters: int = 3) -> HarnessWithQuery:
     """A limiter that has asked another one for the units of a request."""
-    harness = start_harness(limiter_settings(limiters=limiters, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=limiters, can_message_peers=True))
     for i in range(100):
-        name = harness.send_request(customer=f"c{i}", spread=spread)
+        name = harness.send_request(customer_id=f"c{i}", limiter_count=spread)
         if not harness.attempted_servers(name):
             return HarnessWithQuery(harness, name, *sent_singles(harness)[-1])
     raise AssertionError("no customer has another owner")
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -113,7 +113,7 @@
     """A retry may have to wait for its connection; a server that gets it after the window runs it again."""
     base = limiter_settings()
     harness = start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
-    name = harness.send_request(kind=1)
+    name = harness.send_request(class_index=1)
     harness.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - left)
     harness.end_attempt(name, Outcome.RESET)
     assert len(harness.attempted_servers(name)) == 1 + again
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -102,7 +102,7 @@
 @given(STEPS)
 @hypothesis_settings(max_examples=150, derandomize=True, deadline=None)
 def test_rules_hold_for_any_order_of_events(steps: list[tuple[object, ...]]) -> None:
-    play(start_harness(limiter_settings(peers=True)), steps)
+    play(start_harness(limiter_settings(can_message_peers=True)), steps)
 
 
 @given(STEPS)
@@ -110,14 +110,17 @@
 def test_rules_hold_for_any_order_of_events_where_attempts_wait_for_a_connection(
     steps: list[tuple[object, ...]],
 ) -> None:
-    base = limiter_settings(peers=True)
+    base = limiter_settings(can_message_peers=True)
     play(start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0))), steps)
 
 
 @given(STEPS)
 @hypothesis_settings(max_examples=30, derandomize=True, deadline=None)
 def test_same_events_give_the_same_actions(steps: list[tuple[object, ...]]) -> None:
-    first, second = start_harness(limiter_settings(peers=True)), start_harness(limiter_settings(peers=True))
+    first, second = (
+        start_harness(limiter_settings(can_message_peers=True)),
+        start_harness(limiter_settings(can_message_peers=True)),
+    )
     play(first, steps)
     play(second, steps)
     assert (first.sent_attempts, first.final_answers, first.other_actions) == (
@@ -130,16 +133,16 @@
 @given(st.lists(st.tuples(st.integers(1, 200), st.integers(1, 6), st.booleans()), max_size=120))
 @hypothesis_settings(max_examples=60, derandomize=True, deadline=None)
 def test_the_part_of_a_hard_ceiling_holds_through_restarts(steps: list[tuple[int, int, bool]]) -> None:
-    harness = start_harness(names="abc")
+    harness = start_harness(server_ids="abc")
     level, at = 12.0, 0.0  # this limiter's part of burst 24 at rate 12, split over two
     for wait, units, restart in steps:
         harness.run_until(harness.now_ms + wait)
         if restart:
             count = harness.request_count
-            harness = start_harness(names="abc", start=harness.now_ms)
+            harness = start_harness(server_ids="abc", started_at_ms=harness.now_ms)
             harness.request_count = count
         level, at = min(12.0, level + 6.0 * (harness.now_ms - at) / 1000.0), harness.now_ms
-        name = harness.send_request("c", 1, float(units), spread=2)
+        name = harness.send_request("c", 1, float(units), limiter_count=2)
         if harness.attempted_servers(name):
             level -= units
             harness.end_attempt(name)
--- a/tests/trial/test_judges.py
+++ b/tests/trial/test_judges.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from playing import played
+from trial_runs import run_trial
 
 from elderlock.sim.scenario import Scenario
 from elderlock.trial import flaws
@@ -16,10 +16,10 @@
 @pytest.mark.parametrize("rule, given, flaw", BITES, ids=[flaw.__name__ for _, _, flaw in BITES])
 def test_a_judge_bites_on_real_processes(rule: str, given: Scenario, flaw: flaws.Flaw) -> None:
     for _ in range(PLAYS):
-        bad = played(given, SEED, flaw.__name__)
+        bad = run_trial(given, SEED, flaw.__name__)
         broken = {rule for rule, _, _ in bad.result.broken} | {each.rule for each in bad.late_rules}
         if rule in broken or not bad.late.text:
             break  # a run in good time has to show it at once
     assert rule in broken, bad.text()
-    good = played(given, SEED)
+    good = run_trial(given, SEED)
     assert good.verdict() != "broken", good.text()
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 import pytest
-from playing import played
+from trial_runs import run_trial
 
 from elderlock.fleet import messages as f
 from elderlock.sim.scenario import Fault, Plan, Scenario, What, of_load
@@ -133,7 +133,7 @@
         Fault(0.6, "op-drain", "box:2", by=8.0),
         Fault(3.0, "power", "house", 0.4),
     )
-    outcome = played(scenario(fault=faults))
+    outcome = run_trial(scenario(fault=faults))
     assert outcome.verdict() != "broken", outcome.text()
     told = dict(outcome.commands)
     ends = [event for event in outcome.events if event.what == "process" and event.args[1:] == ("ends", -9)]
@@ -147,7 +147,7 @@
 def test_power_lost_three_times_in_a_row_with_a_torn_write_each_time() -> None:
     faults = tuple(Fault(at, "power", "house", 0.3) for at in (1.0, 2.2, 3.4))
     drain = Fault(0.95, "op-drain", "box:1", by=8.0)
-    outcome = played(scenario(fault=(drain, *faults)))
+    outcome = run_trial(scenario(fault=(drain, *faults)))
     assert outcome.verdict() != "broken", outcome.text()
     assert sum(event.what == "power" for event in outcome.events) == 6
 
@@ -158,7 +158,7 @@
         Fault(2.0, "old-state", "agent:0"),
         Fault(3.5, "no-state", "agent:1"),
     )
-    outcome = played(scenario(fault=faults))
+    outcome = run_trial(scenario(fault=faults))
     assert outcome.verdict() != "broken", outcome.text()
     digests = [event.args[0] for event in outcome.events if event.what == "digests"][-1]
     assert dict(outcome.commands)["drain s-03"] == 0 and len(set(json.loads(digests).values())) == 1
@@ -188,7 +188,7 @@
                 faults.append(
                     Fault(round(at, 3), what, f"way:{way}", 0.0 if what in ("reset", "half-close") else 0.5, by)
                 )
-    outcome = played(scenario(fault=tuple(faults), plan=QUOTED, lasts_s=4.5))
+    outcome = run_trial(scenario(fault=tuple(faults), plan=QUOTED, lasts_s=4.5))
     assert outcome.verdict() != "broken", outcome.text()
     assert not outcome.unplayed
 
@@ -201,7 +201,7 @@
         Fault(2.0, "kill", "limiter:0"),
         Fault(2.2, "kill", "agent:0"),
     )
-    outcome = played(scenario(fault=faults, rest_s=2.0))
+    outcome = run_trial(scenario(fault=faults, rest_s=2.0))
     assert outcome.verdict() != "broken", outcome.text()
 
 
