--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -39,7 +39,7 @@
         self,
         settings: api.Settings,
         seed: int,
-        now: float,
+        now_ms: float,
         coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Build the parts; nothing is decided before `start`.
@@ -47,12 +47,12 @@
         Args:
             settings: The limiter's settings.
             seed: Seeds all random numbers.
-            now: The time in ms.
+            now_ms: The time in ms.
             coordinator_class: The class of the quota coordinator, which also names the class of the accounts.
         """
-        self.context = DecisionContext(settings, seed, now)
+        self.context = DecisionContext(settings, seed, now_ms)
         self.requests: dict[str, OpenRequest] = {}
-        self.throttle = Throttle(self.context.rng, now)
+        self.throttle = Throttle(self.context.rng, now_ms)
         self.load_estimator = LoadEstimator(self.context)
         self.quotas = coordinator_class.quotas_class(self.context)
         self.endpoints = Endpoints(self.context, self.load_estimator, self.quotas)
@@ -72,18 +72,18 @@
             api.StreamStarted: self._handle_stream_start,
         }
 
-    def start(self, now: float) -> list[api.Action]:
-        """Return the actions at the start of the process, at the time `now` in ms."""
+    def start(self, now_ms: float) -> list[api.Action]:
+        """Return the actions at the start of the process, at the time `now_ms` in ms."""
         context = self.context
-        context.now_ms = now
+        context.now_ms = now_ms
         context.actions = [api.Subscribe(True)] if context.settings.subscribes_to_list else []
         self.maintenance.schedule_first_round()
         return context.finish_event()
 
-    def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        """Return the actions that an event at the time `now` in ms calls for, in their order."""
+    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
+        """Return the actions that an event at the time `now_ms` in ms calls for, in their order."""
         context = self.context
-        context.now_ms = now
+        context.now_ms = now_ms
         context.actions = []
         event_type = type(event)
         if event_type in self.handlers:
@@ -98,9 +98,9 @@
             self.end_control_period(elapsed_ms / MS_PER_SECOND)
         self.maintenance.finish_round()
 
-    def end_control_period(self, elapsed: float) -> None:
-        """Do what is due once a control period, `elapsed` seconds after the last one."""
-        self.maintenance.end_control_period(elapsed)
+    def end_control_period(self, elapsed_s: float) -> None:
+        """Do what is due once a control period, `elapsed_s` seconds after the last one."""
+        self.maintenance.end_control_period(elapsed_s)
 
     def _handle_timer(self, event: api.TimerFired) -> None:
         for timer in self.context.timers.pop_due(event.token, self.context.now_ms):
--- a/elderlock/gossip/escrow_limiter.py
+++ b/elderlock/gossip/escrow_limiter.py
@@ -22,11 +22,11 @@
         self,
         settings: api.Settings,
         seed: int,
-        now: float,
+        now_ms: float,
         coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Put `EscrowQuotas` in the place of the coordinator's accounts; see `Limiter`."""
-        super().__init__(settings, seed, now, type("Escrow", (coordinator_class,), {"quotas_class": EscrowQuotas}))
+        super().__init__(settings, seed, now_ms, type("Escrow", (coordinator_class,), {"quotas_class": EscrowQuotas}))
         self._handle_other_message = self.handlers[api.PeerMessage]
         self.handlers[api.PeerMessage] = self._handle_escrow_message
 
@@ -37,9 +37,9 @@
         elif not is_escrow(event.payload):
             self._handle_other_message(event)
 
-    def handle(self, event: api.Event, now: float) -> list[api.Action]:
+    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
         """Handle an event; the actions include the datagrams that are due."""
-        actions = super().handle(event, now)
+        actions = super().handle(event, now_ms)
         actions += [
             api.SendPeerMessage(datagram.peer_index, datagram.payload) for datagram in self.quotas.due_datagrams()
         ]
--- a/elderlock/gossip/evidence_limiter.py
+++ b/elderlock/gossip/evidence_limiter.py
@@ -53,11 +53,11 @@
         self,
         settings: api.Settings,
         seed: int,
-        now: float,
+        now_ms: float,
         coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
         """Start with no evidence; see `Limiter`."""
-        super().__init__(settings, seed, now, coordinator_class)
+        super().__init__(settings, seed, now_ms, coordinator_class)
         zone = settings.zone if 0 <= settings.zone < UNKNOWN_ZONE else UNKNOWN_ZONE
         self.evidence = HealthEvidence(settings.limiter_index, zone)
         self.rumours = RumourQueue(
@@ -65,7 +65,7 @@
             settings.limiter_count,
             settings.quota_sources.peer_messages_per_s,
             random.Random(seed ^ RUMOUR_SEED_MASK),  # the decisions' own draws stay as they are without evidence
-            now,
+            now_ms,
         )
         self.outlier_detector = SharedOutlierDetector(self.context, self._record_own_failure)
         self.endpoints.outlier_detector = self.outlier_detector
@@ -74,7 +74,7 @@
         self.sent_datagrams = 0
         self._servers_by_key: dict[int, Server] = {}
         self._reported_at_ms: dict[tuple[int, ObservationKind], float] = {}  # by server key and kind
-        self._attempt_began_at_ms = now  # of the attempt whose end is handled
+        self._attempt_began_at_ms = now_ms  # of the attempt whose end is handled
         self.handlers[api.AttemptEnded] = self._handle_attempt_end
         self.handlers[api.PeerMessage] = self._handle_peer_message
         self.handlers[api.ServerList] = self._handle_server_list
@@ -234,9 +234,9 @@
             payload = encode(datagram.observations, now_ms)
             self.context.actions.append(api.SendPeerMessage(datagram.peer_index, payload))
 
-    def end_control_period(self, elapsed: float) -> None:
-        """End a control period, and forget evidence that is no longer fresh; `elapsed` in seconds."""
-        super().end_control_period(elapsed)
+    def end_control_period(self, elapsed_s: float) -> None:
+        """End a control period, and forget evidence that is no longer fresh; `elapsed_s` in seconds."""
+        super().end_control_period(elapsed_s)
         self.evidence.age_out(self.context.now_ms)
         oldest_ms = self.context.now_ms - REPORT_INTERVAL_MS
         for report in [report for report, at_ms in self._reported_at_ms.items() if at_ms <= oldest_ms]:
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -77,11 +77,11 @@
     held: list[Any] = []
     handle = here.limiter.gateway._limiter.handle
 
-    def waits(event: Any, now: float) -> list[Any]:
+    def waits(event: Any, now_ms: float) -> list[Any]:
         if type(event).__name__ in ("RequestArrived", "PermitRequested"):
             held.append(event)
             return []
-        return handle(event, now)
+        return handle(event, now_ms)
 
     here.limiter.gateway._limiter.handle = waits  # type: ignore[method-assign]
     return held
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -123,10 +123,10 @@
     seen: list[Outcome] = []
     handle = limiter.gateway._limiter.handle
 
-    def record(event: Event, now: float) -> list[object]:
+    def record(event: Event, now_ms: float) -> list[object]:
         if isinstance(event, AttemptEnded):
             seen.append(event.outcome)
-        return handle(event, now)  # type: ignore[return-value]
+        return handle(event, now_ms)  # type: ignore[return-value]
 
     limiter.gateway._limiter.handle = record  # type: ignore[method-assign,assignment]
     return seen
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -73,8 +73,8 @@
     kinds: set[str] = set()
 
     class Watched(Limiter):
-        def handle(self, event: api.Event, now: float) -> list[api.Action]:
-            actions = super().handle(event, now)
+        def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
+            actions = super().handle(event, now_ms)
             kinds.update(type(action).__name__ for action in actions)
             kinds.add(self.throttle.phase.name)
             kinds.update(
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -331,10 +331,10 @@
         client = await limiter.client()
         handle = limiter.gateway._limiter.handle
 
-        def failing(event: Event, now: float) -> list[object]:
-            if isinstance(event, RequestArrived) and event.deadline_ms - now < 1000.0:
+        def failing(event: Event, now_ms: float) -> list[object]:
+            if isinstance(event, RequestArrived) and event.deadline_ms - now_ms < 1000.0:
                 raise RuntimeError("a fault in the module")
-            return handle(event, now)  # type: ignore[return-value]
+            return handle(event, now_ms)  # type: ignore[return-value]
 
         limiter.gateway._limiter.handle = failing  # type: ignore[method-assign,assignment]
         assert str(await client.ask("x", d=200)).startswith("ERR")
