--- a/elderlock/decisions/admission.py
+++ b/elderlock/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a request is served, within its quota or over it, and how long it waits for a server."""
+"""Admission: decides whether a request is served within its quota or over it, and how long it waits for a server."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from elderlock.decisions.throttle import Throttle
 from elderlock.state import OpenRequest, ThrottlePhase
 
-MAX_QUEUE_PRESSURE = 0.6  # at which even requests of the highest value are rejected
-LOWEST_VALUE_PRESSURE_FRACTION = 0.7  # of the maximum, for requests without value
-OVER_QUOTA_PRESSURE_FRACTION = 0.5  # of the maximum for the same value within quota
-MAX_WAIT_LATENCY_RATIO = 0.25  # of the latency objective that a request may wait for a server
+MAX_QUEUE_PRESSURE = 0.6  # above it even requests of the highest value are rejected
+LOWEST_VALUE_PRESSURE_FRACTION = 0.7  # requests without value are rejected above this fraction of the maximum
+OVER_QUOTA_PRESSURE_FRACTION = 0.5  # the limit over quota, as a fraction of that for the same value within quota
+MAX_WAIT_LATENCY_RATIO = 0.25  # a request waits at most this fraction of its latency objective for a server
 MIN_MAINTENANCE_INTERVAL_MS = 50.0
-MIN_VALUE = 1e-9  # so that values can be divided by the highest one
+MIN_VALUE = 1e-9  # avoids a division by 0 where no request has a value
 
 
 @dataclass(frozen=True, slots=True)
 class PeriodCounts:
-    """Requests of one control period.
+    """Numbers of requests in one control period.
 
     Attributes:
-        arrivals: All that were of a known plan and class.
-        offered: Those within their quota, admitted or not.
-        admitted: Those of which a first attempt was sent.
+        arrivals: All requests of a known plan and class.
+        offered: The requests within their quota, admitted or not.
+        admitted: The requests whose first attempt was sent.
     """
 
     arrivals: int
@@ -39,16 +39,15 @@
     """Decides about new requests.
 
     Invariant: each request that arrives is sent, waits for a server or for the quota's owner, or gets its final
-    answer. Units are charged with the first attempt alone, and never while the customer's hard ceiling does not hold
-    them.
+    answer. Units are charged only with the first attempt, and only if the customer's hard ceiling still has them.
 
     Attributes:
-        context: What the parts of a limiter share.
+        context: The state that the limiter's components share.
         throttle: Limits the rate of admission under overload.
-        attempts: Sends what is admitted.
-        quota_coordinator: Tells whether a request is within its quota.
-        waiting_request_ids: The requests that wait for a server, in the order of their arrival.
-        maintenance_interval_ms: Time between two rounds of maintenance, in which waiting requests are retried.
+        attempts: Sends the admitted requests.
+        quota_coordinator: Decides whether a request is within its quota.
+        waiting_request_ids: The ids of the requests that wait for a server, in the order of their arrival.
+        maintenance_interval_ms: The time between two rounds of maintenance; each round retries the waiting requests.
     """
 
     def __init__(
@@ -58,13 +57,13 @@
         attempts: Attempts,
         coordinator_class: type[QuotaCoordinator],
     ) -> None:
-        """Build the quota coordinator, whose decisions come back here.
+        """Create the quota coordinator, which reports its decisions to `apply_quota_decision`.
 
         Args:
-            context: What the parts of a limiter share.
+            context: The state that the limiter's components share.
             throttle: Limits the rate of admission under overload.
-            attempts: Sends what is admitted.
-            coordinator_class: `QuotaCoordinator`, or what takes its place.
+            attempts: Sends the admitted requests.
+            coordinator_class: `QuotaCoordinator` or a subclass.
         """
         self.context = context
         self.throttle = throttle
@@ -89,7 +88,7 @@
         self._max_value = max([*values, MIN_VALUE])
 
     def handle_arrival(self, event: api.RequestArrived) -> None:
-        """Admit a request, have its quota read, or reject it."""
+        """Reject a request, admit it, or ask the quota coordinator to decide about it."""
         context = self.context
         settings = context.settings
         is_known_plan = 0 <= event.plan_index < len(settings.plans)
@@ -112,13 +111,13 @@
             self.quota_coordinator.request_quota_decision(request)
 
     def apply_quota_decision(self, request: OpenRequest, is_within_quota: bool) -> None:
-        """Go on with a request once it is known whether it is within its quota."""
+        """Continue with a request after the quota coordinator has decided whether it is within its quota."""
         request.is_within_quota = is_within_quota
         if is_within_quota:
             self._offered += 1
             self._send_or_wait(request)
         else:
-            # It passed the throttle as a request within its quota, which it was not.
+            # The throttle counted the request as one within its quota.
             self.throttle.remove_attempt()
             self._handle_over_quota(request)
 
@@ -130,7 +129,7 @@
             self._send_or_wait(request)
 
     def take_period_counts(self) -> PeriodCounts:
-        """Return the counts since the last call, and begin anew."""
+        """Return the counts since the last call, and reset them."""
         counts = PeriodCounts(self._arrivals, self._offered, self._admitted)
         self._arrivals = 0
         self._offered = 0
@@ -138,7 +137,7 @@
         return counts
 
     def _handle_over_quota(self, request: OpenRequest) -> None:
-        """Serve a request over its quota only where that earns more than it costs, and no overload is near."""
+        """Serve a request over its quota only if its value exceeds its cost and the servers are not overloaded."""
         plan = request.account.plan
         is_overloaded = self.throttle.phase is not ThrottlePhase.NOT_OVERLOADED
         if is_overloaded or plan.over_quota_value <= plan.over_quota_cost:
@@ -147,7 +146,7 @@
             self._send_or_wait(request)
 
     def _passes_overload_checks(self, request: OpenRequest, *, is_within_quota: bool) -> bool:
-        """Check the queue pressure, which sees a load spike first, and the throttle; reject what does not pass."""
+        """Check the queue pressure, which shows a load spike first, and the throttle; reject the request on failure."""
         value = request.request_class.priority_weight * request.account.plan.price_weight / self._max_value
         value_factor = LOWEST_VALUE_PRESSURE_FRACTION + (1.0 - LOWEST_VALUE_PRESSURE_FRACTION) * value
         max_pressure = MAX_QUEUE_PRESSURE * value_factor * (1.0 if is_within_quota else OVER_QUOTA_PRESSURE_FRACTION)
@@ -160,7 +159,7 @@
         return passes
 
     def _send_or_wait(self, request: OpenRequest) -> None:
-        """Send the first attempt; without a server that takes it the request waits for a short while."""
+        """Send the first attempt; if no server can take it, let the request wait for a limited time."""
         account = request.account
         server = self.attempts.server_selector.choose(request)
         self._quotas.refresh(account)
@@ -177,7 +176,7 @@
             self.waiting_request_ids.append(request.arrival.request_id)
 
     def _has_waited_long_enough(self, request: OpenRequest) -> bool:
-        """Whether a rejection now is better than another round of waiting."""
+        """Whether the request is to be rejected now instead of waiting for another round of maintenance."""
         total_ms = request.arrival.deadline_ms - request.arrived_at_ms
         before_deadline_ms = total_ms - 2 * self.maintenance_interval_ms
         max_wait_ms = min(MAX_WAIT_LATENCY_RATIO * request.request_class.latency_objective_ms, before_deadline_ms)
--- a/elderlock/decisions/attempts.py
+++ b/elderlock/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""The course of a request's attempts: sending, ending, retrying, and the one final answer."""
+"""Sends a request's attempts, handles their outcomes and retries, and gives the request its one final answer."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from elderlock.state import Account, Attempt, OpenRequest, Server
 
 UNEXECUTED_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_FORWARDED)
-"""Outcomes of attempts that surely never ran at their server."""
+"""Outcomes of attempts that their server certainly did not execute."""
 
 
 class Attempts:
     """Sends attempts and gives each request its final answer.
 
-    Invariant: a request gets one final answer, and none is rejected of which an attempt may have run.
+    Invariant: a request gets exactly one final answer. It is not rejected if one of its attempts may have run.
 
     Attributes:
-        context: What the parts of a limiter share.
+        context: The state that the limiter's components share.
         load_estimator: Counts the attempts in flight.
-        quotas: The accounts that the cost of requests goes to.
-        endpoints: The servers, which learn from outcomes.
+        quotas: The accounts to which the cost of requests is charged.
+        endpoints: The servers, whose health is updated by outcomes.
         requests: The open requests by id.
         server_selector: Chooses the server of an attempt.
         retry_policy: Decides about retries.
@@ -51,7 +51,7 @@
         self._timely_answer_count = 0
 
     def send(self, request: OpenRequest, server: Server) -> None:
-        """Send an attempt, or permit the one attempt of a request whose client sends it."""
+        """Send an attempt, or answer with a permit if the client forwards the request itself."""
         context = self.context
         request_id = request.arrival.request_id
         server.in_flight[request_id, len(request.attempts)] = context.now_ms
@@ -62,12 +62,12 @@
         action = api.Permit if is_permit else api.SendAttempt
         timeout_ms = self.retry_policy.timeout_ms(request)
         context.actions.append(action(request_id, server.entry.server_id, timeout_ms))
-        request.is_answered = is_permit  # a permit is the final answer: a retry would be the client's
+        request.is_answered = is_permit  # a permit is the final answer, after which only the client can retry
 
     def handle_attempt_end(self, event: api.AttemptEnded) -> None:
-        """Learn from an attempt's outcome, and give its request the next attempt or the final answer.
+        """Record an attempt's outcome, then retry its request or give it the final answer.
 
-        Attempts that are not known, or have ended already, change nothing.
+        The end of an attempt that is unknown or has already ended is ignored.
         """
         request = self.requests.get(event.request_id)
         if request is None or not 0 <= event.attempt_index < len(request.attempts):
@@ -94,7 +94,7 @@
             self._forget_if_complete(request)
 
     def reject_or_fail(self, request: OpenRequest) -> None:
-        """Give the final answer to a request that cannot be served: a rejection if no attempt can have run."""
+        """Answer a request that cannot be served: with a rejection if no attempt can have run, else with a failure."""
         if request.is_answered or request.is_streaming:
             return
         request_id = request.arrival.request_id
@@ -105,7 +105,7 @@
         self.finish(request)
 
     def finish(self, request: OpenRequest) -> None:
-        """Mark a request as answered, and cancel its attempts in flight where the settings allow it."""
+        """Mark a request as answered, and cancel its attempts in flight if the settings allow it."""
         if not request.is_answered and self.context.settings.capabilities.can_cancel:
             for index, attempt in enumerate(request.attempts):
                 if not attempt.has_ended:
@@ -114,13 +114,13 @@
         self._forget_if_complete(request)
 
     def take_timely_answer_count(self) -> int:
-        """Return how many good answers came within their latency objective since the last call."""
+        """Return the number of successful answers within their latency objective since the last call."""
         count = self._timely_answer_count
         self._timely_answer_count = 0
         return count
 
     def _apply_cost(self, request: OpenRequest, event: api.AttemptEnded) -> None:
-        """Take in what the answer tells of the customer's use and of the request's true cost."""
+        """Apply the meter reading of an outcome and the actual cost of the request."""
         self.quotas.apply_meter_reading(request.account, event.meter)
         quota_sources = self.context.settings.quota_sources
         if event.settled_units > 0 and request.is_within_quota and quota_sources.is_cost_known_at_end:
@@ -132,7 +132,7 @@
             self._timely_answer_count += 1
 
     def _retry_or_close(self, request: OpenRequest, last_may_have_run: bool) -> None:
-        """Try another server, or give the final answer. No attempt is in flight and none has answered."""
+        """Retry the request, or give it the final answer. None of its attempts is in flight or was successful."""
         server = None
         if self.retry_policy.allows_retry(request):
             server = self.server_selector.choose(request)
@@ -143,9 +143,9 @@
         self.send(request, server)
 
     def _retry_after_ms(self, account: Account) -> float:
-        """Return when a rejected client should come back; 0 where clients do not know of it.
+        """Return the time after which a rejected client should retry; 0 if rejections carry no Retry-After.
 
-        Once the quota has units again by the owner's last reading, or else after a control period.
+        This is the time until the quota has units again by the owner's last reading, or else a control period.
         """
         settings = self.context.settings
         if not settings.capabilities.can_send_retry_after:
@@ -155,7 +155,7 @@
         return min(wait_ms, settings.capabilities.max_retry_after_ms)
 
     def _forget_if_complete(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight."""
+        """Remove a request that is answered and has no attempt in flight."""
         if not request.is_answered or request.has_attempt_in_flight():
             return
         forgotten = self.requests.pop(request.arrival.request_id, None)
--- a/elderlock/decisions/context.py
+++ b/elderlock/decisions/context.py
@@ -1,6 +1,7 @@
-"""State shared by the parts of one limiter's decisions.
+"""The state that the components of one limiter share.
 
-The context holds the settings, the time and the actions of the event being handled, the timers and the random numbers.
+The context holds the settings, the time and the actions of the current event, the timers and the random number
+generator.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 
 class DecisionContext:
-    """What all decisions of one limiter share.
+    """The state that the components of one limiter share.
 
-    Invariant: `now_ms` and `actions` belong to the one event being handled, and every random number comes from `rng`,
-    so that the same events give the same actions.
+    Invariant: `now_ms` and `actions` belong to the current event, and every random number comes from `rng`, so that
+    the same events give the same actions.
 
     Attributes:
         settings: The limiter's settings.
         rng: The only source of random numbers for decisions.
-        now_ms: Time of the event being handled.
-        started_at_ms: Time at which the limiter was started.
-        actions: The actions of the event being handled, in the order in which they are to be carried out.
+        now_ms: The time of the current event.
+        started_at_ms: The time at which the limiter was started.
+        actions: The actions of the current event, in the order in which the frontend carries them out.
         latency_objective_ms: The shortest latency objective of all request classes.
         timers: The pending timers.
     """
@@ -46,7 +47,7 @@
 
         Args:
             delay_ms: The delay; a negative one counts as 0.
-            query_id: The query whose answer is awaited; None for periodic maintenance.
+            query_id: The query that times out when the timer fires; None for periodic maintenance.
 
         Returns:
             The timer, which can be cancelled.
@@ -54,7 +55,7 @@
         return self.timers.schedule(self.now_ms + max(delay_ms, 0.0), query_id)
 
     def finish_event(self) -> list[api.Action]:
-        """Return the event's actions, with the one timer that the I/O layer has to set, if any."""
+        """Return the event's actions, with a `SetTimer` if the frontend has to set a timer."""
         armed = self.timers.arm(self.now_ms)
         if armed is not None:
             self.actions.append(api.SetTimer(*armed))
--- a/elderlock/decisions/endpoints.py
+++ b/elderlock/decisions/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints: which servers may be selected for an attempt."""
+"""Endpoints: the servers that may be selected for an attempt."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Review(NamedTuple):
-    """When a server that is warming up is looked at again; `sequence_number` keeps equal times in order."""
+    """The next review of a server that is warming up; `sequence_number` keeps reviews of the same time in order."""
 
     due_at_ms: float
     sequence_number: int
@@ -30,26 +30,26 @@
 class Endpoints:
     """The servers of the latest list, and those of them that may be selected.
 
-    Invariant: `candidates` holds just the servers that may be sent a new attempt now: running by the latest list, in
-    this limiter's subset, not ejected, not on probation with an attempt in flight, and within their warm-up budget.
-    Only what changes is looked at: no step walks all servers but one that a complete list or a new size of the subset
-    calls for.
+    Invariant: `candidates` holds exactly the servers that may be sent a new attempt now. These are running by the
+    latest list, in this limiter's subset, not ejected, not on probation with an attempt in flight, and within their
+    warm-up budget. An update touches only the servers that changed; all servers are visited only after a complete list
+    or a change of the subset's size.
 
     Attributes:
-        directory: The servers as the lists name them.
+        directory: The servers of the server lists.
         servers: All known servers by id.
         candidates: The servers that may be selected, with their weights.
-        subsetting: Which servers this limiter connects to.
-        outlier_detector: Which servers are ejected.
-        slow_start: What a server that is warming up may get.
-        health: What the outcomes of attempts tell of the servers.
-        usable_count_by_rank: How many ready servers are not ejected, by this limiter's rank for them.
-        review_queue: The servers that are warming up, as a heap by the time of their next review.
-        list_requested_at_ms: When the server list was last asked for or received.
+        subsetting: Chooses the servers that this limiter connects to.
+        outlier_detector: Ejects servers that fail.
+        slow_start: Limits the attempts to servers that are warming up.
+        health: Averages over the outcomes of attempts.
+        usable_count_by_rank: The number of ready servers that are not ejected, by this limiter's rank for them.
+        review_queue: The reviews of the servers that are warming up, as a heap by their due time.
+        list_requested_at_ms: The time at which the server list was last requested or received.
     """
 
     def __init__(self, context: DecisionContext, load_estimator: LoadEstimator, quotas: Quotas) -> None:
-        """Create an empty set of servers."""
+        """Start without servers."""
         self.context = context
         self.load_estimator = load_estimator
         settings = context.settings
@@ -68,7 +68,7 @@
     # The server list
 
     def apply_server_list(self, event: api.ServerList) -> None:
-        """Take over a server list; a refused one changes nothing."""
+        """Apply a server list; a refused one changes nothing."""
         if event.kind is ListKind.REFUSED:
             return
         self.list_requested_at_ms = self.context.now_ms
@@ -91,14 +91,14 @@
         self.candidates.set_weight(server, 0)
 
     def ready_count(self) -> int:
-        """Return how many servers the latest list allows new work for."""
+        """Return the number of servers that may get new work by the latest list."""
         return len(self.directory.ready)
 
     def update_subset(self) -> None:
-        """Adjust the size of the subset, and reposition all ready servers if it changes."""
+        """Adjust the size of the subset, and update all ready servers if it changes."""
         if self.subsetting.update(self.usable_count_by_rank):
             for server in self.directory.ready.values():
-                self.reposition(server)
+                self.update_candidate(server)
 
     # The candidates
 
@@ -106,8 +106,8 @@
         """Return whether a server may be sent a new attempt now."""
         return server in self.candidates.all
 
-    def reposition(self, server: Server) -> None:
-        """Add a server to the candidates or remove it, after whatever has changed of it."""
+    def update_candidate(self, server: Server) -> None:
+        """Add a server to the candidates, change its weight or remove it, after a change of the server's state."""
         server_id = server.entry.server_id
         weight = 0
         is_barred = server.is_draining or server.is_ejected or (server.is_on_probation and server.in_flight)
@@ -121,12 +121,12 @@
         self.candidates.set_weight(server, weight)
 
     def reinstate(self, server: Server) -> None:
-        """Count a server that has joined, or whose ejection has ended, as usable."""
+        """Count a server as usable after it has joined or its ejection has ended."""
         self.usable_count_by_rank[self.subsetting.rank(server.entry.server_id)] += 1
-        self.reposition(server)
+        self.update_candidate(server)
 
     def update_ejection(self, server: Server, was_ejected: bool) -> None:
-        """Count and reposition a server that may have been ejected or reinstated.
+        """Update the usable count and the candidates for a server that may have been ejected or reinstated.
 
         Args:
             server: The server.
@@ -134,7 +134,7 @@
         """
         rank = self.subsetting.rank(server.entry.server_id)
         self.usable_count_by_rank[rank] += was_ejected - server.is_ejected
-        self.reposition(server)
+        self.update_candidate(server)
 
     def _schedule_review(self, server: Server, delay_ms: float) -> None:
         server.awaits_review = True
@@ -143,11 +143,11 @@
         heapq.heappush(self.review_queue, _Review(due_at_ms, self._last_review_number, server))
 
     def review_due_servers(self) -> None:
-        """Bring the candidates up to date before a selection: warm-up budgets grow, and ejections end."""
+        """Update the candidates before a selection, as warm-up budgets grow and ejections end with time."""
         while self.review_queue and self.review_queue[0].due_at_ms <= self.context.now_ms:
             server = heapq.heappop(self.review_queue).server
             server.awaits_review = False
-            self.reposition(server)
+            self.update_candidate(server)
         for server in self.outlier_detector.reinstate_due():
             self.reinstate(server)
 
@@ -157,10 +157,10 @@
         """Record that an attempt was sent to a server."""
         if self.slow_start.capacity_fraction(server) < 1.0 or server.is_on_probation:
             self.slow_start.record_attempt(server)
-            self.reposition(server)
+            self.update_candidate(server)
 
     def record_outcome(self, server: Server, request: OpenRequest, event: api.AttemptEnded) -> None:
-        """Record the end of an attempt, and eject or reinstate the server if that is due."""
+        """Record the end of an attempt, and eject or reinstate the server if necessary."""
         server.in_flight.pop((event.request_id, event.attempt_index), None)
         has_failed = self.health.record_outcome(server, request, event)
         if server.is_draining or not (has_failed or server.consecutive_failures or server.is_on_probation):
@@ -168,7 +168,7 @@
         was_ejected = server.is_ejected
         if has_failed:
             self._record_failure(server)
-        elif event.outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):  # an answer of any kind
+        elif event.outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):  # the server answered
             self.outlier_detector.record_success(server)
         self.update_ejection(server, was_ejected)
 
@@ -181,19 +181,19 @@
     # Maintenance
 
     def update_rates(self, answers_per_s: float) -> None:
-        """Do what is due once a control period.
+        """Do the work that is due once per control period.
 
         Args:
-            answers_per_s: Good answers per second to this limiter, over all servers.
+            answers_per_s: The successful answers per second that this limiter gets from all servers.
         """
         for server in list(self.directory.warming_up.values()):
             if self.slow_start.capacity_fraction(server) >= 1.0:
                 self.directory.mark_warm(server)
-            self.reposition(server)
+            self.update_candidate(server)
         if self.subsetting.subset_size:
             self.update_subset()
             for server in self.candidates.all.members():
-                self.reposition(server)
+                self.update_candidate(server)
         warm_weight = self.directory.warm_weight_milli / WEIGHT_UNIT_MILLI
         if warm_weight:
             self.slow_start.warm_answers_per_s = answers_per_s / warm_weight
--- a/elderlock/decisions/limiter.py
+++ b/elderlock/decisions/limiter.py
@@ -1,4 +1,4 @@
-"""One limiter: events go in, actions come out."""
+"""A limiter: it handles events and returns actions."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Limiter:
-    """Dispatches events to the parts that decide. It holds no clock and does no I/O.
+    """Dispatches events to the components that decide. It has no clock and does no I/O.
 
     The same settings, seed and events give the same actions.
 
     Attributes:
-        context: What the parts share.
+        context: The state that the components share.
         requests: The open requests by id.
         throttle: Limits the rate of admission under overload.
-        load_estimator: How loaded the servers are.
+        load_estimator: Estimates the load of the servers.
         quotas: The accounts of the customers.
         endpoints: The servers.
-        attempts: The course of requests after their admission.
+        attempts: Handles requests after their admission.
         admission: Decides about new requests.
-        quota_coordinator: Shares quotas with the other limiters.
-        maintenance: The periodic work.
+        quota_coordinator: Coordinates quotas with the other limiters.
+        maintenance: Does the periodic work.
         handlers: The handler of each type of event; events of other types are ignored.
     """
 
@@ -42,13 +42,13 @@
         now_ms: float,
         coordinator_class: type[QuotaCoordinator] = QuotaCoordinator,
     ) -> None:
-        """Build the parts; nothing is decided before `start`.
+        """Create the components; the limiter does nothing before `start`.
 
         Args:
             settings: The limiter's settings.
-            seed: Seeds all random numbers.
-            now_ms: The time in ms.
-            coordinator_class: The class of the quota coordinator, which also names the class of the accounts.
+            seed: The seed of the random number generator.
+            now_ms: The current time.
+            coordinator_class: The class of the quota coordinator; its `quotas_class` is the class of the accounts.
         """
         self.context = DecisionContext(settings, seed, now_ms)
         self.requests: dict[str, OpenRequest] = {}
@@ -73,7 +73,7 @@
         }
 
     def start(self, now_ms: float) -> list[api.Action]:
-        """Return the actions at the start of the process, at the time `now_ms` in ms."""
+        """Start the limiter at the time `now_ms`, and return its first actions."""
         context = self.context
         context.now_ms = now_ms
         context.actions = [api.Subscribe(True)] if context.settings.subscribes_to_list else []
@@ -81,7 +81,7 @@
         return context.finish_event()
 
     def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
-        """Return the actions that an event at the time `now_ms` in ms calls for, in their order."""
+        """Handle an event that happened at the time `now_ms`, and return the actions in their order."""
         context = self.context
         context.now_ms = now_ms
         context.actions = []
@@ -99,7 +99,7 @@
         self.maintenance.finish_round()
 
     def end_control_period(self, elapsed_s: float) -> None:
-        """Do what is due once a control period, `elapsed_s` seconds after the last one."""
+        """Do the work that is due once per control period; the last period ended `elapsed_s` seconds ago."""
         self.maintenance.end_control_period(elapsed_s)
 
     def _handle_timer(self, event: api.TimerFired) -> None:
--- a/elderlock/decisions/maintenance.py
+++ b/elderlock/decisions/maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic work of a limiter: rates of a control period, throttling by the load level, forgetting what is old."""
+"""The periodic work of a limiter: it updates rates and the throttle, and removes expired state."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from elderlock.state import ThrottlePhase
 
 MAX_MAINTENANCE_INTERVAL_MS = 250.0
-INTERVAL_DECAY = 0.75  # the interval moves a quarter of the way to a quarter of the time between requests
+INTERVAL_DECAY = 0.75  # with GAP_DIVISOR, the interval moves a quarter of the way to a quarter of the request gap
 GAP_DIVISOR = 16
-MIN_LEAK_ANSWER_RATE_FRACTION = 0.7  # of the rate answered in time, which the servers bear: cuts do not overshoot
-MAX_LEAK_DEMAND_RATIO = 1.2  # MaxLeakRate over the peak of demand: with a higher one the bucket no longer binds
-PEAK_DECAY = 0.95  # of the peak of demand, each control period
-MIN_RATE_PER_S = 0.1  # to divide by
+MIN_LEAK_ANSWER_RATE_FRACTION = 0.7  # of the rate of timely answers, which the servers can handle: limits rate cuts
+MAX_LEAK_DEMAND_RATIO = 1.2  # MaxLeakRate as a multiple of the peak demand; above it the bucket limits nothing
+PEAK_DECAY = 0.95  # multiplies the peak demand once per control period
+MIN_RATE_PER_S = 0.1  # avoids a division by 0
 
 
 class Maintenance:
-    """Does the periodic work of a limiter, in rounds of some 50 to 250 ms.
+    """Does the periodic work of a limiter, in rounds at intervals of about 50 to 250 ms.
 
-    Invariant: one timer without a query id is scheduled, that of the next round.
+    Invariant: exactly one timer without a query id is scheduled, the timer of the next round.
 
     Attributes:
-        admit_rate_per_s: First attempts sent per second, in the last control period.
-        answer_rate_per_s: Good answers within their latency objective per second, averaged.
-        peak_demand_per_s: The highest rate of requests within their quota, decaying.
+        admit_rate_per_s: The first attempts per second in the last control period.
+        answer_rate_per_s: The moving average of the successful answers per second within their latency objective.
+        peak_demand_per_s: The decaying maximum of the rate of requests within their quota.
     """
 
     def __init__(self, admission: Admission, endpoints: Endpoints) -> None:
@@ -49,11 +49,11 @@
         self.peak_demand_per_s = 0.0
 
     def schedule_first_round(self) -> None:
-        """Schedule the first round at a random time, so that limiters do not run in step."""
+        """Schedule the first round at a random time, so that the rounds of the limiters are not synchronised."""
         self._context.schedule_timer(MIN_MAINTENANCE_INTERVAL_MS * self._context.rng.random())
 
     def period_elapsed_ms(self) -> float:
-        """Return the time since the last control period ended."""
+        """Return the time since the end of the last control period."""
         return self._context.now_ms - self._rates_updated_at_ms
 
     def begin_round(self) -> None:
@@ -62,7 +62,7 @@
         self._admission.retry_waiting()
 
     def finish_round(self) -> None:
-        """Update the throttle, send reports of use that are due, and keep the server list fresh."""
+        """Update the throttle, send the usage reports that are due, and refresh the server list if necessary."""
         now_ms = self._context.now_ms
         elapsed_ms = now_ms - self._round_started_at_ms
         self._round_started_at_ms = now_ms
@@ -71,7 +71,7 @@
         self._refresh_server_list()
 
     def end_control_period(self, elapsed_s: float) -> None:
-        """Compute the rates of the control period that took `elapsed_s`, and forget what is old."""
+        """Compute the rates of the control period, which lasted `elapsed_s` seconds, and remove expired state."""
         counts = self._admission.take_period_counts()
         self._update_rates(counts, elapsed_s)
         self._update_interval(counts, elapsed_s)
@@ -88,13 +88,13 @@
         period_rate_per_s = self._attempts.take_timely_answer_count() / elapsed_s
         rate_per_s = max(self.answer_rate_per_s, period_rate_per_s, MIN_RATE_PER_S)
         averaging_s = max(RATE_AVERAGING_MS / MS_PER_SECOND, 2 * RATE_AVERAGING_SENDS / rate_per_s)
-        # Right after the start the average is over the time since then.
+        # Right after the start, the average is taken over the time since the start.
         since_start_fraction = elapsed_s * MS_PER_SECOND / (now_ms - self._context.started_at_ms)
         weight = max(1.0 - exp(-elapsed_s / averaging_s), since_start_fraction)
         self.answer_rate_per_s += weight * (period_rate_per_s - self.answer_rate_per_s)
 
     def _update_interval(self, counts: PeriodCounts, elapsed_s: float) -> None:
-        """Make rounds rarer where requests are few: an idle limiter need not wake up often."""
+        """Lengthen the interval between rounds if there are few requests, so that an idle limiter rarely wakes up."""
         gap_ms = MS_PER_SECOND / max(counts.arrivals / elapsed_s, MIN_RATE_PER_S)
         interval_ms = INTERVAL_DECAY * self._admission.maintenance_interval_ms + gap_ms / GAP_DIVISOR
         self._admission.maintenance_interval_ms = min(
@@ -102,11 +102,11 @@
         )
 
     def _update_throttle(self) -> None:
-        """Run the control adaptor of ETSI ES 283 039-4, and log when throttling starts or ends."""
+        """Run the control adaptor of ETSI ES 283 039-4, and log the start and the end of throttling."""
         context = self._context
         throttle = self._throttle
         if context.now_ms - context.started_at_ms < 2 * CONTROL_PERIOD_MS:
-            return  # the answer rate is not known yet: throttling would start at the minimum rate
+            return  # The rate of answers is not known yet, so throttling would start at the minimum rate.
         load_estimator = self._load_estimator
         server_count = load_estimator.ready_server_count
         phase_before = throttle.phase
@@ -123,7 +123,7 @@
             context.actions.append(api.Log(f"throttling {verb}: {figures}"))
 
     def _refresh_server_list(self) -> None:
-        """Ask for the server list well before the rule on draining servers calls an old one stale."""
+        """Request the server list when it reaches half of the maximum age that the service rules allow."""
         context = self._context
         endpoints = self._endpoints
         max_age_ms = context.settings.rules.list_refresh_within_ms / 2
--- a/elderlock/decisions/outlier_detection.py
+++ b/elderlock/decisions/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: servers that fail repeatedly are ejected for a time, but never too many of them."""
+"""Outlier detection: ejects servers that fail repeatedly, up to a limit, and reinstates them after a time."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from elderlock.decisions.context import DecisionContext
 from elderlock.state import Server
 
-FAILURES_BEFORE_EJECTION = 3  # consecutive ones
+FAILURES_BEFORE_EJECTION = 3  # in a row
 BASE_EJECTION_MS = 2000.0  # doubled by each further ejection in a row
 MAX_EJECTION_MS = 30_000.0
 MIN_JITTER_FACTOR = 0.8
 MAX_JITTER_FACTOR = 1.2
-MAX_EJECTION_COUNT = 8  # consecutive ejections that are counted
+MAX_EJECTION_COUNT = 8  # the maximum of the counter of ejections in a row
 MAX_EJECTED_WEIGHT_FRACTION = 0.5  # of the weight of all ready servers
-PANIC_THRESHOLD_FRACTION = 0.75  # of the ready servers; if more fail, this limiter's own network is the likelier cause
+PANIC_THRESHOLD_FRACTION = 0.75  # of the ready servers; if more fail, the cause is probably this limiter's network
 
 
 class _Reinstatement(NamedTuple):
-    """The end of an ejection; `sequence_number` keeps ends at the same time in the order in which they were set."""
+    """A scheduled end of an ejection; `sequence_number` keeps ends at the same time in the order of scheduling."""
 
     due_at_ms: float
     sequence_number: int
@@ -31,26 +31,27 @@
 
     A server whose ejection has ended is on probation: it gets one request at a time until it has answered one.
 
-    Invariant: the ejected servers weigh at most `MAX_EJECTED_WEIGHT_FRACTION` of the ready ones, and none is ejected in
-    panic mode.
+    Invariant: the weight of the ejected servers is at most `MAX_EJECTED_WEIGHT_FRACTION` of that of the ready servers,
+    and no server is ejected in panic mode.
 
     Attributes:
-        ejected: The ejected servers with their weight in thousandths, the one ejected first in front.
+        context: The state that the limiter's components share.
+        ejected: The ejected servers with their weight in thousandths, in the order of their ejection.
         ejected_weight_milli: The sum of these weights.
-        failing_server_ids: The servers that have failed often enough to be ejected, whether or not they are.
+        failing_server_ids: The ids of the servers that have failed often enough to be ejected, ejected or not.
     """
 
     def __init__(self, context: DecisionContext) -> None:
-        """Create a detector that has seen no failure."""
+        """Start without failures."""
         self.context = context
         self.ejected: dict[Server, int] = {}
         self.ejected_weight_milli = 0
         self.failing_server_ids: set[str] = set()
-        self._reinstatements: list[_Reinstatement] = []  # a heap, which also holds entries that are outdated
+        self._reinstatements: list[_Reinstatement] = []  # a heap, which may contain outdated entries
         self._sequence_number = 0
 
     def is_panicking(self, ready_count: int) -> bool:
-        """Return whether so many of the ready servers fail that none may be ejected."""
+        """Return whether panic mode is active: so many of the ready servers fail that none may be ejected."""
         return len(self.failing_server_ids) > PANIC_THRESHOLD_FRACTION * ready_count
 
     def record_success(self, server: Server) -> None:
@@ -62,11 +63,11 @@
         self._reinstate(server)
 
     def record_failure(self, server: Server, ready_count: int, ready_weight_milli: int) -> list[Server]:
-        """Record that a server did not answer, and eject it if that is due and allowed.
+        """Record a failure of a server, and eject the server if it failed often enough and the limits allow it.
 
         Args:
             server: The server.
-            ready_count: How many servers are ready.
+            ready_count: The number of ready servers.
             ready_weight_milli: Their weight in thousandths.
 
         Returns:
@@ -93,16 +94,16 @@
         self.schedule_reinstatement(server, ejection_ms * jitter_factor)
 
     def schedule_reinstatement(self, server: Server, delay_ms: float) -> None:
-        """Let the ejection of a server end `delay_ms` from now; an end that was set before no longer counts."""
+        """Schedule the end of a server's ejection `delay_ms` from now; this replaces an end that was set before."""
         self._sequence_number += 1
         server.reinstate_at_ms = self.context.now_ms + delay_ms
         heapq.heappush(self._reinstatements, _Reinstatement(server.reinstate_at_ms, self._sequence_number, server))
 
     def reinstate_excess(self, ready_weight_milli: int) -> list[Server]:
-        """Reinstate servers, the one ejected first in front, until the others weigh no more than is allowed.
+        """Reinstate servers in the order of their ejection until the weight of the others is within the limit.
 
         Args:
-            ready_weight_milli: The weight of all ready servers in thousandths; with 0 all are reinstated.
+            ready_weight_milli: The weight of all ready servers in thousandths; 0 reinstates all servers.
 
         Returns:
             The reinstated servers.
@@ -119,14 +120,14 @@
         reinstated = []
         while self._reinstatements and self._reinstatements[0].due_at_ms <= self.context.now_ms:
             due_at_ms, _, server = heapq.heappop(self._reinstatements)
-            if server.is_ejected and server.reinstate_at_ms == due_at_ms:  # otherwise another end was set since
+            if server.is_ejected and server.reinstate_at_ms == due_at_ms:  # otherwise the entry is outdated
                 self._reinstate(server)
                 server.is_on_probation = True
                 reinstated.append(server)
         return reinstated
 
     def forget(self, server: Server) -> None:
-        """Drop what is held against a server that is no longer ready."""
+        """Remove the failure and the ejection of a server that is no longer ready."""
         self.failing_server_ids.discard(server.entry.server_id)
         self._reinstate(server)
 
--- a/elderlock/decisions/peer_messenger.py
+++ b/elderlock/decisions/peer_messenger.py
@@ -1,4 +1,4 @@
-"""Sending messages to other limiters within a budget."""
+"""Sends messages to other limiters within a budget."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.load_estimator import LoadEstimator
 
-SEND_FRACTION = 0.75  # of what a limiter may receive, so that the receivers' limits hold on average
-CAPACITY_PER_RATE = 4  # the budget holds a quarter of a second's messages
+SEND_FRACTION = 0.75  # of the rate that a limiter may receive, so that the receivers' limits hold on average
+CAPACITY_PER_RATE = 4  # the budget holds the messages of a quarter of a second
 
 
 class PeerMessenger:
@@ -17,8 +17,8 @@
     Invariant: `available_messages` is never above `capacity_messages`.
 
     Attributes:
-        capacity_messages: What the budget holds at most.
-        available_messages: What may be sent now.
+        capacity_messages: The maximum number of messages in the budget.
+        available_messages: The number of messages that may be sent now.
     """
 
     def __init__(self, context: DecisionContext, load_estimator: LoadEstimator) -> None:
@@ -34,12 +34,12 @@
         return self.available_messages >= 1.0
 
     def send(self, receiver: int, message: peer_messages.Message) -> None:
-        """Send a message, with our latest latency sample, to the limiter with index `receiver`."""
+        """Send a message and this limiter's latest latency sample to the limiter with index `receiver`."""
         self.available_messages -= 1.0
         payload = peer_messages.encode(self._load_estimator.encoded_latest_sample(), message)
         self._context.actions.append(api.SendPeerMessage(receiver, payload))
 
     def refill(self, elapsed_ms: float) -> None:
-        """Add the messages that `elapsed_ms` allows."""
+        """Refill the budget for `elapsed_ms`."""
         earned = SEND_FRACTION * self._received_per_s * elapsed_ms / MS_PER_SECOND
         self.available_messages = min(self.available_messages + earned, self.capacity_messages)
--- a/elderlock/decisions/quota_client.py
+++ b/elderlock/decisions/quota_client.py
@@ -1,4 +1,4 @@
-"""Asking the owner of a customer's quota for units, and deciding without an answer where none comes."""
+"""Queries the owner of a customer's quota for units, and decides locally if no answer arrives."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from elderlock.decisions.context import MS_PER_SECOND, DecisionContext
 from elderlock.decisions.peer_messenger import PeerMessenger
 from elderlock.decisions.quotas import Quotas
-from elderlock.decisions.usage_reports import UsageReports, believed_level
+from elderlock.decisions.usage_reports import UsageReports, last_known_level
 from elderlock.peer_messages import QuotaAnswer, QuotaQuery
 from elderlock.state import Account, OpenRequest
 from elderlock.structures.timer_queue import Timer
 
 ANSWER_TIMEOUT_LATENCY_RATIO = 0.1  # of the shortest latency objective
-MIN_ANSWER_TIMEOUT_MS = 40.0  # a message there and back takes 24 ms
-ANSWER_RESERVE_FRACTION = 0.25  # of the message budget that queries leave to answers and reports
-COMFORTABLE_RESERVE_FRACTION = 0.8  # the same for customers far from their quota
-QUERY_ID_COUNT = 1 << 16  # a query id has 16 bits on the wire
+MIN_ANSWER_TIMEOUT_MS = 40.0  # the round trip of a query takes 24 ms
+ANSWER_RESERVE_FRACTION = 0.25  # of the message budget, which queries leave for answers and reports
+FAR_FROM_QUOTA_RESERVE_FRACTION = 0.8  # the same for queries about customers far from their quota
+QUERY_ID_COUNT = 1 << 16  # a query id has 16 bits in a datagram
 
 
 @dataclass(slots=True)
@@ -26,27 +26,27 @@
     """A query that has no answer yet.
 
     Attributes:
-        request_id: The request that waits for the answer.
-        owner: The index of the limiter that was asked.
-        believed_level: What the query said of the ledger, as encoded by `peer_messages.encode_level`.
+        request_id: The id of the request that waits for the answer.
+        owner: The index of the limiter that was queried.
+        last_known_level: The level that the query contained, as encoded by `peer_messages.encode_level`.
         is_retry: Whether this is the second query for the request.
-        timer: Fires when the answer is overdue.
+        timer: The timer for the timeout of the query.
     """
 
     request_id: str
     owner: int
-    believed_level: int
+    last_known_level: int
     is_retry: bool
     timer: Timer
 
 
 class QuotaClient:
-    """Asks owners for units, once more where a message may have been lost, and else decides by the bucket alone.
+    """Queries owners for units, repeats a query once if it gets no answer, and then decides by the local bucket.
 
-    Invariant: each request that is handed over is decided once, with or without an answer.
+    Invariant: each request that is passed to the client is decided at most once, with or without an answer.
 
     Attributes:
-        pending_queries: By query id.
+        pending_queries: The pending queries by query id.
     """
 
     def __init__(
@@ -58,15 +58,15 @@
         requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
     ) -> None:
-        """Start with no query out.
+        """Start without pending queries.
 
         Args:
-            context: What the parts of a limiter share.
-            quotas: The accounts that readings go into.
+            context: The state that the limiter's components share.
+            quotas: The accounts that readings are applied to.
             messenger: Sends the queries.
-            reports: Takes what is admitted without an answer.
+            reports: Reports the units that are admitted without an answer.
             requests: The open requests by id.
-            decide: Called once with each request and whether it is within its quota.
+            decide: The callback for a decision; its arguments are the request and whether it is within its quota.
         """
         self._context = context
         self._quotas = quotas
@@ -80,19 +80,19 @@
     def may_query(self, account: Account) -> bool:
         """Whether the message budget allows a query for a customer.
 
-        Where messages are scarce most of them are for customers near their quota.
+        If the budget is low, it is kept for customers near their quota.
         """
-        is_comfortable = self._reports.is_far_from_quota(account)
-        reserve_fraction = COMFORTABLE_RESERVE_FRACTION if is_comfortable else ANSWER_RESERVE_FRACTION
+        is_far_from_quota = self._reports.is_far_from_quota(account)
+        reserve_fraction = FAR_FROM_QUOTA_RESERVE_FRACTION if is_far_from_quota else ANSWER_RESERVE_FRACTION
         reserve_messages = reserve_fraction * self._messenger.capacity_messages
         return self._messenger.available_messages >= max(1.0, reserve_messages)
 
     def query(self, request: OpenRequest, owner: int) -> None:
-        """Ask the owner for the request's units."""
-        self._send_query(request, owner, believed_level(request.account), is_retry=False)
+        """Query the owner for the request's units."""
+        self._send_query(request, owner, last_known_level(request.account), is_retry=False)
 
     def handle_answer(self, sender: int, answer: QuotaAnswer) -> None:
-        """Decide the request that an answer is for; answers to no query and of another limiter change nothing."""
+        """Decide the request of an answer; an answer without a pending query or from another limiter is ignored."""
         query = self.pending_queries.pop(answer.query_id, None)
         if query is None:
             return
@@ -106,7 +106,7 @@
         self.apply_reading(request, answer.is_granted, level_units, rate_per_s)
 
     def handle_timeout(self, query_id: int) -> None:
-        """Ask a silent owner once more, as messages are lost; after that decide without an answer."""
+        """Repeat the query once, as datagrams can be lost; after the second timeout decide without an answer."""
         query = self.pending_queries.pop(query_id, None)
         if query is None:
             return
@@ -115,18 +115,19 @@
         if request is None:
             return
         if not query.is_retry and self._messenger.can_send():
-            self._send_query(request, query.owner, query.believed_level, is_retry=True)
+            self._send_query(request, query.owner, query.last_known_level, is_retry=True)
         else:
             self.decide_without_reading(request, has_owner=True)
 
     def decide_without_reading(self, request: OpenRequest, has_owner: bool) -> None:
-        """Decide by what is known here.
+        """Decide a request by the local state.
 
-        What is admitted goes into the next report: an owner that left a query unanswered has charged nothing for it.
+        The units of an admitted request are added to the next report, as an owner that did not answer a query has not
+        charged them.
 
         Args:
             request: The request to decide.
-            has_owner: Whether an owner exists that a report can reach.
+            has_owner: Whether there is an owner to report to.
         """
         account = request.account
         units = request.arrival.units
@@ -137,11 +138,12 @@
         self._decide(request, is_within_quota)
 
     def apply_reading(self, request: OpenRequest, is_granted: bool, level_units: float, rate_per_s: float) -> None:
-        """Take in a reading of the owner's ledger and decide the request by it.
+        """Apply a reading of the owner's ledger and decide the request by it.
 
-        Granted units fill the bucket: nobody else may spend them. After a denial the customer's requests are taken
-        to be over quota until this limiter's share of the refill is enough for one: if all limiters asked as soon as
-        one request's units had come in, most would ask in vain and use up the owner's messages.
+        Granted units are added to the bucket, as they are reserved for this limiter. After a denial the customer's
+        requests count as over quota until this limiter's share of the refill is enough for one request. If all limiters
+        sent a query as soon as the ledger had the units of one request, most queries would be denied and would use up
+        the owner's message budget.
         """
         account = request.account
         units = request.arrival.units
@@ -162,7 +164,7 @@
         context = self._context
         event = request.arrival
         self._last_query_id = query_id = (self._last_query_id + 1) % QUERY_ID_COUNT
-        # An answer is handled up to a clock tick late, and so is the timer.
+        # The answer and the timer may each be handled a clock tick late.
         remaining_ms = event.deadline_ms - context.now_ms - 2 * context.settings.clock_tick_ms
         answer_timeout_ms = max(ANSWER_TIMEOUT_LATENCY_RATIO * context.latency_objective_ms, MIN_ANSWER_TIMEOUT_MS)
         timer = context.schedule_timer(min(answer_timeout_ms, remaining_ms), query_id)
--- a/elderlock/decisions/quota_coordinator.py
+++ b/elderlock/decisions/quota_coordinator.py
@@ -1,6 +1,6 @@
-"""Quotas over all limiters: one limiter owns a customer's ledger, and the others ask it or report to it.
+"""Coordinates quotas between limiters: one limiter owns a customer's ledger, and the others query it or report to it.
 
-`QuotaCoordinator` joins the owner's part, the client's part and the reports. A shared counter can take its place.
+`QuotaCoordinator` combines the owner, the client and the usage reports. A subclass can use a shared counter instead.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from elderlock.decisions.quota_client import QuotaClient
 from elderlock.decisions.quota_owner import QuotaOwner
 from elderlock.decisions.quotas import Quotas
-from elderlock.decisions.usage_reports import UsageReports, believed_level
+from elderlock.decisions.usage_reports import UsageReports, last_known_level
 from elderlock.peer_messages import QuotaAnswer, QuotaLevels, QuotaQuery, UsageReport
 from elderlock.state import OpenRequest
 
@@ -27,16 +27,16 @@
     Invariant: a ledger grants no unit that it does not hold.
 
     Attributes:
-        quotas_class: The class of accounts that a limiter with this coordinator uses.
-        context: What the parts of a limiter share.
+        quotas_class: The class of the accounts of a limiter with this coordinator.
+        context: The state that the limiter's components share.
         quotas: The accounts of this limiter's customers.
         requests: The open requests by id.
-        decide: Called once with each request that is read and whether it is within its quota.
-        messenger: The budget of messages to other limiters.
-        owners: Which limiter owns which customer's quota.
+        decide: The callback for a decision; its arguments are the request and whether it is within its quota.
+        messenger: Sends messages to other limiters within a budget.
+        owners: Selects the owners of quotas.
         quota_owner: The ledgers that this limiter owns.
-        usage_reports: What was admitted without a query.
-        quota_client: The queries to other owners.
+        usage_reports: Reports the units that were admitted without a query.
+        quota_client: Queries other owners.
     """
 
     quotas_class: type[Quotas] = Quotas
@@ -49,7 +49,7 @@
         requests: dict[str, OpenRequest],
         decide: Callable[[OpenRequest, bool], None],
     ) -> None:
-        """Build the parts; nothing is sent."""
+        """Create the components; this sends no message."""
         self.context = context
         self.quotas = quotas
         self.requests = requests
@@ -62,7 +62,7 @@
         self.quota_client = QuotaClient(context, quotas, self.messenger, self.usage_reports, requests, decide)
 
     def request_quota_decision(self, request: OpenRequest) -> None:
-        """Have the request decided by the latest reading of its customer's use, at once or once the owner answers."""
+        """Start the decision whether a request is within its quota; `decide` is called now or after an answer."""
         account = request.account
         owner = self.owners.owner_of(account)
         if owner == self.context.settings.limiter_index:
@@ -73,14 +73,14 @@
             self.quota_client.decide_without_reading(request, has_owner=owner is not None)
 
     def handle_query_timeout(self, query_id: int) -> None:
-        """Go on without the answer to a query."""
+        """Handle the timeout of a query."""
         self.quota_client.handle_timeout(query_id)
 
     def handle_counter_answer(self, event: api.CounterAnswered) -> None:
-        """Ignore the shared counter, which only a subclass calls."""
+        """Ignore an answer of the shared counter, which only subclasses use."""
 
     def handle_peer_message(self, event: api.PeerMessage) -> None:
-        """Handle a datagram of another limiter; what cannot be decoded changes nothing."""
+        """Handle a datagram from another limiter; one that cannot be decoded is ignored."""
         sender = event.sender_index
         datagram = peer_messages.decode(event.payload)
         if datagram is None or sender not in range(self.context.settings.limiter_count):
@@ -104,12 +104,12 @@
         self.usage_reports.report_if_due()
 
     def expire_ledgers(self) -> None:
-        """Forget ledgers that were not used lately and are full again."""
+        """Remove idle ledgers that are full again."""
         self.quota_owner.expire_ledgers()
 
     def _decide_as_owner(self, request: OpenRequest) -> None:
         account = request.account
-        ledger = self.quota_owner.ledger(account.key, account.plan, believed_level(account))
+        ledger = self.quota_owner.ledger(account.key, account.plan, last_known_level(account))
         is_granted = self.quota_owner.try_spend(ledger, request.arrival.units)
         self.quota_client.apply_reading(request, is_granted, ledger.level_units, ledger.rate_per_s)
 
--- a/elderlock/decisions/quota_owner.py
+++ b/elderlock/decisions/quota_owner.py
@@ -1,4 +1,4 @@
-"""The ledgers of the customers whose quota this limiter owns: it grants units from them to all limiters."""
+"""The ledgers of the customers whose quota this limiter owns, and the grants of their units to all limiters."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class QuotaOwner:
-    """Keeps the ledgers and answers queries and reports of other limiters.
+    """Manages the ledgers and answers the queries and reports of other limiters.
 
-    Invariant: no unit is granted that the ledger does not hold. Units that were admitted elsewhere without a query
+    Invariant: no unit is granted that the ledger does not hold. Units that another limiter admitted without a query
     are charged once, when they are reported.
 
     Attributes:
-        ledgers: By customer key.
+        ledgers: The ledgers by customer key.
     """
 
     def __init__(self, context: DecisionContext, quotas: Quotas) -> None:
@@ -30,19 +30,20 @@
         self.ledgers: dict[int, QuotaLedger] = {}
         self._idle_ledgers = ExpiryQueue(ACCOUNT_IDLE_MS)
 
-    def ledger(self, key: int, plan: api.Plan, believed_level: float) -> QuotaLedger:
-        """Return a customer's ledger, and open it where there is none.
+    def ledger(self, key: int, plan: api.Plan, last_known_level: float) -> QuotaLedger:
+        """Return a customer's ledger; open it if there is none.
 
         Args:
-            key: The customer.
+            key: The customer's key.
             plan: The customer's plan; a ledger of another plan is replaced.
-            believed_level: What the asking limiter last read of the ledger at a previous owner, as encoded by
-                `peer_messages.encode_level`; with `UNKNOWN` a new ledger is full.
+            last_known_level: The level at which a new ledger opens, as encoded by `peer_messages.encode_level`. It is
+                the last reading that the sender has, which may come from a previous owner. With `UNKNOWN` a new ledger
+                is full.
         """
         ledger = self.ledgers.get(key)
         if ledger is None or ledger.plan is not plan:
-            is_unknown = believed_level == peer_messages.UNKNOWN
-            level_fraction = 1.0 if is_unknown else believed_level / peer_messages.MAX_FRACTION
+            is_unknown = last_known_level == peer_messages.UNKNOWN
+            level_fraction = 1.0 if is_unknown else last_known_level / peer_messages.MAX_FRACTION
             ledger = QuotaLedger(plan, plan.burst_units * level_fraction, self._context.now_ms)
             self.ledgers[key] = ledger
         self._idle_ledgers.touch(key, self._context.now_ms)
@@ -57,7 +58,7 @@
         plan = ledger.plan
         now_ms = self._context.now_ms
         self._refill(ledger)
-        # A granted request is taken to be in flight for as long as requests usually are.
+        # A granted request is assumed to be in flight for the mean latency.
         while ledger.granted_at_ms and now_ms - ledger.granted_at_ms[0] > self._quotas.mean_latency_ms:
             ledger.granted_at_ms.popleft()
         if plan.rate_per_s > 0 and ledger.level_units < units:
@@ -71,22 +72,22 @@
         return True
 
     def charge(self, ledger: QuotaLedger, units: float) -> None:
-        """Take units that were admitted already.
+        """Charge units that were already admitted.
 
-        The debt is at most the burst: a deeper one would hold a customer back for use that nobody knew of.
+        The debt is at most the burst. A larger one would block a customer for too long because of late reports.
         """
         self._refill(ledger)
         ledger.level_units = max(ledger.level_units - units, -ledger.plan.burst_units)
         ledger.rate_per_s += units * MS_PER_SECOND / RATE_AVERAGING_MS
 
     def answer_query(self, query: QuotaQuery) -> QuotaAnswer | None:
-        """Grant or deny the units of a query; None for a plan that the settings do not have."""
+        """Grant or deny the units of a query; return None if the settings have no such plan."""
         plans = self._context.settings.plans
         if query.plan_index >= len(plans):
             return None
-        ledger = self.ledger(query.key, plans[query.plan_index], query.believed_level)
+        ledger = self.ledger(query.key, plans[query.plan_index], query.last_known_level)
         is_granted = self.try_spend(ledger, query.unit_steps / peer_messages.STEPS_PER_UNIT)
-        row = _encoded_state(query.key, ledger)
+        row = _encode_ledger(query.key, ledger)
         return QuotaAnswer(query.key, is_granted, query.plan_index, row.level, row.rate, query.query_id)
 
     def answer_report(self, report: UsageReport) -> QuotaLevels:
@@ -96,13 +97,13 @@
         for row in report.rows:
             if row.plan_index >= len(plans):
                 continue
-            ledger = self.ledger(row.key, plans[row.plan_index], row.believed_level)
+            ledger = self.ledger(row.key, plans[row.plan_index], row.last_known_level)
             self.charge(ledger, row.unit_steps / peer_messages.STEPS_PER_UNIT)
-            levels.append(_encoded_state(row.key, ledger))
+            levels.append(_encode_ledger(row.key, ledger))
         return QuotaLevels(tuple(levels))
 
     def expire_ledgers(self) -> None:
-        """Forget ledgers that were not used lately and are full again."""
+        """Remove idle ledgers that are full again."""
         now_ms = self._context.now_ms
         for key in self._idle_ledgers.pop_expired(now_ms):
             ledger = self.ledgers.get(key)
@@ -124,7 +125,7 @@
         ledger.rate_per_s *= exp(-elapsed_ms / RATE_AVERAGING_MS)
 
 
-def _encoded_state(key: int, ledger: QuotaLedger) -> LevelRow:
+def _encode_ledger(key: int, ledger: QuotaLedger) -> LevelRow:
     plan = ledger.plan
     return LevelRow(
         key,
--- a/elderlock/decisions/quotas.py
+++ b/elderlock/decisions/quotas.py
@@ -1,12 +1,13 @@
 """A customer's quota at this limiter: its bucket, the estimate of the shared quota, and its part of the hard ceiling.
 
-A plan allows `rate_per_s` with a burst of `burst_units` over all limiters. Each limiter keeps two figures of it:
+A plan allows `rate_per_s` with a burst of `burst_units` over all limiters. Each limiter keeps two numbers for it:
 
-* the estimate of what the shared quota holds (`Account.shared_units`), corrected by readings of the owner or the meter;
-* a bucket of its own (`Account.bucket_units`), which decides where no reading can be had. It fills with the limiter's
-  own rate and its share of what is left.
+* an estimate of the units in the shared quota (`Account.shared_units`), corrected by readings of the owner's ledger or
+  of a server's meter;
+* a local bucket (`Account.bucket_units`), which decides if there is no reading. It fills at this limiter's own rate
+  plus its share of the unused rate.
 
-The hard ceiling is split evenly: each limiter holds its part of the rate and of the burst, whatever the readings say.
+The hard ceiling is split evenly: each limiter has its part of the rate and of the burst, independently of readings.
 """
 
 from __future__ import annotations
@@ -19,26 +20,26 @@
 from elderlock.state import Account, OpenRequest
 from elderlock.structures.expiry_queue import ExpiryQueue
 
-RATE_AVERAGING_MS = 4000.0  # over which rates are averaged, or ...
-RATE_AVERAGING_SENDS = 4.0  # ... so many requests if these take longer
-ACCOUNT_IDLE_MS = 15000.0  # without a request until an account may be forgotten
-CEILING_SLACK_FRACTION = 0.8  # of the hard ceiling's slack that is used; the rest is for rounding
-MEAN_REQUEST_WEIGHT = 0.1  # of a request in the mean of units
+RATE_AVERAGING_MS = 4000.0  # the minimum time over which rates are averaged
+RATE_AVERAGING_SENDS = 4.0  # rates are averaged over at least this number of requests
+ACCOUNT_IDLE_MS = 15000.0  # the time without a request after which an account may be removed
+CEILING_SLACK_FRACTION = 0.8  # the part of the hard ceiling's slack that is used; the rest is left for rounding errors
+MEAN_REQUEST_WEIGHT = 0.1  # the weight of a request in the moving average of units
 MIN_READING_INTERVAL_MS = MS_PER_SECOND / 2
-CONCURRENCY_ROUNDING = 0.5  # the estimate of requests in flight elsewhere is rounded
+CONCURRENCY_ROUNDING = 0.5  # rounds the estimated number of requests in flight at other limiters
 
 
 class Quotas:
     """The accounts of the customers that this limiter serves.
 
-    Invariant: a bucket holds no more than the estimate of the shared quota and owes one request at most, and a part of
-    a hard ceiling never holds more than its share of the burst.
+    Invariant: a bucket never exceeds the estimate of the shared quota, its debt is at most one request, and this
+    limiter's part of a hard ceiling never exceeds its share of the burst.
 
     Attributes:
-        context: What the parts of a limiter share.
-        accounts: By customer key.
-        idle_accounts: The customers by their last request.
-        mean_latency_ms: The latency of good answers, averaged.
+        context: The state that the limiter's components share.
+        accounts: The accounts by customer key.
+        idle_accounts: The customer keys in the order of their last request.
+        mean_latency_ms: The moving average of the latency of successful answers.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -49,7 +50,7 @@
         self.mean_latency_ms = 0.0
 
     def account(self, event: api.RequestArrived) -> Account:
-        """Return the account of a request's customer, refilled for this moment; open it where there is none."""
+        """Return the account of a request's customer, refilled up to now; open it if there is none."""
         settings = self.context.settings
         key = zlib.crc32(event.customer_id.encode())
         plan = settings.plans[event.plan_index]
@@ -62,7 +63,7 @@
         if account.plan is not plan:
             account.plan = plan
             account.ceiling_units = -CEILING_SLACK_FRACTION * plan.ceiling_slack_units
-        # The part of a hard ceiling never grows: the other limiters may still use theirs.
+        # The part of a hard ceiling never grows, as the other limiters may still use their parts.
         account.limiter_count = max(limiter_count, account.limiter_count if plan.ceiling_rate_per_s else 1)
         account.first_limiter = event.first_limiter
         self.refresh(account)
@@ -71,8 +72,8 @@
     def _open_account(self, key: int, plan: api.Plan, limiter_count: int, first_limiter: int) -> Account:
         """Open an account.
 
-        The part of the hard ceiling has filled since the process started: what it held before, the process before
-        may have used.
+        The part of the hard ceiling counts as empty at the start of the process and has filled since, as the previous
+        process may have used all of it.
         """
         context = self.context
         uptime_s = (context.now_ms - context.started_at_ms) / MS_PER_SECOND
@@ -90,10 +91,10 @@
         )
 
     def reading_confidence(self, account: Account) -> float:
-        """Return how far the latest reading can be relied on, 0 to 1.
+        """Return the confidence in the latest reading, from 0 to 1.
 
-        It is 1 until a reading is two intervals old and falls linearly to 0 at four. The interval is that of the meter,
-        or that of the customer's requests where they are rare.
+        It is 1 until the reading is two intervals old, and falls linearly to 0 at four intervals. The interval is the
+        meter's period, or the average interval between the customer's requests if that is longer.
         """
         interval_ms = max(
             self.context.settings.quota_sources.meter_period_ms,
@@ -104,9 +105,9 @@
         return min(1.0, max(0.0, 2.0 - age_intervals))
 
     def bucket_capacity_units(self, account: Account, confidence: float) -> float:
-        """Return what the bucket may hold: the shared quota, less what others may spend of it before we know.
+        """Return the capacity of the bucket: the shared quota less the units that others may spend unnoticed.
 
-        Without a reading that is this limiter's even part; with a fresh one it is more, the less the others spend.
+        Without a reading this is an even share of the quota. With a recent one it is larger, the less the others spend.
         """
         others_use_fraction = min(1.0, account.others_rate_per_s / (account.plan.rate_per_s or 1.0))
         contested_fraction = 1.0 - confidence * (1.0 - others_use_fraction)
@@ -116,29 +117,29 @@
     def fill_rate_per_s(self, account: Account, confidence: float) -> float:
         """Return the rate at which the bucket fills.
 
-        By a reading that is the own rate and an even part of what the plan's rate leaves, or lacks; without one an
-        even part of the plan's rate.
+        With a reading this is the limiter's own rate plus an even share of the plan's unused rate, which may be
+        negative. Without one it is an even share of the plan's rate.
         """
         plan_rate_per_s = account.plan.rate_per_s
         remaining_per_s = plan_rate_per_s - account.own_rate_per_s - account.others_rate_per_s
-        own_and_part_per_s = account.own_rate_per_s + remaining_per_s / account.limiter_count
-        by_reading_per_s = min(max(0.0, own_and_part_per_s), plan_rate_per_s)
+        own_and_share_per_s = account.own_rate_per_s + remaining_per_s / account.limiter_count
+        by_reading_per_s = min(max(0.0, own_and_share_per_s), plan_rate_per_s)
         return confidence * by_reading_per_s + (1.0 - confidence) * plan_rate_per_s / account.limiter_count
 
     def refresh(self, account: Account) -> None:
-        """Refill an account up to this moment."""
+        """Refill an account up to now."""
         now_ms = self.context.now_ms
         plan = account.plan
         elapsed_s = (now_ms - account.refreshed_at_ms) / MS_PER_SECOND
         account.refreshed_at_ms = now_ms
         confidence = self.reading_confidence(account)
         ceiling_capacity_units = plan.ceiling_burst_units / account.limiter_count
-        if elapsed_s == 0.0:  # nothing has filled, but a reading may have lowered the bounds
+        if elapsed_s == 0.0:  # there is nothing to refill, but a reading may have lowered the capacities
             account.shared_units = min(plan.burst_units, account.shared_units)
             account.bucket_units = min(account.bucket_units, self.bucket_capacity_units(account, confidence))
             account.ceiling_units = min(account.ceiling_units, ceiling_capacity_units)
             return
-        # As far as the others' use is not known, they are taken to use all but our even part.
+        # Where their use is unknown, the others are assumed to use all but this limiter's even share.
         unknown_use_per_s = (1.0 - confidence) * (plan.rate_per_s - plan.rate_per_s / account.limiter_count)
         net_fill_per_s = plan.rate_per_s - confidence * account.others_rate_per_s - unknown_use_per_s
         shared_units = account.shared_units + net_fill_per_s * elapsed_s
@@ -150,17 +151,18 @@
         account.ceiling_units = min(ceiling_units, ceiling_capacity_units)
 
     def is_within_quota(self, account: Account, units: float) -> bool:
-        """Whether the bucket alone allows a request of `units`.
+        """Whether the bucket allows a request of `units`, without a query to the owner.
 
-        Where a request is larger than the limiter's part of the burst, the bucket may run into debt by one request,
-        as otherwise none would ever pass: what is needed falls from `units` at the size of the part to 0 at twice it.
+        A request that is larger than the limiter's share of the burst could never pass, so the bucket may go into debt
+        by one request. The units that the bucket needs fall linearly from `units` for a request of the size of the
+        share to 0 for one of twice this size.
         """
         plan = account.plan
-        twice_part_units = 2.0 * plan.burst_units / account.limiter_count
-        needed_units = min(max(0.0, twice_part_units - units), units)
+        twice_share_units = 2.0 * plan.burst_units / account.limiter_count
+        needed_units = min(max(0.0, twice_share_units - units), units)
         if plan.rate_per_s > 0 and account.bucket_units < needed_units:
             return False
-        # Little's law: the others' rate times the latency
+        # By Little's law: the others' rate of requests times the mean latency.
         in_flight_elsewhere = (
             account.others_rate_per_s / account.mean_request_units * self.mean_latency_ms / MS_PER_SECOND
         )
@@ -168,9 +170,9 @@
         return plan.concurrency_limit <= 0 or in_flight <= plan.concurrency_limit - CONCURRENCY_ROUNDING
 
     def exceeds_hard_ceiling(self, account: Account, units: float) -> bool:
-        """Whether `units` are more than this limiter's part of the customer's hard ceiling still holds.
+        """Whether `units` exceed the rest of this limiter's part of the customer's hard ceiling.
 
-        A plan without a hard ceiling is never exceeded.
+        The result is False for a plan without a hard ceiling.
         """
         plan = account.plan
         if plan.ceiling_rate_per_s <= 0:
@@ -179,7 +181,7 @@
         return account.ceiling_units + slack_units < units
 
     def charge(self, request: OpenRequest) -> None:
-        """Take an admitted request's units, and update the rates of its customer."""
+        """Charge an admitted request's units, and update the rates of its customer."""
         account = request.account
         units = request.arrival.units
         now_ms = self.context.now_ms
@@ -196,9 +198,9 @@
             account.bucket_units -= units
 
     def refund(self, request: OpenRequest) -> None:
-        """Return the units of a permit that its client did not use.
+        """Refund the units of a permit that its client did not use.
 
-        The owner of the quota is not informed: its ledger then holds too little, never too much.
+        The owner of the quota is not informed, so its ledger may hold too few units but never too many.
         """
         account = request.account
         units = request.arrival.units
@@ -210,19 +212,19 @@
         account.shared_units = min(plan.burst_units, account.shared_units + quota_units)
         account.bucket_units = min(account.bucket_units + quota_units, plan.burst_units)
 
-    def settle_units(self, account: Account, more_units: float) -> None:
-        """Charge what a request cost beyond its estimate; a negative figure is returned."""
-        account.shared_units = min(account.plan.burst_units, account.shared_units - more_units)
-        account.bucket_units -= more_units
-        more_per_s = more_units * MS_PER_SECOND / account.averaging_ms
-        account.own_rate_per_s = max(0.0, account.own_rate_per_s + more_per_s)
+    def settle_units(self, account: Account, additional_units: float) -> None:
+        """Charge the units that a request cost beyond its estimate; negative units are refunded."""
+        account.shared_units = min(account.plan.burst_units, account.shared_units - additional_units)
+        account.bucket_units -= additional_units
+        additional_per_s = additional_units * MS_PER_SECOND / account.averaging_ms
+        account.own_rate_per_s = max(0.0, account.own_rate_per_s + additional_per_s)
 
     def apply_meter_reading(self, account: Account, meter: int) -> None:
-        """Take in a server's reading of the customer's use.
+        """Apply a server's meter reading of the customer's use.
 
         Args:
             account: The customer's account.
-            meter: One more than the percentage of the plan's rate that all limiters use; 0 for no reading.
+            meter: One more than the rate over all limiters as a percentage of the plan's rate; 0 for no reading.
         """
         if meter <= 0 or not self.context.settings.quota_sources.meter_period_ms:
             return
@@ -232,7 +234,7 @@
         account.reading_at_ms = self.context.now_ms
 
     def apply_owner_reading(self, account: Account, level_units: float, rate_per_s: float) -> None:
-        """Take in what the owner's ledger holds, and the rate at which all limiters spend."""
+        """Apply a reading of the owner's ledger: its level, and the rate at which all limiters spend."""
         self.refresh(account)
         account.shared_units = level_units
         account.reading_at_ms = self.context.now_ms
@@ -240,7 +242,7 @@
         account.bucket_units = min(account.bucket_units, self.bucket_capacity_units(account, 1.0))
 
     def expire_accounts(self) -> None:
-        """Forget idle accounts that are full again, as a new one would be: new customers come all day."""
+        """Remove idle accounts that are full again, which limits the memory as new customers keep arriving."""
         now_ms = self.context.now_ms
         for key in self.idle_accounts.pop_expired(now_ms):
             account = self.accounts.get(key)
@@ -256,7 +258,7 @@
 
 
 def _full_at_ms(account: Account) -> float:
-    """Return when the shared quota, the bucket and the part of the hard ceiling are full at the latest."""
+    """Return the time by which the shared quota, the bucket and the part of the hard ceiling are full."""
     plan = account.plan
     bucket_units = plan.burst_units - account.bucket_units * account.limiter_count
     quota_s = max(plan.burst_units, bucket_units) / (plan.rate_per_s or 1.0)
--- a/elderlock/decisions/retry_policy.py
+++ b/elderlock/decisions/retry_policy.py
@@ -1,6 +1,6 @@
-"""Whether a request is attempted again, and for how long each attempt may take.
+"""The retry policy: whether a request is retried, and the timeout of each attempt.
 
-The retry budget follows gRPC's retry throttling (proposal A6): requests earn retries, and retries spend them, so that
+The retry budget follows gRPC's retry throttling (proposal A6): requests add to it and retries take from it, so that
 retries cannot multiply the load while many attempts fail.
 """
 
@@ -11,10 +11,10 @@
 from elderlock.state import OpenRequest
 
 RETRIES_EARNED_PER_REQUEST = 0.15
-MAX_RETRY_BUDGET = 12.0  # retries
-RETRY_COST = 1.0  # retries
-UNEXECUTED_RETRY_COST = 0.25  # retries; an attempt that never ran cost its server little
-UNREACHED_RETRY_TIME_FRACTION = 0.4  # of a request's time
+MAX_RETRY_BUDGET = 12.0  # in retries
+RETRY_COST = 1.0  # in retries
+UNEXECUTED_RETRY_COST = 0.25  # in retries, after an attempt that was not executed and cost its server little
+UNREACHED_RETRY_TIME_FRACTION = 0.4  # a request that reached no server is retried only in this fraction of its time
 MIN_TIMEOUT_MS = 1.0
 
 
@@ -24,31 +24,31 @@
     Invariant: `retry_budget` lies between 0 and `MAX_RETRY_BUDGET`.
 
     Attributes:
-        context: What the parts of a limiter share.
-        retry_budget: The retries that may be made now, at most `MAX_RETRY_BUDGET`.
+        context: The state that the limiter's components share.
+        retry_budget: The number of retries that are allowed now, at most `MAX_RETRY_BUDGET`.
     """
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start with half of the budget."""
+        """Start with half of the maximum budget."""
         self.context = context
         self.retry_budget = MAX_RETRY_BUDGET / 2
 
     def record_first_send(self) -> None:
-        """Add to the budget what a request earns with its first attempt."""
+        """Add `RETRIES_EARNED_PER_REQUEST` to the budget for the first attempt of a request."""
         self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRIES_EARNED_PER_REQUEST)
 
     def record_retry(self, last_may_have_run: bool) -> None:
-        """Take a retry off the budget.
+        """Take the cost of a retry from the budget.
 
         Args:
-            last_may_have_run: Whether the attempt before it may have run at its server.
+            last_may_have_run: Whether a server may have executed the previous attempt.
         """
         self.retry_budget -= RETRY_COST if last_may_have_run else UNEXECUTED_RETRY_COST
 
     def allows_retry(self, request: OpenRequest) -> bool:
-        """Whether a request without an answer and without an attempt in flight may be attempted again.
+        """Whether a request without an answer and without an attempt in flight may be retried.
 
-        Whether the request's idempotency allows it depends on the server, so the server selection decides that.
+        The idempotency rule depends on the server, so it is applied by the server selection.
         """
         return (
             not request.is_streaming
@@ -58,10 +58,10 @@
         )
 
     def timeout_ms(self, request: OpenRequest) -> float:
-        """Return how long an attempt that starts now may take.
+        """Return the timeout of an attempt that starts now.
 
-        An idempotent request whose late answer has no value is given up at its latency objective: it would keep
-        others waiting for nothing. All others are waited for until the client's deadline.
+        An idempotent request whose late answer has no value times out at its latency objective, as it would only delay
+        other requests. All other requests time out at the client's deadline.
         """
         now_ms = self.context.now_ms
         request_class = request.request_class
@@ -76,14 +76,14 @@
         return max(MIN_TIMEOUT_MS, remaining_ms)
 
     def _has_time_for_an_answer(self, request: OpenRequest) -> bool:
-        """Whether an answer can arrive in time: sending and receiving may each wait for a clock tick."""
+        """Whether an answer can arrive in time; sending and receiving may each be delayed by a clock tick."""
         return self.timeout_ms(request) > 2 * self.context.settings.clock_tick_ms
 
     def _is_early_enough(self, request: OpenRequest) -> bool:
         """Whether a retry is better than a rejection.
 
-        A request that may have run cannot be rejected. One that never ran can: its client can still ask another
-        limiter, which has a value only while there is time.
+        A request that may have run cannot be rejected. One that has not run is retried only early in its time. Later it
+        is rejected, so that its client still has time to try another limiter.
         """
         if request.may_have_run():
             return True
@@ -91,6 +91,6 @@
         return self.context.now_ms - request.arrived_at_ms < UNREACHED_RETRY_TIME_FRACTION * total_ms
 
     def _has_budget(self, request: OpenRequest) -> bool:
-        """Whether the retry budget and the settings' limit of attempts a request allow another attempt."""
+        """Whether the retry budget and the maximum number of attempts per request allow another attempt."""
         max_attempts = self.context.settings.capabilities.max_attempts
         return self.retry_budget >= RETRY_COST and len(request.attempts) < max_attempts
--- a/elderlock/decisions/server_health.py
+++ b/elderlock/decisions/server_health.py
@@ -1,4 +1,4 @@
-"""Server health: what the outcomes of attempts tell of a server and of the servers that it shares a fate with."""
+"""Server health: averages over the outcomes of attempts, for each server and for the failure domains of servers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,29 @@
 from elderlock.interface import Outcome
 from elderlock.state import NEVER_MS, OpenRequest, Server
 
-LATENCY_SAMPLE_WEIGHT = 0.15  # of one answer in a moving average
-EVIDENCE_DECAY_MS = 5000.0  # time constant with which a server's latency and errors are forgotten
-FULL_VALID_MS = 8000.0  # how long a FULL outcome counts against a server for a plan
-FAILURE_LATENCY_RATIO = 4.0  # the least latency ratio that a failure counts as
-DOMAIN_DECAY_FACTOR = 0.8  # on the failure fraction of a domain, each control period
-MIN_DOMAIN_FRACTION = 1e-3  # below which a failure domain counts as healthy
+LATENCY_SAMPLE_WEIGHT = 0.15  # the weight of one answer in a moving average
+EVIDENCE_DECAY_MS = 5000.0  # the time constant with which a server's latency and errors decay
+FULL_VALID_MS = 8000.0  # the time for which a FULL outcome counts against a server for a plan
+FAILURE_LATENCY_RATIO = 4.0  # a failure counts as at least this latency ratio
+DOMAIN_DECAY_FACTOR = 0.8  # multiplies the failure fraction of a domain once per control period
+MIN_DOMAIN_FRACTION = 1e-3  # a failure domain with a lower failure fraction counts as healthy
 
 
 class ServerHealth:
     """Moving averages over the outcomes of attempts.
 
-    A latency ratio is a latency over the latency objective of the request's class. A failure domain is what a server
-    has in common with others, as its zone, kind or cell.
+    A latency ratio is a latency divided by the latency objective of the request's class. A failure domain is a zone, a
+    kind or a cell of servers.
 
-    Invariant: an outcome changes the averages of its server, its kind and its failure domains alone.
+    Invariant: of these averages, an outcome changes only those of its server, the server's kind and its failure
+    domains.
 
     Attributes:
-        failure_fraction_by_domain: The averaged fraction of failures of each failure domain that had any lately.
+        context: The state that the limiter's components share.
+        load_estimator: Gets the latency samples.
+        quotas: Gets the mean latency.
+        failure_fraction_by_domain: The moving average of the fraction of failures, for each failure domain with recent
+            failures.
     """
 
     def __init__(self, context: DecisionContext, load_estimator: LoadEstimator, quotas: Quotas) -> None:
@@ -44,17 +49,17 @@
     # Reading
 
     def latency_ratio(self, server: Server) -> float:
-        """Return the expected latency ratio of a server: its own as far as that is recent, else that of its kind."""
+        """Return the expected latency ratio: the server's average, which decays to that of its kind with its age."""
         usual = self._latency_ratio_by_kind.get(server.entry.kind, GOAL_LOAD_LEVEL / 2)
         recency = exp((server.latency_ratio_at_ms - self.context.now_ms) / EVIDENCE_DECAY_MS)
         return usual + recency * (server.latency_ratio - usual)
 
     def error_fraction(self, server: Server) -> float:
-        """Return the averaged fraction of a server's answers that were errors, less the older they are."""
+        """Return the average fraction of a server's answers that were errors, decayed by its age."""
         return server.error_fraction * exp((server.error_fraction_at_ms - self.context.now_ms) / EVIDENCE_DECAY_MS)
 
     def suspicion(self, server: Server) -> float:
-        """Return the largest fraction of failures in a server's failure domains, or of errors in its answers."""
+        """Return the largest of a server's error fraction and the failure fractions of its failure domains."""
         suspicion = self.error_fraction(server) if server.error_fraction else 0.0
         fractions = self.failure_fraction_by_domain
         if fractions:
@@ -73,7 +78,7 @@
             event: The end of the attempt.
 
         Returns:
-            Whether the outcome is a failure to reach the server. An error that the server answers is none.
+            Whether the server could not be reached. An error answer does not count as such a failure.
         """
         match event.outcome:
             case Outcome.OK:
@@ -90,7 +95,7 @@
         return False
 
     def _record_ok(self, server: Server, request: OpenRequest, duration_ms: float) -> None:
-        """Record a good answer; the latency of a stream says nothing, as it lasts as long as its client wants."""
+        """Record a successful answer; the latency of a stream is no sample, as the client decides how long it lasts."""
         self._record_error_fraction(server, 0.0)
         server.answered_at_ms = self.context.now_ms
         server.full_plan_bits &= ~(1 << request.arrival.plan_index)
@@ -107,8 +112,8 @@
     def _record_full(self, server: Server, request: OpenRequest, duration_ms: float) -> None:
         """Record that a server had no capacity for a plan.
 
-        It is a sign of load only where other plans were rejected lately too; with one plan alone the server limits that
-        plan, whose requests then go elsewhere.
+        This counts as load only if other plans were rejected recently too, or there is only one plan. Otherwise the
+        server limits this one plan, whose requests are then sent to other servers.
         """
         now_ms = self.context.now_ms
         plan_index = request.arrival.plan_index
@@ -126,8 +131,8 @@
     def _record_timeout(self, server: Server, request: OpenRequest, duration_ms: float) -> bool:
         """Record a timeout and return whether it is a failure.
 
-        A server that answered others while this attempt waited is slow rather than unreachable. If that counted as a
-        failure, all limiters would eject a server that falls behind, and its work would make the next one fall behind.
+        A server that answered other attempts while this one waited is slow but reachable. If its timeouts counted as
+        failures, all limiters would eject an overloaded server, and its load would then overload the next server.
         """
         is_silent = server.answered_at_ms <= self.context.now_ms - duration_ms
         ratio = max(duration_ms / request.request_class.latency_objective_ms, 1.0)
@@ -140,27 +145,28 @@
         return is_silent
 
     def _record_connection_failure(self, server: Server, request: OpenRequest, duration_ms: float) -> None:
-        """Record that a connection could not be opened or was lost, which is no sign of load."""
+        """Record that a connection could not be opened or was lost; this gives no load sample."""
         self._record_domain_failure(server, 1.0)
         ratio = max(duration_ms / request.request_class.latency_objective_ms, FAILURE_LATENCY_RATIO)
         self._record_latency_ratio(server, ratio, 2 * LATENCY_SAMPLE_WEIGHT)
 
     def record_peer_error(self, server: Server) -> None:
-        """Count an error that a server gave to another limiter like one of this limiter's own."""
+        """Record an error that a server returned to another limiter as if this limiter had got it."""
         server.error_fraction += 2 * LATENCY_SAMPLE_WEIGHT * (1.0 - server.error_fraction)
         server.error_fraction_at_ms = self.context.now_ms
 
     def record_peer_success(self, server: Server) -> None:
-        """Count a good answer that a server gave to another limiter like one of this limiter's own."""
+        """Record a successful answer of a server to another limiter as if this limiter had got it."""
         server.error_fraction *= 1.0 - 2 * LATENCY_SAMPLE_WEIGHT
 
     # Averages
 
     def _record_error_fraction(self, server: Server, sample: float) -> None:
-        """Average an answer into the error fraction: 1 for an error, 0 for a good answer.
+        """Add an answer to the average of the error fraction: 1 for an error, 0 for a successful answer.
 
-        An error is no latency sample: it tells nothing of speed, and where all servers give some alike, all but those
-        that erred longest ago would be avoided, and these few overloaded.
+        Errors are not latency samples, as their latency says nothing about the server's speed. If they were, and all
+        servers returned some errors, only the servers whose last error is longest ago would get requests, and these few
+        would be overloaded.
         """
         average = self.error_fraction(server)
         server.error_fraction = average + 2 * LATENCY_SAMPLE_WEIGHT * (sample - average)
@@ -172,9 +178,9 @@
         server.latency_ratio = average + sample_weight * (sample - average)
 
     def _record_domain_failure(self, server: Server, sample: float) -> None:
-        """Average an outcome into the server's failure domains: 1 for a failure, 0 for a good answer.
+        """Add an outcome to the averages of the server's failure domains: 1 for a failure, 0 for a successful answer.
 
-        A domain without failures has no entry, so that nobody has to look at it.
+        A domain without failures has no entry, which saves its lookup in each server selection.
         """
         fractions = self.failure_fraction_by_domain
         for domain in server.failure_domains():
@@ -183,7 +189,7 @@
                 fractions[domain] = average + 2 * LATENCY_SAMPLE_WEIGHT * (sample - average)
 
     def decay_domain_failures(self) -> None:
-        """Let the failures of domains fade; to be called once a control period."""
+        """Decay the failure fractions of the domains; called once per control period."""
         if self.failure_fraction_by_domain:
             self.failure_fraction_by_domain = {
                 domain: DOMAIN_DECAY_FACTOR * fraction
--- a/elderlock/decisions/server_selection.py
+++ b/elderlock/decisions/server_selection.py
@@ -1,4 +1,4 @@
-"""Server selection: which server an attempt goes to, at a cost that does not grow with the number of servers."""
+"""Server selection: chooses the server of an attempt, in a time that does not grow with the number of servers."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from elderlock.state import OpenRequest, Server
 from elderlock.structures.weighted_sampler import WeightedSampler
 
-FULL_SCAN_MAX_SERVERS = 16  # up to this many, the costs of all are compared
-SAMPLE_COUNT = 8  # of more servers, this many are sampled by weight
-FAULT_COST_FACTOR = 8.0  # on the cost of a server whose failure domain fails throughout, on top of its own cost
-AVOIDED_COST_FACTOR = 10.0  # on the cost of a server that was tried before, or was full for this plan
-TIE_BREAK_FRACTION = 0.05  # of the cost, at random
+FULL_SCAN_MAX_SERVERS = 16  # up to this number of servers, the costs of all are compared
+SAMPLE_COUNT = 8  # the number of servers that are sampled by weight if there are more
+FAULT_COST_FACTOR = 8.0  # a server in a failure domain that fails completely costs more by this multiple of its cost
+AVOIDED_COST_FACTOR = 10.0  # multiplies the cost of a server that was tried before or was full for this plan
+TIE_BREAK_FRACTION = 0.05  # the random part of a cost, as a fraction of it
 
 
 class ServerSelector:
-    """Power of d choices (Mitzenmacher, 2001): the server of the least cost among a few sampled by weight.
+    """Selects by the power of d choices (Mitzenmacher, 2001): the cheapest of a few servers that are sampled by weight.
 
-    Invariant: an attempt after one that may have run goes only where the idempotency rule allows it; see
+    Invariant: after an attempt that may have run, a retry goes only to servers that the idempotency rule allows; see
     `_retry_candidates`.
     """
 
@@ -32,7 +32,7 @@
         self.cross_zone_penalty = context.settings.routing.cross_zone_penalty
 
     def choose(self, request: OpenRequest) -> Server | None:
-        """Return the server of the least cost for the next attempt, or None if no server may be sent to now."""
+        """Return the server with the least cost for the next attempt, or None if no server may be selected now."""
         self.endpoints.review_due_servers()
         tried_ids = {attempt.server.entry.server_id for attempt in request.attempts}
         best: Server | None = None
@@ -47,17 +47,17 @@
     def _pool(self, request: OpenRequest) -> list[Server]:
         """Return the servers whose costs are compared.
 
-        These are all permitted servers where they are few, or are bound to a cell; else `SAMPLE_COUNT` of them, sampled
-        by weight. Where leaving the limiter's zone costs, as many again are sampled in that zone, so that the cost
-        decides whether one of these is still the better.
+        If the permitted servers are few, or a retry is restricted to a cell, these are all permitted servers. Otherwise
+        they are `SAMPLE_COUNT` of them, sampled by weight. If there is a cross-zone penalty, the same number is sampled
+        in the limiter's zone, and the cost decides between the zones.
         """
         candidates = self.endpoints.candidates
         permitted = candidates.all
         if request.attempts:
-            bound = self._retry_candidates(request)
-            if isinstance(bound, list):
-                return bound
-            permitted = bound
+            retry_candidates = self._retry_candidates(request)
+            if isinstance(retry_candidates, list):
+                return retry_candidates
+            permitted = retry_candidates
         if len(permitted) <= FULL_SCAN_MAX_SERVERS:
             return permitted.members()
         rng = self.context.rng
@@ -71,12 +71,12 @@
     def _retry_candidates(self, request: OpenRequest) -> WeightedSampler | list[Server]:
         """Return the candidates that the idempotency rule permits for a retry of a request.
 
-        The idempotency rule: a request that may have run is sent again only
+        The idempotency rule for a request that may have run:
 
-        - anywhere, if its class is idempotent;
-        - within the scope in which the servers deduplicate (zone or cell of the first such attempt, or everywhere),
-          and while their deduplication window is open, if its class has an idempotency key;
-        - nowhere otherwise.
+        - If its class is idempotent, it may be sent to any server.
+        - If its class has an idempotency key, it may be sent within the deduplication scope (the zone or the cell of
+          the first attempt that may have run, or all servers) and within the deduplication window.
+        - Otherwise it may not be sent again.
         """
         candidates = self.endpoints.candidates
         request_class = request.request_class
@@ -96,11 +96,11 @@
         return candidates.all
 
     def _is_deduplicated(self, window_ms: float, first_sent_at_ms: float) -> bool:
-        """Return whether an attempt sent now reaches its server within the deduplication window of the first one.
+        """Return whether an attempt that is sent now reaches its server within the deduplication window.
 
         Args:
-            window_ms: How long the servers remember an idempotency key.
-            first_sent_at_ms: When the first attempt that may have run was sent.
+            window_ms: The time for which the servers store an idempotency key.
+            first_sent_at_ms: The time at which the first attempt that may have run was sent.
         """
         settings = self.context.settings
         usable_ms = window_ms - settings.clock_tick_ms - settings.capabilities.connect_timeout_ms
@@ -109,16 +109,16 @@
     def cost(self, server: Server, request: OpenRequest, tried_ids: set[str], least_cost: float = inf) -> float:
         """Return the cost of sending an attempt to a server.
 
-        The cost is the expected latency ratio times one more than the attempts in flight there. Leaving the limiter's
-        zone adds `cross_zone_penalty` to the ratio; a server that owes answers for longer than the ratio says has the
-        ratio of that time. Suspicion raises the cost, and so do an earlier attempt at the server and its having been
-        full for the plan.
+        The cost is the expected latency ratio multiplied by the attempts in flight there plus one. A server in another
+        zone has `cross_zone_penalty` added to its ratio. If a server has not answered for longer than its ratio
+        predicts, that time gives the ratio. The cost rises with the server's suspicion, with an earlier attempt of the
+        request at the server, and if the server was full for the plan.
 
         Args:
             server: The server.
             request: The request that the attempt is for.
-            tried_ids: The servers that earlier attempts of the request went to.
-            least_cost: The least cost so far; for a server that cannot be below it the result is infinite.
+            tried_ids: The ids of the servers that earlier attempts of the request were sent to.
+            least_cost: The least cost found so far; the result is infinite for a server that cannot cost less.
         """
         context = self.context
         load = 1.0 + len(server.in_flight)
@@ -143,6 +143,6 @@
         return cost
 
     def _was_full(self, server: Server, request: OpenRequest) -> bool:
-        """Return whether the server has lately had no capacity for the request's plan."""
+        """Return whether the server recently had no capacity for the request's plan."""
         is_full = server.full_plan_bits >> request.arrival.plan_index & 1
         return bool(is_full) and self.context.now_ms - server.full_at_ms < FULL_VALID_MS
--- a/elderlock/decisions/usage_reports.py
+++ b/elderlock/decisions/usage_reports.py
@@ -1,7 +1,7 @@
-"""Reports to the quota owners of what was admitted without asking them.
+"""Reports to the quota owners the units that were admitted without a query.
 
-Messages are scarce where requests are many. Customers far from their quota are then admitted by the last reading, and
-their use is reported a little later, many customers to a message.
+The message budget is too small for a query per request when there are many requests. Requests of customers far from
+their quota are then admitted by the last reading, and their use is reported a little later, many customers per message.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 from elderlock.state import NEVER_MS, Account
 
 REPORT_INTERVAL_MS = 250.0
-COMFORTABLE_BURST_FRACTION = 0.5  # of the burst: a customer with more left is far from its quota
+FAR_FROM_QUOTA_BURST_FRACTION = 0.5  # a customer with more than this fraction of its burst left is far from its quota
 
 
 class UsageReports:
     """Collects units that were admitted without a query, and reports them to the owners.
 
-    Invariant: units that were admitted without a query reach an owner's ledger at most once. They are lost with a lost
-    datagram, with a forgotten account, where no owner can be asked, and above what one row can tell.
+    Invariant: units that were admitted without a query reach an owner's ledger at most once. They are lost if the
+    datagram is lost, if the account has been removed, if no owner can be selected, and as far as they exceed the
+    maximum of one row.
 
     Attributes:
-        owners: Which limiter a customer's use is reported to.
-        unreported_units: By customer key, units that the owner does not know of yet.
+        owners: Selects the limiter to which a customer's use is reported.
+        unreported_units: The units that have not been reported to the owner, by customer key.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         quota_owner: QuotaOwner,
         messenger: PeerMessenger,
     ) -> None:
-        """Start with nothing to report."""
+        """Start without unreported units."""
         self._context = context
         self._quotas = quotas
         self.owners = owners
@@ -48,26 +49,26 @@
         self._reported_at_ms = context.now_ms
 
     def add(self, account: Account, units: float) -> None:
-        """Note units that were admitted without a query."""
+        """Record units that were admitted without a query."""
         self.unreported_units[account.key] = self.unreported_units.get(account.key, 0.0) + units
 
     def is_far_from_quota(self, account: Account) -> bool:
-        """Whether much of the quota is left even if every other limiter admitted as much unreported as this one.
+        """Whether much of the quota is left even if each other limiter has as many unreported units as this one.
 
-        A plan with a concurrency limit is never far from it: a reading says nothing of requests in flight.
+        With a concurrency limit the result is False, as a reading contains no number of requests in flight.
         """
         plan = account.plan
-        unseen_units = self.unreported_units.get(account.key, 0.0) * (account.limiter_count - 1)
-        remaining_units = account.shared_units - unseen_units
-        return plan.concurrency_limit <= 0 and remaining_units > COMFORTABLE_BURST_FRACTION * plan.burst_units
+        others_unreported_units = self.unreported_units.get(account.key, 0.0) * (account.limiter_count - 1)
+        remaining_units = account.shared_units - others_unreported_units
+        return plan.concurrency_limit <= 0 and remaining_units > FAR_FROM_QUOTA_BURST_FRACTION * plan.burst_units
 
     def report_if_due(self) -> None:
-        """Report to the owners once every `REPORT_INTERVAL_MS`."""
+        """Report to the owners if the last report was sent `REPORT_INTERVAL_MS` ago or earlier."""
         if self.unreported_units and self._context.now_ms - self._reported_at_ms >= REPORT_INTERVAL_MS:
             self._report()
 
     def apply_level(self, row: LevelRow) -> None:
-        """Take in an owner's answer to a report. What was admitted since is not in it yet."""
+        """Apply an owner's answer to a report, less the units that were admitted since the report."""
         account = self._quotas.accounts.get(row.key)
         if account is None:
             return
@@ -83,14 +84,14 @@
         self.unreported_units = {}
         for owner, rows in self._rows_by_owner(unreported_units).items():
             for start in range(0, len(rows), peer_messages.MAX_USAGE_ROWS):
-                part = rows[start : start + peer_messages.MAX_USAGE_ROWS]
+                batch = rows[start : start + peer_messages.MAX_USAGE_ROWS]
                 if self._messenger.can_send():
-                    self._messenger.send(owner, UsageReport(tuple(part)))
-                else:  # it goes with the next report
-                    self.unreported_units.update((row.key, unreported_units[row.key]) for row in part)
+                    self._messenger.send(owner, UsageReport(tuple(batch)))
+                else:  # the rows are sent with the next report
+                    self.unreported_units.update((row.key, unreported_units[row.key]) for row in batch)
 
     def _rows_by_owner(self, unreported_units: dict[int, float]) -> dict[int, list[UsageRow]]:
-        """Return the rows for other owners, and charge those of this limiter at once."""
+        """Return the rows for other owners, and charge the units of the ledgers that this limiter owns."""
         settings = self._context.settings
         rows: dict[int, list[UsageRow]] = {}
         for key, units in unreported_units.items():
@@ -104,14 +105,14 @@
                 continue
             plan_index = settings.plans.index(account.plan) % 256
             unit_steps = peer_messages.clamp_byte(units * peer_messages.STEPS_PER_UNIT)
-            rows.setdefault(owner, []).append(UsageRow(key, plan_index, unit_steps, believed_level(account)))
+            rows.setdefault(owner, []).append(UsageRow(key, plan_index, unit_steps, last_known_level(account)))
         return rows
 
 
-def believed_level(account: Account) -> int:
-    """Return the last reading of a customer's ledger in the encoding of messages, or `UNKNOWN`.
+def last_known_level(account: Account) -> int:
+    """Return the encoded level of the last reading of a customer's ledger, or `UNKNOWN`.
 
-    A limiter that takes over a ledger opens it with this level.
+    A limiter that becomes the owner opens its ledger at this level.
     """
     if account.reading_at_ms <= NEVER_MS:
         return peer_messages.UNKNOWN
--- a/elderlock/interface/__init__.py
+++ b/elderlock/interface/__init__.py
@@ -1,6 +1,6 @@
-"""The messages between a frontend and its `Limiter`: settings at start, events in, actions out.
+"""The types that a frontend exchanges with its `Limiter`: settings at the start, then events in and actions out.
 
-Nothing here decides anything. A frontend translates its protocol to these types and back.
+This package contains no decisions. A frontend translates its protocol to these types and back.
 """
 
 from __future__ import annotations
--- a/elderlock/interface/actions.py
+++ b/elderlock/interface/actions.py
@@ -1,4 +1,4 @@
-"""The actions that `Limiter.handle` returns: what the frontend has to do, as typed messages, in this order.
+"""The actions that `Limiter.handle` returns. The frontend carries them out in the order of the list.
 
 Times are milliseconds.
 """
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request to a server; the attempt ends after `timeout_ms`, which is above 0."""
+    """Send the request to a server; the attempt times out after `timeout_ms`, which is greater than 0."""
 
     request_id: str
     server_id: str
@@ -19,9 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """Final answer: the client may forward the request to this server and wait that long at most.
+    """Final answer: the client may forward the request to this server and wait at most `timeout_ms` for the answer.
 
-    The limiter counts it as an attempt.
+    The limiter counts the permit as an attempt.
     """
 
     request_id: str
@@ -35,7 +35,7 @@
 
     Attributes:
         request_id: The request.
-        retry_after_ms: When a retry may succeed; 0 where nothing is said.
+        retry_after_ms: The time after which a retry may succeed; 0 if the rejection carries no such hint.
     """
 
     request_id: str
@@ -67,15 +67,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number in the shared counter.
+    """Add to a counter in the store that all limiters share.
 
-    The answer comes as `CounterAnswered` with the same token, or not at all.
+    The answer is a `CounterAnswered` event with the same token. It may never arrive.
 
     Attributes:
-        token: Names this call.
-        counter_name: The number's name in the store.
-        amount: What is added.
-        lifetime_ms: How long the number lives, from its first call on.
+        token: Identifies this call.
+        counter_name: The counter's name in the store.
+        amount: The amount to add.
+        lifetime_ms: The time after the first addition at which the store deletes the counter.
     """
 
     token: int
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Begin or end the subscription to changes of the endpoint list."""
+    """Start or end the subscription to changes of the endpoint list."""
 
     active: bool
 
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver `TimerFired` with this token after the delay; it takes the place of the timer asked for before."""
+    """Deliver `TimerFired` with this token after the delay. This replaces the timer that was set before."""
 
     delay_ms: float
     token: int
--- a/elderlock/interface/events.py
+++ b/elderlock/interface/events.py
@@ -1,4 +1,4 @@
-"""The events that a frontend hands to `Limiter.handle`: what happened, as typed messages.
+"""The events that a frontend passes to `Limiter.handle`.
 
 Times are milliseconds of a monotonic clock.
 """
@@ -10,20 +10,20 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a call of the counter ended."""
+    """The outcome of an attempt, a health check or a call to the shared counter."""
 
     OK = "ok"
     ERROR = "error"
     """The server answered with an error."""
     FULL = "full"
-    """The server rejected the request for want of capacity, without executing it."""
+    """The server had no capacity and rejected the request without executing it."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    """The connection broke after the request had begun to leave."""
+    """The connection was lost after a part of the request had been sent."""
     CANCELLED = "cancelled"
     NOT_FORWARDED = "moot"
-    """A permitted attempt that the client never made."""
+    """The client got a permit but did not forward the request."""
 
 
 class ServerState(Enum):
@@ -35,30 +35,30 @@
 
 
 class ListKind(Enum):
-    """What an endpoint list contains."""
+    """The kind of an endpoint list."""
 
     CHANGES = "changes"
-    """The entries that changed."""
+    """The list contains only the entries that changed."""
     COMPLETE = "all"
-    """All entries: a server that isn't named has been removed."""
+    """The list contains all entries; a server that is not in it has been removed."""
     CACHED = "remembered"
-    """All entries as stored before this process started."""
+    """The list contains all entries as they were stored before this process started."""
     REFUSED = "refused"
-    """Nothing: the call was refused."""
+    """The list is empty because discovery refused the call."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """A server as the endpoint list describes it.
+    """An entry of the endpoint list.
 
     Attributes:
         server_id: The server's unique name.
-        zone: Index of its zone.
-        kind: Index of its kind of machine.
-        cell: Index of its cell, a group inside a zone.
-        state: Whether it takes new requests.
+        zone: The index of its zone.
+        kind: The index of its kind of machine.
+        cell: The index of its cell; a cell is a group of servers within a zone.
+        state: Its state, which tells whether it accepts new requests.
         weight: Its capacity relative to a server of weight 1.
-        started_at_ms: When its process started; 0 where that is long ago or unknown.
+        started_at_ms: The start time of its process; 0 if the process started long ago or the time is unknown.
     """
 
     server_id: str
@@ -72,12 +72,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """An endpoint list, complete or in part.
+    """An endpoint list, complete or with changes only.
 
     Attributes:
-        version: Discovery's version of the list.
-        kind: What it contains.
-        entries: The servers.
+        version: The version that discovery gives the list.
+        kind: The kind of the list.
+        entries: The entries of the servers.
     """
 
     version: int
@@ -90,14 +90,14 @@
     """A client's request.
 
     Attributes:
-        request_id: Unique among the open requests.
-        class_index: Its class in `Settings.request_classes`.
-        plan_index: Its plan in `Settings.plans`.
-        customer_id: Whose quota it uses.
-        units: Quota units it costs.
-        deadline_ms: When the client stops waiting.
-        limiter_count: Limiters over which the customer's requests are spread.
-        first_limiter: The first of these limiters.
+        request_id: An id that is unique among the open requests.
+        class_index: The index of its class in `Settings.request_classes`.
+        plan_index: The index of its plan in `Settings.plans`.
+        customer_id: The customer whose quota it uses.
+        units: Its cost in quota units.
+        deadline_ms: The time at which the client stops waiting.
+        limiter_count: The number of limiters over which the customer's requests are spread.
+        first_limiter: The index of the first of these limiters.
     """
 
     request_id: str
@@ -112,10 +112,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitRequested(RequestArrived):
-    """A request that the client itself forwards once it is permitted.
+    """A request for a permit: the client forwards the request to the server itself once it is permitted.
 
-    It is answered by `Permit`, `Reject` or `Fail`. How its one attempt ended comes as `AttemptEnded`, with
-    `NOT_FORWARDED` where the client never made it.
+    The answer is `Permit`, `Reject` or `Fail`. A permitted request has one attempt, whose outcome arrives as
+    `AttemptEnded`. Its outcome is `NOT_FORWARDED` if the client did not forward the request.
     """
 
 
@@ -125,13 +125,14 @@
 
     Attributes:
         request_id: The request.
-        attempt_index: The attempt's number in the request, from 0.
-        server_id: Where it went.
-        outcome: How it ended.
-        duration_ms: How long it took.
-        is_answered: Whether the request has its final answer, by this outcome or before it.
-        meter: The server's meter of the customer's use in hundredths of the plan's rate, plus 1; 0 where there is none.
-        settled_units: What the request really cost; 0 where that isn't told.
+        attempt_index: The index of the attempt among the attempts of the request, from 0.
+        server_id: The server that it was sent to.
+        outcome: Its outcome.
+        duration_ms: Its duration.
+        is_answered: Whether the request has its final answer, through this outcome or before it.
+        meter: One more than the customer's use that the server metered, as a percentage of the plan's rate; 0 if the
+            answer has no reading of the meter.
+        settled_units: The actual cost of the request in units; 0 if it is unknown.
     """
 
     request_id: str
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first part of a streamed answer has been passed to the client."""
+    """The first part of a streamed answer was forwarded to the client."""
 
     request_id: str
     attempt_index: int
@@ -156,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client of an open request has gone; nothing more may be done for it."""
+    """The client of an open request disconnected. The limiter sends no further attempts or answers for the request."""
 
     request_id: str
 
@@ -172,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A datagram of another limiter, as `elderlock.peer_messages` reads it."""
+    """A datagram from another limiter, in the encoding of `elderlock.peer_messages`."""
 
     sender_index: int
     payload: bytes
@@ -180,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterAnswered:
-    """The shared counter's answer to the `AddToCounter` with this token; `total` counts only with `Outcome.OK`."""
+    """The shared counter's answer to the `AddToCounter` with this token; `total` is valid only with `Outcome.OK`."""
 
     token: int
     outcome: Outcome
@@ -190,7 +191,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The timer that a `SetTimer` with this token asked for."""
+    """The timer that was set by the `SetTimer` with this token fired."""
 
     token: int
 
--- a/elderlock/interface/settings.py
+++ b/elderlock/interface/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a limiter: fixed at start, read by `elderlock.settings_reader`.
+"""The settings of a limiter. They are fixed at the start and read by `elderlock.settings_reader`.
 
-A number carries its unit in its name: `_ms` milliseconds, `_per_s` a second, `_units` quota units. A 0 switches off
-what the number limits, unless its docstring says otherwise.
+The name of a number ends with its unit: `_ms` for milliseconds, `_per_s` for a rate per second, `_units` for quota
+units. The value 0 disables the limit, unless the docstring says otherwise.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class Idempotency(Enum):
-    """What executing a request a second time does."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = "safe"
-    """Nothing."""
+    """A repeat has no further effect."""
 
     WITH_KEY = "keyed"
-    """Nothing, as long as the repeat reaches a server that shares the deduplication memory of the first."""
+    """A repeat has no further effect if its server shares the deduplication memory of the first server."""
 
     NOT_IDEMPOTENT = "unsafe"
-    """A second effect."""
+    """A repeat has its effect a second time."""
 
 
 class DeduplicationScope(Enum):
-    """The servers that share one memory of idempotency keys and drop each other's repeats."""
+    """The group of servers that share a store of idempotency keys and therefore recognise each other's requests."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests that are treated alike.
+    """A class of requests that are handled alike.
 
     Attributes:
         name: The class's name in the protocol.
-        latency_objective_ms: An answer that takes longer counts as late.
-        idempotency: What a repeat does.
-        deduplication_scope: For `WITH_KEY`: which servers recognise a repeat.
-        deduplication_window_ms: For `WITH_KEY`: how long after the first attempt a repeat is recognised.
-        priority_weight: What an answer within the objective is worth, relative to other classes.
-        late_priority_weight: What a late answer is worth.
-        is_streaming: Whether answers are streams that begin before they end.
+        latency_objective_ms: The latency objective; an answer that takes longer counts as late.
+        idempotency: The effect of a repeat.
+        deduplication_scope: For `WITH_KEY`: the servers that recognise a repeat.
+        deduplication_window_ms: For `WITH_KEY`: the time after the first attempt in which a repeat is recognised.
+        priority_weight: The value of an answer within the latency objective, relative to other classes.
+        late_priority_weight: The value of a late answer.
+        is_streaming: Whether answers are streams, whose first part is sent before the last part is known.
     """
 
     name: str
@@ -62,15 +62,15 @@
 
     Attributes:
         name: The plan's name in the protocol.
-        price_weight: Factor on the priority weight of the customer's requests.
-        rate_per_s: Units a second that fill the quota's bucket; 0 for a plan without a quota.
-        burst_units: Size of the quota's bucket.
-        concurrency_limit: Requests that may be open at once; 0 for any number.
-        over_quota_value: What an answer to a request over quota is worth, relative to one within it.
-        over_quota_cost: What serving a request over quota costs, in the same measure.
-        ceiling_rate_per_s: Units a second that fill the hard ceiling's bucket; 0 for a plan without a ceiling.
-        ceiling_burst_units: Size of the hard ceiling's bucket.
-        ceiling_slack_units: Units by which the ceiling may be exceeded over all limiters.
+        price_weight: The factor for the priority weight of the customer's requests.
+        rate_per_s: The units per second that fill the quota's bucket; 0 for a plan without a quota.
+        burst_units: The size of the quota's bucket.
+        concurrency_limit: The maximum number of the customer's open requests; 0 for no limit.
+        over_quota_value: The value of an answer to a request over quota, relative to one within the quota.
+        over_quota_cost: The cost of serving a request over quota, on the same scale as `over_quota_value`.
+        ceiling_rate_per_s: The units per second that fill the hard ceiling's bucket; 0 for a plan without a ceiling.
+        ceiling_burst_units: The size of the hard ceiling's bucket.
+        ceiling_slack_units: The units by which all limiters together may exceed the ceiling.
     """
 
     name: str
@@ -87,14 +87,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRules:
-    """The rules of the service that bound how servers are used.
+    """The service's rules for the use of its servers.
 
     Attributes:
-        warm_up_initial_fraction: Fraction of its capacity that a server has right after its start.
-        warm_up_ms: Time over which a started server's capacity grows linearly to the whole.
-        overload_multiple: A warming server is overloaded at this multiple of its present capacity.
-        overload_window_ms: The window over which that is counted.
-        list_refresh_within_ms: Age that a subscribed endpoint list may reach before it has to be fetched again.
+        warm_up_initial_fraction: The fraction of its full capacity that a server has right after its start.
+        warm_up_ms: The time after its start in which a server's capacity grows linearly to the full capacity.
+        overload_multiple: The multiple of its current capacity at which a server that is warming up is overloaded.
+        overload_window_ms: The time window over which the work for that comparison is counted.
+        list_refresh_within_ms: The maximum age of a subscribed endpoint list, after which it has to be fetched again.
     """
 
     warm_up_initial_fraction: float
@@ -106,15 +106,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What the limiter may do, and within which limits.
+    """The capabilities of the limiter's environment, and their limits.
 
     Attributes:
-        max_attempts: Attempts of one request, the first included.
+        max_attempts: The maximum number of attempts of one request, the first included.
         can_cancel: Whether an attempt can be cancelled.
-        can_message_peers: Whether datagrams to other limiters exist.
+        can_message_peers: Whether the limiter can exchange datagrams with other limiters.
         can_send_retry_after: Whether a rejection may carry a Retry-After.
         max_retry_after_ms: The longest Retry-After.
-        connect_timeout_ms: Longest time until an attempt begins where a connection has to be made first.
+        connect_timeout_ms: The longest time that an attempt may wait for a new connection before it starts.
     """
 
     max_attempts: int
@@ -127,12 +127,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaSources:
-    """Where a limiter learns of a customer's use at other limiters.
+    """The sources from which a limiter learns how much of its quota a customer uses.
 
     Attributes:
-        meter_period_ms: Period over which servers meter a customer's use and report it in answers; 0 without a meter.
-        peer_messages_per_s: Datagrams a second that a limiter can take in.
-        is_cost_known_at_end: Whether the units of a request are only known when it ends.
+        meter_period_ms: The period over which servers meter a customer's use and report it in answers; 0 if they
+            have no meter.
+        peer_messages_per_s: The datagrams per second that a limiter can receive.
+        is_cost_known_at_end: Whether a request's cost in units is known only when the request ends.
     """
 
     meter_period_ms: float = 0.0
@@ -142,11 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Routing:
-    """How servers are shared out between limiters where there are many of both.
+    """How a large number of servers is distributed over a large number of limiters.
 
     Attributes:
-        subset_size: Servers that each limiter uses; 0 for all.
-        cross_zone_penalty: Cost of leaving the limiter's own zone, in latency objectives; 0 where zones don't matter.
+        subset_size: The number of servers that each limiter uses; 0 for all.
+        cross_zone_penalty: The cost of choosing a server outside the limiter's zone, as a multiple of the latency
+            objective; 0 to ignore zones.
     """
 
     subset_size: int = 0
@@ -158,17 +160,18 @@
     """All settings of one limiter.
 
     Attributes:
-        limiter_index: This limiter's number, from 0.
-        limiter_count: Limiters that share the quotas.
-        clock_tick_ms: Granularity of the clock and of timers.
-        zone: The zone of this limiter.
-        request_classes: The classes, by the index that a request names.
-        plans: The plans, by the index that a request names.
+        limiter_index: The index of this limiter in the group, from 0.
+        limiter_count: The number of limiters that share the quotas.
+        clock_tick_ms: The resolution of the clock and of timers.
+        zone: The index of this limiter's zone.
+        request_classes: The request classes; `RequestArrived.class_index` refers to this list.
+        plans: The plans; `RequestArrived.plan_index` refers to this list.
         rules: The rules of the service.
-        capabilities: What the limiter may do.
-        quota_sources: Where it learns of use elsewhere.
-        subscribes_to_list: Whether the endpoint list has to be subscribed to and fetched, or comes by itself.
-        routing: How servers are shared out.
+        capabilities: The capabilities of the limiter's environment.
+        quota_sources: The sources from which the limiter learns of a customer's use.
+        subscribes_to_list: Whether the limiter subscribes to the endpoint list and fetches it; otherwise the frontend
+            delivers the list unasked.
+        routing: How the servers are distributed over the limiters.
     """
 
     limiter_index: int
--- a/elderlock/peer_messages.py
+++ b/elderlock/peer_messages.py
@@ -1,8 +1,8 @@
 """Messages between limiters about customers' quotas, and their encoding as datagrams.
 
-A datagram holds 256 bytes at most. It begins with a format byte and the sender's latest latency sample
-(`LoadEstimator.encoded_latest_sample`), so that every message also carries a signal of load. Levels are in 254ths of
-the plan's burst, rates in 254ths of eight times the plan's rate, units in quarters.
+A datagram has at most 256 bytes. It starts with a format byte and the sender's latest latency sample
+(`LoadEstimator.encoded_latest_sample`), so that every message also carries a load signal. A level is encoded in 254ths
+of the plan's burst, a rate in 254ths of eight times the plan's rate, and an amount of units in quarters of a unit.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 SINGLE_FORMAT = 0x5C
 """First byte of a datagram about one customer."""
 SINGLE = Struct(">BBIBBBBH")
-"""Format, latest latency, customer key, kind, plan, units or level, believed level or rate, query id."""
+"""Format, latest latency, customer key, kind, plan, units or level, last known level or rate, query id."""
 
 BATCH_FORMAT = 0x5D
 """First byte of a datagram about many customers."""
 BATCH_HEADER = Struct(">BBB")
 """Format, latest latency, kind."""
 USAGE_ROW = Struct(">IBBB")
-"""Customer key, plan, units, believed level."""
+"""Customer key, plan, units, last known level."""
 LEVEL_ROW = Struct(">IBB")
 """Customer key, level, rate."""
 MAX_USAGE_ROWS = 36
-"""Rows of one usage report, bounded by the size of a datagram."""
+"""The maximum number of rows of a usage report, limited by the size of a datagram."""
 
 UNKNOWN = 255
-"""A latency sample or a believed level that the sender does not have."""
+"""The byte for a latency sample or a last known level that the sender does not have."""
 MAX_FRACTION = 254
-"""The byte of a level that equals the burst."""
+"""The byte for a level that equals the burst."""
 MAX_RATE_RATIO = 8
-"""The rate over the plan's rate that `MAX_FRACTION` stands for."""
+"""The multiple of the plan's rate that `MAX_FRACTION` encodes."""
 STEPS_PER_UNIT = 4
-"""Units are sent in quarters."""
+"""Units are encoded in quarters."""
 
 
 class SingleKind(IntEnum):
-    """What a datagram about one customer is."""
+    """The kind of a datagram about one customer."""
 
     QUERY = 0
     GRANTED = 1
@@ -46,7 +46,7 @@
 
 
 class BatchKind(IntEnum):
-    """What a datagram about many customers is."""
+    """The kind of a datagram about many customers."""
 
     USAGE_REPORT = 0
     QUOTA_LEVELS = 1
@@ -54,20 +54,21 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaQuery:
-    """Asks the owner of a customer's quota for units.
+    """A query that asks the owner of a customer's quota for units.
 
     Attributes:
-        key: The customer.
-        plan_index: The customer's plan, in the order of the settings.
-        unit_steps: The units wanted, in quarters.
-        believed_level: The asker's last reading of the ledger, or `UNKNOWN`; a new owner opens its ledger with it.
-        query_id: Comes back with the answer.
+        key: The customer's key.
+        plan_index: The index of the customer's plan in the settings.
+        unit_steps: The requested units, in quarters.
+        last_known_level: The sender's last reading of the ledger, or `UNKNOWN`; a new owner opens its ledger at this
+            level.
+        query_id: An id that the answer repeats.
     """
 
     key: int
     plan_index: int
     unit_steps: float
-    believed_level: float
+    last_known_level: float
     query_id: int
 
 
@@ -76,12 +77,12 @@
     """The owner's answer to a `QuotaQuery`.
 
     Attributes:
-        key: The customer.
-        is_granted: Whether the units were taken from the ledger for the asker.
-        plan_index: The customer's plan, in the order of the settings.
-        level: What the ledger holds now, encoded by `encode_level`.
-        rate: At what rate all limiters spend, encoded by `encode_rate`.
-        query_id: The query that this answers.
+        key: The customer's key.
+        is_granted: Whether the owner took the units from the ledger for the limiter that asked.
+        plan_index: The index of the customer's plan in the settings.
+        level: The ledger's level after the query, encoded by `encode_level`.
+        rate: The rate at which all limiters spend, encoded by `encode_rate`.
+        query_id: The id of the query.
     """
 
     key: int
@@ -97,24 +98,24 @@
     """Units that a limiter admitted for one customer without a query.
 
     Attributes:
-        key: The customer.
-        plan_index: The customer's plan, in the order of the settings.
+        key: The customer's key.
+        plan_index: The index of the customer's plan in the settings.
         unit_steps: The units, in quarters.
-        believed_level: The sender's last reading of the ledger, or `UNKNOWN`.
+        last_known_level: The sender's last reading of the ledger, or `UNKNOWN`.
     """
 
     key: int
     plan_index: int
     unit_steps: int
-    believed_level: int
+    last_known_level: int
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """What a limiter admitted without queries since its last report.
+    """The units that a limiter admitted without queries since its last report.
 
     Attributes:
-        rows: One a customer, at most `MAX_USAGE_ROWS`.
+        rows: One row per customer, at most `MAX_USAGE_ROWS`.
     """
 
     rows: tuple[UsageRow, ...]
@@ -125,9 +126,9 @@
     """The state of one customer's ledger.
 
     Attributes:
-        key: The customer.
-        level: What the ledger holds, encoded by `encode_level`.
-        rate: At what rate all limiters spend, encoded by `encode_rate`.
+        key: The customer's key.
+        level: The ledger's level, encoded by `encode_level`.
+        rate: The rate at which all limiters spend, encoded by `encode_rate`.
     """
 
     key: int
@@ -140,7 +141,7 @@
     """The owner's answer to a `UsageReport`.
 
     Attributes:
-        rows: One a customer of the report.
+        rows: One row per customer of the report.
     """
 
     rows: tuple[LevelRow, ...]
@@ -155,7 +156,7 @@
 
     Attributes:
         latest_latency: The sender's latest latency sample in 64ths of the latency objective, or `UNKNOWN`.
-        message: What it says; None for a kind that this version does not know.
+        message: The message; None if its kind is unknown to this version.
     """
 
     latest_latency: int
@@ -163,41 +164,41 @@
 
 
 def clamp_byte(value: float) -> int:
-    """Round a number down to an integer that fits into a byte."""
+    """Truncate a number to an integer and limit it to the range of a byte."""
     return min(255, max(0, int(value)))
 
 
 def encode_level(level_units: float, burst_units: float) -> int:
-    """Encode what a ledger holds as a fraction of the burst."""
+    """Encode a ledger's level as a fraction of the burst."""
     return clamp_byte(level_units / (burst_units or 1.0) * MAX_FRACTION)
 
 
 def decode_level(level: float, burst_units: float) -> float:
-    """Return the units that an encoded level stands for."""
+    """Return the units of an encoded level."""
     return level / MAX_FRACTION * burst_units
 
 
 def encode_rate(rate_per_s: float, plan_rate_per_s: float) -> int:
-    """Encode a rate as a ratio over the plan's rate."""
+    """Encode a rate as a multiple of the plan's rate."""
     return clamp_byte(rate_per_s / (plan_rate_per_s or 1.0) * MAX_FRACTION / MAX_RATE_RATIO)
 
 
 def decode_rate(rate: float, plan_rate_per_s: float) -> float:
-    """Return the units per second that an encoded rate stands for."""
+    """Return the units per second of an encoded rate."""
     return rate / MAX_FRACTION * MAX_RATE_RATIO * plan_rate_per_s
 
 
 def encode(latest_latency: int, message: Message) -> bytes:
-    """Encode a message with the sender's latest latency sample as a datagram."""
+    """Encode a message and the sender's latest latency sample as a datagram."""
     match message:
-        case QuotaQuery(unit_steps=unit_steps, believed_level=believed_level):
-            return _encode_single(latest_latency, SingleKind.QUERY, message, unit_steps, believed_level)
+        case QuotaQuery(unit_steps=unit_steps, last_known_level=last_known_level):
+            return _encode_single(latest_latency, SingleKind.QUERY, message, unit_steps, last_known_level)
         case QuotaAnswer(level=level, rate=rate):
             kind = SingleKind.GRANTED if message.is_granted else SingleKind.DENIED
             return _encode_single(latest_latency, kind, message, level, rate)
         case UsageReport(rows):
             return BATCH_HEADER.pack(BATCH_FORMAT, latest_latency, BatchKind.USAGE_REPORT) + b"".join(
-                USAGE_ROW.pack(row.key, row.plan_index, row.unit_steps, row.believed_level) for row in rows
+                USAGE_ROW.pack(row.key, row.plan_index, row.unit_steps, row.last_known_level) for row in rows
             )
         case QuotaLevels(levels):
             return BATCH_HEADER.pack(BATCH_FORMAT, latest_latency, BatchKind.QUOTA_LEVELS) + b"".join(
@@ -221,7 +222,7 @@
 
 
 def decode(payload: bytes) -> Datagram | None:
-    """Decode a datagram; None for what is not of either format."""
+    """Decode a datagram; return None if its format or its length is invalid."""
     if len(payload) < BATCH_HEADER.size:
         return None
     if payload[0] == SINGLE_FORMAT and len(payload) == SINGLE.size:
--- a/elderlock/settings_reader.py
+++ b/elderlock/settings_reader.py
@@ -1,6 +1,7 @@
-"""Reading the settings object, which the simulator's first message and a limiter's configuration file share.
+"""Reads the settings object of the simulator's first message and of a limiter's configuration file.
 
-The keys of the object are fixed outside; this module alone maps them to the names of `elderlock.interface`.
+The keys of the object are part of an external format. Only this module maps them to the names of
+`elderlock.interface`.
 """
 
 from __future__ import annotations
@@ -28,11 +29,11 @@
     Args:
         raw: The object that holds the key.
         name: The key.
-        default: What to return where the key is missing; without one the key is required.
+        default: The result if the key is missing; without a default the key is required.
 
     Raises:
         KeyError: The key is missing and there is no default.
-        ValueError: The value is no number, negative, infinite or not a number at all (NaN).
+        ValueError: The value is not a number, or is negative, infinite or NaN.
     """
     value = raw[name] if default is None else raw.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -56,7 +57,7 @@
 
 
 def read_integer(raw: Any, name: str, default: int | None = None) -> int:
-    """Return the integer under a key, with `default` where it is missing.
+    """Return the integer under a key, or `default` if the key is missing.
 
     Raises:
         KeyError: The key is missing and there is no default.
@@ -70,16 +71,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketSettings:
-    """The part of the settings that concerns connections and the names that are used on them.
+    """The settings of connections, and the names that the protocols use on them.
 
     Attributes:
-        zones: The names of the zones, in the order of their numbers.
-        kinds: The names of the kinds of servers, in the order of their numbers.
-        connect_timeout_ms: How long a connection to a server may take to be established.
-        keepalive_ms: How long a connection may be idle.
-        max_open_requests: How many requests may be open at once.
-        largest_request_units: The most units that one request may cost.
-        longest_deadline_ms: The longest deadline of all classes; infinite where no class has one.
+        zones: The names of the zones, by their index.
+        kinds: The names of the kinds of servers, by their index.
+        connect_timeout_ms: The longest time that establishing a connection to a server may take.
+        keepalive_ms: The longest time for which a connection may be idle.
+        max_open_requests: The maximum number of open requests.
+        largest_request_units: The maximum cost of one request in units.
+        longest_deadline_ms: The longest deadline of all classes; infinite if no class has a deadline.
     """
 
     zones: tuple[str, ...]
@@ -92,11 +93,11 @@
 
 
 def read_socket_settings(facts: Any) -> SocketSettings:
-    """Read what concerns connections; keys that are not known are ignored.
+    """Read the settings of connections; unknown keys are ignored.
 
     Raises:
         KeyError: A required key is missing.
-        ValueError: A value cannot be used.
+        ValueError: A value is invalid.
     """
     limits = facts["policy-limits"]
     return SocketSettings(
@@ -113,12 +114,12 @@
 
 
 def read_settings(facts: Any) -> api.Settings:
-    """Read the settings of the decisions; keys that are not known are ignored.
+    """Read the settings of a limiter; unknown keys are ignored.
 
     Raises:
         KeyError: A required key is missing.
-        ValueError: A value cannot be used.
-        TypeError: A value is of another type.
+        ValueError: A value is invalid.
+        TypeError: A value has the wrong type.
     """
     rules = facts["rules"]
     limits = facts["policy-limits"]
@@ -128,7 +129,7 @@
     limiter_index = read_integer(facts, "ordinal")
     limiter_count = read_integer(facts, "peers-total")
     if limiter_index >= limiter_count:
-        raise ValueError(f"ordinal is {limiter_index} where peers-total is {limiter_count}")
+        raise ValueError(f"ordinal is {limiter_index} where peers-total is {limiter_count}, a lower ordinal is wanted")
     return api.Settings(
         limiter_index=limiter_index,
         limiter_count=limiter_count,
@@ -159,7 +160,7 @@
 def _read_idempotency(raw: Any) -> api.Idempotency:
     name = raw["effect"]
     if name not in IDEMPOTENCY_BY_NAME:
-        raise ValueError(f"effect {name!r} is not known: it is one of {', '.join(IDEMPOTENCY_BY_NAME)}")
+        raise ValueError(f"effect {name!r} is not known, one of {', '.join(IDEMPOTENCY_BY_NAME)} is wanted")
     return IDEMPOTENCY_BY_NAME[name]
 
 
--- a/elderlock/state.py
+++ b/elderlock/state.py
@@ -1,4 +1,4 @@
-"""What a limiter knows of servers, customers and requests: data without decisions."""
+"""The state of a limiter: its servers, customers and requests. This module contains no decisions."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from elderlock import interface as api
 
-NEVER_MS = -1e9  # a time before any other
+NEVER_MS = -1e9  # a time before all others, for events that have not happened
 
 
 class ThrottlePhase(Enum):
-    """The states of the throttle, by their names in ETSI ES 283 039-4."""
+    """The states of the throttle, named as in ETSI ES 283 039-4."""
 
     NOT_OVERLOADED = 1
     OVERLOADED = 2
@@ -22,29 +22,30 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server of the list, and what was seen of it.
+    """A server of the endpoint list, and this limiter's observations of it.
 
     Attributes:
-        entry: The server as the latest list names it.
-        warm_up_budget_at_ms: When the warm-up budget was last refilled.
-        warm_up_budget: The attempts that this limiter may still send while the server warms up.
-        latency_ratio: Its latency over the latency objective, averaged.
-        latency_ratio_at_ms: When the latency ratio was last updated.
-        answered_at_ms: When it last answered.
-        error_fraction: The fraction of its answers that were errors, averaged.
-        error_fraction_at_ms: When the error fraction was last updated.
-        is_draining: Whether the list says that it drains.
+        entry: Its entry in the latest list.
+        warm_up_budget_at_ms: The time at which the warm-up budget was last refilled.
+        warm_up_budget: The number of attempts that this limiter may still send while the server is warming up.
+        latency_ratio: The moving average of its latency as a multiple of the latency objective.
+        latency_ratio_at_ms: The time at which the latency ratio was last updated.
+        answered_at_ms: The time of its last answer.
+        error_fraction: The moving average of the fraction of its answers that were errors.
+        error_fraction_at_ms: The time at which the error fraction was last updated.
+        is_draining: Whether the server takes no new attempts, because it is draining or has left the list.
         is_removed: Whether it has left the list.
-        in_flight: When each attempt without an outcome was sent in ms, by request id and attempt index, oldest first.
-        full_plan_bits: The plans that it answered `FULL`, one bit each.
-        full_at_ms: When it last answered `FULL`.
+        in_flight: The time in ms at which each attempt in flight was sent, by request id and attempt index; the oldest
+            attempt is first.
+        full_plan_bits: The plans that it answered with `FULL`, one bit per plan index.
+        full_at_ms: The time of its last `FULL` answer.
         weight_milli: Its weight in thousandths.
-        consecutive_failures: Failures in a row.
-        consecutive_ejections: Ejections in a row.
-        is_ejected: Whether outlier detection keeps requests away from it.
-        reinstate_at_ms: When an ejected server is reinstated.
+        consecutive_failures: The number of failures in a row.
+        consecutive_ejections: The number of ejections in a row.
+        is_ejected: Whether outlier detection has ejected it.
+        reinstate_at_ms: The time at which an ejected server is reinstated.
         is_on_probation: Whether it was reinstated and has not answered since.
-        awaits_review: Whether it warms up and its weight is to be reviewed soon.
+        awaits_review: Whether it is warming up and has an entry in the review queue.
     """
 
     entry: api.ServerEntry
@@ -69,14 +70,14 @@
     awaits_review: bool = False
 
     def unanswered_ms(self, now_ms: float) -> float:
-        """Return for how long the server has owed an answer without giving any; 0 with no attempt in flight."""
+        """Return the time for which the server has had attempts in flight without answering any; 0 with none."""
         if not self.in_flight:
             return 0.0
         oldest_sent_at_ms = next(iter(self.in_flight.values()))
         return now_ms - max(self.answered_at_ms, oldest_sent_at_ms)
 
     def failure_domains(self) -> tuple[tuple[str, int], ...]:
-        """Return the groups of servers that may fail together with this one."""
+        """Return the failure domains of the server: its zone, its kind and its cell."""
         return ("zone", self.entry.zone), ("kind", self.entry.kind), ("cell", self.entry.cell)
 
 
@@ -85,10 +86,10 @@
     """An attempt of a request at a server.
 
     Attributes:
-        server: Where it was sent.
-        sent_at_ms: When it was sent.
+        server: The server that it was sent to.
+        sent_at_ms: The time at which it was sent.
         has_ended: Whether its outcome is known.
-        may_have_run: Whether the server may have executed it; True until the outcome tells otherwise.
+        may_have_run: Whether the server may have executed it; True until an outcome rules this out.
     """
 
     server: Server
@@ -99,25 +100,25 @@
 
 @dataclass(slots=True)
 class Account:
-    """A customer's quota at this limiter, and what it believes of the quota that all limiters share.
+    """A customer's quota at this limiter, and its estimate of the quota that all limiters share.
 
     Attributes:
-        key: The customer, as a hash of its id.
+        key: A hash of the customer's id.
         plan: The customer's plan.
-        limiter_count: How many limiters serve the customer.
-        first_limiter: The index of the first of them.
-        shared_units: What the shared quota is believed to hold.
-        bucket_units: What this limiter may admit without asking; negative when in debt.
-        ceiling_units: This limiter's part of the hard ceiling.
-        refreshed_at_ms: When the units were last refilled.
-        averaging_ms: The time over which the own rate is averaged.
-        own_rate_per_s: Units per second admitted here, averaged.
-        others_rate_per_s: Units per second admitted by the other limiters, by the latest reading.
-        reading_at_ms: When the owner or the meter last gave the rate of all limiters.
-        sent_at_ms: When a request was last admitted.
-        mean_request_units: Units of a request, averaged.
-        in_flight: Requests that were admitted and are not complete.
-        exhausted_until_ms: Until when requests are over quota, after the owner denied one.
+        limiter_count: The number of limiters that serve the customer.
+        first_limiter: The index of the first of these limiters.
+        shared_units: The estimated units in the shared quota.
+        bucket_units: The units that this limiter may admit without a query; negative when in debt.
+        ceiling_units: The units left in this limiter's part of the hard ceiling.
+        refreshed_at_ms: The time at which the units were last refilled.
+        averaging_ms: The time constant of the average of `own_rate_per_s`.
+        own_rate_per_s: The moving average of the units per second that this limiter admits.
+        others_rate_per_s: The units per second that the other limiters admit, by the latest reading.
+        reading_at_ms: The time of the latest reading; the owner or a server's meter reports the rate of all limiters.
+        sent_at_ms: The time at which a request was last admitted.
+        mean_request_units: The moving average of the units of a request.
+        in_flight: The number of requests that were admitted and are not complete.
+        exhausted_until_ms: The time until which requests count as over quota, after the owner denied one.
     """
 
     key: int
@@ -144,10 +145,10 @@
 
     Attributes:
         plan: The customer's plan.
-        level_units: What the quota holds; negative when in debt.
-        refreshed_at_ms: When it was last refilled.
-        rate_per_s: Units per second that all limiters spend, averaged.
-        granted_at_ms: When the requests that are taken to be in flight were granted.
+        level_units: The units in the quota; negative when in debt.
+        refreshed_at_ms: The time at which it was last refilled.
+        rate_per_s: The moving average of the units per second that all limiters spend.
+        granted_at_ms: The times at which the requests that are assumed to be in flight were granted.
     """
 
     plan: api.Plan
@@ -165,11 +166,11 @@
         arrival: The request as it arrived.
         request_class: Its class.
         account: Its customer's account.
-        arrived_at_ms: When it arrived.
+        arrived_at_ms: The time at which it arrived.
         is_within_quota: Whether it was admitted within its customer's quota.
         attempts: Its attempts, in the order in which they were sent.
         is_answered: Whether it has its final answer.
-        is_streaming: Whether its stream has started, which cannot be taken back.
+        is_streaming: Whether the client has received a part of the stream, after which no retry is possible.
     """
 
     arrival: api.RequestArrived
@@ -183,14 +184,14 @@
 
     def has_attempt_in_flight(self) -> bool:
         """Whether an attempt has no outcome yet."""
-        for attempt in self.attempts:  # noqa: SIM110 - runs at each outcome, and any() costs twice as much
+        for attempt in self.attempts:  # noqa: SIM110 - runs for each outcome, and any() takes twice as long
             if not attempt.has_ended:
                 return True
         return False
 
     def may_have_run(self) -> bool:
-        """Whether an attempt may have been executed by its server."""
-        for attempt in self.attempts:  # noqa: SIM110 - as above
+        """Whether a server may have executed one of the attempts."""
+        for attempt in self.attempts:  # noqa: SIM110 - for the same reason
             if attempt.may_have_run:
                 return True
         return False
--- a/elderlock/structures/__init__.py
+++ b/elderlock/structures/__init__.py
@@ -1,4 +1,4 @@
 """Data structures used by the decisions.
 
-They decide nothing, and an operation costs by what it changes rather than by how much the structure holds.
+They make no decisions. The cost of an operation depends on the size of the change, not on the size of the structure.
 """
--- a/elderlock/structures/candidate_set.py
+++ b/elderlock/structures/candidate_set.py
@@ -7,14 +7,14 @@
 
 
 class CandidateSet:
-    """Weighted servers, indexed by zone and by cell, which a retry may be bound to.
+    """Weighted servers, indexed by zone and by cell, as a retry may be restricted to a zone or a cell.
 
-    Invariant: a server stands in `all`, in its zone and in its cell, or in none of them.
+    Invariant: a server is in `all`, in its zone and in its cell, or in none of them.
 
     Attributes:
         all: All candidates.
         by_zone: The candidates of each zone that has any.
-        by_cell: The candidates of each cell that has any; the dictionary of a cell is an ordered set.
+        by_cell: The candidates of each cell that has any; the dictionary of a cell serves as an ordered set.
     """
 
     def __init__(self) -> None:
@@ -22,17 +22,18 @@
         self.all = WeightedSampler()
         self.by_zone: dict[int, WeightedSampler] = {}
         self.by_cell: dict[int, dict[Server, None]] = {}
-        self._indexed_under: dict[Server, tuple[int, int]] = {}  # zone and cell, which the server's entry may change
+        # The zone and cell under which each server is indexed. They may differ from those of a newer entry.
+        self._location: dict[Server, tuple[int, int]] = {}
 
     def set_weight(self, server: Server, weight: int) -> None:
         """Add a server or change its weight, zone or cell; a weight of 0 removes the server."""
         location = server.entry.zone, server.entry.cell
-        previous = self._indexed_under.get(server)
+        previous = self._location.get(server)
         if previous is not None and (previous != location or not weight):
             self._set_weight_at(server, *previous, 0)
-            del self._indexed_under[server]
+            del self._location[server]
         if weight:
-            self._indexed_under[server] = location
+            self._location[server] = location
             self._set_weight_at(server, *location, weight)
 
     def _set_weight_at(self, server: Server, zone: int, cell: int, weight: int) -> None:
--- a/elderlock/structures/server_directory.py
+++ b/elderlock/structures/server_directory.py
@@ -1,4 +1,4 @@
-"""The servers as the server lists name them, with sums that follow each change of the list."""
+"""The servers of the server lists, with sums of weights that are updated with each list."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from elderlock.interface import ListKind, ServerState
 from elderlock.state import Server
 
-WEIGHT_UNIT_MILLI = 1000  # weight of a server of weight one, in thousandths
+WEIGHT_UNIT_MILLI = 1000  # the weight of a server of weight 1, in thousandths
 
 
 @dataclass(slots=True)
 class DirectoryChanges:
-    """What a server list changed.
+    """The changes that a server list caused. A server whose entry changed may be in both lists.
 
     Attributes:
-        left: Servers that were ready before and are not ready any more, or whose entry changed.
-        joined: Servers that are ready now and were not before, or whose entry changed.
+        left: The servers that were ready before and are no longer ready, or whose entry changed.
+        joined: The servers that are ready now and were not before, or whose entry changed.
     """
 
     left: list[Server] = field(default_factory=list)
@@ -26,11 +26,11 @@
 
 
 class ServerDirectory:
-    """All servers that the lists have named, until they are removed and have no attempt in flight.
+    """All servers of the server lists, until they are removed from the list and have no attempt in flight.
 
-    Invariant: `ready` holds just the servers that the latest list allows new work for; `warming_up` holds those of
-    them that may still be warming up; the weights are the sums over the ready servers and over those that are not in
-    `warming_up`.
+    Invariant: `ready` holds exactly the servers that may get new work by the latest list. `warming_up` holds those of
+    them that may still be warming up. The weights are the sums over the ready servers, and over those of them that are
+    not in `warming_up`.
 
     Attributes:
         servers: All known servers by id.
@@ -51,13 +51,13 @@
         self._removed_ids: set[str] = set()
 
     def apply(self, event: api.ServerList, now_ms: float, rng: random.Random) -> DirectoryChanges:
-        """Take over a server list and return what it changed.
+        """Apply a server list and return the changes.
 
         Args:
             event: The list, either complete or with changes only.
             now_ms: The current time.
-            rng: Draws how full the warm-up budget of each new server starts, so that limiters do not spend their
-                budgets at the same time.
+            rng: The source of the random initial warm-up budget of each new server; it is random so that the limiters
+                do not spend their budgets at the same time.
         """
         changes = DirectoryChanges()
         if event.kind is not ListKind.CHANGES:
@@ -67,7 +67,7 @@
         return changes
 
     def _remove_missing(self, event: api.ServerList, changes: DirectoryChanges) -> None:
-        """Remove the servers that a complete list does not name."""
+        """Remove the servers that are missing from a complete list."""
         listed_ids = {entry.server_id for entry in event.entries}
         missing = [server for server_id, server in self.servers.items() if server_id not in listed_ids]
         for server in missing:
@@ -84,7 +84,7 @@
             return
         server = known or Server(entry, now_ms, rng.random())
         self._leave(server, changes)
-        if server.entry.started_at_ms != entry.started_at_ms:  # a new process, of which nothing is known
+        if server.entry.started_at_ms != entry.started_at_ms:  # a new process, without observations so far
             server.is_draining = True
             server = Server(entry, now_ms, rng.random(), in_flight=server.in_flight)
         server.entry = entry
@@ -111,7 +111,7 @@
         changes.joined.append(server)
 
     def _leave(self, server: Server, changes: DirectoryChanges) -> None:
-        """Take a server out of the ready ones; without effect on one that is not ready."""
+        """Remove a server from the ready servers, if it is one of them."""
         server_id = server.entry.server_id
         if self.ready.pop(server_id, None) is None:
             return
@@ -126,7 +126,7 @@
         self.warm_weight_milli += server.weight_milli
 
     def forget_removed(self) -> None:
-        """Forget the removed servers that have no attempt in flight."""
+        """Delete the removed servers that have no attempt in flight."""
         idle_ids = [server_id for server_id in self._removed_ids if not self.servers[server_id].in_flight]
         for server_id in idle_ids:
             del self.servers[server_id]
--- a/elderlock/structures/timer_queue.py
+++ b/elderlock/structures/timer_queue.py
@@ -1,4 +1,4 @@
-"""Many timers behind the one timer that the I/O layer has to set."""
+"""A queue of timers that needs only one timer of the frontend."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-EARLY_FIRING_MS = 1.0  # event loops round, so that a timer may fire a little before its time
+EARLY_FIRING_MS = 1.0  # a timer may fire this early, as event loops round times
 
 
 @dataclass(slots=True, eq=False)
@@ -14,8 +14,8 @@
     """A scheduled timer.
 
     Attributes:
-        query_id: The query whose answer is awaited; None for periodic maintenance.
-        is_live: False once the timer was cancelled.
+        query_id: The query that times out when the timer fires; None for periodic maintenance.
+        is_live: False after the timer was cancelled.
     """
 
     query_id: int | None
@@ -31,12 +31,12 @@
 
 
 class TimerQueue:
-    """A queue of timers, of which only the earliest live one is set outside.
+    """A queue of timers, of which the frontend has to set only the earliest live one.
 
-    A cancelled timer stays in the heap until it is the earliest, and causes no wake-up. `schedule` costs O(log n).
+    A cancelled timer stays in the heap until it is the earliest one, but causes no wake-up. `schedule` costs O(log n).
 
-    Invariant: after `arm`, the I/O layer was asked for a timer that fires when the earliest live timer is due, or
-    before.
+    Invariant: after `arm` and the setting of the timer that it returns, the frontend has a timer that fires when the
+    earliest live timer is due or before.
 
     Attributes:
         heap: The scheduled timers as a binary heap, cancelled ones included.
@@ -50,7 +50,7 @@
         self._armed_at_ms = float("inf")
 
     def schedule(self, due_at_ms: float, query_id: int | None) -> Timer:
-        """Add a timer for `query_id` that is due at `due_at_ms`."""
+        """Add a timer that is due at `due_at_ms`; `query_id` is that of `Timer`."""
         self._last_number += 1
         timer = Timer(query_id)
         heapq.heappush(self.heap, _ScheduledTimer(due_at_ms, self._last_number, timer))
@@ -60,7 +60,7 @@
         """Remove and return the live timers that are due, the earliest first.
 
         Args:
-            token: The token of the timer that fired; the result is empty if `arm` has replaced that timer since.
+            token: The token of the timer that fired; the result is empty if `arm` has replaced this timer.
             now_ms: The current time.
         """
         if token != self._armed_token:
@@ -75,10 +75,10 @@
         return due
 
     def arm(self, now_ms: float) -> tuple[float, int] | None:
-        """Return the delay (ms) and the token of the timer to set now.
+        """Determine the timer that the frontend has to set now.
 
         Returns:
-            None where no live timer is left, or where the one that is set already fires early enough.
+            The timer's delay in ms and its token; None if no live timer is left or the current one fires early enough.
         """
         heap = self.heap
         while heap and not heap[0].timer.is_live:
--- a/elderlock/structures/weighted_sampler.py
+++ b/elderlock/structures/weighted_sampler.py
@@ -1,4 +1,4 @@
-"""Random sampling in proportion to weights that change one at a time."""
+"""Random sampling in proportion to weights that can be changed one at a time."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 
 class WeightedSampler:
-    """A dynamic discrete distribution: constant cost of a change and of a sample, whatever the number of members.
+    """A dynamic discrete distribution, in which the cost of a change or a sample does not grow with the members.
 
     After Matias, Vitter and Ni, "Dynamic Generation of Discrete Random Variates" (2003): members are grouped into
-    levels by the power of two above their weight. A sample picks a level by its total weight, then members of the
-    level uniformly until one is accepted, with the probability of its weight over the power. As each weight is at least
-    half of the power, this takes two tries on average at most. Weights are integers, so that the sums never drift.
+    levels by the next power of two above their weight. A sample chooses a level with the probability of its total
+    weight. It then draws members of the level uniformly until one is accepted, with the probability of its weight
+    divided by the power of two. Each weight is at least half of the power, so this takes at most two tries on average.
+    Weights are integers, so the sums have no rounding errors.
 
-    Invariant: a member stands in one level once, and `total_weight` is the sum of all weights.
+    Invariant: a member is in exactly one level, and `total_weight` is the sum of all weights.
 
     Attributes:
         total_weight: The sum of all weights.
@@ -36,7 +37,7 @@
         """Create an empty sampler."""
         self.total_weight = 0
         self._levels: dict[int, _Level] = {}  # by the number of bits of the weights
-        self._positions: dict[Server, tuple[int, int]] = {}  # level and index in it
+        self._positions: dict[Server, tuple[int, int]] = {}  # the level of each member and its index in the level
 
     def __len__(self) -> int:
         return len(self._positions)
@@ -49,7 +50,7 @@
         return list(self._positions)
 
     def weight(self, server: Server) -> int:
-        """Return the weight of a server; 0 if it is no member."""
+        """Return the weight of a server; 0 if it is not a member."""
         position = self._positions.get(server)
         if position is None:
             return 0
@@ -95,7 +96,7 @@
             del self._levels[bit_count]
 
     def sample(self, rng: random.Random) -> Server:
-        """Return one member with the probability of its weight over the total; there must be a member."""
+        """Return a random member, each with a probability in proportion to its weight; there must be a member."""
         remainder = rng.random() * self.total_weight
         for bit_count, level in self._levels.items():
             weight_limit = 1 << bit_count
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -105,7 +105,7 @@
                 endpoints.servers[name], 8, endpoints.directory.total_weight_milli
             )
         endpoints.usable_count_by_rank[0] -= 1
-        endpoints.reposition(endpoints.servers[name])
+        endpoints.update_candidate(endpoints.servers[name])
     assert len(endpoints.outlier_detector.ejected) == 4 and len(endpoints.candidates.all) == 4
     limiter_gateway.apply_list(*(server_entry(n, state=ServerState.REMOVED) for n in "efg"), kind=ListKind.CHANGES)
     assert len(endpoints.outlier_detector.ejected) == 2 and len(endpoints.candidates.all) == 3
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -51,7 +51,7 @@
         (retry_policy, "UNEXECUTED_RETRY_COST", 0.5),
         (quotas, "CEILING_SLACK_FRACTION", 0.7),
         (quotas, "RATE_AVERAGING_SENDS", 5.0),
-        (usage_reports, "COMFORTABLE_BURST_FRACTION", 0.6),
+        (usage_reports, "FAR_FROM_QUOTA_BURST_FRACTION", 0.6),
         (choice, "FAULT_COST_FACTOR", 7.0),
         (throttle, "MIN_RATE_FACTOR", 0.7),
         (load, "PADDING_SAMPLES", 3),
