--- a/tests/decisions/test_endpoints.py
+++ b/tests/decisions/test_endpoints.py
@@ -1,10 +1,9 @@
-"""The candidates after any order of lists, attempts and time: just those that the rules allow."""
+"""After any sequence of lists, attempts and waits, the candidates are exactly those that the rules allow."""
 
 from collections import Counter
 from dataclasses import replace
 
-from helpers import LimiterHarness, start_harness
-from helpers import limiter_settings as limiter_settings
+from helpers import LimiterHarness, limiter_settings, start_harness
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -30,24 +29,24 @@
 
 
 class EndpointsMachine(RuleBasedStateMachine):
-    """Plays lists, requests, outcomes and waits in any order, and checks the candidates and the sums after each."""
+    """Runs lists, requests, outcomes and waits in any order, and checks the candidates and the sums after each step."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.gateway: LimiterHarness | None = None
+        self.harness: LimiterHarness | None = None
 
-    def start(self, subset: int, limiters: int) -> LimiterHarness:
-        config = replace(
-            limiter_settings(limiter_count=limiters, can_message_peers=False),
-            routing=Routing(subset_size=subset, cross_zone_penalty=0.1),
+    def start(self, subset_size: int, limiter_count: int) -> LimiterHarness:
+        settings_with_routing = replace(
+            limiter_settings(limiter_count=limiter_count, can_message_peers=False),
+            routing=Routing(subset_size=subset_size, cross_zone_penalty=0.1),
         )
-        self.gateway = start_harness(config, server_ids="")
-        return self.gateway
+        self.harness = start_harness(settings_with_routing, server_ids="")
+        return self.harness
 
-    @rule(subset=st.sampled_from([0, 0, 4, 9]), limiters=st.integers(1, 9))
-    def start_once(self, subset: int, limiters: int) -> None:
-        if self.gateway is None:
-            self.start(subset, limiters)
+    @rule(subset_size=st.sampled_from([0, 0, 4, 9]), limiter_count=st.integers(1, 9))
+    def start_once(self, subset_size: int, limiter_count: int) -> None:
+        if self.harness is None:
+            self.start(subset_size, limiter_count)
 
     @rule(
         rows=st.lists(
@@ -62,40 +61,47 @@
         is_complete=st.booleans(),
     )
     def apply_list(self, rows: list[tuple[int, ServerState, int, float, float]], is_complete: bool) -> None:
-        limiter_gateway = self.gateway or self.start(0, 3)
+        harness = self.harness or self.start(0, 3)
         entries = tuple(
-            api.ServerEntry(SERVER_IDS[n], zone, 0, n // 4, state, weight, limiter_gateway.now_ms + at if at else 0.0)
-            for n, state, zone, at, weight in {row[0]: row for row in rows}.values()
+            api.ServerEntry(
+                SERVER_IDS[n],
+                zone,
+                0,
+                n // 4,
+                state,
+                weight,
+                harness.now_ms + start_offset_ms if start_offset_ms else 0.0,
+            )
+            for n, state, zone, start_offset_ms, weight in {row[0]: row for row in rows}.values()
         )
-        limiter_gateway.apply_list(*entries, kind=ListKind.COMPLETE if is_complete else ListKind.CHANGES)
+        harness.apply_list(*entries, kind=ListKind.COMPLETE if is_complete else ListKind.CHANGES)
 
-    @rule(count=st.integers(1, 20), kind=st.sampled_from([0, 0, 1, 2]))
-    def send_requests(self, count: int, kind: int) -> None:
-        limiter_gateway = self.gateway or self.start(0, 3)
+    @rule(count=st.integers(1, 20), class_index=st.sampled_from([0, 0, 1, 2]))
+    def send_requests(self, count: int, class_index: int) -> None:
+        harness = self.harness or self.start(0, 3)
         for _ in range(count):
-            name = limiter_gateway.send_request(customer_id=f"c{limiter_gateway.request_count}", class_index=kind)
-            for server in limiter_gateway.attempted_servers(name)[
-                :1
-            ]:  # the first attempt goes to a server that may be selected
-                ready_server = limiter_gateway.limiter.endpoints.directory.ready[server]
-                assert limiter_gateway.limiter.endpoints.subsetting.includes(server) and not ready_server.is_ejected
+            request_id = harness.send_request(customer_id=f"c{harness.request_count}", class_index=class_index)
+            # The first attempt goes to a server that may be selected.
+            for server_id in harness.attempted_servers(request_id)[:1]:
+                ready_server = harness.limiter.endpoints.directory.ready[server_id]
+                assert harness.limiter.endpoints.subsetting.includes(server_id) and not ready_server.is_ejected
 
     @rule(outcome=OUTCOMES, count=st.integers(1, 20))
     def end_attempts(self, outcome: Outcome, count: int) -> None:
-        for name, _, _ in list((self.gateway or self.start(0, 3)).attempts_in_flight)[:count]:
-            assert self.gateway is not None
-            self.gateway.end_attempt(name, outcome)
+        for request_id, _, _ in list((self.harness or self.start(0, 3)).attempts_in_flight)[:count]:
+            assert self.harness is not None
+            self.harness.end_attempt(request_id, outcome)
 
-    @rule(wait=st.sampled_from([5.0, 60.0, 900.0, 5000.0]))
-    def wait(self, wait: float) -> None:
-        limiter_gateway = self.gateway or self.start(0, 3)
-        limiter_gateway.run_until(limiter_gateway.now_ms + wait)
+    @rule(duration_ms=st.sampled_from([5.0, 60.0, 900.0, 5000.0]))
+    def wait(self, duration_ms: float) -> None:
+        harness = self.harness or self.start(0, 3)
+        harness.run_until(harness.now_ms + duration_ms)
 
     @invariant()
     def candidates_are_those_that_the_rules_allow(self) -> None:
-        if self.gateway is None:
+        if self.harness is None:
             return
-        endpoints = self.gateway.limiter.endpoints
+        endpoints = self.harness.limiter.endpoints
         directory = endpoints.directory
         for server in directory.servers.values():
             is_selectable = server in endpoints.candidates.all
@@ -111,16 +117,20 @@
                 ), server
         selectable = set(endpoints.candidates.all.members())
         assert selectable <= set(directory.ready.values())
-        assert {s for zone in endpoints.candidates.by_zone.values() for s in zone.members()} == selectable
-        assert {s for cell in endpoints.candidates.by_cell.values() for s in cell} == selectable
+        assert {server for zone in endpoints.candidates.by_zone.values() for server in zone.members()} == selectable
+        assert {server for cell in endpoints.candidates.by_cell.values() for server in cell} == selectable
         detector = endpoints.outlier_detector
-        assert set(detector.ejected) == {s for s in directory.ready.values() if s.is_ejected}
+        assert set(detector.ejected) == {server for server in directory.ready.values() if server.is_ejected}
         assert (
             detector.ejected_weight_milli
-            == sum(s.weight_milli for s in detector.ejected)
+            == sum(server.weight_milli for server in detector.ejected)
             <= MAX_EJECTED_WEIGHT_FRACTION * directory.total_weight_milli
         )
-        ranks = Counter(endpoints.subsetting.ranking.rank(n) for n, s in directory.ready.items() if not s.is_ejected)
+        ranks = Counter(
+            endpoints.subsetting.ranking.rank(server_id)
+            for server_id, server in directory.ready.items()
+            if not server.is_ejected
+        )
         assert endpoints.usable_count_by_rank == [
             ranks[rank] for rank in range(endpoints.context.settings.limiter_count)
         ]
--- a/tests/decisions/test_maintenance.py
+++ b/tests/decisions/test_maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic work: throttling, freshness of the server list, forgetting."""
+"""The periodic work: throttling, the refresh of the server list and the removal of old state."""
 
 from itertools import pairwise
 
@@ -14,20 +14,21 @@
     for _ in range(120):
         harness.end_attempt(harness.send_request(customer_id=f"c{harness.request_count}"), duration_ms=900.0)
         harness.run_until(harness.now_ms + 25.0)
-    assert all(at >= 2000.0 for at, a in harness.other_actions if isinstance(a, api.Log))  # what is borne is seen first
-    assert any(isinstance(a, api.Log) for _, a in harness.other_actions)
+    log_times_ms = [at for at, action in harness.other_actions if isinstance(action, api.Log)]
+    assert all(at >= 2000.0 for at in log_times_ms)  # throttling starts only after the rate of answers is known
+    assert log_times_ms
     for _ in range(1200):
-        name = harness.send_request(customer_id=f"c{harness.request_count}")
-        if harness.attempted_servers(name):
-            harness.end_attempt(name, duration_ms=50.0)
+        request_id = harness.send_request(customer_id=f"c{harness.request_count}")
+        if harness.attempted_servers(request_id):
+            harness.end_attempt(request_id, duration_ms=50.0)
         harness.run_until(harness.now_ms + 25.0)
     assert harness.limiter.throttle.phase is ThrottlePhase.NOT_OVERLOADED
-    logs = [a.text for _, a in harness.other_actions if isinstance(a, api.Log)]
+    logs = [action.text for _, action in harness.other_actions if isinstance(action, api.Log)]
     assert logs[0].startswith("throttling starts") and logs[-1].startswith("throttling ends")
 
 
-def test_all_that_is_over_is_forgotten() -> None:
-    """On a day without end each of these would fill the memory."""
+def test_the_state_of_completed_work_is_removed() -> None:
+    """Otherwise the memory of a limiter that runs for a long time would grow without bound."""
     harness = start_harness(limiter_settings(can_message_peers=True))
     for _ in range(3000):
         harness.end_attempt(harness.send_request(customer_id=f"c{harness.request_count}", limiter_count=3))
@@ -51,18 +52,18 @@
     assert len(limiter.context.timers.heap) == 1
 
 
-def test_the_server_list_is_asked_for_again_before_it_is_stale() -> None:
+def test_the_server_list_is_requested_again_before_it_is_stale() -> None:
     harness = start_harness(limiter_settings(subscribes_to_list=True))
     harness.run_until(20000.0)
-    asked = [at for at, a in harness.other_actions if isinstance(a, api.Subscribe)]
-    fetched = [at for at, a in harness.other_actions if isinstance(a, api.FetchServerList)]
-    assert asked[0] == 0.0
-    assert fetched and max(b - a for a, b in pairwise(fetched)) < 8000.0
+    subscribed_at = [at for at, action in harness.other_actions if isinstance(action, api.Subscribe)]
+    fetched_at = [at for at, action in harness.other_actions if isinstance(action, api.FetchServerList)]
+    assert subscribed_at[0] == 0.0
+    assert fetched_at and max(later - earlier for earlier, later in pairwise(fetched_at)) < 8000.0
     harness.handle(api.ServerList(2, ListKind.REFUSED))
     assert harness.attempted_servers(harness.send_request())
 
 
-def test_throttling_ends_although_few_answers_come() -> None:
+def test_throttling_ends_even_with_few_answers() -> None:
     harness = start_harness(limiter_settings(limiter_count=400))
     harness.run_until(1500.0)
     for _ in range(12):
@@ -77,7 +78,7 @@
     assert harness.limiter.throttle.phase is ThrottlePhase.NOT_OVERLOADED
 
 
-def test_the_leak_rate_stays_near_the_rate_answered_in_time() -> None:
+def test_the_minimum_leak_rate_stays_near_the_rate_of_timely_answers() -> None:
     harness = start_harness()
     for _ in range(400):
         harness.end_attempt(harness.send_request(customer_id=f"c{harness.request_count}"), duration_ms=50.0)
--- a/tests/decisions/test_routing_at_scale.py
+++ b/tests/decisions/test_routing_at_scale.py
@@ -1,18 +1,17 @@
-"""Routing over a simulated tier of many limiters and servers: shares, faults, zones and the cost of a selection."""
+"""Routing in a simulation of many limiters and servers: shares, faults, zones and the cost of a selection."""
 
 import pytest
-from helpers import limiter_settings as limiter_settings
-from helpers import server_entry, start_harness
+from helpers import limiter_settings, server_entry, start_harness
 
 from elderlock import interface as api
-from elderlock.decisions import server_selection as server_selection
+from elderlock.decisions import server_selection
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome, Routing
 from elderlock.standins.tier import Size, Tier
 
 
-def warmed_up_tier(size: Size, seed: int = 1, warm: float = 2000.0) -> Tier:
-    tier = Tier(size, seed).play(warm)
+def warmed_up_tier(size: Size, seed: int = 1, warm_up_ms: float = 2000.0) -> Tier:
+    tier = Tier(size, seed).play(warm_up_ms)
     tier.count_anew()
     return tier
 
@@ -33,48 +32,49 @@
     assert tier.served() > 0.99
 
 
-def test_a_zone_that_is_lost_and_restarts_stays_within_its_warm_up_budget() -> None:
+def test_a_zone_that_fails_and_restarts_stays_within_its_warm_up_budget() -> None:
     tier = warmed_up_tier(Size(limiters=3, boxes=60, load=0.5), seed=2)
-    lost = [server for server in tier.boxes.values() if server.zone == 1]
-    for server in lost:
+    failed_servers = [server for server in tier.boxes.values() if server.zone == 1]
+    for server in failed_servers:
         server.silent = True
     tier.play(4000.0)
     assert tier.served() > 0.98
-    tried = sum(tier.sends[server.uid] for server in lost)
-    assert tried < 0.05 * sum(tier.sends.values())
-    for server in lost:
+    attempts_at_failed = sum(tier.sends[server.uid] for server in failed_servers)
+    assert attempts_at_failed < 0.05 * sum(tier.sends.values())
+    for server in failed_servers:
         server.restart()
-    tier.tell_all(lost)
+    tier.tell_all(failed_servers)
     tier.count_anew()
     tier.play(4000.0)
     assert tier.served() > 0.97
-    assert 0.0 < tier.cold_excess() <= 1.0  # of the warm-up budget
-    assert sum(tier.sends[server.uid] for server in lost) > 0.05 * sum(tier.sends.values())  # and they take work again
+    assert 0.0 < tier.cold_excess() <= 1.0  # as a fraction of the warm-up budget
+    attempts_at_restarted = sum(tier.sends[server.uid] for server in failed_servers)
+    assert attempts_at_restarted > 0.05 * sum(tier.sends.values())  # the servers get work again
 
 
 def test_a_list_may_replace_half_of_the_servers_at_once() -> None:
     tier = warmed_up_tier(Size(limiters=3, boxes=60, load=0.4), seed=3)
     tier.replace(list(tier.boxes)[::2])
-    for number in range(3):
-        tier.tell(number)
+    for limiter_index in range(3):
+        tier.tell(limiter_index)
     tier.count_anew()
     tier.play(4000.0)
-    assert set(tier.sends) <= set(tier.boxes), "sent to one that the list no longer names"
+    assert set(tier.sends) <= set(tier.boxes), "an attempt was sent to a server that is no longer in the list"
     assert tier.cold_excess() <= 1.0 and tier.served() > 0.85
 
 
 def test_false_load_reports_change_nothing() -> None:
-    """The queue lengths that servers report are not read: see docs/design/decisions.md."""
+    """Limiters do not read the queue lengths that servers report; see docs/design/decisions.md."""
     sends = []
-    for lies in (False, True):
+    for reports_falsely in (False, True):
         tier = Tier(Size(limiters=3, boxes=20, load=0.8), 4)
         for server in list(tier.boxes.values())[::4]:
-            server.lies = lies
+            server.lies = reports_falsely
         sends.append(tier.play(1500.0).sends)
     assert sends[0] == sends[1]
 
 
-def test_limiters_that_start_on_the_same_list_do_not_herd() -> None:
+def test_limiters_that_start_with_the_same_list_do_not_choose_the_same_servers() -> None:
     tier = Tier(Size(limiters=30, boxes=120, load=0.7), 5).play(150.0)
     mean = sum(tier.sends.values()) / 120
     assert mean > 2 and max(tier.sends.values()) < 5 * mean
@@ -90,7 +90,7 @@
     assert away_fractions[0] < 0.02 and away_fractions[0] <= away_fractions[1] < away_fractions[2] < 0.6
 
 
-def test_requests_leave_an_own_zone_that_is_lost() -> None:
+def test_requests_leave_the_own_zone_when_it_fails() -> None:
     tier = warmed_up_tier(Size(limiters=3, boxes=60, load=0.4, routing=Routing(cross_zone_penalty=0.3)), seed=6)
     for server in tier.boxes.values():
         server.silent = server.zone == 0
@@ -103,11 +103,11 @@
 class CountingSelector(server_selection.ServerSelector):
     """Counts the servers whose cost is computed."""
 
-    seen = 0
+    cost_count = 0
 
-    def cost(self, server, request, tried, least=0.0):  # type: ignore[no-untyped-def]
-        CountingSelector.seen += 1
-        return super().cost(server, request, tried, least)
+    def cost(self, server, request, tried_ids, least_cost=0.0):  # type: ignore[no-untyped-def]
+        CountingSelector.cost_count += 1
+        return super().cost(server, request, tried_ids, least_cost)
 
 
 def limiter_with_servers(server_count: int) -> Limiter:
@@ -118,36 +118,34 @@
 
 
 @pytest.mark.parametrize("server_count", [100, 1000, 5000])
-def test_a_selection_compares_as_many_of_thousands_of_servers_as_of_a_hundred(server_count: int) -> None:
+def test_a_selection_compares_the_same_number_of_servers_in_a_list_of_any_size(server_count: int) -> None:
     limiter = limiter_with_servers(server_count)
     limiter.attempts.server_selector = CountingSelector(limiter.context, limiter.endpoints)
-    CountingSelector.seen = 0
+    CountingSelector.cost_count = 0
     for n in range(50):
         limiter.handle(api.RequestArrived(f"r{n}", 0, 0, f"c{n}", 1.0, 900.0, 1, 0), 100.0)
-    assert CountingSelector.seen == 50 * server_selection.SAMPLE_COUNT
+    assert CountingSelector.cost_count == 50 * server_selection.SAMPLE_COUNT
 
 
-def test_two_thousand_requests_that_time_out_at_once_get_one_answer_each() -> None:
-    limiter_gateway = start_harness(
-        limiter_settings(limiter_count=1), server_ids="".join(chr(0x4E00 + n) for n in range(1500))
-    )
-    limiter_gateway.limiter.attempts.retry_policy.retry_budget = 0.0
-    names = [limiter_gateway.send_request(customer_id=f"c{n}") for n in range(2000)]
-    assert sum(bool(limiter_gateway.attempted_servers(name)) for name in names) == 2000
-    limiter_gateway.run_until(limiter_gateway.now_ms + 1100.0)
-    assert all(len(limiter_gateway.final_answers[name]) == 1 for name in names)
-    assert limiter_gateway.limiter.load_estimator.in_flight == 0 and not limiter_gateway.limiter.requests
-    assert not any(server.in_flight for server in limiter_gateway.limiter.endpoints.servers.values())
+def test_two_thousand_requests_that_time_out_together_get_one_answer_each() -> None:
+    harness = start_harness(limiter_settings(limiter_count=1), server_ids="".join(chr(0x4E00 + n) for n in range(1500)))
+    harness.limiter.attempts.retry_policy.retry_budget = 0.0
+    request_ids = [harness.send_request(customer_id=f"c{n}") for n in range(2000)]
+    assert sum(bool(harness.attempted_servers(request_id)) for request_id in request_ids) == 2000
+    harness.run_until(harness.now_ms + 1100.0)
+    assert all(len(harness.final_answers[request_id]) == 1 for request_id in request_ids)
+    assert harness.limiter.load_estimator.in_flight == 0 and not harness.limiter.requests
+    assert not any(server.in_flight for server in harness.limiter.endpoints.servers.values())
 
 
-def test_idle_accounts_are_forgotten_and_a_busy_one_is_not() -> None:
+def test_idle_accounts_are_removed_and_a_busy_one_is_not() -> None:
     limiter, now = limiter_with_servers(4), 0.0
 
-    def send_request(name: str, customer: str) -> None:
-        arrived = api.RequestArrived(name, 0, 0, customer, 1.0, now + 900.0, 1, 0)
-        sent = [a.server_id for a in limiter.handle(arrived, now) if isinstance(a, api.SendAttempt)]
-        for server_id in sent:
-            limiter.handle(api.AttemptEnded(name, 0, server_id, Outcome.OK, 5.0, True), now)
+    def send_request(request_id: str, customer: str) -> None:
+        arrival = api.RequestArrived(request_id, 0, 0, customer, 1.0, now + 900.0, 1, 0)
+        actions = limiter.handle(arrival, now)
+        for server_id in [action.server_id for action in actions if isinstance(action, api.SendAttempt)]:
+            limiter.handle(api.AttemptEnded(request_id, 0, server_id, Outcome.OK, 5.0, True), now)
 
     for n in range(20_000):
         now += 0.5
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,5 +1,5 @@
-"""The warm-up budget: what many limiters send together to one server that warms up stays within what the settings
-allow, also when work comes after a pause, or to limiters that have all just started."""
+"""The warm-up budget: the attempts of many limiters together to one server that is warming up stay within the budget
+of the settings, also when traffic resumes after a pause or when all limiters have just started."""
 
 import heapq
 import random
@@ -14,26 +14,26 @@
 from elderlock.decisions.limiter import Limiter
 
 WARM_SERVER_COUNT = 9
-REQUESTS_PER_S = 100.0  # over all limiters, at usual times
+REQUESTS_PER_S = 100.0  # the normal rate over all limiters
 STEP_MS = 10.0
 ANSWER_MS = 50.0
-STARTED_AT_MS = 12_000.0  # of the server that warms up; by then the limiters have seen what warm servers carry
+STARTED_AT_MS = 12_000.0  # the start of the new server; by then the limiters know the answer rate of warm servers
 WARM_UP_RULES = replace(RULES, warm_up_ms=17_000.0)
 UNLIMITED_PLAN = api.Plan("open", rate_per_s=1e6, burst_units=1e6)
 
 
 class Fleet:
-    """Limiters on one clock, each with its own traffic.
+    """Limiters on one simulated clock, each with its own traffic.
 
     Attributes:
-        sent_at_ms: The times at which the server that warms up got an attempt.
+        sent_at_ms: The times at which an attempt was sent to the new server, which is warming up.
     """
 
-    def __init__(self, limiters: int, peers: bool, seed: int) -> None:
+    def __init__(self, limiter_count: int, can_message_peers: bool, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.now = 0.0
+        self.now_ms = 0.0
         self.settings = replace(
-            limiter_settings(limiter_count=limiters, can_message_peers=peers),
+            limiter_settings(limiter_count=limiter_count, can_message_peers=can_message_peers),
             plans=(UNLIMITED_PLAN,),
             rules=WARM_UP_RULES,
         )
@@ -43,55 +43,55 @@
         self.restart()
 
     def restart(self) -> None:
-        self.limiters = [self.start_limiter(number) for number in range(self.settings.limiter_count)]
-        self.seen_counts = [0] * len(self.limiters)
+        self.limiters = [self.start_limiter(limiter_index) for limiter_index in range(self.settings.limiter_count)]
+        self.recorded_counts = [0] * len(self.limiters)
         self.answers_due: list[tuple[float, int, str]] = []
         self.apply_list(self.entries)
 
-    def start_limiter(self, number: int) -> LimiterHarness:
-        limiter = Limiter(replace(self.settings, limiter_index=number), self.rng.getrandbits(32), self.now)
-        limiter_gateway = LimiterHarness(limiter, now_ms=self.now)
-        limiter_gateway.carry_out(limiter.start(self.now))
-        return limiter_gateway
+    def start_limiter(self, limiter_index: int) -> LimiterHarness:
+        limiter = Limiter(replace(self.settings, limiter_index=limiter_index), self.rng.getrandbits(32), self.now_ms)
+        harness = LimiterHarness(limiter, now_ms=self.now_ms)
+        harness.carry_out(limiter.start(self.now_ms))
+        return harness
 
     def apply_list(self, entries: list[api.ServerEntry]) -> None:
         self.entries = entries
         for limiter in self.limiters:
-            limiter.run_until(self.now)
+            limiter.run_until(self.now_ms)
             limiter.apply_list(*entries)
 
-    def play(self, until: float, rate: Callable[[float], float]) -> None:
-        """Play until `until`, with `rate(now)` requests per second over all limiters."""
-        while self.now < until:
-            self.now += STEP_MS
-            while self.answers_due and self.answers_due[0][0] <= self.now:
-                _, number, name = heapq.heappop(self.answers_due)
-                self.limiters[number].run_until(self.now)
-                self.limiters[number].end_attempt(name, duration_ms=ANSWER_MS)
-                self.record_sends(number)
-            for number, limiter in enumerate(self.limiters):
-                limiter.run_until(self.now)
-                if self.rng.random() < rate(self.now) / len(self.limiters) * STEP_MS / 1000.0:
+    def run_until(self, until_ms: float, rate_per_s: Callable[[float], float]) -> None:
+        """Run until `until_ms`, with `rate_per_s(now_ms)` requests per second over all limiters."""
+        while self.now_ms < until_ms:
+            self.now_ms += STEP_MS
+            while self.answers_due and self.answers_due[0][0] <= self.now_ms:
+                _, limiter_index, request_id = heapq.heappop(self.answers_due)
+                self.limiters[limiter_index].run_until(self.now_ms)
+                self.limiters[limiter_index].end_attempt(request_id, duration_ms=ANSWER_MS)
+                self.record_sends(limiter_index)
+            for limiter_index, limiter in enumerate(self.limiters):
+                limiter.run_until(self.now_ms)
+                if self.rng.random() < rate_per_s(self.now_ms) / len(self.limiters) * STEP_MS / 1000.0:
                     limiter.send_request(customer_id=f"c{self.rng.randrange(50)}")
-                self.record_sends(number)
+                self.record_sends(limiter_index)
 
-    def record_sends(self, number: int) -> None:
-        sent = self.limiters[number].sent_attempts
-        for at, send in sent[self.seen_counts[number] :]:
+    def record_sends(self, limiter_index: int) -> None:
+        sent = self.limiters[limiter_index].sent_attempts
+        for at, send in sent[self.recorded_counts[limiter_index] :]:
             if send.server_id == "new":
                 self.sent_at_ms.append(at)
-            heapq.heappush(self.answers_due, (self.now + ANSWER_MS, number, send.request_id))
-        self.seen_counts[number] = len(sent)
+            heapq.heappush(self.answers_due, (self.now_ms + ANSWER_MS, limiter_index, send.request_id))
+        self.recorded_counts[limiter_index] = len(sent)
 
     def budget(self, at: float) -> float:
-        """Return the attempts that the settings allow to the new server in the window that ends at `at`."""
-        warm_up_fraction = min(1.0, (at - STARTED_AT_MS) / WARM_UP_RULES.warm_up_ms)
-        share = (
-            WARM_UP_RULES.warm_up_initial_fraction + (1.0 - WARM_UP_RULES.warm_up_initial_fraction) * warm_up_fraction
+        """Return the limiter_index of attempts that the settings allow for the new server in the window that ends at `at`."""
+        elapsed_fraction = min(1.0, (at - STARTED_AT_MS) / WARM_UP_RULES.warm_up_ms)
+        capacity_fraction = (
+            WARM_UP_RULES.warm_up_initial_fraction + (1.0 - WARM_UP_RULES.warm_up_initial_fraction) * elapsed_fraction
         )
         return (
             WARM_UP_RULES.overload_multiple
-            * share
+            * capacity_fraction
             * REQUESTS_PER_S
             / WARM_SERVER_COUNT
             * WARM_UP_RULES.overload_window_ms
@@ -99,7 +99,7 @@
         )
 
     def windows_over_budget(self) -> list[tuple[float, int, float]]:
-        """Return the windows in which more was sent than the budget and what chance may add."""
+        """Return the windows with more attempts than the budget and a margin for random variation."""
         first = 0
         over_budget = []
         for last, at in enumerate(self.sent_at_ms):
@@ -115,48 +115,53 @@
     return [*entries, server_entry("new", 1, RUNNING, STARTED_AT_MS)]
 
 
-@pytest.mark.parametrize("peers", [True, False])
-@pytest.mark.parametrize("limiters", [30, 150])
-def test_budgets_saved_up_in_a_pause_are_not_all_spent_at_once(limiters: int, peers: bool) -> None:
-    fleet = Fleet(limiters, peers, limiters)
-    fleet.play(STARTED_AT_MS, lambda now: REQUESTS_PER_S)
+@pytest.mark.parametrize("can_message_peers", [True, False])
+@pytest.mark.parametrize("limiter_count", [30, 150])
+def test_budgets_saved_up_in_a_pause_are_not_all_spent_at_once(limiter_count: int, can_message_peers: bool) -> None:
+    fleet = Fleet(limiter_count, can_message_peers, limiter_count)
+    fleet.run_until(STARTED_AT_MS, lambda now_ms: REQUESTS_PER_S)
     fleet.apply_list(with_new_server(*fleet.entries))
-    fleet.play(STARTED_AT_MS + 14_000.0, lambda now: 0.3 * REQUESTS_PER_S)
-    fleet.apply_list([replace(one, state=api.ServerState.DRAINING) for one in fleet.entries[:-1]] + fleet.entries[-1:])
-    fleet.play(fleet.now + 1_500.0, lambda now: 5.0 * REQUESTS_PER_S)
+    fleet.run_until(STARTED_AT_MS + 14_000.0, lambda now_ms: 0.3 * REQUESTS_PER_S)
+    fleet.apply_list(
+        [replace(entry, state=api.ServerState.DRAINING) for entry in fleet.entries[:-1]] + fleet.entries[-1:]
+    )
+    fleet.run_until(fleet.now_ms + 1_500.0, lambda now_ms: 5.0 * REQUESTS_PER_S)
     assert fleet.windows_over_budget() == []
-    assert fleet.sent_at_ms  # the server is used nevertheless
+    assert fleet.sent_at_ms  # the server is used
 
 
-@pytest.mark.parametrize("peers", [True, False])
-def test_limiters_that_all_restart_stay_within_the_budget(peers: bool) -> None:
-    fleet = Fleet(30, peers, 7)
-    fleet.play(STARTED_AT_MS, lambda now: REQUESTS_PER_S)
+@pytest.mark.parametrize("can_message_peers", [True, False])
+def test_limiters_that_all_restart_stay_within_the_budget(can_message_peers: bool) -> None:
+    fleet = Fleet(30, can_message_peers, 7)
+    fleet.run_until(STARTED_AT_MS, lambda now_ms: REQUESTS_PER_S)
     fleet.apply_list(with_new_server(*fleet.entries))
-    fleet.play(STARTED_AT_MS + 3_000.0, lambda now: REQUESTS_PER_S)
+    fleet.run_until(STARTED_AT_MS + 3_000.0, lambda now_ms: REQUESTS_PER_S)
     for _ in range(3):
         fleet.restart()
-        fleet.play(fleet.now + 700.0, lambda now: 4.0 * REQUESTS_PER_S)
+        fleet.run_until(fleet.now_ms + 700.0, lambda now_ms: 4.0 * REQUESTS_PER_S)
     assert fleet.windows_over_budget() == []
 
 
-def test_few_limiters_use_a_good_part_of_the_budget() -> None:
+def test_few_limiters_use_more_than_a_fifth_of_the_budget() -> None:
     fleet = Fleet(3, True, 5)
-    fleet.play(STARTED_AT_MS, lambda now: REQUESTS_PER_S)
+    fleet.run_until(STARTED_AT_MS, lambda now_ms: REQUESTS_PER_S)
     fleet.apply_list(with_new_server(*fleet.entries))
-    fleet.play(STARTED_AT_MS + 8_000.0, lambda now: REQUESTS_PER_S)
+    fleet.run_until(STARTED_AT_MS + 8_000.0, lambda now_ms: REQUESTS_PER_S)
     assert fleet.windows_over_budget() == []
-    share = len(fleet.sent_at_ms) / sum(fleet.budget(STARTED_AT_MS + 1_000.0 * second) for second in range(8))
-    assert share > 0.2, share
+    used_fraction = len(fleet.sent_at_ms) / sum(fleet.budget(STARTED_AT_MS + 1_000.0 * second) for second in range(8))
+    assert used_fraction > 0.2, used_fraction
 
 
 def test_a_server_that_has_just_warmed_up_is_reviewed_a_bounded_number_of_times() -> None:
-    """Until the next control period it has no budget to wait for and still stands among those that warm up."""
-    config = replace(limiter_settings(), rules=WARM_UP_RULES)
-    limiter_gateway = LimiterHarness(Limiter(config, 7, 100_000.0), now_ms=100_000.0)
-    limiter_gateway.carry_out(limiter_gateway.limiter.start(100_000.0))
-    limiter_gateway.apply_list(server_entry("new", started_at_ms=100_500.0 - WARM_UP_RULES.warm_up_ms))
+    """Until the next control period it is still listed as warming up, but its budget is unlimited.
+
+    The review queue must not schedule it again and again at the same time.
+    """
+    settings = replace(limiter_settings(), rules=WARM_UP_RULES)
+    harness = LimiterHarness(Limiter(settings, 7, 100_000.0), now_ms=100_000.0)
+    harness.carry_out(harness.limiter.start(100_000.0))
+    harness.apply_list(server_entry("new", started_at_ms=100_500.0 - WARM_UP_RULES.warm_up_ms))
     for _ in range(40):
-        limiter_gateway.run_until(limiter_gateway.now_ms + 50.0)
-        limiter_gateway.is_served()
-    assert limiter_gateway.attempted_servers("r40") == ["new"]
+        harness.run_until(harness.now_ms + 50.0)
+        harness.is_served()
+    assert harness.attempted_servers("r40") == ["new"]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A harness for tests of a limiter: it carries out the actions on a clock of its own and checks rules as it goes."""
+"""A test harness that runs a limiter on a simulated clock, carries out its actions and checks general rules."""
 
 from __future__ import annotations
 
@@ -69,21 +69,21 @@
 
 @dataclass
 class LimiterHarness:
-    """Runs a limiter on a clock of its own.
+    """Runs a limiter on a simulated clock.
 
     Attributes:
         limiter: The limiter under test.
-        now_ms: The time.
-        timers: When each timer fires, and its token.
-        sent_attempts: When each attempt was sent, and its action.
-        final_answers: The names of the final actions of each request.
-        answered_ids: The requests that have their final answer.
-        attempt_counts: How many attempts of each request were sent.
-        attempts_in_flight: The request, index and server of each attempt without an outcome.
-        other_actions: When each other action came.
-        attempt_timeouts: When each attempt in flight times out.
-        permits: When each permit came.
-        request_count: How many requests were sent.
+        now_ms: The simulated time.
+        timers: The time at which each timer fires, and its token.
+        sent_attempts: The time at which each attempt was sent, and the action.
+        final_answers: The names of the final actions of each request, by request id.
+        answered_ids: The ids of the requests that have their final answer.
+        attempt_counts: The number of attempts of each request, by request id.
+        attempts_in_flight: The request id, index and server id of each attempt without an outcome.
+        other_actions: The time and the action of all other actions.
+        attempt_timeouts: The time at which each attempt in flight times out, and the attempt.
+        permits: The time and the action of each permit.
+        request_count: The number of requests that were sent.
     """
 
     limiter: Limiter
@@ -100,57 +100,61 @@
     request_count: int = 0
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Give an event to the limiter, and carry out its actions."""
+        """Pass an event to the limiter, and carry out the actions that it returns."""
         if isinstance(event, api.AttemptEnded | api.ClientDisconnected) and getattr(event, "is_answered", True):
             self.answered_ids.add(event.request_id)
         if isinstance(event, api.StreamStarted):
             self.attempt_timeouts = [
-                limit for limit in self.attempt_timeouts if limit[1][:2] != (event.request_id, event.attempt_index)
+                timeout
+                for timeout in self.attempt_timeouts
+                if timeout[1][:2] != (event.request_id, event.attempt_index)
             ]
         actions = self.limiter.handle(event, self.now_ms)
         self.carry_out(actions)
         return actions
 
     def carry_out(self, actions: list[api.Action]) -> None:
-        """Note the actions; a second final answer of a request fails the test."""
+        """Record the actions, and fail the test on an attempt or a further answer after the final answer."""
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now_ms + max(action.delay_ms, 4.0), action.token))
             elif isinstance(action, api.SendAttempt):
-                assert action.request_id not in self.answered_ids, "sent after the final answer"
-                number = self.attempt_counts.get(action.request_id, 0)
-                self.attempt_counts[action.request_id] = number + 1
-                self.attempts_in_flight.append((action.request_id, number, action.server_id))
+                assert action.request_id not in self.answered_ids, "an attempt was sent after the final answer"
+                attempt_index = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = attempt_index + 1
+                self.attempts_in_flight.append((action.request_id, attempt_index, action.server_id))
                 self.sent_attempts.append((self.now_ms, action))
                 if action.timeout_ms > 0:
                     self.attempt_timeouts.append((self.now_ms + action.timeout_ms, self.attempts_in_flight[-1]))
             elif isinstance(action, api.Permit):
-                assert action.request_id not in self.answered_ids, "answered twice"
+                assert action.request_id not in self.answered_ids, "a request was answered twice"
                 self.answered_ids.add(action.request_id)
                 self.final_answers.setdefault(action.request_id, []).append("Permit")
                 self.attempts_in_flight.append((action.request_id, 0, action.server_id))
                 self.permits.append((self.now_ms, action))
             elif isinstance(action, api.Reject | api.Fail):
-                assert action.request_id not in self.answered_ids, "answered twice"
+                assert action.request_id not in self.answered_ids, "a request was answered twice"
                 self.answered_ids.add(action.request_id)
                 self.final_answers.setdefault(action.request_id, []).append(type(action).__name__)
             else:
                 self.other_actions.append((self.now_ms, action))
 
     def run_until(self, until_ms: float) -> None:
-        """Let timers and time-outs of attempts come as they fall due."""
+        """Advance the clock, with the timers and the timeouts of attempts that are due until then."""
         while True:
-            self.attempt_timeouts = [limit for limit in self.attempt_timeouts if limit[1] in self.attempts_in_flight]
-            due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until_ms), default=None)
-            if due is None:
+            self.attempt_timeouts = [
+                timeout for timeout in self.attempt_timeouts if timeout[1] in self.attempts_in_flight
+            ]
+            due_times_ms = [due[0] for due in [*self.timers, *self.attempt_timeouts] if due[0] <= until_ms]
+            if not due_times_ms:
                 break
-            self.now_ms = max(self.now_ms, due)
-            for at, attempt in [limit for limit in self.attempt_timeouts if limit[0] <= self.now_ms]:
-                self.attempt_timeouts.remove((at, attempt))
+            self.now_ms = max(self.now_ms, min(due_times_ms))
+            for due_at_ms, attempt in [timeout for timeout in self.attempt_timeouts if timeout[0] <= self.now_ms]:
+                self.attempt_timeouts.remove((due_at_ms, attempt))
                 self.attempts_in_flight.remove(attempt)
-                answered = attempt[0] in self.answered_ids
-                self.handle(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, answered))
-            for timer in [t for t in self.timers if t[0] <= self.now_ms]:
+                is_answered = attempt[0] in self.answered_ids
+                self.handle(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, is_answered))
+            for timer in [timer for timer in self.timers if timer[0] <= self.now_ms]:
                 self.timers.remove(timer)
                 self.handle(api.TimerFired(timer[1]))
         self.now_ms = max(self.now_ms, until_ms)
@@ -170,10 +174,10 @@
         Args:
             customer_id: The customer's id.
             plan_index: The index of the plan.
-            units: The units of the request.
+            units: The cost of the request in units.
             class_index: The index of the class.
-            limiter_count: How many limiters serve the customer.
-            remaining_ms: Time until the deadline in ms.
+            limiter_count: The number of limiters that serve the customer.
+            remaining_ms: The time until the deadline.
             wants_permit: Whether the client asks for a permit.
         """
         self.request_count += 1
@@ -207,17 +211,17 @@
     def is_served(
         self, customer_id: str = "c", plan_index: int = 0, units: float = 1.0, limiter_count: int = 1
     ) -> bool:
-        """Send a request whose first attempt is answered, and return whether an attempt was sent."""
+        """Send a request, answer its first attempt if there is one, and return whether there was."""
         request_id = self.send_request(customer_id, plan_index, units, limiter_count=limiter_count)
         self.end_attempt(request_id)
         return bool(self.attempted_servers(request_id))
 
     def apply_list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
-        """Give a server list to the limiter."""
+        """Pass a server list to the limiter."""
         self.handle(api.ServerList(1, kind, entries))
 
     def attempted_servers(self, request_id: str) -> list[str]:
-        """Return the servers that attempts of a request were sent to."""
+        """Return the ids of the servers that attempts of a request were sent to."""
         return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == request_id]
 
 
--- a/tests/structures/test_candidate_set.py
+++ b/tests/structures/test_candidate_set.py
@@ -1,4 +1,4 @@
-"""The candidate set against a dictionary of zones and cells."""
+"""Compares the candidate set with a model: a dictionary of zones and cells."""
 
 from helpers import server_entry
 from hypothesis import given
@@ -15,7 +15,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 2), st.integers(0, 2), st.integers(0, 3)), max_size=40))
-def test_each_candidate_is_in_its_zone_and_cell_after_these_change(
+def test_each_candidate_is_indexed_by_its_current_zone_and_cell(
     steps: list[tuple[int, int, int, int]],
 ) -> None:
     candidates, servers = CandidateSet(), [new_server(f"s{n}") for n in range(6)]
@@ -28,9 +28,11 @@
         if weight:
             model[server] = zone, cell
     assert set(candidates.all.members()) == set(model)
-    assert {z: set(d.members()) for z, d in candidates.by_zone.items()} == {
-        z: {s for s, at in model.items() if at[0] == z} for z in {at[0] for at in model.values()}
+    assert {zone: set(sampler.members()) for zone, sampler in candidates.by_zone.items()} == {
+        zone: {server for server, location in model.items() if location[0] == zone}
+        for zone in {location[0] for location in model.values()}
     }
-    assert {c: set(members) for c, members in candidates.by_cell.items()} == {
-        c: {s for s, at in model.items() if at[1] == c} for c in {at[1] for at in model.values()}
+    assert {cell: set(members) for cell, members in candidates.by_cell.items()} == {
+        cell: {server for server, location in model.items() if location[1] == cell}
+        for cell in {location[1] for location in model.values()}
     }
--- a/tests/structures/test_expiry_queue.py
+++ b/tests/structures/test_expiry_queue.py
@@ -1,4 +1,4 @@
-"""The expiry queue against a dictionary of last uses."""
+"""Compares the expiry queue with a model: a dictionary of last uses."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,26 +9,26 @@
 @given(st.lists(st.tuples(st.sampled_from(["use", "wait"]), st.integers(0, 5), st.integers(1, 40)), max_size=60))
 def test_each_idle_key_expires_once_until_it_is_used_or_postponed(steps: list[tuple[str, int, int]]) -> None:
     queue, now = ExpiryQueue(20.0), 0.0
-    used: dict[int, float] = {}
+    used_at: dict[int, float] = {}
     postponed_until: dict[int, float] = {}
     for action, key, value in steps:
         match action:
             case "use":
                 queue.touch(key, now)
-                used[key] = now
+                used_at[key] = now
                 postponed_until.pop(key, None)
             case "wait":
                 now += value
                 expired = queue.pop_expired(now)
-                idle = {k for k, at in used.items() if now - at > 20.0}
-                assert set(expired) == idle | {k for k, at in postponed_until.items() if at <= now}
+                idle = {idle_key for idle_key, at in used_at.items() if now - at > 20.0}
+                assert set(expired) == idle | {due_key for due_key, until in postponed_until.items() if until <= now}
                 assert len(expired) == len(set(expired))
-                for k in expired:
-                    used.pop(k, None)
-                    postponed_until.pop(k, None)
-                    if k % 2:  # not to be forgotten yet
-                        queue.postpone(k, now + 30.0)
-                        postponed_until[k] = now + 30.0
+                for expired_key in expired:
+                    used_at.pop(expired_key, None)
+                    postponed_until.pop(expired_key, None)
+                    if expired_key % 2:  # odd keys are postponed, even ones are forgotten
+                        queue.postpone(expired_key, now + 30.0)
+                        postponed_until[expired_key] = now + 30.0
 
 
 def test_postponed_keys_cost_nothing_until_they_are_due() -> None:
--- a/tests/structures/test_rendezvous.py
+++ b/tests/structures/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""The rendezvous ranking: limiters agree, changes move little, and balancing evens out shares."""
+"""The rendezvous ranking: all limiters agree, changes move few assignments, and balancing equalises the shares."""
 
 from collections import Counter
 
@@ -18,14 +18,14 @@
 def test_limiters_that_know_different_servers_agree_on_the_ranks_of_each() -> None:
     for server_id in SERVER_IDS[:100]:
         ranks = [
-            new_ranking(12, SERVER_IDS[number % 3 :: 2] + SERVER_IDS[:100], number).rank(server_id)
-            for number in range(12)
+            new_ranking(12, SERVER_IDS[limiter_index % 3 :: 2] + SERVER_IDS[:100], limiter_index).rank(server_id)
+            for limiter_index in range(12)
         ]
         assert sorted(ranks) == list(range(12))
 
 
 def test_one_more_limiter_takes_over_only_what_it_holds() -> None:
-    """Among those that stay, a server's order does not change."""
+    """For a server, the order of the existing limiters does not change."""
     before = [new_ranking(20, SERVER_IDS, number) for number in range(20)]
     after = [new_ranking(21, SERVER_IDS, number) for number in range(21)]
     moved = 0
--- a/tests/structures/test_server_directory.py
+++ b/tests/structures/test_server_directory.py
@@ -1,4 +1,4 @@
-"""The server directory against a dictionary of entries."""
+"""Compares the server directory with a model: a dictionary of entries."""
 
 import random
 
@@ -26,12 +26,12 @@
     ready: dict[str, Server] = {}
     for is_complete, rows in lists:
         entries = tuple(
-            api.ServerEntry(f"s{n}", 0, 0, 0, state, float(weight), at)
-            for n, state, at, weight in {row[0]: row for row in rows}.values()
+            api.ServerEntry(f"s{n}", 0, 0, 0, state, float(weight), started_at_ms)
+            for n, state, started_at_ms, weight in {row[0]: row for row in rows}.values()
         )
         if is_complete:
             model.clear()
-        model.update({server.server_id: server for server in entries})
+        model.update({entry.server_id: entry for entry in entries})
         kind = ListKind.COMPLETE if is_complete else ListKind.CHANGES
         changes = directory.apply(api.ServerList(1, kind, entries), 100.0, rng)
         for server in changes.left:
@@ -39,18 +39,18 @@
         for server in changes.joined:
             assert server.entry.server_id not in ready
             ready[server.entry.server_id] = server
-        expected = {name for name, server in model.items() if server.state is ServerState.RUNNING}
+        expected = {server_id for server_id, entry in model.items() if entry.state is ServerState.RUNNING}
         assert set(ready) == set(directory.ready) == expected and ready == directory.ready
         assert all(
-            server.entry == model[name] and not server.is_draining and not server.is_removed
-            for name, server in ready.items()
+            server.entry == model[server_id] and not server.is_draining and not server.is_removed
+            for server_id, server in ready.items()
         )
-        warming_up = {name for name in expected if model[name].started_at_ms == 95.0}
+        warming_up = {server_id for server_id in expected if model[server_id].started_at_ms == 95.0}
         assert set(directory.warming_up) == warming_up
-        assert directory.total_weight_milli == sum(1000 * int(model[name].weight) for name in expected)
+        assert directory.total_weight_milli == sum(1000 * int(model[server_id].weight) for server_id in expected)
         assert directory.warm_weight_milli == directory.total_weight_milli - sum(
-            1000 * int(model[name].weight) for name in warming_up
+            1000 * int(model[server_id].weight) for server_id in warming_up
         )
     directory.forget_removed()
-    removed = {name for name, server in model.items() if server.state is ServerState.REMOVED}
+    removed = {server_id for server_id, entry in model.items() if entry.state is ServerState.REMOVED}
     assert set(directory.servers) == set(model) - removed
--- a/tests/structures/test_timer_queue.py
+++ b/tests/structures/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The timer queue: timers fire in time behind the one that is armed, and cancelled ones wake nobody."""
+"""The timer queue: all timers fire in time through the one armed timer, and cancelled timers cause no wake-up."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,7 +7,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(1, 50), st.booleans()), max_size=40))
-def test_timers_fire_in_time_behind_the_one_that_is_armed(steps: list[tuple[bool, int, bool]]) -> None:
+def test_all_timers_fire_in_time_through_the_armed_timer(steps: list[tuple[bool, int, bool]]) -> None:
     timers, now = TimerQueue(), 0.0
     armed: dict[int, float] = {}
     live: dict[object, float] = {}
@@ -25,14 +25,15 @@
                 live[timer] = now + wait
         else:
             now += wait
-            for token in sorted((t for t, at in armed.items() if at <= now), key=lambda t: armed[t]):
+            due_tokens = [armed_token for armed_token, fires_at in armed.items() if fires_at <= now]
+            for token in sorted(due_tokens, key=lambda due_token: armed[due_token]):
                 del armed[token]
                 for timer in timers.pop_due(token, now):
                     assert live.pop(timer) <= now + 1.0
                 arm()
         arm()
-        late = [at for at in live.values() if at < now - 50]
-        assert not late
+        overdue = [due_at for due_at in live.values() if due_at < now - 50]
+        assert not overdue
         if live:
             assert min(armed.values(), default=1e9) <= max(min(live.values()), now)
 
@@ -49,6 +50,6 @@
     for now in range(40, 1100):
         due = timers.pop_due(token, float(now))
         wake_up_count += bool(due)
-        if (again := timers.arm(float(now))) is not None:
-            token = again[1]
+        if (rearmed := timers.arm(float(now))) is not None:
+            token = rearmed[1]
     assert wake_up_count == 10 and not timers.heap
--- a/tests/structures/test_weighted_sampler.py
+++ b/tests/structures/test_weighted_sampler.py
@@ -1,4 +1,4 @@
-"""The weighted sampler against a dictionary of weights, and the cost of a sample."""
+"""Compares the weighted sampler with a model, a dictionary of weights, and checks the cost of a sample."""
 
 import random
 from collections import Counter
@@ -24,9 +24,9 @@
     for index, weight in steps:
         sampler.set_weight(servers[index], weight)
         model[index] = weight
-        held = {n: w for n, w in model.items() if w}
-        assert sampler.total_weight == sum(held.values()) and len(sampler) == len(held)
-        assert {s: sampler.weight(s) for s in sampler.members()} == {servers[n]: w for n, w in held.items()}
+        expected = {servers[n]: weight for n, weight in model.items() if weight}
+        assert sampler.total_weight == sum(expected.values()) and len(sampler) == len(expected)
+        assert {server: sampler.weight(server) for server in sampler.members()} == expected
     rng = random.Random(seed)
     if sampler.total_weight:
         assert all(model[servers.index(sampler.sample(rng))] for _ in range(20))
@@ -37,7 +37,7 @@
     sampler, servers, rng = WeightedSampler(), [new_server(f"s{n}") for n in range(4)], random.Random(3)
     for n, weight in enumerate(weights):
         sampler.set_weight(servers[n], weight * 2)
-        sampler.set_weight(servers[n], weight)  # as after a change
+        sampler.set_weight(servers[n], weight)  # replaces the first weight
     sample_counts = Counter(sampler.sample(rng).entry.server_id for _ in range(40_000))
     for n, weight in enumerate(weights):
         expected = 40_000 * weight / sum(weights)
@@ -45,7 +45,7 @@
 
 
 class CountingRandom(random.Random):
-    """Counts its calls: the cost of a sample, whatever the machine does."""
+    """Counts the calls of `random`, which measures the cost of a sample independently of the machine's load."""
 
     call_count = 0
 
@@ -63,4 +63,4 @@
         for _ in range(2000):
             sampler.sample(rng)
         costs.append(rng.call_count / 2000)
-    assert max(costs) <= 3.0  # one for the level and two tries
+    assert max(costs) <= 3.0  # one call for the level, and two tries on average
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -1,4 +1,4 @@
-"""Requests that are not idempotent, over loopback: they are served, and run no second time."""
+"""Requests that are not idempotent, over loopback connections: they are served and not executed a second time."""
 
 import asyncio
 from dataclasses import replace
@@ -15,7 +15,7 @@
 from elderlock.standins.settings import CUSTOMER, raw_config, terms
 from elderlock.standins.waiting import run, until
 
-BODY = bytes(range(256)) * 256  # the longest, and with each byte there is
+BODY = bytes(range(256)) * 256  # a body of the maximum length, with every value of a byte
 
 
 def write(client: Client, name: str, body: bytes = b"body", verb: str = "API.WRITE") -> None:
@@ -23,7 +23,7 @@
     client.writer.write(packed)
 
 
-@pytest.mark.parametrize("body", [b"", b"\r\n$-1\r\n", BODY], ids=["empty", "a null", "the longest"])
+@pytest.mark.parametrize("body", [b"", b"\r\n$-1\r\n", BODY], ids=["empty", "a RESP null", "the longest"])
 def test_a_write_is_served_and_forwarded_unchanged(body: bytes) -> None:
     async def test() -> None:
         server = await Server().start()
@@ -31,14 +31,14 @@
         client = await limiter.client()
         write(client, "9b1f", body)
         assert await client.answer() == b"value"
-        verb, customer, name, text, passed_on = server.commands[0]
-        assert (verb, customer, name, passed_on) == (b"API.WRITE", CUSTOMER.encode(), b"9b1f", body)
-        assert text.startswith(b"c=pay,t=team,d=")
+        verb, customer, request_id, forwarded_terms, forwarded_body = server.commands[0]
+        assert (verb, customer, request_id, forwarded_body) == (b"API.WRITE", CUSTOMER.encode(), b"9b1f", body)
+        assert forwarded_terms.startswith(b"c=pay,t=team,d=")
 
     run(test())
 
 
-def test_an_idempotent_class_may_be_written_and_one_that_is_not_is_no_read() -> None:
+def test_a_write_of_an_idempotent_class_is_served_and_a_read_of_another_class_is_rejected() -> None:
     async def test() -> None:
         server = await Server().start()
         limiter = await Limiter.start(server)
@@ -52,16 +52,16 @@
 
 
 @pytest.mark.parametrize(
-    "parts", [(CUSTOMER, "id", terms(c="pay")), (CUSTOMER, "id", terms(c="pay"), "body", "more"), ()]
+    "arguments", [(CUSTOMER, "id", terms(c="pay")), (CUSTOMER, "id", terms(c="pay"), "body", "more"), ()]
 )
-def test_a_write_with_wrong_arguments_is_answered_and_not_forwarded(parts: tuple[str, ...]) -> None:
+def test_a_write_with_wrong_arguments_is_answered_and_not_forwarded(arguments: tuple[str, ...]) -> None:
     async def test() -> None:
         server = await Server().start()
         client = await (await Limiter.start(server)).client()
-        client.send("API.WRITE", *parts)
+        client.send("API.WRITE", *arguments)
         assert str(await client.answer()).startswith("ERR wrong number")
         write(client, "next")
-        assert await client.answer() == b"value"  # the connection goes on
+        assert await client.answer() == b"value"  # the connection stays open
         assert [command[2] for command in server.commands] == [b"next"]
 
     run(test())
@@ -81,43 +81,43 @@
 def test_a_request_that_is_not_idempotent_fails_when_its_connection_breaks() -> None:
     async def test() -> None:
         async def behave(command: list[bytes]) -> Answer:
-            for server in both:
+            for server in servers:
                 if command in server.commands:
                     server.reset()
             return None
 
-        both = [await Server(behave).start(), await Server(behave).start()]
-        limiter = await Limiter.start(*both)
+        servers = [await Server(behave).start(), await Server(behave).start()]
+        limiter = await Limiter.start(*servers)
         client = await limiter.client()
         write(client, "once")
-        assert str(await client.answer()) == "ERR failed"  # not rejected: it may have run
-        assert sum(len(server.commands) for server in both) == 1
+        assert str(await client.answer()) == "ERR failed"  # not rejected, as it may have run
+        assert sum(len(server.commands) for server in servers) == 1
 
     run(test())
 
 
-def test_a_request_that_surely_never_ran_goes_to_another_server() -> None:
+def test_a_request_that_was_not_executed_is_sent_to_another_server() -> None:
     async def test() -> None:
-        full = [await Server(answers(b"-BUSY queue=9\r\n")).start() for _ in range(2)]
-        limiter = await Limiter.start(*full)
+        full_servers = [await Server(answers(b"-BUSY queue=9\r\n")).start() for _ in range(2)]
+        limiter = await Limiter.start(*full_servers)
         client = await limiter.client()
         write(client, "full")
-        assert str(await client.answer()).startswith("BUSY")  # of no attempt is it possible that it ran
-        assert sum(len(server.commands) for server in full) > 1
+        assert str(await client.answer()).startswith("BUSY")  # a rejection, as no attempt can have run
+        assert sum(len(server.commands) for server in full_servers) > 1
 
     run(test())
 
 
-@pytest.mark.parametrize(("left", "again"), [(251.0, True), (249.0, False)])
-def test_a_keyed_request_is_retried_only_within_its_deduplication_window(left: float, again: bool) -> None:
-    """A retry may have to wait for its connection; a server that gets it after the window runs it again."""
+@pytest.mark.parametrize(("remaining_ms", "is_retried"), [(251.0, True), (249.0, False)])
+def test_a_keyed_request_is_retried_only_within_its_deduplication_window(remaining_ms: float, is_retried: bool) -> None:
+    """A retry may wait for its connection. A server that gets it after the window would execute it a second time."""
     base = limiter_settings()
     harness = start_harness(replace(base, capabilities=replace(base.capabilities, connect_timeout_ms=250.0)))
     name = harness.send_request(class_index=1)
-    harness.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - left)
+    harness.run_until(KEYED_CLASS.deduplication_window_ms - base.clock_tick_ms - remaining_ms)
     harness.end_attempt(name, Outcome.RESET)
-    assert len(harness.attempted_servers(name)) == 1 + again
-    assert harness.final_answers.get(name, []) == ([] if again else ["Fail"])
+    assert len(harness.attempted_servers(name)) == 1 + is_retried
+    assert harness.final_answers.get(name, []) == ([] if is_retried else ["Fail"])
 
 
 def test_the_connect_timeout_of_the_settings_is_applied() -> None:
@@ -135,7 +135,7 @@
             return served(b"value")
 
         limiter = await Limiter.start(await Server(behave).start())
-        limiter.gateway.requests.free_bytes = 3.0 * len(BODY)  # bytes: one such request, and a short one beside it
+        limiter.gateway.requests.free_bytes = 3.0 * len(BODY)  # enough for one such request and a short one
         first, second = await limiter.client(), await limiter.client()
         write(first, "long", BODY)
         await until(lambda: limiter.gateway.open_request_count == 1)
@@ -146,7 +146,7 @@
         release.set()
         assert (await first.answer(), await second.answer()) == (b"value", b"value")
         write(second, "another", BODY)
-        assert await second.answer() == b"value"  # the first one's room is free again
+        assert await second.answer() == b"value"  # the memory of the first request is free again
         assert limiter.gateway.requests.free_bytes == 3.0 * len(BODY)
 
     run(test())
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -1,17 +1,24 @@
-"""The same events give the same actions from one version of the decisions to the next.
+"""The same events give the same actions in each version of the decisions.
 
-A digest is taken over closed histories of a small group. A change that is meant to decide otherwise records new digests
-and says so.
+Each digest covers a complete history of a small group of limiters. A change that is intended to change decisions has to
+record new digests and explain them.
 """
 
 import pytest
 
 from elderlock import interface as api
-from elderlock.decisions import admission, maintenance, quotas, retry_policy, throttle, usage_reports
-from elderlock.decisions import load_estimator as load
-from elderlock.decisions import outlier_detection as outliers
-from elderlock.decisions import server_selection as choice
-from elderlock.decisions import subsetting as subset
+from elderlock.decisions import (
+    admission,
+    load_estimator,
+    maintenance,
+    outlier_detection,
+    quotas,
+    retry_policy,
+    server_selection,
+    subsetting,
+    throttle,
+    usage_reports,
+)
 from elderlock.decisions.limiter import Limiter
 from elderlock.standins.histories import History, digests
 
@@ -38,64 +45,64 @@
 
 
 def test_a_history_depends_on_its_seed_alone() -> None:
-    found = [History(seed, Limiter).play(2_000) for seed in (1, 1, 2)]
-    assert found[0] == found[1] != found[2]
+    results = [History(seed, Limiter).play(2_000) for seed in (1, 1, 2)]
+    assert results[0] == results[1] != results[2]
 
 
 @pytest.mark.parametrize(
-    ("where", "name", "value"),
+    ("module", "name", "value"),
     [
-        (choice, "SAMPLE_COUNT", 7),
-        (outliers, "FAILURES_BEFORE_EJECTION", 4),
-        (subset, "MIN_HOLDER_COUNT", 3),
+        (server_selection, "SAMPLE_COUNT", 7),
+        (outlier_detection, "FAILURES_BEFORE_EJECTION", 4),
+        (subsetting, "MIN_HOLDER_COUNT", 3),
         (retry_policy, "UNEXECUTED_RETRY_COST", 0.5),
         (quotas, "CEILING_SLACK_FRACTION", 0.7),
         (quotas, "RATE_AVERAGING_SENDS", 5.0),
         (usage_reports, "FAR_FROM_QUOTA_BURST_FRACTION", 0.6),
-        (choice, "FAULT_COST_FACTOR", 7.0),
+        (server_selection, "FAULT_COST_FACTOR", 7.0),
         (throttle, "MIN_RATE_FACTOR", 0.7),
-        (load, "PADDING_SAMPLES", 3),
+        (load_estimator, "PADDING_SAMPLES", 3),
         (admission, "LOWEST_VALUE_PRESSURE_FRACTION", 0.6),
         (maintenance, "MAX_LEAK_DEMAND_RATIO", 0.6),
     ],
 )
 def test_a_small_change_of_a_constant_changes_a_digest(
-    where: object, name: str, value: float, monkeypatch: pytest.MonkeyPatch
+    module: object, name: str, value: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(where, name, value)
+    monkeypatch.setattr(module, name, value)
     assert any(
         digest != RECORDED_DIGESTS[seed] for seed, digest in digests(Limiter, EVENTS, iter(sorted(RECORDED_DIGESTS)))
     )
 
 
 def test_histories_reach_all_phases_actions_and_states() -> None:
-    """Throttling, questions, reports, holds, retries, permissions, ceilings: a history without them keeps nothing."""
-    kinds: set[str] = set()
+    """A digest covers only decisions that a history reaches: throttling, queries, reports, retries, permits and so on."""
+    reached: set[str] = set()
 
-    class Watched(Limiter):
+    class RecordingLimiter(Limiter):
         def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
             actions = super().handle(event, now_ms)
-            kinds.update(type(action).__name__ for action in actions)
-            kinds.add(self.throttle.phase.name)
-            kinds.update(
+            reached.update(type(action).__name__ for action in actions)
+            reached.add(self.throttle.phase.name)
+            reached.update(
                 name
-                for name, there in (
-                    ("held", self.admission.waiting_request_ids),
-                    ("questions", self.quota_coordinator.quota_client.pending_queries),
-                    ("silent", self.quota_coordinator.owners.silent_until_ms),
-                    ("unreported", self.quota_coordinator.usage_reports.unreported_units),
-                    ("failing", self.endpoints.health.failure_fraction_by_domain),
-                    ("ejected", self.endpoints.outlier_detector.ejected),
-                    ("parked", self.endpoints.review_queue),
+                for name, is_reached in (
+                    ("waiting requests", self.admission.waiting_request_ids),
+                    ("pending queries", self.quota_coordinator.quota_client.pending_queries),
+                    ("silent owners", self.quota_coordinator.owners.silent_until_ms),
+                    ("unreported units", self.quota_coordinator.usage_reports.unreported_units),
+                    ("failing domains", self.endpoints.health.failure_fraction_by_domain),
+                    ("ejected servers", self.endpoints.outlier_detector.ejected),
+                    ("pending reviews", self.endpoints.review_queue),
                     ("subset", self.endpoints.subsetting.holder_count < self.context.settings.limiter_count),
                 )
-                if there
+                if is_reached
             )
             return actions
 
     for seed in (0, 3, 6, 7, 10):
-        History(seed, Watched, limiters=(1, 2, 3, 5)[seed % 4], boxes=(3, 12, 90)[seed % 3]).play(EVENTS)
-    assert kinds >= {
+        History(seed, RecordingLimiter, limiters=(1, 2, 3, 5)[seed % 4], boxes=(3, 12, 90)[seed % 3]).play(EVENTS)
+    assert reached >= {
         "SendAttempt",
         "Permit",
         "Reject",
@@ -108,11 +115,11 @@
         "OVERLOADED",
         "TERMINATION_PENDING",
         "RETURNING_TO_NOT_OVERLOADED",
-        "questions",
-        "silent",
-        "unreported",
-        "failing",
-        "ejected",
-        "parked",
+        "pending queries",
+        "silent owners",
+        "unreported units",
+        "failing domains",
+        "ejected servers",
+        "pending reviews",
         "subset",
-    }, kinds
+    }, reached
