--- a/elderlock/decisions/quota_client.py
+++ b/elderlock/decisions/quota_client.py
@@ -43,7 +43,7 @@
 class QuotaClient:
     """Queries owners for units, repeats a query once if it gets no answer, and then decides by the local bucket.
 
-    Invariant: each request that is passed to the client is decided at most once, with or without an answer.
+    Invariant: each request that is passed to this object is decided at most once, with or without an answer.
 
     Attributes:
         pending_queries: The pending queries by query id.
--- a/elderlock/decisions/quotas.py
+++ b/elderlock/decisions/quotas.py
@@ -111,8 +111,8 @@
         """
         others_use_fraction = min(1.0, account.others_rate_per_s / (account.plan.rate_per_s or 1.0))
         contested_fraction = 1.0 - confidence * (1.0 - others_use_fraction)
-        others_part = 1.0 - 1.0 / account.limiter_count
-        return (1.0 - contested_fraction * others_part) * max(account.shared_units, 0.0)
+        others_share = 1.0 - 1.0 / account.limiter_count
+        return (1.0 - contested_fraction * others_share) * max(account.shared_units, 0.0)
 
     def fill_rate_per_s(self, account: Account, confidence: float) -> float:
         """Return the rate at which the bucket fills.
@@ -153,9 +153,9 @@
     def is_within_quota(self, account: Account, units: float) -> bool:
         """Whether the bucket allows a request of `units`, without a query to the owner.
 
-        A request that is larger than the limiter's share of the burst could never pass, so the bucket may go into debt
-        by one request. The units that the bucket needs fall linearly from `units` for a request of the size of the
-        share to 0 for one of twice this size.
+        The bucket may go into debt by one request, as a request that is larger than the limiter's share of the burst
+        could otherwise never pass. For such a request the units that the bucket must hold fall linearly, from the whole
+        request at the size of the share to 0 at twice this size.
         """
         plan = account.plan
         twice_share_units = 2.0 * plan.burst_units / account.limiter_count
--- a/elderlock/decisions/server_health.py
+++ b/elderlock/decisions/server_health.py
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, context: DecisionContext, load_estimator: LoadEstimator, quotas: Quotas) -> None:
-        """Create the averages of a limiter that has seen no outcome yet."""
+        """Start without outcomes."""
         self.context = context
         self.load_estimator = load_estimator
         self.quotas = quotas
@@ -46,13 +46,13 @@
         self._latency_ratio_by_kind: dict[int, float] = {}
         self._full_at_ms_by_plan: dict[int, float] = {}
 
-    # Reading
+    # Averages
 
     def latency_ratio(self, server: Server) -> float:
         """Return the expected latency ratio: the server's average, which decays to that of its kind with its age."""
-        usual = self._latency_ratio_by_kind.get(server.entry.kind, GOAL_LOAD_LEVEL / 2)
+        kind_average = self._latency_ratio_by_kind.get(server.entry.kind, GOAL_LOAD_LEVEL / 2)
         recency = exp((server.latency_ratio_at_ms - self.context.now_ms) / EVIDENCE_DECAY_MS)
-        return usual + recency * (server.latency_ratio - usual)
+        return kind_average + recency * (server.latency_ratio - kind_average)
 
     def error_fraction(self, server: Server) -> float:
         """Return the average fraction of a server's answers that were errors, decayed by its age."""
@@ -100,8 +100,9 @@
         server.answered_at_ms = self.context.now_ms
         server.full_plan_bits &= ~(1 << request.arrival.plan_index)
         ratio = duration_ms / request.request_class.latency_objective_ms
-        usual = self._latency_ratio_by_kind.get(server.entry.kind, ratio)
-        self._latency_ratio_by_kind[server.entry.kind] = usual + LATENCY_SAMPLE_WEIGHT / 2 * (ratio - usual)
+        kind_average = self._latency_ratio_by_kind.get(server.entry.kind, ratio)
+        kind_average += LATENCY_SAMPLE_WEIGHT / 2 * (ratio - kind_average)
+        self._latency_ratio_by_kind[server.entry.kind] = kind_average
         self.quotas.mean_latency_ms += LATENCY_SAMPLE_WEIGHT / 2 * (duration_ms - self.quotas.mean_latency_ms)
         self._record_domain_failure(server, 0.0)
         if not request.is_streaming:
@@ -159,7 +160,7 @@
         """Record a successful answer of a server to another limiter as if this limiter had got it."""
         server.error_fraction *= 1.0 - 2 * LATENCY_SAMPLE_WEIGHT
 
-    # Averages
+    # Updates of the averages
 
     def _record_error_fraction(self, server: Server, sample: float) -> None:
         """Add an answer to the average of the error fraction: 1 for an error, 0 for a successful answer.
--- a/elderlock/decisions/server_selection.py
+++ b/elderlock/decisions/server_selection.py
@@ -37,7 +37,7 @@
         tried_ids = {attempt.server.entry.server_id for attempt in request.attempts}
         best: Server | None = None
         least_cost = inf
-        for server in self._pool(request):  # the first of equal costs, as min() would return
+        for server in self._pool(request):  # the first of several servers with the least cost is selected
             cost = self.cost(server, request, tried_ids, least_cost)
             if cost < least_cost:
                 best = server
--- a/elderlock/decisions/subsetting.py
+++ b/elderlock/decisions/subsetting.py
@@ -31,7 +31,7 @@
         self.holder_count = limiter_count
 
     def add(self, server_id: str, weight_milli: int) -> None:
-        """Add a server; without effect where all servers are included."""
+        """Add a server; this has no effect if `subset_size` is 0."""
         if self.subset_size:
             self.ranking.add(server_id, weight_milli)
 
@@ -40,7 +40,7 @@
         self.ranking.remove(server_id)
 
     def rank(self, server_id: str) -> int:
-        """Return this limiter's rank for a server, from 0; 0 where all servers are included."""
+        """Return this limiter's rank for a server, from 0; always 0 if `subset_size` is 0."""
         return self.ranking.rank(server_id)
 
     def includes(self, server_id: str) -> bool:
--- a/elderlock/decisions/throttle.py
+++ b/elderlock/decisions/throttle.py
@@ -14,10 +14,8 @@
 
 GOAL_LOAD_LEVEL = 0.4  # at this median latency ratio requests queue, and the slowest tenth miss their objective
 CONTROL_PERIOD_MS = 1000.0  # the time between updates of the leak rate
-MIN_RATE_FACTOR = (
-    0.75  # lower bound of the factor of one update, so that a noisy reading changes the rate only a little
-)
-MAX_RATE_FACTOR = 1.15  # upper bound, for the same reason
+MIN_RATE_FACTOR = 0.75  # the minimum factor of one update, so that one noisy reading changes the rate only a little
+MAX_RATE_FACTOR = 1.15  # the maximum factor, for the same reason
 MIN_LOAD_LEVEL = 1e-3  # avoids a division by 0
 TERMINATION_PENDING_PERIOD_MS = 3000.0  # the time with a load below the goal before the return starts
 LEAK_RATE_GROWTH_PERCENT = 25.0  # the increase of the leak rate per increment while returning
