--- a/elderlock/quota/counted_quotas.py
+++ b/elderlock/quota/counted_quotas.py
@@ -99,11 +99,11 @@
             self._ceilings[plan.name, limiter_count] = bucket
         return bucket
 
-    def request_reading(self, request: OpenRequest) -> None:
+    def request_quota_decision(self, request: OpenRequest) -> None:
         """Let the counter decide the request, unless its customer uses only this limiter."""
         account = request.account
         if account.plan.rate_per_s <= 0 or account.limiter_count <= 1:
-            super().request_reading(request)
+            super().request_quota_decision(request)
             return
         self._admit_to_quota(request)
         self._run_book()
--- a/tests/control/test_control_socket.py
+++ b/tests/control/test_control_socket.py
@@ -99,7 +99,7 @@
 
 
 def test_the_reason_why_a_server_gets_no_requests_is_reported() -> None:
-    harness = start_harness(limiter_settings(limiters=6), names="abcdefgh")
+    harness = start_harness(limiter_settings(limiter_count=6), server_ids="abcdefgh")
     endpoints = harness.limiter.endpoints
     server = endpoints.servers["c"]
     assert exclusion_reason(endpoints, server, harness.now_ms) == ""
@@ -109,8 +109,8 @@
     harness.now_ms = endpoints.context.now_ms = server.reinstate_at_ms
     endpoints.review_due_servers()
     assert exclusion_reason(endpoints, server, harness.now_ms) == "on trial, one request at a time"
-    settings = replace(limiter_settings(limiters=6), routing=Routing(subset_size=4))
-    endpoints = start_harness(settings, names="abcdefghijklmnopqrstuvwx").limiter.endpoints
+    settings = replace(limiter_settings(limiter_count=6), routing=Routing(subset_size=4))
+    endpoints = start_harness(settings, server_ids="abcdefghijklmnopqrstuvwx").limiter.endpoints
     reasons = {uid: exclusion_reason(endpoints, server, 0.0) for uid, server in endpoints.servers.items()}
     assert {uid for uid, reason in reasons.items() if not reason} == {
         server.entry.server_id for server in endpoints.candidates.all.members()
--- a/tests/escrow_histories.py
+++ b/tests/escrow_histories.py
@@ -36,7 +36,7 @@
     """The quotas of a limiter with its own clock, which may stand still."""
 
     def __init__(self, number: int, now_ms: float, seed: int, quotas_class: type[Quotas] = EscrowQuotas) -> None:
-        settings = replace(limiter_settings(LIMITER_COUNT, peers=True), limiter_index=number, plans=(PLAN,))
+        settings = replace(limiter_settings(LIMITER_COUNT, can_message_peers=True), limiter_index=number, plans=(PLAN,))
         self.number = number
         self.context = DecisionContext(settings, seed, now_ms)
         self.quotas = quotas_class(self.context)
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -10,7 +10,7 @@
 import pytest
 from escrow_histories import FILL_MS, FIRST, LIMITER_COUNT, MEMBER_COUNT, PLAN
 from helpers import limiter_settings
-from playing import played
+from trial_runs import run_trial
 
 from elderlock import interface as api
 from elderlock.control import messages
@@ -42,7 +42,7 @@
 def test_the_operators_file_selects_the_limiter_class(text: str, limiter_class: type[Limiter], tmp_path: Path) -> None:
     path = tmp_path / "operators.toml"
     path.write_text(text)
-    assert OptionalFeatures(path).limiter_type(limiter_settings(peers=True)) is limiter_class
+    assert OptionalFeatures(path).limiter_type(limiter_settings(can_message_peers=True)) is limiter_class
 
 
 @pytest.mark.parametrize(
@@ -57,13 +57,13 @@
     path = tmp_path / "operators.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=re.escape(message)) as error:
-        OptionalFeatures(path).limiter_type(limiter_settings(peers=True))
+        OptionalFeatures(path).limiter_type(limiter_settings(can_message_peers=True))
     assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
 def test_the_status_shows_granted_units_and_units_in_transit() -> None:
     limiter = EscrowLimiter(
-        replace(limiter_settings(LIMITER_COUNT, peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0
+        replace(limiter_settings(LIMITER_COUNT, can_message_peers=True), limiter_index=5, plans=(PLAN,)), 1, 0.0
     )
     request = encode(EscrowRequest(9, 77, 0, MEMBER_COUNT, FIRST, 3.0))
     (answer,) = limiter.handle(api.PeerMessage(FIRST, request), 2.0 * FILL_MS)
@@ -76,7 +76,7 @@
         given_units=3.0, taken_units=0.0, offered_units=3.0, maximum_sent_per_s=SEND_FRACTION * 100.0
     )
     assert limiter.handle(api.PeerMessage(FIRST, request[:-1]), 2.0 * FILL_MS) == []  # of this format but malformed
-    assert ceiling_status(Limiter(limiter_settings(peers=True), 1, 0.0)) is None
+    assert ceiling_status(Limiter(limiter_settings(can_message_peers=True), 1, 0.0)) is None
 
 
 # Fleets
@@ -149,5 +149,5 @@
             Fault(3.0, "cut", "way:limiter:0>limiter:3", 2.0),
         ),
     )
-    outcome = played(sim.of_load(0.4, scenario, 2))
+    outcome = run_trial(sim.of_load(0.4, scenario, 2))
     assert outcome.verdict() != "broken", outcome.text()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A harness for tests of a limiter: it carries out the actions on a clock of its own and checks rules as it goes."""
+"""A test harness that runs a limiter on a simulated clock, carries out its actions and checks general rules."""
 
 from __future__ import annotations
 
@@ -31,57 +31,59 @@
 
 
 def limiter_settings(
-    limiters: int = 3,
-    peers: bool = False,
-    meter: float = 0.0,
-    subscribe: bool = False,
-    cancel: bool = True,
-    settled: bool = False,
+    limiter_count: int = 3,
+    can_message_peers: bool = False,
+    meter_period_ms: float = 0.0,
+    subscribes_to_list: bool = False,
+    can_cancel: bool = True,
+    is_cost_known_at_end: bool = False,
 ) -> api.Settings:
     """Return the settings of a small group of limiters."""
     return api.Settings(
         limiter_index=0,
-        limiter_count=limiters,
+        limiter_count=limiter_count,
         clock_tick_ms=4.0,
         zone=0,
         request_classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS, STREAM_CLASS),
         plans=(PLAIN_PLAN, CEILING_PLAN, CONCURRENCY_PLAN, OVER_QUOTA_PLAN),
         rules=RULES,
-        capabilities=api.Capabilities(max_attempts=4, can_cancel=cancel, can_message_peers=peers),
+        capabilities=api.Capabilities(max_attempts=4, can_cancel=can_cancel, can_message_peers=can_message_peers),
         quota_sources=api.QuotaSources(
-            meter_period_ms=meter,
+            meter_period_ms=meter_period_ms,
             peer_messages_per_s=100.0,
-            cost_known_after=settled,
+            is_cost_known_at_end=is_cost_known_at_end,
         ),
-        subscribes_to_list=subscribe,
+        subscribes_to_list=subscribes_to_list,
     )
 
 
 RUNNING = api.ServerState.RUNNING
 
 
-def server_entry(name: str, zone: int = 0, state: api.ServerState = RUNNING, at: float = 0.0) -> api.ServerEntry:
+def server_entry(
+    server_id: str, zone: int = 0, state: api.ServerState = RUNNING, started_at_ms: float = 0.0
+) -> api.ServerEntry:
     """Return an entry of the server list."""
-    return api.ServerEntry(name, zone, 0, zone, state, 1.0, at)
+    return api.ServerEntry(server_id, zone, 0, zone, state, 1.0, started_at_ms)
 
 
 @dataclass
 class LimiterHarness:
-    """Runs a limiter on a clock of its own.
+    """Runs a limiter on a simulated clock.
 
     Attributes:
         limiter: The limiter under test.
-        now_ms: The time.
-        timers: When each timer fires, and its token.
-        sent_attempts: When each attempt was sent, and its action.
-        final_answers: The names of the final actions of each request.
-        answered_ids: The requests that have their final answer.
-        attempt_counts: How many attempts of each request were sent.
-        attempts_in_flight: The request, index and server of each attempt without an outcome.
-        other_actions: When each other action came.
-        attempt_timeouts: When each attempt in flight times out.
-        permits: When each permit came.
-        request_count: How many requests were sent.
+        now_ms: The simulated time.
+        timers: The time at which each timer fires, and its token.
+        sent_attempts: The time at which each attempt was sent, and the action.
+        final_answers: The names of the final actions of each request, by request id.
+        answered_ids: The ids of the requests that have their final answer.
+        attempt_counts: The number of attempts of each request, by request id.
+        attempts_in_flight: The request id, index and server id of each attempt without an outcome.
+        other_actions: The time and the action of all other actions.
+        attempt_timeouts: The time at which each attempt in flight times out, and the attempt.
+        permits: The time and the action of each permit.
+        request_count: The number of requests that were sent.
     """
 
     limiter: Limiter
@@ -98,125 +100,140 @@
     request_count: int = 0
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Give an event to the limiter, and carry out its actions."""
+        """Pass an event to the limiter, and carry out the actions that it returns."""
         if isinstance(event, api.AttemptEnded | api.ClientDisconnected) and getattr(event, "is_answered", True):
             self.answered_ids.add(event.request_id)
         if isinstance(event, api.StreamStarted):
             self.attempt_timeouts = [
-                limit for limit in self.attempt_timeouts if limit[1][:2] != (event.request_id, event.attempt_index)
+                timeout
+                for timeout in self.attempt_timeouts
+                if timeout[1][:2] != (event.request_id, event.attempt_index)
             ]
         actions = self.limiter.handle(event, self.now_ms)
         self.carry_out(actions)
         return actions
 
     def carry_out(self, actions: list[api.Action]) -> None:
-        """Note the actions; a second final answer of a request fails the test."""
+        """Record the actions, and fail the test on an attempt or a further answer after the final answer."""
         for action in actions:
             if isinstance(action, api.SetTimer):
                 self.timers.append((self.now_ms + max(action.delay_ms, 4.0), action.token))
             elif isinstance(action, api.SendAttempt):
-                assert action.request_id not in self.answered_ids, "sent after the final answer"
-                number = self.attempt_counts.get(action.request_id, 0)
-                self.attempt_counts[action.request_id] = number + 1
-                self.attempts_in_flight.append((action.request_id, number, action.server_id))
+                assert action.request_id not in self.answered_ids, "an attempt was sent after the final answer"
+                attempt_index = self.attempt_counts.get(action.request_id, 0)
+                self.attempt_counts[action.request_id] = attempt_index + 1
+                self.attempts_in_flight.append((action.request_id, attempt_index, action.server_id))
                 self.sent_attempts.append((self.now_ms, action))
                 if action.timeout_ms > 0:
                     self.attempt_timeouts.append((self.now_ms + action.timeout_ms, self.attempts_in_flight[-1]))
             elif isinstance(action, api.Permit):
-                assert action.request_id not in self.answered_ids, "answered twice"
+                assert action.request_id not in self.answered_ids, "a request was answered twice"
                 self.answered_ids.add(action.request_id)
                 self.final_answers.setdefault(action.request_id, []).append("Permit")
                 self.attempts_in_flight.append((action.request_id, 0, action.server_id))
                 self.permits.append((self.now_ms, action))
             elif isinstance(action, api.Reject | api.Fail):
-                assert action.request_id not in self.answered_ids, "answered twice"
+                assert action.request_id not in self.answered_ids, "a request was answered twice"
                 self.answered_ids.add(action.request_id)
                 self.final_answers.setdefault(action.request_id, []).append(type(action).__name__)
             else:
                 self.other_actions.append((self.now_ms, action))
 
-    def run_until(self, until: float) -> None:
-        """Let timers and time-outs of attempts come as they fall due."""
+    def run_until(self, until_ms: float) -> None:
+        """Advance the clock, with the timers and the timeouts of attempts that are due until then."""
         while True:
-            self.attempt_timeouts = [limit for limit in self.attempt_timeouts if limit[1] in self.attempts_in_flight]
-            due = min((t[0] for t in [*self.timers, *self.attempt_timeouts] if t[0] <= until), default=None)
-            if due is None:
+            self.attempt_timeouts = [
+                timeout for timeout in self.attempt_timeouts if timeout[1] in self.attempts_in_flight
+            ]
+            due_times_ms = [due[0] for due in [*self.timers, *self.attempt_timeouts] if due[0] <= until_ms]
+            if not due_times_ms:
                 break
-            self.now_ms = max(self.now_ms, due)
-            for at, attempt in [limit for limit in self.attempt_timeouts if limit[0] <= self.now_ms]:
-                self.attempt_timeouts.remove((at, attempt))
+            self.now_ms = max(self.now_ms, min(due_times_ms))
+            for due_at_ms, attempt in [timeout for timeout in self.attempt_timeouts if timeout[0] <= self.now_ms]:
+                self.attempt_timeouts.remove((due_at_ms, attempt))
                 self.attempts_in_flight.remove(attempt)
-                answered = attempt[0] in self.answered_ids
-                self.handle(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, answered))
-            for timer in [t for t in self.timers if t[0] <= self.now_ms]:
+                is_answered = attempt[0] in self.answered_ids
+                self.handle(api.AttemptEnded(*attempt, Outcome.TIMEOUT, 1.0, is_answered))
+            for timer in [timer for timer in self.timers if timer[0] <= self.now_ms]:
                 self.timers.remove(timer)
                 self.handle(api.TimerFired(timer[1]))
-        self.now_ms = max(self.now_ms, until)
+        self.now_ms = max(self.now_ms, until_ms)
 
     def send_request(
         self,
-        customer: str = "c",
-        plan: int = 0,
+        customer_id: str = "c",
+        plan_index: int = 0,
         units: float = 1.0,
-        kind: int = 0,
-        spread: int = 1,
-        left: float = 4000.0,
-        permission: bool = False,
+        class_index: int = 0,
+        limiter_count: int = 1,
+        remaining_ms: float = 4000.0,
+        wants_permit: bool = False,
     ) -> str:
         """Send a request, or ask for a permit, and return its id.
 
         Args:
-            customer: The customer's id.
-            plan: The index of the plan.
-            units: The units of the request.
-            kind: The index of the class.
-            spread: How many limiters serve the customer.
-            left: Time until the deadline in ms.
-            permission: Whether a permit is asked for.
+            customer_id: The customer's id.
+            plan_index: The index of the plan.
+            units: The cost of the request in units.
+            class_index: The index of the class.
+            limiter_count: The number of limiters that serve the customer.
+            remaining_ms: The time until the deadline.
+            wants_permit: Whether the client asks for a permit.
         """
         self.request_count += 1
-        name = f"r{self.request_count}"
-        event = api.PermitRequested if permission else api.RequestArrived
-        self.handle(event(name, kind, plan, customer, units, self.now_ms + left, spread, 0))
-        return name
+        request_id = f"r{self.request_count}"
+        event_class = api.PermitRequested if wants_permit else api.RequestArrived
+        deadline_ms = self.now_ms + remaining_ms
+        self.handle(event_class(request_id, class_index, plan_index, customer_id, units, deadline_ms, limiter_count, 0))
+        return request_id
 
     def end_attempt(
         self,
-        name: str,
+        request_id: str,
         outcome: api.Outcome = api.Outcome.OK,
-        took: float = 50.0,
+        duration_ms: float = 50.0,
         meter: int = 0,
-        true: float = 0.0,
+        settled_units: float = 0.0,
     ) -> list[api.Action]:
         """End the oldest attempt in flight of a request."""
-        found = next((o for o in self.attempts_in_flight if o[0] == name), None)
-        if found is None:
+        oldest = next((attempt for attempt in self.attempts_in_flight if attempt[0] == request_id), None)
+        if oldest is None:
             return []
-        self.attempts_in_flight.remove(found)
-        answered = outcome is api.Outcome.OK or name in self.answered_ids
-        return self.handle(api.AttemptEnded(name, found[1], found[2], outcome, took, answered, meter, true))
-
-    def is_served(self, customer: str = "c", plan: int = 0, units: float = 1.0, spread: int = 1) -> bool:
-        """Send a request whose first attempt is answered, and return whether an attempt was sent."""
-        name = self.send_request(customer, plan, units, spread=spread)
-        self.end_attempt(name)
-        return bool(self.attempted_servers(name))
+        self.attempts_in_flight.remove(oldest)
+        _, attempt_index, server_id = oldest
+        is_answered = outcome is api.Outcome.OK or request_id in self.answered_ids
+        return self.handle(
+            api.AttemptEnded(
+                request_id, attempt_index, server_id, outcome, duration_ms, is_answered, meter, settled_units
+            )
+        )
+
+    def is_served(
+        self, customer_id: str = "c", plan_index: int = 0, units: float = 1.0, limiter_count: int = 1
+    ) -> bool:
+        """Send a request, answer its first attempt if there is one, and return whether there was."""
+        request_id = self.send_request(customer_id, plan_index, units, limiter_count=limiter_count)
+        self.end_attempt(request_id)
+        return bool(self.attempted_servers(request_id))
 
     def apply_list(self, *entries: api.ServerEntry, kind: api.ListKind = api.ListKind.COMPLETE) -> None:
-        """Give a server list to the limiter."""
+        """Pass a server list to the limiter."""
         self.handle(api.ServerList(1, kind, entries))
 
-    def attempted_servers(self, name: str) -> list[str]:
-        """Return the servers that attempts of a request were sent to."""
-        return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == name]
+    def attempted_servers(self, request_id: str) -> list[str]:
+        """Return the ids of the servers that attempts of a request were sent to."""
+        return [attempt.server_id for _, attempt in self.sent_attempts if attempt.request_id == request_id]
 
 
-def start_harness(config: api.Settings | None = None, names: str = "abcdef", start: float = 0.0) -> LimiterHarness:
-    """Start a limiter that knows servers of the given names."""
-    config = config or limiter_settings()
-    harness = LimiterHarness(Limiter(config, 7, start), now_ms=start)
-    harness.carry_out(harness.limiter.start(start))
-    harness.apply_list(*(server_entry(n, i % 2) for i, n in enumerate(names)), kind=api.ListKind.CACHED)
+def start_harness(
+    settings: api.Settings | None = None, server_ids: str = "abcdef", started_at_ms: float = 0.0
+) -> LimiterHarness:
+    """Start a limiter whose server list has one server for each letter of `server_ids`, in two zones by turns."""
+    settings = settings or limiter_settings()
+    harness = LimiterHarness(Limiter(settings, 7, started_at_ms), now_ms=started_at_ms)
+    harness.carry_out(harness.limiter.start(started_at_ms))
+    entries = [server_entry(server_id, index % 2) for index, server_id in enumerate(server_ids)]
+    harness.apply_list(*entries, kind=api.ListKind.CACHED)
     return harness
 
 
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -62,7 +62,7 @@
 
 def start_counter_harness(limiters: int = 3) -> CounterHarness:
     coordinator_class = type("Counted", (CountedCoordinator,), {"parameters": CounterParameters()})
-    settings = limiter_settings(limiters=limiters)
+    settings = limiter_settings(limiter_count=limiters)
     harness = CounterHarness(Limiter(settings, 7, 1_000.0, coordinator_class), now_ms=1_000.0)
     harness.carry_out(harness.limiter.start(1_000.0))
     harness.apply_list(*(server_entry(name) for name in "abcdef"), kind=ListKind.CACHED)
@@ -80,7 +80,7 @@
     """Send requests of one customer at an interval; return those that were forwarded."""
     forwarded = []
     for _ in range(count):
-        name = harness.send_request(customer="busy", plan=plan, spread=3)
+        name = harness.send_request(customer_id="busy", plan_index=plan, limiter_count=3)
         harness.run_until(harness.now_ms + interval_ms)
         if harness.attempted_servers(name):
             forwarded.append(name)
@@ -102,7 +102,7 @@
     harness = start_counter_harness()
     calls_before = harness.quota_calls()
     for number in range(30):
-        assert harness.is_served(customer=f"c{number}", spread=3)
+        assert harness.is_served(customer_id=f"c{number}", limiter_count=3)
     assert harness.quota_calls() == calls_before
 
 
@@ -112,7 +112,7 @@
     harness.is_reachable = False
     waits_ms = []
     for _ in range(200):
-        name, sent_at_ms = harness.send_request(customer="busy", spread=3), harness.now_ms
+        name, sent_at_ms = harness.send_request(customer_id="busy", limiter_count=3), harness.now_ms
         while not harness.attempted_servers(name) and name not in harness.final_answers:
             harness.run_until(harness.now_ms + 1.0)
         waits_ms.append(harness.now_ms - sent_at_ms)
@@ -139,7 +139,7 @@
         CounterParameters().prefetch_limit_units(bucket) + CounterParameters().unreported_limit_units(bucket) + 1.0
     )
     assert len(send_requests(harness, 100)) <= available_units
-    refused = harness.send_request(customer="busy", spread=3)
+    refused = harness.send_request(customer_id="busy", limiter_count=3)
     harness.run_until(harness.now_ms + 120.0)
     assert harness.final_answers[refused] == ["Reject"]
 
@@ -148,7 +148,7 @@
     harness = start_counter_harness()
     call_count = len(harness.quota_calls())
     for _ in range(30):
-        harness.is_served(customer="mine", spread=1)
+        harness.is_served(customer_id="mine", limiter_count=1)
     assert len(harness.quota_calls()) == call_count
 
 
@@ -160,7 +160,7 @@
     """
     times_ms = []
     for _ in range(count):
-        name = harness.send_request(customer="ceiled", plan=1, spread=3)
+        name = harness.send_request(customer_id="ceiled", plan_index=1, limiter_count=3)
         harness.run_until(harness.now_ms + interval_ms)
         if harness.attempted_servers(name):
             times_ms.append(harness.now_ms)
@@ -218,7 +218,7 @@
     for number in range(600):
         harness.is_reachable = (number // 60) % 2 == 0
         harness.delay_ms = 3.0 if number % 7 else 45.0
-        names.append(harness.send_request(customer=f"c{number % 3}", spread=3))
+        names.append(harness.send_request(customer_id=f"c{number % 3}", limiter_count=3))
         harness.run_until(harness.now_ms + 13.0)
         for name in list({attempt[0] for attempt in harness.attempts_in_flight}):
             harness.end_attempt(name)
--- a/tests/quota_messages.py
+++ b/tests/quota_messages.py
@@ -46,9 +46,9 @@
 
 def harness_with_pending_query(spread: int = 3, limiters: int = 3) -> HarnessWithQuery:
     """Return a limiter that has queried another limiter for the units of a request."""
-    harness = start_harness(limiter_settings(limiters=limiters, peers=True))
+    harness = start_harness(limiter_settings(limiter_count=limiters, can_message_peers=True))
     for number in range(100):
-        request_id = harness.send_request(customer=f"c{number}", spread=spread)
+        request_id = harness.send_request(customer_id=f"c{number}", limiter_count=spread)
         if not harness.attempted_servers(request_id):
             return HarnessWithQuery(harness, request_id, *sent_singles(harness)[-1])
     raise AssertionError("none of 100 customers has another limiter as its quota owner")
