--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -307,7 +307,7 @@
     from elderlock.net.config import ConfigError
 
     try:
-        return RoutingDoor(agent.file.authz, agent.folder, agent.usable, random.Random())
+        return RoutingDoor(agent.file.authz, agent.folder, agent.usable_limiters, random.Random())
     except (AuthzError, ConfigError) as error:
         raise FileError(str(error)) from None
 
@@ -317,7 +317,7 @@
 
     from elderlock.fleet.config import read_agent
 
-    _routing(SimpleNamespace(file=read_agent(path), folder=path.resolve().parent, usable=set))
+    _routing(SimpleNamespace(file=read_agent(path), folder=path.resolve().parent, usable_limiters=set))
 
 
 def _base(options: argparse.Namespace) -> int:
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -52,7 +52,7 @@
         file: AgentFile,
         rng: random.Random,
         host: Host | None = None,
-        basis: LauncherLink | None = None,
+        launcher: LauncherLink | None = None,
     ) -> None:
         """Raises `FileError` or `StoreError`, with nothing begun."""
         self.folder, self.file, self.name = path.resolve().parent, file, file.agent.name
@@ -94,7 +94,7 @@
             )
             for part in file.limiter
         }
-        self.agent_release = AgentRelease(self.name, basis, self.versions, self.limiters)
+        self.agent_release = AgentRelease(self.name, launcher, self.versions, self.limiters)
         self.peers: list[PeerLink] = []
         members: list[str] = []
         self.group_view = GroupView(self, (), {})
@@ -270,8 +270,8 @@
     def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
         return self.group_view.peer_limiter_briefs()
 
-    def usable(self, names: Iterable[str]) -> set[str]:
-        return self.group_view.usable(names)
+    def usable_limiters(self, names: Iterable[str]) -> set[str]:
+        return self.group_view.usable_limiters(names)
 
     def notify_peers(self) -> None:
         for peer in self.peers:
@@ -309,16 +309,16 @@
     path: Path,
     beside: Callable[[Agent], CompanionService | None] = lambda agent: None,
     host: Host | None = None,
-    basis: LauncherLink | None = None,
+    launcher: LauncherLink | None = None,
 ) -> None:
     """Runs the agent of that file on `host` until SIGTERM or SIGINT, under `basis` or the base that started it, if any.
     Raises `FileError`, `StoreError`, `OSError`."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    if basis is None and (basis := LauncherLink.of(os.environ)) is not None:
-        basis.watch(stop.set)
-    agent = Agent(path, read_agent(path), random.Random(), host, basis)
+    if launcher is None and (launcher := LauncherLink.of(os.environ)) is not None:
+        launcher.watch(stop.set)
+    agent = Agent(path, read_agent(path), random.Random(), host, launcher)
     try:
         other = beside(agent)
         # a SIGHUP that nobody handles would end the agent
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -257,11 +257,13 @@
 
     async def _lend(self, who: Identity, lend: f.LeaseWorker) -> f.Message:
         lending = self._agent.worker_leasing
-        if lending.begins(lend.job):
+        if lending.is_new_job(lend.job):
             if refused := lending.refusal():
                 return f.Refused("not-lent", refused, lend.id)
             self._agent.audit(who.name, who.role, f"lent a worker: {lend.job}", "")
-        taken, first, frames, ended = await lending.talk(lend.job, lend.first, lend.frames, lend.have, lend.end)
+        taken, first, frames, ended = await lending.exchange_frames(
+            lend.job, lend.first, lend.frames, lend.have, lend.end
+        )
         return f.WorkerLeased(lend.id, self._agent.name, taken, first, frames, ended)
 
 
--- a/elderlock/fleet/agent/group_view.py
+++ b/elderlock/fleet/agent/group_view.py
@@ -69,7 +69,7 @@
         ]
         return build_inventory(states, known, unheard)
 
-    def usable(self, names: Iterable[str]) -> set[str]:
+    def usable_limiters(self, names: Iterable[str]) -> set[str]:
         """Of these limiters those that are neither drained nor, as far as is known, silent: our own by their
         own word, others' by what their agents said last. One that nobody speaks of is not held back."""
         drained = self._agent.records.drained_targets("limiter")
--- a/elderlock/fleet/agent/worker_leasing.py
+++ b/elderlock/fleet/agent/worker_leasing.py
@@ -107,7 +107,7 @@
         self._most = most
         self._lent: dict[str, _LeasedWorker] = {}
 
-    def begins(self, job: str) -> bool:
+    def is_new_job(self, job: str) -> bool:
         return job not in self._lent
 
     def refusal(self) -> str:
@@ -118,7 +118,7 @@
             return f"all {self._most} workers that this machine lends are in use"
         return ""
 
-    async def talk(
+    async def exchange_frames(
         self, job: str, first: int, frames: Sequence[bytes], have: int, end: bool
     ) -> tuple[int, int, tuple[bytes, ...], str]:
         """Passes words on and gives what came: how many of the caller's have come, the number of the first
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -90,8 +90,8 @@
         held = owner.store.vote()
         self._acceptor = Acceptor(*held) if held is not None else Acceptor()
         self._remembers = held is not None
-        self.voting = owner.name in self.voters and len(self.voters) == 1
-        self.why = "" if self.voting else "it has just begun"
+        self.is_voting = owner.name in self.voters and len(self.voters) == 1
+        self.why = "" if self.is_voting else "it has just begun"
         self._seen: dict[str, Ballot] = {}  # the greatest that each other was seen to promise
         self._number = self._acceptor.promised.number
         self._turn = asyncio.Lock()
@@ -107,7 +107,7 @@
 
     def start(self) -> None:
         loop = asyncio.get_running_loop()
-        if self._owner.name in self.voters and not self.voting:
+        if self._owner.name in self.voters and not self.is_voting:
             self._tasks.append(loop.create_task(self._join()))
         self._tasks.append(loop.create_task(self._tend()))
 
@@ -142,7 +142,7 @@
 
     def _vote(self, decide: Callable[[Acceptor], Vote]) -> tuple[bool, Vote]:
         """Kept before it is told; one that cannot be kept is not given."""
-        if not self.voting:
+        if not self.is_voting:
             return False, Vote(False, self._acceptor.promised)
         trial = Acceptor(*self._acceptor.durable_state())
         vote = decide(trial)
@@ -303,7 +303,7 @@
         return "no permit: the group has a budget of what may be out (--force goes without)"
 
     def stood(self, asked: f.ShowBudget) -> f.BudgetStatus:
-        voting = "yes" if self.voting else self.why if self._owner.name in self.voters else "it is no voter"
+        voting = "yes" if self.is_voting else self.why if self._owner.name in self.voters else "it is no voter"
         inventory = self._owner.inventory()
         lines = budget_status_lines(self.budget, inventory, self.ledger.permit_holders())
         lines += [inventory.insufficient_reason] if inventory.insufficient_reason else []
@@ -317,7 +317,7 @@
     async def _join(self) -> None:
         while not await self._joined():
             await asyncio.sleep(JOIN_EVERY)
-        self.voting, self.why = True, ""
+        self.is_voting, self.why = True, ""
         log.info("votes", agent=self._owner.name, remembers=self._remembers)
 
     async def _joined(self) -> bool:
--- a/elderlock/fleet/plans/agent_release.py
+++ b/elderlock/fleet/plans/agent_release.py
@@ -18,9 +18,9 @@
 
 class AgentRelease:
     def __init__(
-        self, name: str, basis: LauncherLink | None, versions: Versions, charges: Mapping[str, ManagedLimiter]
+        self, name: str, launcher: LauncherLink | None, versions: Versions, charges: Mapping[str, ManagedLimiter]
     ) -> None:
-        self.name, self.basis = name, basis
+        self.name, self.launcher = name, launcher
         self._versions, self._charges = versions, charges
         self._said = ExecutionProgress()
         self.heard_by_majority = False
@@ -28,18 +28,22 @@
 
     @property
     def version(self) -> str:
-        return self.basis.held.current.version if self.basis is not None else ""
+        return self.launcher.held.current.version if self.launcher is not None else ""
 
-    def up(self) -> None:
+    def on_majority_answer(self) -> None:
         """A majority answered: the group hears this version. The base needs no more to know that it started."""
         self.heard_by_majority = True
-        if self.basis is not None:
-            self.basis.ready()
+        if self.launcher is not None:
+            self.launcher.ready()
 
     def brief(self) -> f.AgentBrief:
-        basis = self.basis
+        launcher = self.launcher
         return f.AgentBrief(
-            self.version, basis is not None, basis.starts if basis is not None else 0, self._serving(), self._said
+            self.version,
+            launcher is not None,
+            launcher.starts if launcher is not None else 0,
+            self._serving(),
+            self._said,
         )
 
     def _serving(self) -> bool:
@@ -65,7 +69,7 @@
 
     def see(self, plan: Plan, unit: Unit, halted: bool) -> tuple[AgentAction | None, bool]:
         """What is to be done, and whether what it says of itself has changed."""
-        held = self.basis.held if self.basis is not None else None
+        held = self.launcher.held if self.launcher is not None else None
         if held is None:
             look = AgentObservation("", 0, False, 0, "no base started it", self.heard_by_majority, self._serving())
         else:
@@ -84,12 +88,12 @@
 
     def go(self, plan: Plan, unit: Unit) -> None:
         """Asks the base for the other version; this process is ended by it. Raises `FileError`."""
-        if self.basis is None:
+        if self.launcher is None:
             raise FileError("no base started this agent")
         version = plan.target_version(unit)
         which = AgentVersion(version, self._versions.agent(version, self.name))
-        self.basis.go(SwitchRequest(unit.generation, which, 1000.0 * plan.policy.start_timeout_s))
+        self.launcher.go(SwitchRequest(unit.generation, which, 1000.0 * plan.policy.start_timeout_s))
 
     def settle(self) -> None:
-        if self.basis is not None:
-            self.basis.settled()
+        if self.launcher is not None:
+            self.launcher.settled()
--- a/elderlock/fleet/plans/coordinator.py
+++ b/elderlock/fleet/plans/coordinator.py
@@ -133,7 +133,7 @@
 
     # Halts
 
-    def halted(self, plan: Plan) -> bool:
+    def is_halted(self, plan: Plan) -> bool:
         soft = self.halts.get(plan.id)
         return plan.state != "running" or (soft is not None and soft[0] >= plan.revision)
 
@@ -374,7 +374,7 @@
     async def _carry(self) -> None:
         self.catch_up()
         if not self._owner.agent_release.heard_by_majority and await self._keeper.read() is not None:
-            self._owner.agent_release.up()
+            self._owner.agent_release.on_majority_answer()
         ledger = self._keeper.ledger
         if self._given_up:
             return
@@ -401,7 +401,7 @@
             charge.link.kick()  # its word is asked for at once: the plan waits for it
         look = charge.look(record)
         before = carrier.progress
-        act = carrier.next_action(plan, unit, look, self._now(), self.halted(plan))
+        act = carrier.next_action(plan, unit, look, self._now(), self.is_halted(plan))
         charge.said = carrier.progress
         if carrier.progress != before:
             self._owner.notify_peer(plan.leader)
@@ -413,7 +413,7 @@
         """Our own turn in a release of agents. What this process runs as is the base's word, not its own."""
         if self._owner.name in self._acting:
             return
-        act, news = self._owner.agent_release.see(plan, unit, self.halted(plan))
+        act, news = self._owner.agent_release.see(plan, unit, self.is_halted(plan))
         if news:
             self._owner.notify_peer(plan.leader)
         if act == "settle":
@@ -481,7 +481,10 @@
             return False
         now = ledger.find_plan(plan.id)
         return (
-            now is not None and now.find_unit(unit.target) == unit and now.state == "running" and not self.halted(plan)
+            now is not None
+            and now.find_unit(unit.target) == unit
+            and now.state == "running"
+            and not self.is_halted(plan)
         )
 
     async def _passed(self, plan: Plan, unit: Unit) -> bool:
@@ -540,7 +543,7 @@
             self._beaten = now
         for _ in range(MOST_AT_ONCE):
             current = self._keeper.ledger.find_plan(plan.id)
-            if current is None or (current.leader, current.term) != (me, plan.term) or self.halted(current):
+            if current is None or (current.leader, current.term) != (me, plan.term) or self.is_halted(current):
                 return
             told = await self._told(current)
             move = leader.next_action(current, told, self._now())
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -138,7 +138,7 @@
                 return 4
             await asyncio.sleep(START_TAKES)
             try:
-                await agents.serve(self.folder / f"{name}.toml", host=host, basis=basis)
+                await agents.serve(self.folder / f"{name}.toml", host=host, launcher=basis)
             except Exception as error:
                 self.trace.event(self.at(), name, f"ends: {error!r}")
                 return 2
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -446,7 +446,7 @@
 
     def _voting(self) -> bool:
         keepers = [agent.consensus_member for agent in self.agents.values() if agent.consensus_member is not None]
-        voters = [keeper for keeper in keepers if keeper.voting]
+        voters = [keeper for keeper in keepers if keeper.is_voting]
         return len(self.agents) == self.case.agents and len(voters) >= len(keepers[0].voters)
 
     def _newest(self) -> Plan | None:
@@ -545,7 +545,7 @@
         if action == "halt" and plan.state == "running" and not self.case.faults:
             task: asyncio.Future[Any] = asyncio.ensure_future(asked)
             while not all(
-                a.plan_coordinator.halted(p)  # type: ignore[union-attr]
+                a.plan_coordinator.is_halted(p)  # type: ignore[union-attr]
                 for a in self.agents.values()
                 if (p := a.consensus_member.ledger.find_plan(plan.id))  # type: ignore[union-attr]
             ):
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/flaws.py
@@ -271,13 +271,13 @@
     """Once it has told its base that its group hears it."""
     from elderlock.fleet.plans.agent_release import AgentRelease
 
-    kept = AgentRelease.up
+    kept = AgentRelease.on_majority_answer
 
-    def up(self: AgentRelease) -> None:
+    def on_majority_answer(self: AgentRelease) -> None:
         kept(self)
         asyncio.get_running_loop().call_later(float(os.environ.get("ELDERLOCK_TRIAL_AFTER", "1")), os._exit, 3)
 
-    patch.setattr(AgentRelease, "up", up)
+    patch.setattr(AgentRelease, "on_majority_answer", on_majority_answer)
 
 
 def agent_is_of_another_protocol(patch: Patching) -> None:
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -192,21 +192,21 @@
     async def test() -> None:
         lending = WorkerLeasing(1)
         clock = [m.encode(m.Clock(n)) for n in range(3)]
-        assert lending.begins("a") and not lending.refusal()
-        taken, first, _, _ = await lending.talk("a", 0, clock[:2], 0, False)
+        assert lending.is_new_job("a") and not lending.refusal()
+        taken, first, _, _ = await lending.exchange_frames("a", 0, clock[:2], 0, False)
         assert (taken, first) == (2, 0) and "are in use" in lending.refusal()
         frames: tuple[bytes, ...] = ()
         while len(frames) < 2:  # asked again and again, as if each answer were lost; the words come twice too
             await asyncio.sleep(0.01)
-            taken, first, frames, _ = await lending.talk("a", 0, clock, 0, False)
+            taken, first, frames, _ = await lending.exchange_frames("a", 0, clock, 0, False)
         while len(frames) < 3:
             await asyncio.sleep(0.01)
-            taken, first, frames, ended = await lending.talk("a", 3, (), 0, False)
+            taken, first, frames, ended = await lending.exchange_frames("a", 3, (), 0, False)
         told = [m.from_worker(frame) for frame in frames]
         assert [message.number for message in told if isinstance(message, m.Told)] == [0, 1, 2] and taken == 3
-        _, first, frames, ended = await lending.talk("a", 3, (), 2, False)
+        _, first, frames, ended = await lending.exchange_frames("a", 3, (), 2, False)
         assert (first, len(frames), ended) == (2, 1, "")
-        assert (await lending.talk("a", 3, (), 3, True))[3] == "ended as asked" and lending.begins("a")
+        assert (await lending.exchange_frames("a", 3, (), 3, True))[3] == "ended as asked" and lending.is_new_job("a")
         lending.close()
 
     run(test())
