--- a/elderlock/fleet/agent/__init__.py
+++ b/elderlock/fleet/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent of one machine: its state, its API for the group and its part in the group."""
+"""The agent of one machine: its state, its API, its view of the group, and the workers that it lends."""
--- a/elderlock/fleet/agent/agent.py
+++ b/elderlock/fleet/agent/agent.py
@@ -1,8 +1,8 @@
-"""The agent of one machine: supervises its limiters, keeps drains durably, answers the group's API.
+"""The agent of one machine: supervises its limiters, stores the drain records, and answers the group's API.
 
-Order of every change: decided, kept in the store with its audit line, written for each limiter's next
-start, told to the limiters, told to the other agents. A death between any two of these loses nothing: the
-store is read at the next start, and limiters and other agents give back what the store lacks.
+A change is made in this order: it is decided, stored together with its audit line, written to the file that each
+limiter starts with, sent to the limiters, and sent to the other agents. A crash between any two of these steps loses
+nothing. The store is read at the next start, and limiters and other agents return the records that the store lacks.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 from elderlock import logs
 from elderlock.control.records import OfferResult, Record, Records
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.agent.api import Api
 from elderlock.fleet.agent.clock import now_ms, unix_ms
 from elderlock.fleet.agent.group_view import GroupView
@@ -35,16 +35,37 @@
 from elderlock.fleet.supervision.versions import Versions
 from elderlock.rollout.disruption_budget import Inventory
 
-PROGRESS_WITHIN = 0.4  # s that a limiter has to say how far it came
-LEARN_WITHIN = 2.0  # s after a start that the others are waited for, before limiters are started
-RETIRE_EVERY = 60.0  # s
-RETIRE_AFTER = 24 * 3600 * 1000.0  # ms after which a record that says nothing any more is forgotten
+PROGRESS_TIMEOUT_S = 0.4  # for a limiter's answer to the records
+RECORDS_WAIT_TIMEOUT_S = 2.0  # how long the start of the limiters waits for records from the other agents
+CLEANUP_INTERVAL_S = 60.0  # between removals of obsolete records
+OBSOLETE_RECORD_AGE_MS = 24 * 3600 * 1000.0  # obsolete records that are older are removed
 
 log = logs.get_logger(__name__)
 
 
 class Agent:
-    """The agent of one machine, with its parts; see the module for the order of every change."""
+    """The agent of one machine, with its parts; the module says in which order a change is made.
+
+    Attributes:
+        folder: The folder of the agent's file.
+        file: The agent's file.
+        name: The agent's name.
+        state_folder: The folder of the lock, of the store and of the limiters' files.
+        tokens: The tokens that the agent accepts.
+        store: The stored records, votes, versions and audit log.
+        store_error: The last failure of the store, for people; empty if it works.
+        records: The drain records in force.
+        started_at_ms: When the agent was started, on the monotonic clock.
+        versions: The version folders.
+        limiters: The limiters that the agent supervises, by name.
+        agent_release: The agent's part in releases of agents.
+        peers: The links to the other agents.
+        group_view: What the agent knows of its group.
+        consensus_member: The agent's part in the consensus; None where the group has no budget.
+        plan_coordinator: The agent's part in plans; None where the group has no budget.
+        worker_leasing: The workers of the load generator that the agent lends.
+        port: The port that the API listens on, after `start`.
+    """
 
     def __init__(
         self,
@@ -54,25 +75,37 @@
         host: Host | None = None,
         launcher: LauncherLink | None = None,
     ) -> None:
-        """Raises `FileError` or `StoreError`, with nothing begun."""
+        """Open the store and read all files; starts nothing.
+
+        Args:
+            path: The agent's file.
+            file: Its content.
+            rng: The source of random delays.
+            host: The machine that the agent runs on; None for the real one.
+            launcher: The link to the launcher that started the agent, if one did.
+
+        Raises:
+            FileError: A file cannot be used, or another agent uses the state folder.
+            StoreError: The store cannot be used.
+        """
         self.folder, self.file, self.name = path.resolve().parent, file, file.agent.name
-        home = self.state_folder = self.folder / file.agent.state
+        state_folder = self.state_folder = self.folder / file.agent.state
         self._host = host or Host()
         try:
-            home.mkdir(mode=0o700, parents=True, exist_ok=True)
-            home.chmod(0o700)
-            self._lock = self._host.lock(home / "lock")
+            state_folder.mkdir(mode=0o700, parents=True, exist_ok=True)
+            state_folder.chmod(0o700)
+            self._lock = self._host.lock(state_folder / "lock")
         except BlockingIOError:
-            raise FileError(f"{home}: another agent holds it") from None
+            raise FileError(f"{state_folder}: another agent holds its lock") from None
         except OSError as error:
-            raise FileError(f"{home}: {error.strerror}") from None
+            raise FileError(f"{state_folder}: {error.strerror}") from None
         self.tokens = Tokens.read(self.folder / file.agent.tokens)
         self._tls = server_tls(file.agent.tls, self.folder) if file.agent.tls else None
-        self.store = self._host.store(home / "store.db")
+        self.store = self._host.store(state_folder / "store.db")
         self.store_error = ""
         if self.store.set_aside is not None:
-            self.store_error = f"the store was damaged; put aside as {self.store.set_aside.name}"
-            log.error("store trouble", agent=self.name, error=self.store_error)
+            self.store_error = f"the store was damaged and has been moved to {self.store.set_aside.name}"
+            log.error("store failure", agent=self.name, error=self.store_error)
         self._epoch = self.store.next_epoch()
         self.records = Records(self.store.records())
         self.started_at_ms = now_ms()
@@ -81,14 +114,14 @@
             part.name: ManagedLimiter(
                 part,
                 self.folder,
-                home / part.name,
+                state_folder / part.name,
                 control_path(self.folder, file, part),
                 self,
                 self.store,
                 file.policy(),
                 random.Random(rng.random()),
                 self.notify_peers,
-                self._given_back,
+                self._on_limiter_records,
                 self._host,
                 self.versions,
             )
@@ -103,8 +136,8 @@
             token = read_token(self.folder / file.agent.peer_token)
             tls = client_tls(group.group.tls, self.folder) if group.group.tls else None
             members = [member.name for member in group.agent]
-            floors = {member.name: member.floor for member in group.agent}
-            self.group_view = GroupView(self, members, floors)
+            zones = {member.name: member.floor for member in group.agent}
+            self.group_view = GroupView(self, members, zones)
             self.peers = [
                 PeerLink(self.group_view, member.name, address(member.address), token, tls)
                 for member in group.agent
@@ -125,10 +158,15 @@
         self.port = 0
 
     def epoch(self) -> int:
+        """Return the agent's epoch, which grows at each start."""
         return self._epoch
 
     def outbid(self, epoch: int) -> bool:
-        """Goes above the epoch of a claim of our own that the store has lost; False where it cannot."""
+        """Raise the epoch above that of the agent's own claim, which its store has lost.
+
+        Returns:
+            Whether the new epoch could be stored.
+        """
         try:
             self.store.at_least_epoch(epoch + 1)
         except StoreError:
@@ -137,56 +175,65 @@
         return True
 
     async def start(self) -> None:
+        """Listen, and start all parts; the limiters start once the other agents' records have arrived."""
         host, port = address(self.file.agent.listen)
         self.port = await self._api.server.listen_tcp(host, port, self._tls)
-        for charge in self.limiters.values():
-            charge.begin()
+        for limiter in self.limiters.values():
+            limiter.begin()
         for peer in self.peers:
             peer.start()
         if self.consensus_member is not None:
             self.consensus_member.start()
         if self.plan_coordinator is not None:
             self.plan_coordinator.start()
-        self.start_task(self._release())
-        self._retire()
+        self.start_task(self._start_limiters())
+        self._forget_obsolete_records()
         log.info("agent listens", agent=self.name, address=f"{host}:{self.port}")
 
-    async def _release(self) -> None:
-        """Learns first, then starts: a drain that was made while this agent was away is held by the
-        others, and by the limiters that ran on."""
+    async def _start_limiters(self) -> None:
+        """Wait for the records of the other agents and of running limiters, then start the limiters.
+
+        They hold the drains that were made while this agent was down.
+        """
         try:
-            async with asyncio.timeout(LEARN_WITHIN):
-                tried = [charge.link.tried.wait() for charge in self.limiters.values()]
-                await asyncio.gather(*tried, *(peer.met.wait() for peer in self.peers))
+            async with asyncio.timeout(RECORDS_WAIT_TIMEOUT_S):
+                connection_attempts = [limiter.link.tried.wait() for limiter in self.limiters.values()]
+                await asyncio.gather(*connection_attempts, *(peer.records_received.wait() for peer in self.peers))
         except TimeoutError:
-            away = [peer.name for peer in self.peers if not peer.met.is_set()]
-            log.warning("limiters start without word from others", agent=self.name, others=away or ["all sockets"])
+            unreachable = [peer.name for peer in self.peers if not peer.records_received.is_set()]
+            log.warning(
+                "limiters start without the records of all agents and limiters",
+                agent=self.name,
+                others=unreachable or ["limiter sockets"],
+            )
         if self.plan_coordinator is not None:
             try:
                 self.plan_coordinator.catch_up()
-            except StoreError as error:  # a full disk must keep no limiter from starting as it last ran
+            except StoreError as error:
+                # A full disk must not keep the limiters from starting on their last versions.
                 self.store_failed(error)
-        for charge in self.limiters.values():
-            charge.release()
+        for limiter in self.limiters.values():
+            limiter.release()
 
-    def _retire(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(RETIRE_EVERY, self._retire)
-        states = [c.link.state for c in self.limiters.values() if c.link.state is not None]
+    def _forget_obsolete_records(self) -> None:
+        """Remove old records of servers that no limiter knows any more, and schedule the next removal."""
+        self._timer = asyncio.get_running_loop().call_later(CLEANUP_INTERVAL_S, self._forget_obsolete_records)
+        states = [limiter.link.state for limiter in self.limiters.values() if limiter.link.state is not None]
         if len(states) < len(self.limiters):
-            return  # one that does not answer may know the box still
-        held = Records(self.records)
-        present = [box.uid for state in states for box in state.servers]
-        gone = held.forget_obsolete(unix_ms() - RETIRE_AFTER, present)
-        if gone:
-            line = f.AuditLine(unix_ms(), self.name, "agent", f"retired {_targets(gone)}", 0, "")
+            return  # a limiter that does not answer may still know the server of a record
+        remaining = Records(self.records)
+        present_servers = [server.uid for state in states for server in state.servers]
+        forgotten = remaining.forget_obsolete(unix_ms() - OBSOLETE_RECORD_AGE_MS, present_servers)
+        if forgotten:
+            line = messages.AuditLine(unix_ms(), self.name, "agent", f"removed {_targets(forgotten)}", 0, "")
             try:
-                self.store.forget(gone, line)
+                self.store.forget(forgotten, line)
             except StoreError as error:
                 return self.store_failed(error)
-            self.records = held
+            self.records = remaining
 
     def close(self) -> None:
-        """Leaves the limiters running."""
+        """Stop all parts; the limiters keep running."""
         if self._timer is not None:
             self._timer.cancel()
         for task in list(self._tasks):
@@ -197,14 +244,15 @@
             self.consensus_member.close()
         for peer in self.peers:
             peer.close()
-        for charge in self.limiters.values():
-            charge.close()
+        for limiter in self.limiters.values():
+            limiter.close()
         self._api.server.close()
         self.worker_leasing.close()
         self.store.close()
         self._host.unlock(self._lock)
 
     def start_task(self, work: object) -> None:
+        """Run a coroutine until it ends or the agent is closed."""
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)  # type: ignore[arg-type]
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -212,107 +260,169 @@
     # Records
 
     def store_failed(self, error: StoreError) -> None:
-        self.store_error = f"the store fails: {error}"
-        log.error("store trouble", agent=self.name, error=self.store_error)
+        """Note and log a failure of the store."""
+        self.store_error = f"the store failed: {error}"
+        log.error("store failure", agent=self.name, error=self.store_error)
+
+    def commit_records(self, records: list[Record], line: messages.AuditLine, broadcast: bool = True) -> int:
+        """Store records with their audit line, then put them in force here.
+
+        Args:
+            records: The records.
+            line: The audit line.
+            broadcast: Whether to notify the other agents at once.
+
+        Returns:
+            The number of the audit line.
 
-    def commit_records(self, records: list[Record], line: f.AuditLine, ours: bool = True) -> int:
-        """In the store first; then in force here and, where it is `ours`, on the way to all. Raises `StoreError`, and
-        then nothing has happened."""
+        Raises:
+            StoreError: The records cannot be stored; nothing was done.
+        """
         try:
-            number = self.store.keep(records, line)
+            line_number = self.store.keep(records, line)
         except StoreError as error:
             self.store_failed(error)
             raise
         self.store_error = ""
         self.records.merge(records)
-        for charge in self.limiters.values():
-            charge.write_boot()
-            charge.link.kick()
-        if ours:
+        for limiter in self.limiters.values():
+            limiter.write_boot()
+            limiter.link.kick()
+        if broadcast:
             self.notify_peers()
-        return number
+        return line_number
 
-    def merge_records(self, records: Iterable[Record], via: str) -> None:
-        """Takes what others hold and we lack. What cannot be kept is not taken: it is offered again."""
-        news = [record for record in records if self.records.check(record) is OfferResult.ACCEPTED]
-        if not news:
+    def merge_records(self, records: Iterable[Record], source: str) -> None:
+        """Take the records that this agent lacks; those that cannot be stored are offered again later.
+
+        Args:
+            records: The records of another agent, a limiter or a command.
+            source: Who sent them, for the audit log.
+        """
+        new_records = [record for record in records if self.records.check(record) is OfferResult.ACCEPTED]
+        if not new_records:
             return
-        line = f.AuditLine(unix_ms(), via, "agent", f"learnt {_targets(news)}", max(r.generation for r in news), "")
+        line = messages.AuditLine(
+            unix_ms(),
+            source,
+            "agent",
+            f"learned {_targets(new_records)}",
+            max(record.generation for record in new_records),
+            "",
+        )
         try:
-            # whoever made it has told all; who hears of it at second hand tells with its next word, or each record
-            # would cost a group as many words as it has pairs
-            self.commit_records(news, line, ours=not via.startswith("agent "))
+            # The agent that made a record notifies all others at once. An agent that learns of the record from another
+            # agent sends it with its next regular exchange. Otherwise each record would cost as many messages as the
+            # group has pairs of agents.
+            self.commit_records(new_records, line, broadcast=not source.startswith("agent "))
         except StoreError:
             return
-        log.info("records learnt", agent=self.name, via=via, records=_targets(news))
+        log.info("records learned", agent=self.name, via=source, records=_targets(new_records))
 
-    def _given_back(self, limiter: str, records: tuple[Record, ...]) -> None:
-        """A limiter gives back what a lost store lacks."""
+    def _on_limiter_records(self, limiter: str, records: tuple[Record, ...]) -> None:
+        """Take the records of a limiter, which a lost store may lack."""
         self.merge_records(records, f"limiter {limiter}")
 
     def commit_record(self, record: Record, what: str) -> None:
-        self.commit_records([record], f.AuditLine(unix_ms(), self.name, "agent", what, record.generation, "under way"))
+        """Store the record with a line in the audit log and send it to the limiters and the other agents.
+
+        Raises:
+            StoreError: The record cannot be stored; nothing was done.
+        """
+        self.commit_records(
+            [record], messages.AuditLine(unix_ms(), self.name, "agent", what, record.generation, "under way")
+        )
 
-    async def progressed(self, progress: f.Progress) -> f.Progressed:
-        records = [r for kind, target in progress.targets if (r := self.records.get(kind, target))]
-        await self.deliver_records(PROGRESS_WITHIN)
-        return f.Progressed(progress.id, self.name, tuple(records), tuple(self.reach(records)))
+    async def report_progress(self, progress: messages.Progress) -> messages.Progressed:
+        """Report how far the records of some targets have come at this agent's limiters."""
+        records = [record for kind, target in progress.targets if (record := self.records.get(kind, target))]
+        await self.deliver_records(PROGRESS_TIMEOUT_S)
+        return messages.Progressed(progress.id, self.name, tuple(records), tuple(self.reach(records)))
 
     def inventory(self) -> Inventory:
+        """Return what the agent knows of the group's servers and limiters."""
         return self.group_view.inventory()
 
     def limiter_zones(self) -> list[tuple[str, str]]:
+        """Return all limiters that are known, with their zones."""
         return self.group_view.limiter_zones()
 
     def agent_zones(self) -> list[tuple[str, str]]:
+        """Return all agents of the group, with their zones."""
         return self.group_view.agent_zones()
 
-    def peer_limiter_briefs(self) -> list[tuple[str, float, f.LimiterBrief]]:
+    def peer_limiter_briefs(self) -> list[tuple[str, float, messages.LimiterBrief]]:
+        """Return other agents' reports on their limiters: the agent, the report's age in ms, and the report."""
         return self.group_view.peer_limiter_briefs()
 
     def usable_limiters(self, names: Iterable[str]) -> set[str]:
+        """Return those of the named limiters that are neither drained nor known to be silent."""
         return self.group_view.usable_limiters(names)
 
     def notify_peers(self) -> None:
+        """Start an exchange with all other agents at once."""
         for peer in self.peers:
-            peer.kick()
+            peer.notify()
 
     def notify_peer(self, name: str) -> None:
+        """Start an exchange with one other agent at once."""
         for peer in self.peers:
             if peer.name == name:
-                peer.kick()
+                peer.notify()
 
     def audit(self, who: str, role: str, what: str, outcome: str) -> None:
-        """In the audit. Raises `StoreError`."""
-        self.store.keep([], f.AuditLine(unix_ms(), who, role, what, 0, outcome))
+        """Add a line to the audit log.
 
-    async def deliver_records(self, within: float) -> None:
-        await asyncio.gather(*(charge.link.bring(within) for charge in self.limiters.values()))
+        Raises:
+            StoreError: The line cannot be stored.
+        """
+        self.store.keep([], messages.AuditLine(unix_ms(), who, role, what, 0, outcome))
 
-    def reach(self, records: list[Record]) -> list[f.Reach]:
-        return [reach for charge in self.limiters.values() for reach in charge.reach(records)]
+    async def deliver_records(self, timeout_s: float) -> None:
+        """Send the records to all limiters, and wait for their answers at most `timeout_s`."""
+        await asyncio.gather(*(limiter.link.bring(timeout_s) for limiter in self.limiters.values()))
+
+    def reach(self, records: list[Record]) -> list[messages.Reach]:
+        """Return how far each record has come at each limiter that it concerns."""
+        return [reach for limiter in self.limiters.values() for reach in limiter.reach(records)]
 
 
 def _targets(records: Iterable[Record]) -> str:
-    return ", ".join(f"{r.kind} {r.target} (generation {r.generation})" for r in records)
+    return ", ".join(f"{record.kind} {record.target} (generation {record.generation})" for record in records)
 
 
 class CompanionService(Protocol):
-    """What runs in the agent's process beside it."""
+    """A service that runs in the agent's process."""
 
-    async def start(self) -> None: ...
-    async def stop(self) -> None: ...
-    def reload(self) -> None: ...
+    async def start(self) -> None:
+        """Start the service, after the agent."""
+
+    async def stop(self) -> None:
+        """Stop the service, before the agent."""
+
+    def reload(self) -> None:
+        """Read the service's files again, on SIGHUP."""
 
 
 async def serve(
     path: Path,
-    beside: Callable[[Agent], CompanionService | None] = lambda agent: None,
+    make_companion: Callable[[Agent], CompanionService | None] = lambda agent: None,
     host: Host | None = None,
     launcher: LauncherLink | None = None,
 ) -> None:
-    """Runs the agent of that file on `host` until SIGTERM or SIGINT, under `basis` or the base that started it, if any.
-    Raises `FileError`, `StoreError`, `OSError`."""
+    """Run an agent until SIGTERM or SIGINT.
+
+    Args:
+        path: The agent's file.
+        make_companion: Makes the service that runs beside the agent, if there is one.
+        host: The machine that the agent runs on; None for the real one.
+        launcher: The link to the launcher that started the agent; None to take it from the environment, if it is there.
+
+    Raises:
+        FileError: A file cannot be used, or another agent uses the state folder.
+        StoreError: The store cannot be used.
+        OSError: The API cannot listen on its address.
+    """
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -320,22 +430,26 @@
         launcher.watch(stop.set)
     agent = Agent(path, read_agent(path), random.Random(), host, launcher)
     try:
-        other = beside(agent)
-        # a SIGHUP that nobody handles would end the agent
-        loop.add_signal_handler(signal.SIGHUP, other.reload if other is not None else lambda: None)
+        companion = make_companion(agent)
+        # without a handler, SIGHUP would end the agent
+        loop.add_signal_handler(signal.SIGHUP, companion.reload if companion is not None else lambda: None)
         await agent.start()
-        if other is not None:
-            await other.start()
+        if companion is not None:
+            await companion.start()
         await stop.wait()
-        if other is not None:
-            await other.stop()
+        if companion is not None:
+            await companion.stop()
     finally:
         agent.close()
-    log.info("agent ends; its limiters run on", agent=agent.name)
+    log.info("agent ends, its limiters keep running", agent=agent.name)
 
 
 def check(path: Path) -> None:
-    """The file and all that it names, with nothing begun. Raises `FileError`."""
+    """Check the agent's file and all files that it names; starts nothing.
+
+    Raises:
+        FileError: A file cannot be used.
+    """
     file = read_agent(path)
     folder = path.resolve().parent
     Tokens.read(folder / file.agent.tokens)
--- a/elderlock/fleet/agent/api.py
+++ b/elderlock/fleet/agent/api.py
@@ -1,7 +1,7 @@
-"""The API of an agent: who is on a connection, what that one may request, and the answer.
+"""The API of an agent: identifies the caller, checks what it may request, and answers.
 
-It decides nothing: drains are decided in `fleet.drain_intents`, permits in `fleet.consensus.member`, plans in
-`fleet.plans.coordinator`.
+The decisions are made elsewhere: on drains in `fleet.drain_intents`, on permits in `fleet.consensus.member`, on plans
+in `fleet.plans.coordinator`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from elderlock.control.records import OfferResult, Record
 from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS
 from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.agent.clock import now_ms, unix_ms
 from elderlock.fleet.agent.group_view import GroupView, ObservedAgent
 from elderlock.fleet.agent.worker_leasing import WorkerLeasing
@@ -25,15 +25,15 @@
 from elderlock.fleet.auth import MAY, Identity, Tokens
 from elderlock.fleet.drain_intents import decide
 
-CONNECTIONS = 256
-MOST_PENDING = 64  # requests of one connection in work at once
-MOST_WITHIN = 5.0  # s that a command may ask limiters to be waited for
+MAXIMUM_CONNECTIONS = 256
+MAXIMUM_PENDING_REQUESTS = 64  # of one connection
+MAXIMUM_WAIT_S = 5.0  # for the limiters' answers, whatever the request says
 
 log = logs.get_logger(__name__)
 
 
 class ServedAgent(ObservedAgent, Protocol):
-    """The agent, as its API needs it."""
+    """What the API needs of its agent."""
 
     tokens: Tokens
     store: Store
@@ -42,234 +42,318 @@
     group_view: GroupView
     worker_leasing: WorkerLeasing
 
-    def store_failed(self, error: StoreError) -> None: ...
-    def commit_records(self, records: list[Record], line: f.AuditLine, ours: bool = True) -> int: ...
-    async def deliver_records(self, within: float) -> None: ...
-    def reach(self, records: list[Record]) -> list[f.Reach]: ...
-    async def progressed(self, progress: f.Progress) -> f.Progressed: ...
-    def audit(self, who: str, role: str, what: str, outcome: str) -> None: ...
-    def start_task(self, work: object) -> None: ...
+    def store_failed(self, error: StoreError) -> None:
+        """Note and log a failure of the store."""
+
+    def commit_records(self, records: list[Record], line: messages.AuditLine, broadcast: bool = True) -> int:
+        """Store records with their audit line, put them in force, and return the audit line's number.
+
+        Raises:
+            StoreError: The records cannot be stored; nothing was done.
+        """
+
+    async def deliver_records(self, timeout_s: float) -> None:
+        """Send the records to all limiters, and wait for their answers at most `timeout_s`."""
+
+    def reach(self, records: list[Record]) -> list[messages.Reach]:
+        """Return how far each record has come at each limiter that it concerns."""
+
+    async def report_progress(self, progress: messages.Progress) -> messages.Progressed:
+        """Report how far the records of some targets have come at this agent's limiters."""
+
+    def audit(self, who: str, role: str, what: str, outcome: str) -> None:
+        """Add a line to the audit log.
+
+        Raises:
+            StoreError: The line cannot be stored.
+        """
+
+    def start_task(self, work: object) -> None:
+        """Run a coroutine until it ends or the agent is closed."""
 
 
 class Session:
-    """Who is on a connection, and how many of its requests are in work."""
+    """The state of one connection.
+
+    Attributes:
+        identity: Who the caller is; None before hello.
+        caller: The calling agent's name; empty for a command.
+        pending: How many requests are not answered yet.
+    """
 
     def __init__(self) -> None:
+        """Start before hello."""
         self.identity: Identity | None = None
         self.caller = ""
         self.pending = 0
 
 
 class Api:
-    """The API of one agent: one session a connection, one answer a request."""
+    """The API of one agent; each connection has a session, and each request has one answer.
+
+    Attributes:
+        server: The server that the connections come in at.
+    """
 
     def __init__(self, agent: ServedAgent) -> None:
+        """Prepare the server; the agent makes it listen."""
         self._agent = agent
-        bounds = ConnectionLimits(f.LONGEST, f.LONGEST_HELLO, CONNECTIONS)
-        self.server: FrameServer[Session] = FrameServer(bounds, Session, self._handle, self._broken)
+        limits = ConnectionLimits(messages.LONGEST, messages.LONGEST_HELLO, MAXIMUM_CONNECTIONS)
+        self.server: FrameServer[Session] = FrameServer(limits, Session, self._handle, self._malformed_answer)
 
     @staticmethod
-    def _broken(text: str) -> bytes:
-        return f.encode(f.Refused("bad-message", text))
+    def _malformed_answer(text: str) -> bytes:
+        return messages.encode(messages.Refused("bad-message", text))
 
     def _handle(self, connection: Connection[Session], body: bytes) -> None:
-        visitor = connection.session
+        session = connection.session
         try:
-            message = f.to_agent(body)
+            message = messages.to_agent(body)
         except msgspec.DecodeError as error:
-            return connection.send(f.encode(f.Refused("unknown-message", str(error))), last=True)
-        if isinstance(message, f.Hello):
-            answer = self._hello(visitor, message)
-            if isinstance(answer, f.Welcome):
+            return connection.send(messages.encode(messages.Refused("unknown-message", str(error))), last=True)
+        if isinstance(message, messages.Hello):
+            answer = self._hello(session, message)
+            if isinstance(answer, messages.Welcome):
                 connection.on_identified()
-            return connection.send(f.encode(answer), last=isinstance(answer, f.Refused))
-        if visitor.identity is None:
-            text = "a connection begins with hello"
-            return connection.send(f.encode(f.Refused("bad-message", text, message.id)), last=True)
-        if visitor.pending >= MOST_PENDING:
-            text = f"{MOST_PENDING} requests are in work on this connection"
-            return connection.send(f.encode(f.Refused("too-many", text, message.id)))
-        visitor.pending += 1
-        self._agent.start_task(self._serve(connection, visitor, visitor.identity, message))
-
-    def _hello(self, visitor: Session, hello: f.Hello) -> f.Message:
-        if f.VERSION not in hello.versions:
-            told = ", ".join(map(str, hello.versions)) or "none"
-            return f.Refused("version", f"version {told} is not known; this agent speaks {f.VERSION}")
+            return connection.send(messages.encode(answer), last=isinstance(answer, messages.Refused))
+        if session.identity is None:
+            text = "the first message of a connection has to be hello"
+            return connection.send(messages.encode(messages.Refused("bad-message", text, message.id)), last=True)
+        if session.pending >= MAXIMUM_PENDING_REQUESTS:
+            text = f"{MAXIMUM_PENDING_REQUESTS} requests are pending on this connection"
+            return connection.send(messages.encode(messages.Refused("too-many", text, message.id)))
+        session.pending += 1
+        self._agent.start_task(self._serve(connection, session, session.identity, message))
+
+    def _hello(self, session: Session, hello: messages.Hello) -> messages.Message:
+        if messages.VERSION not in hello.versions:
+            offered_versions = ", ".join(map(str, hello.versions)) or "none"
+            return messages.Refused(
+                "version", f"version {offered_versions} is not supported; this agent supports {messages.VERSION}"
+            )
         identity = self._agent.tokens.who(hello.token)
         if identity is None:
             log.warning("connection refused: wrong token", agent=self._agent.name)
-            return f.Refused("token", "the token is not known here")
-        visitor.identity, visitor.caller = identity, hello.caller
-        return f.Welcome(f.VERSION, self._agent.name, identity.name, identity.role, self._agent.epoch())
+            return messages.Refused("token", "the token is unknown")
+        session.identity, session.caller = identity, hello.caller
+        return messages.Welcome(messages.VERSION, self._agent.name, identity.name, identity.role, self._agent.epoch())
 
     async def _serve(
-        self, connection: Connection[Session], visitor: Session, who: Identity, message: f.ToAgent
+        self, connection: Connection[Session], session: Session, identity: Identity, message: messages.ToAgent
     ) -> None:
         try:
-            answer = await self._answer(who, message)
+            answer = await self._answer(identity, message)
         except StoreError as error:
-            answer = f.Refused("not-kept", f"nothing was done, it could not be kept: {error}", _id(message))
+            answer = messages.Refused(
+                "not-kept", f"nothing was done, as it could not be stored: {error}", _request_id(message)
+            )
         finally:
-            visitor.pending -= 1
-        connection.send(f.encode(answer))
+            session.pending -= 1
+        connection.send(messages.encode(answer))
 
-    async def _answer(self, who: Identity, message: f.ToAgent) -> f.Message:
+    async def _answer(self, identity: Identity, message: messages.ToAgent) -> messages.Message:
         kind = str(type(message).__struct_config__.tag)
-        if kind not in MAY[who.role]:
+        if kind not in MAY[identity.role]:
             what = f"refused: {kind}"
             if kind in MAY["operator"]:
-                line = f.AuditLine(unix_ms(), who.name, who.role, what, 0, "nothing was done")
+                line = messages.AuditLine(unix_ms(), identity.name, identity.role, what, 0, "nothing was done")
                 self._agent.store.keep([], line)
-            return f.Refused("role", f"{who.name} is a {who.role} and may not {kind}", _id(message))
+            return messages.Refused(
+                "role", f"{identity.name} is a {identity.role} and may not {kind}", _request_id(message)
+            )
         match message:
-            case f.Show():
+            case messages.Show():
                 return await self._show(message)
-            case f.SubmitIntents():
-                return await self._intend(who, message)
-            case f.Progress():
-                return await self._agent.progressed(message)
-            case f.Order():
-                return self._order(who, message)
-            case f.Exchange():
+            case messages.SubmitIntents():
+                return await self._submit_intents(identity, message)
+            case messages.Progress():
+                return await self._agent.report_progress(message)
+            case messages.Order():
+                return self._run_order(identity, message)
+            case messages.Exchange():
                 return self._agent.group_view.answer_exchange(message)
-            case f.LeaseWorker():
-                return await self._lend(who, message)
-            case f.RequestPermits() | f.Prepare() | f.Accept() | f.Recall() | f.ShowBudget():
-                return await self._agreed(who, message)
-            case f.BeginPlan() | f.SteerPlan() | f.ListPlans():
-                return await self._planned(who, message)
-            case f.Audit():
+            case messages.LeaseWorker():
+                return await self._lease_worker(identity, message)
+            case (
+                messages.RequestPermits()
+                | messages.Prepare()
+                | messages.Accept()
+                | messages.Recall()
+                | messages.ShowBudget()
+            ):
+                return await self._answer_consensus(identity, message)
+            case messages.BeginPlan() | messages.SteerPlan() | messages.ListPlans():
+                return await self._answer_plans(identity, message)
+            case messages.Audit():
                 lines = self._agent.store.audit(max(0, min(message.most, 1000)))
-                return f.Audited(message.id, self._agent.name, lines)
+                return messages.Audited(message.id, self._agent.name, lines)
             case _:
-                return f.Refused("bad-message", "hello comes once")
-
-    async def _agreed(
-        self, who: Identity, message: f.RequestPermits | f.Prepare | f.Accept | f.Recall | f.ShowBudget
-    ) -> f.Message:
-        keeper = self._agent.consensus_member
-        if keeper is None:
-            return f.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
+                return messages.Refused("bad-message", "hello may be sent only once")
+
+    async def _answer_consensus(
+        self,
+        identity: Identity,
+        message: messages.RequestPermits | messages.Prepare | messages.Accept | messages.Recall | messages.ShowBudget,
+    ) -> messages.Message:
+        consensus = self._agent.consensus_member
+        if consensus is None:
+            return messages.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
         match message:
-            case f.RequestPermits():
-                granted = await keeper.ask(message, who.name, unix_ms())
+            case messages.RequestPermits():
+                permits_answer = await consensus.request_permits(message, identity.name, unix_ms())
                 targets = ", ".join(f"{kind} {target}" for kind, target in message.targets)
-                text = f"{granted.outcome}: {'; '.join(granted.reasons)}" if granted.reasons else granted.outcome
-                line = f.AuditLine(unix_ms(), who.name, who.role, f"asked to take out {targets}", 0, text[:400])
+                text = (
+                    f"{permits_answer.outcome}: {'; '.join(permits_answer.reasons)}"
+                    if permits_answer.reasons
+                    else permits_answer.outcome
+                )
+                line = messages.AuditLine(
+                    unix_ms(), identity.name, identity.role, f"requested permits for {targets}", 0, text[:400]
+                )
                 self._agent.store.keep([], line)
-                return granted
-            case f.Prepare():
-                return keeper.prepared(message)
-            case f.Accept():
-                return keeper.accepted(message)
-            case f.Recall():
-                return keeper.recalled(message)
-            case f.ShowBudget():
-                return keeper.stood(message)
-
-    async def _planned(self, who: Identity, message: f.BeginPlan | f.SteerPlan | f.ListPlans) -> f.Message:
-        conductor, audited = self._agent.plan_coordinator, self._agent.audit
-        if conductor is None:
-            return f.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
+                return permits_answer
+            case messages.Prepare():
+                return consensus.on_prepare(message)
+            case messages.Accept():
+                return consensus.on_accept(message)
+            case messages.Recall():
+                return consensus.on_recall(message)
+            case messages.ShowBudget():
+                return consensus.budget_status(message)
+
+    async def _answer_plans(
+        self, identity: Identity, message: messages.BeginPlan | messages.SteerPlan | messages.ListPlans
+    ) -> messages.Message:
+        coordinator, audit = self._agent.plan_coordinator, self._agent.audit
+        if coordinator is None:
+            return messages.Refused("no-budget", f"{self._agent.name}'s group file has no [budget]", message.id)
         match message:
-            case f.BeginPlan():
-                begun = await conductor.begin(message, who.name, unix_ms())
+            case messages.BeginPlan():
+                begin_answer = await coordinator.begin(message, identity.name, unix_ms())
                 if not message.dry:
                     what = f"begins {message.kind} {message.origin[:8]} {message.version}".rstrip()
-                    audited(who.name, who.role, what, "; ".join((begun.outcome, *begun.reasons))[:400])
-                return begun
-            case f.SteerPlan():
-                steered = await conductor.steer(message, who.name)
-                outcome = "; ".join((steered.outcome, *steered.reasons))[:400]
-                audited(who.name, who.role, f"{message.action} {message.plan[:8]} {message.reason}".rstrip(), outcome)
-                return steered
-            case f.ListPlans():
-                return conductor.planned(message)
-
-    async def _show(self, show: f.Show) -> f.Message:
+                    audit(
+                        identity.name,
+                        identity.role,
+                        what,
+                        "; ".join((begin_answer.outcome, *begin_answer.reasons))[:400],
+                    )
+                return begin_answer
+            case messages.SteerPlan():
+                steer_answer = await coordinator.steer(message, identity.name)
+                outcome = "; ".join((steer_answer.outcome, *steer_answer.reasons))[:400]
+                audit(
+                    identity.name,
+                    identity.role,
+                    f"{message.action} {message.plan[:8]} {message.reason}".rstrip(),
+                    outcome,
+                )
+                return steer_answer
+            case messages.ListPlans():
+                return coordinator.plans_status(message)
+
+    async def _show(self, show: messages.Show) -> messages.Message:
         agent = self._agent
         accounts = max(0, min(show.accounts, MAXIMUM_ACCOUNTS))
-        within = max(0.0, min(show.within_ms / 1000.0, MOST_WITHIN))
-        await asyncio.gather(*(c.link.look(within, accounts) for c in self._agent.limiters.values()))
-        return f.Shown(
+        timeout_s = max(0.0, min(show.within_ms / 1000.0, MAXIMUM_WAIT_S))
+        await asyncio.gather(*(limiter.link.look(timeout_s, accounts) for limiter in self._agent.limiters.values()))
+        return messages.Shown(
             show.id,
             agent.name,
             build_version(),
             agent.epoch(),
             now_ms() - agent.started_at_ms,
             agent.store_error,
-            tuple(c.status() for c in agent.limiters.values()),
+            tuple(limiter.status() for limiter in agent.limiters.values()),
             tuple(agent.records),
             agent.group_view.membership.view(now_ms()),
         )
 
-    async def _intend(self, who: Identity, intend: f.SubmitIntents) -> f.Message:
-        self._agent.merge_records(intend.known, f"{who.name}'s command")
-        now = unix_ms()
-        decisions = [self._decide(wish, intend, who.name, now) for wish in intend.wishes]
-        made = [d.record for d in decisions if d.outcome == "made" and d.record is not None]
-        if any(self._agent.records.check(record) is OfferResult.OLDER for record in made):
-            return f.Refused("not-kept", f"{len(self._agent.records)} records are held already", intend.id)
-        news = [record for record in made if self._agent.records.check(record) is OfferResult.ACCEPTED]
-        number = 0
-        if news:
-            what = "; ".join(f"{'drain' if r.is_drained else 'undrain'} {r.kind} {r.target}" for r in news)
-            if self._agent.consensus_member is not None and intend.force and any(record.is_drained for record in news):
+    async def _submit_intents(self, identity: Identity, submission: messages.SubmitIntents) -> messages.Message:
+        self._agent.merge_records(submission.known, f"{identity.name}'s command")
+        now_unix_ms = unix_ms()
+        decisions = [self._decide(intent, submission, identity.name, now_unix_ms) for intent in submission.wishes]
+        made_records = [
+            decision.record for decision in decisions if decision.outcome == "made" and decision.record is not None
+        ]
+        if any(self._agent.records.check(record) is OfferResult.OLDER for record in made_records):
+            return messages.Refused("not-kept", f"{len(self._agent.records)} records are stored already", submission.id)
+        new_records = [record for record in made_records if self._agent.records.check(record) is OfferResult.ACCEPTED]
+        audit_line_number = 0
+        if new_records:
+            what = "; ".join(
+                f"{'drain' if record.is_drained else 'undrain'} {record.kind} {record.target}" for record in new_records
+            )
+            if (
+                self._agent.consensus_member is not None
+                and submission.force
+                and any(record.is_drained for record in new_records)
+            ):
                 what = f"forced without a permit: {what}"
-            generation = max(record.generation for record in news)
-            number = self._agent.commit_records(
-                news, f.AuditLine(now, who.name, who.role, what, generation, "under way")
+            generation = max(record.generation for record in new_records)
+            audit_line_number = self._agent.commit_records(
+                new_records,
+                messages.AuditLine(now_unix_ms, identity.name, identity.role, what, generation, "under way"),
             )
-        concerned = [d.record for d in decisions if d.record is not None and d.outcome in ("made", "joined")]
-        await self._agent.deliver_records(max(0.0, min(intend.within_ms / 1000.0, MOST_WITHIN)))
-        reach = self._agent.reach(concerned)
-        if number:
+        delivered_records = [
+            decision.record
+            for decision in decisions
+            if decision.record is not None and decision.outcome in ("made", "joined")
+        ]
+        await self._agent.deliver_records(max(0.0, min(submission.within_ms / 1000.0, MAXIMUM_WAIT_S)))
+        reach = self._agent.reach(delivered_records)
+        if audit_line_number:
             try:
-                self._agent.store.reached(number, _reached(reach))
+                self._agent.store.reached(audit_line_number, _reach_text(reach))
             except StoreError as error:
                 self._agent.store_failed(error)
-        return f.IntentsAnswer(intend.id, self._agent.name, tuple(decisions), tuple(reach))
+        return messages.IntentsAnswer(submission.id, self._agent.name, tuple(decisions), tuple(reach))
 
-    def _decide(self, wish: f.DrainIntent, intend: f.SubmitIntents, by: str, now: float) -> f.Decision:
-        decision = decide(self._agent.records, wish, intend, by, now)
-        if self._agent.consensus_member is None or intend.force or not wish.drained or decision.outcome != "made":
+    def _decide(
+        self, intent: messages.DrainIntent, submission: messages.SubmitIntents, requested_by: str, now_unix_ms: float
+    ) -> messages.Decision:
+        decision = decide(self._agent.records, intent, submission, requested_by, now_unix_ms)
+        if self._agent.consensus_member is None or submission.force or not intent.drained or decision.outcome != "made":
             return decision
         if decision.record is not None and self._agent.records.check(decision.record) is OfferResult.KNOWN:
-            return decision  # asked again for what was made
-        why = self._agent.consensus_member.allows(
-            intend.permits, (wish.kind, wish.target), intend.origin, intend.generation
+            return decision  # the command was repeated
+        refusal = self._agent.consensus_member.drain_refusal(
+            submission.permits, (intent.kind, intent.target), submission.origin, submission.generation
         )
-        return f.Decision("refused", None, why) if why else decision
-
-    def _order(self, who: Identity, order: f.Order) -> f.Message:
-        charge = self._agent.limiters.get(order.limiter)
-        if charge is None:
-            return f.Refused("unknown-limiter", f"{self._agent.name} has no limiter {order.limiter}", order.id)
-        line = f.AuditLine(unix_ms(), who.name, who.role, f"{order.action} {order.limiter}", 0, "")
-        number = self._agent.store.keep([], line)
-        before = charge.supervisor.phase
-        charge.want(order.action == "start")
-        after = charge.supervisor.phase
-        text = f"{before}, now {after}" if before != after else f"{after} already"
-        self._agent.store.reached(number, text)
-        return f.Ordered(order.id, self._agent.name, after, text)
-
-    async def _lend(self, who: Identity, lend: f.LeaseWorker) -> f.Message:
-        lending = self._agent.worker_leasing
-        if lending.is_new_job(lend.job):
-            if refused := lending.refusal():
-                return f.Refused("not-lent", refused, lend.id)
-            self._agent.audit(who.name, who.role, f"lent a worker: {lend.job}", "")
-        taken, first, frames, ended = await lending.exchange_frames(
-            lend.job, lend.first, lend.frames, lend.have, lend.end
+        return messages.Decision("refused", None, refusal) if refusal else decision
+
+    def _run_order(self, identity: Identity, order: messages.Order) -> messages.Message:
+        limiter = self._agent.limiters.get(order.limiter)
+        if limiter is None:
+            return messages.Refused("unknown-limiter", f"{self._agent.name} has no limiter {order.limiter}", order.id)
+        line = messages.AuditLine(unix_ms(), identity.name, identity.role, f"{order.action} {order.limiter}", 0, "")
+        audit_line_number = self._agent.store.keep([], line)
+        previous_phase = limiter.supervisor.phase
+        limiter.want(order.action == "start")
+        phase = limiter.supervisor.phase
+        text = f"{previous_phase}, now {phase}" if previous_phase != phase else f"{phase} already"
+        self._agent.store.reached(audit_line_number, text)
+        return messages.Ordered(order.id, self._agent.name, phase, text)
+
+    async def _lease_worker(self, identity: Identity, lease: messages.LeaseWorker) -> messages.Message:
+        leasing = self._agent.worker_leasing
+        if leasing.is_new_job(lease.job):
+            if refusal := leasing.refusal():
+                return messages.Refused("not-lent", refusal, lease.id)
+            self._agent.audit(identity.name, identity.role, f"lent a worker: {lease.job}", "")
+        received_count, first_number, frames, end_text = await leasing.exchange_frames(
+            lease.job, lease.first, lease.frames, lease.have, lease.end
         )
-        return f.WorkerLeased(lend.id, self._agent.name, taken, first, frames, ended)
+        return messages.WorkerLeased(lease.id, self._agent.name, received_count, first_number, frames, end_text)
 
 
-def _id(message: f.ToAgent) -> int:
-    return 0 if isinstance(message, f.Hello) else message.id
+def _request_id(message: messages.ToAgent) -> int:
+    """Return the id that an answer has to name; 0 for hello, which has none."""
+    return 0 if isinstance(message, messages.Hello) else message.id
 
 
-def _reached(reach: Iterable[f.Reach]) -> str:
-    return ", ".join(f"{r.limiter}: {r.state}" for r in reach) or "no limiter concerned"
+def _reach_text(reach: Iterable[messages.Reach]) -> str:
+    return (
+        ", ".join(f"{limiter_reach.limiter}: {limiter_reach.state}" for limiter_reach in reach)
+        or "no limiter concerned"
+    )
--- a/elderlock/fleet/agent/worker_leasing.py
+++ b/elderlock/fleet/agent/worker_leasing.py
@@ -1,7 +1,7 @@
-"""Workers of the load generator that an agent's machine lends to an operator's run.
+"""Lend workers of the load generator, on the agent's machine, to an operator's run.
 
-The agent starts the process and passes frames both ways unread. A run holds its workers by asking after them;
-one that nobody asks after is ended, so a coordinator that dies leaves no load behind.
+The agent starts the process and forwards frames in both directions without reading them. Each request of the run renews
+the lease of its worker. A worker whose lease expires is killed, so a coordinator that dies leaves no load behind.
 """
 
 from __future__ import annotations
@@ -14,81 +14,89 @@
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.spawning import spawn
 
-LEASE = 5.0  # s without a question after which a worker is ended
-LONGEST = 64 << 20  # bytes of a frame, and of what is kept till it is asked for
-MOST_ANSWERED = 8 << 20  # bytes of frames in one answer; an agent's message has a bound
-WORKER = ("-m", "elderlock.load.worker")
+LEASE_TIMEOUT_S = 5.0  # without a request, after which a worker is killed
+MAXIMUM_BUFFERED_BYTES = 64 << 20  # of one frame, and of all frames that the caller has not confirmed
+MAXIMUM_ANSWER_BYTES = 8 << 20  # of frames in one answer, as an agent's messages are bounded
+WORKER_ARGUMENTS = ("-m", "elderlock.load.worker")
 
 log = logs.get_logger(__name__)
 
 
 class _LeasedWorker:
+    """A worker process, with the frames that the caller has not confirmed.
+
+    Attributes:
+        end_text: How the process ended, for people; empty while it runs.
+    """
+
     def __init__(self, job: str) -> None:
         self.job = job
         self.process: asyncio.subprocess.Process | None = None
-        self.frames: list[bytes] = []  # that have not been confirmed
-        self.first = 0  # the number of the first of them
-        self.taken = 0  # the caller's frames that were passed on
-        self.kept = 0  # bytes of them
-        self.ended = ""
-        self.lease: asyncio.TimerHandle | None = None
-        self.reading: asyncio.Task[None] | None = None
+        self.frames: list[bytes] = []  # the worker's frames that the caller has not confirmed
+        self.first_number = 0  # the number of the first of these frames
+        self.received_count = 0  # how many of the caller's frames were forwarded
+        self.buffered_bytes = 0  # of the unconfirmed frames
+        self.end_text = ""
+        self.lease_timer: asyncio.TimerHandle | None = None
+        self.reader: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         try:
             self.process = await spawn(
                 sys.executable,
-                *WORKER,
+                *WORKER_ARGUMENTS,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
             )
         except OSError as error:
-            self.ended = f"it cannot be started: {error}"
+            self.end_text = f"it cannot be started: {error}"
             return
-        self.reading = asyncio.get_running_loop().create_task(self._read(self.process))
+        self.reader = asyncio.get_running_loop().create_task(self._read(self.process))
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
-        framer = FrameDecoder(LONGEST)
-        why = ""
+        decoder = FrameDecoder(MAXIMUM_BUFFERED_BYTES)
+        error_text = ""
         try:
             while data := await process.stdout.read(1 << 18):
-                for body in framer.feed(data):
-                    self.frames.append(body)
-                    self.kept += len(body)
-                if self.kept > LONGEST:
-                    why = "it says more than is fetched"
+                for frame in decoder.feed(data):
+                    self.frames.append(frame)
+                    self.buffered_bytes += len(frame)
+                if self.buffered_bytes > MAXIMUM_BUFFERED_BYTES:
+                    error_text = f"more than {MAXIMUM_BUFFERED_BYTES} bytes of its frames are unconfirmed"
                     break
         except FrameError as error:
-            why = str(error)
-        if why:
+            error_text = str(error)
+        if error_text:
             self.kill()
-        code = await process.wait()
-        self.ended = why or (f"it was killed by signal {-code}" if code < 0 else f"it ended with {code}")
-
-    def confirmed(self, have: int) -> None:
-        """The caller has so many: they are kept no longer."""
-        gone = max(0, min(have - self.first, len(self.frames)))
-        self.kept -= sum(map(len, self.frames[:gone]))
-        del self.frames[:gone]
-        self.first += gone
-
-    def told(self) -> tuple[bytes, ...]:
-        """What is not confirmed, as much as one answer holds."""
-        size, count = 0, 0
+        exit_code = await process.wait()
+        self.end_text = error_text or (
+            f"it was killed by signal {-exit_code}" if exit_code < 0 else f"it ended with code {exit_code}"
+        )
+
+    def drop_confirmed(self, confirmed_count: int) -> None:
+        """Drop the frames that the caller has received, which are the first `confirmed_count` of all."""
+        dropped_count = max(0, min(confirmed_count - self.first_number, len(self.frames)))
+        self.buffered_bytes -= sum(map(len, self.frames[:dropped_count]))
+        del self.frames[:dropped_count]
+        self.first_number += dropped_count
+
+    def next_answer(self) -> tuple[bytes, ...]:
+        """Return the unconfirmed frames, as many as one answer holds."""
+        size_bytes, count = 0, 0
         for frame in self.frames:
-            if count and size + len(frame) > MOST_ANSWERED:
+            if count and size_bytes + len(frame) > MAXIMUM_ANSWER_BYTES:
                 break
-            size, count = size + len(frame), count + 1
+            size_bytes, count = size_bytes + len(frame), count + 1
         return tuple(self.frames[:count])
 
-    def passed(self, first: int, frames: Sequence[bytes]) -> None:
-        """Passes on those that have not come before."""
+    def forward(self, first_number: int, frames: Sequence[bytes]) -> None:
+        """Forward the caller's frames to the worker, except those that it has sent before."""
         stdin = self.process.stdin if self.process is not None else None
-        for number, frame in enumerate(frames, first):
-            if number == self.taken:
-                self.taken += 1
+        for number, frame in enumerate(frames, first_number):
+            if number == self.received_count:
+                self.received_count += 1
                 if stdin is not None and not stdin.is_closing():
                     stdin.write(encode_frame(frame))
 
@@ -101,53 +109,78 @@
 
 
 class WorkerLeasing:
-    """`most` workers at once, each held under the name of its job."""
+    """The workers that an agent lends, one for each job."""
+
+    def __init__(self, maximum_workers: int) -> None:
+        """Start without workers.
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._lent: dict[str, _LeasedWorker] = {}
+        Args:
+            maximum_workers: How many workers are lent at the same time.
+        """
+        self._maximum_workers = maximum_workers
+        self._workers: dict[str, _LeasedWorker] = {}
 
     def is_new_job(self, job: str) -> bool:
-        return job not in self._lent
+        """Whether no worker is lent to the job yet."""
+        return job not in self._workers
 
     def refusal(self) -> str:
-        """Why no further one is lent; empty where one is."""
-        if not self._most:
-            return "this machine lends no workers; [lend] of its agent's file says how many"
-        if len(self._lent) >= self._most:
-            return f"all {self._most} workers that this machine lends are in use"
+        """Return why no further worker is lent; empty if one can be."""
+        if not self._maximum_workers:
+            return "this machine lends no workers: [lend] in its agent's file sets how many"
+        if len(self._workers) >= self._maximum_workers:
+            return f"all {self._maximum_workers} workers that this machine lends are in use"
         return ""
 
     async def exchange_frames(
-        self, job: str, first: int, frames: Sequence[bytes], have: int, end: bool
+        self, job: str, first_number: int, frames: Sequence[bytes], confirmed_count: int, is_end_requested: bool
     ) -> tuple[int, int, tuple[bytes, ...], str]:
-        """Passes words on and gives what came: how many of the caller's have come, the number of the first
-        frame, the frames, and how it ended, once all is confirmed."""
-        lent = self._lent.get(job)
-        if lent is None:
-            lent = self._lent[job] = _LeasedWorker(job)
-            await lent.start()
-        if lent.lease is not None:
-            lent.lease.cancel()
-        lent.lease = asyncio.get_running_loop().call_later(LEASE, self._lapse, lent)
-        lent.passed(first, frames)
-        lent.confirmed(have)
-        ended = "" if lent.frames else lent.ended
-        answer = lent.taken, lent.first, lent.told(), ended or ("ended as asked" if end else "")
-        if end or ended:
-            self._drop(lent)
+        """Forward the caller's frames to the job's worker and return the worker's frames.
+
+        Starts the worker if the job is new, and renews its lease.
+
+        Args:
+            job: The unique name of the job.
+            first_number: The number of the first of `frames`.
+            frames: The caller's frames.
+            confirmed_count: How many of the worker's frames the caller has received.
+            is_end_requested: Whether to kill the worker.
+
+        Returns:
+            How many of the caller's frames were received, the number of the first returned frame, the frames, and how
+            the worker ended; empty until it has ended and all its frames are confirmed.
+        """
+        worker = self._workers.get(job)
+        if worker is None:
+            worker = self._workers[job] = _LeasedWorker(job)
+            await worker.start()
+        if worker.lease_timer is not None:
+            worker.lease_timer.cancel()
+        worker.lease_timer = asyncio.get_running_loop().call_later(LEASE_TIMEOUT_S, self._end_expired, worker)
+        worker.forward(first_number, frames)
+        worker.drop_confirmed(confirmed_count)
+        end_text = "" if worker.frames else worker.end_text
+        answer = (
+            worker.received_count,
+            worker.first_number,
+            worker.next_answer(),
+            end_text or ("ended as asked" if is_end_requested else ""),
+        )
+        if is_end_requested or end_text:
+            self._end_worker(worker)
         return answer
 
-    def _lapse(self, lent: _LeasedWorker) -> None:
-        log.warning("lent worker ended: nobody asks after it", job=lent.job)
-        self._drop(lent)
+    def _end_expired(self, worker: _LeasedWorker) -> None:
+        log.warning("lent worker killed: no request within the lease", job=worker.job)
+        self._end_worker(worker)
 
-    def _drop(self, lent: _LeasedWorker) -> None:
-        if lent.lease is not None:
-            lent.lease.cancel()
-        lent.kill()
-        self._lent.pop(lent.job, None)
+    def _end_worker(self, worker: _LeasedWorker) -> None:
+        if worker.lease_timer is not None:
+            worker.lease_timer.cancel()
+        worker.kill()
+        self._workers.pop(worker.job, None)
 
     def close(self) -> None:
-        for lent in list(self._lent.values()):
-            self._drop(lent)
+        """Kill all workers."""
+        for worker in list(self._workers.values()):
+            self._end_worker(worker)
--- a/elderlock/fleet/consensus/__init__.py
+++ b/elderlock/fleet/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""An agent's part in what its group agrees on by a majority."""
+"""The consensus of a group of agents: votes, the ledger, and the permits in it."""
--- a/elderlock/fleet/consensus/member.py
+++ b/elderlock/fleet/consensus/member.py
@@ -1,9 +1,11 @@
-"""An agent's part in what its group agrees on: votes, proposes changes, answers who asks for permits, and takes back
-what nobody uses. What is decided stands in `elderlock.rollout`; this carries messages and keeps the store.
+"""Take an agent's part in what its group agrees on by a majority.
 
-Order of a vote: decided, kept in the store, answered. An agent that has just begun votes only once enough others have
-said that they did not see it promise more than it remembers; one that has lost its votes (a store that is new, or an
-old copy) reads the register through the others first. Before that it answers that it does not vote.
+An agent votes as an acceptor, proposes changes of the ledger, grants permits to commands, and releases permits that
+nobody uses. `elderlock.rollout` makes the decisions; this module sends the messages and stores the votes.
+
+A vote is decided, then stored, then sent. An agent that has just started votes once enough other voters have said that
+they did not see it promise a greater ballot than it has stored. An agent that has lost its votes, because its store is
+new or an old copy, first reads the register through the other voters. Until then it answers that it does not vote.
 """
 
 from __future__ import annotations
@@ -18,10 +20,10 @@
 from elderlock import logs
 from elderlock.control.records import Key, Record, Records
 from elderlock.control.request_client import NoAnswerError, NotSentError
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.agent_store import Store, StoreError
 from elderlock.fleet.group.peer_link import PeerLink
-from elderlock.rollout import permit_ledger as ledgers
+from elderlock.rollout import permit_ledger
 from elderlock.rollout.caspaxos import (
     Acceptor,
     Ballot,
@@ -35,39 +37,53 @@
 from elderlock.rollout.disruption_budget import DisruptionBudget, Inventory, budget_status_lines
 from elderlock.rollout.permit_ledger import Ledger, LedgerError, Permit, PermitRequest
 
-VOTE_WITHIN = 0.5  # s that one voter has to answer
-CHANGE_WITHIN = 2.0  # s that a change is tried for
-READ_WITHIN = 1.0  # s that a read is tried for
-READ_ALONE = "it was read alone"
-AGAIN = (0.004, 0.04)  # s between tries, drawn: two proposers must not meet again and again
-JOIN_EVERY = 0.2  # s between tries to be let to vote
-TEND_EVERY = 1.0  # s between looks at permits that may be given back
-MOST_ASKED = 200  # records that are asked about in one message
-UNUSED_AFTER = 10.0  # s after which a permit without a record is taken back
-TEND_APART = 2.0  # s that an agent leaves a permit to each that stands before it in the group's file
+VOTE_TIMEOUT_S = 0.5  # for the answer of one voter
+CHANGE_TIMEOUT_S = 2.0  # for all rounds of a change together
+READ_TIMEOUT_S = 1.0  # for all rounds of a read together
+READ_ONLY_REASON = "the ledger was only read"
+RETRY_DELAY_RANGE_S = (0.004, 0.04)  # drawn at random, so that two proposers do not keep conflicting
+JOIN_RETRY_INTERVAL_S = 0.2  # between attempts to become a voter
+PERMIT_CHECK_INTERVAL_S = 1.0  # between checks for permits that can be released
+MAXIMUM_TARGETS_PER_REQUEST = 200  # in one `Progress` message
+UNUSED_PERMIT_TIMEOUT_S = 10.0  # a permit without a drain record for so long is revoked
+PERMIT_CHECK_STAGGER_S = 2.0  # an agent waits so long for each agent that is listed before it in the group's file
 
 log = logs.get_logger(__name__)
 
 
 class Owner(Protocol):
-    """The agent, as `ConsensusMember` needs it."""
+    """What `ConsensusMember` needs of its agent."""
 
     name: str
     store: Store
     records: Records
     peers: list[PeerLink]
 
-    def epoch(self) -> int: ...
-    def inventory(self) -> Inventory: ...
+    def epoch(self) -> int:
+        """Return the agent's epoch, which grows at each start."""
+
+    def inventory(self) -> Inventory:
+        """Return what the agent knows of the group's servers and limiters."""
+
     def commit_record(self, record: Record, what: str) -> None:
-        """Keeps the record and brings it to all. Raises `StoreError`."""
+        """Store the record with a line in the audit log and send it to the limiters and the other agents.
 
-    async def progressed(self, progress: f.Progress) -> f.Progressed: ...
+        Raises:
+            StoreError: The record cannot be stored; nothing was done.
+        """
+
+    async def report_progress(self, progress: messages.Progress) -> messages.Progressed:
+        """Report how far the records of some targets have come at this agent's limiters."""
 
 
 class ChangeResult(NamedTuple):
-    """What became of a change. `chosen`: a majority holds it; else `reasons` why it was declined, or none where too few
-    voters answered."""
+    """The result of a proposed change.
+
+    Attributes:
+        chosen: Whether a majority has accepted the changed ledger.
+        ledger: The newest ledger that is known; where the change was declined, the one that was read.
+        reasons: Why the change was declined; empty where it was chosen or too few voters answered.
+    """
 
     chosen: bool
     ledger: Ledger
@@ -78,364 +94,488 @@
 
 
 class ConsensusMember:
-    """Invariant: `ledger` is one that was chosen, and its version never goes back."""
+    """An agent as a member of its group: an acceptor, if it is one of the voters, and a proposer.
+
+    Invariant: `ledger` was chosen by a majority, and its version never decreases.
+
+    Attributes:
+        ledger: The newest ledger that this agent knows to be chosen.
+        budget: The disruption budget of the group.
+        voters: The names of the agents that vote.
+        is_voting: Whether this agent votes.
+        not_voting_reason: Why this agent does not vote yet, for people.
+    """
 
     def __init__(
         self, owner: Owner, budget: DisruptionBudget, voters: Sequence[str], rng: random.Random, rank: int = 0
     ) -> None:
-        """`rank`: how many agents stand before this one. Raises `StoreError`."""
+        """Read the stored vote.
+
+        Args:
+            owner: The agent.
+            budget: The disruption budget of the group.
+            voters: The names of the agents that vote.
+            rng: The source of random delays.
+            rank: How many agents are listed before this one in the group's file.
+
+        Raises:
+            StoreError: The stored vote cannot be read.
+        """
         self._rank = rank
         self._owner, self.budget, self.voters, self._rng = owner, budget, tuple(voters), rng
         self.ledger = Ledger()
-        held = owner.store.vote()
-        self._acceptor = Acceptor(*held) if held is not None else Acceptor()
-        self._remembers = held is not None
+        stored_state = owner.store.vote()
+        self._acceptor = Acceptor(*stored_state) if stored_state is not None else Acceptor()
+        self._has_stored_state = stored_state is not None
         self.is_voting = owner.name in self.voters and len(self.voters) == 1
-        self.why = "" if self.is_voting else "it has just begun"
-        self._seen: dict[str, Ballot] = {}  # the greatest that each other was seen to promise
-        self._number = self._acceptor.promised.number
-        self._turn = asyncio.Lock()
-        self._unused: dict[Permit, float] = {}
-        self._over: dict[Permit, float] = {}  # since when a permit's target has a newer record
-        self._told: tuple[Ledger, bytes] = (self.ledger, b"")
-        self._read_last = b""
+        self.not_voting_reason = "" if self.is_voting else "it has just started"
+        self._greatest_promises: dict[str, Ballot] = {}  # the greatest ballot each other voter promised
+        self._greatest_ballot_number = self._acceptor.promised.number
+        self._change_lock = asyncio.Lock()
+        self._unused_since_s: dict[Permit, float] = {}
+        self._undrained_since_s: dict[Permit, float] = {}  # when the target's newer record was first found
+        self._encoded: tuple[Ledger, bytes] = (self.ledger, b"")
+        self._last_decoded_value = b""
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def quorum(self) -> int:
+        """How many voters have to agree."""
         return len(self.voters) // 2 + 1
 
     def start(self) -> None:
+        """Start to join as a voter, and to check permits."""
         loop = asyncio.get_running_loop()
         if self._owner.name in self.voters and not self.is_voting:
             self._tasks.append(loop.create_task(self._join()))
-        self._tasks.append(loop.create_task(self._tend()))
+        self._tasks.append(loop.create_task(self._check_permits_forever()))
 
     def close(self) -> None:
+        """Stop all tasks."""
         for task in self._tasks:
             task.cancel()
 
     def learn(self, ledger: Ledger) -> None:
-        """One that was chosen, from wherever."""
+        """Take a ledger that was chosen, whoever sent it, if it is newer than the one known here."""
         if ledger.version > self.ledger.version:
             self.ledger = ledger
 
     def record_ledger(self, value: bytes) -> None:
-        if value == self._read_last:
+        """Take an encoded ledger that another agent knows to be chosen."""
+        if value == self._last_decoded_value:
             return
         try:
-            self.learn(ledgers.decode_ledger(value))
-            self._read_last = value
+            self.learn(permit_ledger.decode_ledger(value))
+            self._last_decoded_value = value
         except LedgerError as error:
-            log.error("another agent's ledger is not understood", error=str(error))
+            log.error("the ledger of another agent cannot be decoded", error=str(error))
 
     def encoded_ledger(self) -> bytes:
-        """The newest ledger that is known to be chosen, as others are told of it."""
-        if self._told[0] is not self.ledger:
-            self._told = (self.ledger, ledgers.encode_ledger(self.ledger))
-        return self._told[1] if self.ledger.version else b""
+        """Return the newest ledger known to be chosen, as it is sent to other agents; empty for the initial one."""
+        if self._encoded[0] is not self.ledger:
+            self._encoded = (self.ledger, permit_ledger.encode_ledger(self.ledger))
+        return self._encoded[1] if self.ledger.version else b""
 
-    def away(self) -> str:
-        return f"{self.quorum} of {', '.join(self.voters)} have to agree, and too few answer"
+    def no_quorum_text(self) -> str:
+        """Say that too few voters answer, for people."""
+        return f"{self.quorum} of {', '.join(self.voters)} have to agree, but too few answer"
 
     # Votes
 
-    def _vote(self, decide: Callable[[Acceptor], Vote]) -> tuple[bool, Vote]:
-        """Kept before it is told; one that cannot be kept is not given."""
+    def _cast_vote(self, decide: Callable[[Acceptor], Vote]) -> tuple[bool, Vote]:
+        """Decide a vote and store it; a vote that cannot be stored is not given.
+
+        Returns:
+            Whether this agent votes, and its vote.
+        """
         if not self.is_voting:
             return False, Vote(False, self._acceptor.promised)
-        trial = Acceptor(*self._acceptor.durable_state())
-        vote = decide(trial)
+        new_state = Acceptor(*self._acceptor.durable_state())
+        vote = decide(new_state)
         if vote.ok:
             try:
-                self._owner.store.keep_vote(*trial.durable_state())
+                self._owner.store.keep_vote(*new_state.durable_state())
             except StoreError as error:
-                log.error("a vote could not be kept", error=str(error))
+                log.error("the vote cannot be stored and is not given", error=str(error))
                 return False, Vote(False, self._acceptor.promised)
-            self._acceptor, self._remembers = trial, True
+            self._acceptor, self._has_stored_state = new_state, True
         return True, vote
 
-    def prepared(self, asked: f.Prepare) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
-        return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.prepare(ballot)))
+    def on_prepare(self, request: messages.Prepare) -> messages.Voted:
+        """Answer the first phase of another agent's round."""
+        ballot = Ballot(request.number, request.by)
+        return self._vote_message(request.id, *self._cast_vote(lambda acceptor: acceptor.prepare(ballot)))
 
-    def accepted(self, asked: f.Accept) -> f.Voted:
-        ballot = Ballot(asked.number, asked.by)
-        return self._voted(asked.id, *self._vote(lambda acceptor: acceptor.accept(ballot, asked.value)))
+    def on_accept(self, request: messages.Accept) -> messages.Voted:
+        """Answer the second phase of another agent's round."""
+        ballot = Ballot(request.number, request.by)
+        return self._vote_message(request.id, *self._cast_vote(lambda acceptor: acceptor.accept(ballot, request.value)))
 
-    def _voted(self, id: int, voting: bool, vote: Vote) -> f.Voted:
-        self._number = max(self._number, vote.promised.number)
-        return f.Voted(id, self._owner.name, voting, vote.ok, vote.promised, vote.accepted, vote.value)
+    def _vote_message(self, request_id: int, is_voting: bool, vote: Vote) -> messages.Voted:
+        self._greatest_ballot_number = max(self._greatest_ballot_number, vote.promised.number)
+        return messages.Voted(
+            request_id, self._owner.name, is_voting, vote.ok, vote.promised, vote.accepted, vote.value
+        )
 
-    def recalled(self, asked: f.Recall) -> f.Recalled:
-        seen = self._seen.get(asked.agent, Ballot())
-        return f.Recalled(asked.id, self._owner.name, seen, self._acceptor.accepted == Ballot())
+    def on_recall(self, request: messages.Recall) -> messages.Recalled:
+        """Tell a voter that has just started the greatest ballot that this agent saw it promise."""
+        greatest_promise = self._greatest_promises.get(request.agent, Ballot())
+        return messages.Recalled(request.id, self._owner.name, greatest_promise, self._acceptor.accepted == Ballot())
 
     # Changes
 
     def _ballot(self) -> Ballot:
-        self._number += 1
-        return Ballot(self._number, f"{self._owner.epoch():09d}/{self._owner.name}")
+        """Return a ballot that was never used before."""
+        self._greatest_ballot_number += 1
+        return Ballot(self._greatest_ballot_number, f"{self._owner.epoch():09d}/{self._owner.name}")
 
-    async def _answers(
+    async def _run_phase(
         self,
-        round: Round,
-        make: Callable[[int], f.Message],
-        own: Callable[[], f.Voted] | None,
-        take: Callable[[str, Vote], None],
+        paxos_round: Round,
+        make_message: Callable[[int], messages.Message],
+        vote_locally: Callable[[], messages.Voted] | None,
+        on_vote: Callable[[str, Vote], None],
     ) -> None:
-        """Asks all voters of the round at once, till its phase is over."""
-        phase = round.phase
-        asked: dict[asyncio.Task[f.FromAgent], str] = {}
+        """Send the phase's message to all voters at once, and take their answers until the phase ends.
+
+        Args:
+            paxos_round: The round.
+            make_message: Makes the phase's message with a request id.
+            vote_locally: Casts this agent's own vote.
+            on_vote: Takes the vote of a voter.
+        """
+        phase = paxos_round.phase
+        voter_of_task: dict[asyncio.Task[messages.FromAgent], str] = {}
         loop = asyncio.get_running_loop()
-        ways = {peer.name: peer for peer in self._owner.peers}
-        for name in round.voters:
+        peer_links = {peer.name: peer for peer in self._owner.peers}
+        for name in paxos_round.voters:
             if name == self._owner.name:
-                if own is not None:
-                    self._taken(round, name, own(), take)
-            elif name in ways:
-                asked[loop.create_task(ways[name].ask(make, VOTE_WITHIN))] = name
+                if vote_locally is not None:
+                    self._take_answer(paxos_round, name, vote_locally(), on_vote)
+            elif name in peer_links:
+                voter_of_task[loop.create_task(peer_links[name].request(make_message, VOTE_TIMEOUT_S))] = name
             else:
-                round.on_no_answer(name)
-        pending = set(asked)
+                paxos_round.on_no_answer(name)
+        pending = set(voter_of_task)
         try:
-            while pending and round.phase is phase:
+            while pending and paxos_round.phase is phase:
                 done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
                     error = task.exception()
                     if isinstance(error, NotSentError | NoAnswerError):
-                        round.on_no_answer(asked[task])
+                        paxos_round.on_no_answer(voter_of_task[task])
                     elif error is not None:
                         raise error
                     else:
-                        self._taken(round, asked[task], task.result(), take)
+                        self._take_answer(paxos_round, voter_of_task[task], task.result(), on_vote)
         finally:
             for task in pending:
                 task.cancel()
 
-    def _taken(self, round: Round, name: str, answer: f.FromAgent, take: Callable[[str, Vote], None]) -> None:
-        if not isinstance(answer, f.Voted) or not answer.voting:
-            return round.on_no_answer(name)
+    def _take_answer(
+        self, paxos_round: Round, name: str, answer: messages.FromAgent, on_vote: Callable[[str, Vote], None]
+    ) -> None:
+        if not isinstance(answer, messages.Voted) or not answer.voting:
+            return paxos_round.on_no_answer(name)
         vote = Vote(answer.ok, Ballot(*answer.promised), Ballot(*answer.accepted), answer.value)
         if vote.ok:
-            self._seen[name] = max(self._seen.get(name, Ballot()), vote.promised)
-        take(name, vote)
-
-    async def _round(self, change: Callable[[bytes], bytes | None], voters: Sequence[str], quorum: int) -> Round:
-        round = Round(self._ballot(), voters, change, quorum)
-        number, by = round.ballot
-        prepare = lambda id: f.Prepare(id, number, by)  # noqa: E731
-        await self._answers(round, prepare, lambda: self.prepared(f.Prepare(0, number, by)), round.on_promise)
-        if round.phase is Phase.ACCEPT:
-            value = round.value
-            accept = lambda id: f.Accept(id, number, by, value)  # noqa: E731
-            own = lambda: self.accepted(f.Accept(0, number, by, value))  # noqa: E731
-            await self._answers(round, accept, own, round.on_acceptance)
-        self._number = max(self._number, round.greatest_ballot.number)
-        return round
-
-    async def change(self, change: Change, within: float = CHANGE_WITHIN) -> ChangeResult:
-        """`change` may be called several times and has to know its own work again. Raises `LedgerError`."""
-        ends = time.monotonic() + within
-        declined: list[str] = []
-
-        def changed(value: bytes) -> bytes | None:
-            made = change(ledgers.decode_ledger(value))
-            if isinstance(made, list):
-                declined[:] = made
+            self._greatest_promises[name] = max(self._greatest_promises.get(name, Ballot()), vote.promised)
+        on_vote(name, vote)
+
+    async def _run_round(self, change: Callable[[bytes], bytes | None], voters: Sequence[str], quorum: int) -> Round:
+        paxos_round = Round(self._ballot(), voters, change, quorum)
+        number, proposer = paxos_round.ballot
+        prepare = lambda request_id: messages.Prepare(request_id, number, proposer)  # noqa: E731
+        await self._run_phase(
+            paxos_round, prepare, lambda: self.on_prepare(messages.Prepare(0, number, proposer)), paxos_round.on_promise
+        )
+        if paxos_round.phase is Phase.ACCEPT:
+            value = paxos_round.value
+            accept = lambda request_id: messages.Accept(request_id, number, proposer, value)  # noqa: E731
+            vote_locally = lambda: self.on_accept(messages.Accept(0, number, proposer, value))  # noqa: E731
+            await self._run_phase(paxos_round, accept, vote_locally, paxos_round.on_acceptance)
+        self._greatest_ballot_number = max(self._greatest_ballot_number, paxos_round.greatest_ballot.number)
+        return paxos_round
+
+    async def change(self, change: Change, timeout_s: float = CHANGE_TIMEOUT_S) -> ChangeResult:
+        """Propose a change of the ledger, and retry until it is chosen, declined or timed out.
+
+        `change` may be called several times, also on a ledger that it has changed already, and has to recognise its own
+        result.
+
+        Args:
+            change: Returns the changed ledger, or the reasons for which it declines.
+            timeout_s: The time after which no further round is started.
+
+        Raises:
+            LedgerError: The ledger that a majority holds cannot be decoded.
+        """
+        deadline_s = time.monotonic() + timeout_s
+        refusal_reasons: list[str] = []
+
+        def apply_change(value: bytes) -> bytes | None:
+            changed = change(permit_ledger.decode_ledger(value))
+            if isinstance(changed, list):
+                refusal_reasons[:] = changed
                 return None
-            return ledgers.encode_ledger(made)
+            return permit_ledger.encode_ledger(changed)
 
-        async with self._turn:
+        async with self._change_lock:
             while True:
-                round = await self._round(changed, self.voters, self.quorum)
-                if round.phase is Phase.CHOSEN:
-                    self._chosen(round.value)
+                paxos_round = await self._run_round(apply_change, self.voters, self.quorum)
+                if paxos_round.phase is Phase.CHOSEN:
+                    self._on_chosen(paxos_round.value)
                     return ChangeResult(True, self.ledger)
-                if round.phase is Phase.DECLINED:
-                    read = ledgers.decode_ledger(round.value)
-                    if read.version > self.ledger.version:
-                        # accepted, perhaps by a proposer that heard too few answers or died, and known to be chosen by
-                        # nobody: a plan turned by it would stand still for good, as all who saw it would say that it is
-                        # so already. Written once more as it is, it is chosen, and told.
-                        again = await self._round(lambda value: value, self.voters, self.quorum)
-                        if again.phase is Phase.CHOSEN:
-                            self._chosen(again.value)
-                    return ChangeResult(False, read, tuple(declined))
-                if time.monotonic() >= ends:
+                if paxos_round.phase is Phase.DECLINED:
+                    read_ledger = permit_ledger.decode_ledger(paxos_round.value)
+                    if read_ledger.version > self.ledger.version:
+                        # A proposer that got too few answers, or died, may have left this value accepted without
+                        # anyone knowing it to be chosen. A plan that it changed would then stop for good: every later
+                        # proposer that reads it declines, as its change is already made. Proposing the value once more
+                        # unchanged makes it chosen, and the other agents are notified.
+                        confirming_round = await self._run_round(lambda value: value, self.voters, self.quorum)
+                        if confirming_round.phase is Phase.CHOSEN:
+                            self._on_chosen(confirming_round.value)
+                    return ChangeResult(False, read_ledger, tuple(refusal_reasons))
+                if time.monotonic() >= deadline_s:
                     return ChangeResult(False, self.ledger)
-                await asyncio.sleep(self._rng.uniform(*AGAIN))
+                await asyncio.sleep(self._rng.uniform(*RETRY_DELAY_RANGE_S))
 
-    def _chosen(self, value: bytes) -> None:
-        self.learn(ledgers.decode_ledger(value))
+    def _on_chosen(self, value: bytes) -> None:
+        """Take the ledger that this agent's round has chosen, and notify the other agents."""
+        self.learn(permit_ledger.decode_ledger(value))
         for peer in self._owner.peers:
-            peer.kick()
+            peer.notify()
 
     async def read(self) -> Ledger | None:
-        """The ledger through a majority: at least as new as any that was chosen before this was called. None where too
-        few answer. What is read may be on its way still, so it is good to refuse by, not to act on alone. Raises
-        `LedgerError`."""
-        made = await self.change(lambda ledger: [READ_ALONE], READ_WITHIN)
-        return made.ledger if made.reasons else None
-
-    async def ask(self, asked: f.RequestPermits, by: str, now: float) -> f.PermitsAnswer:
-        """For permits; `now` Unix ms."""
+        """Read the ledger through a majority.
+
+        The result is at least as new as any ledger that was chosen before the call. It may not be chosen yet itself, so
+        it may be a reason to refuse something, but not the only reason to act.
+
+        Returns:
+            The ledger; None where too few voters answer.
+
+        Raises:
+            LedgerError: The ledger that a majority holds cannot be decoded.
+        """
+        result = await self.change(lambda ledger: [READ_ONLY_REASON], READ_TIMEOUT_S)
+        return result.ledger if result.reasons else None
+
+    async def request_permits(
+        self, request: messages.RequestPermits, requested_by: str, now_unix_ms: float
+    ) -> messages.PermitsAnswer:
+        """Grant a command the permits that it requests, or say why not.
+
+        Args:
+            request: The request.
+            requested_by: The operator.
+            now_unix_ms: The time of the request.
+        """
         inventory = self._owner.inventory()
-        generation = max(asked.generation, self._owner.records.greatest_generation())
+        generation = max(request.generation, self._owner.records.greatest_generation())
         name = self._owner.name
         try:
-            request = PermitRequest(asked.targets, asked.origin, by, asked.reason, generation, now)
-            made = await self.change(lambda ledger: ledgers.grant_permits(ledger, request, self.budget, inventory))
+            permit_request = PermitRequest(
+                request.targets, request.origin, requested_by, request.reason, generation, now_unix_ms
+            )
+            result = await self.change(
+                lambda ledger: permit_ledger.grant_permits(ledger, permit_request, self.budget, inventory)
+            )
         except LedgerError as error:
-            return f.PermitsAnswer(asked.id, name, "refused", (), (str(error),))
-        if made.chosen:
-            return f.PermitsAnswer(asked.id, name, "granted", made.ledger.permits_of_origin(asked.origin))
-        if made.reasons:
-            outcome = "away" if inventory.lacks_knowledge_of(asked.targets) else "refused"
-            return f.PermitsAnswer(asked.id, name, outcome, (), made.reasons)  # type: ignore[arg-type]
-        return f.PermitsAnswer(asked.id, name, "away", (), (self.away(),))
-
-    def allows(self, permits: Sequence[Permit], key: Key, origin: str, generation: int) -> str:
-        """Why a drain may not be made; empty where a permit that is in force, as far as is known here, allows it."""
+            return messages.PermitsAnswer(request.id, name, "refused", (), (str(error),))
+        if result.chosen:
+            return messages.PermitsAnswer(request.id, name, "granted", result.ledger.permits_of_origin(request.origin))
+        if result.reasons:
+            outcome = "away" if inventory.lacks_knowledge_of(request.targets) else "refused"
+            return messages.PermitsAnswer(request.id, name, outcome, (), result.reasons)  # type: ignore[arg-type]
+        return messages.PermitsAnswer(request.id, name, "away", (), (self.no_quorum_text(),))
+
+    def drain_refusal(self, permits: Sequence[Permit], key: Key, origin: str, generation: int) -> str:
+        """Return why a drain is refused.
+
+        Empty where one of `permits` allows the drain and is in force, as far as this agent knows.
+        """
         for permit in permits:
             if permit.key == key and permit.origin == origin and permit.generation == generation:
-                return "" if ledgers.is_permit_valid(self.ledger, permit) else "its permit was taken back"
-        return "no permit: the group has a budget of what may be out (--force goes without)"
-
-    def stood(self, asked: f.ShowBudget) -> f.BudgetStatus:
-        voting = "yes" if self.is_voting else self.why if self._owner.name in self.voters else "it is no voter"
+                return "" if permit_ledger.is_permit_valid(self.ledger, permit) else "its permit was revoked"
+        return "no permit: the group has a disruption budget, so a drain needs a permit or --force"
+
+    def budget_status(self, request: messages.ShowBudget) -> messages.BudgetStatus:
+        """Describe the budget, the permits and the vote of this agent for people."""
+        voting_text = (
+            "yes"
+            if self.is_voting
+            else self.not_voting_reason
+            if self._owner.name in self.voters
+            else "it is not a voter"
+        )
         inventory = self._owner.inventory()
         lines = budget_status_lines(self.budget, inventory, self.ledger.permit_holders())
         lines += [inventory.insufficient_reason] if inventory.insufficient_reason else []
         lines.append(f"voters: {', '.join(self.voters)}; {self.quorum} have to agree")
-        return f.BudgetStatus(
-            asked.id, self._owner.name, voting, self.ledger.version, self.ledger.permits, tuple(lines)
+        return messages.BudgetStatus(
+            request.id, self._owner.name, voting_text, self.ledger.version, self.ledger.permits, tuple(lines)
         )
 
-    # To be let to vote
+    # Joining as a voter
 
     async def _join(self) -> None:
-        while not await self._joined():
-            await asyncio.sleep(JOIN_EVERY)
-        self.is_voting, self.why = True, ""
-        log.info("votes", agent=self._owner.name, remembers=self._remembers)
-
-    async def _joined(self) -> bool:
-        others = [name for name in self.voters if name != self._owner.name]
-        ways = {peer.name: peer for peer in self._owner.peers}
-        make = lambda id: f.Recall(id, self._owner.name)  # noqa: E731
-        asks = [ways[name].ask(make, VOTE_WITHIN) for name in others if name in ways]
-        answers = [each for each in await answers_of(asks) if isinstance(each, f.Recalled)]
-        told = [(Ballot(*each.seen), each.empty) for each in answers]
-        do, self.why = decide_join(len(self.voters), self._remembers, self._acceptor.promised, told)
-        if do is not JoinDecision.RECOVER:
-            return do is JoinDecision.VOTE
-        # written back to those that it is read through, under a ballot that stops whatever is under way
-        round = await self._round(lambda value: value, others, recovery_read_count(len(self.voters)))
-        if round.phase is not Phase.CHOSEN:
+        while not await self._try_to_join():
+            await asyncio.sleep(JOIN_RETRY_INTERVAL_S)
+        self.is_voting, self.not_voting_reason = True, ""
+        log.info("agent votes from now on", agent=self._owner.name, remembers=self._has_stored_state)
+
+    async def _try_to_join(self) -> bool:
+        """Ask the other voters whether this agent may vote, and recover its votes through them if they are lost.
+
+        Returns:
+            Whether this agent votes from now on.
+        """
+        other_voters = [name for name in self.voters if name != self._owner.name]
+        peer_links = {peer.name: peer for peer in self._owner.peers}
+        make_message = lambda request_id: messages.Recall(request_id, self._owner.name)  # noqa: E731
+        requests = [
+            peer_links[name].request(make_message, VOTE_TIMEOUT_S) for name in other_voters if name in peer_links
+        ]
+        answers = [each for each in await gather_answers(requests) if isinstance(each, messages.Recalled)]
+        other_votes = [(Ballot(*each.seen), each.empty) for each in answers]
+        decision, self.not_voting_reason = decide_join(
+            len(self.voters), self._has_stored_state, self._acceptor.promised, other_votes
+        )
+        if decision is not JoinDecision.RECOVER:
+            return decision is JoinDecision.VOTE
+        # The recovered value is written back to the voters that it was read from, under a new ballot, which
+        # stops any round in progress.
+        paxos_round = await self._run_round(lambda value: value, other_voters, recovery_read_count(len(self.voters)))
+        if paxos_round.phase is not Phase.CHOSEN:
             return False
         try:
-            self._owner.store.keep_vote(round.ballot, round.ballot, round.value)
+            self._owner.store.keep_vote(paxos_round.ballot, paxos_round.ballot, paxos_round.value)
         except StoreError:
             return False
-        self._acceptor, self._remembers = Acceptor(round.ballot, round.ballot, round.value), True
-        self.record_ledger(round.value)
+        self._acceptor, self._has_stored_state = (
+            Acceptor(paxos_round.ballot, paxos_round.ballot, paxos_round.value),
+            True,
+        )
+        self.record_ledger(paxos_round.value)
         return True
 
-    # Permits that may be given back
+    # Releasing permits
 
-    async def _tend(self) -> None:
+    async def _check_permits_forever(self) -> None:
         while True:
-            await asyncio.sleep(TEND_EVERY * self._rng.uniform(0.5, 1.0))
-            # one that somebody else gave back is forgotten
-            alive = set(self.ledger.permits)
-            self._unused = {each: since for each, since in self._unused.items() if each in alive}
-            self._over = {each: since for each, since in self._over.items() if each in alive}
+            await asyncio.sleep(PERMIT_CHECK_INTERVAL_S * self._rng.uniform(0.5, 1.0))
+            # forget permits that another agent has released
+            held_permits = set(self.ledger.permits)
+            self._unused_since_s = {
+                each: since_s for each, since_s in self._unused_since_s.items() if each in held_permits
+            }
+            self._undrained_since_s = {
+                each: since_s for each, since_s in self._undrained_since_s.items() if each in held_permits
+            }
             try:
-                await self._look()
+                await self._check_permits()
             except (StoreError, LedgerError) as error:
-                log.error("a permit could not be given back", error=str(error))
-
-    async def _look(self) -> None:
-        """One agent looks after a permit, the next one only where the first does not: else a large group would ask
-        itself about each permit as often as it has agents."""
-        now, apart = time.monotonic(), TEND_APART * self._rank
-        of_plans = tuple(f"{plan.id}/" for plan in self.ledger.active_plans())
-        over: dict[Permit, Record] = {}
+                log.error("a permit cannot be released", error=str(error))
+
+    async def _check_permits(self) -> None:
+        """Revoke unused permits, and release those whose targets were undrained.
+
+        The agents take turns by their rank: the first one takes care of a permit, and the next one only where the first
+        did not. Otherwise each agent of a large group would send requests about each permit.
+        """
+        now_s, stagger_s = time.monotonic(), PERMIT_CHECK_STAGGER_S * self._rank
+        active_plan_prefixes = tuple(f"{plan.id}/" for plan in self.ledger.active_plans())
+        undrained_records: dict[Permit, Record] = {}
         for permit in self.ledger.permits:
             record = self._owner.records.get(*permit.key)
             if record is None or record.generation < permit.generation:
-                # a permit of an active plan waits for the plan's leader; any other is unused as its command has ended
-                if not permit.origin.startswith(of_plans or ("/",)):
-                    since = self._unused.setdefault(permit, now)
-                    if now - since > UNUSED_AFTER + apart:
-                        await self._take_back(permit)
+                # The leader of an active plan looks after the plan's permits. Any other permit without a record is
+                # unused because its command has ended.
+                if not permit.origin.startswith(active_plan_prefixes or ("/",)):
+                    since_s = self._unused_since_s.setdefault(permit, now_s)
+                    if now_s - since_s > UNUSED_PERMIT_TIMEOUT_S + stagger_s:
+                        await self._revoke_unused_permit(permit)
                 continue
-            self._unused.pop(permit, None)
-            undrained = not record.is_drained and record.generation > permit.generation
-            if undrained and now - self._over.setdefault(permit, now) >= apart:
-                over[permit] = record
-        if over:
-            fenced = await self._fenced(list(over.values()))
+            self._unused_since_s.pop(permit, None)
+            is_undrained = not record.is_drained and record.generation > permit.generation
+            if is_undrained and now_s - self._undrained_since_s.setdefault(permit, now_s) >= stagger_s:
+                undrained_records[permit] = record
+        if undrained_records:
+            fenced = await self._fenced_generations(list(undrained_records.values()))
             if fenced:
                 await self.change(
-                    lambda ledger: ledgers.release_fenced_permits(ledger, fenced) or ["it is given back already"]
+                    lambda ledger: permit_ledger.release_fenced_permits(ledger, fenced)
+                    or ["the permits are released already"]
                 )
 
-    async def _take_back(self, permit: Permit) -> None:
-        """Whoever asked for it died before it was used. A newer record that says undrained stops it for good, also
-        where it is used this very moment."""
+    async def _revoke_unused_permit(self, permit: Permit) -> None:
+        """Undrain the target of a permit whose requester died before it used it.
+
+        The newer, undrained record also fences the permit if it is used at this moment.
+        """
 
-        def above(ledger: Ledger) -> Ledger | list[str]:
+        def assign_generation(ledger: Ledger) -> Ledger | list[str]:
             if ledger.find_permit(permit.key) != permit:
-                return ["it was given back already"]
-            return ledgers.with_new_generation(ledger, self._owner.records.greatest_generation())
+                return ["the permit was released already"]
+            return permit_ledger.with_new_generation(ledger, self._owner.records.greatest_generation())
 
-        made = await self.change(above)
-        if made.chosen:
+        result = await self.change(assign_generation)
+        if result.chosen:
             record = Record(
                 permit.kind,
                 permit.target,
                 False,
-                made.ledger.generation,
+                result.ledger.generation,
                 f"{permit.origin}/back",
                 self._owner.name,
                 time.time() * 1000.0,
                 "its permit was never used",
             )
             self._owner.commit_record(
-                record, f"took back {permit.kind} {permit.target}: its permit of {permit.requested_by} was not used"
+                record, f"undrained {permit.kind} {permit.target}: the permit of {permit.requested_by} was not used"
             )
-            self._unused.pop(permit, None)
+            self._unused_since_s.pop(permit, None)
+
+    async def _fenced_generations(self, records: Sequence[Record]) -> dict[Key, int]:
+        """Return, by target, a generation such that every limiter refuses older records of the target.
+
+        Each limiter has the record of that generation in force, or is known to start with it. Agents that an operator
+        has given up are not asked.
 
-    async def _fenced(self, records: Sequence[Record]) -> dict[Key, int]:
-        """Those that all limiters hold, or begin with: none can act on an older one any more. Others' agents that were
-        given up are not asked."""
+        Args:
+            records: The newest records of the targets.
+        """
         fenced = {record.key: record.generation for record in records}
-        gone = dict(self.ledger.given_up)
-        for some in (records[n : n + MOST_ASKED] for n in range(0, len(records), MOST_ASKED)):
-            targets = tuple((record.kind, record.target) for record in some)
-            make = partial(f.Progress, targets=targets)
-            answers: list[f.FromAgent | None] = [await self._owner.progressed(f.Progress(0, targets))]
-            asked = [peer for peer in self._owner.peers if peer.name not in gone]
-            answers += await answers_of([peer.ask(make, 2 * VOTE_WITHIN) for peer in asked])
+        given_up = dict(self.ledger.given_up)
+        for batch in (
+            records[n : n + MAXIMUM_TARGETS_PER_REQUEST] for n in range(0, len(records), MAXIMUM_TARGETS_PER_REQUEST)
+        ):
+            targets = tuple((record.kind, record.target) for record in batch)
+            make_message = partial(messages.Progress, targets=targets)
+            answers: list[messages.FromAgent | None] = [
+                await self._owner.report_progress(messages.Progress(0, targets))
+            ]
+            peers = [peer for peer in self._owner.peers if peer.name not in given_up]
+            answers += await gather_answers([peer.request(make_message, 2 * VOTE_TIMEOUT_S) for peer in peers])
             for answer in answers:
-                if not isinstance(answer, f.Progressed):
+                if not isinstance(answer, messages.Progressed):
                     return {}
-                held = {each.key: each.order for each in answer.records}
-                known = ("reached", "at-start")
-                late = {(reach.kind, reach.target) for reach in answer.reach if reach.state not in known}
-                for record in some:
-                    if held.get(record.key, (0, "")) < record.order or record.key in late:
+                held_orders = {each.key: each.order for each in answer.records}
+                reached_states = ("reached", "at-start")
+                unreached = {(reach.kind, reach.target) for reach in answer.reach if reach.state not in reached_states}
+                for record in batch:
+                    if held_orders.get(record.key, (0, "")) < record.order or record.key in unreached:
                         fenced.pop(record.key, None)
         return fenced
 
 
-async def answers_of(asks: Sequence[Awaitable[f.FromAgent]]) -> list[f.FromAgent | None]:
-    """None for those that did not answer."""
-    found = await asyncio.gather(*asks, return_exceptions=True)
-    answers: list[f.FromAgent | None] = []
-    for each in found:
+async def gather_answers(requests: Sequence[Awaitable[messages.FromAgent]]) -> list[messages.FromAgent | None]:
+    """Wait for all requests; the answer is None for each that was not answered."""
+    results = await asyncio.gather(*requests, return_exceptions=True)
+    answers: list[messages.FromAgent | None] = []
+    for each in results:
         if isinstance(each, BaseException):
             if not isinstance(each, NotSentError | NoAnswerError):
                 raise each
--- a/elderlock/fleet/group/__init__.py
+++ b/elderlock/fleet/group/__init__.py
@@ -1,1 +1,1 @@
-"""What an agent knows of the other agents, and its links to them."""
+"""Membership of the other agents of a group, and the links to them."""
--- a/elderlock/fleet/group/peer_link.py
+++ b/elderlock/fleet/group/peer_link.py
@@ -1,4 +1,4 @@
-"""The ways to the other agents: a word each second and at once when there is news, and questions in between."""
+"""The links to the other agents: an exchange each second and whenever there is news, and requests in between."""
 
 from __future__ import annotations
 
@@ -11,90 +11,125 @@
 from elderlock import logs
 from elderlock.control.records import Records
 from elderlock.control.request_client import NoAnswerError, NotSentError, RequestClient
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 
-EXCHANGE_EVERY = 1.0  # s between words to each other agent
-PEER_WITHIN = 1.0  # s that another agent has to answer
+EXCHANGE_INTERVAL_S = 1.0  # between exchanges with each other agent
+PEER_TIMEOUT_S = 1.0  # for the answer of another agent
 
 log = logs.get_logger(__name__)
 
 
 class MessageSource(Protocol):
-    """The agent, as a way to another needs it."""
+    """What a link needs of its agent."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The agent's name."""
+
     @property
-    def records(self) -> Records: ...
-    def compose_exchange(self, number: int, with_records: bool, told: f.Exchange | None = None) -> f.Exchange: ...
-    def apply_exchange(self, exchange: f.Exchange) -> None: ...
+    def records(self) -> Records:
+        """The agent's records."""
+
+    def compose_exchange(
+        self, request_id: int, with_records: bool, last_answer: messages.Exchange | None = None
+    ) -> messages.Exchange:
+        """Return the exchange to send to an agent whose last exchange was `last_answer`."""
+
+    def apply_exchange(self, exchange: messages.Exchange) -> None:
+        """Take what the other agent sent."""
 
 
 class PeerLink:
-    """The way to one other agent."""
+    """The link to one other agent.
+
+    Attributes:
+        name: The other agent's name.
+        records_received: Set once this agent holds all records of the other.
+    """
 
     def __init__(
-        self, agent: MessageSource, name: str, at: tuple[str, int], token: str, tls: ssl.SSLContext | None
+        self, agent: MessageSource, name: str, address: tuple[str, int], token: str, tls: ssl.SSLContext | None
     ) -> None:
-        self._agent, self.name, self._at, self._token, self._tls = agent, name, at, token, tls
-        self.met = asyncio.Event()  # it has told us its records
-        self._news = asyncio.Event()
+        """Prepare the link; `start` opens it.
+
+        Args:
+            agent: This agent.
+            name: The other agent's name.
+            address: The other agent's host and port.
+            token: The token that this agent authenticates with.
+            tls: The TLS context; None for a connection without TLS.
+        """
+        self._agent, self.name, self._address, self._token, self._tls = agent, name, address, token, tls
+        self.records_received = asyncio.Event()
+        self._has_news = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._caller: RequestClient[f.FromAgent] | None = None  # once it has taken our greeting
+        self._client: RequestClient[messages.FromAgent] | None = None  # set once the other agent has answered hello
 
     def start(self) -> None:
+        """Connect, and keep reconnecting."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def kick(self) -> None:
-        self._news.set()
+    def notify(self) -> None:
+        """Start an exchange at once, as there is news."""
+        self._has_news.set()
 
     def close(self) -> None:
+        """Stop the task and close the connection."""
         if self._task is not None:
             self._task.cancel()
 
-    async def ask(self, make: Callable[[int], f.Message], within: float) -> f.FromAgent:
-        """`make` is given an id. Raises `NotSentError` or `NoAnswerError`."""
-        if self._caller is None:
+    async def request(self, make_message: Callable[[int], messages.Message], timeout_s: float) -> messages.FromAgent:
+        """Send a request and return its answer.
+
+        Args:
+            make_message: Makes the message with a request id.
+            timeout_s: The time for the answer.
+
+        Raises:
+            NotSentError: There is no connection.
+            NoAnswerError: No answer came in time.
+        """
+        if self._client is None:
             raise NotSentError(f"no connection to {self.name}")
-        return await self._caller.request(make(self._caller.next_request_id()), within)
+        return await self._client.request(make_message(self._client.next_request_id()), timeout_s)
 
     async def _run(self) -> None:
         while True:
-            caller: RequestClient[f.FromAgent] = RequestClient(f.from_agent, f.LONGEST)
+            client: RequestClient[messages.FromAgent] = RequestClient(messages.from_agent, messages.LONGEST)
             try:
-                async with asyncio.timeout(PEER_WITHIN):
-                    await caller.connect_tcp(*self._at, self._tls)
-                await self._talk(caller)
+                async with asyncio.timeout(PEER_TIMEOUT_S):
+                    await client.connect_tcp(*self._address, self._tls)
+                await self._exchange_messages(client)
             except (OSError, TimeoutError, NotSentError, NoAnswerError) as error:
-                log.debug("other agent not reached", other=self.name, error=repr(error))
+                log.debug("another agent cannot be reached", other=self.name, error=repr(error))
             finally:
-                self._caller = None
-                caller.close()
-            await asyncio.sleep(EXCHANGE_EVERY * random.uniform(0.5, 1.0))
-
-    async def _talk(self, caller: RequestClient[f.FromAgent]) -> None:
-        hello = f.Hello((f.VERSION,), self._token, self._agent.name)
-        answer = await caller.request(hello, PEER_WITHIN)
-        if isinstance(answer, f.Refused):
-            log.error("other agent refuses us", other=self.name, why=answer.text)
-            await asyncio.sleep(PEER_WITHIN)
+                self._client = None
+                client.close()
+            await asyncio.sleep(EXCHANGE_INTERVAL_S * random.uniform(0.5, 1.0))
+
+    async def _exchange_messages(self, client: RequestClient[messages.FromAgent]) -> None:
+        hello = messages.Hello((messages.VERSION,), self._token, self._agent.name)
+        answer = await client.request(hello, PEER_TIMEOUT_S)
+        if isinstance(answer, messages.Refused):
+            log.error("another agent refuses the connection", other=self.name, why=answer.text)
+            await asyncio.sleep(PEER_TIMEOUT_S)
             return
-        self._caller = caller
-        told: f.Exchange | None = None  # its last word; the records go along while their digest differs from ours
+        self._client = client
+        last_answer: messages.Exchange | None = None  # records are sent while the other agent's digest of them differs
         while True:
-            self._news.clear()
-            differs = told is None or told.digest != self._agent.records.digest()
-            word = self._agent.compose_exchange(caller.next_request_id(), differs, told)
-            answer = await caller.request(word, PEER_WITHIN)
-            if not isinstance(answer, f.Exchange) or answer.agent != self.name:
-                log.error("another agent answers at its address", other=self.name)
+            self._has_news.clear()
+            differs = last_answer is None or last_answer.digest != self._agent.records.digest()
+            exchange = self._agent.compose_exchange(client.next_request_id(), differs, last_answer)
+            answer = await client.request(exchange, PEER_TIMEOUT_S)
+            if not isinstance(answer, messages.Exchange) or answer.agent != self.name:
+                log.error("an unexpected agent answers at this address", other=self.name)
                 return
-            told = answer
+            last_answer = answer
             self._agent.apply_exchange(answer)
             if answer.records or answer.digest == self._agent.records.digest():
-                self.met.set()
+                self.records_received.set()
             try:
-                async with asyncio.timeout(EXCHANGE_EVERY):
-                    await self._news.wait()
+                async with asyncio.timeout(EXCHANGE_INTERVAL_S):
+                    await self._has_news.wait()
             except TimeoutError:
                 pass
--- a/elderlock/fleet/plans/__init__.py
+++ b/elderlock/fleet/plans/__init__.py
@@ -1,1 +1,1 @@
-"""An agent's part in plans: releases and drains in steps that the group holds."""
+"""Plans, which are releases and drains in several steps, as an agent leads and executes them."""
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -1,4 +1,4 @@
-"""The fleet's decisions: wishes, reach, membership, plans, comparison, the account of a command."""
+"""Decisions without I/O: intents, reach, membership, supervision, drain plans, comparison, reports of commands."""
 
 import random
 
@@ -9,64 +9,68 @@
 
 from elderlock.control.messages import AnswerCounts, LimiterState, ServerStatus
 from elderlock.control.records import Record, Records
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.client.answers import Missing, Refusal
 from elderlock.fleet.client.comparison import compare
 from elderlock.fleet.client.drain_plan import LEAST_LEFT, STEP_PART, plan_boxes, plan_limiters, summed
 from elderlock.fleet.client.report import Account, Exit
 from elderlock.fleet.drain_intents import ProgressBook, concerns, decide
-from elderlock.fleet.group.membership import SUSPECT_AFTER, UNREACHABLE_AFTER, Membership
+from elderlock.fleet.group.membership import SUSPECT_AFTER_MS, UNREACHABLE_AFTER_MS, Membership
 from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
 from elderlock.standins.limiters import box, state
 
 
-def record(generation: int = 1, drained: bool = True, by: str = "an", target: str = "s-1") -> Record:
-    return Record("box", target, drained, generation, f"{by}-{generation}", by, 0.0)
+def record(generation: int = 1, drained: bool = True, requested_by: str = "an", target: str = "s-1") -> Record:
+    return Record("box", target, drained, generation, f"{requested_by}-{generation}", requested_by, 0.0)
 
 
-def wish(drained: bool = True, expect: int = 0) -> f.DrainIntent:
-    return f.DrainIntent("box", "s-1", drained, expect)
+def intent(drained: bool = True, expect: int = 0) -> messages.DrainIntent:
+    return messages.DrainIntent("box", "s-1", drained, expect)
 
 
-def intend(generation: int, origin: str = "binh-x") -> f.SubmitIntents:
-    return f.SubmitIntents(1, origin, generation, (), (), "", 200.0)
+def submission(generation: int, origin: str = "binh-x") -> messages.SubmitIntents:
+    return messages.SubmitIntents(1, origin, generation, (), (), "", 200.0)
 
 
-def test_a_wish_makes_one_record_and_its_repeat_makes_none() -> None:
-    made = decide(Records(), wish(), intend(1), "binh", 5.0)
-    assert made.outcome == "made" and made.record is not None
-    assert (made.record.requested_by, made.record.generation, made.record.created_at_unix_ms) == ("binh", 1, 5.0)
-    again = decide(Records([made.record]), wish(), intend(1), "binh", 6.0)
-    assert again.outcome == "made" and again.record == made.record
+def test_an_intent_makes_one_record_and_its_repetition_makes_none() -> None:
+    decision = decide(Records(), intent(), submission(1), "binh", 5.0)
+    assert decision.outcome == "made" and decision.record is not None
+    assert (decision.record.requested_by, decision.record.generation, decision.record.created_at_unix_ms) == (
+        "binh",
+        1,
+        5.0,
+    )
+    repetition = decide(Records([decision.record]), intent(), submission(1), "binh", 6.0)
+    assert repetition.outcome == "made" and repetition.record == decision.record
 
 
-def test_two_who_drain_the_same_box_share_one_record_and_are_told_whose() -> None:
-    decision = decide(Records([record(3)]), wish(expect=0), intend(4), "binh", 0.0)
+def test_two_operators_who_drain_the_same_server_share_one_record() -> None:
+    decision = decide(Records([record(3)]), intent(expect=0), submission(4), "binh", 0.0)
     assert decision.outcome == "joined" and decision.record == record(3)
     assert decision.text == "drained by an (generation 3) already"
 
 
-def test_who_acts_on_what_was_before_anothers_change_is_told_so() -> None:
-    held = Records([record(4, drained=True)])
-    decision = decide(held, wish(drained=False, expect=2), intend(5), "binh", 0.0)
+def test_an_intent_based_on_an_outdated_generation_is_stale() -> None:
+    records = Records([record(4, drained=True)])
+    decision = decide(records, intent(drained=False, expect=2), submission(5), "binh", 0.0)
     assert decision.outcome == "stale" and decision.record == record(4)
     assert decision.text == "you acted on generation 2, but it is drained by an (generation 4) since"
-    assert decide(held, wish(drained=False, expect=4), intend(5), "binh", 0.0).outcome == "made"
+    assert decide(records, intent(drained=False, expect=4), submission(5), "binh", 0.0).outcome == "made"
 
 
-def test_a_generation_that_is_not_above_what_holds_is_refused() -> None:
-    decision = decide(Records([record(4)]), wish(drained=False, expect=4), intend(4), "binh", 0.0)
+def test_a_generation_not_above_the_record_in_force_is_refused() -> None:
+    decision = decide(Records([record(4)]), intent(drained=False, expect=4), submission(4), "binh", 0.0)
     assert decision.outcome == "refused"
 
 
-def test_to_undrain_what_was_never_drained_changes_nothing() -> None:
-    assert decide(Records(), wish(drained=False), intend(1), "binh", 0.0).record is None
+def test_an_undrain_without_a_drain_changes_nothing() -> None:
+    assert decide(Records(), intent(drained=False), submission(1), "binh", 0.0).record is None
 
 
 # How far a record came
 
 
-def test_what_was_sent_and_not_answered_is_unknown_until_the_limiter_says_so_itself() -> None:
+def test_an_unanswered_record_is_unknown_until_the_limiter_reports_it() -> None:
     book = ProgressBook()
     assert book.reach("n0", record(), True, "").state == "not-reached"
     book.sent([record()])
@@ -76,16 +80,16 @@
     reach = book.reach("n0", record(), True, "silent: no answer")
     assert (reach.state, reach.at, reach.out, reach.why) == ("reached", 7.0, 2, "")
     book.applied([record()], 9.0, {"s-1": 0}, 0)
-    assert book.reach("n0", record(), True, "").at == 7.0  # since when, not when last told
+    assert book.reach("n0", record(), True, "").at == 7.0  # when it came into force, not when it was last reported
 
 
-def test_an_older_record_in_force_is_not_the_newer_one() -> None:
+def test_an_older_record_in_force_does_not_count_as_the_newer_one() -> None:
     book = ProgressBook()
     book.applied([record(1)], 7.0, {}, 0)
     assert book.reach("n0", record(2, drained=False), True, "").state == "not-reached"
 
 
-def test_what_a_process_held_says_nothing_of_the_next() -> None:
+def test_progress_is_forgotten_when_the_process_restarts() -> None:
     book = ProgressBook()
     book.sent([record()])
     book.applied([record()], 7.0, {"s-1": 2}, 3)
@@ -94,141 +98,145 @@
     assert book.reach("n0", record(), False, "").state == "at-start"
 
 
-def test_a_boxs_drain_concerns_all_and_a_limiters_that_one() -> None:
-    own = Record("limiter", "n0", True, 1, "o", "an", 0.0)
-    assert concerns(record(), "n9") and concerns(own, "n0") and not concerns(own, "n1")
+def test_a_server_drain_concerns_all_limiters_and_a_limiter_drain_only_that_one() -> None:
+    limiter_record = Record("limiter", "n0", True, 1, "o", "an", 0.0)
+    assert concerns(record(), "n9") and concerns(limiter_record, "n0") and not concerns(limiter_record, "n1")
 
 
 # Membership
 
 
-def heard(agent: str, incarnation: int, sequence: int, age: float) -> f.AgentObservation:
-    return f.AgentObservation(agent, "alive", incarnation, sequence, age, "", ())
+def observation(agent: str, incarnation: int, sequence: int, age: float) -> messages.AgentObservation:
+    return messages.AgentObservation(agent, "alive", incarnation, sequence, age, "", ())
 
 
-def test_standing_follows_the_silence() -> None:
+def test_standing_depends_on_the_time_since_the_last_report() -> None:
     members = Membership("a", ["a", "b"])
-    assert [(h.agent, h.standing, h.age_ms) for h in members.view(0.0)] == [("b", "unreachable", -1.0)]
+    assert [(observed.agent, observed.standing, observed.age_ms) for observed in members.view(0.0)] == [
+        ("b", "unreachable", -1.0)
+    ]
     members.record_direct("b", 1, 1, (), 100.0)
-    standing = [members.view(100.0 + t)[0].standing for t in (0, SUSPECT_AFTER, UNREACHABLE_AFTER)]
+    standing = [members.view(100.0 + t)[0].standing for t in (0, SUSPECT_AFTER_MS, UNREACHABLE_AFTER_MS)]
     assert standing == ["alive", "suspect", "unreachable"]
 
 
-def test_what_one_says_of_itself_beats_older_news_and_a_stranger_is_not_kept() -> None:
+def test_a_direct_report_beats_older_relayed_ones_and_strangers_are_ignored() -> None:
     members = Membership("a", ["a", "b", "c"])
-    brief = (f.LimiterBrief("n0", "running", "answering", 4, False, 0),)
-    members.record_direct("b", 2, 5, brief, 1000.0)
-    members.record_relayed([heard("b", 1, 99, 0.0), heard("a", 9, 9, 0.0), heard("x", 1, 1, 0.0)], "c", 1000.0)
-    view = {h.agent: h for h in members.view(1000.0)}
+    briefs = (messages.LimiterBrief("n0", "running", "answering", 4, False, 0),)
+    members.record_direct("b", 2, 5, briefs, 1000.0)
+    members.record_relayed(
+        [observation("b", 1, 99, 0.0), observation("a", 9, 9, 0.0), observation("x", 1, 1, 0.0)], "c", 1000.0
+    )
+    view = {observed.agent: observed for observed in members.view(1000.0)}
     assert set(view) == {"b", "c"}
-    assert (view["b"].incarnation, view["b"].limiters, view["b"].via) == (2, brief, "")
-    members.record_relayed([heard("b", 2, 6, 500.0)], "c", 2000.0)
-    told = members.view(2000.0)[0]
-    assert (told.sequence, told.age_ms, told.via) == (6, 500.0, "c")
+    assert (view["b"].incarnation, view["b"].limiters, view["b"].via) == (2, briefs, "")
+    members.record_relayed([observation("b", 2, 6, 500.0)], "c", 2000.0)
+    relayed = members.view(2000.0)[0]
+    assert (relayed.sequence, relayed.age_ms, relayed.via) == (6, 500.0, "c")
 
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 5), st.booleans()), max_size=20))
-def test_news_never_goes_back(words: list[tuple[int, int, bool]]) -> None:
+def test_incarnation_and_sequence_never_decrease(reports: list[tuple[int, int, bool]]) -> None:
     members, before = Membership("a", ["b"]), (0, 0)
-    for n, (incarnation, sequence, direct) in enumerate(words):
-        if direct:
+    for n, (incarnation, sequence, is_direct) in enumerate(reports):
+        if is_direct:
             members.record_direct("b", incarnation, sequence, (), float(n))
         else:
-            members.record_relayed([heard("b", incarnation, sequence, 0.0)], "c", float(n))
-        now = members.view(float(n))[0]
-        assert (now.incarnation, now.sequence) >= before
-        before = (now.incarnation, now.sequence)
+            members.record_relayed([observation("b", incarnation, sequence, 0.0)], "c", float(n))
+        newest = members.view(float(n))[0]
+        assert (newest.incarnation, newest.sequence) >= before
+        before = (newest.incarnation, newest.sequence)
 
 
 # Supervision
 
 
 class SupervisorMachine(RuleBasedStateMachine):
-    """Wishes, exits and time in any order: never two processes, and back-off that is kept."""
+    """Commands, exits and time in any order: there are never two processes, and the backoff is respected."""
 
     def __init__(self) -> None:
         super().__init__()
         self.policy = Policy(first_backoff=100.0, most_backoff=400.0, steady=1000.0, crashes=3, window=5000.0)
         self.supervisor = Supervisor(self.policy, random.Random(1))
-        self.now, self.lives = 0.0, False
-        self.exited_at: float | None = None
+        self.now_ms, self.is_alive = 0.0, False
+        self.exited_at_ms: float | None = None
 
-    def do(self, do: Command | None) -> None:
-        if do is Command.SPAWN:
-            assert not self.lives
+    def check_command(self, command: Command | None) -> None:
+        if command is Command.SPAWN:
+            assert not self.is_alive
             assert self.supervisor.wanted
-            if self.supervisor.restarts and self.exited_at is not None and not self.restarted_by_hand:
-                assert self.now - self.exited_at >= self.policy.first_backoff / 2
-            self.lives, self.restarted_by_hand = True, False
-        elif do is Command.TERMINATE:
+            if self.supervisor.restarts and self.exited_at_ms is not None and not self.restarted_by_hand:
+                assert self.now_ms - self.exited_at_ms >= self.policy.first_backoff / 2
+            self.is_alive, self.restarted_by_hand = True, False
+        elif command is Command.TERMINATE:
             assert not self.supervisor.wanted
-        elif do is Command.KILL:  # also where it is wanted again: it was told to end, and does not
+        elif command is Command.KILL:  # also if it is wanted again: it was told to stop and did not
             assert self.supervisor.phase == "stopping"
 
     restarted_by_hand = False
 
     @rule(wanted=st.booleans())
-    def operator(self, wanted: bool) -> None:
+    def operator_command(self, wanted: bool) -> None:
         self.restarted_by_hand = self.restarted_by_hand or wanted
-        self.do(self.supervisor.want(wanted, self.now))
+        self.check_command(self.supervisor.want(wanted, self.now_ms))
 
-    @rule(passed=st.floats(0.0, 2000.0))
-    def time(self, passed: float) -> None:
-        self.now += passed
-        self.do(self.supervisor.step(self.now))
+    @rule(elapsed_ms=st.floats(0.0, 2000.0))
+    def time_passes(self, elapsed_ms: float) -> None:
+        self.now_ms += elapsed_ms
+        self.check_command(self.supervisor.step(self.now_ms))
 
     @rule()
-    def exit(self) -> None:
-        if self.lives:
+    def process_exits(self) -> None:
+        if self.is_alive:
             stopping = self.supervisor.phase == "stopping"
-            self.lives, self.exited_at = False, self.now
+            self.is_alive, self.exited_at_ms = False, self.now_ms
             self.restarted_by_hand = self.restarted_by_hand or stopping
-            self.do(self.supervisor.exited(self.now))
+            self.check_command(self.supervisor.exited(self.now_ms))
 
     @rule()
-    def answers(self) -> None:
-        if self.lives:
+    def process_answers(self) -> None:
+        if self.is_alive:
             self.supervisor.answered()
 
     @invariant()
-    def the_phase_says_whether_a_process_lives(self) -> None:
-        assert self.lives == (self.supervisor.phase in ("starting", "running", "stopping"))
+    def phase_matches_the_process(self) -> None:
+        assert self.is_alive == (self.supervisor.phase in ("starting", "running", "stopping"))
 
 
 TestSupervisor = SupervisorMachine.TestCase
 TestSupervisor.settings = settings(max_examples=60, deadline=None)
 
 
-def test_crashes_in_a_row_end_the_restarts_until_an_operator_starts_it() -> None:
+def test_repeated_crashes_stop_the_restarts_until_an_operator_starts_the_limiter() -> None:
     supervisor = Supervisor(Policy(crashes=3), random.Random(1))
     assert supervisor.want(True, 0.0) is Command.SPAWN
-    now = 0.0
+    now_ms = 0.0
     for n in range(3):
-        assert supervisor.exited(now) is None
+        assert supervisor.exited(now_ms) is None
         if n < 2:
             assert supervisor.phase == "backing-off" and supervisor.due is not None
-            now = supervisor.due
-            assert supervisor.step(now - 0.1) is None
-            assert supervisor.step(now) is Command.SPAWN
+            now_ms = supervisor.due
+            assert supervisor.step(now_ms - 0.1) is None
+            assert supervisor.step(now_ms) is Command.SPAWN
     assert supervisor.phase == "gave-up"
-    assert supervisor.step(now + 1e9) is None
-    assert supervisor.want(True, now) is Command.SPAWN
+    assert supervisor.step(now_ms + 1e9) is None
+    assert supervisor.want(True, now_ms) is Command.SPAWN
 
 
-def test_exits_far_apart_are_no_crash_loop_and_back_off_begins_anew() -> None:
+def test_exits_far_apart_are_not_a_crash_loop_and_reset_the_backoff() -> None:
     policy = Policy(crashes=3, window=60_000.0)
-    supervisor, now = Supervisor(policy, random.Random(1)), 0.0
-    supervisor.want(True, now)
+    supervisor, now_ms = Supervisor(policy, random.Random(1)), 0.0
+    supervisor.want(True, now_ms)
     for _ in range(10):
-        now += 40_000.0
-        supervisor.exited(now)
+        now_ms += 40_000.0
+        supervisor.exited(now_ms)
         assert supervisor.phase == "backing-off" and supervisor.due is not None
-        assert supervisor.due - now <= policy.first_backoff
-        now = supervisor.due
-        assert supervisor.step(now) is Command.SPAWN
+        assert supervisor.due - now_ms <= policy.first_backoff
+        now_ms = supervisor.due
+        assert supervisor.step(now_ms) is Command.SPAWN
 
 
-def test_one_that_does_not_end_is_killed_once() -> None:
+def test_a_process_that_does_not_stop_is_killed_once() -> None:
     supervisor = Supervisor(Policy(stop_within=500.0), random.Random(1))
     supervisor.want(True, 0.0)
     assert supervisor.want(False, 10.0) is Command.TERMINATE
@@ -242,60 +250,65 @@
 # Plans
 
 
-def views(*boxes: ServerStatus) -> list[LimiterState]:
-    return [state("n0", boxes), state("n1", boxes)]
+def two_states(*servers: ServerStatus) -> list[LimiterState]:
+    return [state("n0", servers), state("n1", servers)]
 
 
-FLOORS = ("floor-2", "floor-3", "floor-4")
-NINE = [box(f"s-{n}", zone=FLOORS[n % 3], weight=2.0) for n in range(9)]
+ZONES = ("floor-2", "floor-3", "floor-4")
+NINE_SERVERS = [box(f"s-{n}", zone=ZONES[n % 3], weight=2.0) for n in range(9)]
 
 
-def test_a_safe_drain_gives_its_figures() -> None:
-    plan = plan_boxes(summed(views(*NINE)), ["s-0"])
+def test_a_safe_drain_reports_the_capacity_before_and_after() -> None:
+    plan = plan_boxes(summed(two_states(*NINE_SERVERS)), ["s-0"])
     assert plan.unsafe == () and plan.steps == (("s-0",),)
     assert (plan.capacity_before, round(plan.capacity_after, 3)) == (1.0, 0.889)
 
 
-def test_the_last_box_of_a_floor_is_refused_with_its_figures() -> None:
-    gone = [box(b.uid, zone=b.zone, weight=2.0, drained_by="an") if b.uid in ("s-0", "s-3") else b for b in NINE]
-    plan = plan_boxes(summed(views(*gone)), ["s-6"])
+def test_draining_the_last_server_of_a_zone_is_refused() -> None:
+    servers = [
+        box(server.uid, zone=server.zone, weight=2.0, drained_by="an") if server.uid in ("s-0", "s-3") else server
+        for server in NINE_SERVERS
+    ]
+    plan = plan_boxes(summed(two_states(*servers)), ["s-6"])
     assert plan.unsafe == ("it takes the last box of floor-2, which has 1 in service",)
-    assert plan_boxes(summed(views(*NINE)), ["s-0", "s-3"]).unsafe == ()
+    assert plan_boxes(summed(two_states(*NINE_SERVERS)), ["s-0", "s-3"]).unsafe == ()
 
 
-def test_too_little_left_is_refused_with_its_figures() -> None:
-    plan = plan_boxes(summed(views(*NINE)), ["s-0", "s-1", "s-2", "s-3", "s-4"])
+def test_a_drain_that_leaves_too_little_capacity_is_refused() -> None:
+    plan = plan_boxes(summed(two_states(*NINE_SERVERS)), ["s-0", "s-1", "s-2", "s-3", "s-4"])
     assert plan.unsafe == ("44 % of all capacity would be left in service; 50 % is the least (now 100 %)",)
 
 
-def test_queues_that_those_left_could_not_take_are_refused() -> None:
-    pressed = [box(b.uid, zone=b.zone, weight=2.0, queue=8) for b in NINE]
-    plan = plan_boxes(summed(views(*pressed)), ["s-0"])
+def test_a_drain_is_refused_if_the_other_servers_queues_are_too_long() -> None:
+    servers = [box(server.uid, zone=server.zone, weight=2.0, queue=8) for server in NINE_SERVERS]
+    plan = plan_boxes(summed(two_states(*servers)), ["s-0"])
     assert plan.unsafe == ("72 requests wait: 4.5 for each unit of weight left, 4 is the most",)
 
 
-def test_one_limiter_that_heard_of_a_drain_outweighs_those_that_did_not() -> None:
-    seen = summed([state("n0", NINE), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])])
-    assert not seen["s-0"].serving and seen["s-1"].serving
+def test_a_drain_known_to_a_single_limiter_counts() -> None:
+    summary = summed([state("n0", NINE_SERVERS), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])])
+    assert not summary["s-0"].serving and summary["s-1"].serving
 
 
-def test_what_is_drained_already_or_not_known_needs_no_step() -> None:
-    seen = summed(views(*NINE[:8], box("s-8", zone="floor-4", state="draining")))
-    plan = plan_boxes(seen, ["s-8", "no-such"])
+def test_draining_or_unknown_servers_need_no_step() -> None:
+    summary = summed(two_states(*NINE_SERVERS[:8], box("s-8", zone="floor-4", state="draining")))
+    plan = plan_boxes(summary, ["s-8", "no-such"])
     assert plan.steps == () and plan.unknown == ("no-such",) and plan.unsafe == ()
 
 
-@given(st.lists(st.tuples(st.sampled_from(FLOORS), st.floats(0.5, 4.0)), min_size=1, max_size=30), st.randoms())
-def test_steps_take_each_box_once_and_a_part_of_the_weight_at_most(kinds: list[tuple[str, float]], rng: object) -> None:
-    boxes = [box(f"s-{n}", zone=floor, weight=weight) for n, (floor, weight) in enumerate(kinds)]
-    targets = [b.uid for b in boxes if rng.random() < 0.6]  # type: ignore[attr-defined]
-    seen = summed([state("n0", boxes)])
-    plan = plan_boxes(seen, targets)
+@given(st.lists(st.tuples(st.sampled_from(ZONES), st.floats(0.5, 4.0)), min_size=1, max_size=30), st.randoms())
+def test_steps_take_each_server_once_and_a_bounded_part_of_the_weight(
+    zones_and_weights: list[tuple[str, float]], rng: object
+) -> None:
+    servers = [box(f"s-{n}", zone=zone, weight=weight) for n, (zone, weight) in enumerate(zones_and_weights)]
+    targets = [server.uid for server in servers if rng.random() < 0.6]  # type: ignore[attr-defined]
+    summary = summed([state("n0", servers)])
+    plan = plan_boxes(summary, targets)
     assert sorted(uid for step in plan.steps for uid in step) == sorted(targets)
-    full = sum(b.weight for b in boxes)
+    total_weight = sum(server.weight for server in servers)
     for step in plan.steps:
-        assert len(step) == 1 or sum(seen[uid].weight for uid in step) <= STEP_PART * full + 1e-9
-        assert len({seen[uid].floor for uid in step}) == len(step)
+        assert len(step) == 1 or sum(summary[uid].weight for uid in step) <= STEP_PART * total_weight + 1e-9
+        assert len({summary[uid].floor for uid in step}) == len(step)
     if plan.capacity_after < LEAST_LEFT and targets:
         assert plan.unsafe
 
@@ -303,112 +316,121 @@
 def test_the_last_limiter_in_service_is_not_drained() -> None:
     assert plan_limiters(["n0", "n1"], ["n0"]) == ()
     assert plan_limiters(["n0"], ["n0"]) == ("it takes the last limiter in service: 1 serve now, 0 would be left",)
-    assert plan_limiters(["n0"], ["n1"]) == ()  # not in service: nothing is lost by it
+    assert plan_limiters(["n0"], ["n1"]) == ()  # n1 is not in service, so nothing is lost
 
 
 # Comparison
 
 
-def texts(*states: LimiterState) -> list[str]:
+def difference_texts(*states: LimiterState) -> list[str]:
     return [d.text for d in compare(states)]
 
 
-def test_nothing_differs_between_the_same() -> None:
-    assert texts(state("n0", NINE), state("n1", NINE), state("n2", NINE)) == []
+def test_equal_states_have_no_differences() -> None:
+    assert difference_texts(state("n0", NINE_SERVERS), state("n1", NINE_SERVERS), state("n2", NINE_SERVERS)) == []
 
 
-def test_each_difference_is_named_in_words() -> None:
-    like = [state(f"n{n}", NINE) for n in range(3)]
-    assert texts(*like, state("n3", NINE, build="2")) == ["n3: version 2"]
-    assert texts(*like, state("n3", NINE, config_parts={"plans": "q"})) == [
+def test_each_difference_has_its_text() -> None:
+    others = [state(f"n{n}", NINE_SERVERS) for n in range(3)]
+    assert difference_texts(*others, state("n3", NINE_SERVERS, build="2")) == ["n3: version 2"]
+    assert difference_texts(*others, state("n3", NINE_SERVERS, config_parts={"plans": "q"})) == [
         "n3: 'plans' of the configuration differs (q)"
     ]
-    assert texts(*like, state("n3", NINE[1:])) == ["n3: does not know s-0"]
-    drains = state("n3", NINE, records=(record(4),), records_digest="d")
-    assert texts(*like, drains) == ["n3: drains s-1 (generation 4)"]
-    assert texts(*like, state("n3", NINE, answer_p50_ms=90.0)) == ["n3: answers take 90 ms, 20 ms elsewhere"]
-    refuses = state("n3", NINE, counts=AnswerCounts(served=60, refused=40))
-    assert texts(*like, refuses) == ["n3: refuses 40 % of all, 0 % elsewhere"]
-    slow = [box("s-0", zone="floor-2", latency_ms=300.0), *NINE[1:]]
-    assert texts(*like, state("n3", slow)) == ["n3: finds s-0 at 300 ms, 20 ms from elsewhere"]
+    assert difference_texts(*others, state("n3", NINE_SERVERS[1:])) == ["n3: does not know s-0"]
+    drains = state("n3", NINE_SERVERS, records=(record(4),), records_digest="d")
+    assert difference_texts(*others, drains) == ["n3: drains s-1 (generation 4)"]
+    assert difference_texts(*others, state("n3", NINE_SERVERS, answer_p50_ms=90.0)) == [
+        "n3: answers take 90 ms, 20 ms elsewhere"
+    ]
+    refuses = state("n3", NINE_SERVERS, counts=AnswerCounts(served=60, refused=40))
+    assert difference_texts(*others, refuses) == ["n3: refuses 40 % of all, 0 % elsewhere"]
+    slow = [box("s-0", zone="floor-2", latency_ms=300.0), *NINE_SERVERS[1:]]
+    assert difference_texts(*others, state("n3", slow)) == ["n3: finds s-0 at 300 ms, 20 ms from elsewhere"]
 
 
-def test_where_no_value_leads_all_are_named() -> None:
-    assert texts(state("n0", NINE), state("n1", NINE, build="2")) == ["n0: version 1", "n1: version 2"]
+def test_without_a_majority_value_all_limiters_are_named() -> None:
+    assert difference_texts(state("n0", NINE_SERVERS), state("n1", NINE_SERVERS, build="2")) == [
+        "n0: version 1",
+        "n1: version 2",
+    ]
 
 
-# The account of a command
+# The report of a command
 
 KEY = ("box", "s-1")
 
 
-def account(*agents: str) -> Account:
+def new_account(*agents: str) -> Account:
     return Account("an-1", {KEY: True}, known={name: (f"n-{name}",) for name in agents})
 
 
-def intended(agent: str, outcome: str, held: Record | None, reached: str = "reached", out: int = 0) -> f.IntentsAnswer:
-    reach = f.Reach(f"n-{agent}", "box", "s-1", reached, 5.0, "", out)  # type: ignore[arg-type]
-    return f.IntentsAnswer(1, agent, (f.Decision(outcome, held, "why"),), (reach,))  # type: ignore[arg-type]
+def intents_answer(
+    agent: str, outcome: str, held_record: Record | None, reached: str = "reached", out: int = 0
+) -> messages.IntentsAnswer:
+    reach = messages.Reach(f"n-{agent}", "box", "s-1", reached, 5.0, "", out)  # type: ignore[arg-type]
+    return messages.IntentsAnswer(1, agent, (messages.Decision(outcome, held_record, "why"),), (reach,))  # type: ignore[arg-type]
 
 
-def test_done_everywhere_means_every_limiters_own_word() -> None:
-    whole = account("a", "b")
-    whole.answered("a", intended("a", "made", record(1), out=2))
-    whole.answered("b", intended("b", "made", record(1)))
-    assert whole.outcome() is Exit.DONE and not whole.finished()
-    whole.answered("a", f.Progressed(2, "a", (record(1),), intended("a", "made", record(1)).reach))
-    assert whole.finished()
+def test_a_command_is_done_when_every_limiter_has_reported() -> None:
+    account = new_account("a", "b")
+    account.answered("a", intents_answer("a", "made", record(1), out=2))
+    account.answered("b", intents_answer("b", "made", record(1)))
+    assert account.outcome() is Exit.DONE and not account.finished()
+    account.answered("a", messages.Progressed(2, "a", (record(1),), intents_answer("a", "made", record(1)).reach))
+    assert account.finished()
 
 
-def test_an_agent_that_was_not_reached_is_told_apart_from_one_that_may_have_been() -> None:
-    part = account("a", "b", "c")
-    part.answered("a", intended("a", "made", record(1)))
-    part.answered("b", Missing("b", "nothing listens there", False))
-    part.answered("c", Missing("c", "no answer within 1 s", True))
-    rows = {row.limiter: (row.state, row.why) for row in part.rows()}
+def test_an_unreached_agent_is_distinguished_from_one_that_may_have_been_reached() -> None:
+    account = new_account("a", "b", "c")
+    account.answered("a", intents_answer("a", "made", record(1)))
+    account.answered("b", Missing("b", "nothing listens there", False))
+    account.answered("c", Missing("c", "no answer within 1 s", True))
+    rows = {row.limiter: (row.state, row.why) for row in account.rows()}
     assert rows["n-a"][0] == "reached"
     assert rows["n-b"] == ("not-reached", "agent b: nothing listens there")
     assert rows["n-c"] == ("unknown", "agent c: no answer within 1 s; it may be in force")
-    assert part.outcome() is Exit.PART
-    part.answered("b", Missing("b", "no answer within 1 s", True))
-    part.answered("c", Missing("c", "nothing listens there", False))
-    assert {row.limiter: row.state for row in part.rows()}["n-c"] == "unknown"  # once sent, for ever
-
-
-def test_a_limiter_that_was_reached_stays_so_when_its_agent_goes() -> None:
-    part = account("a")
-    part.answered("a", intended("a", "made", record(1)))
-    part.answered("a", Missing("a", "the connection was reset", True))
-    assert [(r.state, r.why) for r in part.rows()] == [("reached", "since then: the connection was reset")]
-
-
-def test_nothing_done_is_said_only_where_it_is_certain() -> None:
-    none = account("a")
-    none.answered("a", Missing("a", "nothing listens there", False))
-    assert none.outcome() is Exit.NOTHING
-    none.answered("a", Missing("a", "no answer", True))
-    assert none.outcome() is Exit.PART
-    refused = account("a")
+    assert account.outcome() is Exit.PART
+    account.answered("b", Missing("b", "no answer within 1 s", True))
+    account.answered("c", Missing("c", "nothing listens there", False))
+    assert {row.limiter: row.state for row in account.rows()}[
+        "n-c"
+    ] == "unknown"  # a later connection failure does not undo an earlier send
+
+
+def test_a_reached_limiter_stays_reached_when_its_agent_is_lost() -> None:
+    account = new_account("a")
+    account.answered("a", intents_answer("a", "made", record(1)))
+    account.answered("a", Missing("a", "the connection was reset", True))
+    assert [(row.state, row.why) for row in account.rows()] == [("reached", "since then: the connection was reset")]
+
+
+def test_nothing_done_is_reported_only_if_it_is_certain() -> None:
+    account = new_account("a")
+    account.answered("a", Missing("a", "nothing listens there", False))
+    assert account.outcome() is Exit.NOTHING
+    account.answered("a", Missing("a", "no answer", True))
+    assert account.outcome() is Exit.PART
+    refused = new_account("a")
     refused.answered("a", Refusal("a", "role", "lam is a viewer and may not intend"))
     assert refused.outcome() is Exit.NOTHING
     assert refused.text() == ["agent a refuses: lam is a viewer and may not intend"]
 
 
-def test_both_operators_are_told_whose_record_holds() -> None:
-    second = account("a")
-    second.answered("a", intended("a", "joined", record(1, by="binh")))
-    assert second.outcome() is Exit.DONE
-    assert second.text() == ["box s-1: drained by binh (generation 1); yours joins that record"]
-    undone = account("a")
-    undone.answered("a", intended("a", "made", Record("box", "s-1", True, 1, "an-1", "an", 0.0)))
-    undone.answered("a", f.Progressed(2, "a", (record(2, drained=False, by="binh"),), ()))
-    assert undone.outcome() is Exit.OVERTAKEN
-    assert undone.text() == ["box s-1: not done, it is undrained by binh (generation 2)"]
+def test_both_operators_are_told_whose_record_is_in_force() -> None:
+    joining = new_account("a")
+    joining.answered("a", intents_answer("a", "joined", record(1, requested_by="binh")))
+    assert joining.outcome() is Exit.DONE
+    assert joining.text() == ["box s-1: drained by binh (generation 1); yours joins that record"]
+    overtaken = new_account("a")
+    overtaken.answered("a", intents_answer("a", "made", Record("box", "s-1", True, 1, "an-1", "an", 0.0)))
+    overtaken.answered("a", messages.Progressed(2, "a", (record(2, drained=False, requested_by="binh"),), ()))
+    assert overtaken.outcome() is Exit.OVERTAKEN
+    assert overtaken.text() == ["box s-1: not done, it is undrained by binh (generation 2)"]
 
 
 @pytest.mark.parametrize("outcome", ["stale", "refused"])
-def test_a_wish_that_no_agent_took_is_not_done(outcome: str) -> None:
-    none = account("a")
-    none.answered("a", intended("a", outcome, record(3, drained=False, by="binh")))
-    assert none.outcome() is Exit.OVERTAKEN
-    assert "agent a: why" in none.text()
+def test_an_intent_that_no_agent_accepted_is_not_done(outcome: str) -> None:
+    account = new_account("a")
+    account.answered("a", intents_answer("a", outcome, record(3, drained=False, requested_by="binh")))
+    assert account.outcome() is Exit.OVERTAKEN
+    assert "agent a: why" in account.text()
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -1,4 +1,4 @@
-"""Releases and planned drains among real agents and limiters, with tools, leaders and links that go."""
+"""Releases and planned drains with real agents and limiters, while commands, leaders and links fail."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 import msgspec
 import pytest
 
-from elderlock.fleet import messages as f
-from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet import messages
+from elderlock.fleet.client import plan_commands
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.scenario import Fault, Settings
@@ -24,7 +24,7 @@
 from elderlock.trial.processes import Child, python
 from elderlock.trial.standing import judged, standing
 
-TERMS = RolloutPolicy(
+POLICY = RolloutPolicy(
     drain_timeout_s=2.0,
     start_timeout_s=8.0,
     settle_time_s=0.5,
@@ -33,213 +33,240 @@
     wave_pause_s=0.2,
     automatic_rollback=True,
 )
-BOXES = [f"s-{n:02d}" for n in range(6)]
+SERVER_IDS = [f"s-{n:02d}" for n in range(6)]
 
 
-class Here:
+class RunningGroup:
     def __init__(self, ground: Ground) -> None:
         self.ground, self.group = ground, Group.read(ground.group_path, ground.token_path("an"))
 
-    async def known(self) -> operate.Known:
-        return await operate.known(self.group, 1.0)
+    async def known(self) -> plan_commands.Known:
+        return await plan_commands.known(self.group, 1.0)
 
     async def begin(
-        self, version: str, id: str = "r" * 32, agent: str = "", terms: RolloutPolicy = TERMS
-    ) -> f.BeginAnswer:
-        make = operate.begin(id, "release", version, (), (), terms, "")
+        self, version: str, plan_id: str = "r" * 32, agent: str = "", policy: RolloutPolicy = POLICY
+    ) -> messages.BeginAnswer:
+        make_message = plan_commands.begin(plan_id, "release", version, (), (), policy, "")
         while True:
             for name in [agent] if agent else self.group.names:
-                said = await self.group.ask(name, make, f.BeginAnswer, 5.0)
+                answer = await self.group.ask(name, make_message, messages.BeginAnswer, 5.0)
                 if (
-                    isinstance(said, f.BeginAnswer)
-                    and said.outcome != "away"
-                    and not any("yet" in r for r in said.reasons)
+                    isinstance(answer, messages.BeginAnswer)
+                    and answer.outcome != "away"
+                    and not any("yet" in reason for reason in answer.reasons)
                 ):
-                    return said
+                    return answer
             await asyncio.sleep(0.1)
 
-    async def until(self, what: str, id: str = "r" * 32) -> Plan:
-        """Until the plan's outcome is that."""
-        while (plan := (await self.known()).plan(id)) is None or plan.outcome() != what:
+    async def until(self, outcome: str, plan_id: str = "r" * 32) -> Plan:
+        """Wait until the plan has this outcome."""
+        while (plan := (await self.known()).plan(plan_id)) is None or plan.outcome() != outcome:
             await asyncio.sleep(0.1)
         return plan
 
-    async def runs(self) -> dict[str, str]:
+    async def running_versions(self) -> dict[str, str]:
         return {run.limiter: run.version for answer in (await self.known()).answers.values() for run in answer.runs}
 
-    async def tool(self, *words: str) -> Child:
+    async def run_command(self, *arguments: str) -> Child:
         ground = self.ground
         ground.tools += 1
         name = f"tool-{ground.tools}"
-        whole = [*words, "--group", str(ground.group_path), "--token-file", str(ground.token_path("an"))]
-        child = Child(name, python("-m", "elderlock.cli.main", *whole), ground.mark, ground.folder / f"{name}.log")
-        await child.start()
-        return child
+        command = [*arguments, "--group", str(ground.group_path), "--token-file", str(ground.token_path("an"))]
+        process = Child(name, python("-m", "elderlock.cli.main", *command), ground.mark, ground.folder / f"{name}.log")
+        await process.start()
+        return process
 
 
 @asynccontextmanager
-async def three(**changes: object) -> AsyncIterator[Here]:
-    more = {"agents": 3, "limiters": 3, "load": 0.1, "settings": Settings(budget=0.5), **changes}
-    async with standing(**more) as ground:  # type: ignore[arg-type]
-        here = Here(ground)
+async def three_agents(**changes: object) -> AsyncIterator[RunningGroup]:
+    arguments = {"agents": 3, "limiters": 3, "load": 0.1, "settings": Settings(budget=0.5), **changes}
+    async with standing(**arguments) as ground:  # type: ignore[arg-type]
+        running = RunningGroup(ground)
         try:
-            yield here
+            yield running
         finally:
-            here.group.close()
+            running.group.close()
 
 
 @pytest.mark.parametrize("flaw", ["crashes_at_start", "refuses_its_agent"])
-def test_a_version_that_does_not_come_up_is_taken_back_from_its_first_wave(flaw: str) -> None:
+def test_a_version_that_does_not_start_is_rolled_back_in_its_first_wave(flaw: str) -> None:
     async def test() -> None:
-        async with three() as here:
-            here.ground.lay_version("v2", flaw)
-            begun = await here.begin("v2")
-            assert begun.outcome == "begun", begun.reasons
-            plan = await here.until("taken back")
+        async with three_agents() as running:
+            running.ground.lay_version("v2", flaw)
+            begin_answer = await running.begin("v2")
+            assert begin_answer.outcome == "begun", begin_answer.reasons
+            plan = await running.until("taken back")
             assert [unit.target for unit in plan.units if unit.generation] == ["n0"]
-            assert set((await here.runs()).values()) == {""}
+            assert set((await running.running_versions()).values()) == {""}
 
     run(test(), within=90.0)
 
 
-def test_a_good_version_goes_out_though_its_tool_and_its_leader_are_killed() -> None:
+def test_a_good_version_is_released_although_its_command_and_its_leader_are_killed() -> None:
     async def test() -> None:
-        async with three() as here:
-            here.ground.lay_version("v2")
-            here.ground.ask()
-            await here.begin("v2", id="x" * 32, terms=TERMS)  # begun by this one, found again by the tool
-            plan = (await here.known()).plan("x" * 32)
+        async with three_agents() as running:
+            running.ground.lay_version("v2")
+            running.ground.ask()
+            await running.begin("v2", plan_id="x" * 32, policy=POLICY)  # begun here and found by the command
+            plan = (await running.known()).plan("x" * 32)
             assert plan is not None
-            tool = await here.tool("release", "status", "--watch")
-            here.ground.signal(plan.leader, signal.SIGKILL, "it leads")
-            here.ground.agent_processes[int(plan.leader[6:])].held_down = True
-            await tool.end()
-            while (now := (await here.known()).plan("x" * 32)) is None or now.term == plan.term:
-                if now is not None and now.state == "halted":  # halted, it needs no leader
-                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.revision)
-                    await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
+            command = await running.run_command("release", "status", "--watch")
+            running.ground.signal(plan.leader, signal.SIGKILL, "it leads")
+            running.ground.agent_processes[int(plan.leader[6:])].held_down = True
+            await command.end()
+            while (current := (await running.known()).plan("x" * 32)) is None or current.term == plan.term:
+                if current is not None and current.state == "halted":  # a halted plan needs no leader
+                    resume = partial(messages.SteerPlan, plan="x" * 32, action="go-on", turn=current.revision)
+                    await plan_commands.ask_any(running.group, resume, messages.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
-            assert now.leader != plan.leader
-            here.ground.agent_processes[int(plan.leader[6:])].held_down = False
-            await here.ground._start_agent(here.ground.agent_processes[int(plan.leader[6:])])
-            while (now := (await here.known()).plan("x" * 32)) is None or now.state != "over":
-                if now is not None and now.state == "halted":  # it was silent for too long: an operator goes on
-                    on = partial(f.SteerPlan, plan="x" * 32, action="go-on", turn=now.revision)
-                    await operate.ask_any(here.group, on, f.SteerAnswer, 5.0)
+            assert current.leader != plan.leader
+            running.ground.agent_processes[int(plan.leader[6:])].held_down = False
+            await running.ground._start_agent(running.ground.agent_processes[int(plan.leader[6:])])
+            while (current := (await running.known()).plan("x" * 32)) is None or current.state != "over":
+                if (
+                    current is not None and current.state == "halted"
+                ):  # a target was silent for too long; an operator resumes
+                    resume = partial(messages.SteerPlan, plan="x" * 32, action="go-on", turn=current.revision)
+                    await plan_commands.ask_any(running.group, resume, messages.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
-            want = "v2" if now.direction == "to" else ""
-            while set((await here.runs()).values()) != {want}:
+            expected_version = "v2" if current.direction == "to" else ""
+            while set((await running.running_versions()).values()) != {expected_version}:
                 await asyncio.sleep(0.1)
-            assert judged(here.ground).broken == []
+            assert judged(running.ground).broken == []
 
     run(test(), within=120.0)
 
 
-def test_two_operators_at_two_agents_at_once_and_a_halt_that_crosses_a_go_on() -> None:
+def test_two_operators_begin_at_once_and_a_halt_crosses_a_resume() -> None:
     async def test() -> None:
-        async with three() as here:
-            here.ground.lay_version("v2")
-            here.ground.lay_version("v3")
-            await here.begin("none", agent="agent-0")  # all agents know of one another
-            said = await asyncio.gather(here.begin("v2", "a" * 32, "agent-0"), here.begin("v3", "b" * 32, "agent-1"))
-            assert sorted(each.outcome for each in said) == ["begun", "refused"]
-            plan = next(each.plan for each in said if each.plan is not None)
-
-            async def steer(agent: str, action: str, turn: int) -> f.SteerAnswer:
-                got = await here.group.ask(agent, lambda id: f.SteerPlan(id, plan.id, action, turn), f.SteerAnswer, 5.0)  # type: ignore[arg-type]
-                assert isinstance(got, f.SteerAnswer), got
-                return got
+        async with three_agents() as running:
+            running.ground.lay_version("v2")
+            running.ground.lay_version("v3")
+            await running.begin("none", agent="agent-0")  # answers once all agents have heard of each other
+            answers = await asyncio.gather(
+                running.begin("v2", "a" * 32, "agent-0"), running.begin("v3", "b" * 32, "agent-1")
+            )
+            assert sorted(each.outcome for each in answers) == ["begun", "refused"]
+            plan = next(each.plan for each in answers if each.plan is not None)
+
+            async def steer(agent: str, action: str, turn: int) -> messages.SteerAnswer:
+                answer = await running.group.ask(
+                    agent,
+                    lambda request_id: messages.SteerPlan(request_id, plan.id, action, turn),  # type: ignore[arg-type]
+                    messages.SteerAnswer,
+                    5.0,
+                )
+                assert isinstance(answer, messages.SteerAnswer), answer
+                return answer
 
             assert (await steer("agent-1", "halt", 0)).outcome == "done"
-            crossing = await asyncio.gather(steer("agent-0", "go-on", 1), steer("agent-2", "halt", 1))
-            assert all(each.outcome == "done" for each in crossing)
-            late = await steer("agent-1", "go-on", 0)
-            assert late.outcome == "refused" and ("halted again" in late.reasons[0] or "it runs" in late.reasons[0])
+            crossing_answers = await asyncio.gather(steer("agent-0", "go-on", 1), steer("agent-2", "halt", 1))
+            assert all(each.outcome == "done" for each in crossing_answers)
+            late_answer = await steer("agent-1", "go-on", 0)
+            assert late_answer.outcome == "refused" and (
+                "halted again" in late_answer.reasons[0] or "it runs" in late_answer.reasons[0]
+            )
             assert (await steer("agent-0", "back", 0)).outcome == "done"
             assert (await steer("agent-1", "back", 0)).outcome == "done"
-            await here.until("taken back", plan.id)
+            await running.until("taken back", plan.id)
 
     run(test(), within=90.0)
 
 
-def test_a_halt_on_the_lesser_side_of_a_cut_is_in_force_there_and_everywhere_once_it_heals() -> None:
+def test_a_halt_in_a_minority_partition_is_in_force_there_and_everywhere_after_the_partition() -> None:
     async def test() -> None:
-        async with three() as here:
-            here.ground.lay_version("v2")
-            begun = await here.begin("v2", agent="agent-1")
-            assert begun.plan is not None, begun.reasons
+        async with three_agents() as running:
+            running.ground.lay_version("v2")
+            begin_answer = await running.begin("v2", agent="agent-1")
+            assert begin_answer.plan is not None, begin_answer.reasons
             cut = [pair for other in ("agent-1", "agent-2") for pair in (("agent-0", other), (other, "agent-0"))]
-            here.ground.relays.befall("cut", cut)
-            said = await here.group.ask("agent-0", lambda id: f.SteerPlan(id, "r" * 32, "halt", 0), f.SteerAnswer, 5.0)
-            assert isinstance(said, f.SteerAnswer) and said.outcome == "away"
-            there = (await here.known()).answers["agent-0"]
-            assert [halt[:2] for halt in there.halts] == [("r" * 32, 0)]
-            here.ground.relays.mend("cut", cut)
-            plan = await here.until("halted")
-            assert plan.state_reason == "halt of an"
+            running.ground.relays.befall("cut", cut)
+            answer = await running.group.ask(
+                "agent-0",
+                lambda request_id: messages.SteerPlan(request_id, "r" * 32, "halt", 0),
+                messages.SteerAnswer,
+                5.0,
+            )
+            assert isinstance(answer, messages.SteerAnswer) and answer.outcome == "away"
+            status = (await running.known()).answers["agent-0"]
+            assert [halt[:2] for halt in status.halts] == [("r" * 32, 0)]
+            running.ground.relays.mend("cut", cut)
+            plan = await running.until("halted")
+            assert plan.state_reason == "halted by an"
 
     run(test(), within=90.0)
 
 
-@pytest.mark.parametrize("what", ["drain", "errs"])
-def test_a_plan_waits_at_the_budgets_edge_for_boxes_that_fail_or_that_discovery_drains(what: Any) -> None:
-    """Three of six may be out, and the plan wants three. Two others go meanwhile by no doing of ours: it waits with what
-    it has, says why, and ends once they are back."""
+@pytest.mark.parametrize("fault_kind", ["drain", "errs"])
+def test_a_plan_waits_for_the_budget_while_servers_fail_or_discovery_drains_them(fault_kind: Any) -> None:
+    """Three of six servers may be out, and the plan needs three. Two other servers fail or are drained by discovery.
+
+    The plan then waits with the permits that it has, reports why, and finishes once the two servers are back.
+    """
 
     async def test() -> None:
-        async with three(load=0.4) as here:
-            ground, faults = here.ground, TrialFaults(here.ground)
+        async with three_agents(load=0.4) as running:
+            ground, faults = running.ground, TrialFaults(running.ground)
             ground.ask()
-            terms = msgspec.structs.replace(TERMS, wave_pause_s=3.0)
-            make = operate.begin("d" * 32, "drain", "", (), [BOXES[:1], BOXES[1:2], BOXES[2:3]], terms, "")
-            while (said := await operate.ask_any(here.group, make, f.BeginAnswer, None)).plan is None:
-                assert any("yet" in line or "does not" in line or "few" in line for line in said.lines), said.lines
+            policy = msgspec.structs.replace(POLICY, wave_pause_s=3.0)
+            make_message = plan_commands.begin(
+                "d" * 32, "drain", "", (), [SERVER_IDS[:1], SERVER_IDS[1:2], SERVER_IDS[2:3]], policy, ""
+            )
+            while (
+                answer := await plan_commands.ask_any(running.group, make_message, messages.BeginAnswer, None)
+            ).plan is None:
+                assert any("yet" in line or "does not" in line or "few" in line for line in answer.lines), answer.lines
                 await asyncio.sleep(0.1)
-            for uid in BOXES[4:]:
-                await faults.box_fault(Fault(0.0, what, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
+            for uid in SERVER_IDS[4:]:
+                await faults.box_fault(Fault(0.0, fault_kind, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
 
-            def waits(known: operate.Known) -> bool:
+            def waits_for_budget(known: plan_commands.Known) -> bool:
                 return any("would be out" in text for answer in known.answers.values() for text in answer.waits)
 
-            while not waits(known := await here.known()):
+            while not waits_for_budget(known := await running.known()):
                 await asyncio.sleep(0.05)
             plan = known.plan("d" * 32)
             assert plan is not None and plan.state == "running"
             assert any(unit.stage == "waiting" for unit in plan.units) and len(known.newest.permits) <= 2  # type: ignore[union-attr]
-            for uid in BOXES[4:]:
-                box = ground.listing.boxes[uid]
-                if what == "drain":
-                    faults._undrain(box)
+            for uid in SERVER_IDS[4:]:
+                server = ground.listing.boxes[uid]
+                if fault_kind == "drain":
+                    faults._undrain(server)
                 else:
-                    box.model.errs = 0.0
-            await here.until("done", "d" * 32)
+                    server.model.errs = 0.0
+            await running.until("done", "d" * 32)
             assert judged(ground).broken == []
 
     run(test(), within=90.0)
 
 
-def test_a_drain_of_many_goes_on_without_its_tool_and_its_leader() -> None:
+def test_a_drain_of_several_servers_continues_without_its_command_and_its_leader() -> None:
     async def test() -> None:
-        async with three() as here:
-            await here.begin("none", agent="agent-0")  # all agents know of one another
-            tool = await here.tool("drain", "box", *BOXES[:2])
-            while (plan := (await here.known()).plan("")) is None:
+        async with three_agents() as running:
+            await running.begin("none", agent="agent-0")  # answers once all agents have heard of each other
+            command = await running.run_command("drain", "box", *SERVER_IDS[:2])
+            while (plan := (await running.known()).plan("")) is None:
                 await asyncio.sleep(0.02)
-            await tool.end()
-            here.ground.signal(plan.leader, signal.SIGKILL, "it leads")
-            await here.until("done", plan.id)
-            for shown in (await here.ground.shown()).values():
-                assert {r.target for r in shown.records if r.is_drained} == set(BOXES[:2])
-            status = await here.tool("plan", "status", "--json")
+            await command.end()
+            running.ground.signal(plan.leader, signal.SIGKILL, "it leads")
+            await running.until("done", plan.id)
+            for agent_status in (await running.ground.shown()).values():
+                assert {record.target for record in agent_status.records if record.is_drained} == set(SERVER_IDS[:2])
+            status = await running.run_command("plan", "status", "--json")
             while status.alive:
                 await asyncio.sleep(0.05)
-            told = json.loads((here.ground.folder / f"{status.name}.log").read_text())
-            assert [unit[4] for unit in told["plans"][-1]["units"]] == ["done"] * 2
+            printed = json.loads((running.ground.folder / f"{status.name}.log").read_text())
+            assert [unit[4] for unit in printed["plans"][-1]["units"]] == ["done"] * 2
             assert (
-                await operate.ask_any(here.group, lambda id: f.SteerPlan(id, plan.id, "back"), f.SteerAnswer, 5.0)
+                await plan_commands.ask_any(
+                    running.group,
+                    lambda request_id: messages.SteerPlan(request_id, plan.id, "back"),
+                    messages.SteerAnswer,
+                    5.0,
+                )
             ).exit == 0
-            await here.until("taken back", plan.id)
-            for shown in (await here.ground.shown()).values():
-                assert not [r.target for r in shown.records if r.is_drained]
+            await running.until("taken back", plan.id)
+            for agent_status in (await running.ground.shown()).values():
+                assert not [record.target for record in agent_status.records if record.is_drained]
 
     run(test(), within=90.0)
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -1,6 +1,6 @@
-"""Whole releases in simulated time: the agents as they ship, over modelled limiters.
+"""Whole releases in simulated time, with real agents and simulated limiters.
 
-A bad version is stopped in the first wave and a good one goes out, whatever faults the agents have meanwhile. Each
+A bad version is stopped in the first wave and a good one is released, whatever faults the agents have meanwhile. Each
 invariant checker is shown to find a mutant that breaks its invariant.
 """
 
@@ -44,10 +44,10 @@
 
 
 def test_a_lost_leader_is_replaced_and_a_lost_zone_breaks_no_invariant() -> None:
-    gone = play(replace(SMALL, agents=5, limiters=5, leader_gone=20.0), 1)
-    assert gone.good() and gone.took_over >= 1, gone.broken
-    lost = play(replace(SMALL, lone_floor_at=12.0, auto_back=False), 2)
-    assert lost.good(), lost.broken
+    leader_lost = play(replace(SMALL, agents=5, limiters=5, leader_gone=20.0), 1)
+    assert leader_lost.good() and leader_lost.took_over >= 1, leader_lost.broken
+    zone_lost = play(replace(SMALL, lone_floor_at=12.0, auto_back=False), 2)
+    assert zone_lost.good(), zone_lost.broken
 
 
 def test_an_agent_suspended_during_a_roll_back_releases_nothing_when_it_resumes() -> None:
@@ -56,21 +56,23 @@
 
 
 def test_a_halt_is_in_force_at_all_agents_within_a_second() -> None:
-    heard = [ms for seed in range(3) for ms in play(replace(SMALL, words=3), seed).halt_ms]
-    assert heard and max(heard) <= 1000.0
+    halt_delays_ms = [ms for seed in range(3) for ms in play(replace(SMALL, words=3), seed).halt_ms]
+    assert halt_delays_ms and max(halt_delays_ms) <= 1000.0
 
 
-async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
+async def _always_confirms(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
 def _one_vote_is_a_quorum(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
-    patch.setattr(rollouts, "SETTLED_WITHIN", -400.0)  # the consequences of two ledgers are not waited for
+    patch.setattr(
+        rollouts, "SETTLED_WITHIN", -400.0
+    )  # two ledgers of one version suffice; their effects are not awaited
 
 
 def _stops_without_drain(patch: pytest.MonkeyPatch) -> None:
-    """An agent that takes each limiter to be drained."""
+    """Makes agents treat each limiter as drained."""
     original = LimiterPlanExecutor.next_action
 
     def next_action(self: LimiterPlanExecutor, plan, unit, observation, now_ms, halted):  # type: ignore[no-untyped-def]
@@ -84,7 +86,7 @@
 
 MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Case, Callable[[Played], int]]] = {
     "permits exceed the budget": (
-        lambda patch: patch.setattr(permit_ledger, "refusal_reasons", lambda *given: []),
+        lambda patch: patch.setattr(permit_ledger, "refusal_reasons", lambda *arguments: []),
         replace(SMALL, one_wave=True),
         lambda played: played.over_budget,
     ),
@@ -94,13 +96,13 @@
         lambda played: played.doubled,
     ),
     "nothing is confirmed by a majority": (
-        lambda patch: patch.setattr(PlanCoordinator, "_confirmed", _always),
+        lambda patch: patch.setattr(PlanCoordinator, "_is_still_out", _always_confirms),
         replace(SMALL, sleeper=True),
         lambda played: played.after_fence,
     ),
     "a limiter is stopped without a drain": (_stops_without_drain, SMALL, lambda played: played.after_fence),
     "no agent takes over the lead": (
-        lambda patch: patch.setattr(coordinator, "TAKE_OVER_AFTER", 1e9),
+        lambda patch: patch.setattr(coordinator, "TAKE_OVER_TIMEOUT_S", 1e9),
         replace(SMALL, agents=5, limiters=5, leader_gone=20.0),
         lambda played: played.stuck,
     ),
@@ -109,6 +111,6 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_an_invariant_checker_finds_its_mutant(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    patch, case, seen = MUTANTS[mutant]
+    patch, case, finding_count = MUTANTS[mutant]
     patch(monkeypatch)
-    assert any(seen(play(case, seed)) for seed in range(3))
+    assert any(finding_count(play(case, seed)) for seed in range(3))
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -1,4 +1,4 @@
-"""Whole releases of agents in simulated time, and each invariant checker shown to find its mutant."""
+"""Whole releases of agents in simulated time; each invariant checker is shown to find its mutant."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
 
 
 @pytest.mark.parametrize(
-    "agents, seed, faults, what",
+    "agents, seed, faults, description",
     [
-        (3, 2, 10, "one that was passed while it slept is killed before it settles"),
-        (5, 14, 10, "on the way back one is out, and an earlier one is heard again"),
-        (5, 122, 16, "one that failed on the way back is tried again at an operator's word"),
+        (3, 2, 10, "an agent whose step was finished while it was suspended is killed before its trial ends"),
+        (5, 14, 10, "during a rollback one agent is out while an earlier one is heard again"),
+        (5, 122, 16, "an operator retries an agent that failed during a rollback"),
     ],
 )
-def test_regressions_found_by_searching_fault_histories(agents: int, seed: int, faults: int, what: str) -> None:
+def test_regressions_found_by_searching_fault_histories(agents: int, seed: int, faults: int, description: str) -> None:
     played = play(Renewals(agents=agents, limiters=agents, faults=faults), seed)
-    assert played.good(), (what, played.broken)
+    assert played.good(), (description, played.broken)
 
 
 def _never_falls_back(patch: pytest.MonkeyPatch) -> None:
-    """A launcher that starts a failed version again."""
+    """Makes launchers start a failed version again."""
     original = AgentLauncher.on_exit
 
     def on_exit(self: AgentLauncher, description: str, now: float):  # type: ignore[no-untyped-def]
@@ -66,13 +66,13 @@
     patch.setattr(renewals, "SETTLED_WITHIN", 60.0)
 
 
-async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
+async def _always_confirms(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
 MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Renewals, Callable[[Played], int]]] = {
     "all voters are taken out at once": (
-        lambda patch: patch.setattr(plan_transitions, "agent_removal_refusal", lambda *given: ""),
+        lambda patch: patch.setattr(plan_transitions, "agent_removal_refusal", lambda *arguments: ""),
         replace(SMALL, agents=5, limiters=5),
         lambda played: played.over_budget,
     ),
@@ -91,6 +91,6 @@
 
 @pytest.mark.parametrize("mutant", MUTANTS)
 def test_an_invariant_checker_finds_its_mutant(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    patch, given, seen = MUTANTS[mutant]
+    patch, scenario, finding_count = MUTANTS[mutant]
     patch(monkeypatch)
-    assert any(seen(play(given, seed)) for seed in range(1, 4))
+    assert any(finding_count(play(scenario, seed)) for seed in range(1, 4))
--- a/tests/rollout/test_versions.py
+++ b/tests/rollout/test_versions.py
@@ -1,4 +1,4 @@
-"""Version folders: reading them, and the command of a limiter on a version."""
+"""Version folders: their files, and the command that starts a limiter on a version."""
 
 from __future__ import annotations
 
