--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -106,8 +106,8 @@
 # Membership
 
 
-def observation(agent: str, incarnation: int, sequence: int, age: float) -> messages.AgentObservation:
-    return messages.AgentObservation(agent, "alive", incarnation, sequence, age, "", ())
+def observation(agent: str, incarnation: int, sequence: int, age_ms: float) -> messages.AgentObservation:
+    return messages.AgentObservation(agent, "alive", incarnation, sequence, age_ms, "", ())
 
 
 def test_standing_depends_on_the_time_since_the_last_report() -> None:
@@ -116,7 +116,9 @@
         ("b", "unreachable", -1.0)
     ]
     members.record_direct("b", 1, 1, (), 100.0)
-    standing = [members.view(100.0 + t)[0].standing for t in (0, SUSPECT_AFTER_MS, UNREACHABLE_AFTER_MS)]
+    standing = [
+        members.view(100.0 + silence_ms)[0].standing for silence_ms in (0, SUSPECT_AFTER_MS, UNREACHABLE_AFTER_MS)
+    ]
     assert standing == ["alive", "suspect", "unreachable"]
 
 
@@ -137,15 +139,15 @@
 
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(1, 5), st.booleans()), max_size=20))
 def test_incarnation_and_sequence_never_decrease(reports: list[tuple[int, int, bool]]) -> None:
-    members, before = Membership("a", ["b"]), (0, 0)
-    for n, (incarnation, sequence, is_direct) in enumerate(reports):
+    members, previous = Membership("a", ["b"]), (0, 0)
+    for number, (incarnation, sequence, is_direct) in enumerate(reports):
         if is_direct:
-            members.record_direct("b", incarnation, sequence, (), float(n))
+            members.record_direct("b", incarnation, sequence, (), float(number))
         else:
-            members.record_relayed([observation("b", incarnation, sequence, 0.0)], "c", float(n))
-        newest = members.view(float(n))[0]
-        assert (newest.incarnation, newest.sequence) >= before
-        before = (newest.incarnation, newest.sequence)
+            members.record_relayed([observation("b", incarnation, sequence, 0.0)], "c", float(number))
+        newest = members.view(float(number))[0]
+        assert (newest.incarnation, newest.sequence) >= previous
+        previous = (newest.incarnation, newest.sequence)
 
 
 # Supervision
@@ -392,9 +394,8 @@
     assert account.outcome() is Exit.PART
     account.answered("b", Missing("b", "no answer within 1 s", True))
     account.answered("c", Missing("c", "nothing listens there", False))
-    assert {row.limiter: row.state for row in account.rows()}[
-        "n-c"
-    ] == "unknown"  # a later connection failure does not undo an earlier send
+    states = {row.limiter: row.state for row in account.rows()}
+    assert states["n-c"] == "unknown"  # a later connection failure does not undo an earlier send
 
 
 def test_a_reached_limiter_stays_reached_when_its_agent_is_lost() -> None:
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -38,14 +38,14 @@
         self.group = Group.read(ground.group_path, ground.token_path("an"))
 
     async def request_permits(
-        self, agent: str, *servers: str, origin: str = "", within: float = 4.0
+        self, agent: str, *servers: str, origin: str = "", timeout_s: float = 4.0
     ) -> messages.PermitsAnswer:
         targets = tuple(("box", server) for server in servers)
         answer = await self.group.ask(
             agent,
             lambda request_id: messages.RequestPermits(request_id, origin or f"{agent}/{servers}", targets, "", 0),  # type: ignore[arg-type]
             messages.PermitsAnswer,
-            within,
+            timeout_s,
         )
         assert isinstance(answer, messages.PermitsAnswer), answer
         return answer
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -123,9 +123,8 @@
             running.ground.agent_processes[int(plan.leader[6:])].held_down = False
             await running.ground._start_agent(running.ground.agent_processes[int(plan.leader[6:])])
             while (current := (await running.known()).plan("x" * 32)) is None or current.state != "over":
-                if (
-                    current is not None and current.state == "halted"
-                ):  # a target was silent for too long; an operator resumes
+                if current is not None and current.state == "halted":
+                    # a target was silent for too long, so an operator has to resume the plan
                     resume = partial(messages.SteerPlan, plan="x" * 32, action="go-on", turn=current.revision)
                     await plan_commands.ask_any(running.group, resume, messages.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
