--- a/benchmarks/authz_doors.py
+++ b/benchmarks/authz_doors.py
@@ -25,7 +25,7 @@
 from envoy.service.auth.v3 import external_auth_pb2 as auth
 from envoy.service.auth.v3 import external_auth_pb2_grpc as auth_grpc
 
-from elderlock.authz.router import RoutingDoor
+from elderlock.authz.routing_server import RoutingServer
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
@@ -242,7 +242,7 @@
             "config": "n0.json",
             "limiter": [{"name": f"n{p.number}", "number": p.number, "address": p.address} for p in made],
         }
-        door = RoutingDoor(raw, folder, set, random.Random(1))
+        door = RoutingServer(raw, folder, set, random.Random(1))
         await door.start()
         asking = Asking(door.port)
         killed_at, asked, right = 0.0, 0, 0
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -22,8 +22,8 @@
 
 import msgspec
 
-from elderlock.cli.running import PREFIX
-from elderlock.cli.up import running
+from elderlock.cli.running_groups import GROUP_FOLDER_PREFIX
+from elderlock.cli.up import running_group
 from elderlock.load import scenario as load
 from elderlock.load.accounts import Mix
 from elderlock.load.coordinator import Coordinator, local_lines
@@ -199,7 +199,7 @@
 
     async def life(folder: Path, mark: str) -> int:
         stop = asyncio.Event()
-        async with running(folder, mark, 3, 9, 1, stop) as (world, _):
+        async with running_group(folder, mark, 3, 9, 1, stop) as (world, _):
             at = msgspec.structs.replace(real, targets=load.Targets(addresses=tuple(world.listens)))
             coordinator = Coordinator(at, local_lines(1))
             report = await coordinator.run()
@@ -207,7 +207,7 @@
             found["p99"] = report.by["outcome"]["served"].latency["p99"]
             return 0
 
-    swept(PREFIX, life)
+    swept(GROUP_FOLDER_PREFIX, life)
     kinds = tuple(
         BoxKind(
             kind.name,
--- a/elderlock/authz/config.py
+++ b/elderlock/authz/config.py
@@ -24,7 +24,7 @@
     ca: str = ""
 
 
-class Asker(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class Caller(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Who may ask for which accounts. `subject`: of the caller's certificate (its common name, or an
     alternative name); empty for callers without one. `accounts`: account numbers (16 hex digits), or `*`."""
 
@@ -32,7 +32,7 @@
     subject: str = ""
 
 
-class Field(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class FieldSource(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Where one part of a question stands: a context extension, a request header, the query, a pattern with
     one group over the path, or a fixed value. The first of these that is there counts."""
 
@@ -43,18 +43,18 @@
     value: str = ""
 
 
-class Mapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    account: Field = Field(extension="account", header="x-account")
-    plan: Field = Field(extension="plan", header="x-plan")
-    request_class: Field = Field(extension="class", header="x-class")
-    request: Field = Field(extension="request", header="x-request-id")
-    units: Field = Field(extension="units", header="x-units", value="1")
-    spread: Field = Field(extension="spread", header="x-spread")
-    first: Field = Field(extension="first", header="x-first")
-    deadline_ms: Field = Field(extension="deadline-ms", header="x-deadline-ms")
+class RequestMapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    account: FieldSource = FieldSource(extension="account", header="x-account")
+    plan: FieldSource = FieldSource(extension="plan", header="x-plan")
+    request_class: FieldSource = FieldSource(extension="class", header="x-class")
+    request: FieldSource = FieldSource(extension="request", header="x-request-id")
+    units: FieldSource = FieldSource(extension="units", header="x-units", value="1")
+    spread: FieldSource = FieldSource(extension="spread", header="x-spread")
+    first: FieldSource = FieldSource(extension="first", header="x-first")
+    deadline_ms: FieldSource = FieldSource(extension="deadline-ms", header="x-deadline-ms")
 
 
-class Bounds(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class ServerLimits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Bytes, counts and seconds."""
 
     connections: int = 256
@@ -75,9 +75,9 @@
 
     listen: str
     tls: Tls | None = None
-    askers: tuple[Asker, ...] = ()
-    mapping: Mapping = Mapping()
-    bounds: Bounds = Bounds()
+    askers: tuple[Caller, ...] = ()
+    mapping: RequestMapping = RequestMapping()
+    bounds: ServerLimits = ServerLimits()
     longest_ms: float = 2000.0
     reflection: bool = True
 
@@ -101,7 +101,7 @@
                     raise AuthzError(f"authz.askers: {account!r} is neither 16 hex digits nor '*'")
             if asker.subject and (self.tls is None or not self.tls.ca):
                 raise AuthzError("authz.askers: a subject is known with [authz.tls] and its ca only")
-        for name in Mapping.__struct_fields__:
+        for name in RequestMapping.__struct_fields__:
             self._check_field(name, getattr(self.mapping, name))
         b = self.bounds
         if min(self.longest_ms, b.connections, b.handshake, b.streams, b.questions, b.message) <= 0:
@@ -109,8 +109,8 @@
         return str(at), number
 
     @staticmethod
-    def _check_field(name: str, field: Field) -> None:
-        if field == Field():
+    def _check_field(name: str, field: FieldSource) -> None:
+        if field == FieldSource():
             raise AuthzError(f"authz.mapping.{name}: none of {', '.join(SOURCES)} is given")
         if field.header and not HEADER.fullmatch(field.header):
             raise AuthzError(f"authz.mapping.{name}: {field.header!r} is no header's name in lower case")
@@ -123,7 +123,7 @@
                 raise AuthzError(f"authz.mapping.{name}: the pattern over the path has one group, not {groups}")
 
 
-def tls_bytes(part: Tls, folder: Path) -> tuple[bytes, bytes, bytes | None]:
+def read_tls_files(part: Tls, folder: Path) -> tuple[bytes, bytes, bytes | None]:
     """Key, certificate chain, and the callers' authority. Raises `AuthzError`."""
     try:
         key, chain = (folder / part.key).read_bytes(), (folder / part.certificate).read_bytes()
--- a/elderlock/authz/routing.py
+++ b/elderlock/authz/limiter_selection.py
@@ -12,27 +12,27 @@
 
 import msgspec
 
-EJECT_AFTER = 3  # failures in a row
-EJECT_FOR, MOST_EJECT = 1000.0, 30_000.0  # ms; doubled at each ejection that follows on the last
-MOST_EJECTED = 0.5  # of all limiters
+EJECT_AFTER_FAILURES = 3  # failures in a row
+BASE_EJECTION_MS, MAXIMUM_EJECTION_MS = 1000.0, 30_000.0  # ms; doubled at each ejection that follows on the last
+MAXIMUM_EJECTED_SHARE = 0.5  # of all limiters
 
 
-class Fate(Enum):
+class AttemptResult(Enum):
     """What is known of a try."""
 
     ANSWERED = "answered"
     NOT_SENT = "not sent"  # it never came up: certain that it took nothing
     UNKNOWN = "unknown"  # sent, and no answer: it may have taken units, or may yet
-    GONE = "gone"  # sent, and its limiter has died since: whatever it took died with it
+    LIMITER_DIED = "gone"  # sent, and its limiter has died since: whatever it took died with it
 
 
-class Next(Enum):
-    ELSEWHERE = "elsewhere"
-    SAME = "same"  # the same id at the same limiter: fetches the answer, takes nothing again
+class NextStep(Enum):
+    OTHER_LIMITER = "elsewhere"
+    SAME_LIMITER = "same"  # the same id at the same limiter: fetches the answer, takes nothing again
     GIVE_UP = "give up"
 
 
-class _Member(msgspec.Struct):
+class _LimiterState(msgspec.Struct):
     number: int
     open: int = 0
     failures: int = 0
@@ -40,12 +40,12 @@
     ejected_until: float = 0.0
 
 
-class Router:
+class LimiterSelector:
     """Limiters by name with their numbers in the settings. Invariants: only members of the account's set are
     chosen, none that is drained or down, none twice for one question but to fetch; `open` counts what is out."""
 
     def __init__(self, numbers: dict[str, int], rng: random.Random) -> None:
-        self._members = {name: _Member(number) for name, number in numbers.items()}
+        self._members = {name: _LimiterState(number) for name, number in numbers.items()}
         self._count = max(numbers.values(), default=0) + 1
         self._rng = rng
 
@@ -66,35 +66,39 @@
         least = min(self._members[n].open for n in pair)
         return self._rng.choice([n for n in pair if self._members[n].open == least])
 
-    def began(self, name: str) -> None:
+    def attempt_started(self, name: str) -> None:
         self._members[name].open += 1
 
-    def ended(self, name: str, fate: Fate, now: float) -> None:
+    def attempt_ended(self, name: str, fate: AttemptResult, now: float) -> None:
         member = self._members[name]
         member.open -= 1
-        if fate is Fate.ANSWERED:
+        if fate is AttemptResult.ANSWERED:
             member.failures = member.ejections = 0
             return
         member.failures += 1
-        if member.failures >= EJECT_AFTER and member.ejected_until <= now and self._may_eject(now):
-            member.ejected_until = now + min(EJECT_FOR * 2**member.ejections, MOST_EJECT)
+        if member.failures >= EJECT_AFTER_FAILURES and member.ejected_until <= now and self._may_eject(now):
+            member.ejected_until = now + min(BASE_EJECTION_MS * 2**member.ejections, MAXIMUM_EJECTION_MS)
             member.ejections += 1
             member.failures = 0
 
     def _may_eject(self, now: float) -> bool:
         out = sum(member.ejected_until > now for member in self._members.values())
-        return out + 1 <= MOST_EJECTED * len(self._members)
+        return out + 1 <= MAXIMUM_EJECTED_SHARE * len(self._members)
 
-    def ejected(self, now: float) -> list[str]:
+    def ejected_limiters(self, now: float) -> list[str]:
         return [name for name, member in self._members.items() if member.ejected_until > now]
 
 
-def after(fates: Sequence[Fate], fetchable: bool, left: float, most: int = 4) -> Next:
+def next_step(fates: Sequence[AttemptResult], fetchable: bool, left: float, most: int = 4) -> NextStep:
     """What follows a try that was not answered, `left` ms before the deadline. A try of unknown fate is
     never asked elsewhere: its answer is fetched under the same id, where the question has one."""
     if left <= 0 or len(fates) >= most:
-        return Next.GIVE_UP
-    if fates[-1] in (Fate.NOT_SENT, Fate.GONE):
+        return NextStep.GIVE_UP
+    if fates[-1] in (AttemptResult.NOT_SENT, AttemptResult.LIMITER_DIED):
         # a fetch that finds nobody leaves the try before it as it was
-        return Next.ELSEWHERE if Fate.UNKNOWN not in fates or fates[-1] is Fate.GONE else Next.GIVE_UP
-    return Next.SAME if fetchable else Next.GIVE_UP
+        return (
+            NextStep.OTHER_LIMITER
+            if AttemptResult.UNKNOWN not in fates or fates[-1] is AttemptResult.LIMITER_DIED
+            else NextStep.GIVE_UP
+        )
+    return NextStep.SAME_LIMITER if fetchable else NextStep.GIVE_UP
--- a/elderlock/authz/questions.py
+++ b/elderlock/authz/permission_requests.py
@@ -10,7 +10,7 @@
 from elderlock.net.gateway import Gateway
 
 
-class Questions:
+class PermissionRequests:
     def __init__(self, gateway: Gateway, kept: int, undecided: int) -> None:
         self._gateway, self._most = gateway, undecided
         self._permissions = Permissions(kept)
@@ -34,7 +34,7 @@
             self.undecided += 1
             entry.name = self._gateway.permit_requested(
                 command,
-                on_refused=lambda line: self._decided(id, refusal_of(line)),
+                on_refused=lambda line: self._decided(id, verdict_of_error_line(line)),
                 on_permitted=lambda box, endpoint, life: self._decided(
                     id, Verdict("permitted", 0.0, box, endpoint, life)
                 ),
@@ -81,7 +81,7 @@
         return name is not None and self._gateway.permitted_request_ended(name, outcome, took, load_report)
 
 
-def refusal_of(line: bytes) -> Verdict:
+def verdict_of_error_line(line: bytes) -> Verdict:
     """The verdict in a final answer as RESP2 words it, which is the one form that the gateway knows."""
     if line.startswith(b"-BUSY"):
         word = line[5:].strip()
--- a/elderlock/authz/permissions.py
+++ b/elderlock/authz/permissions.py
@@ -43,7 +43,7 @@
         self.waiting: dict[int, Answer] = {}
 
 
-def key_of(command: Command) -> tuple[object, ...]:
+def request_key(command: Command) -> tuple[object, ...]:
     """What must be the same in a repeated question; how long it waits may differ."""
     c = command
     return c.customer_id, c.class_index, c.plan_index, c.units, c.limiter_count, c.first_limiter
@@ -70,10 +70,10 @@
             if len(self._entries) >= self._most:
                 answer(CROWDED)
                 return self._last, None
-            entry = self._entries[command.client_request_id] = Entry(key_of(command))
+            entry = self._entries[command.client_request_id] = Entry(request_key(command))
             entry.waiting[self._last] = answer
             return self._last, entry
-        if entry.key != key_of(command):
+        if entry.key != request_key(command):
             answer(DUPLICATE)
         elif entry.verdict is not None:
             answer(entry.verdict)
--- a/elderlock/authz/mapping.py
+++ b/elderlock/authz/request_reader.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Mapping as MappingOf
+from collections.abc import Mapping as StringMap
 from urllib.parse import parse_qs, urlsplit
 
 import msgspec
 
 from elderlock import interface as api
-from elderlock.authz.config import AuthzFile, Field
+from elderlock.authz.config import AuthzFile, FieldSource
 from elderlock.net.command import Command
 
 ACCOUNT = re.compile(r"[0-9a-fA-F]{16}")
@@ -20,26 +20,26 @@
 LONGEST_WAIT = 600_000.0  # ms
 
 
-class Unreadable(Exception):  # noqa: N818 - what it says of the question, not of us
+class InvalidRequestError(Exception):
     """The question cannot be taken; the text is for whoever asked."""
 
 
-class NotTheirs(Exception):  # noqa: N818
+class AccountNotAllowedError(Exception):
     """The asker may not name that account."""
 
 
-class Asked(msgspec.Struct, frozen=True):
+class AuthorizationRequest(msgspec.Struct, frozen=True):
     """A question as it came: `subjects` are the names in the caller's certificate; `within` is what gRPC
     leaves of its deadline in ms, None where it names none."""
 
-    extensions: MappingOf[str, str]
-    headers: MappingOf[str, str]
+    extensions: StringMap[str, str]
+    headers: StringMap[str, str]
     path: str
     subjects: tuple[str, ...]
     within: float | None
 
 
-class Terms:
+class RequestReader:
     """Reads questions against the settings' names and the askers' accounts."""
 
     def __init__(self, file: AuthzFile, settings: api.Settings, largest: float) -> None:
@@ -50,18 +50,18 @@
         for asker in file.askers:
             self._accounts[asker.subject] = self._accounts.get(asker.subject, frozenset()) | set(asker.accounts)
 
-    def command(self, asked: Asked) -> Command:
-        """Raises `Unreadable` or `NotTheirs`."""
+    def command(self, asked: AuthorizationRequest) -> Command:
+        """Raises `InvalidRequestError` or `AccountNotAllowedError`."""
         m = self._file.mapping
         account = self._text(asked, m.account, "account")
         if not ACCOUNT.fullmatch(account) or int(account, 16) >= 1 << 33:
-            raise Unreadable("the account is not 16 hex digits below 2^33")
+            raise InvalidRequestError("the account is not 16 hex digits below 2^33")
         account = account.lower()
-        if not self.may_name(asked.subjects, account):
-            raise NotTheirs("the account is not one that this caller may name")
+        if not self.may_use_account(asked.subjects, account):
+            raise AccountNotAllowedError("the account is not one that this caller may name")
         request = self._text(asked, m.request, "request")
         if not NAME.fullmatch(request):
-            raise Unreadable("the request's id is empty, too long or not plain text")
+            raise InvalidRequestError("the request's id is empty, too long or not plain text")
         longest = self._file.longest_ms
         named = _find(asked, m.deadline_ms)
         wait = longest if named is None else min(_number(named, "deadline", DECIMAL, 1.0, LONGEST_WAIT), longest)
@@ -79,7 +79,7 @@
             encode=_never,
         )
 
-    def may_name(self, subjects: tuple[str, ...], account: str) -> bool:
+    def may_use_account(self, subjects: tuple[str, ...], account: str) -> bool:
         """A caller without a certificate is the asker of the empty subject."""
         for subject in subjects or ("",):
             accounts = self._accounts.get(subject, frozenset())
@@ -88,10 +88,10 @@
         return False
 
     @staticmethod
-    def _text(asked: Asked, field: Field, what: str) -> str:
+    def _text(asked: AuthorizationRequest, field: FieldSource, what: str) -> str:
         value = _find(asked, field)
         if value is None:
-            raise Unreadable(f"the {what} is missing")
+            raise InvalidRequestError(f"the {what} is missing")
         return value
 
 
@@ -99,7 +99,7 @@
     raise AssertionError("the asker sends this one on")
 
 
-def _find(asked: Asked, field: Field) -> str | None:
+def _find(asked: AuthorizationRequest, field: FieldSource) -> str | None:
     if field.extension and field.extension in asked.extensions:
         return asked.extensions[field.extension]
     if field.header and field.header in asked.headers:
@@ -109,7 +109,7 @@
         if len(values) == 1:
             return values[0]
         if values:
-            raise Unreadable(f"{field.query} stands in the query more than once")
+            raise InvalidRequestError(f"{field.query} stands in the query more than once")
     if field.path and (found := re.fullmatch(field.path, urlsplit(asked.path).path)):
         return found[1]
     return field.value or None
@@ -118,14 +118,14 @@
 def _index(names: dict[str, int], name: str, what: str) -> int:
     index = names.get(name)
     if index is None:
-        raise Unreadable(f"unknown {what}")
+        raise InvalidRequestError(f"unknown {what}")
     return index
 
 
 def _number(text: str, what: str, form: re.Pattern[str], least: float, most: float) -> float:
     if not form.fullmatch(text):
-        raise Unreadable(f"the {what} is not a number between {least:g} and {most:g}")
+        raise InvalidRequestError(f"the {what} is not a number between {least:g} and {most:g}")
     number = float(text)
     if not least <= number <= most:
-        raise Unreadable(f"the {what} is out of range: between {least:g} and {most:g}")
+        raise InvalidRequestError(f"the {what} is out of range: between {least:g} and {most:g}")
     return number
--- a/elderlock/authz/router.py
+++ b/elderlock/authz/routing_server.py
@@ -19,10 +19,15 @@
 from google.rpc import code_pb2
 
 from elderlock import logs
-from elderlock.authz.config import AuthzError, AuthzFile, Tls, tls_bytes
-from elderlock.authz.door import BOX, denied, server_certificate, subjects_of, within_of
-from elderlock.authz.mapping import Asked, NotTheirs, Terms, Unreadable
-from elderlock.authz.routing import Fate, Next, Router, after
+from elderlock.authz.config import AuthzError, AuthzFile, Tls, read_tls_files
+from elderlock.authz.limiter_selection import AttemptResult, LimiterSelector, NextStep, next_step
+from elderlock.authz.request_reader import (
+    AccountNotAllowedError,
+    AuthorizationRequest,
+    InvalidRequestError,
+    RequestReader,
+)
+from elderlock.authz.server import BOX, certificate_subjects, denied_response, read_server_certificate, remaining_ms
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.net.config import load_config
 
@@ -34,7 +39,7 @@
 log = logs.get_logger(__name__)
 
 
-class LimiterAt(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class LimiterAddress(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     name: str
     number: int  # in the settings
     address: str
@@ -47,14 +52,14 @@
 
     door: AuthzFile
     config: str
-    limiter: tuple[LimiterAt, ...]
+    limiter: tuple[LimiterAddress, ...]
     to_limiters: Tls | None = None
 
 
-class _Target:
+class _LimiterChannel:
     """One limiter's door."""
 
-    def __init__(self, at: LimiterAt, credentials: Any) -> None:
+    def __init__(self, at: LimiterAddress, credentials: Any) -> None:
         options = [
             ("grpc.initial_reconnect_backoff_ms", RECONNECT_MS),
             ("grpc.min_reconnect_backoff_ms", RECONNECT_MS),
@@ -82,7 +87,7 @@
         return True
 
 
-class RoutingDoor:
+class RoutingServer:
     """`usable` names the limiters that are neither drained nor silent, as the agent knows."""
 
     def __init__(self, raw: Any, folder: Path, usable: Callable[[Iterable[str]], set[str]], rng: random.Random) -> None:
@@ -100,9 +105,9 @@
         self._at = self._file.door.check()
         self._folder, self._usable = folder, usable
         config = load_config({"PROXY_CONFIG": str(folder / self._file.config)})
-        self._terms = Terms(self._file.door, config.settings, config.socket_settings.largest_request_units)
-        self._router = Router(dict(zip(names, numbers, strict=True)), rng)
-        self._targets: dict[str, _Target] = {}
+        self._terms = RequestReader(self._file.door, config.settings, config.socket_settings.largest_request_units)
+        self._router = LimiterSelector(dict(zip(names, numbers, strict=True)), rng)
+        self._targets: dict[str, _LimiterChannel] = {}
         self._where: OrderedDict[str, str] = OrderedDict()  # permission -> limiter
         self._server: Any = None
         self._certificate: Any = None
@@ -112,9 +117,9 @@
         """Raises `OSError` or `AuthzError`."""
         credentials = None
         if self._file.to_limiters is not None:
-            key, chain, ca = tls_bytes(self._file.to_limiters, self._folder)
+            key, chain, ca = read_tls_files(self._file.to_limiters, self._folder)
             credentials = grpc.ssl_channel_credentials(ca, key, chain)
-        self._targets = {at.name: _Target(at, credentials) for at in self._file.limiter}
+        self._targets = {at.name: _LimiterChannel(at, credentials) for at in self._file.limiter}
         b = self._file.door.bounds
         self._server = grpc.aio.server(
             options=[
@@ -136,7 +141,7 @@
             if self._file.door.tls is None:
                 self.port = self._server.add_insecure_port(address)
             else:
-                self._certificate = server_certificate(self._file.door.tls, self._folder)
+                self._certificate = read_server_certificate(self._file.door.tls, self._folder)
                 served = grpc.dynamic_ssl_server_credentials(
                     self._certificate, lambda: self._certificate, bool(self._file.door.tls.ca)
                 )
@@ -149,7 +154,7 @@
         """Reads the door's certificates anew; what cannot be read changes nothing."""
         if self._file.door.tls is not None:
             try:
-                self._certificate = server_certificate(self._file.door.tls, self._folder)
+                self._certificate = read_server_certificate(self._file.door.tls, self._folder)
             except Exception as error:
                 log.error("the certificates stay as they were", error=str(error))
 
@@ -163,57 +168,59 @@
         return time.monotonic() * 1000.0
 
     async def _pass(
-        self, spread: int, first: int, wait: float, fetchable: bool, call: Callable[[_Target, float], Any]
+        self, spread: int, first: int, wait: float, fetchable: bool, call: Callable[[_LimiterChannel, float], Any]
     ) -> tuple[str, Any]:
-        """The limiter that answered and its answer. Raises `_NobodyError`."""
+        """The limiter that answered and its answer. Raises `_RoutingError`."""
         ends = self._now() + wait
         tried: list[str] = []
-        fates: list[Fate] = []
+        fates: list[AttemptResult] = []
         name: str | None = None
-        step = Next.ELSEWHERE
+        step = NextStep.OTHER_LIMITER
         while True:
-            if step is Next.ELSEWHERE:
+            if step is NextStep.OTHER_LIMITER:
                 name = self._router.choose(spread, first, self._usable(self._targets), tried, self._now())
                 if name is None:
-                    raise _NobodyError(grpc.StatusCode.UNAVAILABLE, "no limiter of the account's set can be asked")
+                    raise _RoutingError(grpc.StatusCode.UNAVAILABLE, "no limiter of the account's set can be asked")
                 tried.append(name)
             assert name is not None
-            self._router.began(name)
-            fate, answer = Fate.UNKNOWN, None
+            self._router.attempt_started(name)
+            fate, answer = AttemptResult.UNKNOWN, None
             try:
-                fate, answer = await self._try(self._targets[name], ends, call, bool(fates) and step is Next.SAME)
+                fate, answer = await self._try(
+                    self._targets[name], ends, call, bool(fates) and step is NextStep.SAME_LIMITER
+                )
             finally:
-                self._router.ended(name, fate, self._now())
-            if fate is Fate.ANSWERED:
+                self._router.attempt_ended(name, fate, self._now())
+            if fate is AttemptResult.ANSWERED:
                 if isinstance(answer, grpc.aio.AioRpcError):
-                    raise _NobodyError(answer.code(), answer.details() or "")
+                    raise _RoutingError(answer.code(), answer.details() or "")
                 return name, answer
             fates.append(fate)
-            step = after(fates, fetchable, ends - self._now())
-            if step is Next.GIVE_UP:
-                known = Fate.UNKNOWN not in fates
-                raise _NobodyError(
+            step = next_step(fates, fetchable, ends - self._now())
+            if step is NextStep.GIVE_UP:
+                known = AttemptResult.UNKNOWN not in fates
+                raise _RoutingError(
                     grpc.StatusCode.UNAVAILABLE if known else grpc.StatusCode.DEADLINE_EXCEEDED,
                     "no limiter answered" if known else "no answer in time; it may have been decided",
                 )
 
     async def _try(
-        self, target: _Target, ends: float, call: Callable[[_Target, float], Any], fetches: bool
-    ) -> tuple[Fate, Any]:
+        self, target: _LimiterChannel, ends: float, call: Callable[[_LimiterChannel, float], Any], fetches: bool
+    ) -> tuple[AttemptResult, Any]:
         left = max(0.0, ends - self._now()) / 1000.0
         if not await target.up(min(CONNECT_WITHIN, left)):
             # where a fetch finds that nothing listens any more, the limiter has died with all that it took
             gone = fetches and target.channel.get_state() is grpc.ChannelConnectivity.TRANSIENT_FAILURE
-            return (Fate.GONE if gone else Fate.NOT_SENT), None
+            return (AttemptResult.LIMITER_DIED if gone else AttemptResult.NOT_SENT), None
         left = max(0.001, ends - self._now()) / 1000.0
         try:
-            return Fate.ANSWERED, await call(target, left if fetches else max(left * TRY_PART, 0.001))
+            return AttemptResult.ANSWERED, await call(target, left if fetches else max(left * TRY_PART, 0.001))
         except grpc.aio.AioRpcError as error:
             if error.code() in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.CANCELLED):
-                return Fate.UNKNOWN, None
+                return AttemptResult.UNKNOWN, None
             if error.code() is grpc.StatusCode.DEADLINE_EXCEEDED and ends - self._now() > 1.0:
-                return Fate.UNKNOWN, None  # our own shorter limit, not the question's
-            return Fate.ANSWERED, error
+                return AttemptResult.UNKNOWN, None  # our own shorter limit, not the question's
+            return AttemptResult.ANSWERED, error
 
     def _remember(self, permission: str, name: str) -> None:
         self._where[permission] = name
@@ -226,13 +233,15 @@
     async def Check(self, request: auth.CheckRequest, context: Any) -> auth.CheckResponse:  # noqa: N802
         attributes = request.attributes
         http = attributes.request.http
-        asked = Asked(attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context))
+        asked = AuthorizationRequest(
+            attributes.context_extensions, http.headers, http.path, certificate_subjects(context), remaining_ms(context)
+        )
         try:
             command = self._terms.command(asked)
-        except Unreadable as error:
-            return denied(code_pb2.INVALID_ARGUMENT, 400, (), {"error": str(error)})
-        except NotTheirs as error:
-            return denied(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
+        except InvalidRequestError as error:
+            return denied_response(code_pb2.INVALID_ARGUMENT, 400, (), {"error": str(error)})
+        except AccountNotAllowedError as error:
+            return denied_response(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
         try:
             name, answer = await self._pass(
                 command.limiter_count,
@@ -241,7 +250,7 @@
                 True,
                 lambda target, left: target.auth.Check(request, timeout=left),
             )
-        except _NobodyError as error:
+        except _RoutingError as error:
             await context.abort(error.code, str(error))
         if answer.HasField("ok_response") and any(o.header.key == BOX for o in answer.ok_response.headers):
             self._remember(command.client_request_id.decode(), name)
@@ -254,10 +263,14 @@
             for descriptor in request.descriptors:
                 entries = {entry.key: entry.value for entry in descriptor.entries}
                 entries = {"units": "1", "request": "-", **entries}
-                commands.append(self._terms.command(Asked(entries, {}, "", subjects_of(context), within_of(context))))
-        except Unreadable as error:
+                commands.append(
+                    self._terms.command(
+                        AuthorizationRequest(entries, {}, "", certificate_subjects(context), remaining_ms(context))
+                    )
+                )
+        except InvalidRequestError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-        except NotTheirs as error:
+        except AccountNotAllowedError as error:
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
         sets = {(command.limiter_count, command.first_limiter) for command in commands}
         if len(sets) != 1:
@@ -273,7 +286,7 @@
                 named,
                 lambda target, left: target.rls.ShouldRateLimit(request, timeout=left),
             )
-        except _NobodyError as error:
+        except _RoutingError as error:
             await context.abort(error.code, str(error))
         for option in answer.request_headers_to_add:
             if option.key == "x-elderlock-permission":
@@ -282,7 +295,7 @@
 
     async def Report(self, request: lookups_pb2.ReportRequest, context: Any) -> lookups_pb2.ReportResponse:  # noqa: N802
         """Goes to the limiter that gave the permission; one not known here was not given through here."""
-        if not self._terms.may_name(subjects_of(context), request.account.lower()):
+        if not self._terms.may_use_account(certificate_subjects(context), request.account.lower()):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "the account is not one that this caller may name")
         name = self._where.pop(request.permission, None)
         if name is None:
@@ -294,7 +307,7 @@
         return answer
 
 
-class _NobodyError(Exception):
+class _RoutingError(Exception):
     def __init__(self, code: Any, text: str) -> None:
         super().__init__(text)
         self.code = code
--- a/elderlock/authz/door.py
+++ b/elderlock/authz/server.py
@@ -26,10 +26,15 @@
 from grpc_health.v1 import health, health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha import reflection
 
-from elderlock.authz.config import AuthzFile, Tls, tls_bytes
-from elderlock.authz.mapping import Asked, NotTheirs, Terms, Unreadable
+from elderlock.authz.config import AuthzFile, Tls, read_tls_files
+from elderlock.authz.permission_requests import PermissionRequests
 from elderlock.authz.permissions import Verdict
-from elderlock.authz.questions import Questions
+from elderlock.authz.request_reader import (
+    AccountNotAllowedError,
+    AuthorizationRequest,
+    InvalidRequestError,
+    RequestReader,
+)
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.interface import Outcome
 from elderlock.net.command import Command
@@ -60,19 +65,21 @@
     )
 
 
-def subjects_of(context: Any) -> tuple[str, ...]:
+def certificate_subjects(context: Any) -> tuple[str, ...]:
     """The names in the certificate that TLS has verified; none without one."""
     about = context.auth_context()
     names = [*about.get("x509_common_name", ()), *about.get("x509_subject_alternative_name", ())]
     return tuple(name.decode("utf-8", "replace") for name in names)
 
 
-def within_of(context: Any) -> float | None:
+def remaining_ms(context: Any) -> float | None:
     left = context.time_remaining()
     return None if left is None else left * 1000.0
 
 
-def denied(code: int, http: int, headers: Iterable[tuple[str, str]], body: dict[str, Any]) -> auth.CheckResponse:
+def denied_response(
+    code: int, http: int, headers: Iterable[tuple[str, str]], body: dict[str, Any]
+) -> auth.CheckResponse:
     return auth.CheckResponse(
         status=status_pb2.Status(code=code, message=str(body.get("error", ""))),
         denied_response=auth.DeniedHttpResponse(
@@ -83,28 +90,30 @@
     )
 
 
-def server_certificate(part: Tls, folder: Path) -> Any:
+def read_server_certificate(part: Tls, folder: Path) -> Any:
     """What grpc serves with; raises where the files cannot be read or do not fit."""
-    key, chain, ca = tls_bytes(part, folder)
+    key, chain, ca = read_tls_files(part, folder)
     return grpc.ssl_server_certificate_configuration([(key, chain)], root_certificates=ca)
 
 
-class Authorization:
+class AuthorizationService:
     """`Check`: a permitted question names the box; the asker sends the lookup on by itself."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AuthzServer) -> None:
         self._door = door
 
     async def Check(self, request: auth.CheckRequest, context: Any) -> auth.CheckResponse:  # noqa: N802
         door, attributes = self._door, request.attributes
         http = attributes.request.http
-        asked = Asked(attributes.context_extensions, http.headers, http.path, subjects_of(context), within_of(context))
+        asked = AuthorizationRequest(
+            attributes.context_extensions, http.headers, http.path, certificate_subjects(context), remaining_ms(context)
+        )
         try:
             command = door.terms.command(asked)
-        except Unreadable as error:
-            return denied(code_pb2.INVALID_ARGUMENT, 400, (), {"error": str(error)})
-        except NotTheirs as error:
-            return denied(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
+        except InvalidRequestError as error:
+            return denied_response(code_pb2.INVALID_ARGUMENT, 400, (), {"error": str(error)})
+        except AccountNotAllowedError as error:
+            return denied_response(code_pb2.PERMISSION_DENIED, 403, (), {"error": str(error)})
         if command.wait_ms <= 0:
             await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "the deadline has passed")
         verdict = await door.questions.ask(command)
@@ -116,27 +125,27 @@
         if verdict.kind == "refused":
             after = verdict.retry_after or DEFAULT_RETRY
             body = {"error": "over the quota or under pressure", "retry_after_ms": round(after)}
-            return denied(code_pb2.RESOURCE_EXHAUSTED, 429, door.retry(command, after), body)
+            return denied_response(code_pb2.RESOURCE_EXHAUSTED, 429, door.retry(command, after), body)
         if verdict.kind == "duplicate":
             body = {"error": "another request of this id is open"}
-            return denied(code_pb2.ALREADY_EXISTS, 409, (), body)
+            return denied_response(code_pb2.ALREADY_EXISTS, 409, (), body)
         await door.abort(context, verdict)
         raise AssertionError("abort does not return")
 
 
-class RateLimit:
+class RateLimitService:
     """`ShouldRateLimit`: each descriptor is a question, and all are permitted or none is."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AuthzServer) -> None:
         self._door = door
 
     async def ShouldRateLimit(self, request: rls.RateLimitRequest, context: Any) -> rls.RateLimitResponse:  # noqa: N802
-        door, within, subjects = self._door, within_of(context), subjects_of(context)
+        door, within, subjects = self._door, remaining_ms(context), certificate_subjects(context)
         try:
             commands = [self._command(request, n, within, subjects) for n in range(len(request.descriptors))]
-        except Unreadable as error:
+        except InvalidRequestError as error:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-        except NotTheirs as error:
+        except AccountNotAllowedError as error:
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, str(error))
         if not commands:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "a question has one descriptor at least")
@@ -171,7 +180,7 @@
         entries["request"] = (
             f"{entries['request']}.{number}" if "request" in entries and number else entries.get("request", own)
         )
-        return self._door.terms.command(Asked(entries, {}, "", subjects, within))
+        return self._door.terms.command(AuthorizationRequest(entries, {}, "", subjects, within))
 
     def _response(self, commands: list[Command], verdicts: list[Verdict]) -> rls.RateLimitResponse:
         door, over = self._door, verdicts[-1].kind == "refused"
@@ -201,8 +210,8 @@
         return response
 
 
-class Lookups:
-    def __init__(self, door: Door) -> None:
+class LookupsService:
+    def __init__(self, door: AuthzServer) -> None:
         self._door = door
 
     async def Report(self, request: lookups_pb2.ReportRequest, context: Any) -> lookups_pb2.ReportResponse:  # noqa: N802
@@ -212,7 +221,7 @@
         if not math.isfinite(request.took_ms) or request.took_ms < 0:
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, "took_ms is no time")
         account = request.account.lower()
-        if not self._door.terms.may_name(subjects_of(context), account):
+        if not self._door.terms.may_use_account(certificate_subjects(context), account):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "the account is not one that this caller may name")
         counted = self._door.questions.report(
             request.permission.encode(), account, outcome, request.took_ms, request.load_report.encode()[:256]
@@ -220,15 +229,15 @@
         return lookups_pb2.ReportResponse(counted=counted)
 
 
-class Door:
+class AuthzServer:
     """The server in the limiter's loop; grpc keeps connections and streams within the bounds given."""
 
     def __init__(self, file: AuthzFile, folder: Path, gateway: Gateway) -> None:
         """Raises `AuthzError`."""
         self.file, self._folder, self.gateway = file, folder, gateway
         self._at = file.check()
-        self.terms = Terms(file, gateway.settings, gateway.max_request_units)
-        self.questions = Questions(gateway, file.bounds.kept, file.bounds.questions)
+        self.terms = RequestReader(file, gateway.settings, gateway.max_request_units)
+        self.questions = PermissionRequests(gateway, file.bounds.kept, file.bounds.questions)
         self._health = health.aio.HealthServicer()
         self._server: Any = None
         self._certificate: Any = None
@@ -257,9 +266,9 @@
             ],
             maximum_concurrent_rpcs=2 * b.questions,
         )
-        auth_grpc.add_AuthorizationServicer_to_server(Authorization(self), self._server)
-        rls_grpc.add_RateLimitServiceServicer_to_server(RateLimit(self), self._server)
-        lookups_pb2_grpc.add_LookupsServicer_to_server(Lookups(self), self._server)
+        auth_grpc.add_AuthorizationServicer_to_server(AuthorizationService(self), self._server)
+        rls_grpc.add_RateLimitServiceServicer_to_server(RateLimitService(self), self._server)
+        lookups_pb2_grpc.add_LookupsServicer_to_server(LookupsService(self), self._server)
         health_pb2_grpc.add_HealthServicer_to_server(self._health, self._server)
         if self.file.reflection:
             names = (CHECK, LIMIT, LOOKUPS, health.SERVICE_NAME, reflection.SERVICE_NAME)
@@ -270,7 +279,7 @@
             if self.file.tls is None:
                 self.port = self._server.add_insecure_port(address)
             else:
-                self._certificate = server_certificate(self.file.tls, self._folder)
+                self._certificate = read_server_certificate(self.file.tls, self._folder)
                 credentials = grpc.dynamic_ssl_server_credentials(
                     self._certificate, lambda: self._certificate, bool(self.file.tls.ca)
                 )
@@ -278,18 +287,18 @@
         except RuntimeError as error:
             raise OSError(f"authz: {address} cannot be bound: {error}") from None
         await self._server.start()
-        await self.serving(True)
+        await self.set_serving(True)
         log.info("external authorisation at %s, port %d", host, self.port)
 
     def reload(self) -> None:
         """Reads the certificates anew, for connections from now on; what cannot be read changes nothing."""
         if self.file.tls is not None:
             try:
-                self._certificate = server_certificate(self.file.tls, self._folder)
+                self._certificate = read_server_certificate(self.file.tls, self._folder)
             except Exception as error:
                 log.error("the certificates stay as they were: %s", error)
 
-    async def serving(self, serves: bool) -> None:
+    async def set_serving(self, serves: bool) -> None:
         word = health_pb2.HealthCheckResponse.SERVING if serves else health_pb2.HealthCheckResponse.NOT_SERVING
         for service in ("", CHECK, LIMIT):
             await self._health.set(service, word)
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -48,7 +48,7 @@
     return Exit.PART if seen.missing or silent else Exit.DONE
 
 
-def _seen_json(seen: GroupObservation) -> dict[str, Any]:
+def _observation_json(seen: GroupObservation) -> dict[str, Any]:
     return {
         "agents": msgspec.to_builtins(seen.shown),
         "missing": {name: msgspec.structs.asdict(missing) for name, missing in seen.missing.items()},
@@ -74,7 +74,7 @@
         while True:
             seen = await observe_group(group, 50 if options.accounts else 0, options.deadline)
             if options.json:
-                found = _shared_json(seen) if options.what == "shared" else _seen_json(seen)
+                found = _shared_json(seen) if options.what == "shared" else _observation_json(seen)
                 print(json.dumps(found, sort_keys=True), flush=True)
             else:
                 if options.watch and _colour():
@@ -102,7 +102,7 @@
     if options.json:
         print(json.dumps({**msgspec.to_builtins(found), "used_by": sum(word.is_used for word in found.statements)}))
     elif found.is_known:
-        _out(tables.explained(found, _colour()))
+        _out(tables.explanation_table(found, _colour()))
     else:
         _err([f"box {options.target} is not known to {len(found.statements)} limiters that answer"])
         _err(f"says nothing: {name}" for name in found.silent)
--- a/elderlock/cli/group.py
+++ b/elderlock/cli/group.py
@@ -21,10 +21,10 @@
 
 def the_group() -> str:
     """The one that `elderlock up` runs here. Raises `FileError`."""
-    from elderlock.cli.running import groups
+    from elderlock.cli.running_groups import running_group_files
     from elderlock.fleet.config import FileError
 
-    found = groups()
+    found = running_group_files()
     if not found:
         raise FileError("no group: give --group FILE or set ELDERLOCK_GROUP; none is up here")
     if len(found) > 1:
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -264,15 +264,15 @@
 
 
 def up(options: argparse.Namespace) -> int:
-    from elderlock.cli.running import PREFIX
+    from elderlock.cli.running_groups import GROUP_FOLDER_PREFIX
     from elderlock.trial.processes import swept
 
     read = _scenario(options)
-    return swept(PREFIX, lambda folder, mark: _up(options, read, folder, mark))
+    return swept(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, read, folder, mark))
 
 
 async def _up(options: argparse.Namespace, read: Scenario, folder: Path, mark: str) -> int:
-    from elderlock.cli.up import UpError, running
+    from elderlock.cli.up import UpError, running_group
     from elderlock.standins.troubles import Planned, TroubleError, Troubles
 
     stop = asyncio.Event()
@@ -280,7 +280,10 @@
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, stop.set)
     try:
-        async with running(folder, mark, read.group.limiters, read.group.boxes, read.seed, stop) as (world, group):
+        async with running_group(folder, mark, read.group.limiters, read.group.boxes, read.seed, stop) as (
+            world,
+            group,
+        ):
             if stop.is_set():
                 return 130
 
--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -302,12 +302,12 @@
     import random
 
     from elderlock.authz.config import AuthzError
-    from elderlock.authz.router import RoutingDoor
+    from elderlock.authz.routing_server import RoutingServer
     from elderlock.fleet.config import FileError
     from elderlock.net.config import ConfigError
 
     try:
-        return RoutingDoor(agent.file.authz, agent.folder, agent.usable, random.Random())
+        return RoutingServer(agent.file.authz, agent.folder, agent.usable, random.Random())
     except (AuthzError, ConfigError) as error:
         raise FileError(str(error)) from None
 
--- a/elderlock/cli/running.py
+++ b/elderlock/cli/running_groups.py
@@ -6,15 +6,15 @@
 import os
 import tempfile
 
-PREFIX = "elderlock-up-"
+GROUP_FOLDER_PREFIX = "elderlock-up-"
 
 
-def groups() -> list[str]:
+def running_group_files() -> list[str]:
     """The group files of those that this user runs; each lies in a folder that only its owner can enter."""
     found = []
     with os.scandir(tempfile.gettempdir()) as entries:
         for entry in entries:
-            if not entry.name.startswith(PREFIX):
+            if not entry.name.startswith(GROUP_FOLDER_PREFIX):
                 continue
             try:
                 status = entry.stat(follow_symlinks=False)
--- a/elderlock/cli/sim.py
+++ b/elderlock/cli/sim.py
@@ -307,7 +307,7 @@
                 left = len(sweep.missing())
                 print(f"stopped: {total - left} of {total} runs are recorded; the same call goes on", file=sys.stderr)
                 return 130
-        return _concluded(options, made, records)
+        return _report_results(options, made, records)
     finally:
         records.close()
 
@@ -320,12 +320,12 @@
         raise ScenarioError(f"{_out(options)}: nothing is recorded yet; elderlock experiment run {options.experiment}")
     records = Records(_out(options))
     try:
-        return _concluded(options, made, records)
+        return _report_results(options, made, records)
     finally:
         records.close()
 
 
-def _concluded(options: argparse.Namespace, made: Any, records: Any) -> int:
+def _report_results(options: argparse.Namespace, made: Any, records: Any) -> int:
     from elderlock.sim.compare import compared, failures, kept, summary
     from elderlock.sim.experiment import bound
 
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -69,7 +69,7 @@
             for limiter in shown.limiters
             if limiter.link_why and limiter.link != "answering"
         ]
-    lines += [counter(state.limiter, state.counter) for state in seen.states() if state.counter is not None]
+    lines += [counter_line(state.limiter, state.counter) for state in seen.states() if state.counter is not None]
     lines += _missing(seen)
     if accounts:
         lines += ["", *_accounts(seen, colour)]
@@ -164,7 +164,7 @@
     return f"{told} and {len(rows) - most} more" if len(rows) > most else told or "-"
 
 
-def explained(found: Explanation, colour: bool) -> list[str]:
+def explanation_table(found: Explanation, colour: bool) -> list[str]:
     rows = []
     for word in found.statements:
         health = word.health
@@ -199,7 +199,7 @@
     return [*found.lines(), "", *table(head, rows, colour), *silent]
 
 
-def counter(limiter: str, told: CounterState) -> str:
+def counter_line(limiter: str, told: CounterState) -> str:
     return (
         f"{limiter}: counter {told.mode} for {age(told.since_ms)}, generation {told.generation}, "
         f"{told.accounts} accounts, {told.calls} calls, {told.calls_per_s:.0f} a second at most, "
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -12,7 +12,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from elderlock.cli.running import PREFIX
+from elderlock.cli.running_groups import GROUP_FOLDER_PREFIX
 from elderlock.fleet.client.drain_commands import observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.observation import GroupObservation
@@ -33,7 +33,7 @@
     if not (1 <= options.limiters <= 40 and 1 <= options.boxes <= 200 and 0 <= options.traffic <= 5000):
         print("elderlock: up takes 1 to 40 limiters, 1 to 200 boxes, 0 to 5000 requests a second", file=sys.stderr)
         return 2
-    return swept(PREFIX, lambda folder, mark: _up(options, folder, mark))
+    return swept(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, folder, mark))
 
 
 class _Agent:
@@ -67,7 +67,7 @@
 
 
 @asynccontextmanager
-async def running(
+async def running_group(
     folder: Path, mark: str, limiters: int, boxes: int, seed: int, stop: asyncio.Event, lend: int = 0
 ) -> AsyncIterator[tuple[World, Group]]:
     """A group that answers, with a gRPC door each where the extra is here. Raises `UpError`; `stop` ends the
@@ -103,7 +103,7 @@
     for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
         loop.add_signal_handler(number, pressed)
     try:
-        async with running(folder, mark, options.limiters, options.boxes, options.seed, stop) as (world, _):
+        async with running_group(folder, mark, options.limiters, options.boxes, options.seed, stop) as (world, _):
             if stop.is_set():
                 return 0
             _say(world, options)
@@ -133,7 +133,7 @@
         task.cancel()
 
 
-def _answering(seen: GroupObservation) -> int:
+def _ready_limiters(seen: GroupObservation) -> int:
     return sum(state.ready for state in seen.states())
 
 
@@ -141,7 +141,7 @@
     try:
         async with asyncio.timeout(READY_WITHIN):
             while not stop.is_set() and not unusable.is_set():
-                if _answering(await observe_group(group)) == limiters:
+                if _ready_limiters(await observe_group(group)) == limiters:
                     return True
                 await asyncio.sleep(0.1)
     except TimeoutError:
--- a/elderlock/load/asking.py
+++ b/elderlock/load/asking.py
@@ -16,7 +16,7 @@
 from envoy.service.auth.v3 import external_auth_pb2 as auth
 from envoy.service.auth.v3 import external_auth_pb2_grpc as auth_grpc
 
-from elderlock.authz.door import ENDPOINT, LIFE
+from elderlock.authz.server import ENDPOINT, LIFE
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.load.clock import now_us
 from elderlock.load.wire import MISSING, Engine, Request, command
--- a/elderlock/operators.py
+++ b/elderlock/operators.py
@@ -26,7 +26,7 @@
 from elderlock.net.gateway import Gateway
 
 if TYPE_CHECKING:
-    from elderlock.authz.door import Door  # loads grpc, which takes about 30 MB
+    from elderlock.authz.server import AuthzServer  # loads grpc, which takes about 30 MB
     from elderlock.quota.attach import CounterAttachment, QuotaOptions
 
 CONFIG_PATH_VARIABLE = "PROXY_CONFIG"
@@ -50,7 +50,7 @@
         self._control: ControlSocket | None = None
         self._quota_file: QuotaOptions | None = None
         self._quota: CounterAttachment | None = None
-        self._authz: Door | None = None
+        self._authz: AuthzServer | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def with_routing(self, config: Config) -> Config:
@@ -170,12 +170,12 @@
             return
         try:
             from elderlock.authz.config import AuthzError, AuthzFile
-            from elderlock.authz.door import Door
+            from elderlock.authz.server import AuthzServer
         except ModuleNotFoundError as error:
             raise self._missing_extra("authz", "grpc", error) from None
         try:
             options = msgspec.convert(self._file.authz, AuthzFile)
-            service = Door(options, self._path.resolve().parent, self._gateway)
+            service = AuthzServer(options, self._path.resolve().parent, self._gateway)
             await service.start()
         except (AuthzError, msgspec.ValidationError) as error:
             raise self._error(error) from None
@@ -186,7 +186,7 @@
     def _on_drain_changed(self, is_drained: bool) -> None:
         """Report in the service's health check whether the limiter is drained, as PING does for other clients."""
         if self._authz is not None:
-            task = asyncio.get_running_loop().create_task(self._authz.serving(not is_drained))
+            task = asyncio.get_running_loop().create_task(self._authz.set_serving(not is_drained))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -19,8 +19,8 @@
 from grpc_health.v1 import health_pb2, health_pb2_grpc
 from grpc_reflection.v1alpha import reflection_pb2, reflection_pb2_grpc
 
-from elderlock.authz.config import Asker, AuthzFile, Bounds
-from elderlock.authz.door import BOX, CHECK, ENDPOINT, LIMIT, LOOKUPS, PERMISSION, Door
+from elderlock.authz.config import AuthzFile, Caller, ServerLimits
+from elderlock.authz.server import BOX, CHECK, ENDPOINT, LIMIT, LOOKUPS, PERMISSION, AuthzServer
 from elderlock.authz.v1 import lookups_pb2
 from elderlock.standins.boxes import Server
 from elderlock.standins.gateways import OTHER, Asking, headers
@@ -32,7 +32,7 @@
 class Doors:
     """One limiter with both doors, over one box."""
 
-    def __init__(self, limiter: Limiter, door: Door, server: Server, asking: Asking) -> None:
+    def __init__(self, limiter: Limiter, door: AuthzServer, server: Server, asking: Asking) -> None:
         self.limiter, self.door, self.server, self.asking = limiter, door, server, asking
 
     @property
@@ -61,7 +61,7 @@
 ) -> AsyncIterator[Doors]:
     server = await Server(behave).start()
     limiter = await Limiter.start(server)
-    door = Door(AuthzFile("127.0.0.1:0", **{"askers": (Asker(("*",)),), **file}), Path("/"), limiter.gateway)
+    door = AuthzServer(AuthzFile("127.0.0.1:0", **{"askers": (Caller(("*",)),), **file}), Path("/"), limiter.gateway)
     await door.start()
     asking = Asking(door.port)
     try:
@@ -283,7 +283,7 @@
 )
 def test_what_cannot_be_taken_is_denied_and_takes_nothing(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
-        async with doors(askers=(Asker((CUSTOMER,)),)) as here:
+        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
             assert await here.asking.word("q1", **changes) == status
             assert here.empty() and not here.limiter.gateway.limiter.quotas.accounts
 
@@ -336,7 +336,7 @@
     """No more than the bound are undecided; the others are turned away at once, and nobody waits for ever."""
 
     async def test() -> None:
-        bounds = Bounds(questions=50, streams=10_000)
+        bounds = ServerLimits(questions=50, streams=10_000)
         # a question waits longer than any machine takes to ask them all: one that ended by its time would make room
         # for the next fifty, and how many end so would say how fast the machine is
         async with doors(bounds=bounds, longest_ms=110_000.0) as here:
@@ -414,7 +414,7 @@
     """Those beyond the bound are closed; those that never speak are, once their time is up."""
 
     async def test() -> None:
-        async with doors(bounds=Bounds(connections=4, handshake=0.3)) as here:
+        async with doors(bounds=ServerLimits(connections=4, handshake=0.3)) as here:
             assert await here.asking.word("q1") == 200
             crowd = [socket.create_connection(("127.0.0.1", here.door.port)) for _ in range(100)]
             assert await here.asking.word("q2") == 200
@@ -487,7 +487,7 @@
 
 def test_a_rate_limit_question_that_cannot_be_read_is_an_error() -> None:
     async def test() -> None:
-        async with doors(askers=(Asker((CUSTOMER,)),)) as here:
+        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
             for request, code in (
                 (rls.RateLimitRequest(domain="d"), grpc.StatusCode.INVALID_ARGUMENT),
                 (rls.RateLimitRequest(descriptors=[descriptor(plan="gold")]), grpc.StatusCode.INVALID_ARGUMENT),
@@ -503,7 +503,7 @@
 
 def test_a_report_is_checked() -> None:
     async def test() -> None:
-        async with doors(askers=(Asker((CUSTOMER,)),)) as here:
+        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
             await here.asking.check("q1")
             for changes, code in (
                 ({"outcome": 0}, grpc.StatusCode.INVALID_ARGUMENT),
--- a/tests/authz/test_door_rules.py
+++ b/tests/authz/test_door_rules.py
@@ -9,10 +9,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from elderlock.authz.config import Asker, AuthzError, AuthzFile, Bounds, Field, Mapping, Tls
-from elderlock.authz.mapping import Asked, NotTheirs, Terms, Unreadable
+from elderlock.authz.config import AuthzError, AuthzFile, Caller, FieldSource, RequestMapping, ServerLimits, Tls
+from elderlock.authz.permission_requests import verdict_of_error_line
 from elderlock.authz.permissions import Permissions, Verdict
-from elderlock.authz.questions import refusal_of
+from elderlock.authz.request_reader import (
+    AccountNotAllowedError,
+    AuthorizationRequest,
+    InvalidRequestError,
+    RequestReader,
+)
 from elderlock.control.attach import read_operators_file
 from elderlock.net.command import Command
 from elderlock.net.config import parse_config
@@ -20,14 +25,14 @@
 
 SETTINGS = parse_config(raw_config()).settings
 GOOD = {"account": CUSTOMER, "plan": "team", "class": "lookup", "request": "q1", "spread": "1", "first": "0"}
-ANYONE = AuthzFile("127.0.0.1:0", askers=(Asker(("*",)),))
+ANYONE = AuthzFile("127.0.0.1:0", askers=(Caller(("*",)),))
 
 
 def command(
     file: AuthzFile = ANYONE, subjects: tuple[str, ...] = (), within: float | None = None, **changes: Any
 ) -> Command:
     extensions = {key.replace("_", "-"): v for key, v in {**GOOD, **changes}.items() if v is not None}
-    return Terms(file, SETTINGS, 4.0).command(Asked(extensions, {}, "/", subjects, within))
+    return RequestReader(file, SETTINGS, 4.0).command(AuthorizationRequest(extensions, {}, "/", subjects, within))
 
 
 @pytest.mark.parametrize(
@@ -54,7 +59,7 @@
     ],
 )
 def test_a_question_that_cannot_be_read_is_told_why(changes: dict[str, Any], message: str) -> None:
-    with pytest.raises(Unreadable, match=message):
+    with pytest.raises(InvalidRequestError, match=message):
         command(**changes)
 
 
@@ -67,35 +72,35 @@
 
 
 def test_parts_come_from_headers_the_path_the_query_or_a_fixed_value() -> None:
-    mapping = Mapping(
-        account=Field(path="/v1/([0-9a-f]{16})/tickets"),
-        plan=Field(header="x-plan"),
-        request=Field(query="id"),
-        request_class=Field(value="lookup"),
-        spread=Field(value="1"),
-        first=Field(value="0"),
+    mapping = RequestMapping(
+        account=FieldSource(path="/v1/([0-9a-f]{16})/tickets"),
+        plan=FieldSource(header="x-plan"),
+        request=FieldSource(query="id"),
+        request_class=FieldSource(value="lookup"),
+        spread=FieldSource(value="1"),
+        first=FieldSource(value="0"),
     )
-    file = AuthzFile("127.0.0.1:0", askers=(Asker(("*",)),), mapping=mapping)
+    file = AuthzFile("127.0.0.1:0", askers=(Caller(("*",)),), mapping=mapping)
     file.check()
-    terms = Terms(file, SETTINGS, 4.0)
+    terms = RequestReader(file, SETTINGS, 4.0)
     path = f"/v1/{CUSTOMER}/tickets?id=q7&x=1"
-    read = terms.command(Asked({}, {"x-plan": "tiny"}, path, (), None))
+    read = terms.command(AuthorizationRequest({}, {"x-plan": "tiny"}, path, (), None))
     assert (read.customer_id, read.client_request_id, read.plan_index, read.units) == (CUSTOMER, b"q7", 1, 1.0)
-    with pytest.raises(Unreadable, match="more than once"):
-        terms.command(Asked({}, {"x-plan": "tiny"}, path + "&id=q8", (), None))
-    with pytest.raises(Unreadable, match="account is missing"):
-        terms.command(Asked({}, {"x-plan": "tiny"}, "/v1/other?id=q7", (), None))
+    with pytest.raises(InvalidRequestError, match="more than once"):
+        terms.command(AuthorizationRequest({}, {"x-plan": "tiny"}, path + "&id=q8", (), None))
+    with pytest.raises(InvalidRequestError, match="account is missing"):
+        terms.command(AuthorizationRequest({}, {"x-plan": "tiny"}, "/v1/other?id=q7", (), None))
 
 
 def test_an_asker_names_its_own_accounts_alone() -> None:
     tls = Tls("c", "k", "a")
     other = "0000000000000007"
-    file = AuthzFile("127.0.0.1:0", tls, (Asker((CUSTOMER,), "shop-a"), Asker(("*",), "ops")))
+    file = AuthzFile("127.0.0.1:0", tls, (Caller((CUSTOMER,), "shop-a"), Caller(("*",), "ops")))
     file.check()
     assert command(file, ("shop-a",)).customer_id == CUSTOMER
     assert command(file, ("shop-a", "ops"), account=other).customer_id == other
     for subjects, account in ((("shop-a",), other), (("stranger",), CUSTOMER), ((), CUSTOMER)):
-        with pytest.raises(NotTheirs):
+        with pytest.raises(AccountNotAllowedError):
             command(file, subjects, account=account)
 
 
@@ -106,16 +111,25 @@
         (AuthzFile("10.0.0.1:1", askers=ANYONE.askers), "off loopback the door needs"),
         (AuthzFile("10.0.0.1:1", Tls("c", "k"), ANYONE.askers), "off loopback the door needs"),
         (AuthzFile("127.0.0.1:1"), "nobody could ask"),
-        (AuthzFile("127.0.0.1:1", askers=(Asker(("7",)),)), "neither 16 hex digits nor"),
-        (AuthzFile("127.0.0.1:1", askers=(Asker(("*",), "shop-a"),)), "a subject is known with"),
-        (AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=Mapping(plan=Field())), "mapping.plan: none of"),
-        (AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=Mapping(plan=Field(header="X-Plan"))), "lower case"),
+        (AuthzFile("127.0.0.1:1", askers=(Caller(("7",)),)), "neither 16 hex digits nor"),
+        (AuthzFile("127.0.0.1:1", askers=(Caller(("*",), "shop-a"),)), "a subject is known with"),
+        (
+            AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=RequestMapping(plan=FieldSource())),
+            "mapping.plan: none of",
+        ),
         (
-            AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=Mapping(plan=Field(path="/(a)(b)"))),
+            AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=RequestMapping(plan=FieldSource(header="X-Plan"))),
+            "lower case",
+        ),
+        (
+            AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=RequestMapping(plan=FieldSource(path="/(a)(b)"))),
             "one group, not 2",
         ),
-        (AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=Mapping(plan=Field(path="("))), "mapping.plan"),
-        (AuthzFile("127.0.0.1:1", askers=ANYONE.askers, bounds=Bounds(streams=0)), "above 0"),
+        (
+            AuthzFile("127.0.0.1:1", askers=ANYONE.askers, mapping=RequestMapping(plan=FieldSource(path="("))),
+            "mapping.plan",
+        ),
+        (AuthzFile("127.0.0.1:1", askers=ANYONE.askers, bounds=ServerLimits(streams=0)), "above 0"),
     ],
 )
 def test_a_wrong_part_is_named(file: AuthzFile, message: str) -> None:
@@ -124,10 +138,10 @@
 
 
 def test_final_answers_as_resp_words_them() -> None:
-    assert refusal_of(b"-BUSY 250\r\n") == Verdict("refused", 250.0)
-    assert refusal_of(b"-BUSY\r\n") == Verdict("refused", 0.0)
-    assert refusal_of(b"-ERR a request of this id is open\r\n").kind == "duplicate"
-    assert refusal_of(b"-ERR failed\r\n").kind == "failed"
+    assert verdict_of_error_line(b"-BUSY 250\r\n") == Verdict("refused", 250.0)
+    assert verdict_of_error_line(b"-BUSY\r\n") == Verdict("refused", 0.0)
+    assert verdict_of_error_line(b"-ERR a request of this id is open\r\n").kind == "duplicate"
+    assert verdict_of_error_line(b"-ERR failed\r\n").kind == "failed"
 
 
 class PermissionsMachine(RuleBasedStateMachine):
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -19,8 +19,16 @@
 from hypothesis import strategies as st
 
 from elderlock.authz.config import AuthzError
-from elderlock.authz.router import RoutingDoor
-from elderlock.authz.routing import EJECT_AFTER, EJECT_FOR, MOST_EJECTED, Fate, Next, Router, after
+from elderlock.authz.limiter_selection import (
+    BASE_EJECTION_MS,
+    EJECT_AFTER_FAILURES,
+    MAXIMUM_EJECTED_SHARE,
+    AttemptResult,
+    LimiterSelector,
+    NextStep,
+    next_step,
+)
+from elderlock.authz.routing_server import RoutingServer
 from elderlock.fleet.client.drain_commands import Order, carry_out, observe_group
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.client.report import Exit
@@ -35,8 +43,8 @@
 NAMES = {f"n{n}": n for n in range(5)}
 
 
-def router() -> Router:
-    return Router(NAMES, random.Random(1))
+def router() -> LimiterSelector:
+    return LimiterSelector(NAMES, random.Random(1))
 
 
 def test_only_the_accounts_own_limiters_are_asked_in_their_row() -> None:
@@ -50,7 +58,7 @@
 def test_the_less_loaded_of_two_is_asked() -> None:
     made = router()
     for _ in range(3):
-        made.began("n0")
+        made.attempt_started("n0")
     assert {made.choose(2, 0, NAMES, (), 0.0) for _ in range(20)} == {"n1"}
 
 
@@ -58,52 +66,59 @@
     made = router()
 
     def fail(now: float) -> None:
-        for _ in range(EJECT_AFTER):
-            made.began("n0")
-            made.ended("n0", Fate.NOT_SENT, now)
+        for _ in range(EJECT_AFTER_FAILURES):
+            made.attempt_started("n0")
+            made.attempt_ended("n0", AttemptResult.NOT_SENT, now)
 
     fail(0.0)
-    assert made.ejected(0.0) == ["n0"] and made.choose(1, 0, NAMES, (), EJECT_FOR - 1) is None
-    assert made.choose(1, 0, NAMES, (), EJECT_FOR) == "n0"
-    fail(EJECT_FOR)
-    assert made.ejected(EJECT_FOR + 2 * EJECT_FOR - 1) == ["n0"]
-    made.began("n0")
-    made.ended("n0", Fate.ANSWERED, 9e5)
+    assert made.ejected_limiters(0.0) == ["n0"] and made.choose(1, 0, NAMES, (), BASE_EJECTION_MS - 1) is None
+    assert made.choose(1, 0, NAMES, (), BASE_EJECTION_MS) == "n0"
+    fail(BASE_EJECTION_MS)
+    assert made.ejected_limiters(BASE_EJECTION_MS + 2 * BASE_EJECTION_MS - 1) == ["n0"]
+    made.attempt_started("n0")
+    made.attempt_ended("n0", AttemptResult.ANSWERED, 9e5)
     fail(1e6)
-    assert made.ejected(1e6 + EJECT_FOR) == []
+    assert made.ejected_limiters(1e6 + BASE_EJECTION_MS) == []
 
 
 @settings(max_examples=100, deadline=None)
 @given(
-    st.lists(st.tuples(st.sampled_from(list(NAMES)), st.sampled_from(list(Fate)), st.floats(0.0, 300.0)), max_size=80)
+    st.lists(
+        st.tuples(st.sampled_from(list(NAMES)), st.sampled_from(list(AttemptResult)), st.floats(0.0, 300.0)),
+        max_size=80,
+    )
 )
-def test_never_more_than_the_cap_are_out_and_what_is_out_is_counted(events: list[tuple[str, Fate, float]]) -> None:
+def test_never_more_than_the_cap_are_out_and_what_is_out_is_counted(
+    events: list[tuple[str, AttemptResult, float]],
+) -> None:
     made, now = router(), 0.0
     for name, fate, wait in events:
         now += wait
-        made.began(name)
-        made.ended(name, fate, now)
-        assert len(made.ejected(now)) <= MOST_EJECTED * len(NAMES)
+        made.attempt_started(name)
+        made.attempt_ended(name, fate, now)
+        assert len(made.ejected_limiters(now)) <= MAXIMUM_EJECTED_SHARE * len(NAMES)
     assert all(member.open == 0 for member in made._members.values())
 
 
 @given(
-    st.lists(st.sampled_from([f for f in Fate if f is not Fate.ANSWERED]), min_size=1, max_size=6),
+    st.lists(st.sampled_from([f for f in AttemptResult if f is not AttemptResult.ANSWERED]), min_size=1, max_size=6),
     st.booleans(),
     st.floats(-10.0, 900.0),
 )
-def test_a_try_of_unknown_fate_is_never_asked_elsewhere(fates: list[Fate], fetchable: bool, left: float) -> None:
-    step = after(fates, fetchable, left)
-    if step is Next.ELSEWHERE:
-        assert fates[-1] is Fate.GONE or Fate.UNKNOWN not in fates
-    if step is Next.SAME:
-        assert fetchable and fates[-1] is Fate.UNKNOWN
+def test_a_try_of_unknown_fate_is_never_asked_elsewhere(
+    fates: list[AttemptResult], fetchable: bool, left: float
+) -> None:
+    step = next_step(fates, fetchable, left)
+    if step is NextStep.OTHER_LIMITER:
+        assert fates[-1] is AttemptResult.LIMITER_DIED or AttemptResult.UNKNOWN not in fates
+    if step is NextStep.SAME_LIMITER:
+        assert fetchable and fates[-1] is AttemptResult.UNKNOWN
     if left <= 0:
-        assert step is Next.GIVE_UP
+        assert step is NextStep.GIVE_UP
 
 
 @asynccontextmanager
-async def routed(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingDoor, Asking, set[str]]]:
+async def routed(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingServer, Asking, set[str]]]:
     async with programs(folder, count=3) as made:
         away: set[str] = set()
 
@@ -115,7 +130,7 @@
             "config": "n0.json",
             "limiter": [{"name": f"n{p.number}", "number": p.number, "address": p.address} for p in made],
         }
-        door = RoutingDoor(raw, folder, usable, random.Random(1))
+        door = RoutingServer(raw, folder, usable, random.Random(1))
         await door.start()
         asking = Asking(door.port)
         try:
@@ -195,7 +210,7 @@
                 "to_limiters": client,
                 "limiter": [{"name": "n0", "number": 0, "address": program.address}],
             }
-            door = RoutingDoor(raw, tmp_path, set, random.Random(1))
+            door = RoutingServer(raw, tmp_path, set, random.Random(1))
             await door.start()
 
             def read(name: str) -> bytes:
@@ -269,7 +284,7 @@
         **changes,
     }
     with pytest.raises(AuthzError, match=message):
-        RoutingDoor(raw, tmp_path, set, random.Random(1))
+        RoutingServer(raw, tmp_path, set, random.Random(1))
 
 
 def test_the_agents_own_file_switches_the_door_on(tmp_path: Path) -> None:
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -20,10 +20,10 @@
 
 import elderlock
 from elderlock.authz import config as authz_config
-from elderlock.authz import mapping as authz_mapping
+from elderlock.authz import limiter_selection as authz_limiter_selection
 from elderlock.authz import permissions as authz_permissions
-from elderlock.authz import router as authz_router
-from elderlock.authz import routing as authz_routing
+from elderlock.authz import request_reader as authz_request_reader
+from elderlock.authz import routing_server as authz_routing_server
 from elderlock.control import attach as control_attach
 from elderlock.control import messages as control_messages
 from elderlock.control import records as control_records
@@ -65,13 +65,13 @@
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
     "authz-file.tls": authz_config.Tls,
-    "authz-file.asker": authz_config.Asker,
-    "authz-file.field": authz_config.Field,
-    "authz-file.mapping": authz_config.Mapping,
-    "authz-file.bounds": authz_config.Bounds,
+    "authz-file.asker": authz_config.Caller,
+    "authz-file.field": authz_config.FieldSource,
+    "authz-file.mapping": authz_config.RequestMapping,
+    "authz-file.bounds": authz_config.ServerLimits,
     "authz-file.authz-file": authz_config.AuthzFile,
-    "authz-router-file.limiter-at": authz_router.LimiterAt,
-    "authz-router-file.routing-file": authz_router.RoutingFile,
+    "authz-router-file.limiter-at": authz_routing_server.LimiterAddress,
+    "authz-router-file.routing-file": authz_routing_server.RoutingFile,
     "control-file.control-file": control_attach.ControlOptions,
     "control-file.routing-file": control_attach.RoutingOptions,
     "control-file.shared-file": control_attach.SharedOptions,
@@ -222,9 +222,9 @@
 
 # Classes whose instances are never encoded for a socket, a file or --json, and why
 NOT_ENCODED: dict[type[msgspec.Struct], str] = {
-    authz_mapping.Asked: "a decoded gRPC request, used only within the process",
+    authz_request_reader.AuthorizationRequest: "a decoded gRPC request, used only within the process",
     authz_permissions.Verdict: "an answer that is converted to a gRPC message",
-    authz_routing._Member: "the router's state of a limiter",
+    authz_limiter_selection._LimiterState: "the router's state of a limiter",
     control_messages.Message: "the base class of the control messages",
     fleet_messages.Message: "the base class of the agents' messages",
     load_messages.Message: "the base class of the load workers' messages",
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -66,7 +66,7 @@
 
 
 def show(_: pytest.MonkeyPatch) -> None:
-    print(json.dumps(commands._seen_json(seen())))
+    print(json.dumps(commands._observation_json(seen())))
 
 
 def shared(_: pytest.MonkeyPatch) -> None:
@@ -124,7 +124,7 @@
             db.executescript((DATA / "sweep_results.sql").read_text(encoding="utf-8"))
         db.close()
         options = argparse.Namespace(json=True, html=None, fail_if=[])
-        sim._concluded(options, read_experiment(DATA / "experiment.toml"), SweepResults(path))
+        sim._report_results(options, read_experiment(DATA / "experiment.toml"), SweepResults(path))
 
 
 COMMANDS = {
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -142,7 +142,7 @@
     out_of_service = explain(observed, "s-1", 5000.0)
     first, second = out_of_service.statements
     assert first.since_ms == 4000.0 and not first.is_used and not second.is_listed
-    lines = tables.explained(out_of_service, False)
+    lines = tables.explanation_table(out_of_service, False)
     assert lines[:2] == [
         "s-1 (floor-2, std-2c, weight 2) is used by 0 of 2 limiters",
         "drained by an, generation 7: fan is loud",
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -13,7 +13,7 @@
 import pytest
 
 from elderlock.cli.main import main
-from elderlock.cli.running import groups
+from elderlock.cli.running_groups import running_group_files
 from elderlock.fleet import messages as f
 from elderlock.fleet.agent.worker_leasing import WorkerLeasing
 from elderlock.fleet.client.group_client import Group
@@ -263,4 +263,4 @@
         (tmp_path / name / "group.toml").touch()
         (tmp_path / name).chmod(mode)
     (tmp_path / "elderlock-up-empty").mkdir(mode=0o700)
-    assert groups() == [str(tmp_path / "elderlock-up-a" / "group.toml")]
+    assert running_group_files() == [str(tmp_path / "elderlock-up-a" / "group.toml")]
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -11,7 +11,7 @@
 from programs import Program, get_limiter_state
 
 from elderlock import interface as api
-from elderlock.cli.tables import counter as counter_line
+from elderlock.cli.tables import counter_line
 from elderlock.control.attach import read_operators_file
 from elderlock.decisions.limiter import Limiter
 from elderlock.interface import ListKind, Outcome
