--- a/elderlock/cli/__init__.py
+++ b/elderlock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command `elderlock`: parsing, tables, exit codes. It decides nothing."""
+"""The command line `elderlock`: argument parsing, output and exit codes. The decisions are made in other packages."""
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -1,4 +1,4 @@
-"""`elderlock load`: rehearse a rush against targets, against a group that it starts, and look at what came of it."""
+"""`elderlock load`: sends load to running limiters or to a group that it starts, and reports the results."""
 
 from __future__ import annotations
 
@@ -29,87 +29,107 @@
 from elderlock.load.scenario import Scenario, ScenarioError
 from elderlock.load.thresholds import ThresholdError, threshold
 
-Began = Callable[[float], Awaitable[list[tuple[float, str]]]]
+# Is called with the start time, and returns the times and descriptions of the faults that it has injected
+StartCallback = Callable[[float], Awaitable[list[tuple[float, str]]]]
+FAIL_IF_HELP = "fail if this holds: p99>250ms, share.served<0.99"
 
 
 def add(commands: Any, seconds: Callable[[str], float]) -> None:
-    """The parts of the command line."""
+    """Add the subcommands of `elderlock load`.
+
+    Args:
+        commands: The subparsers of `elderlock load`.
+        seconds: Parses a number of seconds.
+    """
     for name, help in (
-        ("run", "sends a scenario's requests to limiters that run already"),
-        ("up", "starts a whole group on loopback, with the scenario's troubles, and sends to that"),
+        ("run", "sends a scenario's requests to running limiters"),
+        ("up", "starts a group on loopback with the scenario's faults, and sends to it"),
     ):
         run = commands.add_parser(name, help=help, description=help)
-        run.add_argument("scenario", help="a .toml file, or one that ships (elderlock load scenarios)")
-        run.add_argument("--set", action="append", default=[], metavar="NAME=VALUE", help="in place of the file's own")
-        run.add_argument("--seed", type=int)
-        run.add_argument("--for", dest="lasts", type=seconds, metavar="S", help="so long, in place of for_s")
-        run.add_argument("--workers", type=int, metavar="N", help=f"processes that send (up to {most_workers()} here)")
-        run.add_argument("--json", type=Path, metavar="FILE", help="the report, for load show and load compare")
-        run.add_argument("--html", type=Path, metavar="FILE", help="the report as one page")
-        run.add_argument("--record", type=Path, metavar="FILE", help="a trace of what was sent")
-        run.add_argument("--fail-if", action="append", default=[], metavar="BOUND", help="p99>250ms, share.served<0.99")
-        run.add_argument("--quiet", action="store_true", help="no line a second")
+        run.add_argument("scenario", help="a .toml file, or a built-in scenario (elderlock load scenarios)")
+        run.add_argument(
+            "--set", action="append", default=[], metavar="NAME=VALUE", help="change a value of the scenario"
+        )
+        run.add_argument("--seed", type=int, help="seed of the random numbers")
+        run.add_argument("--for", dest="lasts", type=seconds, metavar="S", help="duration, in place of for_s")
+        run.add_argument(
+            "--workers", type=int, metavar="N", help=f"number of sending processes (at most {most_workers()} here)"
+        )
+        run.add_argument("--json", type=Path, metavar="FILE", help="write the report, for load show and load compare")
+        run.add_argument("--html", type=Path, metavar="FILE", help="write the report as an HTML page")
+        run.add_argument("--record", type=Path, metavar="FILE", help="write a trace of the requests that were sent")
+        run.add_argument("--fail-if", action="append", default=[], metavar="BOUND", help=FAIL_IF_HELP)
+        run.add_argument("--quiet", action="store_true", help="do not print a line each second")
         if name == "run":
-            run.add_argument("--target", action="append", default=[], metavar="HOST:PORT", help="in order of numbers")
-            run.add_argument("--group", type=Path, metavar="FILE", help="targets are the group's limiters")
-            run.add_argument("--token-file", type=Path, metavar="FILE")
-            run.add_argument("--agents", default="", metavar="A,B", help="workers at these agents' machines too")
+            run.add_argument(
+                "--target",
+                action="append",
+                default=[],
+                metavar="HOST:PORT",
+                help="a limiter, in the order of their numbers",
+            )
+            run.add_argument("--group", type=Path, metavar="FILE", help="send to the limiters of this group")
+            run.add_argument("--token-file", type=Path, metavar="FILE", help="the token file")
+            run.add_argument("--agents", default="", metavar="A,B", help="also run workers on these agents' machines")
         else:
-            run.add_argument("--door", choices=("resp", "grpc"), help="which door of the limiters is asked")
-    shown = commands.add_parser("show", help="shows a report again", description="shows a report again")
-    shown.add_argument("report", type=Path)
-    shown.add_argument("--html", type=Path, metavar="FILE")
-    shown.add_argument("--fail-if", action="append", default=[], metavar="BOUND")
-    both = commands.add_parser(
+            run.add_argument("--door", choices=("resp", "grpc"), help="the limiters' protocol to send to")
+    show = commands.add_parser("show", help="prints a stored report", description="prints a stored report")
+    show.add_argument("report", type=Path, help="a file of --json")
+    show.add_argument("--html", type=Path, metavar="FILE", help="write the report as an HTML page")
+    show.add_argument("--fail-if", action="append", default=[], metavar="BOUND", help=FAIL_IF_HELP)
+    compare = commands.add_parser(
         "compare",
-        help="two reports, and what is beyond the noise",
-        description="two reports, and what is beyond the noise",
+        help="compares two reports, and marks differences beyond the noise",
+        description="compares two reports, and marks differences beyond the noise",
     )
-    both.add_argument("before", type=Path)
-    both.add_argument("after", type=Path)
-    both.add_argument("--json", action="store_true")
+    compare.add_argument("before", type=Path, help="a file of --json")
+    compare.add_argument("after", type=Path, help="a file of --json")
+    compare.add_argument("--json", action="store_true", help="print one JSON object")
     check = commands.add_parser(
         "check",
-        help="checks a scenario, or reads a trace through",
-        description="checks a scenario, or reads a trace through",
+        help="checks a scenario or a trace",
+        description="checks a scenario or a trace",
+    )
+    check.add_argument("file", help="a scenario or a trace")
+    check.add_argument(
+        "--set", action="append", default=[], metavar="NAME=VALUE", help="change a value of the scenario"
     )
-    check.add_argument("file")
-    check.add_argument("--set", action="append", default=[], metavar="NAME=VALUE")
     rename = commands.add_parser(
         "rename",
-        help="renames a trace's accounts by a key, to hand it on",
-        description="renames a trace's accounts by a key, to hand it on",
+        help="replaces the accounts of a trace by pseudonyms, so that it can be shared",
+        description="replaces the accounts of a trace by pseudonyms, so that it can be shared",
     )
-    rename.add_argument("trace", type=Path)
-    rename.add_argument("out", type=Path)
-    rename.add_argument("--key", type=Path, required=True, metavar="FILE", help="16 bytes or more, kept secret")
+    rename.add_argument("trace", type=Path, help="the trace")
+    rename.add_argument("out", type=Path, help="the new trace")
+    rename.add_argument("--key", type=Path, required=True, metavar="FILE", help="a secret of at least 16 bytes")
     record = commands.add_parser(
         "record",
-        help="makes a trace from the limiters' figures",
-        description="makes a trace from the limiters' figures",
+        help="makes a trace from the limiters' request counts",
+        description="makes a trace from the limiters' request counts",
     )
-    record.add_argument("out", type=Path)
-    record.add_argument("--group", type=Path, metavar="FILE")
-    record.add_argument("--token-file", type=Path, metavar="FILE")
-    record.add_argument("--for", dest="lasts", type=seconds, default=60.0, metavar="S")
-    record.add_argument("--every", type=seconds, default=1.0, metavar="S", help="between looks (1)")
-    record.add_argument("--plans", type=Path, metavar="FILE", help="JSON: the plan of each account")
-    commands.add_parser("scenarios", help="those that ship", description="those that ship")
+    record.add_argument("out", type=Path, help="the trace")
+    record.add_argument("--group", type=Path, metavar="FILE", help="the group file")
+    record.add_argument("--token-file", type=Path, metavar="FILE", help="the token file")
+    record.add_argument("--for", dest="lasts", type=seconds, default=60.0, metavar="S", help="duration (60)")
+    record.add_argument("--every", type=seconds, default=1.0, metavar="S", help="interval between polls (1)")
+    record.add_argument("--plans", type=Path, metavar="FILE", help="a JSON object with the plan of each account")
+    commands.add_parser("scenarios", help="lists the built-in scenarios", description="lists the built-in scenarios")
 
 
 def main(options: argparse.Namespace) -> int:
-    work: dict[str, Callable[[argparse.Namespace], int]] = {
+    """Run a subcommand of `elderlock load` and return its exit code."""
+    handlers: dict[str, Callable[[argparse.Namespace], int]] = {
         "run": run,
         "up": up,
         "show": show,
-        "compare": compared,
+        "compare": compare_reports,
         "check": check,
         "rename": rename,
         "record": record,
         "scenarios": scenarios,
     }
     try:
-        return work[options.load_command](options)
+        return handlers[options.load_command](options)
     except (ScenarioError, LoadError, ThresholdError, trace.TraceError, ValueError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
     except FileError as error:
@@ -123,6 +143,12 @@
 
 
 def _scenario(options: argparse.Namespace) -> Scenario:
+    """Read the scenario with the changes of the options, and check the thresholds and output paths.
+
+    Raises:
+        ScenarioError: The scenario is invalid, or the folder of an output file does not exist.
+        ThresholdError: A threshold is invalid.
+    """
     changes = list(options.set)
     for name, value in (("seed", options.seed), ("for_s", options.lasts), ("workers", options.workers)):
         if value is not None:
@@ -137,80 +163,92 @@
             raise ScenarioError(f"{path}: there is no such folder")
     replay = read.replay
     if replay is not None and not Path(replay.path).is_absolute() and options.scenario.endswith(".toml"):
-        # a trace stands beside its scenario
-        beside = Path(options.scenario).resolve().parent / replay.path
-        read = msgspec.structs.replace(read, replay=msgspec.structs.replace(replay, path=str(beside)))
+        # the path of a trace is relative to the folder of the scenario
+        trace_path = Path(options.scenario).resolve().parent / replay.path
+        read = msgspec.structs.replace(read, replay=msgspec.structs.replace(replay, path=str(trace_path)))
     return read
 
 
-def _at(read: Scenario, addresses: Sequence[str], kind: str | None = None) -> Scenario:
+def _with_targets(read: Scenario, addresses: Sequence[str], kind: str | None = None) -> Scenario:
+    """Return the scenario with other targets.
+
+    Raises:
+        ScenarioError: The scenario is not valid with them.
+    """
     targets = msgspec.structs.replace(read.targets, addresses=tuple(addresses), kind=kind or read.targets.kind)
-    made = msgspec.structs.replace(read, targets=targets)
-    scenario.check(made)
-    return made
+    changed = msgspec.structs.replace(read, targets=targets)
+    scenario.check(changed)
+    return changed
 
 
 async def _send(
     options: argparse.Namespace,
     read: Scenario,
     lines: Sequence[Line],
-    began: Began | None = None,
+    on_start: StartCallback | None = None,
 ) -> int:
+    """Send the load through the workers, write and print the report, and return the exit code."""
     if not read.targets.addresses:
         raise ScenarioError("no targets: give --target HOST:PORT or --group FILE, or use elderlock load up")
 
-    def live(second: Second) -> None:
+    def print_second(second: Second) -> None:
         if not options.quiet:
             print(report.live(second), file=sys.stderr, flush=True)
 
-    # a part of a trace for each worker, which the run joins at its end
+    # Each worker writes its part of the trace to this folder. The coordinator joins the parts at the end.
     with tempfile.TemporaryDirectory(prefix="elderlock-load-", ignore_cleanup_errors=True) as folder:
-        coordinator = Coordinator(read, lines, live, began, key_of(read), Path(folder))
+        coordinator = Coordinator(read, lines, print_second, on_start, key_of(read), Path(folder))
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, coordinator.interrupt)
         try:
-            made = await coordinator.run(options.fail_if)
+            result = await coordinator.run(options.fail_if)
         finally:
             for number in (signal.SIGINT, signal.SIGTERM):
                 loop.remove_signal_handler(number)
-    return _told(made, options.json, options.html)
+    return _output(result, options.json, options.html)
+
 
+def _output(result: Report, json_path: Path | None, html_path: Path | None) -> int:
+    """Print and write the report, and return the exit code.
 
-def _told(made: Report, as_json: Path | None, as_html: Path | None) -> int:
-    """Writes and prints it. A disk that is full costs the file and the exit code, not the figures."""
-    print("\n".join(report.summary(made)), flush=True)
-    code = made.exit
-    for path, make in ((as_json, report.encode), (as_html, _page)):
+    If a file cannot be written, for example because the disk is full, the report is printed all the same and the exit
+    code says so.
+    """
+    print("\n".join(report.summary(result)), flush=True)
+    code = result.exit
+    for path, encode in ((json_path, report.encode), (html_path, _page)):
         if path is None:
             continue
         try:
-            _write(path, make(made))
+            _write(path, encode(result))
         except OSError as error:
             print(f"elderlock: {path}: not written: {error.strerror}", file=sys.stderr)
             code = code or Exit.INCOMPLETE
     return code
 
 
-def _page(made: Report) -> bytes:
+def _page(result: Report) -> bytes:
+    """Return the report as an HTML page."""
     from elderlock.load.page import page
 
-    return page(made).encode()
+    return page(result).encode()
 
 
 def _write(path: Path, data: bytes) -> None:
-    """Whole or not at all: a report that was cut would be read as another one."""
-    part = path.with_name(f".{path.name}.{os.getpid()}")
+    """Write a file atomically, because a truncated report could be read as a different one."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        part.write_bytes(data)
-        part.replace(path)
+        temporary.write_bytes(data)
+        temporary.replace(path)
     except OSError:
         with contextlib.suppress(OSError):
-            part.unlink()
+            temporary.unlink()
         raise
 
 
 def run(options: argparse.Namespace) -> int:
+    """Send a scenario's load to running limiters."""
     import uvloop
 
     read = _scenario(options)
@@ -218,6 +256,11 @@
 
 
 async def _run(options: argparse.Namespace, read: Scenario) -> int:
+    """Find the targets and the workers, and send the load.
+
+    Raises:
+        ScenarioError: The group has no agent of that name, or there are no targets.
+    """
     group: Group | None = None
     addresses = list(options.target or read.targets.addresses)
     agents = [name for name in options.agents.split(",") if name]
@@ -227,43 +270,45 @@
             raise ScenarioError(f"the group has no agent {sorted(unknown)[0]}; it has {', '.join(group.names)}")
     try:
         if not addresses and group is not None:
-            addresses = await _listens(group)
+            addresses = await _limiter_addresses(group)
         lines = local_lines(read.workers)
         if agents:
             from elderlock.load.remote import RemoteLine
 
             assert group is not None
-            lines += [RemoteLine(group, agent, read.workers + n) for n, agent in enumerate(agents)]
-        return await _send(options, _at(read, addresses), lines)
+            lines += [RemoteLine(group, agent, read.workers + index) for index, agent in enumerate(agents)]
+        return await _send(options, _with_targets(read, addresses), lines)
     finally:
         if group is not None:
             group.close()
 
 
 def _group(options: argparse.Namespace) -> Group:
-    from elderlock.cli.group import group_of
+    from elderlock.cli.group import selected_group
 
-    return cast(Group, group_of(options))
+    return cast(Group, selected_group(options))
 
 
-async def _listens(group: Group) -> list[str]:
-    """Where the group's limiters listen, in the order of their names; those that do not say so are named."""
-    seen = await observe_group(group, accounts=0)
-    found: dict[str, str] = {}
-    silent = [f"agent {name}" for name in seen.missing]
-    for shown in seen.shown.values():
+async def _limiter_addresses(group: Group) -> list[str]:
+    """Return the addresses of the group's limiters in the order of their numbers, and warn about unknown ones."""
+    observation = await observe_group(group, accounts=0)
+    addresses: dict[str, str] = {}
+    silent = [f"agent {name}" for name in observation.missing]
+    for shown in observation.shown.values():
         for limiter in shown.limiters:
             if limiter.state is not None:
-                found[limiter.name] = limiter.state.listen
+                addresses[limiter.name] = limiter.state.listen
             else:
                 silent.append(limiter.name)
     if silent:
-        print(f"elderlock: not told where they listen: {', '.join(silent)}", file=sys.stderr)
-    # n2 comes before n10: the place is a limiter's number, by which accounts' sets are counted
-    return [found[name] for name in sorted(found, key=lambda name: (len(name), name))]
+        print(f"elderlock: no address is known of: {', '.join(silent)}", file=sys.stderr)
+    # n2 comes before n10. The position in the list must be the limiter's number, because an account's set of limiters
+    # is given by numbers.
+    return [addresses[name] for name in sorted(addresses, key=lambda name: (len(name), name))]
 
 
 def up(options: argparse.Namespace) -> int:
+    """Start a group, and send a scenario's load to it while its faults are injected."""
     from elderlock.cli.running_groups import GROUP_FOLDER_PREFIX
     from elderlock.trial.processes import swept
 
@@ -272,6 +317,18 @@
 
 
 async def _up(options: argparse.Namespace, read: Scenario, folder: Path, mark: str) -> int:
+    """Run the group and the load.
+
+    Args:
+        options: The parsed arguments.
+        read: The scenario.
+        folder: The folder for the group's files.
+        mark: The value that marks the processes of this run in their environment.
+
+    Raises:
+        LoadError: The group did not start, or a fault of the scenario cannot be injected.
+        ScenarioError: The scenario is not valid for the group.
+    """
     from elderlock.cli.up import UpError, running_group
     from elderlock.standins.troubles import Planned, TroubleError, Troubles
 
@@ -295,22 +352,29 @@
                             return True
                 return False
 
-            planned = [Planned(t.at_s, t.for_s, t.what, t.target, t.by_ms) for t in read.trouble]
+            planned = [
+                Planned(fault.at_s, fault.for_s, fault.what, fault.target, fault.by_ms) for fault in read.trouble
+            ]
             troubles = Troubles(planned, world, kill)
             kind = options.door or read.targets.kind
             if kind == "grpc" and not world.doors:
-                raise ScenarioError("this needs the extra elderlock[grpc]")
+                raise ScenarioError("sending over gRPC needs the extra elderlock[grpc]")
             addresses = world.doors if kind == "grpc" else world.listens
-            print(f"{world.limiters} limiters and {len(world.boxes)} boxes are up", file=sys.stderr, flush=True)
-            return await _send(options, _at(read, addresses, kind), local_lines(read.workers), troubles.run)
+            print(f"{world.limiters} limiters and {len(world.boxes)} boxes are running", file=sys.stderr, flush=True)
+            return await _send(options, _with_targets(read, addresses, kind), local_lines(read.workers), troubles.run)
     except (UpError, TroubleError) as error:
         raise LoadError(str(error)) from None
 
 
-# Looking
+# Reports and traces
 
 
 def _report(path: Path) -> Report:
+    """Read a stored report.
+
+    Raises:
+        ValueError: The file is not a report.
+    """
     try:
         return report.decode(path.read_bytes())
     except ValueError as error:
@@ -318,55 +382,59 @@
 
 
 def show(options: argparse.Namespace) -> int:
-    made = _report(options.report)
-    failed = report.judged(made, options.fail_if)
-    made.failed += failed
-    if failed and made.exit == Exit.DONE:
-        made.exit = Exit.FAILED
-    return _told(made, None, options.html)
-
-
-def compared(options: argparse.Namespace) -> int:
-    found, warnings = compare.compared(_report(options.before), _report(options.after))
+    """Print a stored report, and check it against the thresholds of `--fail-if`."""
+    result = _report(options.report)
+    failed = report.judged(result, options.fail_if)
+    result.failed += failed
+    if failed and result.exit == Exit.DONE:
+        result.exit = Exit.FAILED
+    return _output(result, None, options.html)
+
+
+def compare_reports(options: argparse.Namespace) -> int:
+    """Print the differences of two stored reports."""
+    differences, warnings = compare.compared(_report(options.before), _report(options.after))
     if options.json:
-        rows = [{**msgspec.structs.asdict(each), "verdict": each.verdict} for each in found]
+        rows = [{**msgspec.structs.asdict(difference), "verdict": difference.verdict} for difference in differences]
         print(json.dumps({"differences": rows, "careful": warnings}))
     else:
-        print("\n".join(compare.lines(found, warnings)))
+        print("\n".join(compare.lines(differences, warnings)))
     return Exit.DONE
 
 
 def check(options: argparse.Namespace) -> int:
+    """Check a scenario, or read a trace to its end and count its requests and errors."""
     if options.file.endswith(".toml") or len(Path(options.file).parts) == 1 and not Path(options.file).exists():
         read = scenario.read(options.file, options.set)
-        rates = [sum(piece.expected for piece in scenario.pieces(s, read.for_s)) for s in read.stream]
-        what = f"a replay of {read.replay.path}" if read.replay else f"about {sum(rates):.0f} requests"
-        print(f"{read.name}: can be used; {what}, {len(read.trouble)} troubles")
+        expected = [sum(piece.expected for piece in scenario.pieces(stream, read.for_s)) for stream in read.stream]
+        requests = f"a replay of {read.replay.path}" if read.replay else f"about {sum(expected):.0f} requests"
+        print(f"{read.name}: the scenario is valid; {requests}, {len(read.trouble)} faults")
         return Exit.DONE
     counts: Counter[str] = Counter()
-    first: dict[str, str] = {}
+    first_errors: dict[str, str] = {}
     accounts: set[str] = set()
-    last = 0
+    last_us = 0
     with trace.open_trace(Path(options.file)) as file:
         for _, row in trace.rows(trace.lines(file)):
             if isinstance(row, trace.TraceError):
                 counts[row.reason] += 1
-                first.setdefault(row.reason, str(row))
+                first_errors.setdefault(row.reason, str(row))
             else:
                 counts["rows"] += 1
-                last = row.at
+                last_us = row.at
                 if len(accounts) < scenario.MOST_ACCOUNTS:
                     accounts.add(row.account)
-    print(f"{counts.pop('rows', 0)} requests of {len(accounts)} accounts, to {last / 1e6:.3f} s")
+    print(f"{counts.pop('rows', 0)} requests of {len(accounts)} accounts, until {last_us / 1e6:.3f} s")
     for reason, count in counts.items():
-        print(f"{count} for {reason}, the first: {first[reason]}")
+        print(f"{count} errors: {reason}; the first: {first_errors[reason]}")
     return Exit.INCOMPLETE if counts else Exit.DONE
 
 
 def rename(options: argparse.Namespace) -> int:
+    """Copy a trace with pseudonyms in place of its accounts."""
     renamer = Renamer(options.key.read_bytes())
     if options.out.resolve() == options.trace.resolve():
-        raise ValueError(f"{options.out}: a trace is not renamed in place")
+        raise ValueError(f"{options.out}: the new trace must be a different file")
     with trace.open_trace(options.trace) as file, contextlib.closing(trace.Writer(options.out)) as writer:
         for _, row in trace.rows(trace.lines(file)):
             if isinstance(row, trace.TraceError):
@@ -378,10 +446,12 @@
 
 
 def record(options: argparse.Namespace) -> int:
+    """Make a trace from the request counts of a group's limiters."""
     return asyncio.run(_record(options))
 
 
 async def _record(options: argparse.Namespace) -> int:
+    """Poll the limiters until a signal or the end of `--for`, and write the trace."""
     from elderlock.control.request_metrics import MAXIMUM_ACCOUNTS
     from elderlock.load.recorder import Recorder
 
@@ -392,30 +462,34 @@
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
-    began = before = time.monotonic()
-    missed = 0
+    started_at = previous_poll_at = time.monotonic()
+    missing_answers = 0
     with contextlib.closing(trace.Writer(options.out)) as writer:
         while True:
-            seen = await observe_group(group, MAXIMUM_ACCOUNTS)
+            observation = await observe_group(group, MAXIMUM_ACCOUNTS)
             now = time.monotonic()
-            missed += len(seen.missing)
-            states = {state.limiter: state for state in seen.states()}
-            for row in recorder.look(states, before - began, now - began):
+            missing_answers += len(observation.missing)
+            states = {state.limiter: state for state in observation.states()}
+            for row in recorder.look(states, previous_poll_at - started_at, now - started_at):
                 writer.write(row)
-            before = now
-            if stop.is_set() or now - began >= options.lasts:
+            previous_poll_at = now
+            if stop.is_set() or now - started_at >= options.lasts:
                 break
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(min(options.every, max(0.0, began + options.lasts - now))):
+                async with asyncio.timeout(min(options.every, max(0.0, started_at + options.lasts - now))):
                     await stop.wait()
     group.close()
-    print(f"{writer.rows} requests in {recorder.looks} looks")
-    if recorder.uncounted or missed:
-        print(f"not told apart: {recorder.uncounted} requests; agents that did not answer: {missed} times")
+    print(f"{writer.rows} requests in {recorder.looks} polls")
+    if recorder.uncounted or missing_answers:
+        print(
+            f"not in the trace: {recorder.uncounted} requests of unknown account or plan; "
+            f"{missing_answers} answers of agents missing"
+        )
     return Exit.DONE if writer.rows else Exit.INCOMPLETE
 
 
 def scenarios(options: argparse.Namespace) -> int:
+    """List the built-in scenarios."""
     for name in scenario.ships():
         print(f"{name}: {scenario.read(name).about}")
     return Exit.DONE
--- a/elderlock/cli/main.py
+++ b/elderlock/cli/main.py
@@ -1,4 +1,7 @@
-"""The command `elderlock`. `python -m elderlock` is another thing: the one limiter."""
+"""The command line `elderlock`.
+
+`python -m elderlock` is a different program: it runs one limiter.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +17,18 @@
 
 EPILOG = """exit codes:
   0  done everywhere
-  2  bad usage, or a file that cannot be used
-  3  done in part: some not reached, or it is not known whether they were
+  2  wrong usage, or a file that cannot be used
+  3  done in part: some limiters were not reached, or it is unknown whether they were
   4  nothing was done
   5  refused as unsafe; --force overrides
-  6  another operator's change holds instead
+  6  another operator's change is in force instead
 
 environment:
-  ELDERLOCK_GROUP   the group file, in place of --group
-  ELDERLOCK_TOKEN   the token's file, in place of --token-file
+  ELDERLOCK_GROUP   the group file, unless --group is given
+  ELDERLOCK_TOKEN   the token file, unless --token-file is given
 """
 
-
-# whose lack means which extra
+# The extra that installs each optional module
 EXTRAS = {
     "hiredis": "standins",
     "grpc": "grpc",
@@ -40,32 +42,35 @@
 }
 
 LOAD_EPILOG = """exit codes:
-  0  done, and all thresholds kept
-  2  bad usage, or a file that cannot be used
-  7  a threshold was not kept
+  0  done, and all thresholds were met
+  2  wrong usage, or a file that cannot be used
+  7  a threshold was not met
   8  the generator fell behind its schedule
-  9  a part of the load was not sent, or a report not written
+  9  a part of the load was not sent, or a report was not written
 """
 
-
 SIM_EPILOG = """exit codes:
-  0  done, and nothing was broken
-  2  bad usage, or a file that cannot be used
-  3  a part of the runs is not recorded yet
-  7  a rule was broken, or a bound was not kept
+  0  done, and no invariant was violated
+  2  wrong usage, or a file that cannot be used
+  3  some runs are not recorded yet
+  7  an invariant was violated, or a threshold was not met
 """
 
-
 TRIAL_EPILOG = """exit codes:
-  0  done, and nothing was broken
-  2  bad usage, a file that cannot be used, or a group that did not come up
-  7  a rule was broken
-  8  the machine had no time for it: the run says nothing
+  0  done, and no invariant was violated
+  2  wrong usage, a file that cannot be used, or a group that did not start
+  7  an invariant was violated
+  8  the machine was too slow: the run is inconclusive
 """
 
 
-def parser(whole: bool = True) -> argparse.ArgumentParser:
-    """`whole`: with the parts of `load`, `sim` and `experiment`, which take a while to read in."""
+def parser(all_subcommands: bool = True) -> argparse.ArgumentParser:
+    """Return the parser of the command line.
+
+    Args:
+        all_subcommands: Whether to add the subcommands of `load`, `sim`, `experiment` and `trial`. Importing their
+            modules is slow, so `main` adds them only if they are needed.
+    """
     top = argparse.ArgumentParser(
         prog="elderlock",
         epilog=EPILOG,
@@ -83,154 +88,172 @@
             formatter_class=argparse.RawDescriptionHelpFormatter,
         )
 
-    def grouped(command: argparse.ArgumentParser) -> None:
+    def add_group_options(command: argparse.ArgumentParser) -> None:
         command.add_argument("--group", type=Path, metavar="FILE", help="the group file")
-        command.add_argument("--token-file", type=Path, metavar="FILE", help="in place of the group file's")
-        command.add_argument("--deadline", type=_seconds, default=1.0, metavar="S", help="for each agent to answer (1)")
+        command.add_argument(
+            "--token-file",
+            type=Path,
+            metavar="FILE",
+            help="the token file, in place of the one that the group file names",
+        )
+        command.add_argument(
+            "--deadline", type=_seconds, default=1.0, metavar="S", help="how long to wait for each agent's answer (1)"
+        )
 
-    def tried(command: argparse.ArgumentParser) -> None:
+    def add_retry_options(command: argparse.ArgumentParser) -> None:
         command.add_argument(
-            "--give-up-after", type=_seconds, metavar="S", help="stop trying then (goes on till Ctrl-C)"
+            "--give-up-after", type=_seconds, metavar="S", help="stop retrying after S s (retries until Ctrl-C)"
         )
-        command.add_argument("--force", action="store_true", help="although it is unsafe")
-        command.add_argument("--json", action="store_true", help="the account as one JSON object")
-
-    show = add("show", "shows all limiters and boxes at a glance", "elderlock show --watch 2")
-    show.add_argument("what", nargs="?", choices=("shared",), help="what limiters share about boxes, in place of all")
-    grouped(show)
-    show.add_argument("--json", action="store_true", help="all that is known, as one JSON object")
-    show.add_argument("--watch", type=_seconds, nargs="?", const=1.0, metavar="S", help="again every S s")
-    show.add_argument("--accounts", action="store_true", help="with counts by plan and account")
-    show.add_argument("--details", action="store_true", help="with throttle, peers and configuration")
-
-    explain = add("explain", "why a box is used or not, limiter by limiter", "elderlock explain box s-5be2a07c")
+        command.add_argument("--force", action="store_true", help="do it even if it is unsafe")
+        command.add_argument("--json", action="store_true", help="print the result as one JSON object")
+
+    show = add("show", "shows the state of all limiters and boxes", "elderlock show --watch 2")
+    show.add_argument(
+        "what", nargs="?", choices=("shared",), help="show only the health evidence and ceilings that limiters share"
+    )
+    add_group_options(show)
+    show.add_argument("--json", action="store_true", help="print everything as one JSON object")
+    show.add_argument("--watch", type=_seconds, nargs="?", const=1.0, metavar="S", help="repeat every S s (1)")
+    show.add_argument("--accounts", action="store_true", help="also show counts by plan and account")
+    show.add_argument("--details", action="store_true", help="also show throttle, peers and configuration")
+
+    explain = add("explain", "explains for each limiter why it uses a box or not", "elderlock explain box s-5be2a07c")
     explain.add_argument("kind", choices=("box",))
-    explain.add_argument("target", help="the uid of a box")
-    grouped(explain)
-    explain.add_argument("--json", action="store_true", help="as one JSON object")
+    explain.add_argument("target", help="the uid of the box")
+    add_group_options(explain)
+    explain.add_argument("--json", action="store_true", help="print one JSON object")
 
-    compare = add("compare", "says what differs between limiters, and which stand out", "elderlock compare")
-    grouped(compare)
-    compare.add_argument("--json", action="store_true")
+    compare = add("compare", "shows differences between limiters, and outliers", "elderlock compare")
+    add_group_options(compare)
+    compare.add_argument("--json", action="store_true", help="print a JSON list")
 
     for name, help in (
-        ("drain", "lets no new work go to a box, or to a limiter, until it is undrained"),
+        ("drain", "stops new requests to a box or a limiter until it is undrained"),
         ("undrain", "ends an operator's drain"),
     ):
         command = add(name, help, f"elderlock {name} box s-5be2a07c --reason 'fan is loud'")
         command.add_argument("kind", choices=("box", "limiter"))
         command.add_argument("target", nargs="+", help="uids of boxes, or names of limiters")
-        grouped(command)
-        tried(command)
-        command.add_argument("--reason", default="", help="kept with the record, for the others")
-        command.add_argument("--expect", type=int, metavar="GEN", help="only if the record is still of this generation")
-        command.add_argument("--no-wait", action="store_true", help="do not wait for work that is out")
+        add_group_options(command)
+        add_retry_options(command)
+        command.add_argument("--reason", default="", help="a note in the record, for other operators")
+        command.add_argument("--expect", type=int, metavar="GEN", help="only if the record still has this generation")
+        command.add_argument("--no-wait", action="store_true", help="do not wait for requests in flight")
 
     for name, help in (
-        ("start", "starts limiters that are stopped or were given up"),
-        ("stop", "stops limiters once all they took is answered"),
+        ("start", "starts limiters that are stopped or whose restarts were given up"),
+        ("stop", "stops limiters after their accepted requests are answered"),
     ):
         command = add(name, help, f"elderlock {name} n2")
-        command.add_argument("limiter", nargs="+")
-        grouped(command)
-        tried(command)
+        command.add_argument("limiter", nargs="+", help="names of limiters")
+        add_group_options(command)
+        add_retry_options(command)
 
-    audit = add("audit", "who commanded what, and how far it came", "elderlock audit --most 20")
-    grouped(audit)
-    audit.add_argument("--most", type=int, default=20, metavar="N")
-    audit.add_argument("--json", action="store_true")
+    audit = add("audit", "lists operators' commands and what they reached", "elderlock audit --most 20")
+    add_group_options(audit)
+    audit.add_argument("--most", type=int, default=20, metavar="N", help="at most N commands of each agent (20)")
+    audit.add_argument("--json", action="store_true", help="print a JSON list")
 
-    budget = add("budget", "what may be out at once, what is, and by whose permit", "elderlock budget")
-    grouped(budget)
-    budget.add_argument("--json", action="store_true")
+    budget = add(
+        "budget", "shows how much may be out of service at once, what is, and the permits for it", "elderlock budget"
+    )
+    add_group_options(budget)
+    budget.add_argument("--json", action="store_true", help="print one JSON object")
 
     from elderlock.cli.plans import add as add_plans
 
-    add_plans(commands, grouped, _seconds, argparse.RawDescriptionHelpFormatter, EPILOG)
+    add_plans(commands, add_group_options, _seconds, argparse.RawDescriptionHelpFormatter, EPILOG)
 
-    base = add("base", "starts the agent on the version that a release says", "elderlock base deploy/agent.toml")
-    base.add_argument("file", type=Path)
-    base.add_argument("--log-format", choices=("text", "json"), default="text", help="of all log lines (text)")
+    base = add("base", "starts the agent in the version that a release selects", "elderlock base deploy/agent.toml")
+    base.add_argument("file", type=Path, help="the agent's file")
+    base.add_argument("--log-format", choices=("text", "json"), default="text", help="format of all log lines (text)")
     agent = add("agent", "runs the agent of this machine", "elderlock agent deploy/agent.toml")
-    agent.add_argument("file", type=Path)
-    agent.add_argument("--check", action="store_true", help="only check the file")
-    agent.add_argument("--log-format", choices=("text", "json"), default="text", help="of its log lines (text)")
-
-    up = add("up", "starts a whole group on loopback, to try things", "elderlock up --limiters 3 --traffic 60")
-    up.add_argument("--limiters", type=int, default=3, metavar="N")
-    up.add_argument("--boxes", type=int, default=9, metavar="N")
-    up.add_argument("--traffic", type=float, default=0.0, metavar="RATE", help="requests a second (none)")
-    up.add_argument("--for", dest="lasts", type=_seconds, metavar="S", help="stop by itself after S s")
-    up.add_argument("--seed", type=int, default=1)
-
-    load = add("load", "rehearses a rush: an open-loop load generator", "elderlock load up tet-monday --html tet.html")
+    agent.add_argument("file", type=Path, help="the agent's file")
+    agent.add_argument("--check", action="store_true", help="check the file and exit")
+    agent.add_argument("--log-format", choices=("text", "json"), default="text", help="format of its log lines (text)")
+
+    up = add("up", "starts a complete group on loopback, for experiments", "elderlock up --limiters 3 --traffic 60")
+    up.add_argument("--limiters", type=int, default=3, metavar="N", help="number of limiters (3)")
+    up.add_argument("--boxes", type=int, default=9, metavar="N", help="number of boxes (9)")
+    up.add_argument("--traffic", type=float, default=0.0, metavar="RATE", help="requests per second (none)")
+    up.add_argument("--for", dest="lasts", type=_seconds, metavar="S", help="stop after S s")
+    up.add_argument("--seed", type=int, default=1, help="seed of the random traffic (1)")
+
+    load = add("load", "generates load at a given rate (open loop)", "elderlock load up tet-monday --html tet.html")
     load.epilog = LOAD_EPILOG
     load_commands = load.add_subparsers(dest="load_command", required=True, metavar="COMMAND")
-    if whole:
+    if all_subcommands:
         from elderlock.cli.load import add as add_load
 
         add_load(load_commands, _seconds)
 
-    sim = add("sim", "plays a whole group in simulated time, and searches for failures", "elderlock sim run partition")
+    sim = add("sim", "simulates a group in virtual time, and searches for failures", "elderlock sim run partition")
     sim.epilog = SIM_EPILOG
     sim_commands = sim.add_subparsers(dest="sim_command", required=True, metavar="COMMAND")
-    experiment = add("experiment", "what if: scenarios, settings and seeds", "elderlock experiment run subset.toml")
+    experiment = add("experiment", "compares settings over scenarios and seeds", "elderlock experiment run subset.toml")
     experiment.epilog = SIM_EPILOG
     experiment_commands = experiment.add_subparsers(dest="experiment_command", required=True, metavar="COMMAND")
-    if whole:
+    if all_subcommands:
         from elderlock.cli.sim import add as add_sim
         from elderlock.cli.sim import add_experiment
 
         add_sim(sim_commands, _seconds)
         add_experiment(experiment_commands)
 
-    trial = add("trial", "plays schedules on real processes", "elderlock trial run partition")
+    trial = add("trial", "runs scenarios on real processes", "elderlock trial run partition")
     trial.epilog = TRIAL_EPILOG
     trial_commands = trial.add_subparsers(dest="trial_command", required=True, metavar="COMMAND")
-    if whole:
+    if all_subcommands:
         from elderlock.cli.trial import add as add_trial
 
         add_trial(trial_commands)
 
     completion = add(
-        "completion", "prints a shell's completion script", "elderlock completion bash > ~/.elderlock.bash"
+        "completion", "prints the completion script of a shell", "elderlock completion bash > ~/.elderlock.bash"
     )
     completion.add_argument("shell", choices=("bash", "zsh", "tcsh"))
     return top
 
 
 def _seconds(text: str) -> float:
+    """Parse a positive number of seconds below a million."""
     try:
         value = float(text)
     except ValueError:
         raise argparse.ArgumentTypeError(f"{text!r} is not a number of seconds") from None
     if not 0 < value < 1e6:
-        raise argparse.ArgumentTypeError(f"{text} is out of range")
+        raise argparse.ArgumentTypeError(f"{text} is out of range: more than 0 and less than 1000000")
     return value
 
 
 def main(argv: Sequence[str] | None = None) -> int:
+    """Run the command line and return its exit code.
+
+    Args:
+        argv: The arguments; those of the process by default.
+    """
     words = sys.argv[1:] if argv is None else list(argv)
     try:
-        whole = {"load", "sim", "experiment", "trial", "completion"}
-        options = parser(whole=bool(whole & set(words))).parse_args(words)
-        with contextlib.suppress(BrokenPipeError):  # `| head` has read enough
+        needs_subcommands = {"load", "sim", "experiment", "trial", "completion"}
+        options = parser(all_subcommands=bool(needs_subcommands & set(words))).parse_args(words)
+        with contextlib.suppress(BrokenPipeError):  # the reader, such as `head`, has closed the pipe
             return _run(options)
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
     except ModuleNotFoundError as error:
         extra = EXTRAS.get((error.name or "").split(".")[0], "fleet")
-        print(f"elderlock: this needs the extra elderlock[{extra}]: {error}", file=sys.stderr)
+        print(f"elderlock: the extra elderlock[{extra}] is not installed: {error}", file=sys.stderr)
         return 2
 
 
 def _run(options: argparse.Namespace) -> int:
+    """Run the command that the options name. Each command's modules are imported only if it runs."""
     if options.command == "completion":
         import shtab
 
         print(shtab.complete(parser(), options.shell))
         return 0
-    from elderlock.cli.group import group_of
+    from elderlock.cli.group import selected_group
     from elderlock.fleet.config import FileError
 
     try:
@@ -260,43 +283,47 @@
             return up(options)
         from elderlock.cli import commands, plans
 
-        work: dict[str, Callable[..., Coroutine[Any, Any, int]]] = {
+        handlers: dict[str, Callable[..., Coroutine[Any, Any, int]]] = {
             "show": commands.show,
             "explain": commands.explain,
             "compare": commands.compare,
             "drain": commands.drain,
             "undrain": commands.drain,
-            "start": commands.order,
-            "stop": commands.order,
+            "start": commands.start_or_stop,
+            "stop": commands.start_or_stop,
             "audit": commands.audit,
             "budget": commands.budget,
             "release": plans.main,
             "plan": plans.main,
         }
-        return _interruptible(work[options.command](options, group_of(options)))
+        return _run_interruptibly(handlers[options.command](options, selected_group(options)))
     except FileError as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
 
 
-def _interruptible(work: Coroutine[Any, Any, int]) -> int:
-    """Ctrl-C and SIGTERM cancel the command, which then says how far it came."""
+def _run_interruptibly(command: Coroutine[Any, Any, int]) -> int:
+    """Run a command. Ctrl-C and SIGTERM cancel it, and it then reports what it reached."""
 
     async def run() -> int:
         task = asyncio.current_task()
         assert task is not None
         for number in (signal.SIGINT, signal.SIGTERM):
             asyncio.get_running_loop().add_signal_handler(number, task.cancel)
-        return await work
+        return await command
 
     try:
-        return asyncio.run(run())  # a short life: to load uvloop would cost more than it gains
+        return asyncio.run(run())  # not uvloop: loading it takes longer than it saves in a short command
     except (KeyboardInterrupt, asyncio.CancelledError):
         return 130
 
 
-def _routing(agent: Any) -> Any:
-    """The agent's door for questions over gRPC, where its file has one."""
+def _routing_server(agent: Any) -> Any:
+    """Return the agent's gRPC server for authorisation, or None if its file does not configure one.
+
+    Raises:
+        FileError: The `[authz]` table is invalid.
+    """
     if agent.file.authz is None:
         return None
     import random
@@ -312,24 +339,30 @@
         raise FileError(str(error)) from None
 
 
-def _routing_checked(path: Path) -> None:
+def _check_routing(path: Path) -> None:
+    """Check the `[authz]` table of an agent's file.
+
+    Raises:
+        FileError: The file cannot be read, or the table is invalid.
+    """
     from types import SimpleNamespace
 
     from elderlock.fleet.config import read_agent
 
-    _routing(SimpleNamespace(file=read_agent(path), folder=path.resolve().parent, usable=set))
+    _routing_server(SimpleNamespace(file=read_agent(path), folder=path.resolve().parent, usable=set))
 
 
 def _base(options: argparse.Namespace) -> int:
+    """Run the launcher, which starts the agent in the selected version."""
     import uvloop
 
     from elderlock import logs
     from elderlock.fleet.launcher.launcher import serve
 
     logs.configure(options.log_format)
-    own = (sys.executable, "-m", "elderlock.cli.main", "agent", "--log-format", options.log_format)
+    agent_command = (sys.executable, "-m", "elderlock.cli.main", "agent", "--log-format", options.log_format)
     try:
-        uvloop.run(serve(options.file, own))
+        uvloop.run(serve(options.file, agent_command))
     except OSError as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
@@ -337,6 +370,7 @@
 
 
 def _agent(options: argparse.Namespace) -> int:
+    """Run the agent, or only check its file."""
     import uvloop
 
     from elderlock import logs
@@ -345,12 +379,12 @@
 
     if options.check:
         check(options.file)
-        _routing_checked(options.file)
-        print(f"{options.file}: can be used")
+        _check_routing(options.file)
+        print(f"{options.file}: the file is valid")
         return 0
     logs.configure(options.log_format)
     try:
-        uvloop.run(serve(options.file, _routing))
+        uvloop.run(serve(options.file, _routing_server))
     except (OSError, StoreError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
--- a/elderlock/cli/plans.py
+++ b/elderlock/cli/plans.py
@@ -1,5 +1,4 @@
-"""`elderlock release` and `elderlock plan`: plans that the group carries out; the tool begins, watches and steers
-them."""
+"""`elderlock release` and `elderlock plan`: begin, watch and steer plans, which the agents of the group carry out."""
 
 from __future__ import annotations
 
@@ -11,133 +10,180 @@
 
 if TYPE_CHECKING:
     from elderlock.fleet.client.group_client import Group
-    from elderlock.fleet.client.plan_commands import Answer
+    from elderlock.fleet.client.plan_commands import Answer, PlanAnswers
 
-FILES = "files"  # the version that stands in the agents' files, for people
+FILES = "files"  # stands on the command line for the version in the agents' files
+# The name of the flag, the default in s, and the help
 TIMES = (
-    ("drain-within", 10.0, "for a limiter's open requests, before it is ended all the same"),
-    ("start-within", 20.0, "for it to answer after its start"),
-    ("settle", 20.0, "after it serves again, of which nothing is held against it"),
-    ("bake", 30.0, "of traffic, before it is judged"),
-    ("bake-most", 120.0, "for a judgement that is not clear yet"),
-    ("pause", 5.0, "between waves"),
-    ("patience", 30.0, "with a budget that is short, before it halts"),
+    ("drain-within", 10.0, "how long to wait for a limiter's open requests before it is stopped anyway"),
+    ("start-within", 20.0, "how long a limiter may take to answer after its start"),
+    ("settle", 20.0, "how long its latency is not compared after it serves again"),
+    ("bake", 30.0, "how long it serves traffic before it is analysed"),
+    ("bake-most", 120.0, "maximum of that time while the analysis is inconclusive"),
+    ("pause", 5.0, "pause between waves"),
+    ("patience", 30.0, "how long the budget may be exhausted before the plan halts"),
 )
 
 
 def add(
     commands: Any,
-    grouped: Callable[[argparse.ArgumentParser], None],
+    add_group_options: Callable[[argparse.ArgumentParser], None],
     seconds: Callable[[str], float],
     formatter: Any,
     epilog: str,
 ) -> None:
-    def command(of: Any, name: str, help: str, example: str) -> argparse.ArgumentParser:
-        made: argparse.ArgumentParser = of.add_parser(
+    """Add the commands `release` and `plan` to the command line.
+
+    Args:
+        commands: The subparsers of `elderlock`.
+        add_group_options: Adds the options that select the group.
+        seconds: Parses a number of seconds.
+        formatter: The class that formats the help.
+        epilog: The end of each command's help.
+    """
+
+    def command(subparsers: Any, name: str, help: str, example: str) -> argparse.ArgumentParser:
+        subcommand: argparse.ArgumentParser = subparsers.add_parser(
             name,
             help=help,
             description=help,
             formatter_class=formatter,
             epilog=f"example:\n  elderlock {example}\n\n{epilog}",
         )
-        return made
+        return subcommand
 
-    def json_too(made: argparse.ArgumentParser) -> None:
-        grouped(made)
-        made.add_argument("--json", action="store_true", help="as one JSON object")
+    def add_common_options(subcommand: argparse.ArgumentParser) -> None:
+        add_group_options(subcommand)
+        subcommand.add_argument("--json", action="store_true", help="print one JSON object")
 
-    def steering(of: Any, area: str) -> None:
+    def add_steering_commands(subparsers: Any, parent: str) -> None:
         for name, help in (
-            ("status", "how it stands, and what it waits for"),
-            ("halt", "stops it where it is: nothing more is taken out"),
-            ("go-on", "ends a halt"),
-            ("back", "takes back all that it has touched, in the same care"),
+            ("status", "shows the state of the plan and what it waits for"),
+            ("halt", "halts the plan: nothing more is taken out of service"),
+            ("go-on", "resumes a halted plan"),
+            ("back", "rolls back everything that the plan has changed, just as carefully"),
         ):
-            made = command(of, name, help, f"{area} {name}")
-            made.add_argument("plan", nargs="?", default="", help="its id, or how that begins; the one under way")
-            json_too(made)
+            subcommand = command(subparsers, name, help, f"{parent} {name}")
+            subcommand.add_argument(
+                "plan", nargs="?", default="", help="the plan's id or its beginning (the active plan)"
+            )
+            add_common_options(subcommand)
             if name == "status":
-                made.add_argument("--watch", action="store_true", help="until it is over or halted")
+                subcommand.add_argument("--watch", action="store_true", help="watch the plan until it ends or halts")
             else:
-                made.add_argument("--reason", default="", help="kept with the plan, for the others")
+                subcommand.add_argument("--reason", default="", help="a note in the plan, for other operators")
             if name == "go-on":
-                made.add_argument("--turn", type=int, metavar="N", help="of the halt that you saw (the one seen now)")
+                subcommand.add_argument(
+                    "--turn", type=int, metavar="N", help="revision of the plan that you saw halted (the current one)"
+                )
 
-    def release(made: argparse.ArgumentParser) -> None:
-        made.add_argument("version", help=f"its folder under [versions]; '{FILES}' for that in the agents' files")
-        made.add_argument("--limiter", nargs="+", default=[], metavar="NAME", help="these alone (all that run)")
-        made.add_argument(
-            "--agents", nargs="*", metavar="NAME", help="releases agents (elderlock base), not limiters: these or all"
+    def add_release_options(subcommand: argparse.ArgumentParser) -> None:
+        subcommand.add_argument(
+            "version", help=f"its folder under [versions]; '{FILES}' for the one in the agents' files"
+        )
+        subcommand.add_argument(
+            "--limiter", nargs="+", default=[], metavar="NAME", help="only these limiters (all that run)"
+        )
+        subcommand.add_argument(
+            "--agents",
+            nargs="*",
+            metavar="NAME",
+            help="release agents (elderlock base) instead of limiters: these, or all",
         )
-        made.add_argument(
-            "--wave", action="append", default=[], metavar="NAMES", help="a wave of your own: n0,n1; again for the next"
+        subcommand.add_argument(
+            "--wave",
+            action="append",
+            default=[],
+            metavar="NAMES",
+            help="the limiters of a wave, such as n0,n1; once for each wave",
         )
         for name, default, help in TIMES:
-            made.add_argument(f"--{name}", type=seconds, default=default, metavar="S", help=f"{help} ({default:g})")
-        made.add_argument("--auto-back", action="store_true", help="a halt of its own is followed by the way back")
-        made.add_argument("--reason", default="", help="kept with the plan, for the others")
-        json_too(made)
-
-    top = command(commands, "release", "takes limiters to another version, wave by wave", "release start 2.1 --bake 60")
-    of = top.add_subparsers(dest="plan_command", required=True, metavar="COMMAND")
-    start = command(of, "start", "begins a release; the group carries it out", "release start 2.1 --reason 'new build'")
-    release(start)
-    start.add_argument("--no-wait", action="store_true", help="do not look on")
-    steering(of, "release")
+            subcommand.add_argument(
+                f"--{name}", type=seconds, default=default, metavar="S", help=f"{help} ({default:g})"
+            )
+        subcommand.add_argument(
+            "--auto-back", action="store_true", help="roll back if the plan halts because of a fault"
+        )
+        subcommand.add_argument("--reason", default="", help="a note in the plan, for other operators")
+        add_common_options(subcommand)
+
+    top = command(commands, "release", "changes the version of limiters, wave by wave", "release start 2.1 --bake 60")
+    subparsers = top.add_subparsers(dest="plan_command", required=True, metavar="COMMAND")
+    start = command(
+        subparsers, "start", "begins a release, which the group carries out", "release start 2.1 --reason 'new build'"
+    )
+    add_release_options(start)
+    start.add_argument("--no-wait", action="store_true", help="do not watch the release")
+    add_steering_commands(subparsers, "release")
     for name, help in (
-        ("give-up", "says that an agent is gone for good, with its limiters: what is out by its hands ends"),
-        ("take-in", "takes an agent in again that was given up"),
+        ("give-up", "declares an agent and its limiters lost for good, which ends their permits"),
+        ("take-in", "reverses give-up for an agent"),
     ):
-        made = command(of, name, help, f"release {name} floor-3")
-        made.add_argument("plan", metavar="agent")
-        made.add_argument("--reason", default="")
-        json_too(made)
-
-    top = command(commands, "plan", "what would go, in which steps, and what it would leave", "plan release 2.1")
-    of = top.add_subparsers(dest="plan_command", required=True, metavar="COMMAND")
-    release(command(of, "release", "a release, without beginning it", "plan release 2.1"))
-    drain = command(of, "drain", "a drain of boxes, without beginning it", "plan drain s-00 s-01")
+        subcommand = command(subparsers, name, help, f"release {name} floor-3")
+        subcommand.add_argument("plan", metavar="agent")
+        subcommand.add_argument("--reason", default="", help="a note for other operators")
+        add_common_options(subcommand)
+
+    top = command(
+        commands,
+        "plan",
+        "shows a plan's steps and their effect without beginning it, and steers plans",
+        "plan release 2.1",
+    )
+    subparsers = top.add_subparsers(dest="plan_command", required=True, metavar="COMMAND")
+    add_release_options(command(subparsers, "release", "shows a release without beginning it", "plan release 2.1"))
+    drain = command(subparsers, "drain", "shows a drain of boxes without beginning it", "plan drain s-00 s-01")
     drain.add_argument("box", nargs="+", help="uids of boxes")
-    json_too(drain)
-    steering(of, "plan")
+    add_common_options(drain)
+    add_steering_commands(subparsers, "plan")
 
 
 async def main(options: argparse.Namespace, group: Group) -> int:
-    from elderlock.cli.commands import _err
+    """Run a subcommand of `release` or `plan` and return its exit code.
+
+    Args:
+        options: The parsed arguments.
+        group: The group, which is closed at the end.
+    """
+    from elderlock.cli.commands import print_errors
 
     try:
         return await _main(options, group)
     except asyncio.CancelledError:
-        _err(["interrupted: what was begun goes on in the group"])
+        print_errors(["interrupted: a plan that has begun continues in the group"])
         return 3
     finally:
         group.close()
 
 
 async def _main(options: argparse.Namespace, group: Group) -> int:
-    from elderlock.fleet import messages as f
-    from elderlock.fleet.client import plan_commands as operate
+    from elderlock.fleet import messages
+    from elderlock.fleet.client import plan_commands
     from elderlock.fleet.client.report import Exit
     from elderlock.rollout.plans import RolloutPolicy
 
-    what = options.plan_command
-    if what == "status":
+    command = options.plan_command
+    if command == "status":
         return await _status(options, group)
-    if what in ("halt", "go-on", "back", "give-up", "take-in"):
-        id, turn = options.plan, 0
-        if what not in ("give-up", "take-in"):
-            now = await operate.list_plans(group, options.deadline)
-            plan = now.plan(options.plan)
+    if command in ("halt", "go-on", "back", "give-up", "take-in"):
+        target, revision = options.plan, 0
+        if command not in ("give-up", "take-in"):
+            plans = await plan_commands.list_plans(group, options.deadline)
+            plan = plans.plan(options.plan)
             if plan is None:
-                return _said(options, operate.Answer(Exit.NOTHING, None, [_none(now, options.plan)]))
-            id, turn = plan.id, plan.revision
+                reason = _no_plan_reason(plans, options.plan)
+                return _print_answer(options, plan_commands.Answer(Exit.NOTHING, None, [reason]))
+            target, revision = plan.id, plan.revision
         if getattr(options, "turn", None) is not None:
-            turn = options.turn
-        answer = await operate.ask_any(
-            group, lambda n: f.SteerPlan(n, id, what, turn, options.reason), f.SteerAnswer, options.deadline
+            revision = options.turn
+        answer = await plan_commands.ask_any(
+            group,
+            lambda request_id: messages.SteerPlan(request_id, target, command, revision, options.reason),
+            messages.SteerAnswer,
+            options.deadline,
         )
-        return _said(options, answer)
-    terms = (
+        return _print_answer(options, answer)
+    policy = (
         RolloutPolicy(
             drain_timeout_s=options.drain_within,
             start_timeout_s=options.start_within,
@@ -148,96 +194,102 @@
             patience_s=options.patience,
             automatic_rollback=options.auto_back,
         )
-        if what != "drain"
+        if command != "drain"
         else RolloutPolicy(wave_pause_s=0.0)
     )
-    dry = what != "start"
-    if what == "drain":
+    is_dry_run = command != "start"
+    if command == "drain":
         from elderlock.fleet.client.drain_commands import observe_group, server_drain_steps
 
         steps = server_drain_steps(await observe_group(group, accounts=0, timeout_s=options.deadline), options.box)
-        make = operate.begin(os.urandom(16).hex(), "drain", "", options.box, steps, terms, "", dry)
+        make_request = plan_commands.begin(
+            os.urandom(16).hex(), "drain", "", options.box, steps, policy, "", is_dry_run
+        )
     else:
         version = "" if options.version == FILES else options.version
         waves = [wave.split(",") for wave in options.wave]
         origin = os.urandom(16).hex()
         kind, targets = ("release", options.limiter) if options.agents is None else ("agents", options.agents)
-        make = operate.begin(origin, kind, version, targets, waves, terms, options.reason, dry)
-    answer = await operate.ask_any(group, make, f.BeginAnswer, options.deadline)
-    if dry or answer.exit != Exit.DONE or options.no_wait or answer.plan is None:
-        return _said(options, answer)
-    return _said(options, await _watched(options, group, answer.plan.id))
+        make_request = plan_commands.begin(origin, kind, version, targets, waves, policy, options.reason, is_dry_run)
+    answer = await plan_commands.ask_any(group, make_request, messages.BeginAnswer, options.deadline)
+    if is_dry_run or answer.exit != Exit.DONE or options.no_wait or answer.plan is None:
+        return _print_answer(options, answer)
+    return _print_answer(options, await _watch(options, group, answer.plan.id))
 
 
-async def _watched(options: argparse.Namespace, group: Group, id: str) -> Answer:
-    from elderlock.cli.commands import _out
-    from elderlock.fleet.client import plan_commands as operate
+async def _watch(options: argparse.Namespace, group: Group, plan_id: str) -> Answer:
+    """Wait until the plan ends or halts, and print its progress meanwhile unless the output is JSON."""
+    from elderlock.cli.commands import print_lines
+    from elderlock.fleet.client import plan_commands
 
-    told: Callable[[list[str]], None] = (lambda lines: None) if options.json else _out
-    return await operate.watch(group, id, options.deadline, told)
+    on_progress: Callable[[list[str]], None] = (lambda lines: None) if options.json else print_lines
+    return await plan_commands.watch(group, plan_id, options.deadline, on_progress)
 
 
-def _none(now: Any, id: str) -> str:
-    if now.newest is None:
-        return "; ".join(f"agent {name}: {text}" for name, text in now.missing.items()) or "no agent answers"
-    if id:
-        return f"no plan, or more than one, begins with {id}"
-    names = ", ".join(plan.id[:8] for plan in now.newest.plans if plan.state != "over")
-    return f"several plans are under way: {names}" if names else "there is no plan"
+def _no_plan_reason(answers: PlanAnswers, plan_id: str) -> str:
+    """Return why the agents' answers do not identify one plan."""
+    if answers.newest is None:
+        return "; ".join(f"agent {name}: {text}" for name, text in answers.missing.items()) or "no agent answers"
+    if plan_id:
+        return f"no plan, or more than one, has an id that begins with {plan_id}"
+    ids = ", ".join(plan.id[:8] for plan in answers.newest.plans if plan.state != "over")
+    return f"several plans are active: {ids}" if ids else "there is no plan"
 
 
 async def _status(options: argparse.Namespace, group: Group) -> int:
+    """Print the state of a plan, or of all plans as JSON."""
     import json
 
     import msgspec
 
-    from elderlock.cli.commands import _err, _out
-    from elderlock.fleet.client import plan_commands as operate
+    from elderlock.cli.commands import print_errors, print_lines
+    from elderlock.fleet.client import plan_commands
     from elderlock.fleet.client.report import Exit
 
-    now = await operate.list_plans(group, options.deadline)
+    plans = await plan_commands.list_plans(group, options.deadline)
     if options.json and not options.watch:
-        newest = now.newest
+        newest = plans.newest
         print(
             json.dumps(
                 {
                     "plans": msgspec.to_builtins(newest.plans) if newest is not None else [],
-                    "agents": {name: msgspec.to_builtins(answer) for name, answer in now.answers.items()},
-                    "missing": now.missing,
+                    "agents": {name: msgspec.to_builtins(answer) for name, answer in plans.answers.items()},
+                    "missing": plans.missing,
                 }
             )
         )
-        return Exit.DONE if newest is not None and not now.missing else Exit.PART
-    plan = now.plan(options.plan)
+        return Exit.DONE if newest is not None and not plans.missing else Exit.PART
+    plan = plans.plan(options.plan)
     if plan is None:
-        _err([_none(now, options.plan)])
+        print_errors([_no_plan_reason(plans, options.plan)])
         return Exit.NOTHING
     if options.watch:
-        return _said(options, await _watched(options, group, plan.id))
-    _out(now.lines(plan))
-    return Exit.PART if now.missing else Exit.DONE
+        return _print_answer(options, await _watch(options, group, plan.id))
+    print_lines(plans.lines(plan))
+    return Exit.PART if plans.missing else Exit.DONE
 
 
-def _said(options: argparse.Namespace, answer: Answer) -> int:
+def _print_answer(options: argparse.Namespace, answer: Answer) -> int:
+    """Print the answer to a command on plans, with the outcome of the plan, and return the exit code."""
     import json
 
     import msgspec
 
-    from elderlock.cli.commands import _err, _out
+    from elderlock.cli.commands import print_errors, print_lines
 
     if options.json:
         plan = msgspec.to_builtins(answer.plan) if answer.plan is not None else None
         print(json.dumps({"exit": int(answer.exit), "plan": plan, "lines": answer.lines}))
         return answer.exit
-    (_out if answer.exit == 0 else _err)(answer.lines)
+    (print_lines if answer.exit == 0 else print_errors)(answer.lines)
     if answer.plan is not None:
-        what = f"{answer.plan.kind} {answer.plan.id[:8]}"
+        title = f"{answer.plan.kind} {answer.plan.id[:8]}"
         if options.plan_command in ("release", "drain"):
-            _err([f"{what} was not begun"])
+            print_errors([f"{title} was not begun"])
         else:
-            _err(
+            print_errors(
                 [
-                    f"{what}: {answer.plan.outcome()}"
+                    f"{title}: {answer.plan.outcome()}"
                     + (f" ({answer.plan.state_reason})" if answer.plan.state_reason else "")
                 ]
             )
--- a/elderlock/cli/running_groups.py
+++ b/elderlock/cli/running_groups.py
@@ -1,5 +1,7 @@
-"""Finds the group that `elderlock up` runs, for commands that were told of none. Loads next to nothing: it stands
-on the way of every command."""
+"""Finds the groups that `elderlock up` runs, for commands that are given no group.
+
+Every command may load this module, so it imports only what it needs.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,10 @@
 
 
 def running_group_files() -> list[str]:
-    """The group files of those that this user runs; each lies in a folder that only its owner can enter."""
+    """Return the group files of the groups that this user runs.
+
+    Each file is in a folder that only its owner can enter.
+    """
     found = []
     with os.scandir(tempfile.gettempdir()) as entries:
         for entry in entries:
@@ -19,9 +24,10 @@
             try:
                 status = entry.stat(follow_symlinks=False)
             except OSError:
-                continue  # it has just been swept up
+                continue  # the folder was removed meanwhile
             path = os.path.join(entry.path, "group.toml")
-            # anybody may make such a name in a shared folder; what we run has a token of ours in it
+            # Any user can create a folder of this name in the shared temporary folder. A group of this user contains
+            # the user's token, so its folder is private.
             if status.st_uid == os.getuid() and status.st_mode & 0o077 == 0 and os.path.exists(path):
                 found.append(path)
     return sorted(found)
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -1,12 +1,11 @@
-"""Plain tables for a terminal or a pipe."""
+"""Formats the output of commands for people: tables and lines, in bold only on a terminal."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from elderlock.control.messages import AnswerCounts, LimiterState
-from elderlock.control.messages import CounterStatus as CounterState
-from elderlock.fleet import messages as f
+from elderlock.control.messages import AnswerCounts, CounterStatus, LimiterState
+from elderlock.fleet import messages
 from elderlock.fleet.client.answers import failure_reason
 from elderlock.fleet.client.drain_plan import Plan, summarize_servers
 from elderlock.fleet.client.explanation import Explanation, summarize_evidence
@@ -16,15 +15,23 @@
 BOLD, PLAIN = "\x1b[1m", "\x1b[0m"
 
 
-def table(head: Sequence[str], rows: Sequence[Sequence[str]], colour: bool) -> list[str]:
-    widths = [max(len(row[n]) for row in (head, *rows)) for n in range(len(head))]
+def table(head: Sequence[str], rows: Sequence[Sequence[str]], bold: bool) -> list[str]:
+    """Return the lines of a table with aligned columns.
+
+    Args:
+        head: The headings.
+        rows: The cells of each row, as many as there are headings.
+        bold: Whether to print the headings in bold.
+    """
+    widths = [max(len(row[column]) for row in (head, *rows)) for column in range(len(head))]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in (head, *rows)
     ]
-    return [f"{BOLD}{lines[0]}{PLAIN}" if colour else lines[0], *lines[1:]]
+    return [f"{BOLD}{lines[0]}{PLAIN}" if bold else lines[0], *lines[1:]]
 
 
-def age(ms: float) -> str:
+def format_age(ms: float) -> str:
+    """Return an age in s, min or h; `never` for a negative one, which stands for no event."""
     if ms < 0:
         return "never"
     if ms < 10_000:
@@ -34,17 +41,28 @@
     return f"{ms / 3_600_000.0:.1f} h" if ms >= 7_200_000 else f"{ms / 60_000.0:.0f} min"
 
 
-def number(value: float) -> str:
+def format_number(value: float) -> str:
+    """Return a value without decimals; `-` for a negative one, which stands for an unknown value."""
     return "-" if value < 0 else f"{value:.0f}"
 
 
-def counts(each: AnswerCounts) -> list[str]:
-    return [str(each.served), str(each.refused), str(each.failed)]
+def format_counts(counts: AnswerCounts) -> list[str]:
+    """Return the cells SERVED, REFUSED and FAILED."""
+    return [str(counts.served), str(counts.refused), str(counts.failed)]
+
 
+def show(observation: GroupObservation, accounts: bool, bold: bool) -> list[str]:
+    """Return the tables of limiters and servers, and the state of agents that do not answer.
 
-def show(seen: GroupObservation, accounts: bool, colour: bool) -> list[str]:
+    Args:
+        observation: The state of the group.
+        accounts: Whether to add the counts and leases of plans and accounts.
+        bold: Whether to print headings in bold.
+    """
     lines: list[str] = []
-    rows = [_limiter(agent, limiter) for agent, shown in sorted(seen.shown.items()) for limiter in shown.limiters]
+    rows = [
+        _limiter_row(agent, limiter) for agent, shown in sorted(observation.shown.items()) for limiter in shown.limiters
+    ]
     head = (
         "LIMITER",
         "AGENT",
@@ -60,65 +78,71 @@
         "THROTTLE",
         "DRAINED",
     )
-    lines += table(head, rows, colour)
-    lines += ["", *_boxes(seen, colour)]
-    for agent, shown in sorted(seen.shown.items()):
+    lines += table(head, rows, bold)
+    lines += ["", *_servers_table(observation, bold)]
+    for agent, shown in sorted(observation.shown.items()):
         lines += [f"{agent}: {shown.store}"] if shown.store else []
         lines += [
             f"{limiter.name}: {limiter.link}, {limiter.link_why}"
             for limiter in shown.limiters
             if limiter.link_why and limiter.link != "answering"
         ]
-    lines += [counter_line(state.limiter, state.counter) for state in seen.states() if state.counter is not None]
-    lines += _missing(seen)
+    lines += [counter_line(state.limiter, state.counter) for state in observation.states() if state.counter is not None]
+    lines += _missing_agents(observation)
     if accounts:
-        lines += ["", *_accounts(seen, colour)]
+        lines += ["", *_accounts_table(observation, bold)]
         leases = [
             [
                 state.limiter,
-                one.account,
-                f"{one.stored_units:.1f} of {one.burst_units:g}",
-                f"{one.drawn_units:.1f}",
-                f"{one.unreported_units:.1f}",
+                lease.account,
+                f"{lease.stored_units:.1f} of {lease.burst_units:g}",
+                f"{lease.drawn_units:.1f}",
+                f"{lease.unreported_units:.1f}",
             ]
-            for state in seen.states()
+            for state in observation.states()
             if state.counter is not None
-            for one in state.counter.leases
+            for lease in state.counter.leases
         ]
         if leases:
-            lines += ["", *table(("LIMITER", "ACCOUNT'S STORE", "LEVEL", "DRAWN", "NOT TOLD"), leases, colour)]
+            lines += ["", *table(("LIMITER", "ACCOUNT'S STORE", "LEVEL", "DRAWN", "NOT TOLD"), leases, bold)]
     return lines
 
 
-def shared(seen: GroupObservation, colour: bool) -> list[str]:
-    """What limiters share: per limiter what was told within which bounds, per box the evidence with who gave it."""
-    states = seen.states()
+def shared(observation: GroupObservation, bold: bool) -> list[str]:
+    """Return what limiters share: for each limiter its traffic and limits, for each server the health evidence.
+
+    Args:
+        observation: The state of the group.
+        bold: Whether to print headings in bold.
+    """
+    states = observation.states()
     sharing = [state for state in states if state.shared is not None]
-    parts = [
-        f"{state.limiter}: ceilings by demand, {c.given_units:.1f} units given, {c.taken_units:.1f} taken, "
-        f"{c.offered_units:.1f} on their way; {c.maximum_sent_per_s:g} datagrams a second at most"
+    ceiling_lines = [
+        f"{state.limiter}: hard ceilings shared by demand, {ceilings.given_units:.1f} units given to others, "
+        f"{ceilings.taken_units:.1f} taken over, {ceilings.offered_units:.1f} in transit; "
+        f"at most {ceilings.maximum_sent_per_s:g} datagrams per second"
         for state in states
-        if (c := state.ceilings) is not None
+        if (ceilings := state.ceilings) is not None
     ]
     if not sharing:
-        said = "no limiter that answers shares evidence ([shared] in the operators' file)"
-        return [*parts, said, *_missing(seen)]
+        hint = "no limiter that answers shares evidence ([shared] in the operators' file)"
+        return [*ceiling_lines, hint, *_missing_agents(observation)]
     rows = []
     for state in sharing:
-        told = state.shared
-        assert told is not None
+        evidence = state.shared
+        assert evidence is not None
         rows.append(
             [
                 state.limiter,
-                str(told.servers),
-                age(told.evidence_lifetime_ms),
-                str(told.sent),
-                f"{told.maximum_sent_per_s:g}",
-                str(told.received),
-                str(told.refused),
-                age(told.received_age_ms),
-                numbers(told.disbelieved),
-                "yes" if told.is_silent else "no",
+                str(evidence.servers),
+                format_age(evidence.evidence_lifetime_ms),
+                str(evidence.sent),
+                f"{evidence.maximum_sent_per_s:g}",
+                str(evidence.received),
+                str(evidence.refused),
+                format_age(evidence.received_age_ms),
+                format_limiter_indices(evidence.disbelieved),
+                "yes" if evidence.is_silent else "no",
             ]
         )
     head = (
@@ -133,55 +157,70 @@
         "DISBELIEVES",
         "DOUBTS ITSELF",
     )
-    lines = table(head, rows, colour)
-    if apart := [state.limiter for state in states if state.shared is None]:
-        lines.append(f"shares nothing: {', '.join(apart)}")
-    found = summarize_evidence(sharing)
-    if found:
-        boxes = [
+    lines = table(head, rows, bold)
+    if not_sharing := [state.limiter for state in states if state.shared is None]:
+        lines.append(f"shares nothing: {', '.join(not_sharing)}")
+    summaries = summarize_evidence(sharing)
+    if summaries:
+        server_rows = [
             [
-                each.server,
-                f"{each.weighed:g} of {each.enough:g}",
-                f"{each.held_by}/{len(sharing)}",
-                ages(each.failed),
-                ages(each.answered),
-                ", ".join(each.left_out_by) or "-",
+                summary.server,
+                f"{summary.weighed:g} of {summary.enough:g}",
+                f"{summary.held_by}/{len(sharing)}",
+                format_ages(summary.failed),
+                format_ages(summary.answered),
+                ", ".join(summary.left_out_by) or "-",
             ]
-            for each in found
+            for summary in summaries
         ]
-        about = ("BOX", "FAILURES WEIGH", "HELD BY", "FAILED AT (AGO)", "ANSWERED AT (AGO)", "LEFT OUT BY")
-        lines += ["", *table(about, boxes, colour)]
-    return [*lines, *([] if found else ["no evidence on any box"]), *parts, *_missing(seen)]
+        server_head = ("BOX", "FAILURES WEIGH", "HELD BY", "FAILED AT (AGO)", "ANSWERED AT (AGO)", "LEFT OUT BY")
+        lines += ["", *table(server_head, server_rows, bold)]
+    no_evidence = [] if summaries else ["no evidence on any box"]
+    return [*lines, *no_evidence, *ceiling_lines, *_missing_agents(observation)]
 
 
-def numbers(limiters: Sequence[int]) -> str:
-    """Limiters tell one another their numbers in the settings, not their names."""
+def format_limiter_indices(limiters: Sequence[int]) -> str:
+    """Return limiters by their numbers in the settings, which they use in messages to each other instead of names."""
     return ", ".join(f"#{limiter}" for limiter in limiters) or "-"
 
 
-def ages(rows: Sequence[tuple[int, float]], most: int = 4) -> str:
-    told = ", ".join(f"#{limiter} {age(ms)}" for limiter, ms in rows[:most])
-    return f"{told} and {len(rows) - most} more" if len(rows) > most else told or "-"
+def format_ages(rows: Sequence[tuple[int, float]], maximum: int = 4) -> str:
+    """Return the number of each limiter with an age.
+
+    Args:
+        rows: The limiters' numbers and the ages in ms.
+        maximum: How many of them to print; the others are counted.
+    """
+    text = ", ".join(f"#{limiter} {format_age(ms)}" for limiter, ms in rows[:maximum])
+    return f"{text} and {len(rows) - maximum} more" if len(rows) > maximum else text or "-"
 
 
-def explanation_table(found: Explanation, colour: bool) -> list[str]:
+def explanation_table(explanation: Explanation, bold: bool) -> list[str]:
+    """Return an explanation of why limiters use a server or not, with a row for each limiter.
+
+    Args:
+        explanation: The explanation.
+        bold: Whether to print headings in bold.
+    """
     rows = []
-    for word in found.statements:
-        health = word.health
+    for statement in explanation.statements:
+        health = statement.health
         witnesses = health.witnesses if health is not None else ()
-        failed = [(w.limiter, w.failed_age_ms) for w in witnesses if w.failed_age_ms >= 0.0]
-        answered = [(w.limiter, w.answered_age_ms) for w in witnesses if w.answered_age_ms >= 0.0]
+        failed = [(witness.limiter, witness.failed_age_ms) for witness in witnesses if witness.failed_age_ms >= 0.0]
+        answered = [
+            (witness.limiter, witness.answered_age_ms) for witness in witnesses if witness.answered_age_ms >= 0.0
+        ]
         rows.append(
             [
-                word.limiter,
-                "yes" if word.is_used else "no",
-                word.why or ("-" if word.is_listed else "not in its list"),
-                age(word.since_ms) if word.since_ms >= 0.0 else "-",
-                str(word.open_requests),
-                number(word.latency_ms),
-                numbers(health.ejected_by) if health is not None else "-",
-                ages(failed),
-                ages(answered),
+                statement.limiter,
+                "yes" if statement.is_used else "no",
+                statement.why or ("-" if statement.is_listed else "not in its list"),
+                format_age(statement.since_ms) if statement.since_ms >= 0.0 else "-",
+                str(statement.open_requests),
+                format_number(statement.latency_ms),
+                format_limiter_indices(health.ejected_by) if health is not None else "-",
+                format_ages(failed),
+                format_ages(answered),
             ]
         )
     head = (
@@ -195,24 +234,31 @@
         "FAILED AT (AGO)",
         "ANSWERED AT (AGO)",
     )
-    silent = [f"says nothing: {', '.join(found.silent)}"] if found.silent else []
-    return [*found.lines(), "", *table(head, rows, colour), *silent]
+    silent = [f"says nothing: {', '.join(explanation.silent)}"] if explanation.silent else []
+    return [*explanation.lines(), "", *table(head, rows, bold), *silent]
+
 
+def counter_line(limiter: str, status: CounterStatus) -> str:
+    """Return the state of the shared counter as a limiter sees it.
 
-def counter_line(limiter: str, told: CounterState) -> str:
+    Args:
+        limiter: The name of the limiter.
+        status: Its view of the counter.
+    """
     return (
-        f"{limiter}: counter {told.mode} for {age(told.since_ms)}, generation {told.generation}, "
-        f"{told.accounts} accounts, {told.calls} calls, {told.calls_per_s:.0f} a second at most, "
-        f"error in force {told.error_units:.1f} units"
+        f"{limiter}: counter {status.mode} for {format_age(status.since_ms)}, generation {status.generation}, "
+        f"{status.accounts} accounts, {status.calls} calls, at most {status.calls_per_s:.0f} per second, "
+        f"current error bound {status.error_units:.1f} units"
     )
 
 
-def _limiter(agent: str, limiter: f.LimiterStatus) -> list[str]:
+def _limiter_row(agent: str, limiter: messages.LimiterStatus) -> list[str]:
+    """Return the row of a limiter in the table of limiters."""
     state = limiter.state
     phase = limiter.phase + (f" ({limiter.restarts} restarts)" if limiter.restarts else "")
     if limiter.next_start_ms >= 0:
-        phase += f", next in {age(limiter.next_start_ms)}"
-    link = limiter.link if limiter.link == "answering" else f"{limiter.link} ({age(limiter.state_age_ms)})"
+        phase += f", next in {format_age(limiter.next_start_ms)}"
+    link = limiter.link if limiter.link == "answering" else f"{limiter.link} ({format_age(limiter.state_age_ms)})"
     if state is None:
         return [limiter.name, agent, phase, link, *["-"] * 9]
     return [
@@ -220,103 +266,122 @@
         agent,
         phase,
         link,
-        age(state.uptime_ms),
+        format_age(state.uptime_ms),
         str(state.open_requests),
-        *counts(state.counts),
-        number(state.answer_p50_ms),
-        number(state.answer_p99_ms),
+        *format_counts(state.counts),
+        format_number(state.answer_p50_ms),
+        format_number(state.answer_p99_ms),
         state.throttle.phase,
         "yes" if state.is_drained else "no",
     ]
 
 
-def _boxes(seen: GroupObservation, colour: bool) -> list[str]:
-    states = seen.states()
-    boxes = summarize_servers(states)
+def _servers_table(observation: GroupObservation, bold: bool) -> list[str]:
+    """Return the table of servers, with the state that the limiters report together."""
+    states = observation.states()
     rows = []
-    for uid, box in boxes.items():
-        views = [b for s in states for b in s.servers if b.uid == uid]
-        latencies = [b.latency_ms for b in views if b.latency_ms >= 0]
+    for uid, server in summarize_servers(states).items():
+        views = [view for state in states for view in state.servers if view.uid == uid]
+        latencies = [view.latency_ms for view in views if view.latency_ms >= 0]
         latency = f"{min(latencies):.0f}-{max(latencies):.0f}" if latencies else "-"
-        reasons = {b.unavailable_reason for b in views if b.unavailable_reason}
-        record = seen.records.get("box", uid)
+        reasons = {view.unavailable_reason for view in views if view.unavailable_reason}
+        record = observation.records.get("box", uid)
         generation = str(record.generation) if record is not None else "-"
         rows.append(
             [
                 uid,
-                box.zone,
-                box.kind,
-                f"{box.weight:g}",
-                str(box.open_requests),
+                server.zone,
+                server.kind,
+                f"{server.weight:g}",
+                str(server.open_requests),
                 latency,
-                number(box.queue),
-                age(box.report_age_ms),
+                format_number(server.queue),
+                format_age(server.report_age_ms),
                 f"{len(views)}/{len(states)}",
                 generation,
                 "; ".join(sorted(reasons)) or "-",
             ]
         )
     head = ("BOX", "FLOOR", "KIND", "WEIGHT", "OUT", "LATENCY ms", "QUEUE", "REPORT", "KNOWN BY", "GEN", "LEFT OUT")
-    return table(head, rows, colour)
+    return table(head, rows, bold)
 
 
-def _missing(seen: GroupObservation) -> list[str]:
+def _missing_agents(observation: GroupObservation) -> list[str]:
+    """Return why agents do not answer, with the last state that another agent reported of each."""
     lines = []
-    for agent, missing in sorted(seen.missing.items()):
+    for agent, missing in sorted(observation.missing.items()):
         lines.append(f"agent {agent} does not answer: {failure_reason(missing)}")
-        heard = seen.observations.get(agent)
-        if heard is None:
-            lines.append("  no other agent has heard of it")
+        last_report = observation.observations.get(agent)
+        if last_report is None:
+            lines.append("  no other agent has a report of it")
             continue
-        told = f"told by {heard.via}" if heard.via else "heard by an agent that answers"
-        lines.append(f"  {heard.standing}, last word {age(heard.age_ms)} ago ({told}):")
+        source = f"relayed by {last_report.via}" if last_report.via else "received by an agent that answers"
+        lines.append(f"  {last_report.standing}, last report {format_age(last_report.age_ms)} ago ({source}):")
         lines += [
-            f"  {b.name}: {b.phase}, {b.link}, {b.open} open{', drained' if b.is_drained else ''}"
-            for b in heard.limiters
+            f"  {brief.name}: {brief.phase}, {brief.link}, {brief.open} open{', drained' if brief.is_drained else ''}"
+            for brief in last_report.limiters
         ]
     return lines
 
 
-def _accounts(seen: GroupObservation, colour: bool) -> list[str]:
+def _accounts_table(observation: GroupObservation, bold: bool) -> list[str]:
+    """Return the table of the counts of plans and accounts at each limiter."""
     rows = [
-        [state.limiter, name, *counts(each)]
-        for state in seen.states()
-        for name, each in [*sorted(state.plans.items()), *state.accounts.items()]
+        [state.limiter, name, *format_counts(counts)]
+        for state in observation.states()
+        for name, counts in [*sorted(state.plans.items()), *state.accounts.items()]
     ]
-    return table(("LIMITER", "PLAN OR ACCOUNT", "SERVED", "REFUSED", "FAILED"), rows, colour)
+    return table(("LIMITER", "PLAN OR ACCOUNT", "SERVED", "REFUSED", "FAILED"), rows, bold)
 
 
 def limiter_details(state: LimiterState) -> list[str]:
+    """Return lines on a limiter's configuration, endpoint list, agent, throttle and skipped peers."""
     throttle = state.throttle
     return [
         f"{state.limiter}: version {state.build}, configuration {state.config_digest}, at {state.listen}",
-        f"  list {state.list_version} of {state.discovery}, told {age(state.list_age_ms)} ago; "
-        f"held by agent {state.owner or '-'} (epoch {state.owner_epoch}); {state.clients} client connections",
+        f"  endpoint list {state.list_version} of {state.discovery}, received {format_age(state.list_age_ms)} ago; "
+        f"controlled by agent {state.owner or '-'} (epoch {state.owner_epoch}); {state.clients} client connections",
         f"  throttle {throttle.phase}: leak {throttle.leak_rate:.1f}/s, "
-        f"let in {throttle.admit_rate:.1f}/s, answered {throttle.answer_rate:.1f}/s",
-        *[f"  peer {p.number}: passed over, {p.missed_answers} questions open" for p in state.peers if p.is_skipped],
+        f"admitted {throttle.admit_rate:.1f}/s, answered {throttle.answer_rate:.1f}/s",
+        *[
+            f"  peer {peer.number}: skipped, {peer.missed_answers} queries not answered"
+            for peer in state.peers
+            if peer.is_skipped
+        ],
     ]
 
 
-def progress(title: str, account: CommandReport) -> list[str]:
-    """Live lines of a drain: each limiter in work, finished, or not reached."""
+def progress(title: str, report: CommandReport) -> list[str]:
+    """Return the progress of a drain: at each limiter it is in progress, finished or not reached.
+
+    Args:
+        title: The name of the step, which starts each line.
+        report: The answers so far.
+    """
     lines = []
-    for row in account.rows():
+    for row in report.rows():
         name = row.limiter or f"(limiters of {row.agent})"
         if row.state == "reached":
-            work = f"in work, {row.open_requests} out" if row.open_requests and account.wanted[row.key] else "finished"
-            word = f"reached; {work}" + (f"; {row.why}" if row.why else "")
+            is_draining = row.open_requests and report.wanted[row.key]
+            state = f"in progress, {row.open_requests} requests in flight" if is_draining else "finished"
+            text = f"reached; {state}" + (f"; {row.why}" if row.why else "")
         else:
-            word = f"{row.state.replace('-', ' ')}: {row.why}"
-        lines.append(f"{title}: {row.key[1]} at {name}: {word}")
+            text = f"{row.state.replace('-', ' ')}: {row.why}"
+        lines.append(f"{title}: {row.key[1]} at {name}: {text}")
     return lines
 
 
-def account_table(account: CommandReport, colour: bool) -> list[str]:
+def report_table(report: CommandReport, bold: bool) -> list[str]:
+    """Return the table of a command's targets at each limiter.
+
+    Args:
+        report: The answers to the command.
+        bold: Whether to print headings in bold.
+    """
     from datetime import UTC, datetime
 
     rows = []
-    for row in account.rows():
+    for row in report.rows():
         at = datetime.fromtimestamp(row.at / 1000.0, UTC).strftime("%H:%M:%S.%f")[:-3] if row.at else "-"
         rows.append(
             [
@@ -330,12 +395,13 @@
             ]
         )
     head = ("TARGET", "LIMITER", "AGENT", "STATE", "AT (UTC)", "OUT", "WHY")
-    return [*table(head, rows, colour), *account.text()]
+    return [*table(head, rows, bold), *report.text()]
 
 
 def plan_lines(plan: Plan) -> list[str]:
-    queue = f", {plan.queue_after:.1f} waiting for each unit of weight left" if plan.queue_after >= 0 else ""
-    steps = "; then ".join(", ".join(step) for step in plan.steps) or "nothing in service is touched"
+    """Return the effect of a drain of servers on the capacity in service, and its steps."""
+    queue = f", {plan.queue_after:.1f} requests wait for each unit of remaining weight" if plan.queue_after >= 0 else ""
+    steps = "; then ".join(", ".join(step) for step in plan.steps) or "no server in service is affected"
     return [
         f"capacity in service: {100 * plan.capacity_before:.0f} % now, "
         f"{100 * plan.capacity_after:.0f} % after{queue}",
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -1,4 +1,4 @@
-"""`elderlock trial`: plays a scenario on real processes, with faults between them, and judges it from outside."""
+"""`elderlock trial`: runs a scenario on real processes with fault injection, and checks invariants from outside."""
 
 from __future__ import annotations
 
@@ -24,76 +24,95 @@
 
 PREFIX = "elderlock-trial-"
 DONE, USAGE, BROKEN, LATE = 0, 2, 7, 8
-MOST_LIMITERS, MOST_AGENTS, MOST_BOXES = 30, 10, 60
-STOP_WITHIN = 0.0  # s that what is swept up has to end by itself: nothing of a trial is worth waiting for
+MAXIMUM_LIMITERS, MAXIMUM_AGENTS, MAXIMUM_SERVERS = 30, 10, 60
+STOP_TIMEOUT_S = 0.0  # processes that remain are killed at once, because a trial needs nothing of them
 
 
 def add(commands: Any) -> None:
-    """The parts of `elderlock trial`."""
-    for name, what, help in (
-        ("run", "scenario", "plays a scenario once on real processes, and says what was broken"),
-        ("replay", "seed", "plays a seed that a search kept, on real processes"),
+    """Add the subcommands of `elderlock trial`.
+
+    Args:
+        commands: The subparsers of `elderlock trial`.
+    """
+    for name, argument, help in (
+        ("run", "scenario", "runs a scenario once on real processes, and reports violated invariants"),
+        ("replay", "seed", "runs a seed that a search has stored, on real processes"),
     ):
-        made = commands.add_parser(name, help=help, description=help)
-        made.add_argument(what, help="a .toml file" + (", or one that ships" if name == "run" else ""))
+        subcommand = commands.add_parser(name, help=help, description=help)
+        subcommand.add_argument(argument, help="a .toml file" + (", or a built-in scenario" if name == "run" else ""))
         if name == "run":
-            made.add_argument("--set", action="append", default=[], metavar="NAME=VALUE", help="in place of its own")
-            made.add_argument("--seed", type=_seed, default=1)
-        made.add_argument("--keep", type=Path, metavar="DIR", help="logs, history, time line and page go there")
-        made.add_argument("--against-sim", action="store_true", help="says where the simulation of it parts from it")
-        made.add_argument("--flaw", default="", metavar="NAME", help="a build with that known fault, to see it found")
-        made.add_argument("--json", action="store_true")
+            subcommand.add_argument(
+                "--set", action="append", default=[], metavar="NAME=VALUE", help="change a value of the scenario"
+            )
+            subcommand.add_argument("--seed", type=_seed, default=1, help="seed of the random numbers (1)")
+        subcommand.add_argument(
+            "--keep", type=Path, metavar="DIR", help="write logs, history, timeline and an HTML page there"
+        )
+        subcommand.add_argument(
+            "--against-sim", action="store_true", help="show where a simulation of the same scenario differs"
+        )
+        subcommand.add_argument(
+            "--flaw", default="", metavar="NAME", help="run a build with this known fault (a mutant)"
+        )
+        subcommand.add_argument("--json", action="store_true", help="print one JSON object")
     check = commands.add_parser(
         "check",
-        help="checks a scenario, and says what cannot be played here",
-        description="checks a scenario, and says what cannot be played here",
+        help="checks a scenario, and lists faults that cannot be injected here",
+        description="checks a scenario, and lists faults that cannot be injected here",
     )
-    check.add_argument("scenario")
-    check.add_argument("--set", action="append", default=[], metavar="NAME=VALUE")
-    check.add_argument("--seed", type=_seed, default=1)
-    commands.add_parser("scenarios", help="lists those that ship", description="lists those that ship")
+    check.add_argument("scenario", help="a .toml file, or a built-in scenario")
+    check.add_argument(
+        "--set", action="append", default=[], metavar="NAME=VALUE", help="change a value of the scenario"
+    )
+    check.add_argument("--seed", type=_seed, default=1, help="seed of the random numbers (1)")
+    commands.add_parser("scenarios", help="lists the built-in scenarios", description="lists the built-in scenarios")
 
 
 def _seed(text: str) -> int:
     if not text.isdecimal() or int(text) >= 1 << 63:
-        raise argparse.ArgumentTypeError(f"{text!r} is no seed: a whole number from 0 to 2^63 - 1")
+        raise argparse.ArgumentTypeError(f"{text!r} is not a seed: expected a whole number from 0 to 2^63 - 1")
     return int(text)
 
 
 def main(options: argparse.Namespace) -> int:
-    work: dict[str, Callable[[argparse.Namespace], int]] = {
+    """Run a subcommand of `elderlock trial` and return its exit code."""
+    handlers: dict[str, Callable[[argparse.Namespace], int]] = {
         "run": run,
         "replay": run,
         "check": check,
         "scenarios": scenarios,
     }
     try:
-        return work[options.trial_command](options)
+        return handlers[options.trial_command](options)
     except (ScenarioError, SeedError, TrialError, OSError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return USAGE
 
 
-def _fits(scenario: Scenario) -> None:
-    """Raises `ScenarioError` for what one machine does not hold."""
-    s = scenario
-    for what, count, most in (
-        ("limiters", s.limiters, MOST_LIMITERS),
-        ("agents", s.agents, MOST_AGENTS),
-        ("boxes", s.boxes, MOST_BOXES),
+def _check_size(scenario: Scenario) -> None:
+    """Check that one machine can run the scenario.
+
+    Raises:
+        ScenarioError: The scenario has too many processes.
+    """
+    for name, count, maximum in (
+        ("limiters", scenario.limiters, MAXIMUM_LIMITERS),
+        ("agents", scenario.agents, MAXIMUM_AGENTS),
+        ("boxes", scenario.boxes, MAXIMUM_SERVERS),
     ):
-        if count > most:
-            raise ScenarioError(f"{count} {what}: real processes on one machine are {most} at the most")
+        if count > maximum:
+            raise ScenarioError(f"{count} {name}: real processes on one machine are {maximum} at the most")
 
 
 def run(options: argparse.Namespace) -> int:
+    """Run a scenario or a stored seed on real processes, and report the outcome."""
     if options.trial_command == "replay":
-        kept = seeds.read(Path(options.seed))
-        scenario, seed = kept.scenario, kept.seed
-        print(kept.text(), end="", file=sys.stderr)
+        stored = seeds.read(Path(options.seed))
+        scenario, seed = stored.scenario, stored.seed
+        print(stored.text(), end="", file=sys.stderr)
     else:
         scenario, seed = scenario_of(options.scenario, Path.cwd(), tuple(options.set)), options.seed
-    _fits(scenario)
+    _check_size(scenario)
     if options.flaw:
         from elderlock.trial.flaws import FLAWS
 
@@ -102,93 +121,99 @@
     if options.keep is not None:
         options.keep.mkdir(parents=True, exist_ok=True)
     for line in unplayable(scenario, "trial"):
-        print(f"not played here: {line}", file=sys.stderr)
-    outcome: list[Outcome] = []
+        print(f"not injected here: {line}", file=sys.stderr)
+    outcomes: list[Outcome] = []
 
-    async def work(folder: Path, mark: str) -> int:
+    async def run_trial(folder: Path, mark: str) -> int:
         task, loop = asyncio.current_task(), asyncio.get_running_loop()
         assert task is not None
         for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
             loop.add_signal_handler(number, task.cancel)
         try:
-            outcome.append(await play(scenario, folder, mark, seed, options.flaw, options.keep))
+            outcomes.append(await play(scenario, folder, mark, seed, options.flaw, options.keep))
         except asyncio.CancelledError:
-            print("elderlock: stopped; what it had started is gone", file=sys.stderr)
+            print("elderlock: stopped; its processes have ended", file=sys.stderr)
             return 130
         return DONE
 
-    code = swept(PREFIX, work, STOP_WITHIN, short_temp())
-    if not outcome:
+    code = swept(PREFIX, run_trial, STOP_TIMEOUT_S, short_temp())
+    if not outcomes:
         return code
-    made = outcome[0]
+    outcome = outcomes[0]
     if options.json:
         print(
             msgspec.json.encode(
                 {
-                    "verdict": made.verdict(),
-                    "result": made.result,
-                    "late": made.late,
-                    "late_rules": made.late_rules,
-                    "links": made.links,
-                    "processes": made.processes,
-                    "start_s": made.start_s,
-                    "commands": made.commands,
-                    "unplayed": made.unplayed,
+                    "verdict": outcome.verdict(),
+                    "result": outcome.result,
+                    "late": outcome.late,
+                    "late_rules": outcome.late_rules,
+                    "links": outcome.links,
+                    "processes": outcome.processes,
+                    "start_s": outcome.start_s,
+                    "commands": outcome.commands,
+                    "unplayed": outcome.unplayed,
                 }
             ).decode()
         )
     else:
-        print(made.text())
+        print(outcome.text())
     if options.keep is not None:
-        _write(made, options.keep)
+        _write_files(outcome, options.keep)
     if options.against_sim:
-        _against(scenario, seed, made)
-    return {"good": DONE, "broken": BROKEN, "late": LATE}[made.verdict()]
+        _compare_with_simulation(scenario, seed, outcome)
+    return {"good": DONE, "broken": BROKEN, "late": LATE}[outcome.verdict()]
 
 
-def _write(made: Outcome, keep: Path) -> None:
+def _write_files(outcome: Outcome, folder: Path) -> None:
+    """Write the timeline and the HTML page of a run to the folder of its logs."""
     from elderlock.trial.page import page, timeline
 
-    logs = {path.stem: path.read_text(errors="replace") for path in sorted(keep.glob("*.log"))}
-    lines = timeline(made.events, made.stalls, made.result.broken, logs, made.epoch)
-    (keep / "timeline.txt").write_text("\n".join(line.shown() for line in lines) + "\n", encoding="utf-8")
-    (keep / "page.html").write_text(page(made, lines), encoding="utf-8")
-    print(f"kept in {keep}: page.html, timeline.txt, history.jsonl and the logs", file=sys.stderr)
+    logs = {path.stem: path.read_text(errors="replace") for path in sorted(folder.glob("*.log"))}
+    lines = timeline(outcome.events, outcome.stalls, outcome.result.broken, logs, outcome.epoch)
+    (folder / "timeline.txt").write_text("\n".join(line.shown() for line in lines) + "\n", encoding="utf-8")
+    (folder / "page.html").write_text(page(outcome, lines), encoding="utf-8")
+    print(f"written to {folder}: page.html, timeline.txt, history.jsonl and the logs", file=sys.stderr)
 
 
-def _against(scenario: Scenario, seed: int, made: Outcome) -> None:
+def _compare_with_simulation(scenario: Scenario, seed: int, outcome: Outcome) -> None:
+    """Simulate the same scenario, and print the first differences of lists, faults and violated invariants."""
     from elderlock.trial.parting import first, lanes
     from elderlock.trial.simulated import simulated
 
     try:
-        result, events, zero = simulated(scenario, seed)
+        result, events, start_ms = simulated(scenario, seed)
     except ValueError as error:
         print(f"the simulation is not compared: {error}", file=sys.stderr)
         return
-    partings = first(lanes(made.events, made.result.broken, made.zero), lanes(events, result.broken, zero))
-    rules = f"broken there: {', '.join(result.rules()) or 'nothing'}"
-    print(f"the simulation of it: {result.figures.served_in_time:.3f} served in time, {rules}")
-    for each in partings[:5]:
-        print(f"  parts at {each.text()}")
-    if not partings:
-        print("  nothing parts: the same lists, faults and rules in the same order")
+    differences = first(
+        lanes(outcome.events, outcome.result.broken, outcome.zero), lanes(events, result.broken, start_ms)
+    )
+    violated = f"violated invariants: {', '.join(result.rules()) or 'none'}"
+    print(f"simulation: {result.figures.served_in_time:.3f} served in time, {violated}")
+    for difference in differences[:5]:
+        print(f"  differs at {difference.text()}")
+    if not differences:
+        print("  no difference: the same lists, faults and violated invariants in the same order")
 
 
 def check(options: argparse.Namespace) -> int:
+    """Check a scenario, and print its timeline and the faults that cannot be injected on real processes."""
     scenario = scenario_of(options.scenario, Path.cwd(), tuple(options.set))
-    _fits(scenario)
+    _check_size(scenario)
     print(timeline(scenario, options.seed), end="")
     for line in unplayable(scenario, "trial"):
-        print(f"not played here: {line}")
+        print(f"not injected here: {line}")
     return DONE
 
 
 def scenarios(options: argparse.Namespace) -> int:
+    """List the built-in scenarios, with those that are too large for one machine."""
     with contextlib.suppress(BrokenPipeError):
         for name in ships():
-            made = scenario_of(name, Path.cwd())
-            if made.limiters <= MOST_LIMITERS and made.boxes <= MOST_BOXES:
-                print(f"{name:<20} {made.about}")
+            scenario = scenario_of(name, Path.cwd())
+            if scenario.limiters <= MAXIMUM_LIMITERS and scenario.boxes <= MAXIMUM_SERVERS:
+                print(f"{name:<20} {scenario.about}")
             else:
-                print(f"{name:<20} (too large for one machine: {made.limiters} limiters, {made.boxes} boxes)")
+                print(f"{name:<20} (too large for one machine: {scenario.limiters} limiters, {scenario.boxes} boxes)")
     return DONE
