--- a/elderlock/authz/__init__.py
+++ b/elderlock/authz/__init__.py
@@ -1,1 +1,1 @@
-"""External authorisation over gRPC, answered by the same decision module as RESP2."""
+"""External authorisation over gRPC. The limiter decides these requests as it decides those over RESP2."""
--- a/elderlock/authz/config.py
+++ b/elderlock/authz/config.py
@@ -1,4 +1,4 @@
-"""`[authz]` of the operators' file: where the door listens, whom it takes, how a question is read."""
+"""The table `[authz]` of the operators' file: the server's address, its callers, and how requests are read."""
 
 from __future__ import annotations
 
@@ -13,11 +13,17 @@
 
 
 class AuthzError(Exception):
-    """The part cannot be used; the text is one plain line for the operator."""
+    """The table `[authz]` is invalid. The text is one line for the operator."""
 
 
 class Tls(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """PEM files, read anew at each reload. With `ca` callers must show a certificate that it signed."""
+    """The PEM files for TLS, which are read again at each reload.
+
+    Attributes:
+        certificate: The path of the certificate chain.
+        key: The path of its private key.
+        ca: The path of the certificate authority that must have signed the other side's certificate; empty for none.
+    """
 
     certificate: str
     key: str
@@ -25,16 +31,27 @@
 
 
 class Caller(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Who may ask for which accounts. `subject`: of the caller's certificate (its common name, or an
-    alternative name); empty for callers without one. `accounts`: account numbers (16 hex digits), or `*`."""
+    """The accounts that a caller may use.
+
+    Attributes:
+        accounts: Account numbers (16 hex digits), or `*` for all.
+        subject: The common name or an alternative name of the caller's certificate; empty for callers without one.
+    """
 
     accounts: tuple[str, ...]
     subject: str = ""
 
 
 class FieldSource(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Where one part of a question stands: a context extension, a request header, the query, a pattern with
-    one group over the path, or a fixed value. The first of these that is there counts."""
+    """The sources of one field of a request. The first one that the request has is used, in the order below.
+
+    Attributes:
+        extension: The name of a context extension.
+        header: The name of a request header, in lower case.
+        query: The name of a query parameter.
+        path: A regular expression that matches the whole path; its one group is the value.
+        value: A fixed value.
+    """
 
     extension: str = ""
     header: str = ""
@@ -44,6 +61,19 @@
 
 
 class RequestMapping(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+    """The sources of each field of a request.
+
+    Attributes:
+        account: The account whose quota is used.
+        plan: The name of its plan.
+        request_class: The name of the request class.
+        request: The caller's id of the request.
+        units: The units of quota that the request costs.
+        spread: The number of limiters in the account's set.
+        first: The number of the first one.
+        deadline_ms: How long the caller waits.
+    """
+
     account: FieldSource = FieldSource(extension="account", header="x-account")
     plan: FieldSource = FieldSource(extension="plan", header="x-plan")
     request_class: FieldSource = FieldSource(extension="class", header="x-class")
@@ -55,78 +85,123 @@
 
 
 class ServerLimits(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Bytes, counts and seconds."""
-
-    connections: int = 256
-    handshake: float = 5.0  # s that a new connection has to speak
-    streams: int = 256  # questions of one connection at once
-    questions: int = 2000  # undecided over all connections; more are turned away at once
-    message: int = 64 << 10
-    metadata: int = 16 << 10
-    kept: int = 20_000  # permissions remembered for a repeated question
-    ping_strikes: int = 2  # of a caller that pings more often than `ping_interval`
-    ping_interval: float = 10.0
-    idle: float = 300.0
-    drain: float = 3.0  # that open questions have at an orderly end
+    """The limits of the gRPC server.
+
+    Attributes:
+        maximum_connections: The maximum number of open connections.
+        handshake_timeout_s: How long the handshake of a new connection may take.
+        maximum_streams: The maximum number of concurrent requests on one connection.
+        maximum_pending: The maximum number of undecided requests over all connections; others are rejected at once.
+        maximum_message_bytes: The maximum size of a message.
+        maximum_metadata_bytes: The maximum size of a request's metadata.
+        maximum_permissions: The maximum number of requests whose answer is stored for retries.
+        maximum_ping_strikes: How many pings of a caller may come too early before its connection is closed.
+        minimum_ping_interval_s: The interval before which a ping is too early.
+        idle_timeout_s: After how long an idle connection is closed.
+        drain_timeout_s: How long open requests may take at shutdown.
+    """
+
+    maximum_connections: int = msgspec.field(name="connections", default=256)
+    handshake_timeout_s: float = msgspec.field(name="handshake", default=5.0)
+    maximum_streams: int = msgspec.field(name="streams", default=256)
+    maximum_pending: int = msgspec.field(name="questions", default=2000)
+    maximum_message_bytes: int = msgspec.field(name="message", default=64 << 10)
+    maximum_metadata_bytes: int = msgspec.field(name="metadata", default=16 << 10)
+    maximum_permissions: int = msgspec.field(name="kept", default=20_000)
+    maximum_ping_strikes: int = msgspec.field(name="ping_strikes", default=2)
+    minimum_ping_interval_s: float = msgspec.field(name="ping_interval", default=10.0)
+    idle_timeout_s: float = msgspec.field(name="idle", default=300.0)
+    drain_timeout_s: float = msgspec.field(name="drain", default=3.0)
 
 
 class AuthzFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """`longest_ms`: what a question waits for at most; also where neither it nor gRPC names a deadline."""
+    """The table `[authz]`.
+
+    Attributes:
+        listen: The address of the server.
+        tls: The server's TLS files; None for no TLS.
+        callers: The callers and their accounts.
+        mapping: The sources of each field of a request.
+        limits: The limits of the gRPC server.
+        maximum_wait_ms: How long a request waits at most, and if neither it nor gRPC sets a deadline.
+        reflection: Whether the server offers gRPC reflection.
+    """
 
     listen: str
     tls: Tls | None = None
-    askers: tuple[Caller, ...] = ()
+    callers: tuple[Caller, ...] = msgspec.field(name="askers", default=())
     mapping: RequestMapping = RequestMapping()
-    bounds: ServerLimits = ServerLimits()
-    longest_ms: float = 2000.0
+    limits: ServerLimits = msgspec.field(name="bounds", default=ServerLimits())
+    maximum_wait_ms: float = msgspec.field(name="longest_ms", default=2000.0)
     reflection: bool = True
 
-    def check(self) -> tuple[str, int]:
-        """The address. Raises `AuthzError`."""
-        host, found, port = self.listen.rpartition(":")
+    def validate(self) -> tuple[str, int]:
+        """Check the table, and return the server's IP address and port.
+
+        Raises:
+            AuthzError: A value is invalid, or values conflict.
+        """
+        host, separator, port_text = self.listen.rpartition(":")
         try:
-            at = ipaddress.ip_address(host.strip("[]"))
-            number = int(port) if found else -1
+            address = ipaddress.ip_address(host.strip("[]"))
+            port = int(port_text) if separator else -1
         except ValueError:
-            number, at = -1, ipaddress.ip_address("127.0.0.1")
-        if not 0 <= number < 65536:
+            port, address = -1, ipaddress.ip_address("127.0.0.1")
+        if not 0 <= port < 65536:
             raise AuthzError(f"authz.listen: {self.listen!r} is not an address like 127.0.0.1:9191")
-        if not at.is_loopback and (self.tls is None or not self.tls.ca):
-            raise AuthzError("authz: off loopback the door needs [authz.tls] with a ca for its callers")
-        if not self.askers:
-            raise AuthzError("authz: no [[authz.askers]]: nobody could ask")
-        for asker in self.askers:
-            for account in asker.accounts:
+        if not address.is_loopback and (self.tls is None or not self.tls.ca):
+            raise AuthzError("authz.listen: an address off loopback needs [authz.tls] with a ca for its callers")
+        if not self.callers:
+            raise AuthzError("authz: [[authz.askers]] is missing, so no caller would be accepted")
+        for caller in self.callers:
+            for account in caller.accounts:
                 if account != "*" and not re.fullmatch(r"[0-9a-f]{16}", account):
                     raise AuthzError(f"authz.askers: {account!r} is neither 16 hex digits nor '*'")
-            if asker.subject and (self.tls is None or not self.tls.ca):
-                raise AuthzError("authz.askers: a subject is known with [authz.tls] and its ca only")
+            if caller.subject and (self.tls is None or not self.tls.ca):
+                raise AuthzError(f"authz.askers: the subject {caller.subject!r} needs [authz.tls] with a ca")
         for name in RequestMapping.__struct_fields__:
             self._check_field(name, getattr(self.mapping, name))
-        b = self.bounds
-        if min(self.longest_ms, b.connections, b.handshake, b.streams, b.questions, b.message) <= 0:
-            raise AuthzError("authz: bounds and longest_ms are above 0")
-        return str(at), number
+        limits = self.limits
+        minimum = min(
+            self.maximum_wait_ms,
+            limits.maximum_connections,
+            limits.handshake_timeout_s,
+            limits.maximum_streams,
+            limits.maximum_pending,
+            limits.maximum_message_bytes,
+        )
+        if minimum <= 0:
+            names = "connections, handshake, streams, questions and message"
+            raise AuthzError(f"authz: longest_ms and {names} of [authz.bounds] must be above 0, and one is {minimum:g}")
+        return str(address), port
 
     @staticmethod
-    def _check_field(name: str, field: FieldSource) -> None:
-        if field == FieldSource():
+    def _check_field(name: str, source: FieldSource) -> None:
+        if source == FieldSource():
             raise AuthzError(f"authz.mapping.{name}: none of {', '.join(SOURCES)} is given")
-        if field.header and not HEADER.fullmatch(field.header):
-            raise AuthzError(f"authz.mapping.{name}: {field.header!r} is no header's name in lower case")
-        if field.path:
+        if source.header and not HEADER.fullmatch(source.header):
+            raise AuthzError(f"authz.mapping.{name}: {source.header!r} is not the name of a header in lower case")
+        if source.path:
             try:
-                groups = re.compile(field.path).groups
+                groups = re.compile(source.path).groups
             except re.error as error:
                 raise AuthzError(f"authz.mapping.{name}: {error}") from None
             if groups != 1:
-                raise AuthzError(f"authz.mapping.{name}: the pattern over the path has one group, not {groups}")
+                raise AuthzError(f"authz.mapping.{name}: the path pattern must have one group, not {groups}")
+
+
+def read_tls_files(tls: Tls, folder: Path) -> tuple[bytes, bytes, bytes | None]:
+    """Return the private key, the certificate chain, and the certificate authority or None.
 
+    Args:
+        tls: The paths of the files.
+        folder: The folder that relative paths start at.
 
-def read_tls_files(part: Tls, folder: Path) -> tuple[bytes, bytes, bytes | None]:
-    """Key, certificate chain, and the callers' authority. Raises `AuthzError`."""
+    Raises:
+        AuthzError: A file cannot be read.
+    """
     try:
-        key, chain = (folder / part.key).read_bytes(), (folder / part.certificate).read_bytes()
-        return key, chain, (folder / part.ca).read_bytes() if part.ca else None
+        key, chain = (folder / tls.key).read_bytes(), (folder / tls.certificate).read_bytes()
+        return key, chain, (folder / tls.ca).read_bytes() if tls.ca else None
     except OSError as error:
         raise AuthzError(f"authz.tls: {error.filename}: {error.strerror}") from None
--- a/elderlock/authz/permissions.py
+++ b/elderlock/authz/permissions.py
@@ -1,8 +1,8 @@
-"""Permissions by id: one answer for each, and the same again for a repeated question. Free of I/O.
+"""Stores one answer for each open request id, so that a retry gets the same answer. No I/O.
 
-An id lives from its question until its lookup has ended: by the asker's report or by its deadline. Within
-that life the same question gets the same answer and takes nothing; another question under that id is a
-duplicate and leaves the first unharmed.
+A request id is open from its first request until the permitted request has ended: by the caller's report or at the
+deadline. Meanwhile a retry with the same content gets the same answer and takes no units. A request with other content
+under the same id is rejected as a duplicate and does not affect the first one.
 """
 
 from __future__ import annotations
@@ -18,97 +18,138 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """`retry_after` and `life` in ms; `box` and `endpoint` of a permission."""
+    """The answer to a request.
+
+    Attributes:
+        kind: The kind of answer. `failed` means that there was no decision in time, and `crowded` that too many
+            requests are open.
+        retry_after_ms: When a refused request may be retried; 0 if that is not known.
+        server: The uid of the server that a permitted request is for.
+        endpoint: The address of that server.
+        lifetime_ms: How long the permission is valid.
+    """
 
     kind: Kind
-    retry_after: float = 0.0
-    box: str = ""
+    retry_after_ms: float = msgspec.field(name="retry_after", default=0.0)
+    server: str = msgspec.field(name="box", default="")
     endpoint: str = ""
-    life: float = 0.0
+    lifetime_ms: float = msgspec.field(name="life", default=0.0)
 
 
 DUPLICATE, CROWDED = Verdict("duplicate"), Verdict("crowded")
-Answer = Callable[[Verdict], None]
+VerdictCallback = Callable[[Verdict], None]
 
 
 class Entry:
-    """One id: the question that it stands for, who waits for its verdict, and the verdict once there is one."""
+    """The state of one open request id.
+
+    Attributes:
+        key: The content of the request; see `request_key`.
+        gateway_request_id: The gateway's id of the request; None if the gateway refused it at once.
+        verdict: The answer; None while the request is undecided.
+        callbacks: The callbacks of the callers that wait for the answer, by their number.
+    """
 
-    __slots__ = ("key", "name", "verdict", "waiting")
+    __slots__ = ("callbacks", "gateway_request_id", "key", "verdict")
 
     def __init__(self, key: tuple[object, ...]) -> None:
         self.key = key
-        self.name: str | None = None  # the gateway's, while it is undecided or its lookup is out
+        self.gateway_request_id: str | None = None
         self.verdict: Verdict | None = None
-        self.waiting: dict[int, Answer] = {}
+        self.callbacks: dict[int, VerdictCallback] = {}
 
 
 def request_key(command: Command) -> tuple[object, ...]:
-    """What must be the same in a repeated question; how long it waits may differ."""
-    c = command
-    return c.customer_id, c.class_index, c.plan_index, c.units, c.limiter_count, c.first_limiter
+    """Return the content that a retry must have in common with the first request. Its deadline may differ."""
+    return (
+        command.customer_id,
+        command.class_index,
+        command.plan_index,
+        command.units,
+        command.limiter_count,
+        command.first_limiter,
+    )
 
 
 class Permissions:
-    """Invariants: a verdict is given once to each who waits; an id has one entry; only what is undecided
-    or out is held, and of that no more than `most`."""
+    """The open request ids and their answers.
+
+    Invariants: each waiting caller gets one verdict; an id has one entry; only undecided requests and permitted ones
+    that have not ended are stored, up to the maximum.
+    """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, maximum: int) -> None:
+        """Make an empty store for at most `maximum` request ids."""
+        self._maximum = maximum
         self._entries: dict[bytes, Entry] = {}
-        self._last = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def ask(self, command: Command, answer: Answer) -> tuple[int, Entry | None]:
-        """A number for `leave`, and the entry where it is new and has to be put to the module. What is known
-        already is answered at once."""
-        self._last += 1
+    def request(self, command: Command, callback: VerdictCallback) -> tuple[int, Entry | None]:
+        """Add a request, or answer a retry.
+
+        Args:
+            command: The request.
+            callback: Is called with the verdict: at once if it is already known, else by `resolve`.
+
+        Returns:
+            The caller's number for `cancel`, and the entry if it is new and the gateway has to decide the request.
+        """
+        self._last_number += 1
         entry = self._entries.get(command.client_request_id)
         if entry is None:
-            if len(self._entries) >= self._most:
-                answer(CROWDED)
-                return self._last, None
+            if len(self._entries) >= self._maximum:
+                callback(CROWDED)
+                return self._last_number, None
             entry = self._entries[command.client_request_id] = Entry(request_key(command))
-            entry.waiting[self._last] = answer
-            return self._last, entry
+            entry.callbacks[self._last_number] = callback
+            return self._last_number, entry
         if entry.key != request_key(command):
-            answer(DUPLICATE)
+            callback(DUPLICATE)
         elif entry.verdict is not None:
-            answer(entry.verdict)
+            callback(entry.verdict)
         else:
-            entry.waiting[self._last] = answer
-        return self._last, None
+            entry.callbacks[self._last_number] = callback
+        return self._last_number, None
 
-    def decided(self, id: bytes, verdict: Verdict) -> None:
-        """The module's one answer. A refusal ends the id's life at once: to ask again is a new question."""
-        entry = self._entries.get(id)
+    def resolve(self, request_id: bytes, verdict: Verdict) -> None:
+        """Give the verdict to all waiting callers. A refusal closes the id, so a retry is a new request."""
+        entry = self._entries.get(request_id)
         if entry is None or entry.verdict is not None:
             return
         entry.verdict = verdict
         if verdict.kind != "permitted":
-            del self._entries[id]
-        waiting, entry.waiting = entry.waiting, {}
-        for answer in waiting.values():
-            answer(verdict)
-
-    def leave(self, id: bytes, number: int) -> str | None:
-        """One who waited has gone. The gateway's name of the question where it was the last and nothing is
-        decided: nobody is left to hear it, so it must not take units any more."""
-        entry = self._entries.get(id)
-        if entry is None or entry.waiting.pop(number, None) is None or entry.waiting or entry.verdict is not None:
+            del self._entries[request_id]
+        callbacks, entry.callbacks = entry.callbacks, {}
+        for callback in callbacks.values():
+            callback(verdict)
+
+    def cancel(self, request_id: bytes, number: int) -> str | None:
+        """Remove a caller that no longer waits.
+
+        Args:
+            request_id: The id of the request.
+            number: The caller's number.
+
+        Returns:
+            The gateway's id of the request if the last caller has left before the decision: the request must then be
+            cancelled, so that it takes no units for an answer that nobody receives. Else None.
+        """
+        entry = self._entries.get(request_id)
+        if entry is None or entry.callbacks.pop(number, None) is None or entry.callbacks or entry.verdict is not None:
             return None
-        del self._entries[id]
-        return entry.name
+        del self._entries[request_id]
+        return entry.gateway_request_id
 
-    def out(self, id: bytes, customer: str) -> str | None:
-        """The gateway's name of a permitted lookup that is out, where it is that customer's."""
-        entry = self._entries.get(id)
+    def find_in_flight(self, request_id: bytes, customer: str) -> str | None:
+        """Return the gateway's id of a permitted request that has not ended; None if it is not this customer's."""
+        entry = self._entries.get(request_id)
         if entry is None or entry.verdict is None or entry.key[0] != customer:
             return None
-        return entry.name
+        return entry.gateway_request_id
 
-    def over(self, id: bytes) -> None:
-        """Its lookup has ended, or its deadline has come."""
-        self._entries.pop(id, None)
+    def remove(self, request_id: bytes) -> None:
+        """Close an id after the permitted request has ended or its deadline has passed."""
+        self._entries.pop(request_id, None)
--- a/elderlock/authz/request_reader.py
+++ b/elderlock/authz/request_reader.py
@@ -1,4 +1,4 @@
-"""From a question as gateways put it to the terms of a request, and who may name which account. No I/O."""
+"""Reads a gateway's authorisation request, and checks that its caller may use the account. No I/O."""
 
 from __future__ import annotations
 
@@ -14,73 +14,102 @@
 
 ACCOUNT = re.compile(r"[0-9a-fA-F]{16}")
 NAME = re.compile(r"[!-~]{1,128}")
-# as on RESP2: float() would take 1_0, 1e3, infinity and spaces as well
+# The same forms as in RESP2 commands. float() alone would also accept 1_0, 1e3, infinity and spaces.
 WHOLE = re.compile(r"[0-9]{1,9}")
 DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-LONGEST_WAIT = 600_000.0  # ms
+MAXIMUM_DEADLINE_MS = 600_000.0
 
 
 class InvalidRequestError(Exception):
-    """The question cannot be taken; the text is for whoever asked."""
+    """A field of the request is missing or invalid. The text is for the caller."""
 
 
 class AccountNotAllowedError(Exception):
-    """The asker may not name that account."""
+    """The caller may not use that account. The text is for the caller."""
 
 
 class AuthorizationRequest(msgspec.Struct, frozen=True):
-    """A question as it came: `subjects` are the names in the caller's certificate; `within` is what gRPC
-    leaves of its deadline in ms, None where it names none."""
+    """An authorisation request as it was received.
+
+    Attributes:
+        extensions: The context extensions, or the entries of a rate limit descriptor.
+        headers: The headers of the HTTP request, with names in lower case.
+        path: The path of the HTTP request, with its query.
+        subjects: The names in the caller's certificate.
+        remaining_ms: The time to the gRPC deadline; None if there is none.
+    """
 
     extensions: StringMap[str, str]
     headers: StringMap[str, str]
     path: str
     subjects: tuple[str, ...]
-    within: float | None
+    remaining_ms: float | None = msgspec.field(name="within")
 
 
 class RequestReader:
-    """Reads questions against the settings' names and the askers' accounts."""
-
-    def __init__(self, file: AuthzFile, settings: api.Settings, largest: float) -> None:
-        self._file, self._largest, self._limiters = file, largest, settings.limiter_count
-        self._classes = {c.name: i for i, c in enumerate(settings.request_classes)}
-        self._plans = {plan.name: i for i, plan in enumerate(settings.plans)}
+    """Reads requests with the names of the settings and the accounts of the callers."""
+
+    def __init__(self, file: AuthzFile, settings: api.Settings, maximum_units: float) -> None:
+        """Make a reader.
+
+        Args:
+            file: The table `[authz]`.
+            settings: The limiter's settings, for the names of plans and request classes.
+            maximum_units: The maximum units of one request.
+        """
+        self._file, self._maximum_units, self._limiters = file, maximum_units, settings.limiter_count
+        self._classes = {request_class.name: index for index, request_class in enumerate(settings.request_classes)}
+        self._plans = {plan.name: index for index, plan in enumerate(settings.plans)}
         self._accounts: dict[str, frozenset[str]] = {}
-        for asker in file.askers:
-            self._accounts[asker.subject] = self._accounts.get(asker.subject, frozenset()) | set(asker.accounts)
-
-    def command(self, asked: AuthorizationRequest) -> Command:
-        """Raises `InvalidRequestError` or `AccountNotAllowedError`."""
-        m = self._file.mapping
-        account = self._text(asked, m.account, "account")
+        for caller in file.callers:
+            self._accounts[caller.subject] = self._accounts.get(caller.subject, frozenset()) | set(caller.accounts)
+
+    def read(self, request: AuthorizationRequest) -> Command:
+        """Return the request as a command.
+
+        Raises:
+            InvalidRequestError: A field is missing or invalid.
+            AccountNotAllowedError: The caller may not use the account.
+        """
+        mapping = self._file.mapping
+        account = self._text(request, mapping.account, "account")
         if not ACCOUNT.fullmatch(account) or int(account, 16) >= 1 << 33:
             raise InvalidRequestError("the account is not 16 hex digits below 2^33")
         account = account.lower()
-        if not self.may_use_account(asked.subjects, account):
-            raise AccountNotAllowedError("the account is not one that this caller may name")
-        request = self._text(asked, m.request, "request")
-        if not NAME.fullmatch(request):
-            raise InvalidRequestError("the request's id is empty, too long or not plain text")
-        longest = self._file.longest_ms
-        named = _find(asked, m.deadline_ms)
-        wait = longest if named is None else min(_number(named, "deadline", DECIMAL, 1.0, LONGEST_WAIT), longest)
-        if asked.within is not None:
-            wait = min(wait, asked.within)  # the earlier of gRPC's deadline and the request's own
+        if not self.may_use_account(request.subjects, account):
+            raise AccountNotAllowedError("this caller may not use the account")
+        request_id = self._text(request, mapping.request, "request id")
+        if not NAME.fullmatch(request_id):
+            raise InvalidRequestError("the request id is not 1 to 128 printable ASCII characters without spaces")
+        wait_ms = self._file.maximum_wait_ms
+        deadline = _find(request, mapping.deadline_ms)
+        if deadline is not None:
+            wait_ms = min(_number(deadline, "deadline", DECIMAL, 1.0, MAXIMUM_DEADLINE_MS), wait_ms)
+        if request.remaining_ms is not None:
+            wait_ms = min(wait_ms, request.remaining_ms)  # the earlier of the gRPC deadline and the request's own
         return Command(
-            class_index=_index(self._classes, self._text(asked, m.request_class, "class"), "class"),
-            plan_index=_index(self._plans, self._text(asked, m.plan, "plan"), "plan"),
+            class_index=_index(self._classes, self._text(request, mapping.request_class, "class"), "class"),
+            plan_index=_index(self._plans, self._text(request, mapping.plan, "plan"), "plan"),
             customer_id=account,
-            client_request_id=request.encode(),
-            wait_ms=wait,
-            units=_number(self._text(asked, m.units, "units"), "units", DECIMAL, 1e-9, self._largest),
-            limiter_count=int(_number(self._text(asked, m.spread, "spread"), "spread", WHOLE, 1, self._limiters)),
-            first_limiter=int(_number(self._text(asked, m.first, "first"), "first", WHOLE, 0, self._limiters - 1)),
-            encode=_never,
+            client_request_id=request_id.encode(),
+            wait_ms=wait_ms,
+            units=_number(self._text(request, mapping.units, "units"), "units", DECIMAL, 1e-9, self._maximum_units),
+            limiter_count=int(
+                _number(self._text(request, mapping.spread, "spread"), "spread", WHOLE, 1, self._limiters)
+            ),
+            first_limiter=int(
+                _number(self._text(request, mapping.first, "first"), "first", WHOLE, 0, self._limiters - 1)
+            ),
+            encode=_reject_encoding,
         )
 
     def may_use_account(self, subjects: tuple[str, ...], account: str) -> bool:
-        """A caller without a certificate is the asker of the empty subject."""
+        """Return whether a caller may use an account.
+
+        Args:
+            subjects: The names in its certificate. A caller without one has the empty subject.
+            account: The account, in lower case.
+        """
         for subject in subjects or ("",):
             accounts = self._accounts.get(subject, frozenset())
             if account in accounts or "*" in accounts:
@@ -88,44 +117,47 @@
         return False
 
     @staticmethod
-    def _text(asked: AuthorizationRequest, field: FieldSource, what: str) -> str:
-        value = _find(asked, field)
+    def _text(request: AuthorizationRequest, source: FieldSource, name: str) -> str:
+        value = _find(request, source)
         if value is None:
-            raise InvalidRequestError(f"the {what} is missing")
+            raise InvalidRequestError(f"the {name} is missing")
         return value
 
 
-def _never(wait: float) -> bytes:
-    raise AssertionError("the asker sends this one on")
+def _reject_encoding(wait_ms: float) -> bytes:
+    raise AssertionError("the caller forwards a permitted request itself")
 
 
-def _find(asked: AuthorizationRequest, field: FieldSource) -> str | None:
-    if field.extension and field.extension in asked.extensions:
-        return asked.extensions[field.extension]
-    if field.header and field.header in asked.headers:
-        return asked.headers[field.header]
-    if field.query:
-        values = parse_qs(urlsplit(asked.path).query).get(field.query, [])
+def _find(request: AuthorizationRequest, source: FieldSource) -> str | None:
+    """Return the value of a field from the first source that the request has; None if it has none."""
+    if source.extension and source.extension in request.extensions:
+        return request.extensions[source.extension]
+    if source.header and source.header in request.headers:
+        return request.headers[source.header]
+    if source.query:
+        values = parse_qs(urlsplit(request.path).query).get(source.query, [])
         if len(values) == 1:
             return values[0]
         if values:
-            raise InvalidRequestError(f"{field.query} stands in the query more than once")
-    if field.path and (found := re.fullmatch(field.path, urlsplit(asked.path).path)):
-        return found[1]
-    return field.value or None
+            raise InvalidRequestError(f"{source.query} occurs in the query more than once")
+    if source.path and (match := re.fullmatch(source.path, urlsplit(request.path).path)):
+        return match[1]
+    return source.value or None
 
 
-def _index(names: dict[str, int], name: str, what: str) -> int:
-    index = names.get(name)
+def _index(indices: dict[str, int], name: str, kind: str) -> int:
+    """Return the index of a plan or a request class in the settings."""
+    index = indices.get(name)
     if index is None:
-        raise InvalidRequestError(f"unknown {what}")
+        raise InvalidRequestError(f"unknown {kind}")
     return index
 
 
-def _number(text: str, what: str, form: re.Pattern[str], least: float, most: float) -> float:
-    if not form.fullmatch(text):
-        raise InvalidRequestError(f"the {what} is not a number between {least:g} and {most:g}")
+def _number(text: str, name: str, pattern: re.Pattern[str], minimum: float, maximum: float) -> float:
+    """Return the value of a field that is a number in the given form and range."""
+    if not pattern.fullmatch(text):
+        raise InvalidRequestError(f"the {name} is not a number between {minimum:g} and {maximum:g}")
     number = float(text)
-    if not least <= number <= most:
-        raise InvalidRequestError(f"the {what} is out of range: between {least:g} and {most:g}")
+    if not minimum <= number <= maximum:
+        raise InvalidRequestError(f"the {name} is out of range: between {minimum:g} and {maximum:g}")
     return number
--- a/tests/authz/test_limiter_processes.py
+++ b/tests/authz/test_limiter_processes.py
@@ -1,4 +1,4 @@
-"""The door in the real program: switched on by the operators' file, TLS read anew, drains, ceilings over limiters."""
+"""Tests the authorisation server in limiter processes: configuration, TLS reload, drains, and a shared hard ceiling."""
 
 import asyncio
 import signal
@@ -18,23 +18,23 @@
 from elderlock.standins.world import World
 
 
-def test_both_doors_of_the_program_serve_and_it_ends_in_an_orderly_way(tmp_path: Path) -> None:
+def test_a_limiter_serves_grpc_and_resp2_and_shuts_down_cleanly(tmp_path: Path) -> None:
     async def test() -> None:
         async with programs(tmp_path) as (program,):
-            asking, client = program.asking(), await program.client()
-            assert await asking.word("q1", **terms_of(0, 1)) == 200
+            caller, client = program.asking(), await program.client()
+            assert await caller.word("q1", **terms_of(0, 1)) == 200
             answer = await client.ask("q2", t="enterprise")
             assert isinstance(answer, bytes) and b"request=q2" in answer
             assert "open" in str(await client.ask("q1", t="enterprise"))
             assert program.process is not None
             program.process.send_signal(signal.SIGTERM)
             assert await program.process.wait() == 0
-            await asking.channel.close()
+            await caller.channel.close()
 
     run(test(), within=60.0)
 
 
-def test_a_wrong_part_ends_the_start_with_one_line(tmp_path: Path) -> None:
+def test_an_invalid_configuration_stops_the_start_with_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         world = World(tmp_path, 1, 1)
         await world.open()
@@ -47,18 +47,18 @@
         assert (
             error.decode()
             .splitlines()[-1]
-            .endswith("off loopback the door needs [authz.tls] with a ca for its callers")
+            .endswith("an address off loopback needs [authz.tls] with a ca for its callers")
         )
         await world.close()
 
     run(test(), within=60.0)
 
 
-def test_a_drained_limiter_tells_gateways_to_stay_away_and_still_answers(tmp_path: Path) -> None:
+def test_a_drained_limiter_fails_health_checks_and_still_answers(tmp_path: Path) -> None:
     async def test() -> None:
         async with programs(tmp_path) as (program,):
-            asking = program.asking()
-            health = health_pb2_grpc.HealthStub(asking.channel)
+            caller = program.asking()
+            health = health_pb2_grpc.HealthStub(caller.channel)
 
             async def status() -> int:
                 return int((await health.Check(health_pb2.HealthCheckRequest(), timeout=10)).status)
@@ -67,35 +67,35 @@
             await program.drain(Record("limiter", "n0", True, 1, "o", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.NOT_SERVING:
                 await asyncio.sleep(0.01)
-            assert await asking.word("q1", **terms_of(0, 1)) == 200
+            assert await caller.word("q1", **terms_of(0, 1)) == 200
             await program.drain(Record("limiter", "n0", False, 2, "o2", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.SERVING:
                 await asyncio.sleep(0.01)
-            await asking.channel.close()
+            await caller.channel.close()
 
     run(test(), within=60.0)
 
 
-def test_permissions_for_a_drained_box_stop_when_the_drain_is_in_force(tmp_path: Path) -> None:
+def test_a_drained_server_gets_no_permissions_once_the_drain_is_in_force(tmp_path: Path) -> None:
     async def test() -> None:
         async with programs(tmp_path) as (program,):
-            asking = program.asking()
+            caller = program.asking()
             await program.drain(Record("box", "s-00", True, 1, "o", "an", 0.0))
-            since = unix_ms()
-            named = set()
+            drained_at_ms = unix_ms()
+            named_servers = set()
             for n in range(40):
-                answer = await asking.check(f"q{n}", **terms_of(0, 1))
+                answer = await caller.check(f"q{n}", **terms_of(0, 1))
                 if answer.HasField("ok_response"):
-                    named.add(headers(answer)["x-elderlock-box"])
+                    named_servers.add(headers(answer)["x-elderlock-box"])
                     await asyncio.sleep(0.01)
-            assert named and "s-00" not in named and unix_ms() > since
-            await asking.channel.close()
+            assert named_servers and "s-00" not in named_servers and unix_ms() > drained_at_ms
+            await caller.channel.close()
 
     run(test(), within=60.0)
 
 
-def test_certificates_are_read_anew_on_reload_under_load(tmp_path: Path) -> None:
-    """Open connections go on; new ones meet the new certificate, and an old authority's client is out."""
+def test_a_reload_reads_new_certificates_while_connections_are_open(tmp_path: Path) -> None:
+    """Open connections stay open. New ones see the new certificate, and only clients of the new authority connect."""
 
     async def test() -> None:
         async with programs(tmp_path, tls=True) as (program,):
@@ -107,17 +107,17 @@
                     return (tmp_path / name).read_bytes()
 
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                asking = Asking(0)
+                caller = Asking(0)
                 options = [("grpc.ssl_target_name_override", "127.0.0.1")]
-                asking.channel = grpc.aio.secure_channel(program.address, credentials, options)
-                asking.auth = auth_grpc.AuthorizationStub(asking.channel)
-                return asking
+                caller.channel = grpc.aio.secure_channel(program.address, credentials, options)
+                caller.auth = auth_grpc.AuthorizationStub(caller.channel)
+                return caller
 
             before = connect()
             assert await before.word("q0", **terms_of(0, 1)) == 200
-            write_certificates(tmp_path)  # another authority and all new keys
+            write_certificates(tmp_path)  # with a new certificate authority and new keys
             (tmp_path / "server.crt").rename(tmp_path / "good.crt")
-            program_process.send_signal(signal.SIGHUP)  # half of it is missing: nothing changes
+            program_process.send_signal(signal.SIGHUP)  # a file is missing, so the old certificate stays in use
             assert await before.word("q1", **terms_of(0, 1)) == 200
             (tmp_path / "good.crt").rename(tmp_path / "server.crt")
             program_process.send_signal(signal.SIGHUP)
@@ -127,8 +127,8 @@
                 await asyncio.sleep(0.02)
                 after = connect()
             assert await before.word("q3", **terms_of(0, 1)) == 200
-            for asking in (before, after):
-                await asking.channel.close()
+            for caller in (before, after):
+                await caller.channel.close()
 
     run(test(), within=60.0)
 
@@ -136,35 +136,37 @@
 UNITS = 4  # of each request
 
 
-@pytest.mark.parametrize("silent", [False, True], ids=["keepers heard", "keepers silent"])
-def test_both_doors_of_three_limiters_keep_one_ceiling_while_one_is_killed(silent: bool, tmp_path: Path) -> None:
-    """What boxes got over RESP2 and what was permitted over gRPC, against the one store that refills."""
+@pytest.mark.parametrize("silent", [False, True], ids=["quota owners answer", "quota owners silent"])
+def test_three_limiters_keep_one_hard_ceiling_over_grpc_and_resp2_while_one_is_killed(
+    silent: bool, tmp_path: Path
+) -> None:
+    """Counts the units that servers received over RESP2 and those permitted over gRPC against one token bucket."""
 
     async def test() -> None:
-        async with programs(tmp_path, count=3, boxes=6, plans=[ENTERPRISE]) as made:
+        async with programs(tmp_path, count=3, boxes=6, plans=[ENTERPRISE]) as limiters:
             if silent:
                 for number in range(3):
-                    made[0].world.network.isolate(number)
-            permitted: list[float] = []
-            served = asked = 0
+                    limiters[0].world.network.isolate(number)
+            permitted_at_ms: list[float] = []
+            served = answered = 0
             stop = asyncio.Event()
 
-            async def ask_grpc(program: Program, number: int) -> None:
-                nonlocal asked
-                asking = program.asking()
+            async def send_over_grpc(program: Program, number: int) -> None:
+                nonlocal answered
+                caller = program.asking()
                 n = 0
                 while not stop.is_set():
                     n += 1
-                    word = await asking.word(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
-                    asked += word in (200, 429)
-                    if word == 200:
-                        permitted.append(unix_ms())
-                        await asking.report_any(f"g{number}-{n}")
+                    status = await caller.word(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
+                    answered += status in (200, 429)
+                    if status == 200:
+                        permitted_at_ms.append(unix_ms())
+                        await caller.report_any(f"g{number}-{n}")
                     await asyncio.sleep(0.002)
-                await asking.channel.close()
+                await caller.channel.close()
 
-            async def ask_resp(program: Program, number: int, lane: int) -> None:
-                nonlocal asked, served
+            async def send_over_resp2(program: Program, number: int, lane: int) -> None:
+                nonlocal answered, served
                 client = await program.client()
                 n = 0
                 while not stop.is_set():
@@ -178,29 +180,31 @@
                     answer = await client.answer()
                     if answer is None:
                         return
-                    asked += 1
+                    answered += 1
                     served += isinstance(answer, bytes)
                     await asyncio.sleep(0.002)
 
-            began = unix_ms()
-            tasks = [asyncio.create_task(ask_grpc(program, n)) for n, program in enumerate(made)]
-            tasks += [asyncio.create_task(ask_resp(p, n, lane)) for n, p in enumerate(made) for lane in range(3)]
-            await until(lambda: asked > 200)
-            assert made[2].process is not None
-            made[2].process.kill()
+            started_ms = unix_ms()
+            tasks = [asyncio.create_task(send_over_grpc(program, n)) for n, program in enumerate(limiters)]
+            tasks += [
+                asyncio.create_task(send_over_resp2(p, n, lane)) for n, p in enumerate(limiters) for lane in range(3)
+            ]
+            await until(lambda: answered > 200)
+            assert limiters[2].process is not None
+            limiters[2].process.kill()
 
             def ceiling() -> float:
-                took = (unix_ms() - began) / 1000.0
-                return float(ENTERPRISE["never-over-depth"] + ENTERPRISE["hard-rate"] * (took + 0.15))
+                elapsed_s = (unix_ms() - started_ms) / 1000.0
+                return float(ENTERPRISE["never-over-depth"] + ENTERPRISE["hard-rate"] * (elapsed_s + 0.15))
 
-            # till the two that are left were asked for far more than the ceiling lets go, however fast that is
-            let, before = len(permitted) + served, asked
-            await until(lambda: asked > before + 200 and UNITS * asked > 2.0 * ceiling())
-            await until(lambda: len(permitted) + served > let + 5)
+            # Until the two remaining limiters have answered requests for much more than the ceiling admits, at any speed.
+            admitted_before, answered_before = len(permitted_at_ms) + served, answered
+            await until(lambda: answered > answered_before + 200 and UNITS * answered > 2.0 * ceiling())
+            await until(lambda: len(permitted_at_ms) + served > admitted_before + 5)
             stop.set()
             await asyncio.gather(*tasks, return_exceptions=True)
-            sent = {s.request for box in made[0].world.boxes.values() for s in box.sent}
-            units = UNITS * (len(permitted) + len(sent))
-            assert units <= ceiling() + ENTERPRISE["hard-slack"], (len(permitted), len(sent))
+            sent = {s.request for box in limiters[0].world.boxes.values() for s in box.sent}
+            units = UNITS * (len(permitted_at_ms) + len(sent))
+            assert units <= ceiling() + ENTERPRISE["hard-slack"], (len(permitted_at_ms), len(sent))
 
     run(test(), within=90.0)
--- a/tests/authz/test_routing_server.py
+++ b/tests/authz/test_routing_server.py
@@ -1,4 +1,4 @@
-"""The agent's door: which limiter is asked, and what is never asked again."""
+"""Tests the agent's authorisation server: which limiter gets a request, and when a retry may go to another one."""
 
 import asyncio
 import contextlib
@@ -40,229 +40,240 @@
 from elderlock.standins.world import ROOT, World, free_address, own_host
 from elderlock.trial import guard
 
-NAMES = {f"n{n}": n for n in range(5)}
+NUMBERS = {f"n{n}": n for n in range(5)}
 
 
-def router() -> LimiterSelector:
-    return LimiterSelector(NAMES, random.Random(1))
+def make_selector() -> LimiterSelector:
+    return LimiterSelector(NUMBERS, random.Random(1))
 
 
-def test_only_the_accounts_own_limiters_are_asked_in_their_row() -> None:
-    made = router()
-    assert made.members(3, 3) == ["n3", "n4", "n0"]
-    assert {made.choose(3, 3, NAMES, (), 0.0) for _ in range(50)} == {"n3", "n4", "n0"}
-    assert made.choose(3, 3, {"n1", "n2"}, (), 0.0) is None
-    assert {made.choose(3, 3, NAMES, ("n3", "n4"), 0.0) for _ in range(9)} == {"n0"}
+def test_only_limiters_of_the_accounts_set_are_chosen() -> None:
+    selector = make_selector()
+    assert selector.members(3, 3) == ["n3", "n4", "n0"]
+    assert {selector.choose(3, 3, NUMBERS, (), 0.0) for _ in range(50)} == {"n3", "n4", "n0"}
+    assert selector.choose(3, 3, {"n1", "n2"}, (), 0.0) is None
+    assert {selector.choose(3, 3, NUMBERS, ("n3", "n4"), 0.0) for _ in range(9)} == {"n0"}
 
 
-def test_the_less_loaded_of_two_is_asked() -> None:
-    made = router()
+def test_the_less_loaded_of_two_limiters_is_chosen() -> None:
+    selector = make_selector()
     for _ in range(3):
-        made.attempt_started("n0")
-    assert {made.choose(2, 0, NAMES, (), 0.0) for _ in range(20)} == {"n1"}
+        selector.attempt_started("n0")
+    assert {selector.choose(2, 0, NUMBERS, (), 0.0) for _ in range(20)} == {"n1"}
 
 
-def test_failures_in_a_row_eject_for_longer_each_time_and_an_answer_forgives() -> None:
-    made = router()
+def test_consecutive_failures_eject_for_longer_each_time_until_an_answer() -> None:
+    selector = make_selector()
 
     def fail(now: float) -> None:
         for _ in range(EJECT_AFTER_FAILURES):
-            made.attempt_started("n0")
-            made.attempt_ended("n0", AttemptResult.NOT_SENT, now)
+            selector.attempt_started("n0")
+            selector.attempt_ended("n0", AttemptResult.NOT_SENT, now)
 
     fail(0.0)
-    assert made.ejected_limiters(0.0) == ["n0"] and made.choose(1, 0, NAMES, (), BASE_EJECTION_MS - 1) is None
-    assert made.choose(1, 0, NAMES, (), BASE_EJECTION_MS) == "n0"
+    assert selector.ejected_limiters(0.0) == ["n0"] and selector.choose(1, 0, NUMBERS, (), BASE_EJECTION_MS - 1) is None
+    assert selector.choose(1, 0, NUMBERS, (), BASE_EJECTION_MS) == "n0"
     fail(BASE_EJECTION_MS)
-    assert made.ejected_limiters(BASE_EJECTION_MS + 2 * BASE_EJECTION_MS - 1) == ["n0"]
-    made.attempt_started("n0")
-    made.attempt_ended("n0", AttemptResult.ANSWERED, 9e5)
+    assert selector.ejected_limiters(BASE_EJECTION_MS + 2 * BASE_EJECTION_MS - 1) == ["n0"]
+    selector.attempt_started("n0")
+    selector.attempt_ended("n0", AttemptResult.ANSWERED, 9e5)
     fail(1e6)
-    assert made.ejected_limiters(1e6 + BASE_EJECTION_MS) == []
+    assert selector.ejected_limiters(1e6 + BASE_EJECTION_MS) == []
 
 
 @settings(max_examples=100, deadline=None)
 @given(
     st.lists(
-        st.tuples(st.sampled_from(list(NAMES)), st.sampled_from(list(AttemptResult)), st.floats(0.0, 300.0)),
+        st.tuples(st.sampled_from(list(NUMBERS)), st.sampled_from(list(AttemptResult)), st.floats(0.0, 300.0)),
         max_size=80,
     )
 )
-def test_never_more_than_the_cap_are_out_and_what_is_out_is_counted(
+def test_the_ejected_share_is_capped_and_attempts_in_flight_are_counted(
     events: list[tuple[str, AttemptResult, float]],
 ) -> None:
-    made, now = router(), 0.0
-    for name, fate, wait in events:
+    selector, now = make_selector(), 0.0
+    for name, result, wait in events:
         now += wait
-        made.attempt_started(name)
-        made.attempt_ended(name, fate, now)
-        assert len(made.ejected_limiters(now)) <= MAXIMUM_EJECTED_SHARE * len(NAMES)
-    assert all(member.open == 0 for member in made._members.values())
+        selector.attempt_started(name)
+        selector.attempt_ended(name, result, now)
+        assert len(selector.ejected_limiters(now)) <= MAXIMUM_EJECTED_SHARE * len(NUMBERS)
+    assert all(member.open == 0 for member in selector._members.values())
 
 
 @given(
-    st.lists(st.sampled_from([f for f in AttemptResult if f is not AttemptResult.ANSWERED]), min_size=1, max_size=6),
+    st.lists(
+        st.sampled_from([result for result in AttemptResult if result is not AttemptResult.ANSWERED]),
+        min_size=1,
+        max_size=6,
+    ),
     st.booleans(),
     st.floats(-10.0, 900.0),
 )
-def test_a_try_of_unknown_fate_is_never_asked_elsewhere(
-    fates: list[AttemptResult], fetchable: bool, left: float
+def test_after_an_unknown_result_no_other_limiter_is_tried(
+    results: list[AttemptResult], fetchable: bool, remaining_ms: float
 ) -> None:
-    step = next_step(fates, fetchable, left)
+    step = next_step(results, fetchable, remaining_ms)
     if step is NextStep.OTHER_LIMITER:
-        assert fates[-1] is AttemptResult.LIMITER_DIED or AttemptResult.UNKNOWN not in fates
+        assert results[-1] is AttemptResult.LIMITER_DIED or AttemptResult.UNKNOWN not in results
     if step is NextStep.SAME_LIMITER:
-        assert fetchable and fates[-1] is AttemptResult.UNKNOWN
-    if left <= 0:
+        assert fetchable and results[-1] is AttemptResult.UNKNOWN
+    if remaining_ms <= 0:
         assert step is NextStep.GIVE_UP
 
 
 @asynccontextmanager
-async def routed(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingServer, Asking, set[str]]]:
-    async with programs(folder, count=3) as made:
-        away: set[str] = set()
+async def routing_server(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingServer, Asking, set[str]]]:
+    """Run three limiters behind a routing server; yield them, the server, a caller, and a set of unusable limiters."""
+    async with programs(folder, count=3) as limiters:
+        unusable: set[str] = set()
 
         def usable(names: Iterable[str]) -> set[str]:
-            return set(names) - away
+            return set(names) - unusable
 
         raw = {
             "door": {"listen": "127.0.0.1:0", "askers": [{"accounts": [ACCOUNT]}]},
             "config": "n0.json",
-            "limiter": [{"name": f"n{p.number}", "number": p.number, "address": p.address} for p in made],
+            "limiter": [{"name": f"n{p.number}", "number": p.number, "address": p.address} for p in limiters],
         }
-        door = RoutingServer(raw, folder, usable, random.Random(1))
-        await door.start()
-        asking = Asking(door.port)
+        server = RoutingServer(raw, folder, usable, random.Random(1))
+        await server.start()
+        caller = Asking(server.port)
         try:
-            yield made, door, asking, away
+            yield limiters, server, caller, unusable
         finally:
-            await asking.channel.close()
-            await door.stop()
+            await caller.channel.close()
+            await server.stop()
 
 
-def test_questions_reports_and_refusals_pass_through(tmp_path: Path) -> None:
+def test_requests_reports_and_refusals_are_routed(tmp_path: Path) -> None:
     async def test() -> None:
-        async with routed(tmp_path) as (_, _, asking, _):
-            answer = await asking.check("q1", **terms_of(0, 3))
+        async with routing_server(tmp_path) as (_, _, caller, _):
+            answer = await caller.check("q1", **terms_of(0, 3))
             assert headers(answer)["x-elderlock-permission"] == "q1"
-            assert await asking.report("q1", account=ACCOUNT)
-            assert not await asking.report("q1", account=ACCOUNT)
-            assert await asking.word("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
-            assert await asking.word("q3", **terms_of(0, 3, plan="gold")) == 400
+            assert await caller.report("q1", account=ACCOUNT)
+            assert not await caller.report("q1", account=ACCOUNT)
+            assert await caller.word("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
+            assert await caller.word("q3", **terms_of(0, 3, plan="gold")) == 400
             descriptor = ratelimit_pb2.RateLimitDescriptor()
             for key, value in terms_of(0, 3, **{"class": "lookup"}).items():
                 descriptor.entries.add(key=key, value=str(value))
-            question = rls.RateLimitRequest(domain="d", descriptors=[descriptor])
-            limited = await asking.rls.ShouldRateLimit(question, timeout=10)
+            request = rls.RateLimitRequest(domain="d", descriptors=[descriptor])
+            limited = await caller.rls.ShouldRateLimit(request, timeout=10)
             assert limited.overall_code == rls.RateLimitResponse.OK
-            (permission,) = (h.value for h in limited.request_headers_to_add if h.key == "x-elderlock-permission")
-            await lookups_report(asking.channel, permission)
+            (permission,) = (
+                header.value for header in limited.request_headers_to_add if header.key == "x-elderlock-permission"
+            )
+            await lookups_report(caller.channel, permission)
 
     run(test(), within=60.0)
 
 
-def test_a_drained_limiter_is_not_asked_and_without_any_the_answer_comes_at_once(tmp_path: Path) -> None:
+def test_a_drained_limiter_gets_no_requests_and_without_limiters_the_request_fails_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        async with routed(tmp_path) as (made, _, asking, away):
-            away.add("n0")
+        async with routing_server(tmp_path) as (limiters, _, caller, unusable):
+            unusable.add("n0")
             for n in range(12):
-                assert await asking.word(f"q{n}", **terms_of(0, 3)) in (200, 429)
-            counts = [await program.count() for program in made]
+                assert await caller.word(f"q{n}", **terms_of(0, 3)) in (200, 429)
+            counts = [await program.count() for program in limiters]
             assert counts[0] == 0 and counts[1] and counts[2] and sum(counts) == 12
-            away |= {"n1", "n2"}
-            assert await asking.word("q99", **terms_of(0, 3)) == "UNAVAILABLE"
+            unusable |= {"n1", "n2"}
+            assert await caller.word("q99", **terms_of(0, 3)) == "UNAVAILABLE"
 
     run(test(), within=60.0)
 
 
-def test_two_of_three_limiters_die_and_every_question_is_answered(tmp_path: Path) -> None:
-    """Asked while they die and after: one answer each, in time, and nearly all of them decisions."""
+def test_every_request_is_answered_while_two_of_three_limiters_die(tmp_path: Path) -> None:
+    """Each request gets one answer in time, and at least 95 of 100 are decisions and not errors."""
 
     async def test() -> None:
-        async with routed(tmp_path) as (made, _, asking, _):
-            words: list[int | str] = []
+        async with routing_server(tmp_path) as (limiters, _, caller, _):
+            statuses: list[int | str] = []
 
-            async def ask(lane: int) -> None:
+            async def send(lane: int) -> None:
                 for n in range(25):
-                    words.append(await asking.word(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
-                    with contextlib.suppress(grpc.aio.AioRpcError):  # whoever permitted it may be dead by now
-                        await lookups_report(asking.channel, f"q{lane}-{n}")
+                    statuses.append(await caller.word(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
+                    with contextlib.suppress(grpc.aio.AioRpcError):  # the limiter that permitted it may be dead
+                        await lookups_report(caller.channel, f"q{lane}-{n}")
                     if lane == 0 and n in (5, 10):
-                        process = made[n // 5].process
+                        process = limiters[n // 5].process
                         assert process is not None
                         process.kill()
 
-            await asyncio.gather(*(ask(lane) for lane in range(4)))
-            assert len(words) == 100
-            assert sum(word in (200, 429) for word in words) >= 95, words
+            await asyncio.gather(*(send(lane) for lane in range(4)))
+            assert len(statuses) == 100
+            assert sum(status in (200, 429) for status in statuses) >= 95, statuses
 
     run(test(), within=60.0)
 
 
-def test_the_way_to_limiters_and_the_door_itself_speak_tls(tmp_path: Path) -> None:
+def test_connections_from_callers_and_to_limiters_use_tls(tmp_path: Path) -> None:
     async def test() -> None:
         async with programs(tmp_path, tls=True) as (program,):
-            client = {"certificate": "client.crt", "key": "client.key", "ca": "ca.crt"}
-            server = {"certificate": "server.crt", "key": "server.key", "ca": "ca.crt"}
+            client_files = {"certificate": "client.crt", "key": "client.key", "ca": "ca.crt"}
+            server_files = {"certificate": "server.crt", "key": "server.key", "ca": "ca.crt"}
             raw = {
-                "door": {"listen": "127.0.0.1:0", "tls": server, "askers": [{"accounts": ["*"], "subject": "client"}]},
+                "door": {
+                    "listen": "127.0.0.1:0",
+                    "tls": server_files,
+                    "askers": [{"accounts": ["*"], "subject": "client"}],
+                },
                 "config": "n0.json",
-                "to_limiters": client,
+                "to_limiters": client_files,
                 "limiter": [{"name": "n0", "number": 0, "address": program.address}],
             }
-            door = RoutingServer(raw, tmp_path, set, random.Random(1))
-            await door.start()
+            server = RoutingServer(raw, tmp_path, set, random.Random(1))
+            await server.start()
 
             def read(name: str) -> bytes:
                 return (tmp_path / name).read_bytes()
 
             def connect() -> Asking:
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                asking = Asking(door.port)
-                asking.channel = grpc.aio.secure_channel(f"127.0.0.1:{door.port}", credentials)
-                asking.auth = auth_grpc.AuthorizationStub(asking.channel)
-                return asking
-
-            good, bare = connect(), Asking(door.port)
-            assert await good.word("q1", **terms_of(0, 1)) == 200
-            assert await bare.word("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
+                caller = Asking(server.port)
+                caller.channel = grpc.aio.secure_channel(f"127.0.0.1:{server.port}", credentials)
+                caller.auth = auth_grpc.AuthorizationStub(caller.channel)
+                return caller
+
+            trusted, without_tls = connect(), Asking(server.port)
+            assert await trusted.word("q1", **terms_of(0, 1)) == 200
+            assert await without_tls.word("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
             write_certificates(tmp_path)
-            door.reload()
-            after = connect()
-            assert await after.word("q3", **terms_of(0, 1)) == 200  # the way to the limiter goes on as it was
-            for asking in (good, bare, after):
-                await asking.channel.close()
-            await door.stop()
+            server.reload()
+            reconnected = connect()
+            assert await reconnected.word("q3", **terms_of(0, 1)) == 200  # the channel to the limiter stays open
+            for caller in (trusted, without_tls, reconnected):
+                await caller.channel.close()
+            await server.stop()
 
     run(test(), within=60.0)
 
 
 @pytest.mark.parametrize("resumes", [True, False])
-def test_a_silent_limiter_is_asked_again_itself_and_nobody_else(resumes: bool, tmp_path: Path) -> None:
+def test_a_retry_goes_to_the_silent_limiter_and_to_no_other(resumes: bool, tmp_path: Path) -> None:
     async def test() -> None:
-        async with routed(tmp_path) as (made, door, asking, away):
-            away |= {"n1", "n2"}
-            assert await asking.word("warm", **terms_of(0, 3)) == 200  # connected
-            process = made[0].process
+        async with routing_server(tmp_path) as (limiters, server, caller, unusable):
+            unusable |= {"n1", "n2"}
+            assert await caller.word("warm", **terms_of(0, 3)) == 200  # connected
+            process = limiters[0].process
             assert process is not None
             os.kill(process.pid, signal.SIGSTOP)
-            away.clear()
-            away |= {"n1", "n2"}
-            call = asyncio.create_task(asking.word("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
-            while not door._router._members["n0"].open:
+            unusable.clear()
+            unusable |= {"n1", "n2"}
+            call = asyncio.create_task(caller.word("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
+            while not server._selector._members["n0"].open:
                 await asyncio.sleep(0.005)
-            away.clear()  # the others could be asked, and must not be
+            unusable.clear()  # the others are usable now and must not get the request
             if resumes:
-                while door._router._members["n0"].failures == 0:
-                    await asyncio.sleep(0.005)  # the first try has run out: its fate is not known
+                while server._selector._members["n0"].failures == 0:
+                    await asyncio.sleep(0.005)  # until the first attempt has timed out with an unknown result
                 os.kill(process.pid, signal.SIGCONT)
                 assert await call == 200
-                assert door._where["q1"] == "n0"
+                assert server._limiter_by_permission["q1"] == "n0"
             else:
                 assert await call == "DEADLINE_EXCEEDED"
                 os.kill(process.pid, signal.SIGCONT)
-            for program in made[1:]:
-                assert await program.count() == 0  # no question came to them
+            for program in limiters[1:]:
+                assert await program.count() == 0  # they got no requests
 
     run(test(), within=60.0)
 
@@ -271,12 +282,14 @@
     ("changes", "message"),
     [
         ({"limiter": []}, "no .*authz.limiter"),
-        ({"limiter": [{"name": "n0", "number": 0, "address": "a"}] * 2}, "stands there once"),
+        ({"limiter": [{"name": "n0", "number": 0, "address": "a"}] * 2}, "names and numbers must be unique"),
         ({"dor": 1}, "unknown field"),
         ({"door": {"listen": "x", "askers": [{"accounts": ["*"]}]}}, "is not an address"),
     ],
 )
-def test_a_wrong_part_of_the_agents_file_is_named(changes: dict[str, object], message: str, tmp_path: Path) -> None:
+def test_an_invalid_value_in_the_agents_file_is_named_in_the_error(
+    changes: dict[str, object], message: str, tmp_path: Path
+) -> None:
     raw = {
         "door": {"listen": "127.0.0.1:0", "askers": [{"accounts": ["*"]}]},
         "config": "n0.json",
@@ -287,23 +300,23 @@
         RoutingServer(raw, tmp_path, set, random.Random(1))
 
 
-def test_the_agents_own_file_switches_the_door_on(tmp_path: Path) -> None:
-    """`elderlock agent` with an `[authz]` part, over limiters that it supervises itself."""
+def test_the_agents_file_enables_the_authorisation_server(tmp_path: Path) -> None:
+    """Runs `elderlock agent` with an `[authz]` table and two limiters that it supervises."""
 
     async def test() -> None:
         world = World(tmp_path, limiters=2, boxes=3)
         await world.open()
-        doors = [free_address(own_host(random.SystemRandom())) for _ in range(3)]
+        addresses = [free_address(own_host(random.SystemRandom())) for _ in range(3)]
         path = world.agent_path(0)
-        text = path.read_text() + f'[authz]\nconfig = "n0.json"\n[authz.door]\nlisten = "{doors[2]}"\n'
+        text = path.read_text() + f'[authz]\nconfig = "n0.json"\n[authz.door]\nlisten = "{addresses[2]}"\n'
         text += f'[[authz.door.askers]]\naccounts = ["{ACCOUNT}"]\n'
         for number in range(2):
-            text += f'[[authz.limiter]]\nname = "n{number}"\nnumber = {number}\naddress = "{doors[number]}"\n'
+            text += f'[[authz.limiter]]\nname = "n{number}"\nnumber = {number}\naddress = "{addresses[number]}"\n'
             text = text.replace(
                 f'config = "n{number}.json"\ndir', f'config = "n{number}.json"\nauthz = "authz-{number}.toml"\ndir'
             )
             (tmp_path / f"authz-{number}.toml").write_text(
-                f'[authz]\nlisten = "{doors[number]}"\n[[authz.askers]]\naccounts = ["*"]\n'
+                f'[authz]\nlisten = "{addresses[number]}"\n[[authz.askers]]\naccounts = ["*"]\n'
             )
         path.write_text(text)
         command = [sys.executable, "-B", "-m", "elderlock.cli.main", "agent"]
@@ -317,21 +330,21 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            asking = Asking.at(doors[2])
-            while await asking.word("warm", **terms_of(0, 2)) != 200:
+            caller = Asking.at(addresses[2])
+            while await caller.word("warm", **terms_of(0, 2)) != 200:
                 await asyncio.sleep(0.05)
             group = Group.read(world.group_path)
-            # one limiter's answer says nothing of the other's start: a drain of the only one that serves is refused
+            # Both limiters must serve, because a drain of the last one in service is refused.
             while len((await observe_group(group)).serving()) < 2:
                 await asyncio.sleep(0.05)
             order = Order("limiter", ("n0",), True, give_up_after=20.0)
             assert (await carry_out(group, order, lambda *_: None)).exit is Exit.DONE
-            drained = Asking.at(doors[0])
+            drained = Asking.at(addresses[0])
             for n in range(10):
-                assert await asking.word(f"q{n}", **terms_of(0, 2)) in (200, 429)
-            assert await drained.report("q0", account=ACCOUNT) is False  # n0 was asked nothing since
+                assert await caller.word(f"q{n}", **terms_of(0, 2)) in (200, 429)
+            assert await drained.report("q0", account=ACCOUNT) is False  # n0 got no requests after its drain
             group.close()
-            for each in (asking, drained):
+            for each in (caller, drained):
                 await each.channel.close()
         finally:
             agent.terminate()
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -1,4 +1,4 @@
-"""The door over real gRPC on loopback, beside RESP2 in the same limiter: hard cases of both doors."""
+"""Tests the authorisation server over gRPC on loopback, with RESP2 clients at the same limiter."""
 
 import asyncio
 import contextlib
@@ -29,115 +29,116 @@
 from elderlock.standins.waiting import run, until
 
 
-class Doors:
-    """One limiter with both doors, over one box."""
+class Harness:
+    """One limiter that serves RESP2 and gRPC, with one server behind it and one gRPC caller."""
 
-    def __init__(self, limiter: Limiter, door: AuthzServer, server: Server, asking: Asking) -> None:
-        self.limiter, self.door, self.server, self.asking = limiter, door, server, asking
+    def __init__(self, limiter: Limiter, authz: AuthzServer, server: Server, caller: Asking) -> None:
+        self.limiter, self.authz, self.server, self.caller = limiter, authz, server, caller
 
     @property
-    def store(self) -> float:
-        """Units that the account is believed to have."""
+    def units(self) -> float:
+        """The units that the limiter believes the account has."""
         account = next(iter(self.limiter.gateway.limiter.quotas.accounts.values()), None)
         return account.shared_units if account is not None else 100.0
 
-    def empty(self) -> bool:
-        """Nothing is left in any table."""
-        gateway, module = self.limiter.gateway, self.limiter.gateway.limiter
+    def is_idle(self) -> bool:
+        """Return whether no table has an entry of a request."""
+        gateway, limiter = self.limiter.gateway, self.limiter.gateway.limiter
         return (
             not gateway.requests.client_ids
             and not gateway.requests
-            and not module.requests
-            and module.load_estimator.in_flight == 0
-            and not any(server.in_flight for server in module.endpoints.servers.values())
-            and len(self.door.questions) == 0
-            and self.door.questions.undecided == 0
+            and not limiter.requests
+            and limiter.load_estimator.in_flight == 0
+            and not any(server.in_flight for server in limiter.endpoints.servers.values())
+            and len(self.authz.requests) == 0
+            and self.authz.requests.pending == 0
         )
 
 
 @asynccontextmanager
-async def doors(
+async def running_harness(
     behave: Callable[[list[bytes]], Awaitable[bytes | None]] | None = None, **file: Any
-) -> AsyncIterator[Doors]:
+) -> AsyncIterator[Harness]:
     server = await Server(behave).start()
     limiter = await Limiter.start(server)
-    door = AuthzServer(AuthzFile("127.0.0.1:0", **{"askers": (Caller(("*",)),), **file}), Path("/"), limiter.gateway)
-    await door.start()
-    asking = Asking(door.port)
+    authz = AuthzServer(AuthzFile("127.0.0.1:0", **{"callers": (Caller(("*",)),), **file}), Path("/"), limiter.gateway)
+    await authz.start()
+    caller = Asking(authz.port)
     try:
-        yield Doors(limiter, door, server, asking)
+        yield Harness(limiter, authz, server, caller)
     finally:
-        await asking.channel.close()
-        await door.stop()
+        await caller.channel.close()
+        await authz.stop()
         await server.close()
 
 
-def hold(here: Doors) -> list[Any]:
-    """From now on the module hears nothing: what is asked stays undecided until `release`."""
-    held: list[Any] = []
-    handle = here.limiter.gateway._limiter.handle
+def hold_decisions(harness: Harness) -> list[Any]:
+    """Keep new requests from the limiter, so that they stay undecided until `release_decisions`."""
+    held_events: list[Any] = []
+    handle = harness.limiter.gateway._limiter.handle
 
-    def waits(event: Any, now_ms: float) -> list[Any]:
+    def hold_requests(event: Any, now_ms: float) -> list[Any]:
         if type(event).__name__ in ("RequestArrived", "PermitRequested"):
-            held.append(event)
+            held_events.append(event)
             return []
         return handle(event, now_ms)
 
-    here.limiter.gateway._limiter.handle = waits  # type: ignore[method-assign]
-    return held
+    harness.limiter.gateway._limiter.handle = hold_requests  # type: ignore[method-assign]
+    return held_events
 
 
-def release(here: Doors, held: list[Any]) -> None:
-    gateway = here.limiter.gateway
+def release_decisions(harness: Harness, held_events: list[Any]) -> None:
+    """Pass the held requests to the limiter."""
+    gateway = harness.limiter.gateway
     del gateway._limiter.handle
-    for event in held:
+    for event in held_events:
         gateway._submit(event)
 
 
-def test_a_permission_names_the_box_and_takes_its_units_once() -> None:
+def test_a_permission_names_the_server_and_takes_its_units_once() -> None:
     async def test() -> None:
-        async with doors() as here:
-            answer = await here.asking.check("q1", units=3)
+        async with running_harness() as harness:
+            answer = await harness.caller.check("q1", units=3)
             found = headers(answer)
-            assert (found[BOX], found[ENDPOINT], found[PERMISSION]) == ("s-0", here.server.endpoint, "q1")
-            assert answer.status.code == 0 and 96.5 < here.store < 97.5
-            again = await here.asking.check("q1", units=3)  # a retry after a lost answer
-            assert headers(again)[BOX] == "s-0" and here.store < 97.5
-            assert here.server.commands == []  # the asker sends it on
-            assert await here.asking.report("q1", load_report="queue=7")
-            assert not await here.asking.report("q1")  # one report counts
-            assert here.empty()
+            assert (found[BOX], found[ENDPOINT], found[PERMISSION]) == ("s-0", harness.server.endpoint, "q1")
+            assert answer.status.code == 0 and 96.5 < harness.units < 97.5
+            again = await harness.caller.check("q1", units=3)  # a retry after a lost answer
+            assert headers(again)[BOX] == "s-0" and harness.units < 97.5
+            assert harness.server.commands == []  # the caller forwards it itself
+            assert await harness.caller.report("q1", load_report="queue=7")
+            assert not await harness.caller.report("q1")  # only the first report counts
+            assert harness.is_idle()
 
     run(test())
 
 
-def test_an_unreported_permission_ends_by_its_deadline() -> None:
+def test_an_unreported_permission_ends_at_its_deadline() -> None:
     async def test() -> None:
-        async with doors() as here:
-            assert await here.asking.word("q1", deadline_ms=150) == 200
-            assert not here.empty()
-            await until(here.empty)
-            assert await here.asking.word("q1", deadline_ms=150) == 200  # its life is over: a new question
+        async with running_harness() as harness:
+            assert await harness.caller.word("q1", deadline_ms=150) == 200
+            assert not harness.is_idle()
+            await until(harness.is_idle)
+            assert await harness.caller.word("q1", deadline_ms=150) == 200  # the id is closed, so this is a new request
 
     run(test())
 
 
-def test_what_was_not_sent_on_is_given_back() -> None:
+def test_units_of_a_request_that_was_not_forwarded_are_given_back() -> None:
     async def test() -> None:
-        async with doors() as here:
-            await here.asking.check("q1", units=4)
-            assert here.store < 97.0
-            assert await here.asking.report("q1", lookups_pb2.OUTCOME_NOT_SENT)
-            assert here.store > 99.0 and here.empty()
+        async with running_harness() as harness:
+            await harness.caller.check("q1", units=4)
+            assert harness.units < 97.0
+            assert await harness.caller.report("q1", lookups_pb2.OUTCOME_NOT_SENT)
+            assert harness.units > 99.0 and harness.is_idle()
 
     run(test())
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_a_refusal_says_when_to_retry() -> None:
     async def test() -> None:
-        async with doors() as here:
-            assert await here.asking.word("q1", plan="tiny") == 200
-            answer = await here.asking.check("q2", plan="tiny")
+        async with running_harness() as harness:
+            assert await harness.caller.word("q1", plan="tiny") == 200
+            answer = await harness.caller.check("q2", plan="tiny")
             found, body = headers(answer), json.loads(answer.denied_response.body)
             assert answer.denied_response.status.code == 429 and answer.status.code == 8
             assert found["retry-after"] == "1" and body["retry_after_ms"] >= 1
@@ -147,46 +148,50 @@
 
 
 @pytest.mark.parametrize("state", ["undecided", "permitted", "refused", "cancelled", "expired"])
-def test_a_retry_on_resp2_after_a_first_try_over_grpc(state: str) -> None:
-    """The same account under a new id is a try of its own; under the same id it is refused while the first
-    is open, and the first is unharmed."""
+def test_a_retry_over_resp2_after_a_first_attempt_over_grpc(state: str) -> None:
+    """A retry under a new id is a new request. Under the same id it is refused while the first attempt is open.
+
+    In both cases the first attempt is not affected.
+    """
 
     async def test() -> None:
-        async with doors() as here:
-            client = await here.limiter.client()
-            held = hold(here) if state in ("undecided", "cancelled") else []
+        async with running_harness() as harness:
+            client = await harness.limiter.client()
+            held_events = hold_decisions(harness) if state in ("undecided", "cancelled") else []
             plan: dict[str, Any] = {"plan": "tiny", "account": OTHER} if state == "refused" else {}
             if state == "refused":
-                await here.asking.check("q0", **plan)
-            first = asyncio.create_task(here.asking.word("q1", deadline_ms=200 if state == "expired" else 2000, **plan))
+                await harness.caller.check("q0", **plan)
+            first = asyncio.create_task(
+                harness.caller.word("q1", deadline_ms=200 if state == "expired" else 2000, **plan)
+            )
             if state in ("undecided", "cancelled"):
-                await until(lambda: len(held) == 1)
+                await until(lambda: len(held_events) == 1)
             if state == "undecided":
                 assert "open" in str(await client.ask("q1"))
-                release(here, held)
+                release_decisions(harness, held_events)
                 assert await first == 200
-                assert await here.asking.report("q1")
+                assert await harness.caller.report("q1")
             elif state == "cancelled":
                 first.cancel()
-                await until(here.empty)
-                release(here, [])
+                await until(harness.is_idle)
+                release_decisions(harness, [])
             else:
                 assert await first == (429 if state == "refused" else 200)
             if state == "permitted":
                 assert "open" in str(await client.ask("q1"))
-                assert await here.asking.report("q1")
+                assert await harness.caller.report("q1")
             if state == "expired":
-                await until(here.empty)
-            before = len(here.server.commands)
-            assert await client.ask("q1") == b"value"  # its life is over on every way
+                await until(harness.is_idle)
+            before = len(harness.server.commands)
+            assert await client.ask("q1") == b"value"  # the id is closed in every state
             assert await client.ask("q2", r=1) == b"value"
-            assert len(here.server.commands) == before + 2
+            assert len(harness.server.commands) == before + 2
 
     run(test())
 
 
 @pytest.mark.parametrize("answer", ["open", "served"])
-def test_a_retry_over_grpc_after_a_first_try_on_resp2(answer: str) -> None:
+def test_a_retry_over_grpc_after_a_first_attempt_over_resp2(answer: str) -> None:
     async def test() -> None:
         go = asyncio.Event()
 
@@ -194,76 +199,78 @@
             await go.wait()
             return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
-        async with doors(behave) as here:
-            client = await here.limiter.client()
+        async with running_harness(behave) as harness:
+            client = await harness.limiter.client()
             client.read("q1")
-            await until(lambda: len(here.server.commands) == 1)
+            await until(lambda: len(harness.server.commands) == 1)
             if answer == "open":
-                assert await here.asking.word("q1") == 409
-                assert await here.asking.word("q2") == 200
+                assert await harness.caller.word("q1") == 409
+                assert await harness.caller.word("q2") == 200
             go.set()
-            assert await client.answer() == b"value"  # the first is unharmed
-            assert await here.asking.word("q1") == 200
+            assert await client.answer() == b"value"  # the first attempt is not affected
+            assert await harness.caller.word("q1") == 200
 
     run(test())
 
 
-def test_a_callers_deadline_runs_out_while_nothing_is_decided() -> None:
-    """One answer in time, no units taken, nothing left behind."""
+def test_an_undecided_request_ends_at_the_callers_deadline() -> None:
+    """It gets one answer in time, takes no units and leaves no state behind."""
 
     async def test() -> None:
-        async with doors() as here:
-            hold(here)
-            assert await here.asking.word("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
-            assert await here.asking.word("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
-            await until(here.empty)
-            assert here.store == 100.0
+        async with running_harness() as harness:
+            hold_decisions(harness)
+            assert await harness.caller.word("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
+            assert await harness.caller.word("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
+            await until(harness.is_idle)
+            assert harness.units == 100.0
 
     run(test())
 
 
-def test_a_caller_that_cancels_before_the_decision_takes_nothing_and_one_of_two_leaves_the_other() -> None:
+def test_a_caller_that_cancels_takes_no_units_and_does_not_affect_another_caller() -> None:
     async def test() -> None:
-        async with doors() as here:
-            held = hold(here)
-            one = here.asking.auth.Check(here.asking.question("q1"))
-            two = here.asking.auth.Check(here.asking.question("q1"))
-            await until(lambda: len(here.door.questions) == 1 and here.door.questions.asked == 2)
-            one.cancel()
-            await until(lambda: one.done())
-            release(here, held)
-            assert (await two).HasField("ok_response")
-            assert await here.asking.report("q1")
-            held = hold(here)
-            gone = here.asking.auth.Check(here.asking.question("q2"))
-            await until(lambda: len(held) == 1)
-            gone.cancel()
-            await until(here.empty)
-            assert here.store > 98.5
+        async with running_harness() as harness:
+            held_events = hold_decisions(harness)
+            first = harness.caller.auth.Check(harness.caller.question("q1"))
+            second = harness.caller.auth.Check(harness.caller.question("q1"))
+            await until(lambda: len(harness.authz.requests) == 1 and harness.authz.requests.received == 2)
+            first.cancel()
+            await until(lambda: first.done())
+            release_decisions(harness, held_events)
+            assert (await second).HasField("ok_response")
+            assert await harness.caller.report("q1")
+            held_events = hold_decisions(harness)
+            cancelled = harness.caller.auth.Check(harness.caller.question("q2"))
+            await until(lambda: len(held_events) == 1)
+            cancelled.cancel()
+            await until(harness.is_idle)
+            assert harness.units > 98.5
 
     run(test())
 
 
-def test_a_connection_that_breaks_after_the_answer_leaves_the_permission_to_its_deadline() -> None:
+def test_a_permission_outlives_its_connection_until_its_deadline() -> None:
     async def test() -> None:
-        async with doors() as here:
-            other = Asking(here.door.port)
+        async with running_harness() as harness:
+            other = Asking(harness.authz.port)
             assert await other.word("q1", deadline_ms=300) == 200
             await other.channel.close()
-            assert await here.asking.word("q1", deadline_ms=300) == 200  # asked again elsewhere: the same answer
-            assert here.store > 98.5
-            await until(here.empty)
+            assert (
+                await harness.caller.word("q1", deadline_ms=300) == 200
+            )  # a retry on another connection gets the same answer
+            assert harness.units > 98.5
+            await until(harness.is_idle)
 
     run(test())
 
 
-def test_a_drained_box_is_named_no_more_and_no_box_is_a_refusal() -> None:
+def test_a_drained_server_is_not_named_and_without_servers_requests_are_refused() -> None:
     async def test() -> None:
-        async with doors() as here:
-            here.limiter.tell(target("s-0", here.server.endpoint, state="draining"))
-            assert await here.asking.word("q1", deadline_ms=400) == 429
-            here.limiter.tell(target("s-0", here.server.endpoint))
-            assert await here.asking.word("q2") == 200
+        async with running_harness() as harness:
+            harness.limiter.tell(target("s-0", harness.server.endpoint, state="draining"))
+            assert await harness.caller.word("q1", deadline_ms=400) == 429
+            harness.limiter.tell(target("s-0", harness.server.endpoint))
+            assert await harness.caller.word("q2") == 200
 
     run(test())
 
@@ -281,35 +288,35 @@
         ({"account": "0000000000000007"}, 403),
     ],
 )
-def test_what_cannot_be_taken_is_denied_and_takes_nothing(changes: dict[str, Any], status: int) -> None:
+def test_an_invalid_request_is_denied_and_takes_no_units(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
-        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
-            assert await here.asking.word("q1", **changes) == status
-            assert here.empty() and not here.limiter.gateway.limiter.quotas.accounts
+        async with running_harness(callers=(Caller((CUSTOMER,)),)) as harness:
+            assert await harness.caller.word("q1", **changes) == status
+            assert harness.is_idle() and not harness.limiter.gateway.limiter.quotas.accounts
 
     run(test())
 
 
-def test_headers_of_a_megabyte_are_turned_away_and_the_door_stays_open() -> None:
+def test_oversized_headers_are_rejected_and_the_server_keeps_answering() -> None:
     async def test() -> None:
-        async with doors() as here:
+        async with running_harness() as harness:
             with pytest.raises(grpc.aio.AioRpcError) as raised:
-                await here.asking.auth.Check(
-                    here.asking.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
+                await harness.caller.auth.Check(
+                    harness.caller.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
                 )
             assert raised.value.code() in (grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.UNAVAILABLE)
-            big = here.asking.question("q2")
+            big = harness.caller.question("q2")
             big.attributes.request.http.headers["x"] = "x" * (1 << 17)
             with pytest.raises(grpc.aio.AioRpcError) as raised:
-                await here.asking.auth.Check(big, timeout=10)
+                await harness.caller.auth.Check(big, timeout=10)
             assert raised.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
-            assert await Asking(here.door.port).word("q3") == 200
+            assert await Asking(harness.authz.port).word("q3") == 200
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    "first",
+    "data",
     [
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
         b"\xff" * 65536,
@@ -318,13 +325,13 @@
     ],
     ids=["http/1", "noise", "bad frames", "silence"],
 )
-def test_garbage_in_place_of_a_preface_harms_nobody(first: bytes) -> None:
+def test_an_invalid_preface_does_not_affect_other_connections(data: bytes) -> None:
     async def test() -> None:
-        async with doors() as here:
-            sock = socket.create_connection(("127.0.0.1", here.door.port))
-            sock.sendall(first)
-            assert await here.asking.word("q1") == 200
-            client = await here.limiter.client()
+        async with running_harness() as harness:
+            sock = socket.create_connection(("127.0.0.1", harness.authz.port))
+            sock.sendall(data)
+            assert await harness.caller.word("q1") == 200
+            client = await harness.limiter.client()
             assert await client.ask("q2") == b"value"
             sock.close()
 
@@ -332,43 +339,43 @@
 
 
 @pytest.mark.alone
-def test_ten_thousand_streams_at_once_get_one_answer_each_within_the_bounds() -> None:
-    """No more than the bound are undecided; the others are turned away at once, and nobody waits for ever."""
+def test_ten_thousand_concurrent_requests_get_one_answer_each_within_the_limits() -> None:
+    """No more than the limit are undecided; the others are rejected at once, and every request gets an answer."""
 
     async def test() -> None:
-        bounds = ServerLimits(questions=50, streams=10_000)
-        # a question waits longer than any machine takes to ask them all: one that ended by its time would make room
-        # for the next fifty, and how many end so would say how fast the machine is
-        async with doors(bounds=bounds, longest_ms=110_000.0) as here:
-            held = hold(here)
-            calls = [asyncio.create_task(here.asking.word(f"q{n}", timeout=110.0)) for n in range(10_000)]
+        limits = ServerLimits(maximum_pending=50, maximum_streams=10_000)
+        # The deadline is longer than any machine needs to send all requests. A request that ended at its deadline would
+        # make room for another one, and the number of permissions would depend on the speed of the machine.
+        async with running_harness(limits=limits, maximum_wait_ms=110_000.0) as harness:
+            held_events = hold_decisions(harness)
+            calls = [asyncio.create_task(harness.caller.word(f"q{n}", timeout=110.0)) for n in range(10_000)]
             await until(lambda: sum(call.done() for call in calls) >= 10_000 - 50)
-            assert len(held) == here.door.questions.undecided == 50
-            release(here, held)
+            assert len(held_events) == harness.authz.requests.pending == 50
+            release_decisions(harness, held_events)
             words = await asyncio.gather(*calls)
-            # what grpc itself turns away beyond its bound of calls ends as cancelled
+            # gRPC itself ends the calls beyond its own limit as cancelled
             assert set(words) <= {200, 429, "RESOURCE_EXHAUSTED", "CANCELLED"}
             assert words.count(200) + words.count(429) == 50
             for name in [f"q{n}" for n, word in enumerate(words) if word == 200]:
-                assert await here.asking.report(name)
-            await until(here.empty)
-            client = await here.limiter.client()
+                assert await harness.caller.report(name)
+            await until(harness.is_idle)
+            client = await harness.limiter.client()
             assert await client.ask("after") == b"value"
 
     run(test(), within=120.0)
 
 
-def test_a_client_that_never_reads_keeps_nobody_else_waiting() -> None:
-    """An HTTP/2 client that opens no window for answers: its questions end by their deadlines."""
+def test_a_client_that_never_reads_does_not_delay_others() -> None:
+    """The HTTP/2 client has a flow control window of 0, so its requests end at their deadlines."""
 
     async def test() -> None:
-        async with doors() as here:
-            _, writer = await asyncio.open_connection("127.0.0.1", here.door.port)
+        async with running_harness() as harness:
+            _, writer = await asyncio.open_connection("127.0.0.1", harness.authz.port)
             connection = h2.connection.H2Connection()
             connection.initiate_connection()
             connection.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
             for n in range(200):
-                body = here.asking.question(f"q{n}", deadline_ms=300).SerializeToString()
+                body = harness.caller.question(f"q{n}", deadline_ms=300).SerializeToString()
                 stream = connection.get_next_available_stream_id()
                 connection.send_headers(
                     stream,
@@ -383,128 +390,130 @@
                 )
                 connection.send_data(stream, b"\x00" + len(body).to_bytes(4, "big") + body, end_stream=True)
             writer.write(connection.data_to_send())
-            await until(lambda: here.door.questions.asked > 0)
-            assert await here.asking.word("mine") in (200, 429)
-            await until(here.empty)
-            client = await here.limiter.client()
+            await until(lambda: harness.authz.requests.received > 0)
+            assert await harness.caller.word("other") in (200, 429)
+            await until(harness.is_idle)
+            client = await harness.limiter.client()
             assert await client.ask("after") == b"value"
             writer.transport.abort()
 
     run(test(), within=60.0)
 
 
-def test_a_field_that_we_do_not_know_is_passed_over_and_an_empty_question_denied() -> None:
+def test_unknown_fields_are_ignored_and_an_empty_request_is_denied() -> None:
     async def test() -> None:
-        async with doors() as here:
-            call = here.asking.channel.unary_unary(
+        async with running_harness() as harness:
+            call = harness.caller.channel.unary_unary(
                 f"/{CHECK}/Check", response_deserializer=auth.CheckResponse.FromString
             )
             unknown = b"\xfa\x3e\x05hello"  # field 1007, five bytes
-            answer = await call(here.asking.question("q1").SerializeToString() + unknown, timeout=10)
+            answer = await call(harness.caller.question("q1").SerializeToString() + unknown, timeout=10)
             assert answer.HasField("ok_response")
             assert (await call(b"", timeout=10)).denied_response.status.code == 400
             with pytest.raises(grpc.aio.AioRpcError):
                 await call(b"\xff\xff", timeout=10)
-            assert await here.asking.word("q2") == 200
+            assert await harness.caller.word("q2") == 200
 
     run(test())
 
 
-def test_a_crowd_of_connections_is_bounded_and_harms_none_that_is_open() -> None:
-    """Those beyond the bound are closed; those that never speak are, once their time is up."""
+def test_the_number_of_connections_is_limited_and_open_ones_are_not_affected() -> None:
+    """Connections beyond the limit are closed at once, and silent ones after the handshake timeout."""
 
     async def test() -> None:
-        async with doors(bounds=ServerLimits(connections=4, handshake=0.3)) as here:
-            assert await here.asking.word("q1") == 200
-            crowd = [socket.create_connection(("127.0.0.1", here.door.port)) for _ in range(100)]
-            assert await here.asking.word("q2") == 200
-            for sock in crowd:
+        async with running_harness(limits=ServerLimits(maximum_connections=4, handshake_timeout_s=0.3)) as harness:
+            assert await harness.caller.word("q1") == 200
+            connections = [socket.create_connection(("127.0.0.1", harness.authz.port)) for _ in range(100)]
+            assert await harness.caller.word("q2") == 200
+            for sock in connections:
                 sock.settimeout(20.0)
                 with contextlib.suppress(ConnectionError):
                     while await asyncio.to_thread(sock.recv, 4096):
-                        pass  # an end, whatever it said before
+                        pass  # until the server closes the connection, whatever it sends before
                 sock.close()
-            other = Asking(here.door.port)  # there is room again
+            other = Asking(harness.authz.port)  # below the limit again
             assert await other.word("q3") == 200
             await other.channel.close()
 
     run(test(), within=60.0)
 
 
-def test_rapid_reset_leaves_no_question_behind() -> None:
+def test_rapid_reset_leaves_no_request_behind() -> None:
     async def test() -> None:
-        async with doors() as here:
-            hold(here)
+        async with running_harness() as harness:
+            hold_decisions(harness)
             for n in range(300):
-                call = here.asking.auth.Check(here.asking.question(f"q{n}"))
+                call = harness.caller.auth.Check(harness.caller.question(f"q{n}"))
                 await asyncio.sleep(0)
                 call.cancel()
-            await until(here.empty)
-            assert here.store == 100.0
+            await until(harness.is_idle)
+            assert harness.units == 100.0
 
     run(test())
 
 
-# Rate limit questions
+# Rate limit requests
 
 
 def descriptor(units: int | None = None, **changes: Any) -> ratelimit_pb2.RateLimitDescriptor:
-    made = ratelimit_pb2.RateLimitDescriptor()
+    result = ratelimit_pb2.RateLimitDescriptor()
     values = {"account": CUSTOMER, "plan": "team", "class": "lookup", "spread": 1, "first": 0, **changes}
     for key, value in values.items():
-        made.entries.add(key=key, value=str(value))
+        result.entries.add(key=key, value=str(value))
     if units is not None:
-        made.hits_addend.value = units
-    return made
+        result.hits_addend.value = units
+    return result
 
 
 def test_several_descriptors_are_permitted_together_or_not_at_all() -> None:
     async def test() -> None:
-        async with doors() as here:
+        async with running_harness() as harness:
             ok = rls.RateLimitRequest(
                 domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER)], hits_addend=3
             )
-            answer = await here.asking.rls.ShouldRateLimit(ok, timeout=10)
+            answer = await harness.caller.rls.ShouldRateLimit(ok, timeout=10)
             assert answer.overall_code == rls.RateLimitResponse.OK and len(answer.statuses) == 2
-            stores = sorted(round(a.shared_units) for a in here.limiter.gateway.limiter.quotas.accounts.values())
-            assert stores == [97, 98]
+            units = sorted(round(a.shared_units) for a in harness.limiter.gateway.limiter.quotas.accounts.values())
+            assert units == [97, 98]
             assert {h.key for h in answer.request_headers_to_add} >= {BOX, PERMISSION}
-            await until(here.empty)
+            await until(harness.is_idle)
             tiny = descriptor(account="000000000000000a", plan="tiny")
-            await here.asking.rls.ShouldRateLimit(rls.RateLimitRequest(domain="d", descriptors=[tiny]), timeout=10)
-            before = {a.key: a.shared_units for a in here.limiter.gateway.limiter.quotas.accounts.values()}
+            await harness.caller.rls.ShouldRateLimit(rls.RateLimitRequest(domain="d", descriptors=[tiny]), timeout=10)
+            before = {a.key: a.shared_units for a in harness.limiter.gateway.limiter.quotas.accounts.values()}
             mixed = rls.RateLimitRequest(domain="d", descriptors=[descriptor(4), tiny])
-            over = await here.asking.rls.ShouldRateLimit(mixed, timeout=10)
+            over = await harness.caller.rls.ShouldRateLimit(mixed, timeout=10)
             assert over.overall_code == rls.RateLimitResponse.OVER_LIMIT
             assert [s.code for s in over.statuses] == [rls.RateLimitResponse.OK, rls.RateLimitResponse.OVER_LIMIT]
             assert over.statuses[1].current_limit.requests_per_unit == 1
-            after = {a.key: a.shared_units for a in here.limiter.gateway.limiter.quotas.accounts.values()}
-            assert all(after[key] >= before[key] - 1e-6 for key in before)  # what the first took was given back
+            after = {a.key: a.shared_units for a in harness.limiter.gateway.limiter.quotas.accounts.values()}
+            assert all(
+                after[key] >= before[key] - 1e-6 for key in before
+            )  # the units of the first descriptor were given back
             assert {h.key for h in over.response_headers_to_add} == {"retry-after", "ratelimit", "ratelimit-policy"}
 
     run(test())
 
 
-def test_a_rate_limit_question_that_cannot_be_read_is_an_error() -> None:
+def test_an_invalid_rate_limit_request_is_an_error() -> None:
     async def test() -> None:
-        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
+        async with running_harness(callers=(Caller((CUSTOMER,)),)) as harness:
             for request, code in (
                 (rls.RateLimitRequest(domain="d"), grpc.StatusCode.INVALID_ARGUMENT),
                 (rls.RateLimitRequest(descriptors=[descriptor(plan="gold")]), grpc.StatusCode.INVALID_ARGUMENT),
                 (rls.RateLimitRequest(descriptors=[descriptor(account=OTHER)]), grpc.StatusCode.PERMISSION_DENIED),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
-                    await here.asking.rls.ShouldRateLimit(request, timeout=10)
+                    await harness.caller.rls.ShouldRateLimit(request, timeout=10)
                 assert raised.value.code() is code
-            assert here.empty()
+            assert harness.is_idle()
 
     run(test())
 
 
-def test_a_report_is_checked() -> None:
+def test_an_invalid_report_is_rejected() -> None:
     async def test() -> None:
-        async with doors(askers=(Caller((CUSTOMER,)),)) as here:
-            await here.asking.check("q1")
+        async with running_harness(callers=(Caller((CUSTOMER,)),)) as harness:
+            await harness.caller.check("q1")
             for changes, code in (
                 ({"outcome": 0}, grpc.StatusCode.INVALID_ARGUMENT),
                 ({"outcome": 99}, grpc.StatusCode.INVALID_ARGUMENT),
@@ -512,39 +521,39 @@
                 ({"account": OTHER}, grpc.StatusCode.PERMISSION_DENIED),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
-                    await here.asking.report("q1", **changes)
+                    await harness.caller.report("q1", **changes)
                 assert raised.value.code() is code
-            assert await here.asking.report("q1")
+            assert await harness.caller.report("q1")
 
     run(test())
 
 
-def test_health_and_reflection_speak_and_the_end_is_orderly() -> None:
+def test_health_and_reflection_answer_and_a_shutdown_answers_open_requests() -> None:
     async def test() -> None:
-        async with doors() as here:
-            stub = health_pb2_grpc.HealthStub(here.asking.channel)
+        async with running_harness() as harness:
+            stub = health_pb2_grpc.HealthStub(harness.caller.channel)
             for service in ("", CHECK, LIMIT):
                 answer = await stub.Check(health_pb2.HealthCheckRequest(service=service), timeout=10)
                 assert answer.status == health_pb2.HealthCheckResponse.SERVING
             listing = reflection_pb2.ServerReflectionRequest(list_services="")
-            reflect = reflection_pb2_grpc.ServerReflectionStub(here.asking.channel)
+            reflect = reflection_pb2_grpc.ServerReflectionStub(harness.caller.channel)
             found: set[str] = set()
             async for response in reflect.ServerReflectionInfo(iter([listing])):
                 found |= {service.name for service in response.list_services_response.service}
             assert found >= {CHECK, LIMIT, LOOKUPS}
-            held = hold(here)
-            open_one = asyncio.create_task(here.asking.word("q1"))
-            await until(lambda: len(held) == 1)
-            stopping = asyncio.create_task(here.door.stop())
+            held_events = hold_decisions(harness)
+            open_request = asyncio.create_task(harness.caller.word("q1"))
+            await until(lambda: len(held_events) == 1)
+            stopping = asyncio.create_task(harness.authz.stop())
             await asyncio.sleep(0.05)
-            release(here, held)
-            assert await open_one == 200  # what was open is answered
+            release_decisions(harness, held_events)
+            assert await open_request == 200
             await stopping
 
     run(test())
 
 
-def test_the_generated_code_is_of_the_proto_that_stands_beside_it(tmp_path: Path) -> None:
+def test_the_generated_code_matches_the_proto_file(tmp_path: Path) -> None:
     from grpc_tools import protoc
 
     root = Path(__file__).parent.parent.parent
