--- a/elderlock/authz/config.py
+++ b/elderlock/authz/config.py
@@ -9,7 +9,7 @@
 import msgspec
 
 SOURCES = ("extension", "header", "path", "query", "value")
-HEADER = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+HEADER_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 
 
 class AuthzError(Exception):
@@ -179,7 +179,7 @@
     def _check_field(name: str, source: FieldSource) -> None:
         if source == FieldSource():
             raise AuthzError(f"authz.mapping.{name}: none of {', '.join(SOURCES)} is given")
-        if source.header and not HEADER.fullmatch(source.header):
+        if source.header and not HEADER_PATTERN.fullmatch(source.header):
             raise AuthzError(f"authz.mapping.{name}: {source.header!r} is not the name of a header in lower case")
         if source.path:
             try:
--- a/elderlock/authz/request_reader.py
+++ b/elderlock/authz/request_reader.py
@@ -12,11 +12,11 @@
 from elderlock.authz.config import AuthzFile, FieldSource
 from elderlock.net.command import Command
 
-ACCOUNT = re.compile(r"[0-9a-fA-F]{16}")
-NAME = re.compile(r"[!-~]{1,128}")
+ACCOUNT_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+REQUEST_ID_PATTERN = re.compile(r"[!-~]{1,128}")
 # The same forms as in RESP2 commands. float() alone would also accept 1_0, 1e3, infinity and spaces.
-WHOLE = re.compile(r"[0-9]{1,9}")
-DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
+WHOLE_NUMBER_PATTERN = re.compile(r"[0-9]{1,9}")
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 MAXIMUM_DEADLINE_MS = 600_000.0
 
 
@@ -73,18 +73,18 @@
         """
         mapping = self._file.mapping
         account = self._text(request, mapping.account, "account")
-        if not ACCOUNT.fullmatch(account) or int(account, 16) >= 1 << 33:
+        if not ACCOUNT_PATTERN.fullmatch(account) or int(account, 16) >= 1 << 33:
             raise InvalidRequestError("the account is not 16 hex digits below 2^33")
         account = account.lower()
         if not self.may_use_account(request.subjects, account):
             raise AccountNotAllowedError("this caller may not use the account")
         request_id = self._text(request, mapping.request, "request id")
-        if not NAME.fullmatch(request_id):
+        if not REQUEST_ID_PATTERN.fullmatch(request_id):
             raise InvalidRequestError("the request id is not 1 to 128 printable ASCII characters without spaces")
         wait_ms = self._file.maximum_wait_ms
         deadline = _find(request, mapping.deadline_ms)
         if deadline is not None:
-            wait_ms = min(_number(deadline, "deadline", DECIMAL, 1.0, MAXIMUM_DEADLINE_MS), wait_ms)
+            wait_ms = min(_number(deadline, "deadline", DECIMAL_PATTERN, 1.0, MAXIMUM_DEADLINE_MS), wait_ms)
         if request.remaining_ms is not None:
             wait_ms = min(wait_ms, request.remaining_ms)  # the earlier of the gRPC deadline and the request's own
         return Command(
@@ -93,12 +93,18 @@
             customer_id=account,
             client_request_id=request_id.encode(),
             wait_ms=wait_ms,
-            units=_number(self._text(request, mapping.units, "units"), "units", DECIMAL, 1e-9, self._maximum_units),
+            units=_number(
+                self._text(request, mapping.units, "units"), "units", DECIMAL_PATTERN, 1e-9, self._maximum_units
+            ),
             limiter_count=int(
-                _number(self._text(request, mapping.spread, "spread"), "spread", WHOLE, 1, self._limiters)
+                _number(
+                    self._text(request, mapping.spread, "spread"), "spread", WHOLE_NUMBER_PATTERN, 1, self._limiters
+                )
             ),
             first_limiter=int(
-                _number(self._text(request, mapping.first, "first"), "first", WHOLE, 0, self._limiters - 1)
+                _number(
+                    self._text(request, mapping.first, "first"), "first", WHOLE_NUMBER_PATTERN, 0, self._limiters - 1
+                )
             ),
             encode=_reject_encoding,
         )
--- a/elderlock/authz/routing_server.py
+++ b/elderlock/authz/routing_server.py
@@ -29,8 +29,8 @@
 )
 from elderlock.authz.server import (
     ACCOUNT_ERROR,
-    BOX,
-    PERMISSION,
+    PERMISSION_HEADER,
+    SERVER_HEADER,
     certificate_subjects,
     denied_response,
     read_server_certificate,
@@ -337,7 +337,9 @@
             )
         except _RoutingError as error:
             await context.abort(error.code, str(error))
-        if answer.HasField("ok_response") and any(option.header.key == BOX for option in answer.ok_response.headers):
+        if answer.HasField("ok_response") and any(
+            option.header.key == SERVER_HEADER for option in answer.ok_response.headers
+        ):
             self._store_limiter(command.client_request_id.decode(), name)
         return answer
 
@@ -374,7 +376,7 @@
         except _RoutingError as error:
             await context.abort(error.code, str(error))
         for option in answer.request_headers_to_add:
-            if option.key == PERMISSION:
+            if option.key == PERMISSION_HEADER:
                 self._store_limiter(option.value, name)
         return answer
 
--- a/elderlock/authz/server.py
+++ b/elderlock/authz/server.py
@@ -44,10 +44,13 @@
 
 log = logging.getLogger(__name__)
 
-BOX, ENDPOINT, PERMISSION = "x-elderlock-box", "x-elderlock-endpoint", "x-elderlock-permission"
-REMAINING, LIFE = "x-elderlock-remaining", "x-elderlock-life-ms"
-CHECK, LIMIT = "envoy.service.auth.v3.Authorization", "envoy.service.ratelimit.v3.RateLimitService"
-LOOKUPS = "elderlock.v1.Lookups"
+SERVER_HEADER, ENDPOINT_HEADER, PERMISSION_HEADER = "x-elderlock-box", "x-elderlock-endpoint", "x-elderlock-permission"
+REMAINING_UNITS_HEADER, LIFETIME_HEADER = "x-elderlock-remaining", "x-elderlock-life-ms"
+AUTHORIZATION_SERVICE, RATE_LIMIT_SERVICE = (
+    "envoy.service.auth.v3.Authorization",
+    "envoy.service.ratelimit.v3.RateLimitService",
+)
+LOOKUPS_SERVICE = "elderlock.v1.Lookups"
 OUTCOMES = {
     lookups_pb2.OUTCOME_SERVED: Outcome.OK,
     lookups_pb2.OUTCOME_ERROR: Outcome.ERROR,
@@ -339,7 +342,13 @@
         lookups_pb2_grpc.add_LookupsServicer_to_server(LookupsService(self), self._server)
         health_pb2_grpc.add_HealthServicer_to_server(self._health, self._server)
         if self.file.reflection:
-            names = (CHECK, LIMIT, LOOKUPS, health.SERVICE_NAME, reflection.SERVICE_NAME)
+            names = (
+                AUTHORIZATION_SERVICE,
+                RATE_LIMIT_SERVICE,
+                LOOKUPS_SERVICE,
+                health.SERVICE_NAME,
+                reflection.SERVICE_NAME,
+            )
             reflection.enable_server_reflection(names, self._server)
         host, port = self._address
         address = f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -369,7 +378,7 @@
     async def set_serving(self, is_serving: bool) -> None:
         """Set the status that health checks report."""
         status = health_pb2.HealthCheckResponse.SERVING if is_serving else health_pb2.HealthCheckResponse.NOT_SERVING
-        for service in ("", CHECK, LIMIT):
+        for service in ("", AUTHORIZATION_SERVICE, RATE_LIMIT_SERVICE):
             await self._health.set(service, status)
 
     async def stop(self) -> None:
@@ -386,11 +395,11 @@
     def permission_headers(self, command: Command, verdict: Verdict) -> list[base_pb2.HeaderValueOption]:
         """Return the headers of a permission."""
         return [
-            header_option(BOX, verdict.server),
-            header_option(ENDPOINT, verdict.endpoint),
-            header_option(PERMISSION, command.client_request_id.decode()),
-            header_option(LIFE, str(int(verdict.lifetime_ms))),
-            header_option(REMAINING, str(self.remaining_units(command))),
+            header_option(SERVER_HEADER, verdict.server),
+            header_option(ENDPOINT_HEADER, verdict.endpoint),
+            header_option(PERMISSION_HEADER, command.client_request_id.decode()),
+            header_option(LIFETIME_HEADER, str(int(verdict.lifetime_ms))),
+            header_option(REMAINING_UNITS_HEADER, str(self.remaining_units(command))),
         ]
 
     def refusal_headers(self, command: Command, retry_after_ms: float) -> list[tuple[str, str]]:
--- a/elderlock/load/asking.py
+++ b/elderlock/load/asking.py
@@ -16,7 +16,7 @@
 from envoy.service.auth.v3 import external_auth_pb2 as auth
 from envoy.service.auth.v3 import external_auth_pb2_grpc as auth_grpc
 
-from elderlock.authz.server import ENDPOINT, LIFE
+from elderlock.authz.server import ENDPOINT_HEADER, LIFETIME_HEADER
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.load.clock import now_us
 from elderlock.load.wire import MISSING, Engine, Request, command
@@ -135,8 +135,8 @@
 
     async def _look_up(self, target: int, name: str, account: str, sent: bytes, headers: dict[str, str]) -> None:
         began = now_us()
-        life = float(headers.get(LIFE) or 1000.0) / 1000.0
-        outcome = await self._boxes.look_up(headers.get(ENDPOINT, ""), sent, life)
+        life = float(headers.get(LIFETIME_HEADER) or 1000.0) / 1000.0
+        outcome = await self._boxes.look_up(headers.get(ENDPOINT_HEADER, ""), sent, life)
         took = (now_us() - began) / 1000.0
         report = lookups_pb2.ReportRequest(permission=name, account=account, outcome=outcome, took_ms=took)  # type: ignore[arg-type]
         try:
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -20,7 +20,15 @@
 from grpc_reflection.v1alpha import reflection_pb2, reflection_pb2_grpc
 
 from elderlock.authz.config import AuthzFile, Caller, ServerLimits
-from elderlock.authz.server import BOX, CHECK, ENDPOINT, LIMIT, LOOKUPS, PERMISSION, AuthzServer
+from elderlock.authz.server import (
+    AUTHORIZATION_SERVICE,
+    ENDPOINT_HEADER,
+    LOOKUPS_SERVICE,
+    PERMISSION_HEADER,
+    RATE_LIMIT_SERVICE,
+    SERVER_HEADER,
+    AuthzServer,
+)
 from elderlock.authz.v1 import lookups_pb2
 from elderlock.standins.boxes import Server
 from elderlock.standins.gateways import OTHER, Asking, headers
@@ -100,10 +108,14 @@
         async with running_harness() as harness:
             answer = await harness.caller.check("q1", units=3)
             found = headers(answer)
-            assert (found[BOX], found[ENDPOINT], found[PERMISSION]) == ("s-0", harness.server.endpoint, "q1")
+            assert (found[SERVER_HEADER], found[ENDPOINT_HEADER], found[PERMISSION_HEADER]) == (
+                "s-0",
+                harness.server.endpoint,
+                "q1",
+            )
             assert answer.status.code == 0 and 96.5 < harness.units < 97.5
             again = await harness.caller.check("q1", units=3)  # a retry after a lost answer
-            assert headers(again)[BOX] == "s-0" and harness.units < 97.5
+            assert headers(again)[SERVER_HEADER] == "s-0" and harness.units < 97.5
             assert harness.server.commands == []  # the caller forwards it itself
             assert await harness.caller.report("q1", load_report="queue=7")
             assert not await harness.caller.report("q1")  # only the first report counts
@@ -382,7 +394,7 @@
                     [
                         (":method", "POST"),
                         (":scheme", "http"),
-                        (":path", f"/{CHECK}/Check"),
+                        (":path", f"/{AUTHORIZATION_SERVICE}/Check"),
                         (":authority", "x"),
                         ("content-type", "application/grpc"),
                         ("te", "trailers"),
@@ -404,7 +416,7 @@
     async def test() -> None:
         async with running_harness() as harness:
             call = harness.caller.channel.unary_unary(
-                f"/{CHECK}/Check", response_deserializer=auth.CheckResponse.FromString
+                f"/{AUTHORIZATION_SERVICE}/Check", response_deserializer=auth.CheckResponse.FromString
             )
             unknown = b"\xfa\x3e\x05hello"  # field 1007, five bytes
             answer = await call(harness.caller.question("q1").SerializeToString() + unknown, timeout=10)
@@ -475,7 +487,7 @@
             assert answer.overall_code == rls.RateLimitResponse.OK and len(answer.statuses) == 2
             units = sorted(round(a.shared_units) for a in harness.limiter.gateway.limiter.quotas.accounts.values())
             assert units == [97, 98]
-            assert {h.key for h in answer.request_headers_to_add} >= {BOX, PERMISSION}
+            assert {h.key for h in answer.request_headers_to_add} >= {SERVER_HEADER, PERMISSION_HEADER}
             await until(harness.is_idle)
             tiny = descriptor(account="000000000000000a", plan="tiny")
             await harness.caller.rls.ShouldRateLimit(rls.RateLimitRequest(domain="d", descriptors=[tiny]), timeout=10)
@@ -532,7 +544,7 @@
     async def test() -> None:
         async with running_harness() as harness:
             stub = health_pb2_grpc.HealthStub(harness.caller.channel)
-            for service in ("", CHECK, LIMIT):
+            for service in ("", AUTHORIZATION_SERVICE, RATE_LIMIT_SERVICE):
                 answer = await stub.Check(health_pb2.HealthCheckRequest(service=service), timeout=10)
                 assert answer.status == health_pb2.HealthCheckResponse.SERVING
             listing = reflection_pb2.ServerReflectionRequest(list_services="")
@@ -540,7 +552,7 @@
             found: set[str] = set()
             async for response in reflect.ServerReflectionInfo(iter([listing])):
                 found |= {service.name for service in response.list_services_response.service}
-            assert found >= {CHECK, LIMIT, LOOKUPS}
+            assert found >= {AUTHORIZATION_SERVICE, RATE_LIMIT_SERVICE, LOOKUPS_SERVICE}
             held_events = hold_decisions(harness)
             open_request = asyncio.create_task(harness.caller.word("q1"))
             await until(lambda: len(held_events) == 1)
