--- a/elderlock/authz/v1/__init__.py
+++ b/elderlock/authz/v1/__init__.py
@@ -0,0 +1,1 @@
+"""The generated gRPC code of the service in `lookups.proto`."""
--- a/elderlock/cli/commands.py
+++ b/elderlock/cli/commands.py
@@ -119,7 +119,7 @@
         print_lines(tables.explanation_table(explanation, _is_terminal()))
     else:
         print_errors([f"box {options.target} is not known to {len(explanation.statements)} limiters that answer"])
-        print_errors(f"no answer: {name}" for name in explanation.silent)
+        print_errors(f"says nothing: {name}" for name in explanation.silent)
     if not explanation.is_known:
         return Exit.NOTHING
     return Exit.PART if explanation.silent else Exit.DONE
--- a/elderlock/cli/tables.py
+++ b/elderlock/cli/tables.py
@@ -141,7 +141,7 @@
                 str(evidence.received),
                 str(evidence.refused),
                 format_age(evidence.received_age_ms),
-                format_limiter_indices(evidence.disbelieved),
+                format_limiter_numbers(evidence.disbelieved),
                 "yes" if evidence.is_silent else "no",
             ]
         )
@@ -179,7 +179,7 @@
     return [*lines, *no_evidence, *ceiling_lines, *_missing_agents(observation)]
 
 
-def format_limiter_indices(limiters: Sequence[int]) -> str:
+def format_limiter_numbers(limiters: Sequence[int]) -> str:
     """Return limiters by their numbers in the settings, which they use in messages to each other instead of names."""
     return ", ".join(f"#{limiter}" for limiter in limiters) or "-"
 
@@ -218,7 +218,7 @@
                 format_age(statement.since_ms) if statement.since_ms >= 0.0 else "-",
                 str(statement.open_requests),
                 format_number(statement.latency_ms),
-                format_limiter_indices(health.ejected_by) if health is not None else "-",
+                format_limiter_numbers(health.ejected_by) if health is not None else "-",
                 format_ages(failed),
                 format_ages(answered),
             ]
