--- a/elderlock/cli/group.py
+++ b/elderlock/cli/group.py
@@ -32,9 +32,9 @@
     from elderlock.cli.running_groups import running_group_files
     from elderlock.fleet.config import FileError
 
-    found = running_group_files()
-    if not found:
+    paths = running_group_files()
+    if not paths:
         raise FileError("no group: give --group FILE or set ELDERLOCK_GROUP; none is running here")
-    if len(found) > 1:
-        raise FileError(f"several groups are running here; set ELDERLOCK_GROUP to one of {', '.join(found)}")
-    return found[0]
+    if len(paths) > 1:
+        raise FileError(f"several groups are running here; set ELDERLOCK_GROUP to one of {', '.join(paths)}")
+    return paths[0]
--- a/elderlock/cli/running_groups.py
+++ b/elderlock/cli/running_groups.py
@@ -16,7 +16,7 @@
 
     Each file is in a folder that only its owner can enter.
     """
-    found = []
+    paths = []
     with os.scandir(tempfile.gettempdir()) as entries:
         for entry in entries:
             if not entry.name.startswith(GROUP_FOLDER_PREFIX):
@@ -29,5 +29,5 @@
             # Any user can create a folder of this name in the shared temporary folder. A group of this user contains
             # the user's token, so its folder is private.
             if status.st_uid == os.getuid() and status.st_mode & 0o077 == 0 and os.path.exists(path):
-                found.append(path)
-    return sorted(found)
+                paths.append(path)
+    return sorted(paths)
--- a/tests/authz/test_requests_and_permissions.py
+++ b/tests/authz/test_requests_and_permissions.py
@@ -176,9 +176,8 @@
             self.state[id] = (account, None)
             self.waiting[number] = (id, verdicts)
         elif open_before[0] != account:
-            assert entry is None and [verdict.kind for verdict in verdicts] == [
-                "duplicate"
-            ]  # the first is not affected
+            # the first request is not affected
+            assert entry is None and [verdict.kind for verdict in verdicts] == ["duplicate"]
         elif open_before[1] is not None:
             assert entry is None and verdicts == [open_before[1]]  # the same answer without a new decision
         else:
