--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -28,7 +28,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim import renewals
-from elderlock.sim.agreed import Holding, bounded
+from elderlock.sim.exclusive_holdings import Holding, bound_conflicts
 from elderlock.sim.rollouts import BUILDS, Case, Played, play
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
@@ -192,7 +192,7 @@
             found.back_complete += back is not None and await all_run(group, "")
     stop.set()
     await watching
-    found.over_budget += len(bounded(seen, {OUT: float(int(0.5 * LIMITERS))}))
+    found.over_budget += len(bound_conflicts(seen, {OUT: float(int(0.5 * LIMITERS))}))
 
 
 async def operate_halt(found: Real, group: Group, ground: Ground, id: str) -> None:
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -21,7 +21,7 @@
 
 from elderlock.gossip.evidence_limiter import EvidenceLimiter
 from elderlock.sim.decisions import DecisionWorld
-from elderlock.sim.judges import Ceilings
+from elderlock.sim.invariant_checkers import HardCeilings
 from elderlock.sim.scenario import Scenario
 
 SERVERS, BAD_SERVERS, RATE = 80, 10, 800.0
@@ -137,7 +137,7 @@
     }
     world = DecisionWorld(msgspec.convert(raw, Scenario), seed)
     result = world.play()
-    worst = max(checker.worst for checker in world.bench.judges if isinstance(checker, Ceilings))
+    worst = max(checker.worst for checker in world.bench.checkers if isinstance(checker, HardCeilings))
     return result.figures.outcomes.get("refused", 0), worst, 0 if result.good() else 1
 
 
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -29,7 +29,7 @@
 from elderlock.load.coordinator import Coordinator, local_lines
 from elderlock.sim import decisions, search, shells
 from elderlock.sim.experiment import scenario_of
-from elderlock.sim.scenario import BoxKind, Net, Plan, Scenario, Service, Settings, of_load
+from elderlock.sim.scenario import Net, Plan, Scenario, ServerKind, Service, Settings, with_load
 from elderlock.sim.seeds import Floor
 from elderlock.standins.boxes import OLD, STD
 from elderlock.trial.processes import swept
@@ -52,7 +52,7 @@
 def largest(quick: bool) -> dict[str, Any]:
     """In a process of its own, for its memory."""
     limiters, boxes, accounts = (50, 1000, 10_000) if quick else (500, 10_000, 100_000)
-    kinds = (BoxKind(work_ms=2000.0, room=8, cold_ms=20_000.0),)
+    kinds = (ServerKind(work_ms=2000.0, room=8, cold_ms=20_000.0),)
     given = Scenario(
         "largest",
         lasts_s=5.0,
@@ -65,7 +65,7 @@
         service=(Service(aim_ms=20_000.0),),
         settings=Settings(subset=100),
     )
-    raw = msgspec.json.encode(of_load(0.3, given, accounts=accounts))
+    raw = msgspec.json.encode(with_load(0.3, given, accounts=accounts))
     done = subprocess.run([sys.executable, "-B", "-c", LARGEST], input=raw, capture_output=True, check=True, cwd=ROOT)
     found: dict[str, Any] = json.loads(done.stdout)
     return {"limiters": limiters, "boxes": boxes, "accounts": accounts, **found}
@@ -82,7 +82,7 @@
         boxes=12,
         settings=Settings(subset=8),
     )
-    result = search.play(of_load(100.0 / given.capacity(), given), 1, floor)
+    result = search.play(with_load(100.0 / given.capacity(), given), 1, floor)
     assert result.good(), result.text()
     return result.sim_s / result.wall_s
 
@@ -118,11 +118,11 @@
 
 def bites() -> tuple[int, int]:
     """Judges of both floors, and those of which the tests show that they bite."""
-    given = of_load(0.2, Scenario("judges"))
+    given = with_load(0.2, Scenario("judges"))
     names = {
         judge.name
         for world in (shells.ShellWorld(given, 1), decisions.DecisionWorld(given, 1))
-        for judge in world.bench.judges
+        for judge in world.bench.checkers
     }
     command = [sys.executable, "-m", "pytest", "-vv", "-n", "4", "tests/sim/test_judges.py", "-k", "test_a_judge_bites"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -168,7 +168,7 @@
     """MB that a day of 24 h (two hours with `--quick`) of three limiters adds after its first twelfth, and how fast it
     is played."""
     lasts = 7200.0 if quick else 86_400.0
-    given = of_load(0.003, Scenario("day", lasts_s=lasts, boxes=6, rest_s=1.0))
+    given = with_load(0.003, Scenario("day", lasts_s=lasts, boxes=6, rest_s=1.0))
     world = decisions.DecisionWorld(given, 1)
     held: list[float] = []
     for part in (1.0, 12.0):
@@ -209,7 +209,7 @@
 
     swept(PREFIX, life)
     kinds = tuple(
-        BoxKind(
+        ServerKind(
             kind.name,
             kind.cores,
             kind.speed,
@@ -280,7 +280,7 @@
     found: list[search.Found] = []
     tried = 0
     for floor in search_floors:
-        base = of_load(0.5, Scenario("search", lasts_s=12.0, agents=2, boxes=6, rest_s=8.0))
+        base = with_load(0.5, Scenario("search", lasts_s=12.0, agents=2, boxes=6, rest_s=8.0))
         report = search.Search(base, floor, 7).run(12 if quick else 150, 1e6, given.workers)
         tried, found = tried + report.tried, found + report.found
     lengths = [each.after for each in found]
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -29,7 +29,7 @@
 from elderlock.fleet.agent_store import Store
 from elderlock.sim import seeds
 from elderlock.sim.experiment import scenario_of
-from elderlock.sim.scenario import ABLE, Fault, Scenario, unplayable
+from elderlock.sim.scenario import FAULTS_BY_TARGET, Fault, Scenario, unsupported_faults
 from elderlock.spawning import spawn
 from elderlock.standins.world import ROOT, own_host
 from elderlock.trial import disk
@@ -296,7 +296,7 @@
     left = left_behind(60 if long else 20)
     false, late = false_verdicts(50)
     say(f"{left} left behind; of 50 runs beside a busy machine {false} told broken and {late} late")
-    kinds = {(kind, what) for kind, able in ABLE.items() for what in able}
+    kinds = {(kind, what) for kind, able in FAULTS_BY_TARGET.items() for what in able}
     print(
         json.dumps(
             {
@@ -331,7 +331,7 @@
     }.get(kind[0], kind[0])
     scenario = scenario_of("calm", ROOT)
     fault = msgspec.convert({"at_s": 1.0, "what": kind[1], "target": target}, Fault)
-    return bool(unplayable(msgspec.structs.replace(scenario, fault=(fault,)), "trial"))
+    return bool(unsupported_faults(msgspec.structs.replace(scenario, fault=(fault,)), "trial"))
 
 
 if __name__ == "__main__":
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -16,7 +16,7 @@
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import seeds
 from elderlock.sim.experiment import scenario_of, ships
-from elderlock.sim.scenario import Scenario, timeline, unplayable
+from elderlock.sim.scenario import Scenario, timeline, unsupported_faults
 from elderlock.sim.seeds import SeedError
 from elderlock.trial.ground import TrialError
 from elderlock.trial.processes import short_temp, swept
@@ -101,7 +101,7 @@
             raise ScenarioError(f"there is no flaw {options.flaw!r}; there are {', '.join(FLAWS)}")
     if options.keep is not None:
         options.keep.mkdir(parents=True, exist_ok=True)
-    for line in unplayable(scenario, "trial"):
+    for line in unsupported_faults(scenario, "trial"):
         print(f"not played here: {line}", file=sys.stderr)
     outcome: list[Outcome] = []
 
@@ -178,7 +178,7 @@
     scenario = scenario_of(options.scenario, Path.cwd(), tuple(options.set))
     _fits(scenario)
     print(timeline(scenario, options.seed), end="")
-    for line in unplayable(scenario, "trial"):
+    for line in unsupported_faults(scenario, "trial"):
         print(f"not played here: {line}")
     return DONE
 
--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -7,7 +7,7 @@
 
 from elderlock.interface import ServerState
 from elderlock.quota.counted_quotas import CountedCoordinator
-from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
+from elderlock.sim.scenario import Fault, cut_pairs, effective_amount, floor_name
 from elderlock.sim.tellers import Operator
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
             self.world.schedule.after(fault.for_s * 1000.0, end, *args)
 
     def _box(self, fault: Fault, box: SimBox) -> None:
-        world, model, by = self.world, box.model, by_of(fault)
+        world, model, by = self.world, box.model, effective_amount(fault)
         match fault.what:
             case "slow":
                 model.slow = by
@@ -84,7 +84,7 @@
             case "silent":
                 model.silent = True
                 pairs = [(box.uid, "*"), ("*", box.uid)]
-                world.ways.separate(pairs)
+                world.ways.add_cuts(pairs)
                 self._for(fault, self._speak, box, pairs)
             case "refusing":
                 world.refusing[box.uid] = None
@@ -109,7 +109,7 @@
 
     def _speak(self, box: SimBox, pairs: list[tuple[str, str]]) -> None:
         box.model.silent = False
-        self.world.ways.join(pairs)
+        self.world.ways.remove_cuts(pairs)
 
     def _undrain(self, box: SimBox) -> None:
         if box.uid in self.world.boxes:
@@ -129,7 +129,7 @@
             Operator(world, world.rng.choice(("an", "binh")), kind, target, drained, world.rng).step()
 
     def _limiter(self, fault: Fault, number: int) -> None:
-        world, by = self.world, by_of(fault)
+        world, by = self.world, effective_amount(fault)
         machine = world.machines[number]
         match fault.what:
             case "kill" | "term" | "power":
@@ -145,8 +145,8 @@
 
     def _cut(self, fault: Fault, name: str, others: list[str]) -> None:
         pairs = cut_pairs(fault, name, others)
-        self.world.ways.separate(pairs)
-        self._for(fault, self.world.ways.join, pairs)
+        self.world.ways.add_cuts(pairs)
+        self._for(fault, self.world.ways.remove_cuts, pairs)
 
     def _agent(self, fault: Fault, number: int) -> None:
         agent = self.world.agents[number]
@@ -156,13 +156,13 @@
                 self.world.schedule.after(700.0, setattr, agent, "alive", True)
             case "pause":
                 agent.paused = True
-                lasts = fault.for_s * 1000.0 or by_of(fault)
+                lasts = fault.for_s * 1000.0 or effective_amount(fault)
                 self.world.schedule.after(lasts, setattr, agent, "paused", False)
             case "cut":
                 self._cut(fault, agent.machine.name, self.world.scenario.floor_names())
             case "disk-full" | "disk-error":
-                agent.disk_fails = True
-                self._for(fault, setattr, agent, "disk_fails", False)
+                agent.disk_failure = True
+                self._for(fault, setattr, agent, "disk_failure", False)
 
     def _floor(self, fault: Fault, floor: str) -> None:
         ways = self.world.ways
@@ -170,11 +170,11 @@
             case "cut" | "cut-to" | "cut-from":
                 self._cut(fault, floor, self.world.scenario.floor_names())
             case "loss":
-                was, ways.loss = ways.loss, by_of(fault)
+                was, ways.loss = ways.loss, effective_amount(fault)
                 self._for(fault, setattr, ways, "loss", was)
             case "late":
-                ways.slow[floor] = ways.slow.get(floor, 0.0) + by_of(fault)
-                self._for(fault, ways.slow.pop, floor, None)
+                ways.extra_delay_ms[floor] = ways.extra_delay_ms.get(floor, 0.0) + effective_amount(fault)
+                self._for(fault, ways.extra_delay_ms.pop, floor, None)
             case "power":
                 self._power(floor)
             case "restart" | "silent":
@@ -188,7 +188,7 @@
                 counter.silent = True
                 self._for(fault, setattr, counter, "silent", False)
             case "late":
-                counter.late = by_of(fault)
+                counter.late = effective_amount(fault)
                 self._for(fault, setattr, counter, "late", 0.0)
             case "busy":
                 counter.busy = True
@@ -222,7 +222,7 @@
                 teller.stale = True
                 self._for(fault, teller.back)
             case "late":
-                teller.late = by_of(fault)
+                teller.late = effective_amount(fault)
                 self._for(fault, setattr, teller, "late", 0.0)
             case "flap":
                 teller.flap(world.schedule.time + (fault.for_s or 2.0) * 1000.0)
@@ -241,20 +241,20 @@
         ways = self.world.ways
         if fault.what == "late":
             for machine in self.world.machines:
-                ways.slow[machine.name] = by_of(fault)
+                ways.extra_delay_ms[machine.name] = effective_amount(fault)
             self._for(fault, self._prompt)
             return
-        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
+        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else effective_amount(fault)
         self._for(fault, setattr, ways, "datagram_loss", was)
 
     def _prompt(self) -> None:
         for machine in self.world.machines:
-            self.world.ways.slow.pop(machine.name, None)
+            self.world.ways.extra_delay_ms.pop(machine.name, None)
 
     def _clients(self, fault: Fault) -> None:
         if fault.what == "rush":
             world = self.world
-            self._rush(by_of(fault), world.schedule.time + (fault.for_s or 2.0) * 1000.0)
+            self._rush(effective_amount(fault), world.schedule.time + (fault.for_s or 2.0) * 1000.0)
 
     def _rush(self, rate: float, ends: float) -> None:
         world = self.world
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -20,11 +20,11 @@
 from elderlock.load.schedule import Arrival
 from elderlock.load.targets import Front
 from elderlock.settings_reader import IDEMPOTENCY_BY_NAME
-from elderlock.sim import judges as j
+from elderlock.sim import invariant_checkers as j
 from elderlock.sim.decision_faults import DecisionFaults
-from elderlock.sim.figures import Account, Result
+from elderlock.sim.figures import FigureCollector, Result
 from elderlock.sim.models.counters import CounterModel
-from elderlock.sim.models.ways import Ways
+from elderlock.sim.models.link_conditions import LinkConditions
 from elderlock.sim.nodes import Ask, Node, Open, SimBox, Try
 from elderlock.sim.scenario import Scenario, floor_name
 from elderlock.sim.schedule import Schedule
@@ -53,34 +53,34 @@
         seed: int,
         out: Callable[[str], object] | None = None,
         ties: int | None = None,
-        rules: j.Rules | None = None,
+        rules: j.CheckerLimits | None = None,
         make: type[Node] = Node,
     ) -> None:
         self.scenario, self.seed, self._make = scenario, seed, make
         self.schedule = Schedule(START, seed if ties is None else ties)
         self.trace = Trace(out=out)
         self.rng = random.Random(f"world/{seed}")
-        self.ways = Ways(scenario.net.delays(), random.Random(f"ways/{seed}"))
+        self.ways = LinkConditions(scenario.net.delays(), random.Random(f"ways/{seed}"))
         kind = scenario.kind[0]
-        self.rules = rules or j.Rules(cold_share=kind.cold_share, cold_ms=kind.cold_ms)
-        self.lost, self.growth = j.Lost(self.rules), j.Growth(self.rules)
-        self.ceilings, self.reports = j.Ceilings(self.rules), j.Reports(self.rules)
-        self.cold = j.Cold(self.rules)
-        self.bench = j.Bench(
+        self.rules = rules or j.CheckerLimits(cold_share=kind.cold_share, cold_ms=kind.cold_ms)
+        self.lost, self.growth = j.UnansweredRequests(self.rules), j.UnboundedGrowth(self.rules)
+        self.ceilings, self.reports = j.HardCeilings(self.rules), j.DrainReports(self.rules)
+        self.cold = j.ColdServers(self.rules)
+        self.bench = j.CheckerSet(
             [
                 self.lost,
-                j.Twice(self.rules),
-                j.Drains(self.rules),
+                j.RepeatedEffects(self.rules),
+                j.DrainedServers(self.rules),
                 self.cold,
                 self.ceilings,
                 self.reports,
-                j.Failures(self.rules),
-                j.Rest(self.rules, self._at_rest),
+                j.UnhandledErrors(self.rules),
+                j.Quiescence(self.rules, self._at_rest),
                 self.growth,
-                j.Agreement(self.rules, self._digests),
+                j.RecordAgreement(self.rules, self._digests),
             ]
         )
-        self.account = Account(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
+        self.account = FigureCollector(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
         self.plans = {plan.name: number for number, plan in enumerate(scenario.plan)}
         self.services = {service.name: number for number, service in enumerate(scenario.service)}
         self._floors = {floor_name(n): n for n in range(scenario.floors)}
@@ -146,7 +146,7 @@
             gc.unfreeze()
             if not collected:
                 gc.disable()
-        broken = [(each.rule, each.at, each.text) for each in self.bench.broken()]
+        broken = [(each.rule, each.at, each.text) for each in self.bench.violations()]
         return Result(
             self.scenario.name,
             FLOOR,
@@ -268,7 +268,7 @@
         self._ceiling_of(arrival)
         self.bench.spent(at, arrival.account, arrival.units)
         plan = self.scenario.plan[self.plans[arrival.plan]]
-        self.account.let_go(at, arrival.account, arrival.units, plan.rate, plan.burst)
+        self.account.record_send(at, arrival.account, arrival.units, plan.rate, plan.burst)
 
     def _ceiling_of(self, arrival: Arrival) -> None:
         if arrival.account not in self._accounts:
@@ -278,16 +278,16 @@
                 self.ceilings.ceiling(arrival.account, plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack)
 
     def tell_peer(self, node: Node, receiver: int, data: bytes) -> None:
-        if self.account.counts(self.at()):
+        if self.account.is_counted(self.at()):
             self.account.questions += 1
         self.trace.event(self.at(), node.name, f"peer {receiver} {len(data)}")
         for number in range(len(self.nodes)) if receiver < 0 else (receiver,):
             there = self.machines[number]
-            if number == node.number or self.ways.cut(node.machine, there):
+            if number == node.number or self.ways.is_cut(node.machine, there):
                 continue
-            if self.ways.datagram_lost(node.machine, there):
+            if self.ways.is_datagram_lost(node.machine, there):
                 continue
-            for _ in range(2 if self.ways.doubled() else 1):
+            for _ in range(2 if self.ways.is_duplicated() else 1):
                 way = self.ways.delay(node.machine, there)
                 self.schedule.after(way, self._peer, number, node.number, data)
 
@@ -334,7 +334,7 @@
         if word == "refused":
             arrival = held.ask.arrival
             plan = self.scenario.plan[self.plans[arrival.plan]]
-            self.account.refused(self.at(), arrival.account, arrival.units, plan.rate, plan.burst)
+            self.account.record_refusal(self.at(), arrival.account, arrival.units, plan.rate, plan.burst)
         way = self.ways.delay(node.machine, self._outside)
         self.schedule.after(way, self._answered, held.ask, held.tag, word, advice if advice >= 1.0 else None)
 
@@ -385,7 +385,7 @@
         ask.over = True
         self.open.pop(ask.number, None)
         took = self.schedule.time - ask.began
-        self.account.finished(ask.began - START, outcome, took, ask.arrival.account)
+        self.account.record_end(ask.began - START, outcome, took, ask.arrival.account)
 
     # Limiters' lives
 
@@ -441,7 +441,7 @@
         return left
 
     def _digests(self) -> dict[str, str]:
-        return {a.name: a.records.digest() for a in self.agents if a.alive and not a.paused and not a.disk_fails}
+        return {a.name: a.records.digest() for a in self.agents if a.alive and not a.paused and not a.disk_failure}
 
     def _sample(self) -> None:
         if self.dry:
--- a/elderlock/sim/agreed.py
+++ b/elderlock/sim/exclusive_holdings.py
@@ -15,9 +15,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from elderlock.sim.judges import Judge, Rules
+from elderlock.sim.invariant_checkers import CheckerLimits, InvariantChecker
 
-OUT: dict[str, str] = {"box": "boxes that operators took out", "limiter": "limiters that operators took out"}
+DRAINED: dict[str, str] = {"box": "boxes that operators took out", "limiter": "limiters that operators took out"}
 
 
 class Holding(NamedTuple):
@@ -38,7 +38,7 @@
         return f"{self.holder} held {self.units:g} of {self.what}{term} from {self.granted:.0f} ms to {end}"
 
 
-class Act(NamedTuple):
+class FencedAction(NamedTuple):
     """`who` acted on `what` with the right of that term, and it took effect (a limiter drained, a budget was spent)."""
 
     what: str
@@ -47,15 +47,15 @@
     term: int
 
 
-class Clash(NamedTuple):
+class Conflict(NamedTuple):
     """`at` a moment at which it shows, and the fewest facts that show it."""
 
     at: float
     text: str
-    facts: tuple[Holding | Act, ...]
+    facts: tuple[Holding | FencedAction, ...]
 
 
-def exclusive(holdings: Iterable[Holding]) -> list[Clash]:
+def exclusivity_conflicts(holdings: Iterable[Holding]) -> list[Conflict]:
     """Each thing is held by one at a time: the pairs of holdings of two holders that were certain at one moment."""
     by: dict[str, list[Holding]] = defaultdict(list)
     for holding in holdings:
@@ -70,12 +70,12 @@
             for other in live:
                 if other.holder != holding.holder:
                     text = f"{other.text()}, while {holding.text()}"
-                    clashes.append(Clash(holding.granted, text, (other, holding)))
+                    clashes.append(Conflict(holding.granted, text, (other, holding)))
             live.append(holding)
     return sorted(clashes, key=lambda clash: clash.at)
 
 
-def bounded(holdings: Iterable[Holding], bounds: dict[str, float]) -> list[Clash]:
+def bound_conflicts(holdings: Iterable[Holding], bounds: dict[str, float]) -> list[Conflict]:
     """What is held of each thing stays within its bound at every moment; one clash for each rise over it, with the
     fewest holdings that pass it (the largest first)."""
     by: dict[str, list[Holding]] = defaultdict(list)
@@ -98,13 +98,13 @@
                 if sum(h.units for h in fewest) > bounds[what] + 1e-9:
                     break
             text = f"{total:g} of {what} were held, {bounds[what]:g} are the most: "
-            clashes.append(Clash(holding.granted, text + "; ".join(h.text() for h in fewest), tuple(fewest)))
+            clashes.append(Conflict(holding.granted, text + "; ".join(h.text() for h in fewest), tuple(fewest)))
     return sorted(clashes, key=lambda clash: clash.at)
 
 
-def fenced(acts: Iterable[Act], slack: float = 0.0) -> list[Clash]:
+def fencing_conflicts(acts: Iterable[FencedAction], slack: float = 0.0) -> list[Conflict]:
     """Once a thing was acted on in a term, nobody acts on it in an older one, but within `slack` ms."""
-    newest: dict[str, Act] = {}
+    newest: dict[str, FencedAction] = {}
     clashes = []
     for act in sorted(acts, key=lambda a: a.at):
         last = newest.get(act.what)
@@ -116,11 +116,11 @@
                 f"{act.who} acted on {act.what} in term {act.term} at {act.at:.0f} ms, after {last.who} had done so in "
                 f"term {last.term} at {last.at:.0f} ms"
             )
-            clashes.append(Clash(act.at, text, (last, act)))
+            clashes.append(Conflict(act.at, text, (last, act)))
     return clashes
 
 
-def never_back(seen: Iterable[tuple[float, str, str, int]]) -> list[Clash]:
+def generation_regressions(seen: Iterable[tuple[float, str, str, int]]) -> list[Conflict]:
     """`seen`: at, by whom, what, its generation. What one has shown never goes back to an older generation."""
     last: dict[tuple[str, str], tuple[float, int]] = {}
     clashes = []
@@ -128,30 +128,30 @@
         before = last.get((who, what))
         if before is not None and generation < before[1]:
             text = f"{who} showed {what} in generation {generation} at {at:.0f} ms, and before that in {before[1]}"
-            clashes.append(Clash(at, text, ()))
+            clashes.append(Conflict(at, text, ()))
         else:
             last[who, what] = at, generation
     return clashes
 
 
-class Agreed(Judge):
+class ExclusiveHoldings(InvariantChecker):
     """The checks above as a judge of a run: rules are given as functions that look into what it was told."""
 
     name = "what is agreed is held by one"
 
-    def __init__(self, rules: Rules, bounds: dict[str, float] | None = None) -> None:
+    def __init__(self, rules: CheckerLimits, bounds: dict[str, float] | None = None) -> None:
         super().__init__()
         self.bounds = bounds or {}
         self.holdings: list[Holding] = []
-        self.acts: list[Act] = []
-        self.seen: list[tuple[float, str, str, int]] = []
+        self.acts: list[FencedAction] = []
+        self.shown: list[tuple[float, str, str, int]] = []
 
-    def took_out(self, kind: str, target: str, at: float) -> None:
+    def drain_reported(self, kind: str, target: str, at: float) -> None:
         """A tool told its operator that a limiter sends nothing to the box any more, or that the limiter is drained."""
         if not any(held.holder == target and held.ended == math.inf for held in self.holdings):
-            self.holdings.append(Holding(OUT[kind], target, at, at))
+            self.holdings.append(Holding(DRAINED[kind], target, at, at))
 
-    def brings_back(self, target: str, at: float) -> None:
+    def undrain_started(self, target: str, at: float) -> None:
         """An operator's command to bring it back begins."""
         self.holdings = [
             held._replace(ended=max(at, held.granted)) if held.holder == target and held.ended == math.inf else held
@@ -159,8 +159,13 @@
         ]
 
     def ended(self, at: float) -> None:
-        budgets = OUT.values()
+        budgets = DRAINED.values()
         single = [held for held in self.holdings if held.what not in self.bounds and held.what not in budgets]
-        within = bounded(self.holdings, {what: most for what, most in self.bounds.items() if most > 0})
-        for clash in (*exclusive(single), *within, *fenced(self.acts), *never_back(self.seen)):
-            self.breaks(clash.at, clash.text)
+        within = bound_conflicts(self.holdings, {what: most for what, most in self.bounds.items() if most > 0})
+        for clash in (
+            *exclusivity_conflicts(single),
+            *within,
+            *fencing_conflicts(self.acts),
+            *generation_regressions(self.shown),
+        ):
+            self.report(clash.at, clash.text)
--- a/elderlock/sim/figures.py
+++ b/elderlock/sim/figures.py
@@ -8,7 +8,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from elderlock.sim.judges import Broken
+from elderlock.sim.invariant_checkers import Violation
 
 LONGEST_US, DIGITS = 3_600_000_000, 3  # of a time to answer
 KEPT_SECONDS = 600
@@ -103,7 +103,7 @@
         ]
         if self.ended != "finished":
             lines.append(f"  {self.ended}: {self.why}")
-        lines += [f"  BROKEN {Broken(*each).line()}" for each in self.broken[:20]]
+        lines += [f"  BROKEN {Violation(*each).line()}" for each in self.broken[:20]]
         if self.broken_count > len(self.broken[:20]):
             lines.append(f"  and {self.broken_count - len(self.broken[:20])} more")
         if self.good():
@@ -111,7 +111,7 @@
         return "\n".join(lines)
 
 
-class Account:
+class FigureCollector:
     """Gathers a run's figures. Times are ms of the run."""
 
     def __init__(self, warm: float, aim: float) -> None:
@@ -127,31 +127,31 @@
         self._worst = 1.0  # of the seconds that are over
         self.more: dict[str, float] = {}
 
-    def counts(self, began: float) -> bool:
+    def is_counted(self, began: float) -> bool:
         return began >= self._warm
 
-    def let_go(self, at: float, account: str, units: float, rate: float, burst: float) -> None:
+    def record_send(self, at: float, account: str, units: float, rate: float, burst: float) -> None:
         """Work for an account with a quota of so many units a second (and a burst) went to a box. One true bucket over
         all limiters says what of it is over."""
         level = self._level(at, account, rate, burst)
-        if self.counts(at):
+        if self.is_counted(at):
             self.sends += 1
             self.spent += units
             self.over += max(0.0, units - level)
         self._buckets[account] = max(0.0, level - units), at
 
-    def refused(self, at: float, account: str, units: float, rate: float, burst: float) -> None:
+    def record_refusal(self, at: float, account: str, units: float, rate: float, burst: float) -> None:
         """A limiter refused a request; `refused_with_room` counts those for which the true bucket held enough."""
-        if self.counts(at) and self._level(at, account, rate, burst) >= units:
+        if self.is_counted(at) and self._level(at, account, rate, burst) >= units:
             self.refused_with_room += 1
 
     def _level(self, at: float, account: str, rate: float, burst: float) -> float:
         level, since = self._buckets.get(account, (burst, at))
         return min(burst, level + rate * (at - since) / 1000.0)
 
-    def finished(self, began: float, outcome: str, took: float, account: str) -> None:
+    def record_end(self, began: float, outcome: str, took: float, account: str) -> None:
         """`began`: the intended start."""
-        if not self.counts(began):
+        if not self.is_counted(began):
             return
         good = outcome == "served" and took <= self._aim
         self.offered += 1
--- a/elderlock/sim/grammar.py
+++ b/elderlock/sim/grammar.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from elderlock.sim.scenario import ABLE, ONLY_SHELLS, ONLY_TRIAL, Fault, Scenario
+from elderlock.sim.scenario import FAULTS_BY_TARGET, SHELLS_ONLY, TRIAL_ONLY, Fault, Scenario
 
 RANGES: dict[str, tuple[float, float]] = {
     "slow": (2.0, 20.0),
@@ -61,17 +61,17 @@
         s = scenario
         counts = {"box": s.boxes, "limiter": s.limiters, "agent": s.agents, "floor": s.floors}
         self._choices: list[tuple[str, str]] = []
-        for kind, able in ABLE.items():
+        for kind, able in FAULTS_BY_TARGET.items():
             if counts.get(kind, 1) == 0 or (kind == "counter" and not s.settings.counter):
                 continue
             for what in sorted(able):
                 if what.startswith("op-") and not s.agents:
                     continue
                 if floor == "decisions" and (
-                    kind == "way" or what in ONLY_SHELLS or what in ("silent-clients", "hoard")
+                    kind == "way" or what in SHELLS_ONLY or what in ("silent-clients", "hoard")
                 ):
                     continue
-                if floor != "trial" and what in ONLY_TRIAL:
+                if floor != "trial" and what in TRIAL_ONLY:
                     continue
                 self._choices.append((kind, what))
         self._counts = counts
--- a/elderlock/sim/judges.py
+++ b/elderlock/sim/invariant_checkers.py
@@ -16,7 +16,7 @@
 MOST_KEPT = 50  # broken rules that are kept in words, of each judge; all are counted
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     rule: str
     at: float
     text: str
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class CheckerLimits:
     """The slack of each rule, in ms but for `multiple` and shares. `grace`: after a client's deadline. `drain`: in
     which sends to a box that drains must cease. `multiple` of a cold box's present capacity within `window`."""
 
@@ -40,19 +40,19 @@
     told_share: float = 2.0 / 3.0  # of a cold box's work that must come from limiters that had heard of its start
 
 
-class Judge:
+class InvariantChecker:
     """Hears all; each judge overrides what it needs. `at` is ms of the run."""
 
     name = ""
 
     def __init__(self) -> None:
-        self.broken: list[Broken] = []
+        self.violations: list[Violation] = []
         self.count = 0
 
-    def breaks(self, at: float, text: str) -> None:
+    def report(self, at: float, text: str) -> None:
         self.count += 1
-        if len(self.broken) < MOST_KEPT:
-            self.broken.append(Broken(self.name, at, text))
+        if len(self.violations) < MOST_KEPT:
+            self.violations.append(Violation(self.name, at, text))
 
     def asked(self, at: float, request: str, limiter: str, deadline: float, account: str, effect: str) -> None:
         """A limiter took it from a client that waits until `deadline`."""
@@ -97,12 +97,12 @@
     deadline: float
 
 
-class Lost(Judge):
+class UnansweredRequests(InvariantChecker):
     """Rule 1: each request that was taken gets one final answer, no later than `grace` after its client's deadline."""
 
     name = "no request lost"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
         self.open: dict[str, _Open] = {}
@@ -122,7 +122,7 @@
 
     def answered(self, at: float, request: str, word: str) -> None:
         if request in self._answered:
-            return self.breaks(at, f"{request} was answered {word} after {self._answered[request]}")
+            return self.report(at, f"{request} was answered {word} after {self._answered[request]}")
         self._answered[request] = word
         self._order.append(request)
         if len(self._order) > KEPT_NAMES:
@@ -131,27 +131,27 @@
         if was is None:
             return
         if word == "wrong":
-            self.breaks(at, f"{request} got another's answer from {was.limiter}")
+            self.report(at, f"{request} got another's answer from {was.limiter}")
         elif at > was.deadline + self._rules.grace:
-            self.breaks(at, f"{request} was answered {word} {at - was.deadline:.0f} ms late by {was.limiter}")
+            self.report(at, f"{request} was answered {word} {at - was.deadline:.0f} ms late by {was.limiter}")
 
     def excused(self, at: float, request: str, why: str) -> None:
         was = self.open.pop(request, None)
         if was is not None and at > was.deadline + self._rules.grace:  # it comes after the answer was owed
-            self.breaks(at, f"{request} was never answered by {was.limiter}")
+            self.report(at, f"{request} was never answered by {was.limiter}")
 
     def ended(self, at: float) -> None:
         for request, was in self.open.items():
             if at > was.deadline + self._rules.grace:
-                self.breaks(at, f"{request} was never answered by {was.limiter}")
+                self.report(at, f"{request} was never answered by {was.limiter}")
 
 
-class Twice(Judge):
+class RepeatedEffects(InvariantChecker):
     """Rule 2: a request whose repeat would have a second effect runs once."""
 
     name = "no effect twice"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._effects: dict[str, str] = {}
         self._ran: dict[str, str] = {}
@@ -170,16 +170,16 @@
         if request not in self._effects:
             return
         if request in self._ran:
-            self.breaks(at, f"{request} ({self._effects[request]}) ran on {self._ran[request]} and on {box}")
+            self.report(at, f"{request} ({self._effects[request]}) ran on {self._ran[request]} and on {box}")
         self._ran[request] = box
 
 
-class Drains(Judge):
+class DrainedServers(InvariantChecker):
     """Rule 3: no work goes to a box later than `drain` after the limiter heard that it drains or is gone."""
 
     name = "drains kept"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
         self._since: dict[tuple[str, str], float] = {}
@@ -197,7 +197,7 @@
     def sent(self, at: float, limiter: str, box: str, request: str) -> None:
         since = self._since.get((limiter, box))
         if since is not None and at > since + self._rules.drain:
-            self.breaks(at, f"{limiter} sent {request} to {box} {at - since:.0f} ms after it heard of its drain")
+            self.report(at, f"{limiter} sent {request} to {box} {at - since:.0f} ms after it heard of its drain")
 
 
 @dataclass(slots=True)
@@ -208,13 +208,13 @@
     work: deque[tuple[float, bool]] = field(default_factory=deque)  # when, and from one that had heard of the start
 
 
-class Cold(Judge):
+class ColdServers(InvariantChecker):
     """Rule 4: within any `window`, a cold box gets no more than `multiple` times its present capacity, and a little for
     chance (two deviations and three), where two thirds of that came from limiters that had heard of its start."""
 
     name = "no cold box pushed over"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
         self._cold: dict[str, _Cold] = {}
@@ -250,15 +250,15 @@
         told = sum(known for _, known in work)
         self.worst = max(self.worst, len(work) / allowed)
         if len(work) > allowed and told >= rules.told_share * len(work):
-            self.breaks(at, f"{box} got {len(work)} within {rules.window:.0f} ms, {allowed:.0f} are the most")
+            self.report(at, f"{box} got {len(work)} within {rules.window:.0f} ms, {allowed:.0f} are the most")
 
 
-class Ceilings(Judge):
+class HardCeilings(InvariantChecker):
     """Rule 5: what is let go for an account stays under ceiling burst + rate x time, and its slack, in any span."""
 
     name = "ceilings kept"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._plans: dict[str, tuple[float, float, float]] = {}
         self._levels: dict[str, tuple[float, float]] = {}
@@ -278,16 +278,16 @@
         self._levels[account] = (level, max(at, since))
         self.worst = max(self.worst, level - burst)
         if level > burst + slack + 1e-6:
-            self.breaks(at, f"account {account}: {level - burst:.2f} units over its ceiling, {slack:g} are its slack")
+            self.report(at, f"account {account}: {level - burst:.2f} units over its ceiling, {slack:g} are its slack")
 
 
-class Reports(Judge):
+class DrainReports(InvariantChecker):
     """A drain's report is honest: once a tool has said that a limiter sends a box no more, it does not; what was being
     written in that `instant` is the last."""
 
     name = "drain reported as it is"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._instant = rules.instant
         self._claims: dict[tuple[str, str], float] = {}
@@ -298,7 +298,7 @@
         self._claims.setdefault(key, since)
         if self._last.get(key, -1e18) > since + self._instant:
             late = self._last[key] - since
-            self.breaks(at, f"{operator} was told that {limiter} sends {target} no more, {late:.0f} ms before it did")
+            self.report(at, f"{operator} was told that {limiter} sends {target} no more, {late:.0f} ms before it did")
 
     def undrained(self, target: str) -> None:
         for key in [key for key in self._claims if key[1] == target]:
@@ -309,37 +309,37 @@
         self._last[key] = at
         since = self._claims.get(key)
         if since is not None and at > since + self._instant:
-            self.breaks(at, f"{limiter} sent {request} to {box}, which its operator was told is drained there")
+            self.report(at, f"{limiter} sent {request} to {box}, which its operator was told is drained there")
 
 
-class Failures(Judge):
+class UnhandledErrors(InvariantChecker):
     """Nothing fails in the code itself: no exception that nobody handles, no event that the module cannot take."""
 
     name = "nothing raised"
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
 
     def failure(self, at: float, where: str, text: str) -> None:
-        self.breaks(at, f"{where}: {text}")
+        self.report(at, f"{where}: {text}")
 
 
-class Rest(Judge):
+class Quiescence(InvariantChecker):
     """What a run leaves behind: `look` gives, at its end, what should be nought by then, by name."""
 
     name = "all comes to rest"
 
-    def __init__(self, rules: Rules, look: Callable[[], dict[str, int]] = dict) -> None:
+    def __init__(self, rules: CheckerLimits, look: Callable[[], dict[str, int]] = dict) -> None:
         super().__init__()
         self._look = look
 
     def ended(self, at: float) -> None:
         for what, left in self._look().items():
             if left:
-                self.breaks(at, f"{left} {what}")
+                self.report(at, f"{left} {what}")
 
 
-class Growth(Judge):
+class UnboundedGrowth(InvariantChecker):
     """Nothing grows with time: of what is counted now and then while requests come, the least of the last third is no
     more than `TIMES` that of the middle one, and `MORE`. What grows evenly from nothing has twice as much there; a rush
     leaves the least of a third alone. Told by the world through `counted`."""
@@ -347,7 +347,7 @@
     name = "no unbounded growth"
     TIMES, MORE = 1.5, 200
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._seen: dict[str, list[int]] = {}
 
@@ -364,16 +364,16 @@
                 continue
             middle, last = min(seen[third : 2 * third]), min(seen[-third:])
             if last > self.TIMES * middle + self.MORE:
-                self.breaks(at, f"{what} grew from {middle} to {last}")
+                self.report(at, f"{what} grew from {middle} to {last}")
 
 
-class Agreement(Judge):
+class RecordAgreement(InvariantChecker):
     """Agents that reach one another hold the same records within `within` ms of the last change or heal."""
 
     name = "records agree"
     within = 3000.0
 
-    def __init__(self, rules: Rules, digests: Callable[[], dict[str, str]] = dict) -> None:
+    def __init__(self, rules: CheckerLimits, digests: Callable[[], dict[str, str]] = dict) -> None:
         super().__init__()
         self._digests = digests
 
@@ -381,11 +381,11 @@
         digests = self._digests()
         if len(set(digests.values())) > 1:
             held = ", ".join(f"{name} {digest[:8]}" for name, digest in sorted(digests.items()))
-            self.breaks(at, f"after a rest they hold different records: {held}")
+            self.report(at, f"after a rest they hold different records: {held}")
 
 
-class Words:
-    """What judges hear, each taking what the `Judge` of that name does."""
+class CheckerEvents:
+    """What judges hear, each taking what the `InvariantChecker` of that name does."""
 
     asked: Callable[..., None]
     answered: Callable[..., None]
@@ -400,13 +400,13 @@
     failure: Callable[..., None]
 
 
-class Bench(Words):
+class CheckerSet(CheckerEvents):
     """All judges of a run, told as one."""
 
     ended: Callable[..., None]
 
-    def __init__(self, judges: list[Judge]) -> None:
-        self.judges = judges
+    def __init__(self, judges: list[InvariantChecker]) -> None:
+        self.checkers = judges
         self.counts: Counter[str] = Counter()
         for name in (
             "asked",
@@ -422,15 +422,15 @@
             "failure",
             "ended",
         ):
-            base = getattr(Judge, name)
+            base = getattr(InvariantChecker, name)
             hears = [getattr(judge, name) for judge in judges if getattr(type(judge), name) is not base]
             setattr(self, name, _all(hears))
 
-    def broken(self) -> list[Broken]:
-        return sorted((each for judge in self.judges for each in judge.broken), key=lambda broken: broken.at)
+    def violations(self) -> list[Violation]:
+        return sorted((each for judge in self.checkers for each in judge.violations), key=lambda broken: broken.at)
 
     def total(self) -> int:
-        return sum(judge.count for judge in self.judges)
+        return sum(judge.count for judge in self.checkers)
 
 
 def _all(hears: list[Callable[..., None]]) -> Callable[..., None]:
--- a/elderlock/sim/facts.py
+++ b/elderlock/sim/limiter_settings.py
@@ -5,24 +5,24 @@
 
 from typing import Any
 
-from elderlock.sim.agreed import OUT
-from elderlock.sim.judges import Rules
+from elderlock.sim.exclusive_holdings import DRAINED
+from elderlock.sim.invariant_checkers import CheckerLimits
 from elderlock.sim.scenario import Scenario, floor_name
 from elderlock.standins.settings import facts
 
 DRAIN = 250.0  # ms, the rule's
 
 
-def talks(scenario: Scenario) -> bool:
+def uses_peer_messages(scenario: Scenario) -> bool:
     """Whether limiters send one another datagrams."""
     return scenario.limiters > 1 and scenario.settings.peers
 
 
-def settings_of(scenario: Scenario, number: int, rules: Rules) -> dict[str, Any]:
+def settings_for_limiter(scenario: Scenario, number: int, rules: CheckerLimits) -> dict[str, Any]:
     """Of limiter `number`."""
     s, kind = scenario, scenario.kind[0]
     own = facts(
-        peers=talks(s),
+        peers=uses_peer_messages(s),
         **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
         **{"dial-timeout": s.settings.dial_ms, "keepalive": s.settings.keepalive_ms},
     )
@@ -62,7 +62,7 @@
     return own
 
 
-def budget_of(scenario: Scenario) -> str:
+def budget_toml(scenario: Scenario) -> str:
     """What the group's file says of what may be out at once."""
     share = scenario.settings.budget
     if not share:
@@ -71,14 +71,14 @@
     return boxes + f"[budget.limiters]\nshare = {share}\n"
 
 
-def most_out(scenario: Scenario) -> dict[str, float]:
+def max_drained(scenario: Scenario) -> dict[str, float]:
     """Of boxes and limiters that operators may have taken out at once, without force; 0 for no bound."""
     s = scenario.settings
-    limiters = s.most_out(scenario.limiters) if scenario.agents else 0
-    return {OUT["box"]: s.most_out(scenario.boxes), OUT["limiter"]: limiters}
+    limiters = s.max_drained(scenario.limiters) if scenario.agents else 0
+    return {DRAINED["box"]: s.max_drained(scenario.boxes), DRAINED["limiter"]: limiters}
 
 
-def operators_of(scenario: Scenario) -> str:
+def operators_toml(scenario: Scenario) -> str:
     """What a limiter's operators' file sets beside its control socket."""
     s = scenario.settings
     text = f"[routing]\nsubset = {s.subset}\naway_ms = {s.away_ms}\n"
--- a/elderlock/sim/models/counters.py
+++ b/elderlock/sim/models/counters.py
@@ -13,7 +13,7 @@
 
 from elderlock import interface as api
 from elderlock.interface import Outcome
-from elderlock.sim.models.ways import Place, Ways
+from elderlock.sim.models.link_conditions import LinkConditions, NetworkNode
 
 PARTS, SERVE, MOST_WAIT = 2, 0.4, 20.0  # ms of a call in turn, and of calls that a part lets wait
 ANSWER_WITHIN = 50.0  # ms, as the limiters' terms have it
@@ -34,7 +34,7 @@
 
 
 class CounterModel:
-    def __init__(self, time: Time, ways: Ways, place: Place, rng: random.Random) -> None:
+    def __init__(self, time: Time, ways: LinkConditions, place: NetworkNode, rng: random.Random) -> None:
         self._time, self._ways, self.place, self._rng = time, ways, place, rng
         self.totals: dict[str, tuple[float, float]] = {}
         self.silent = self.busy = False
@@ -52,7 +52,7 @@
         time, ways = self._time, self._ways
         state = [False]  # whether the caller has heard
         time.after(ANSWER_WITHIN, self._unanswered, caller, token, state)
-        if not (self.silent or ways.cut(caller.machine, self.place)):
+        if not (self.silent or ways.is_cut(caller.machine, self.place)):
             way = ways.delay(caller.machine, self.place)
             time.after(way, self._come, caller, token, name, amount, life, state, self.generation)
 
--- a/elderlock/sim/models/ways.py
+++ b/elderlock/sim/models/link_conditions.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 
-class Place(Protocol):
+class NetworkNode(Protocol):
     """A machine, as far as the network goes."""
 
     @property
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Delays:
+class LinkDelays:
     """ms and shares, see above. `datagram_loss` is of what passes between two machines, whatever the floor."""
 
     same: float = 0.25
@@ -40,53 +40,53 @@
     most_again: float = 3200.0
 
 
-class Ways:
+class LinkConditions:
     """Invariant: a cut is a set of ordered pairs of machines' or floors' names; all else passes."""
 
-    def __init__(self, delays: Delays, rng: random.Random) -> None:
+    def __init__(self, delays: LinkDelays, rng: random.Random) -> None:
         self.delays, self._rng = delays, rng
         self._cuts: dict[tuple[str, str], int] = {}
-        self.slow: dict[str, float] = {}  # ms more on each way to or from that machine or floor
-        self.slower: dict[tuple[str, str], float] = {}  # ms more from that machine to that one
-        self.lossy: dict[tuple[str, str], float] = {}  # share of its datagrams that are lost besides
+        self.extra_delay_ms: dict[str, float] = {}  # ms more on each way to or from that machine or floor
+        self.pair_extra_delay_ms: dict[tuple[str, str], float] = {}  # ms more from that machine to that one
+        self.pair_extra_loss: dict[tuple[str, str], float] = {}  # share of its datagrams that are lost besides
         self.loss = delays.loss
         self.datagram_loss = delays.datagram_loss
-        self.healed: Callable[[], None] | None = None
+        self.on_cuts_removed: Callable[[], None] | None = None
 
-    def delay(self, here: Place, there: Place) -> float:
+    def delay(self, here: NetworkNode, there: NetworkNode) -> float:
         """ms, one way."""
         d = self.delays
         base = d.same if here.floor == there.floor or not here.floor or not there.floor else d.cross
         way = base + self._rng.expovariate(1.0) * d.jitter * base
         if self._rng.random() < d.tail:
             way *= d.tail_by
-        if self.slow and here.floor and there.floor:
-            way += sum(self.slow.get(name, 0.0) for name in (here.name, there.name, here.floor, there.floor))
-        if self.slower:
-            way += self.slower.get((here.name, there.name), 0.0)
+        if self.extra_delay_ms and here.floor and there.floor:
+            way += sum(self.extra_delay_ms.get(name, 0.0) for name in (here.name, there.name, here.floor, there.floor))
+        if self.pair_extra_delay_ms:
+            way += self.pair_extra_delay_ms.get((here.name, there.name), 0.0)
         return way
 
-    def cut(self, here: Place, there: Place) -> bool:
+    def is_cut(self, here: NetworkNode, there: NetworkNode) -> bool:
         if not self._cuts:
             return False
         sources, targets = (here.name, here.floor, "*"), (there.name, there.floor, "*")
         return here is not there and any((s, t) in self._cuts for s in sources for t in targets if s or t)
 
-    def lost(self, here: Place, there: Place) -> bool:
+    def is_lost(self, here: NetworkNode, there: NetworkNode) -> bool:
         """Between floors' machines alone: clients and discovery, on no floor, have links that the model leaves whole,
         as a limiter cannot answer for what its client's own link does."""
         if self.loss <= 0 or here is there or not here.floor or not there.floor:
             return False
         return self._rng.random() < self.loss
 
-    def datagram_lost(self, here: Place, there: Place) -> bool:
-        more = self.lossy.get((here.name, there.name), 0.0) if self.lossy else 0.0
+    def is_datagram_lost(self, here: NetworkNode, there: NetworkNode) -> bool:
+        more = self.pair_extra_loss.get((here.name, there.name), 0.0) if self.pair_extra_loss else 0.0
         return here is not there and self._rng.random() < self.datagram_loss + self.loss + more
 
-    def doubled(self) -> bool:
+    def is_duplicated(self) -> bool:
         return self._rng.random() < self.delays.double
 
-    def again(self) -> float:
+    def retransmission_delay(self) -> float:
         """ms until a lost segment has come through."""
         wait, total = self.delays.again, self.delays.again
         while self._rng.random() < self.loss and wait < self.delays.most_again:
@@ -94,17 +94,17 @@
             total += wait
         return total
 
-    def separate(self, pairs: Iterable[tuple[str, str]]) -> None:
+    def add_cuts(self, pairs: Iterable[tuple[str, str]]) -> None:
         """From the first's name to the second's, one way; cuts of one pair count."""
         for pair in pairs:
             self._cuts[pair] = self._cuts.get(pair, 0) + 1
 
-    def join(self, pairs: Iterable[tuple[str, str]]) -> None:
+    def remove_cuts(self, pairs: Iterable[tuple[str, str]]) -> None:
         for pair in pairs:
             left = self._cuts.get(pair, 0) - 1
             if left > 0:
                 self._cuts[pair] = left
             else:
                 self._cuts.pop(pair, None)
-        if self.healed is not None:
-            self.healed()
+        if self.on_cuts_removed is not None:
+            self.on_cuts_removed()
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -287,7 +287,7 @@
             schedule.after(0.5, self._ended, each, Outcome.CONNECT_FAILED)
             return
         there = world.ways.delay(self.machine, box.machine)
-        cut = world.ways.cut(self.machine, box.machine) or world.ways.cut(box.machine, self.machine)
+        cut = world.ways.is_cut(self.machine, box.machine) or world.ways.is_cut(box.machine, self.machine)
         if not self._connected(uid):
             dial = world.scenario.service[0].aim_ms * CONNECT_OBJECTIVE_FRACTION
             if cut or box.model.silent:
@@ -322,7 +322,7 @@
         each = work.keep
         assert isinstance(each, Try) and each.box is not None
         world, machine = self.world, each.box.machine
-        if each.over or world.ways.cut(machine, self.machine):
+        if each.over or world.ways.is_cut(machine, self.machine):
             return
         world.schedule.after(world.ways.delay(machine, self.machine), self._ended, each, OUTCOMES[word])
 
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/renewals.py
@@ -18,7 +18,7 @@
 from elderlock.fleet.launcher.launcher_link import LauncherLink, Ready, Settled, Started, SwitchVersion, message_decoder
 from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
 from elderlock.rollout.plans import Plan, RolloutPolicy
-from elderlock.sim.agreed import Holding, bounded
+from elderlock.sim.exclusive_holdings import Holding, bound_conflicts
 from elderlock.sim.rollouts import SLACK, VERSION, Case, Played, ReleaseWorld
 from elderlock.sim.virtual.host import SimHost
 from elderlock.sim.virtual.processes import Process, context_of, start
@@ -131,7 +131,7 @@
             if held.generation in self._unsettled.get(number, ()):
                 self._broken(f"{name} was started on {version} again, which had ended in its trial")
         pairs = [(machine.name, "*"), ("*", machine.name)] if build == "mute" else []
-        self.ways.separate(pairs)
+        self.ways.add_cuts(pairs)
 
         async def main() -> int:
             if build == "crashes at start":
@@ -145,7 +145,7 @@
             return 0
 
         def over() -> None:
-            self.ways.join(pairs)
+            self.ways.remove_cuts(pairs)
             self._over(number, process)
 
         process.on_exit.append(over)
@@ -229,7 +229,7 @@
         if wrong:
             self.made.stuck += 1
             self.made.broken.append(f"{self.at():.0f} ms: {plan.outcome()}, but not {', '.join(wrong)}")
-        for clash in bounded(self._holdings, {OUT: 1.0}):
+        for clash in bound_conflicts(self._holdings, {OUT: 1.0}):
             self.made.over_budget += 1
             self.made.broken.append(f"{clash.at:.0f} ms: {clash.text}")
         self.made.seconds = self.at() / 1000.0
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -25,7 +25,13 @@
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
-from elderlock.sim.agreed import Act, Holding, bounded, fenced, never_back
+from elderlock.sim.exclusive_holdings import (
+    FencedAction,
+    Holding,
+    bound_conflicts,
+    fencing_conflicts,
+    generation_regressions,
+)
 from elderlock.sim.scenario import Scenario, Settings
 from elderlock.sim.shells import ShellWorld
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of, start
@@ -228,7 +234,7 @@
         self._doomed: set[int] = set()  # pids that the world ends
         self._out: dict[str, str] = {}
         self._holdings: list[Holding] = []
-        self._acts: list[Act] = []
+        self._acts: list[FencedAction] = []
         self._shown: list[tuple[float, str, str, int]] = []
         self._ledgers: dict[int, object] = {}
         self._turned_at = 0.0  # when the plan was seen to be halted or turned
@@ -331,7 +337,7 @@
         if record is not None:
             self._shown.append((self.at(), limiter.name, "its drain", record.generation))
             if limiter.down:
-                self._acts.append(Act(limiter.name, record.origin, self.at(), record.generation))
+                self._acts.append(FencedAction(limiter.name, record.origin, self.at(), record.generation))
         self.say(f"{limiter.name} {'drained' if limiter.down else 'serves'}")
         self._mark(limiter.name, "drained" if limiter.down else "")
 
@@ -428,9 +434,9 @@
     def _judge(self) -> None:
         made = self.made
         made.seconds = self.at() / 1000.0
-        over = bounded(self._holdings, {OUT: float(self.most)})
+        over = bound_conflicts(self._holdings, {OUT: float(self.most)})
         made.over_budget += len(over)
-        back = [*fenced(self._acts), *never_back(self._shown)]
+        back = [*fencing_conflicts(self._acts), *generation_regressions(self._shown)]
         made.after_fence += len(back)
         made.broken += [f"{clash.at:.0f} ms: {clash.text}" for clash in (*over, *back)]
 
@@ -572,8 +578,8 @@
             self.signal(process, signal.SIGSTOP)
             self.loop.call_later(lasts, self.signal, process, signal.SIGCONT)
         elif what == "disk":
-            machine.disk_fails = rng.choice(["full", "error"])
-            self.loop.call_later(lasts, setattr, machine, "disk_fails", "")
+            machine.disk_failure = rng.choice(["full", "error"])
+            self.loop.call_later(lasts, setattr, machine, "disk_failure", "")
         elif what == "clock":
             machine.offset += rng.choice([-86_400_000.0, 3_600_000.0])
         elif what == "crash":
@@ -588,8 +594,8 @@
                 pairs += [(other, machine.name) for other in others]
             elif rng.random() < 0.5:
                 pairs = [(other, machine.name) for other in others]
-            self.ways.separate(pairs)
-            self.loop.call_later(lasts, self.ways.join, pairs)
+            self.ways.add_cuts(pairs)
+            self.loop.call_later(lasts, self.ways.remove_cuts, pairs)
 
     def _put_to_sleep(self, name: str, plan: Plan) -> None:
         """The agent of that name has just learnt of the plan as it stands."""
@@ -604,8 +610,8 @@
             here = self.agent_machine(number).name
             pairs = [(other, here) for n in range(self.case.agents) if (other := self.agent_machine(n).name) != here]
             pairs += [(here, other) for other, _ in pairs]
-            self.ways.separate(pairs)
-            self.loop.call_later(ASLEEP + AND_CUT, self.ways.join, pairs)
+            self.ways.add_cuts(pairs)
+            self.loop.call_later(ASLEEP + AND_CUT, self.ways.remove_cuts, pairs)
             self.loop.call_later(2.0, lambda: self.loop.create_task(self._says(plan, "back", plan.revision, "an")))
 
     def _leader_goes(self) -> None:
@@ -637,8 +643,8 @@
         """All that runs on the first floor is gone, and nothing is heard of it for a while."""
         floor = self.machines[0].floor
         pairs = [(floor, "*"), ("*", floor)]
-        self.ways.separate(pairs)
-        self.loop.call_later(FLOOR_AWAY, self.ways.join, pairs)
+        self.ways.add_cuts(pairs)
+        self.loop.call_later(FLOOR_AWAY, self.ways.remove_cuts, pairs)
         self.say(f"{floor} is lost")
         for number, process in self.agent_processes.items():
             if self.agent_machine(number).floor == floor:
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -17,7 +17,7 @@
 from elderlock.load import scenario as load
 from elderlock.load.accounts import Mix
 from elderlock.load.scenario import Clients, ScenarioError, Strict
-from elderlock.sim.models.ways import Delays
+from elderlock.sim.models.link_conditions import LinkDelays
 from elderlock.standins.model import Shape
 
 FORMAT = 1  # of the models and of this file: a kept seed of another one no longer applies
@@ -27,7 +27,7 @@
 LONGEST_RECORDED = 10_000.0  # ms, of a deadline in a trace
 LONGEST_FILE = 32 << 20  # bytes: a schedule of 100,000 faults is some 8 MB
 
-What = Literal[
+FaultKind = Literal[
     "slow",
     "errs",
     "silent",
@@ -74,7 +74,7 @@
     "reset",
     "half-close",
 ]
-ABLE: dict[str, frozenset[str]] = {
+FAULTS_BY_TARGET: dict[str, frozenset[str]] = {
     "box": frozenset(
         {"slow", "errs", "silent", "refusing", "restart", "pause", "drain", "remove", "lies", "op-drain", "op-undrain"}
     ),
@@ -108,8 +108,8 @@
     "peers": frozenset({"silent", "loss", "late"}),
     "clients": frozenset({"rush", "silent-clients", "hoard"}),
 }
-ONLY_SHELLS = frozenset({"term", "disk-full", "disk-error", "refusing", "reset"})
-ONLY_TRIAL = frozenset(
+SHELLS_ONLY = frozenset({"term", "disk-full", "disk-error", "refusing", "reset"})
+TRIAL_ONLY = frozenset(
     {
         "disk-slow",
         "disk-lies",
@@ -141,7 +141,7 @@
     is an operator's command there."""
 
     at_s: float
-    what: What
+    what: FaultKind
     target: str
     for_s: float = 0.0
     by: float = 0.0
@@ -210,7 +210,7 @@
     effect: Literal["free", "guarded", "single_shot"] = "free"
 
 
-class BoxKind(Strict, frozen=True):
+class ServerKind(Strict, frozen=True):
     """A kind of box; boxes take the kinds in turn. See `elderlock.standins.model`."""
 
     name: str = "std-2c"
@@ -239,7 +239,7 @@
 
 
 class Net(Strict, frozen=True):
-    """See `elderlock.sim.models.ways`; ms and shares."""
+    """See `elderlock.sim.models.link_conditions`; ms and shares."""
 
     same_ms: float = 0.25
     cross_ms: float = 2.0
@@ -247,8 +247,8 @@
     loss: float = 0.0
     datagram_loss: float = 0.01
 
-    def delays(self) -> Delays:
-        return Delays(self.same_ms, self.cross_ms, self.jitter, loss=self.loss, datagram_loss=self.datagram_loss)
+    def delays(self) -> LinkDelays:
+        return LinkDelays(self.same_ms, self.cross_ms, self.jitter, loss=self.loss, datagram_loss=self.datagram_loss)
 
 
 class Settings(Strict, frozen=True):
@@ -268,7 +268,7 @@
     memory_mb: float = 192.0
     budget: float = 0.0  # share of the boxes that may be out at once by permits of the agents; 0 for no permits
 
-    def most_out(self, boxes: int) -> int:
+    def max_drained(self, boxes: int) -> int:
         """Of so many boxes that operators may have taken out at once, without force."""
         return int(self.budget * boxes + 1e-9)
 
@@ -289,7 +289,7 @@
     clients: Clients = Clients()
     plan: tuple[Plan, ...] = ()
     service: tuple[Service, ...] = (Service(),)
-    kind: tuple[BoxKind, ...] = (BoxKind(), BoxKind(name="old-2c", speed=0.6))
+    kind: tuple[ServerKind, ...] = (ServerKind(), ServerKind(name="old-2c", speed=0.6))
     net: Net = Net()
     settings: Settings = Settings()
     fault: tuple[Fault, ...] = ()
@@ -324,7 +324,7 @@
     return f"floor-{number + 2}"
 
 
-def of_load(share: float, scenario: Scenario, accounts: int = 100, skew: float = 0.6) -> Scenario:
+def with_load(share: float, scenario: Scenario, accounts: int = 100, skew: float = 0.6) -> Scenario:
     """With one stream that asks for that share of what the boxes bear, and a plan that lets all of it in."""
     mix = Mix(count=accounts, skew=skew)
     shape = (load.Steady(rate=share * scenario.capacity()),)
@@ -440,7 +440,7 @@
             "counter, discovery, peers, clients, way:A>B with A and B box:N, limiter:N, agent:N, counter, discovery, "
             "clients or tool"
         )
-    able = ABLE[fault.kind()]
+    able = FAULTS_BY_TARGET[fault.kind()]
     if fault.what not in able:
         raise ScenarioError(f"{where}: {fault.target} cannot be made {fault.what}; it can be {', '.join(sorted(able))}")
     load.bounds(
@@ -450,14 +450,14 @@
         raise ScenarioError(f"{where}: by is {fault.by:g}, a share lies between 0 and 1")
 
 
-def unplayable(scenario: Scenario, floor: str) -> list[str]:
+def unsupported_faults(scenario: Scenario, floor: str) -> list[str]:
     """What of its faults that floor (shells, decisions or trial) cannot play, each with why, for people."""
     found = []
     for fault in scenario.fault:
         why = ""
-        if floor != "trial" and fault.what in ONLY_TRIAL:
+        if floor != "trial" and fault.what in TRIAL_ONLY:
             why = "real files and real wires alone show that"
-        elif floor == "decisions" and (fault.what in ONLY_SHELLS or fault.kind() == "way"):
+        elif floor == "decisions" and (fault.what in SHELLS_ONLY or fault.kind() == "way"):
             why = "there are no processes, files and connections on this floor"
         elif floor == "decisions" and fault.what in ("silent-clients", "hoard", "clock"):
             why = "there are no connections and no machine's clocks on this floor"
@@ -468,7 +468,7 @@
     return found
 
 
-def by_of(fault: Fault) -> float:
+def effective_amount(fault: Fault) -> float:
     return fault.by or DEFAULT_BY.get(fault.what, 0.0)
 
 
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -10,7 +10,7 @@
 
 from elderlock.fleet.client.drain_commands import Order, carry_out
 from elderlock.fleet.client.group_client import Group
-from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
+from elderlock.sim.scenario import Fault, cut_pairs, effective_amount, floor_name
 from elderlock.sim.stage_faults import StageFaults
 from elderlock.sim.virtual.loop import EPOCH
 from elderlock.sim.virtual.network import Stream
@@ -33,8 +33,8 @@
 
     def silence(self, uid: str) -> Callable[[], object]:
         pairs = [(uid, "*"), ("*", uid)]
-        self.world.ways.separate(pairs)
-        return lambda: self.world.ways.join(pairs)
+        self.world.ways.add_cuts(pairs)
+        return lambda: self.world.ways.remove_cuts(pairs)
 
     async def _fault(self, fault: Fault) -> None:
         match fault.kind():
@@ -91,24 +91,24 @@
         return end
 
     def _way_fault(self, fault: Fault) -> None:
-        ways, by = self.world.ways, by_of(fault)
+        ways, by = self.world.ways, effective_amount(fault)
         source, target = (self._machine_of(end) for end in fault.ends())
         pair = (source, target)
         match fault.what:
             case "cut":
-                ways.separate([pair])
-                self._for(fault, lambda: ways.join([pair]))
+                ways.add_cuts([pair])
+                self._for(fault, lambda: ways.remove_cuts([pair]))
             case "late":
-                ways.slower[pair] = by
-                self._for(fault, lambda: ways.slower.pop(pair, None))
+                ways.pair_extra_delay_ms[pair] = by
+                self._for(fault, lambda: ways.pair_extra_delay_ms.pop(pair, None))
             case "loss":
-                ways.lossy[pair] = by
-                self._for(fault, lambda: ways.lossy.pop(pair, None))
+                ways.pair_extra_loss[pair] = by
+                self._for(fault, lambda: ways.pair_extra_loss.pop(pair, None))
             case "reset":
                 if "clients" in fault.ends():
                     self.world.broke_streams = True
                 for process in list(self.world.processes.values()):
-                    for held in list(process.holds) if process.alive else ():
+                    for held in list(process.resources) if process.alive else ():
                         if isinstance(held, Stream) and {held.machine.name, held.peer.machine.name} == {source, target}:
                             held._break(ConnectionResetError(errno.ECONNRESET, "reset"))
 
@@ -121,7 +121,7 @@
         if not drained:
             self._undrains[target] = self._undrains.get(target, 0) + 1
             self.world.reports.undrained(target)
-            self.world.agreed.brings_back(target, self.world.at())
+            self.world.agreed.undrain_started(target, self.world.at())
         undrains = self._undrains.get(target, 0)
         process = self.world.process(f"operator-{operator}", self.world.agent_machine(0), {})
         done: asyncio.Future[None] = self.world.loop.create_future()
@@ -137,7 +137,7 @@
                     holds = drained and self._undrains.get(target, 0) == undrains
                     if not (holds and row.state == "reached" and row.limiter):
                         continue
-                    self.world.agreed.took_out(kind, target, self.world.at())
+                    self.world.agreed.drain_reported(kind, target, self.world.at())
                     if kind == "box":
                         # by the limiter's own clock, which is read at its start
                         since = row.at - EPOCH * 1000.0 - self.world.offsets.get(row.limiter, 0.0)
@@ -153,7 +153,7 @@
 
     async def _limiter_fault(self, fault: Fault, number: int) -> None:
         process = self.world.limiters[number]
-        machine, by = self.world.machines[number], by_of(fault)
+        machine, by = self.world.machines[number], effective_amount(fault)
         match fault.what:
             case "kill" if process is not None:
                 self.world.signal(process, signal.SIGKILL)
@@ -175,8 +175,8 @@
 
     def _cut(self, fault: Fault, name: str, others: list[str]) -> None:
         pairs = cut_pairs(fault, name, others)
-        self.world.ways.separate(pairs)
-        self._for(fault, lambda: self.world.ways.join(pairs))
+        self.world.ways.add_cuts(pairs)
+        self._for(fault, lambda: self.world.ways.remove_cuts(pairs))
 
     async def _agent_fault(self, fault: Fault, number: int) -> None:
         process = self.world.agent_processes[number]
@@ -188,26 +188,28 @@
                 self.world.signal(process, signal.SIGTERM)
             case "pause":
                 self.world.signal(process, signal.SIGSTOP)
-                lasts = fault.for_s or by_of(fault) / 1000.0
+                lasts = fault.for_s or effective_amount(fault) / 1000.0
                 self.world.loop.call_later(lasts, self.world.signal, process, signal.SIGCONT)
             case "clock":
-                machine.offset += by_of(fault)
+                machine.offset += effective_amount(fault)
             case "cut":
                 self._cut(fault, machine.name, self.world.scenario.floor_names())
             case "disk-full" | "disk-error":
-                machine.disk_fails = fault.what
-                self._for(fault, lambda: setattr(machine, "disk_fails", ""))
+                machine.disk_failure = fault.what
+                self._for(fault, lambda: setattr(machine, "disk_failure", ""))
 
     async def _floor_fault(self, fault: Fault, floor: str) -> None:
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
                 self._cut(fault, floor, self.world.scenario.floor_names())
             case "loss":
-                was, self.world.ways.loss = self.world.ways.loss, by_of(fault)
+                was, self.world.ways.loss = self.world.ways.loss, effective_amount(fault)
                 self._for(fault, lambda: setattr(self.world.ways, "loss", was))
             case "late":
-                self.world.ways.slow[floor] = self.world.ways.slow.get(floor, 0.0) + by_of(fault)
-                self._for(fault, lambda: self.world.ways.slow.pop(floor, None))
+                self.world.ways.extra_delay_ms[floor] = self.world.ways.extra_delay_ms.get(
+                    floor, 0.0
+                ) + effective_amount(fault)
+                self._for(fault, lambda: self.world.ways.extra_delay_ms.pop(floor, None))
             case "power":
                 machines = [machine.name for machine in self.world.machines if machine.floor == floor]
                 boxes = [uid for uid, box in self.world.listing.boxes.items() if box.floor == floor]
@@ -220,10 +222,10 @@
         ways = self.world.ways
         if fault.what == "late":
             for machine in self.world.machines:
-                ways.slow[machine.name] = by_of(fault)
-            self._for(fault, lambda: [ways.slow.pop(machine.name, None) for machine in self.world.machines])
+                ways.extra_delay_ms[machine.name] = effective_amount(fault)
+            self._for(fault, lambda: [ways.extra_delay_ms.pop(machine.name, None) for machine in self.world.machines])
             return
-        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
+        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else effective_amount(fault)
         self._for(fault, lambda: setattr(ways, "datagram_loss", was))
 
 
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -29,12 +29,18 @@
 from elderlock.net.config import ConfigError, load_config
 from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.gateway import Gateway
-from elderlock.sim import judges as j
-from elderlock.sim.agreed import Agreed
+from elderlock.sim import invariant_checkers as j
 from elderlock.sim.clients import Clients
-from elderlock.sim.facts import budget_of, most_out, operators_of, settings_of, talks
-from elderlock.sim.figures import Account, Result
-from elderlock.sim.models.ways import Ways
+from elderlock.sim.exclusive_holdings import ExclusiveHoldings
+from elderlock.sim.figures import FigureCollector, Result
+from elderlock.sim.limiter_settings import (
+    budget_toml,
+    max_drained,
+    operators_toml,
+    settings_for_limiter,
+    uses_peer_messages,
+)
+from elderlock.sim.models.link_conditions import LinkConditions
 from elderlock.sim.scenario import Fault, Scenario, floor_name
 from elderlock.sim.shell_faults import ShellFaults
 from elderlock.sim.surroundings import ShellBox
@@ -45,7 +51,7 @@
 from elderlock.sim.virtual.loop import EPOCH, START, DeadlockError, LivelockError, SimLoop, SimulationEnded
 from elderlock.sim.virtual.network import Faults, Network, NoFaults, Stream
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, start
-from elderlock.sim.virtual.system import simulated
+from elderlock.sim.virtual.system import simulated_system
 from elderlock.standins.boxes import Kind
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
@@ -87,36 +93,36 @@
         io: Faults | None = None,
         out: Callable[[str], object] | None = None,
         ties: int | None = None,
-        rules: j.Rules | None = None,
+        rules: j.CheckerLimits | None = None,
     ) -> None:
         self.scenario, self.seed = scenario, seed
         self.loop = SimLoop(seed if ties is None else ties)
         self.trace = Trace(out=out)
         self.rng = random.Random(f"world/{seed}")
-        self.ways = Ways(scenario.net.delays(), random.Random(f"ways/{seed}"))
+        self.ways = LinkConditions(scenario.net.delays(), random.Random(f"ways/{seed}"))
         self.io: Faults = io or NoFaults()
         self.network = Network(self.loop, self.ways, random.Random(f"network/{seed}"), self.io)
-        self.network.heard, self.network.opened = self._passed, self._opened
+        self.network.on_transfer, self.network.on_connect = self._passed, self._opened
         kind = scenario.kind[0]
-        self.rules = rules or j.Rules(cold_share=kind.cold_share, cold_ms=kind.cold_ms)
-        self.lost, self.growth = j.Lost(self.rules), j.Growth(self.rules)
-        self.ceilings, self.reports = j.Ceilings(self.rules), j.Reports(self.rules)
-        self.agreed = Agreed(self.rules, most_out(scenario))
-        self.bench = j.Bench(
+        self.rules = rules or j.CheckerLimits(cold_share=kind.cold_share, cold_ms=kind.cold_ms)
+        self.lost, self.growth = j.UnansweredRequests(self.rules), j.UnboundedGrowth(self.rules)
+        self.ceilings, self.reports = j.HardCeilings(self.rules), j.DrainReports(self.rules)
+        self.agreed = ExclusiveHoldings(self.rules, max_drained(scenario))
+        self.bench = j.CheckerSet(
             [
                 self.lost,
-                j.Drains(self.rules),
-                j.Cold(self.rules),
+                j.DrainedServers(self.rules),
+                j.ColdServers(self.rules),
                 self.ceilings,
                 self.reports,
-                j.Failures(self.rules),
-                j.Rest(self.rules, self._at_rest),
+                j.UnhandledErrors(self.rules),
+                j.Quiescence(self.rules, self._at_rest),
                 self.growth,
-                j.Agreement(self.rules, self._digests),
+                j.RecordAgreement(self.rules, self._digests),
                 self.agreed,
             ]
         )
-        self.account = Account(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
+        self.account = FigureCollector(scenario.warm_s * 1000.0, scenario.service[0].aim_ms)
         self.processes: dict[int, Process] = {}
         self.gateways: dict[str, Gateway] = {}
         self.agents: dict[str, agents.Agent] = {}
@@ -159,7 +165,7 @@
         before_classes = [(module, name, getattr(module, name)) for module, name in CLASSES]
         ended, why = "finished", ""
         try:
-            with simulated(self.loop, self.seed):
+            with simulated_system(self.loop, self.seed):
                 for (module, name), ours in zip(CLASSES, (self._gateway_class(), self._agent_class()), strict=True):
                     setattr(module, name, ours)
                 try:
@@ -174,7 +180,7 @@
                     for module, name, was in before_classes:
                         setattr(module, name, was)
                     result = self._result(ended, why, began)
-                    self.network.heard = self.network.opened = None
+                    self.network.on_transfer = self.network.on_connect = None
                     self._fold()
         finally:
             root.handlers[:], root.level = before[0], before[1]
@@ -187,7 +193,7 @@
                 ended, why = "failed", f"{error!r}"
             else:
                 self.bench.failure(self.at(), where, repr(error))
-        broken = [(each.rule, each.at, each.text) for each in self.bench.broken()]
+        broken = [(each.rule, each.at, each.text) for each in self.bench.violations()]
         return Result(
             self.scenario.name,
             FLOOR,
@@ -218,10 +224,10 @@
                 with contextlib.suppress(SimulationEnded):
                     self.loop.run_until_complete(asyncio.wait(tasks, timeout=30.0))
         for process in self.processes.values():
-            for held in list(process.holds):
+            for held in list(process.resources):
                 if not isinstance(held, Stream):
                     held.killed()
-        self.loop.let_go()
+        self.loop.discard_pending()
         self.loop.close()
 
     async def _main(self) -> None:
@@ -252,7 +258,7 @@
     def _machine(self, name: str, number: int, net: int, floor: str) -> Machine:
         host = f"127.{net}.{number // 250}.{number % 250 + 1}"
         machine = Machine(name, floor, host, descriptors=self.scenario.settings.sockets)
-        self.network.move(host, machine)
+        self.network.assign_host(host, machine)
         return machine
 
     async def _open(self) -> None:
@@ -272,7 +278,7 @@
         everyone = ("127.9.0.1", 9)
         self._limiter_at = {at: number for number, at in enumerate(self._addresses)}
         self._peers = [(machine.host, 7001) for machine in self.machines]
-        self.network.groups[everyone] = self._peers
+        self.network.multicast_groups[everyone] = self._peers
         for number in range(s.limiters):
             (self.folder / f"n{number}.json").write_text(json.dumps(self._config(number, everyone)))
         if s.agents:
@@ -294,8 +300,8 @@
         return box
 
     def _config(self, number: int, everyone: tuple[str, int]) -> dict[str, Any]:
-        s, several = self.scenario, talks(self.scenario)
-        own = settings_of(s, number, self.rules)
+        s, several = self.scenario, uses_peer_messages(self.scenario)
+        own = settings_for_limiter(s, number, self.rules)
         machine = self.machines[number]
         peers = ["%s:%d" % at for at in self._peers]
         return {
@@ -327,7 +333,7 @@
         folder = self.folder / f"o{number}"
         folder.mkdir(mode=0o700, exist_ok=True)
         path = folder / "operators.toml"
-        path.write_text(operators_of(self.scenario))
+        path.write_text(operators_toml(self.scenario))
         environ = {"PROXY_CONFIG": str(self.folder / f"n{number}.json"), "ELDERLOCK_OPERATORS": str(path)}
         process = self._run_limiter(self.machines[number], environ)
         process.on_exit.append(lambda: self._again(number))
@@ -366,7 +372,7 @@
         for number, name in enumerate(names):
             machine = self.agent_machine(number)
             text += f'[[agent]]\nname = "{name}"\naddress = "{machine.host}:7440"\n'
-        (folder / "group.toml").write_text(text + budget_of(s))
+        (folder / "group.toml").write_text(text + budget_toml(s))
         for number, name in enumerate(names):
             machine = self.agent_machine(number)
             text = (
@@ -410,7 +416,7 @@
         number = int(Path(environ["PROXY_CONFIG"]).stem[1:])
         operators = Path(environ["ELDERLOCK_OPERATORS"])
         beside = operators.with_name("operators-and-more.toml")
-        beside.write_text(operators.read_text() + operators_of(self.scenario))
+        beside.write_text(operators.read_text() + operators_toml(self.scenario))
         environ = {**environ, "ELDERLOCK_OPERATORS": str(beside)}
         return self._run_limiter(self.machines[number], environ)
 
@@ -432,7 +438,7 @@
     def _passed(self, what: str, by: Any, data: bytes) -> None:
         name = by.process.name if by.process is not None else by.machine.name
         self.trace.event(self.at(), name, f"{what} {len(data)} {zlib.crc32(data):08x}")
-        if what == "datagram" and self.account.counts(self.at() - self.zero):
+        if what == "datagram" and self.account.is_counted(self.at() - self.zero):
             self.account.questions += 1
 
     def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
@@ -443,7 +449,7 @@
         self._ceiling_of(account, values[b"t"].decode())
         self.bench.spent(at, account, units)
         plan = next(plan for plan in self.scenario.plan if plan.name == self._told[account])
-        self.account.let_go(at - self.zero, account, units, plan.rate, plan.burst)
+        self.account.record_send(at - self.zero, account, units, plan.rate, plan.burst)
 
     def _ceiling_of(self, account: str, plan_name: str) -> None:
         if account not in self._told:
@@ -459,9 +465,9 @@
         if outcome == "refused":
             arrival = request.arrival
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
-            self.account.refused(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
+            self.account.record_refusal(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
         began = (request.began / 1e6 - START) * 1000.0 - self.zero
-        self.account.finished(began, outcome, took, request.arrival.account)
+        self.account.record_end(began, outcome, took, request.arrival.account)
 
     def _gateway_class(self) -> type[Gateway]:
         world = self
@@ -537,7 +543,7 @@
                 phases.add(limiter.throttle.phase.name + ("" if not process.paused else " paused"))
                 outliers: OutlierDetector = limiter.endpoints.outlier_detector
                 out = max(out, min(3, len(outliers.ejected)))
-                self.growth.counted(f"{name}'s descriptors", len(process.holds))
+                self.growth.counted(f"{name}'s descriptors", len(process.resources))
                 self.growth.counted(f"{name}'s tasks", len(process.tasks))
                 self.growth.counted(f"{name}'s requests", len(limiter.requests))
                 self.growth.counted(f"{name}'s timers", len(limiter.context.timers.heap))
--- a/elderlock/sim/stage_faults.py
+++ b/elderlock/sim/stage_faults.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from elderlock.sim.clients import Clients
-from elderlock.sim.scenario import Fault, by_of
+from elderlock.sim.scenario import Fault, effective_amount
 from elderlock.standins.boxes import Box
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
@@ -72,7 +72,7 @@
     async def box_fault(self, fault: Fault, box: Box | None) -> None:
         if box is None:
             return
-        model, by = box.model, by_of(fault)
+        model, by = box.model, effective_amount(fault)
         match fault.what:
             case "slow":
                 model.slow = by
@@ -123,7 +123,7 @@
                 await counter.fail(Breaks.REFUSING)
                 self._for(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
             case "late":
-                await counter.fail(Breaks.SLOW, delay=by_of(fault) / 1000.0)
+                await counter.fail(Breaks.SLOW, delay=effective_amount(fault) / 1000.0)
                 self._for(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
             case "empty":
                 counter.lose()
@@ -145,7 +145,7 @@
                 listing.stale = listing.rows(0)
                 self._for(fault, self._fresh)
             case "late":
-                listing.late = by_of(fault) / 1000.0
+                listing.late = effective_amount(fault) / 1000.0
                 self._for(fault, lambda: setattr(listing, "late", 0.0))
             case "flap":
                 ends = self.world.loop.time() + (fault.for_s or 2.0)
@@ -181,9 +181,9 @@
         lasts = fault.for_s or 2.0
         if fault.what == "hoard":
             clients = self.world.clients
-            clients.hoard = by_of(fault)
+            clients.hoard = effective_amount(fault)
             self._for(fault, lambda: setattr(clients, "hoard", 0.0))
         elif fault.what == "rush":
-            await self.world.clients.rush(by_of(fault), lasts)
+            await self.world.clients.rush(effective_amount(fault), lasts)
         else:
-            await self.world.clients.silent_crowd(by_of(fault), lasts)
+            await self.world.clients.silent_crowd(effective_amount(fault), lasts)
--- a/elderlock/sim/tellers.py
+++ b/elderlock/sim/tellers.py
@@ -87,7 +87,7 @@
         self.records: Records = Records()
         self.alive = True
         self.paused = False
-        self.disk_fails = False
+        self.disk_failure = False
 
     def start(self) -> None:
         self.world.schedule.after(self.world.rng.uniform(0.0, EXCHANGE_EVERY), self._round)
@@ -107,7 +107,7 @@
 
     def _say(self, other: SimAgent) -> None:
         ways = self.world.ways
-        if not (ways.cut(self.machine, other.machine) or ways.cut(other.machine, self.machine)):
+        if not (ways.is_cut(self.machine, other.machine) or ways.is_cut(other.machine, self.machine)):
             way = ways.delay(self.machine, other.machine)
             self.world.schedule.after(way, other.heard, tuple(self.records), self.records.digest())
 
@@ -116,7 +116,7 @@
             self.learn(records)
 
     def learn(self, records: tuple[Record, ...]) -> None:
-        if self.disk_fails:
+        if self.disk_failure:
             return  # what cannot be kept is not taken: it is offered again
         if self.records.merge(records):
             self.bring()
@@ -137,7 +137,7 @@
         """What the agent makes of an operator's wish: made, joined, stale, refused, or not-kept."""
         if not self._works():
             return "missing"
-        if self.disk_fails:
+        if self.disk_failure:
             return "not-kept"
         self.records.merge(order.known)
         decision = decide_intent(self.records, wish, order, by, self.world.at())
@@ -177,7 +177,7 @@
         world = self.world
         for number in sorted(self._pending):
             agent = world.agents[number]
-            if not world.ways.cut(world.operator, agent.machine):
+            if not world.ways.is_cut(world.operator, agent.machine):
                 said = agent.intend(self._wish, self._order, self.name)
                 if said in ("made", "joined", "stale", "refused"):
                     self._pending.discard(number)
--- a/elderlock/sim/virtual/host.py
+++ b/elderlock/sim/virtual/host.py
@@ -63,7 +63,7 @@
 
 
 class SimHost(Host):
-    """The machine's `disk_fails`, or a failing step of `faults`, says what its disk does wrong: `full`, `error`, and
+    """The machine's `disk_failure`, or a failing step of `faults`, says what its disk does wrong: `full`, `error`, and
     for the store `locked`."""
 
     def __init__(
@@ -79,20 +79,20 @@
         self._locks: dict[int, _Lock] = {}
 
     def _disk(self, kind: str) -> str:
-        return self._machine.disk_fails or self._faults.at(kind, CURRENT.get())
+        return self._machine.disk_failure or self._faults.at(kind, CURRENT.get())
 
     def lock(self, path: Path) -> int:
         held = super().lock(path)
         process = CURRENT.get()
         if process is not None:
             self._locks[held] = lock = _Lock(held)
-            process.holds[lock] = None
+            process.resources[lock] = None
         return held
 
     def unlock(self, held: int) -> None:
         lock, process = self._locks.pop(held, None), CURRENT.get()
         if lock is not None and process is not None:
-            process.holds.pop(lock, None)
+            process.resources.pop(lock, None)
         super().unlock(held)
 
     def store(self, path: Path) -> Store:
@@ -113,7 +113,7 @@
         store = Store(path, Failing)
         process = CURRENT.get()
         if process is not None:
-            process.holds[_OpenStore(store)] = None
+            process.resources[_OpenStore(store)] = None
         return store
 
     def write_private(self, path: Path, data: bytes) -> None:
--- a/elderlock/sim/virtual/loop.py
+++ b/elderlock/sim/virtual/loop.py
@@ -88,11 +88,11 @@
 
     def jump(self, timeout: float | None) -> None:
         if timeout is None:
-            raise DeadlockError("nothing is left to happen; " + self.who_waits())
+            raise DeadlockError("nothing is left to happen; " + self.describe_waiting())
         if timeout <= 0:
             self._still += 1
             if self._still > MOST_STEPS:
-                raise LivelockError(f"time stands at {self._now - START:.6f} s; " + self.who_runs())
+                raise LivelockError(f"time stands at {self._now - START:.6f} s; " + self.describe_ready())
             return
         self._still = 0
         self._now += timeout
@@ -100,14 +100,14 @@
         if scheduled:  # exactly there: a sum of floats may fall short of it and spin
             self._now = max(self._now, min(scheduled[0].when(), self._now + TIE))
 
-    def who_waits(self) -> str:
+    def describe_waiting(self) -> str:
         """Each pending task with its process and the line at which it waits."""
         found: Counter[str] = Counter()
         for task in asyncio.all_tasks(self):
             found[f"{getattr(task, 'process', 'world')} in {_innermost(task)}"] += 1
         return "waiting: " + ("; ".join(f"{n} x {what}" for what, n in sorted(found.items())) or "nobody")
 
-    def who_runs(self) -> str:
+    def describe_ready(self) -> str:
         ready: list[Any] = list(self._ready)[:50]  # type: ignore[attr-defined]
         found = Counter(repr(handle) for handle in ready)
         return "ready: " + "; ".join(f"{n} x {what}" for what, n in found.most_common(5))
@@ -228,7 +228,7 @@
 
         return [(socket.AF_INET, socket.SOCK_STREAM, 6, "", (host, port))]
 
-    def let_go(self) -> None:
+    def discard_pending(self) -> None:
         """Ends without running what is pending: the simulation is over, and nothing of it may act any more."""
         self.over = True
         self._ready.clear()  # type: ignore[attr-defined]
--- a/elderlock/sim/virtual/network.py
+++ b/elderlock/sim/virtual/network.py
@@ -1,5 +1,5 @@
 """A network in memory: streams with back-pressure, split reads, resets and half-closed ends, and datagrams that get
-lost, doubled and reordered. Its delays and cuts are the model's (`elderlock.sim.models.ways`).
+lost, doubled and reordered. Its delays and cuts are the model's (`elderlock.sim.models.link_conditions`).
 
 A stream is two pipes. Bytes leave when they are written and come in order after the way's delay; across a cut they
 wait for its end, as TCP's repeats do. The kernel of a killed process resets its streams; a machine that vanished
@@ -16,11 +16,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from elderlock.sim.models.ways import Ways
+from elderlock.sim.models.link_conditions import LinkConditions
 from elderlock.sim.virtual.loop import TIE, SimLoop
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process
 
-KERNEL = 1 << 18  # bytes that the kernels take of one direction before `write` has to buffer
+KERNEL_BUFFER_BYTES = 1 << 18  # bytes that the kernels take of one direction before `write` has to buffer
 HIGH_WATER = 1 << 16  # bytes buffered above that, beyond which a protocol is told to pause
 READ_MOST = 1 << 14  # bytes handed over at once, what the shells' buffers hold
 SPLIT = 0.1  # share of arrivals that come in two reads
@@ -57,7 +57,7 @@
 
     family = 2
 
-    def __init__(self, stream: Stream | Listening, name: Any) -> None:
+    def __init__(self, stream: Stream | Listener, name: Any) -> None:
         self._stream, self._name = stream, name
 
     def getsockname(self) -> Any:
@@ -71,7 +71,7 @@
         return -1
 
 
-class Listening:
+class Listener:
     """An `asyncio.Server` as far as its users go."""
 
     def __init__(self, network: Network, at: Any, factory: Callable[[], Any], backlog: int) -> None:
@@ -90,7 +90,7 @@
         if self.network.listening.get(self.at) is self:
             del self.network.listening[self.at]
         if self.process is not None:
-            self.process.holds.pop(self, None)
+            self.process.resources.pop(self, None)
 
     killed = close
 
@@ -103,7 +103,7 @@
     def get_loop(self) -> SimLoop:
         return self.network.loop
 
-    async def __aenter__(self) -> Listening:
+    async def __aenter__(self) -> Listener:
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -133,7 +133,7 @@
         self.tap: Tap | None = None
         self._close_when_drained = False
         if self.process is not None:
-            self.process.holds[self] = None
+            self.process.resources[self] = None
 
     # The protocol's side
 
@@ -172,7 +172,7 @@
         pass
 
     def get_write_buffer_size(self) -> int:
-        return max(0, self._flight - KERNEL)
+        return max(0, self._flight - KERNEL_BUFFER_BYTES)
 
     def can_write_eof(self) -> bool:
         return True
@@ -200,7 +200,7 @@
                 self._last_arrival = max(self._last_arrival, self.loop.time()) + 3.0
         self._flight += len(data)
         self._send("data", data)
-        if self._flight > KERNEL + HIGH_WATER and not self._told_paused:
+        if self._flight > KERNEL_BUFFER_BYTES + HIGH_WATER and not self._told_paused:
             self._told_paused = True
             self._protocol.pause_writing()
 
@@ -218,7 +218,7 @@
         self._closing = True
         self._tell_tap(True)
         self._leave()
-        if self._flight > KERNEL:
+        if self._flight > KERNEL_BUFFER_BYTES:
             self._close_when_drained = True
         else:
             self._call(self._gone, None)
@@ -264,7 +264,7 @@
 
     def _release(self) -> None:
         if self.process is not None:
-            self.process.holds.pop(self, None)
+            self.process.resources.pop(self, None)
 
     def killed(self) -> None:
         """Its process has ended: the kernel closes, and nobody here hears of it."""
@@ -279,7 +279,7 @@
 
     def _send(self, what: str, data: bytes) -> None:
         network = self.network
-        if self._stuck or network.ways.cut(self.machine, self.peer.machine):
+        if self._stuck or network.ways.is_cut(self.machine, self.peer.machine):
             if not self._stuck:
                 network.stuck[self] = None
             self._stuck.append((what, data))
@@ -289,8 +289,8 @@
     def _depart(self, what: str, data: bytes, held: float = 0.0) -> None:
         network = self.network
         way = network.ways.delay(self.machine, self.peer.machine) / 1000.0
-        if network.ways.lost(self.machine, self.peer.machine):
-            way += network.ways.again() / 1000.0
+        if network.ways.is_lost(self.machine, self.peer.machine):
+            way += network.ways.retransmission_delay() / 1000.0
         # timers of one instant change places: those of one stream must not
         at = max(self._last_arrival + 2.0 * TIE, self.loop.time() + way + held)
         self._last_arrival = at
@@ -300,7 +300,7 @@
     def flush(self) -> None:
         """The cut has ended: what waited goes on, after the repeat's own wait."""
         stuck, self._stuck = self._stuck, deque()
-        held = self.network.ways.again() / 1000.0
+        held = self.network.ways.retransmission_delay() / 1000.0
         for what, data in stuck:
             self._depart(what, data, held)
 
@@ -363,10 +363,10 @@
         self._flight = max(0, self._flight - count)
         if self._lost:
             return
-        if self._close_when_drained and self._flight <= KERNEL:
+        if self._close_when_drained and self._flight <= KERNEL_BUFFER_BYTES:
             self._close_when_drained = False
             self._call(self._gone, None)
-        if self._told_paused and self._flight <= KERNEL:
+        if self._told_paused and self._flight <= KERNEL_BUFFER_BYTES:
             self._told_paused = False
             self._call(self._resume)
 
@@ -384,14 +384,14 @@
         self.machine = network.machine()
         self._closing = False
         if self.process is not None:
-            self.process.holds[self] = None
+            self.process.resources[self] = None
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         network: Network = self.network
         to: Any = addr or self._remote
         if self._closing:
             return
-        members = network.groups.get((to[0], to[1]))
+        members = network.multicast_groups.get((to[0], to[1]))
         for each in [to] if members is None else members:
             if each != self.at:
                 self._send(bytes(data), each)
@@ -401,11 +401,11 @@
         there = network.bound.get((to[0], to[1]))
         network.passed("datagram", self, data)
         fault = network.faults.at("datagram", self.process)
-        if there is None or fault == "lost" or network.ways.cut(self.machine, there.machine):
+        if there is None or fault == "lost" or network.ways.is_cut(self.machine, there.machine):
             return
-        if network.ways.datagram_lost(self.machine, there.machine):
+        if network.ways.is_datagram_lost(self.machine, there.machine):
             return
-        copies = 2 if fault == "doubled" or network.ways.doubled() else 1
+        copies = 2 if fault == "doubled" or network.ways.is_duplicated() else 1
         for _ in range(copies):  # each with a delay of its own: that is what reorders them
             way = network.ways.delay(self.machine, there.machine) / 1000.0 + (0.5 if fault == "late" else 0.0)
             network.loop.call_later(way, there.arrive, data, self.at, context=network.wire)
@@ -426,7 +426,7 @@
             self._closing = True
             self.network.bound.pop(self.at, None)
             if self.process is not None:
-                self.process.holds.pop(self, None)
+                self.process.resources.pop(self, None)
             self.network.loop.call_soon(self._protocol.connection_lost, None, context=self.context)
 
     abort = close
@@ -439,11 +439,11 @@
 class Network:
     """`machines` says on which machine a host's address lies; an unknown one is the world's own."""
 
-    def __init__(self, loop: SimLoop, ways: Ways, rng: random.Random, faults: Faults | None = None) -> None:
+    def __init__(self, loop: SimLoop, ways: LinkConditions, rng: random.Random, faults: Faults | None = None) -> None:
         self.loop, self.ways, self.rng = loop, ways, rng
         self.faults: Faults = faults or NoFaults()
         loop.network = self
-        self.listening: dict[Any, Listening] = {}
+        self.listening: dict[Any, Listener] = {}
         self.bound: dict[Address, Datagrams] = {}
         self.stuck: dict[Stream, None] = {}
         self.machines: dict[str, Machine] = {}
@@ -451,10 +451,10 @@
         self._port = 20_000
         self.wire = contextvars.copy_context()
         self.wire.run(CURRENT.set, None)
-        self.groups: dict[Address, list[Address]] = {}  # addresses that stand for many
-        self.heard: Callable[[str, Any, bytes], None] | None = None
-        self.opened: Callable[[Stream, Stream, Any], None] | None = None  # may put taps on both ends
-        ways.healed = self.healed
+        self.multicast_groups: dict[Address, list[Address]] = {}  # addresses that stand for many
+        self.on_transfer: Callable[[str, Any, bytes], None] | None = None
+        self.on_connect: Callable[[Stream, Stream, Any], None] | None = None  # may put taps on both ends
+        ways.on_cuts_removed = self.resume_stuck_streams
 
     def machine(self) -> Machine:
         process = CURRENT.get()
@@ -465,34 +465,34 @@
         return self._port
 
     def passed(self, what: str, by: Any, data: bytes) -> None:
-        if self.heard is not None:
-            self.heard(what, by, data)
+        if self.on_transfer is not None:
+            self.on_transfer(what, by, data)
 
-    def healed(self) -> None:
+    def resume_stuck_streams(self) -> None:
         for stream in list(self.stuck):
-            if not self.ways.cut(stream.machine, stream.peer.machine):
+            if not self.ways.is_cut(stream.machine, stream.peer.machine):
                 del self.stuck[stream]
                 stream.flush()
 
     def _descriptor(self) -> None:
         process = CURRENT.get()
-        if process is not None and len(process.holds) >= process.machine.descriptors:
+        if process is not None and len(process.resources) >= process.machine.descriptors:
             raise OSError(errno.EMFILE, "Too many open files")
 
-    def listen(self, factory: Callable[[], Any], host: str, port: int, backlog: int = 100) -> Listening:
+    def listen(self, factory: Callable[[], Any], host: str, port: int, backlog: int = 100) -> Listener:
         at = (host, port or self.port())
         return self._listen(factory, at, backlog)
 
-    def listen_unix(self, factory: Callable[[], Any], path: str, backlog: int = 100) -> Listening:
+    def listen_unix(self, factory: Callable[[], Any], path: str, backlog: int = 100) -> Listener:
         return self._listen(factory, path, backlog)
 
-    def _listen(self, factory: Callable[[], Any], at: Any, backlog: int) -> Listening:
+    def _listen(self, factory: Callable[[], Any], at: Any, backlog: int) -> Listener:
         self._descriptor()
         if at in self.listening:
             raise OSError(errno.EADDRINUSE, f"{at}: address already in use")
-        listening = self.listening[at] = Listening(self, at, factory, backlog)
+        listening = self.listening[at] = Listener(self, at, factory, backlog)
         if listening.process is not None:
-            listening.process.holds[listening] = None
+            listening.process.resources[listening] = None
         return listening
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[Any, Any]:
@@ -512,8 +512,8 @@
         for number in range(len(SYN_AGAIN) + 1):
             out = self.ways.delay(here, there) / 1000.0
             back = self.ways.delay(there, here) / 1000.0
-            lost = fault == "silent" or self.ways.cut(here, there) or self.ways.cut(there, here)
-            lost = lost or self.ways.lost(here, there)
+            lost = fault == "silent" or self.ways.is_cut(here, there) or self.ways.is_cut(there, here)
+            lost = lost or self.ways.is_lost(here, there)
             listening = self.listening.get(at)
             if not lost and listening is not None and listening.pending >= listening.backlog:
                 lost = True
@@ -531,8 +531,8 @@
             server._release()  # its descriptor begins with the accept
             client = Stream(self, None, contextvars.copy_context(), here, name, at)
             client.peer, server.peer = server, client
-            if self.opened is not None:
-                self.opened(client, server, at)
+            if self.on_connect is not None:
+                self.on_connect(client, server, at)
             listening.pending += 1
             self.loop.call_soon(self._accept, listening, server, context=listening.context)
             try:
@@ -550,7 +550,7 @@
             return client, protocol
         raise AssertionError("unreachable")
 
-    def _accept(self, listening: Listening, server: Stream) -> None:
+    def _accept(self, listening: Listener, server: Stream) -> None:
         """In the listener's process: a paused one takes nothing, and its backlog fills."""
         if not listening.open:
             listening.pending -= 1
@@ -558,14 +558,14 @@
             server.abort()
             return
         process = listening.process
-        if process is not None and len(process.holds) >= process.machine.descriptors:
+        if process is not None and len(process.resources) >= process.machine.descriptors:
             self.loop.call_later(ACCEPT_AGAIN, self._accept, listening, server)
             return
         listening.pending -= 1
         if server._lost:
             return
         if process is not None:
-            process.holds[server] = None
+            process.resources[server] = None
         server._protocol = listening.factory()
         server.begin()
 
@@ -583,6 +583,6 @@
         self.loop.call_soon(protocol.connection_made, transport, context=transport.context)
         return transport, protocol
 
-    def move(self, host: str, machine: Machine) -> None:
+    def assign_host(self, host: str, machine: Machine) -> None:
         """That address lies on this machine."""
         self.machines[host] = machine
--- a/elderlock/sim/virtual/processes.py
+++ b/elderlock/sim/virtual/processes.py
@@ -14,7 +14,7 @@
 from typing import Any, Protocol
 
 
-class Held(Protocol):
+class Resource(Protocol):
     """What a process holds of the system: ends with it."""
 
     def killed(self) -> None: ...
@@ -23,7 +23,7 @@
 @dataclass(slots=True, eq=False)
 class Machine:
     """`offset` in ms and `drift` (a share) move its wall clock; `descriptors` bounds each of its processes;
-    `disk_fails` names what its disk does wrong."""
+    `disk_failure` names what its disk does wrong."""
 
     name: str
     floor: str = ""
@@ -31,7 +31,7 @@
     offset: float = 0.0
     drift: float = 0.0
     descriptors: int = 1024
-    disk_fails: str = ""
+    disk_failure: str = ""
 
 
 Late = tuple[Callable[..., Any], tuple[Any, ...], list[Any], contextvars.Context]
@@ -50,7 +50,7 @@
     exit_code: int | None = None
     handlers: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = field(default_factory=dict)
     tasks: dict[asyncio.Task[Any], None] = field(default_factory=dict)  # pending; a killed one's are never collected
-    holds: dict[Held, None] = field(default_factory=dict)
+    resources: dict[Resource, None] = field(default_factory=dict)
     on_exit: list[Callable[[], None]] = field(default_factory=list)
     waiting: list[Late] = field(default_factory=list)  # of a paused one, till it goes on
     dropped: list[Late] = field(default_factory=list)  # of a dead one, to be let go at the end of the run
@@ -91,9 +91,9 @@
         self.alive, self.exit_code = False, code
         self.dropped += self.waiting
         self.waiting = []
-        for held in list(self.holds):
+        for held in list(self.resources):
             held.killed()
-        self.holds.clear()
+        self.resources.clear()
         for told in self.on_exit:  # outside of it: what they schedule is not to die with it
             context_of(None).run(told)
 
--- a/elderlock/sim/virtual/system.py
+++ b/elderlock/sim/virtual/system.py
@@ -77,7 +77,7 @@
 
 
 @contextlib.contextmanager
-def simulated(loop: SimLoop, seed: int) -> Iterator[Clocks]:
+def simulated_system(loop: SimLoop, seed: int) -> Iterator[Clocks]:
     """Within it the process wide sources of time and chance are the simulation's."""
     clocks, rng = Clocks(loop), random.Random(f"system/{seed}")
     real_random, kept = random.Random, random.getstate()
--- a/elderlock/trial/bites.py
+++ b/elderlock/trial/bites.py
@@ -5,36 +5,36 @@
 
 from typing import Any
 
-from elderlock.sim import judges as j
-from elderlock.sim.agreed import Agreed
-from elderlock.sim.scenario import Fault, Plan, Scenario, Settings, of_load
+from elderlock.sim import invariant_checkers as j
+from elderlock.sim.exclusive_holdings import ExclusiveHoldings
+from elderlock.sim.scenario import Fault, Plan, Scenario, Settings, with_load
 from elderlock.trial import flaws
 
 
 def scenario(load: float = 0.25, accounts: int = 100, **changes: Any) -> Scenario:
     given = Scenario("bite", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 0.5, "boxes": 6, **changes})
-    return of_load(load, given, accounts)
+    return with_load(load, given, accounts)
 
 
 PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
 CEILED = scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False))
 DRAINED = scenario(agents=1, fault=(Fault(1.0, "op-drain", "box:0"),))
 BITES: list[tuple[str, Scenario, flaws.Flaw]] = [
-    (j.Lost.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
-    (j.Drains.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Cold.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), flaws.knows_no_cold),
-    (j.Ceilings.name, CEILED, flaws.knows_no_ceiling),
-    (j.Reports.name, DRAINED, flaws.lies_of_drains),
-    (j.Failures.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Rest.name, scenario(agents=1), flaws.keeps_what_is_over),
-    (j.Growth.name, scenario(lasts_s=7.0), flaws.leaks_descriptors),
+    (j.UnansweredRequests.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
+    (j.DrainedServers.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
+    (j.ColdServers.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), flaws.knows_no_cold),
+    (j.HardCeilings.name, CEILED, flaws.knows_no_ceiling),
+    (j.DrainReports.name, DRAINED, flaws.lies_of_drains),
+    (j.UnhandledErrors.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), flaws.raises),
+    (j.Quiescence.name, scenario(agents=1), flaws.keeps_what_is_over),
+    (j.UnboundedGrowth.name, scenario(lasts_s=7.0), flaws.leaks_descriptors),
     (
-        j.Agreement.name,
+        j.RecordAgreement.name,
         scenario(agents=2, fault=(Fault(0.5, "cut", "way:tool>agent:1"), Fault(1.0, "op-drain", "box:0", by=1.5))),
         flaws.learns_nothing,
     ),
     (
-        Agreed.name,
+        ExclusiveHoldings.name,
         # one may be out: the tool's own plan lets two of six go, also where one tool comes after the other
         scenario(
             agents=3,
@@ -44,7 +44,7 @@
         flaws.knows_no_budget,
     ),
     (
-        Agreed.name,
+        ExclusiveHoldings.name,
         scenario(agents=1, fault=(Fault(0.5, "op-drain", "box:0"), Fault(2.5, "power", "house"))),
         flaws.keeps_nothing,
     ),
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -9,9 +9,9 @@
 from pathlib import Path
 from typing import Any
 
-from elderlock.sim.agreed import Agreed
-from elderlock.sim.facts import most_out
-from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
+from elderlock.sim.exclusive_holdings import ExclusiveHoldings
+from elderlock.sim.limiter_settings import max_drained
+from elderlock.sim.scenario import Fault, cut_pairs, effective_amount, floor_name
 from elderlock.sim.stage_faults import StageFaults
 from elderlock.standins.world import OPERATORS
 from elderlock.trial.ground import Ground
@@ -33,7 +33,7 @@
         super().__init__(world)
         self._undrains: dict[str, int] = {}
         self.commands: list[tuple[str, int]] = []  # an operator's, with its exit code
-        self.agreed = Agreed(world.rules, most_out(world.scenario))
+        self.agreed = ExclusiveHoldings(world.rules, max_drained(world.scenario))
 
     async def settled(self) -> None:
         """Until all that was begun is done."""
@@ -110,7 +110,7 @@
             case "cut":
                 self._befall(fault, "cut", [(source, target)])
             case what:
-                self._befall(fault, what, [(source, target)], by_of(fault))
+                self._befall(fault, what, [(source, target)], effective_amount(fault))
 
     def _from_floors(self, fault: Fault, name: str) -> list[tuple[str, str]]:
         return cut_pairs(fault, name, self.world.scenario.floor_names())
@@ -124,7 +124,7 @@
             case "late":
                 floors = s.floor_names()
                 pairs = [(floor, other) for other in floors] + [(other, floor) for other in floors if other != floor]
-                self._befall(fault, "late", pairs, by_of(fault))
+                self._befall(fault, "late", pairs, effective_amount(fault))
             case "restart" | "silent":
                 for uid in boxes:
                     await self.box_fault(fault, world.listing.boxes.get(uid))
@@ -141,7 +141,7 @@
             case "silent":
                 self._befall(fault, "loss", pairs, 1.0)
             case what:
-                self._befall(fault, what, pairs, by_of(fault))
+                self._befall(fault, what, pairs, effective_amount(fault))
 
     # Processes
 
@@ -162,9 +162,9 @@
             case "term":
                 self.world.signal(name, signal.SIGTERM, "it was asked to end")
             case "pause":
-                self._paused(name, fault.for_s or by_of(fault) / 1000.0)
+                self._paused(name, fault.for_s or effective_amount(fault) / 1000.0)
             case "clock":
-                block.clock_ms += by_of(fault)
+                block.clock_ms += effective_amount(fault)
             case _:
                 return False
         return True
@@ -200,7 +200,7 @@
                 agent.block.kill_at(STEPS[fault.what])
             case what:
                 agent.lied = agent.lied or what == "disk-lies"
-                agent.block.slow_ms = by_of(fault)
+                agent.block.slow_ms = effective_amount(fault)
                 agent.block.disk = DISKS[what]
                 self._for(fault, lambda: setattr(agent.block, "disk", Disk.GOOD))
 
@@ -226,7 +226,7 @@
         if not drained:
             self._undrains[target] = self._undrains.get(target, 0) + 1
             world.bench.undrained(world.at(), target)
-            self.agreed.brings_back(target, world.at())
+            self.agreed.undrain_started(target, world.at())
         undrains = self._undrains.get(target, 0)
         world.tools += 1
         name = f"tool-{world.tools}"
@@ -264,7 +264,7 @@
             for row in _rows(log):
                 if row["state"] != "reached" or not row["limiter"]:
                     continue
-                self.agreed.took_out(kind, target, world.at())
+                self.agreed.drain_reported(kind, target, world.at())
                 if kind == "box":
                     life = world.members[int(row["limiter"][1:])].life
                     since = world.since(row["at"] - (life.clock_ms if life is not None else 0.0))
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -23,10 +23,10 @@
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.group_client import Group
 from elderlock.load.wire import Request
-from elderlock.sim import judges as j
+from elderlock.sim import invariant_checkers as j
 from elderlock.sim.clients import Clients
-from elderlock.sim.facts import budget_of, operators_of, settings_of, talks
-from elderlock.sim.figures import Account
+from elderlock.sim.figures import FigureCollector
+from elderlock.sim.limiter_settings import budget_toml, operators_toml, settings_for_limiter, uses_peer_messages
 from elderlock.sim.scenario import Fault, Scenario, floor_name
 from elderlock.sim.surroundings import ShellBox
 from elderlock.sim.traffic import arrivals
@@ -111,13 +111,13 @@
         mark: str,
         seed: int = 1,
         flaw: str = "",
-        rules: j.Rules | None = None,
+        rules: j.CheckerLimits | None = None,
         based: bool = False,
     ) -> None:
         self.scenario, self.seed, self.mark = scenario, seed, mark
         self.flaw, self.based = flaw, based
         s, kind = scenario, scenario.kind[0]
-        self.rules = rules or j.Rules(
+        self.rules = rules or j.CheckerLimits(
             grace=GRACE, drain=DRAIN, instant=INSTANT, cold_share=kind.cold_share, cold_ms=kind.cold_ms
         )
         super().__init__(folder, s.limiters, s.boxes, agents=s.agents, seed=seed)
@@ -131,7 +131,7 @@
         self.datagrams = Datagrams(self.ways, self.limiter_places, random.Random(f"datagrams/{seed}"))
         self.network = self.datagrams
         self.bench = Recorder()
-        self.account = Account(s.warm_s * 1000.0, s.service[0].aim_ms)
+        self.account = FigureCollector(s.warm_s * 1000.0, s.service[0].aim_ms)
         self.members: list[Limiter] = []
         self.agent_processes: list[AgentProcess] = []
         self.broke_streams = False
@@ -182,8 +182,8 @@
             return self.agent_listens[agent]
         return self._to_agents[asker, agent].endpoint
 
-    def settings_of(self, limiter: int) -> dict[str, Any]:
-        return settings_of(self.scenario, limiter, self.rules)
+    def settings_for_limiter(self, limiter: int) -> dict[str, Any]:
+        return settings_for_limiter(self.scenario, limiter, self.rules)
 
     def command_of(self, limiter: int) -> list[str]:
         return python("-m", "elderlock.trial.child", "limiter", str(self.seam_path(f"n{limiter}")))
@@ -191,7 +191,7 @@
     def config(self, number: int) -> dict[str, Any]:
         s = self.scenario.settings
         made = {**super().config(number), "limits": {"cores": 1.0, "memory_mb": s.memory_mb, "sockets": s.sockets}}
-        if not talks(self.scenario):
+        if not uses_peer_messages(self.scenario):
             for name in ("peer_listen", "peers", "peers_all"):
                 made.pop(name, None)
         return made
@@ -267,7 +267,7 @@
             self._to_agents["", agent] = self._relay(self.tool_place, place, at, listens=False)
         for number in range(s.limiters):
             self.config_path(number).write_text(json.dumps(self.config(number)))
-            (self.folder / f"more-n{number}.toml").write_text(operators_of(s))
+            (self.folder / f"more-n{number}.toml").write_text(operators_toml(s))
         self.write_files()
         for agent in range(s.agents):
             self._lay_agent(agent)
@@ -324,7 +324,7 @@
         super().write_files()
         for asker in ("", *self.agent_names):
             path = self.group_file(asker)
-            path.write_text(path.read_text() + budget_of(self.scenario))
+            path.write_text(path.read_text() + budget_toml(self.scenario))
         lines = ['[group]\ntoken = "token-viewer"\n']
         for name, listen in zip(self.agent_names, self.agent_listens, strict=True):
             lines.append(f'[[agent]]\nname = "{name}"\naddress = "{listen}"\n')
@@ -541,7 +541,7 @@
                     self.bench.ceiling(at, account, plan.ceiling_rate, plan.ceiling_burst, slack)
         self.bench.spent(at, account, units)
         plan = next(plan for plan in self.scenario.plan if plan.name == self._known_plans[account])
-        self.account.let_go(at - self.zero, account, units, plan.rate, plan.burst)
+        self.account.record_send(at - self.zero, account, units, plan.rate, plan.burst)
 
     def reached(self, box: str, request: str) -> None:
         self.bench.ran(self.at(), box, request)
@@ -562,9 +562,9 @@
         arrival = request.arrival
         if outcome == "refused":
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
-            self.account.refused(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
+            self.account.record_refusal(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
         began = request.began / 1000.0 - self._began * 1000.0 - self.zero
-        self.account.finished(began, outcome, took, arrival.account)
+        self.account.record_end(began, outcome, took, arrival.account)
 
     def ask(self) -> Clients:
         """Clients begin with the scenario's schedule, now."""
--- a/elderlock/trial/history.py
+++ b/elderlock/trial/history.py
@@ -1,5 +1,5 @@
 """What was seen from outside, event by event, on one clock: kept, written as lines, and given to the judges of
-`elderlock.sim.judges` when the run is over. No I/O but `write` and `read`.
+`elderlock.sim.invariant_checkers` when the run is over. No I/O but `write` and `read`.
 
 The judges are the simulation's, unchanged. A real machine is shared, so what a judge hears of times is put right first:
 where the runner stood still, or a process had no core or was stopped by us, so much time counts as not gone by for it.
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from elderlock.sim import judges as j
+from elderlock.sim import invariant_checkers as j
 from elderlock.trial.lateness import Stall
 
 HEARD = (
@@ -54,7 +54,7 @@
         return f"{self.at / 1000.0:9.3f} s  {self.what:<14} {' '.join(str(each) for each in self.args)}"
 
 
-class Recorder(j.Words):
+class Recorder(j.CheckerEvents):
     """Hears what judges hear, in the same words, and keeps it."""
 
     def __init__(self) -> None:
@@ -125,8 +125,8 @@
 class Verdict(NamedTuple):
     """`broken` counts against the program; `late` was broken as well, and where the machine had no time for it."""
 
-    broken: list[j.Broken]
-    late: list[j.Broken]
+    broken: list[j.Violation]
+    late: list[j.Violation]
 
     def rules(self) -> list[str]:
         return sorted({each.rule for each in self.broken})
@@ -135,15 +135,23 @@
 class Court:
     """All judges of a real run: those of times by time without stand-stills, those of rates by the clock."""
 
-    def __init__(self, rules: j.Rules, stalls: Sequence[Stall]) -> None:
+    def __init__(self, rules: j.CheckerLimits, stalls: Sequence[Stall]) -> None:
         own = [stall for stall in stalls if not stall.who]
         self._evens: dict[str, Even] = {"": Even(own)}
         for who in {stall.who for stall in stalls if stall.who}:
             self._evens[who] = Even([*own, *(stall for stall in stalls if stall.who == who)])
-        self.lost, self.drains, self.reports = j.Lost(rules), j.Drains(rules), j.Reports(rules)
-        self.cold, self.ceilings = j.Cold(rules), j.Ceilings(rules)
-        self.twice, self.failures, self.growth = j.Twice(rules), j.Failures(rules), j.Growth(rules)
-        self.bench = j.Bench(
+        self.lost, self.drains, self.reports = (
+            j.UnansweredRequests(rules),
+            j.DrainedServers(rules),
+            j.DrainReports(rules),
+        )
+        self.cold, self.ceilings = j.ColdServers(rules), j.HardCeilings(rules)
+        self.twice, self.failures, self.growth = (
+            j.RepeatedEffects(rules),
+            j.UnhandledErrors(rules),
+            j.UnboundedGrowth(rules),
+        )
+        self.bench = j.CheckerSet(
             [
                 self.lost,
                 self.twice,
@@ -192,19 +200,19 @@
             case "started" | "spent" | "ran" | "limiter_began" | "failure":
                 getattr(self.bench, event.what)(at, *args)
 
-    def ended(self, at: float, more: Iterable[j.Judge] = ()) -> Verdict:
+    def ended(self, at: float, more: Iterable[j.InvariantChecker] = ()) -> Verdict:
         """`at`: when the run was over and had come to rest. `more`: judges that were told of it by themselves."""
         for limiter in {was.limiter for was in self.lost.open.values()}:
             for was in self.lost.open.values():
                 if was.limiter == limiter:  # what is open now is held against the run's end by the clock
                     was.deadline += at - self._even(at, limiter)
-        for judge in (*self.bench.judges, *more):
+        for judge in (*self.bench.checkers, *more):
             judge.ended(at)
-        broken: list[j.Broken] = []
-        late: list[j.Broken] = []
-        for judge in (*self.bench.judges, *more):
+        broken: list[j.Violation] = []
+        late: list[j.Violation] = []
+        for judge in (*self.bench.checkers, *more):
             rate = judge in (self.cold, self.ceilings)
-            for each in judge.broken:
+            for each in judge.violations:
                 held_up = rate and self._near(each.at)
                 (late if held_up else broken).append(each)
         return Verdict(sorted(broken, key=_at), sorted(late, key=_at))
@@ -213,12 +221,16 @@
         return any(even.stood(at, NEAR) >= HEAP for even in self._evens.values())
 
 
-def _at(broken: j.Broken) -> float:
+def _at(broken: j.Violation) -> float:
     return broken.at
 
 
 def judged(
-    events: Sequence[Event], stalls: Sequence[Stall], rules: j.Rules, ends: float, more: Iterable[j.Judge] = ()
+    events: Sequence[Event],
+    stalls: Sequence[Stall],
+    rules: j.CheckerLimits,
+    ends: float,
+    more: Iterable[j.InvariantChecker] = (),
 ) -> Verdict:
     """`events` in their order."""
     court = Court(rules, stalls)
--- a/elderlock/trial/run.py
+++ b/elderlock/trial/run.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from elderlock.sim import judges as j
-from elderlock.sim.agreed import Agreed
+from elderlock.sim import invariant_checkers as j
+from elderlock.sim.exclusive_holdings import ExclusiveHoldings
 from elderlock.sim.figures import Result
-from elderlock.sim.scenario import Scenario, unplayable
+from elderlock.sim.scenario import Scenario, unsupported_faults
 from elderlock.trial import disk, history, lateness
 from elderlock.trial.faults import TrialFaults
 from elderlock.trial.ground import Ground, TrialError
@@ -35,7 +35,7 @@
     late: Late
     events: list[Event]
     stalls: list[Stall]
-    late_rules: list[j.Broken]
+    late_rules: list[j.Violation]
     links: int
     processes: int
     start_s: float
@@ -114,7 +114,7 @@
     """What agents show of their records again and again: what one has shown it shows for good, or a newer one in its
     place, also after a crash and after a loss of power. One whose state we took away begins anew."""
 
-    def __init__(self, ground: Ground, agreed: Agreed) -> None:
+    def __init__(self, ground: Ground, agreed: ExclusiveHoldings) -> None:
         self._ground, self._agreed = ground, agreed
         self._known: dict[str, set[str]] = {}
 
@@ -125,7 +125,7 @@
             held = {f"{record.kind} {record.target}": record.generation for record in each.records}
             known = self._known.setdefault(who, set())
             known |= set(held)
-            self._agreed.seen += [(at, who, what, held.get(what, 0)) for what in known]
+            self._agreed.shown += [(at, who, what, held.get(what, 0)) for what in known]
 
 
 async def _sampled(ground: Ground, looks: Looks) -> None:
@@ -196,8 +196,8 @@
             history.write(ground.bench.in_order(), keep / "history.jsonl")
     events = ground.bench.in_order()
     stalls = ground.watch.stalls
-    rest = j.Rest(ground.rules, lambda: left)
-    agreement = j.Agreement(ground.rules, lambda: digests)
+    rest = j.Quiescence(ground.rules, lambda: left)
+    agreement = j.RecordAgreement(ground.rules, lambda: digests)
     verdict = history.judged(events, stalls, ground.rules, ends, (rest, agreement, agreed))
     broken = [(each.rule, each.at, each.text) for each in verdict.broken]
     result = Result(
@@ -227,5 +227,5 @@
         faults.commands,
         ground.zero,
         ground.epoch,
-        unplayable(scenario, FLOOR),
+        unsupported_faults(scenario, FLOOR),
     )
--- a/elderlock/trial/simulated.py
+++ b/elderlock/trial/simulated.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from elderlock.sim.figures import Result
-from elderlock.sim.scenario import ONLY_TRIAL, Scenario
+from elderlock.sim.scenario import TRIAL_ONLY, Scenario
 from elderlock.sim.shells import ShellWorld
 from elderlock.trial.history import HEARD, Event
 
@@ -36,7 +36,7 @@
 def simulated(scenario: Scenario, seed: int) -> tuple[Result, list[Event], float]:
     """The result, the history, and when (ms) its schedule began. Raises `ValueError` for a schedule that the floor
     cannot play whole: a comparison of half of it would say nothing."""
-    alone = [f"{fault.target} {fault.what}" for fault in scenario.fault if fault.what in ONLY_TRIAL]
+    alone = [f"{fault.target} {fault.what}" for fault in scenario.fault if fault.what in TRIAL_ONLY]
     if alone:
         raise ValueError(f"real processes alone play {', '.join(alone)}")
     world = Kept(scenario, seed)
--- a/elderlock/trial/standing.py
+++ b/elderlock/trial/standing.py
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from elderlock.sim.scenario import Scenario, of_load
+from elderlock.sim.scenario import Scenario, with_load
 from elderlock.trial import history
 from elderlock.trial.ground import Ground
 from elderlock.trial.history import Verdict
@@ -23,7 +23,7 @@
     called. Raises `TrialError`."""
     given = Scenario("standing", **{"agents": 2, "boxes": 6, "lasts_s": 3600.0, "warm_s": 0.0, **changes})
     with guarded(PREFIX, 0.0, short_temp()) as (folder, mark):
-        ground = Ground(of_load(load, given, accounts), folder, mark, flaw=flaw, based=based)
+        ground = Ground(with_load(load, given, accounts), folder, mark, flaw=flaw, based=based)
         try:
             await ground.open()
             await ground.start()
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -213,7 +213,7 @@
     "sim-scenario.fault": sim_scenario.Fault,
     "sim-scenario.plan": sim_scenario.Plan,
     "sim-scenario.service": sim_scenario.Service,
-    "sim-scenario.box-kind": sim_scenario.BoxKind,
+    "sim-scenario.box-kind": sim_scenario.ServerKind,
     "sim-scenario.net": sim_scenario.Net,
     "sim-scenario.settings": sim_scenario.Settings,
     "sim-scenario.scenario": sim_scenario.Scenario,
--- a/tests/gossip/test_escrow_limiters.py
+++ b/tests/gossip/test_escrow_limiters.py
@@ -149,5 +149,5 @@
             Fault(3.0, "cut", "way:limiter:0>limiter:3", 2.0),
         ),
     )
-    outcome = run_trial(sim.of_load(0.4, scenario, 2))
+    outcome = run_trial(sim.with_load(0.4, scenario, 2))
     assert outcome.verdict() != "broken", outcome.text()
--- a/tests/sim/test_judges.py
+++ b/tests/sim/test_judges.py
@@ -7,55 +7,60 @@
 import pytest
 
 from elderlock.sim import decisions, search, shells
-from elderlock.sim import judges as j
-from elderlock.sim.agreed import Agreed
+from elderlock.sim import invariant_checkers as j
+from elderlock.sim.exclusive_holdings import ExclusiveHoldings
 from elderlock.sim.figures import Result
-from elderlock.sim.scenario import Fault, Plan, Scenario, Service, Settings, of_load
+from elderlock.sim.scenario import Fault, Plan, Scenario, Service, Settings, with_load
 from elderlock.trial import flaws
 
-RULES = j.Rules()
+RULES = j.CheckerLimits()
 
 
 def scenario(load: float = 0.5, accounts: int = 100, **changes: Any) -> Scenario:
     given = Scenario("bite", **{"lasts_s": 6.0, "warm_s": 1.0, "rest_s": 3.0, "boxes": 6, **changes})
-    return of_load(load, given, accounts)
+    return with_load(load, given, accounts)
 
 
 PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
 BITES: list[tuple[str, str, Scenario, flaws.Flaw]] = [
-    (j.Lost.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
+    (j.UnansweredRequests.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
     (
-        j.Twice.name,
+        j.RepeatedEffects.name,
         "decisions",
         scenario(service=(Service(effect="single_shot"),), fault=(Fault(2.0, "errs", "box:*", 1.0, 0.5),)),
         flaws.tries_all_again,
     ),
-    (j.Drains.name, "decisions", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Drains.name, "shells", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Cold.name, "shells", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
-    (j.Cold.name, "decisions", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
+    (j.DrainedServers.name, "decisions", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
+    (j.DrainedServers.name, "shells", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
+    (j.ColdServers.name, "shells", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
+    (j.ColdServers.name, "decisions", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
     (
-        j.Ceilings.name,
+        j.HardCeilings.name,
         "decisions",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
         flaws.knows_no_ceiling,
     ),
     (
-        j.Ceilings.name,
+        j.HardCeilings.name,
         "shells",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
         flaws.knows_no_ceiling,
     ),
-    (j.Reports.name, "shells", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.lies_of_drains),
-    (j.Reports.name, "decisions", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.lies_of_drains),
-    (j.Failures.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Failures.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Rest.name, "shells", scenario(), flaws.never_lets_go),
-    (j.Rest.name, "decisions", scenario(), flaws.never_lets_go),
-    (j.Growth.name, "decisions", scenario(lasts_s=12.0), flaws.forgets_no_timer),
-    (j.Growth.name, "shells", scenario(lasts_s=12.0), flaws.forgets_no_timer),
+    (j.DrainReports.name, "shells", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.lies_of_drains),
     (
-        Agreed.name,
+        j.DrainReports.name,
+        "decisions",
+        scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)),
+        flaws.lies_of_drains,
+    ),
+    (j.UnhandledErrors.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
+    (j.UnhandledErrors.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
+    (j.Quiescence.name, "shells", scenario(), flaws.never_lets_go),
+    (j.Quiescence.name, "decisions", scenario(), flaws.never_lets_go),
+    (j.UnboundedGrowth.name, "decisions", scenario(lasts_s=12.0), flaws.forgets_no_timer),
+    (j.UnboundedGrowth.name, "shells", scenario(lasts_s=12.0), flaws.forgets_no_timer),
+    (
+        ExclusiveHoldings.name,
         "shells",
         scenario(
             agents=3, settings=Settings(budget=0.34), fault=tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
@@ -63,7 +68,7 @@
         flaws.grants_alone,
     ),
     (
-        Agreed.name,
+        ExclusiveHoldings.name,
         "shells",
         scenario(
             agents=3,
@@ -72,7 +77,12 @@
         ),
         flaws.knows_no_budget,
     ),
-    (j.Agreement.name, "shells", scenario(agents=3, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.hears_no_other),
+    (
+        j.RecordAgreement.name,
+        "shells",
+        scenario(agents=3, fault=(Fault(2.0, "op-drain", "box:0"),)),
+        flaws.hears_no_other,
+    ),
 ]
 
 
@@ -94,11 +104,11 @@
 
 def test_every_judge_of_a_run_is_shown_to_bite() -> None:
     for world in (shells.ShellWorld(scenario(), 1), decisions.DecisionWorld(scenario(), 1)):
-        assert {judge.name for judge in world.bench.judges} <= {rule for rule, _, _, _ in BITES}
+        assert {judge.name for judge in world.bench.checkers} <= {rule for rule, _, _, _ in BITES}
 
 
 def test_a_request_answered_twice_or_late_or_by_anothers_answer_is_told() -> None:
-    judge = j.Lost(RULES)
+    judge = j.UnansweredRequests(RULES)
     for name in ("a", "b", "c", "d"):
         judge.asked(0.0, name, "n0", 1000.0, "account", "free")
     judge.answered(10.0, "a", "served")
@@ -106,7 +116,7 @@
     judge.answered(1060.0, "b", "failed")
     judge.answered(30.0, "c", "wrong")
     judge.ended(5000.0)
-    assert [text.split(" by")[0] for _, _, text in judge.broken] == [
+    assert [text.split(" by")[0] for _, _, text in judge.violations] == [
         "a was answered failed after served",
         "b was answered failed 60 ms late",
         "c got another's answer from n0",
@@ -115,19 +125,19 @@
 
 
 def test_a_machine_that_stalls_owes_its_answers_that_much_later() -> None:
-    judge = j.Lost(RULES)
+    judge = j.UnansweredRequests(RULES)
     judge.asked(0.0, "a", "n0", 100.0, "account", "free")
     judge.asked(0.0, "b", "n1", 100.0, "account", "free")
     judge.stalled(10.0, "n0", 500.0)
     judge.asked(300.0, "c", "n0", 400.0, "account", "free")
     for name in ("a", "b", "c"):
         judge.answered(600.0, name, "failed")
-    assert [broken.text.split()[0] for broken in judge.broken] == ["b"]
+    assert [broken.text.split()[0] for broken in judge.violations] == ["b"]
 
 
 def test_a_burst_at_a_cold_box_counts_only_by_those_who_knew() -> None:
     def judged(told: bool) -> int:
-        judge = j.Cold(RULES)
+        judge = j.ColdServers(RULES)
         judge.started(0.0, "s", bears=0.1)
         if told:
             judge.told(1.0, "n0", "s", "running", 0.0)
@@ -139,13 +149,13 @@
 
 
 def test_a_ceiling_counts_over_any_span() -> None:
-    judge = j.Ceilings(RULES)
+    judge = j.HardCeilings(RULES)
     judge.ceiling("a", rate=10.0, burst=5.0, slack=1.0)
     for number in range(6):
         judge.spent(float(number), "a", 1.0)
     assert judge.count == 0
     judge.spent(10.0, "a", 1.0)
-    assert judge.count == 1 and "over its ceiling" in judge.broken[0].text
+    assert judge.count == 1 and "over its ceiling" in judge.violations[0].text
     assert judge.count == 1
     judge.spent(10_000.0, "a", 5.0)
     assert judge.count == 1
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -19,7 +19,7 @@
 from elderlock.load.scenario import ScenarioError
 from elderlock.load.trace import Row, Writer
 from elderlock.sim import decisions, schedule, search, seeds, shells
-from elderlock.sim import judges as j
+from elderlock.sim import invariant_checkers as j
 from elderlock.sim.grammar import MOST_REMOVED, Grammar, shrink
 from elderlock.sim.scenario import (
     FORMAT,
@@ -28,17 +28,17 @@
     Service,
     Settings,
     check_fault,
-    of_load,
     parse,
     read,
     timeline,
+    with_load,
 )
 from elderlock.sim.seeds import NoLongerAppliesError, Seed, SeedError
 from elderlock.sim.trace import Trace, first_difference
 from elderlock.standins.model import BoxModel
 
 KEPT = Path(__file__).parent / "seeds"
-BASE = of_load(0.4, Scenario("search", lasts_s=4.0, warm_s=0.5, rest_s=2.0, boxes=6, agents=1))
+BASE = with_load(0.4, Scenario("search", lasts_s=4.0, warm_s=0.5, rest_s=2.0, boxes=6, agents=1))
 
 
 @pytest.mark.parametrize("path", sorted(KEPT.glob("*.toml")), ids=lambda path: path.stem)
@@ -124,7 +124,7 @@
     )
     scenario = msgspec.structs.replace(BASE, fault=faults)
     result = search.play(scenario, 4, "decisions")
-    assert j.Rest.name in result.rules(), result.text()
+    assert j.Quiescence.name in result.rules(), result.text()
     found = search.cut_down(scenario, 4, "decisions", result)
     assert [fault.what for fault in found.seed.scenario.fault] == ["restart"]
     assert (found.before, found.after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
@@ -177,10 +177,10 @@
 
 
 def test_a_failure_of_a_judge_is_told_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    def wrong(self: j.Judge, *given: Any) -> None:
+    def wrong(self: j.InvariantChecker, *given: Any) -> None:
         raise ZeroDivisionError("in a judge")
 
-    monkeypatch.setattr(j.Ceilings, "spent", wrong)
+    monkeypatch.setattr(j.HardCeilings, "spent", wrong)
     assert search.play(BASE, 1, "decisions").ended == "failed"
 
 
@@ -191,7 +191,7 @@
     monkeypatch.setattr(Attempts, "handle_attempt_end", wrong)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
-        assert result.ended == "finished" and j.Failures.name in result.rules()
+        assert result.ended == "finished" and j.UnhandledErrors.name in result.rules()
 
 
 def test_a_deadlock_on_each_floor_says_who_waits(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -231,7 +231,7 @@
                 gc.collect()
                 sizes.append(tracemalloc.get_traced_memory()[0])
 
-    given = of_load(0.005, Scenario("long", lasts_s=5400.0, limiters=1, boxes=1, rest_s=1.0))
+    given = with_load(0.005, Scenario("long", lasts_s=5400.0, limiters=1, boxes=1, rest_s=1.0))
     tracemalloc.start()
     try:
         result = Weighed(given, 1).play()
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -16,7 +16,7 @@
 from elderlock.sim import shells
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.figures import Result
-from elderlock.sim.scenario import Fault, Scenario, Settings, of_load
+from elderlock.sim.scenario import Fault, Scenario, Settings, with_load
 from elderlock.sim.trace import first_difference
 
 ROOT = Path(__file__).parent.parent.parent
@@ -24,7 +24,7 @@
 
 def scenario(load: float = 0.4, **changes: Any) -> Scenario:
     changes = {"lasts_s": 6.0, "warm_s": 1.0, "rest_s": 3.0, "boxes": 6, **changes}
-    return of_load(load, Scenario("test", **changes))
+    return with_load(load, Scenario("test", **changes))
 
 
 def play(load: float = 0.4, seed: int = 1, **changes: Any) -> Result:
@@ -126,7 +126,7 @@
     faults = tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
     budget = Settings(budget=0.5)
     given = Scenario("six", lasts_s=5.0, warm_s=0.5, rest_s=3.0, boxes=6, agents=2, settings=budget, fault=faults)
-    world = shells.ShellWorld(of_load(0.3, given), seed)
+    world = shells.ShellWorld(with_load(0.3, given), seed)
     result = world.play()
     assert result.good(), result.text()
     assert sorted(code for _, code in world.commands) == [0, 0, 0, 5, 5, 5]
@@ -151,7 +151,7 @@
         given = Scenario(
             "held", lasts_s=8.0, warm_s=0.5, rest_s=6.0, boxes=6, agents=3, settings=Settings(budget=0.34), fault=faults
         )
-        result = shells.play(of_load(0.3, given), seed)
+        result = shells.play(with_load(0.3, given), seed)
         assert result.good(), result.text()
 
 
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -19,7 +19,7 @@
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import compare
 from elderlock.sim.experiment import Cell, Experiment, experiment_of, read_experiment, ships
-from elderlock.sim.figures import Account, Figures, Result, jain
+from elderlock.sim.figures import FigureCollector, Figures, Result, jain
 from elderlock.sim.page import page
 from elderlock.sim.sweep import Records, Sweep, SweepError
 
@@ -244,9 +244,9 @@
 
 
 def test_figures() -> None:
-    account = Account(warm=1000.0, aim=50.0)
+    account = FigureCollector(warm=1000.0, aim=50.0)
     for began, took in ((500.0, 1.0), (1200.0, 20.0), (1300.0, 40.0), (2500.0, 80.0), (3500.0, 10.0)):
-        account.finished(began, "served", took, "a")
+        account.record_end(began, "served", took, "a")
     got = account.figures()
     assert (got.offered, round(got.p50_ms), got.worst_second) == (4, 20, 0.0)
     assert got.served_in_time == 0.75
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -18,13 +18,13 @@
 
 from elderlock.fleet.agent_store import StoreError
 from elderlock.fleet.messages import AuditLine
-from elderlock.sim.models.ways import Delays, Ways
+from elderlock.sim.models.link_conditions import LinkConditions, LinkDelays
 from elderlock.sim.virtual import loop as virtual
 from elderlock.sim.virtual.host import SimHost
 from elderlock.sim.virtual.loop import START, DeadlockError, LivelockError, SimLoop
-from elderlock.sim.virtual.network import KERNEL, Network
+from elderlock.sim.virtual.network import KERNEL_BUFFER_BYTES, Network
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of, start
-from elderlock.sim.virtual.system import RealTimeError, simulated
+from elderlock.sim.virtual.system import RealTimeError, simulated_system
 
 HERE, THERE = Machine("here", "a", "127.0.1.1"), Machine("there", "b", "127.0.1.2")
 AT = ("127.0.1.2", 80)
@@ -45,9 +45,9 @@
 
 def world(faults: Any = None, **delays: float) -> tuple[SimLoop, Network]:
     loop = SimLoop(1)
-    network = Network(loop, Ways(Delays(**delays), random.Random(1)), random.Random(2), faults)
-    network.move(HERE.host, HERE)
-    network.move(THERE.host, THERE)
+    network = Network(loop, LinkConditions(LinkDelays(**delays), random.Random(1)), random.Random(2), faults)
+    network.assign_host(HERE.host, HERE)
+    network.assign_host(THERE.host, THERE)
     return loop, network
 
 
@@ -58,7 +58,7 @@
     try:
         return loop.run_until_complete(whole())
     finally:
-        loop.let_go()
+        loop.discard_pending()
         loop.close()
 
 
@@ -189,7 +189,7 @@
         assert server.got == b""
         server.transport.resume_reading()
         await asyncio.sleep(1.0)
-        assert not client.paused and len(server.got) > KERNEL
+        assert not client.paused and len(server.got) > KERNEL_BUFFER_BYTES
 
     run(loop, work)
 
@@ -342,12 +342,12 @@
 
     async def work() -> None:
         client, server, _ = await pair(loop, network)
-        network.ways.separate([("here", "there")])
+        network.ways.add_cuts([("here", "there")])
         client.transport.write(b"to")
         server.transport.write(b"from")
         await asyncio.sleep(1.0)
         assert server.got == b"" and client.got == b"from"
-        network.ways.join([("here", "there")])
+        network.ways.remove_cuts([("here", "there")])
         await asyncio.sleep(1.0)
         assert server.got == b"to"
 
@@ -387,7 +387,7 @@
 
     def seen(seed: int) -> list[Any]:
         fresh = SimLoop(seed)
-        with simulated(fresh, seed):
+        with simulated_system(fresh, seed):
             assert time.time() == pytest.approx(virtual.EPOCH) and time.monotonic() == START
             with pytest.raises(RealTimeError):
                 time.sleep(1.0)
@@ -424,7 +424,7 @@
         assert seen == [pytest.approx(virtual.EPOCH + 103.5), pytest.approx(START + 101.0), 4242, "here"]
         assert "WHERE" not in os.environ and CURRENT.get() is None
 
-    with simulated(loop, 1):
+    with simulated_system(loop, 1):
         run(loop, work)
 
 
@@ -442,12 +442,12 @@
             host.lock(tmp_path / "lock")
             store = host.store(tmp_path / "store.db")
             store.save_records([], line)
-            machine.disk_fails = fails
+            machine.disk_failure = fails
             with pytest.raises(StoreError):
                 store.save_records([], line)
             with pytest.raises(OSError):
                 host.write_private(tmp_path / "file", b"x")
-            machine.disk_fails = ""
+            machine.disk_failure = ""
             await asyncio.Event().wait()
 
         start(loop, process, agent)
--- a/tests/trial/test_decisions.py
+++ b/tests/trial/test_decisions.py
@@ -10,8 +10,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from elderlock.sim import judges as j
-from elderlock.sim.agreed import Act, Agreed, Clash, Holding, bounded, exclusive, fenced, never_back
+from elderlock.sim import invariant_checkers as j
+from elderlock.sim.exclusive_holdings import (
+    Conflict,
+    ExclusiveHoldings,
+    FencedAction,
+    Holding,
+    bound_conflicts,
+    exclusivity_conflicts,
+    fencing_conflicts,
+    generation_regressions,
+)
 from elderlock.trial import history, lateness
 from elderlock.trial.history import Even, Event, judged
 from elderlock.trial.lateness import Stall
@@ -20,7 +29,7 @@
 from elderlock.trial.weather import CLEAR, Place, Stream, Ways, Weather, datagram
 
 NAMES = ("n0", "n1", "floor-2", "*")
-RULES = j.Rules()
+RULES = j.CheckerLimits()
 
 
 class WaysMachine(RuleBasedStateMachine):
@@ -142,8 +151,8 @@
             live = [h for h in held if h.what == what and h.granted <= moment < h.ended]
             clash = clash or len({h.holder for h in live}) > 1
             over = over or sum(h.units for h in live) > 4.0
-    assert bool(exclusive(held)) == clash
-    found = bounded(held, {"a": 4.0, "b": 4.0})
+    assert bool(exclusivity_conflicts(held)) == clash
+    found = bound_conflicts(held, {"a": 4.0, "b": 4.0})
     assert bool(found) == over
     for each in found:  # the fewest facts that show it, and they do
         assert sum(h.units for h in each.facts if isinstance(h, Holding)) > 4.0
@@ -154,24 +163,29 @@
     unheard = Holding("permit", "x", 0.0, math.inf)
     first_one = Holding("permit", "y", 0.0, 10.0, 100.0)
     second = Holding("permit", "z", 50.0, 100.0, 200.0)
-    assert exclusive([unheard, first_one, second]) == []
-    (clash,) = exclusive([first_one, Holding("permit", "z", 50.0, 99.0, 200.0)])
+    assert exclusivity_conflicts([unheard, first_one, second]) == []
+    (clash,) = exclusivity_conflicts([first_one, Holding("permit", "z", 50.0, 99.0, 200.0)])
     assert clash.at == 99.0 and "y held 1 of permit from 10 ms to 100 ms, while z held" in clash.text
 
 
 def test_acts_in_an_older_term_and_records_that_go_back_are_told() -> None:
-    acts = [Act("s-1", "a", 1.0, 3), Act("s-1", "b", 2.0, 4), Act("s-1", "a", 5.0, 3), Act("s-2", "a", 9.0, 1)]
-    (clash,) = fenced(acts)
+    acts = [
+        FencedAction("s-1", "a", 1.0, 3),
+        FencedAction("s-1", "b", 2.0, 4),
+        FencedAction("s-1", "a", 5.0, 3),
+        FencedAction("s-2", "a", 9.0, 1),
+    ]
+    (clash,) = fencing_conflicts(acts)
     assert clash.at == 5.0 and "in term 3" in clash.text and "in term 4" in clash.text
-    assert fenced(acts, slack=3.0) == []
+    assert fencing_conflicts(acts, slack=3.0) == []
     seen = [(1.0, "agent-0", "box s-1", 4), (2.0, "agent-1", "box s-1", 3), (3.0, "agent-0", "box s-1", 0)]
-    assert [clash.at for clash in never_back(seen)] == [3.0]
-    judge = Agreed(RULES, {"out": 2.0})
-    judge.acts, judge.seen = acts, seen
+    assert [clash.at for clash in generation_regressions(seen)] == [3.0]
+    judge = ExclusiveHoldings(RULES, {"out": 2.0})
+    judge.acts, judge.shown = acts, seen
     judge.holdings = [Holding("out", name, 0.0, 1.0, 9.0) for name in "xyz"]
     judge.ended(100.0)
     assert judge.count == 3
-    assert isinstance(bounded(judge.holdings, judge.bounds)[0], Clash)
+    assert isinstance(bound_conflicts(judge.holdings, judge.bounds)[0], Conflict)
 
 
 def asked(at: float, name: str, deadline: float = 1000.0) -> Event:
@@ -196,7 +210,7 @@
     ceiling = [Event(0.0, "ceiling", ("c", 10.0, 5.0, 1.0))]
     spent = [Event(100.0 + n, "spent", ("c", 1.0)) for n in range(9)]
     verdict = judged([*ceiling, *spent], [], RULES, 900.0)
-    assert verdict.rules() == [j.Ceilings.name] and not verdict.late
+    assert verdict.rules() == [j.HardCeilings.name] and not verdict.late
     verdict = judged([*ceiling, *spent], [Stall(20.0, 70.0, "")], RULES, 900.0)
     assert not verdict.broken and verdict.late
 
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -19,7 +19,7 @@
 from trial_runs import run_trial
 
 from elderlock.fleet import messages as f
-from elderlock.sim.scenario import Fault, Plan, Scenario, What, of_load
+from elderlock.sim.scenario import Fault, FaultKind, Plan, Scenario, with_load
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 from elderlock.trial.faults import TrialFaults
@@ -33,7 +33,7 @@
 
 def scenario(**changes: Any) -> Scenario:
     given = Scenario("trial", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 1.0, "boxes": 6, "agents": 2, **changes})
-    return of_load(0.2, given, 50)
+    return with_load(0.2, given, 50)
 
 
 async def answered(ground: Ground, more: int = 20) -> None:
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("what", ["kill-write", "kill-sync", "kill-rename"])
-def test_an_agent_killed_between_two_steps_of_a_write_and_then_all_without_power(what: What) -> None:
+def test_an_agent_killed_between_two_steps_of_a_write_and_then_all_without_power(what: FaultKind) -> None:
     """A drain that a tool told as done is in force again after the loss; agents agree, and no request is lost."""
     faults = (
         Fault(0.5, what, "agent:0"),
@@ -173,7 +173,7 @@
         "agent:0>agent:1",
         "agent:1>limiter:2",
     )
-    whats: list[tuple[What, float]] = [
+    whats: list[tuple[FaultKind, float]] = [
         ("late", 60.0),
         ("trickle", 3000.0),
         ("reset", 0.0),
