--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -34,7 +34,7 @@
 )
 from elderlock.sim.scenario import Scenario, Settings
 from elderlock.sim.shells import ShellWorld
-from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of, start
+from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, context_of, start
 from elderlock.standins.limiters import box, state
 from elderlock.standins.waiting import unix_ms
 
@@ -145,7 +145,7 @@
     """A limiter as its agent meets it: the real desk, and figures drawn from a model of its build."""
 
     def __init__(self, world: ReleaseWorld, name: str, version: str, build: Build) -> None:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         assert process is not None
         self.world, self.name, self.version, self.make, self.pid = world, name, version, build, process.pid
         self.build, self.started_at = version or "1", unix_ms()
--- a/elderlock/sim/schedule.py
+++ b/elderlock/sim/schedule.py
@@ -9,7 +9,7 @@
 
 from elderlock.sim.virtual.loop import DeadlockError, LivelockError
 
-MOST_AT_ONCE = 2_000_000  # steps in which time stood still
+MAX_STEPS_AT_ONE_TIME = 2_000_000  # steps in which time stood still
 
 
 class Due:
@@ -62,7 +62,7 @@
                 self.time, self._still = at, 0
             else:
                 self._still += 1
-                if self._still > MOST_AT_ONCE:
+                if self._still > MAX_STEPS_AT_ONE_TIME:
                     raise LivelockError(f"time stands at {at:.3f} ms in {due.do!r}")
             self.steps += 1
             due.do(*due.args)
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -12,7 +12,7 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.sim.scenario import Fault, cut_pairs, effective_amount, floor_name
 from elderlock.sim.stage_faults import StageFaults
-from elderlock.sim.virtual.loop import EPOCH
+from elderlock.sim.virtual.loop import START_UNIX_S
 from elderlock.sim.virtual.network import Stream
 from elderlock.sim.virtual.processes import start
 
@@ -110,7 +110,7 @@
                 for process in list(self.world.processes.values()):
                     for held in list(process.resources) if process.alive else ():
                         if isinstance(held, Stream) and {held.machine.name, held.peer.machine.name} == {source, target}:
-                            held._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                            held.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
 
     async def command(self, fault: Fault, kind: Any, target: str) -> None:
         """An operator's command, in a process of its own on the first floor."""
@@ -140,7 +140,7 @@
                     self.world.agreed.drain_reported(kind, target, self.world.at())
                     if kind == "box":
                         # by the limiter's own clock, which is read at its start
-                        since = row.at - EPOCH * 1000.0 - self.world.offsets.get(row.limiter, 0.0)
+                        since = row.at - START_UNIX_S * 1000.0 - self.world.offsets.get(row.limiter, 0.0)
                         self.world.bench.claimed(self.world.at(), operator, target, row.limiter, since)
             group.close()
             self.world.trace.event(self.world.at(), process.name, f"{fault.what} {target}: {result.exit.name}")
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -48,9 +48,16 @@
 from elderlock.sim.trace import Trace
 from elderlock.sim.traffic import arrivals
 from elderlock.sim.virtual.host import SimHost
-from elderlock.sim.virtual.loop import EPOCH, START, DeadlockError, LivelockError, SimLoop, SimulationEnded
+from elderlock.sim.virtual.loop import (
+    START_MONOTONIC_S,
+    START_UNIX_S,
+    DeadlockError,
+    LivelockError,
+    SimLoop,
+    SimulationEnded,
+)
 from elderlock.sim.virtual.network import Faults, Network, NoFaults, Stream
-from elderlock.sim.virtual.processes import CURRENT, Machine, Process, start
+from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, start
 from elderlock.sim.virtual.system import simulated_system
 from elderlock.standins.boxes import Kind
 from elderlock.standins.counter import Counter
@@ -75,7 +82,7 @@
         self._world = world
 
     def emit(self, record: logging.LogRecord) -> None:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         name = process.name if process is not None else "world"
         text = record.getMessage()
         self._world.trace.event(self._world.at(), name, f"log {text}")
@@ -144,10 +151,10 @@
 
     def at(self) -> float:
         """ms of the run."""
-        return (self.loop.time() - START) * 1000.0
+        return (self.loop.time() - START_MONOTONIC_S) * 1000.0
 
     def since(self, unix: float) -> float:
-        return unix - EPOCH * 1000.0
+        return unix - START_UNIX_S * 1000.0
 
     def began_fault(self, number: int, fault: Fault) -> None:
         self.trace.event(self.at(), "fault", f"{number} {fault.target} {fault.what}")
@@ -188,7 +195,7 @@
         return result
 
     def _result(self, ended: str, why: str, began: float) -> Result:
-        for where, error in self.loop.failed:
+        for where, error in self.loop.unhandled_errors:
             if where == "world":  # a model or a judge, not the code under test
                 ended, why = "failed", f"{error!r}"
             else:
@@ -466,7 +473,7 @@
             arrival = request.arrival
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
             self.account.record_refusal(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
-        began = (request.began / 1e6 - START) * 1000.0 - self.zero
+        began = (request.began / 1e6 - START_MONOTONIC_S) * 1000.0 - self.zero
         self.account.record_end(began, outcome, took, request.arrival.account)
 
     def _gateway_class(self) -> type[Gateway]:
@@ -477,7 +484,7 @@
 
             def __init__(self, *given: Any) -> None:
                 super().__init__(*given)
-                process = CURRENT.get()
+                process = CURRENT_PROCESS.get()
                 self.process_name = process.name if process is not None else ""
                 world.gateways[self.process_name] = self
 
@@ -504,7 +511,7 @@
         for target in listed.servers:
             entry = target.entry
             named.add(entry.server_id)
-            started = entry.started_at_ms - EPOCH * 1000.0 if entry.started_at_ms > 0 else 0.0
+            started = entry.started_at_ms - START_UNIX_S * 1000.0 if entry.started_at_ms > 0 else 0.0
             self.bench.told(at, limiter, entry.server_id, STATES[entry.state], started)
         if listed.is_complete:
             for uid in [*self.listing.boxes, *self.listing.dead]:
--- a/elderlock/sim/virtual/host.py
+++ b/elderlock/sim/virtual/host.py
@@ -14,7 +14,7 @@
 from elderlock.fleet.agent_store import Store
 from elderlock.fleet.host import Host
 from elderlock.sim.virtual.network import Faults
-from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of
+from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, context_of
 
 Spawn = Callable[[Machine, Mapping[str, str]], Process]
 
@@ -39,13 +39,13 @@
         self._store.close()
 
 
-class Watched:
+class WatchedProcess:
     """A simulated process as its agent has it."""
 
     def __init__(self, process: Process, signal: Callable[[Process, int], None], ended: Callable[[], None]) -> None:
         self.pid, self.start_ticks = process.pid, process.pid  # pids are not used twice
         self._process, self._signal, self._ended = process, signal, ended
-        self._watcher, self._loop = CURRENT.get(), asyncio.get_running_loop()
+        self._watcher, self._loop = CURRENT_PROCESS.get(), asyncio.get_running_loop()
         process.on_exit.append(self._exited)
 
     def _exited(self) -> None:
@@ -79,18 +79,18 @@
         self._locks: dict[int, _Lock] = {}
 
     def _disk(self, kind: str) -> str:
-        return self._machine.disk_failure or self._faults.at(kind, CURRENT.get())
+        return self._machine.disk_failure or self._faults.at(kind, CURRENT_PROCESS.get())
 
     def lock(self, path: Path) -> int:
         held = super().lock(path)
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         if process is not None:
             self._locks[held] = lock = _Lock(held)
             process.resources[lock] = None
         return held
 
     def unlock(self, held: int) -> None:
-        lock, process = self._locks.pop(held, None), CURRENT.get()
+        lock, process = self._locks.pop(held, None), CURRENT_PROCESS.get()
         if lock is not None and process is not None:
             process.resources.pop(lock, None)
         super().unlock(held)
@@ -111,7 +111,7 @@
                 return super().execute(sql, *given)
 
         store = Store(path, Failing)
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         if process is not None:
             process.resources[_OpenStore(store)] = None
         return store
@@ -131,15 +131,15 @@
         process = self._processes.get(pid)
         return pid if process is not None and process.alive else 0
 
-    def adopt(self, pid: int, started: int, ended: Callable[[], None]) -> Watched | None:
+    def adopt(self, pid: int, started: int, ended: Callable[[], None]) -> WatchedProcess | None:
         process = self._processes.get(pid)
         if process is None or not process.alive or started != pid:
             return None
-        return Watched(process, self._signal, ended)
+        return WatchedProcess(process, self._signal, ended)
 
     def spawn(
         self, command: Sequence[str], environ: Mapping[str, str], directory: Path, log: Path, ended: Callable[[], None]
-    ) -> Watched:
-        if self._faults.at("spawn", CURRENT.get()):
+    ) -> WatchedProcess:
+        if self._faults.at("spawn", CURRENT_PROCESS.get()):
             raise OSError(errno.EAGAIN, "Resource temporarily unavailable")
-        return Watched(self._spawn(self._machine, environ), self._signal, ended)
+        return WatchedProcess(self._spawn(self._machine, environ), self._signal, ended)
--- a/elderlock/sim/virtual/loop.py
+++ b/elderlock/sim/virtual/loop.py
@@ -17,12 +17,12 @@
 from contextvars import Context
 from typing import Any, Protocol
 
-from elderlock.sim.virtual.processes import CURRENT
+from elderlock.sim.virtual.processes import CURRENT_PROCESS
 
-EPOCH = 1_700_000_000.0  # s, Unix time at which a simulated clock shows START
-START = 10_000.0  # s, of the monotonic clock
-MOST_STEPS = 300_000  # turns of the loop in which time stood still
-TIE = 1e-9  # s by which timers due at one instant are moved apart, in an order that the seed gives
+START_UNIX_S = 1_700_000_000.0  # s, Unix time at which a simulated clock shows START
+START_MONOTONIC_S = 10_000.0  # s, of the monotonic clock
+MAX_STEPS_AT_ONE_TIME = 300_000  # turns of the loop in which time stood still
+TIE_BREAK_S = 1e-9  # s by which timers due at one instant are moved apart, in an order that the seed gives
 
 
 class SimulationEnded(BaseException):
@@ -69,7 +69,7 @@
 
     def __init__(self, ties: int | None = 0) -> None:
         super().__init__()
-        self._now = START
+        self._now = START_MONOTONIC_S
         self._selector = _Jump(self)
         self._ties = random.Random(f"ties/{ties}") if ties is not None else None
         self._still = 0
@@ -91,14 +91,14 @@
             raise DeadlockError("nothing is left to happen; " + self.describe_waiting())
         if timeout <= 0:
             self._still += 1
-            if self._still > MOST_STEPS:
+            if self._still > MAX_STEPS_AT_ONE_TIME:
                 raise LivelockError(f"time stands at {self._now - START:.6f} s; " + self.describe_ready())
             return
         self._still = 0
         self._now += timeout
         scheduled: list[Any] = self._scheduled  # type: ignore[attr-defined]
         if scheduled:  # exactly there: a sum of floats may fall short of it and spin
-            self._now = max(self._now, min(scheduled[0].when(), self._now + TIE))
+            self._now = max(self._now, min(scheduled[0].when(), self._now + TIE_BREAK_S))
 
     def describe_waiting(self) -> str:
         """Each pending task with its process and the line at which it waits."""
@@ -117,7 +117,7 @@
     def call_soon(self, callback: Callable[..., Any], *args: Any, context: Context | None = None) -> asyncio.Handle:
         if self.over:
             return asyncio.Handle(callback, args, self, context)
-        process = CURRENT.get() if context is None else context.get(CURRENT)
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_soon(callback, *args, context=context)
         cell: list[Any] = []
@@ -141,8 +141,8 @@
         if self.over:
             return asyncio.TimerHandle(when, callback, args, self, context)
         if self._ties is not None:  # which of two timers of one instant comes first is promised to no one
-            when += self._ties.random() * TIE
-        process = CURRENT.get() if context is None else context.get(CURRENT)
+            when += self._ties.random() * TIE_BREAK_S
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is None:
             return super().call_at(when, callback, *args, context=context)
         cell: list[Any] = []
@@ -155,7 +155,7 @@
         loop: asyncio.AbstractEventLoop, coro: Coroutine[Any, Any, Any], context: Context | None = None
     ) -> asyncio.Task[Any]:
         task = asyncio.Task(coro, loop=loop, context=context)
-        process = CURRENT.get() if context is None else context.get(CURRENT)
+        process = CURRENT_PROCESS.get() if context is None else context.get(CURRENT_PROCESS)
         if process is not None:
             task.process = process.name  # type: ignore[attr-defined]
             # a pending task of a dead process must not be collected: that would run its `finally`
@@ -164,7 +164,7 @@
         return task
 
     def _told(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         name = process.name if process is not None else "world"
         error = context.get("exception")
         self.failures.append(f"{name}: {context.get('message')}: {error!r}")
@@ -189,12 +189,12 @@
         return future
 
     def add_signal_handler(self, sig: int, callback: Callable[..., Any], *args: Any) -> None:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         if process is not None:
             process.handlers[sig] = (callback, args)
 
     def remove_signal_handler(self, sig: int) -> bool:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         return process is not None and process.handlers.pop(sig, None) is not None
 
     async def create_server(self, protocol_factory: Any, host: Any = None, port: Any = None, **more: Any) -> Any:
--- a/elderlock/sim/virtual/network.py
+++ b/elderlock/sim/virtual/network.py
@@ -17,8 +17,8 @@
 from typing import Any, Protocol
 
 from elderlock.sim.models.link_conditions import LinkConditions
-from elderlock.sim.virtual.loop import TIE, SimLoop
-from elderlock.sim.virtual.processes import CURRENT, Machine, Process
+from elderlock.sim.virtual.loop import TIE_BREAK_S, SimLoop
+from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process
 
 KERNEL_BUFFER_BYTES = 1 << 18  # bytes that the kernels take of one direction before `write` has to buffer
 HIGH_WATER = 1 << 16  # bytes buffered above that, beyond which a protocol is told to pause
@@ -76,7 +76,7 @@
 
     def __init__(self, network: Network, at: Any, factory: Callable[[], Any], backlog: int) -> None:
         self.network, self.at, self.factory, self.backlog = network, at, factory, backlog
-        self.process = CURRENT.get()
+        self.process = CURRENT_PROCESS.get()
         self.context = contextvars.copy_context()
         self.pending = 0  # connected by the kernel, and not taken yet
         self.sockets: tuple[_Socket, ...] = (_Socket(self, at),)
@@ -120,7 +120,7 @@
         super().__init__({"sockname": name, "peername": peer_name, "socket": _Socket(self, name)})
         self.network, self.loop, self._protocol, self.context = network, network.loop, protocol, context
         self.machine = machine
-        self.process = context.get(CURRENT)
+        self.process = context.get(CURRENT_PROCESS)
         self.peer: Stream
         self.hard: bool = False  # a close resets
         self._closing = self._lost = self._eof_sent = self._eof_seen = self.made = False
@@ -187,15 +187,15 @@
             self.tap.wrote(data)
         match self.network.faults.at("write", self.process):
             case "reset":  # before a byte of it left
-                return self._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             case "half":
                 data = data[: len(data) // 2]
                 self._send("data", data)
                 self._flight += len(data)
-                return self._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             case "sent":  # it leaves whole, and the answer never comes
                 self._send("data", data)
-                return self._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             case "late" if self.machine.floor and self.peer.machine.floor:  # a client's own link is not ours
                 self._last_arrival = max(self._last_arrival, self.loop.time()) + 3.0
         self._flight += len(data)
@@ -255,7 +255,7 @@
         if self.made:
             self._protocol.connection_lost(error)
 
-    def _break(self, error: Exception) -> None:
+    def reset_connection(self, error: Exception) -> None:
         """The connection is reset for both."""
         if not self._closing or self._close_when_drained:
             self._closing = True
@@ -292,7 +292,7 @@
         if network.ways.is_lost(self.machine, self.peer.machine):
             way += network.ways.retransmission_delay() / 1000.0
         # timers of one instant change places: those of one stream must not
-        at = max(self._last_arrival + 2.0 * TIE, self.loop.time() + way + held)
+        at = max(self._last_arrival + 2.0 * TIE_BREAK_S, self.loop.time() + way + held)
         self._last_arrival = at
         network.passed(what, self, data)
         self.loop.call_at(at, self.peer.arrive, what, data, context=network.wire)
@@ -318,7 +318,7 @@
         if what == "data":
             if self.network.faults.at("read", self.process) == "reset":
                 self._arrived.clear()
-                return self._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             if len(data) > 1 and self.network.rng.random() < SPLIT:
                 cut = self.network.rng.randrange(1, len(data))
                 self._arrived.append(data[:cut])
@@ -379,7 +379,7 @@
     def __init__(self, network: Network, protocol: Any, at: Address, remote: Address | None) -> None:
         super().__init__({"sockname": at, "peername": remote})
         self.network, self._protocol, self.at, self._remote = network, protocol, at, remote
-        self.process = CURRENT.get()
+        self.process = CURRENT_PROCESS.get()
         self.context = contextvars.copy_context()
         self.machine = network.machine()
         self._closing = False
@@ -450,14 +450,14 @@
         self.world = Machine("world")
         self._port = 20_000
         self.wire = contextvars.copy_context()
-        self.wire.run(CURRENT.set, None)
+        self.wire.run(CURRENT_PROCESS.set, None)
         self.multicast_groups: dict[Address, list[Address]] = {}  # addresses that stand for many
         self.on_transfer: Callable[[str, Any, bytes], None] | None = None
         self.on_connect: Callable[[Stream, Stream, Any], None] | None = None  # may put taps on both ends
         ways.on_cuts_removed = self.resume_stuck_streams
 
     def machine(self) -> Machine:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         return process.machine if process is not None else self.world
 
     def port(self) -> int:
@@ -475,7 +475,7 @@
                 stream.flush()
 
     def _descriptor(self) -> None:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         if process is not None and len(process.resources) >= process.machine.descriptors:
             raise OSError(errno.EMFILE, "Too many open files")
 
@@ -507,7 +507,7 @@
         self, factory: Callable[[], Any], at: Any, here: Machine, there: Machine, name: Any
     ) -> tuple[Any, Any]:
         self._descriptor()
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         fault = self.faults.at("connect", process)
         for number in range(len(SYN_AGAIN) + 1):
             out = self.ways.delay(here, there) / 1000.0
@@ -546,7 +546,7 @@
             client._protocol = protocol = factory()
             client.begin()
             if fault == "reset":
-                client._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                client.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             return client, protocol
         raise AssertionError("unreachable")
 
--- a/elderlock/sim/virtual/processes.py
+++ b/elderlock/sim/virtual/processes.py
@@ -113,13 +113,13 @@
             self.end(-number)
 
 
-CURRENT: contextvars.ContextVar[Process | None] = contextvars.ContextVar("elderlock.sim.process", default=None)
+CURRENT_PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("elderlock.sim.process", default=None)
 
 
 def context_of(process: Process | None) -> contextvars.Context:
     """A fresh context in which that process is the current one."""
     context = contextvars.copy_context()
-    context.run(CURRENT.set, process)
+    context.run(CURRENT_PROCESS.set, process)
     return context
 
 
--- a/elderlock/sim/virtual/system.py
+++ b/elderlock/sim/virtual/system.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from elderlock.sim.virtual.loop import EPOCH, START, SimLoop
-from elderlock.sim.virtual.processes import CURRENT
+from elderlock.sim.virtual.loop import START_MONOTONIC_S, START_UNIX_S, SimLoop
+from elderlock.sim.virtual.processes import CURRENT_PROCESS
 
 
 class RealTimeError(BaseException):
@@ -31,7 +31,7 @@
         self._real = real
 
     def _now(self) -> Mapping[str, str]:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         return self._real if process is None else process.environ
 
     def __getitem__(self, key: str) -> str:
@@ -58,18 +58,18 @@
         self._loop = loop
 
     def monotonic(self) -> float:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         now = self._loop.time()
-        return now if process is None else now + process.machine.drift * (now - START)
+        return now if process is None else now + process.machine.drift * (now - START_MONOTONIC_S)
 
     def wall(self) -> float:
         """Unix time by the machine's own clock, which may be off."""
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         offset = 0.0 if process is None else process.machine.offset / 1000.0
-        return EPOCH + (self.monotonic() - START) + offset
+        return START_UNIX_S + (self.monotonic() - START_MONOTONIC_S) + offset
 
     def true(self) -> float:
-        return EPOCH + (self._loop.time() - START)
+        return START_UNIX_S + (self._loop.time() - START_MONOTONIC_S)
 
 
 def _no_sleep(seconds: float) -> None:
@@ -99,7 +99,7 @@
         return rng.randbytes(count)
 
     def pid() -> int:
-        process = CURRENT.get()
+        process = CURRENT_PROCESS.get()
         return real_pid() if process is None else process.pid
 
     real_pid = os.getpid
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -209,7 +209,7 @@
 
 
 def test_a_livelock_on_the_decisions_floor_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(schedule, "MOST_AT_ONCE", 1000)
+    monkeypatch.setattr(schedule, "MAX_STEPS_AT_ONE_TIME", 1000)
     world = decisions.DecisionWorld(BASE, 1)
 
     def spin() -> None:
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -21,9 +21,9 @@
 from elderlock.sim.models.link_conditions import LinkConditions, LinkDelays
 from elderlock.sim.virtual import loop as virtual
 from elderlock.sim.virtual.host import SimHost
-from elderlock.sim.virtual.loop import START, DeadlockError, LivelockError, SimLoop
+from elderlock.sim.virtual.loop import START_MONOTONIC_S, DeadlockError, LivelockError, SimLoop
 from elderlock.sim.virtual.network import KERNEL_BUFFER_BYTES, Network
-from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of, start
+from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, context_of, start
 from elderlock.sim.virtual.system import RealTimeError, simulated_system
 
 HERE, THERE = Machine("here", "a", "127.0.1.1"), Machine("there", "b", "127.0.1.2")
@@ -118,7 +118,7 @@
         await asyncio.sleep(86_400.0)  # in life this would be the suite's last test
         return asyncio.get_running_loop().time()
 
-    assert run(loop, work) == pytest.approx(START + 86_400.0)
+    assert run(loop, work) == pytest.approx(START_MONOTONIC_S + 86_400.0)
 
 
 def test_timers_of_one_instant_come_in_an_order_that_the_seed_gives() -> None:
@@ -127,7 +127,7 @@
         loop = SimLoop(seed)
         told: list[int] = []
         for number in range(2):
-            loop.call_at(START + 1.0, told.append, number)
+            loop.call_at(START_MONOTONIC_S + 1.0, told.append, number)
         run(loop, lambda: asyncio.sleep(2.0))
         orders.add(tuple(told))
     assert orders == {(0, 1), (1, 0)}
@@ -150,7 +150,7 @@
 
 
 def test_a_livelock_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(virtual, "MOST_STEPS", 1000)
+    monkeypatch.setattr(virtual, "MAX_STEPS_AT_ONE_TIME", 1000)
     loop, _ = world()
 
     async def spin() -> None:
@@ -388,7 +388,7 @@
     def seen(seed: int) -> list[Any]:
         fresh = SimLoop(seed)
         with simulated_system(fresh, seed):
-            assert time.time() == pytest.approx(virtual.EPOCH) and time.monotonic() == START
+            assert time.time() == pytest.approx(virtual.START_UNIX_S) and time.monotonic() == START_MONOTONIC_S
             with pytest.raises(RealTimeError):
                 time.sleep(1.0)
             drawn = [
@@ -421,8 +421,13 @@
             seen.extend([time.time(), time.monotonic(), os.getpid(), os.environ["WHERE"]])
 
         await start(loop, process, look)
-        assert seen == [pytest.approx(virtual.EPOCH + 103.5), pytest.approx(START + 101.0), 4242, "here"]
-        assert "WHERE" not in os.environ and CURRENT.get() is None
+        assert seen == [
+            pytest.approx(virtual.START_UNIX_S + 103.5),
+            pytest.approx(START_MONOTONIC_S + 101.0),
+            4242,
+            "here",
+        ]
+        assert "WHERE" not in os.environ and CURRENT_PROCESS.get() is None
 
     with simulated_system(loop, 1):
         run(loop, work)
