--- a/elderlock/sim/invariant_checkers.py
+++ b/elderlock/sim/invariant_checkers.py
@@ -1,7 +1,9 @@
-"""What must hold in every run, whatever befalls the group. Judges hear what a world sees from outside, and say what was
-broken, when and by whom. No judge reads the state of the code that it judges.
+"""Checks the invariants that hold in every run, whatever faults are injected.
 
-Times are ms of the world's own clock; names are of requests, boxes and limiters.
+A checker receives the events that can be observed from outside the group and records each violation with its time and
+a description. No checker reads the state of the code that it checks.
+
+Times are ms of the run's own clock. Requests, servers and limiters are identified by name.
 """
 
 from __future__ import annotations
@@ -11,24 +13,46 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-KEPT_NAMES = 4000  # of requests that are over: a second answer comes soon, or the run is longer than memory
-MOST_SAMPLES = 600
-MOST_KEPT = 50  # broken rules that are kept in words, of each judge; all are counted
+# Finished requests that a checker remembers. A second answer or effect comes soon after the first; without a bound, a
+# long run would need unbounded memory.
+MAX_REMEMBERED_REQUESTS = 4000
+MAX_SAMPLES = 600
+MAX_REMEMBERED_VIOLATIONS = 50  # per checker; further violations are only counted
 
 
 class Violation(NamedTuple):
+    """One violation of an invariant.
+
+    Attributes:
+        rule: The name of the invariant checker.
+        at: When it happened, in ms of the run.
+        text: A description that names the subjects.
+    """
+
     rule: str
     at: float
     text: str
 
     def line(self) -> str:
+        """Returns the violation as one line of a report."""
         return f"{self.at / 1000.0:.3f} s: {self.rule}: {self.text}"
 
 
 @dataclass(frozen=True, slots=True)
 class CheckerLimits:
-    """The slack of each rule, in ms but for `multiple` and shares. `grace`: after a client's deadline. `drain`: in
-    which sends to a box that drains must cease. `multiple` of a cold box's present capacity within `window`."""
+    """The tolerances of the checkers.
+
+    Attributes:
+        grace: How long after the client's deadline an answer may come, in ms.
+        drain: How long after a limiter learns of a drain it may still send to the server, in ms.
+        multiple: How many times its present capacity a cold server may receive within `window`.
+        window: The length of that span, in ms.
+        cold_share: The share of its warm capacity that a server has when it starts.
+        cold_ms: How long a server takes to reach its full capacity, in ms.
+        instant: How long after a drain takes effect a server may still receive a request that was being written, in ms.
+        informed_share: The least share of a cold server's requests that must come from limiters that knew of its start
+            for an excess to count as a violation.
+    """
 
     grace: float = 50.0
     drain: float = 250.0
@@ -36,12 +60,20 @@
     window: float = 1000.0
     cold_share: float = 0.24
     cold_ms: float = 4000.0
-    instant: float = 5.0  # in which a box may still get what was being written when its drain came into force
-    told_share: float = 2.0 / 3.0  # of a cold box's work that must come from limiters that had heard of its start
+    instant: float = 5.0
+    informed_share: float = 2.0 / 3.0
 
 
 class InvariantChecker:
-    """Hears all; each judge overrides what it needs. `at` is ms of the run."""
+    """Base class: receives every event; a subclass overrides the methods of the events that it needs.
+
+    `at` is the time of the event in ms of the run.
+
+    Attributes:
+        name: The name of the checker in reports and kept seeds.
+        violations: The first violations, at most `MAX_REMEMBERED_VIOLATIONS`.
+        count: The number of all violations.
+    """
 
     name = ""
 
@@ -50,211 +82,267 @@
         self.count = 0
 
     def report(self, at: float, text: str) -> None:
+        """Records a violation."""
         self.count += 1
-        if len(self.violations) < MOST_KEPT:
+        if len(self.violations) < MAX_REMEMBERED_VIOLATIONS:
             self.violations.append(Violation(self.name, at, text))
 
     def asked(self, at: float, request: str, limiter: str, deadline: float, account: str, effect: str) -> None:
-        """A limiter took it from a client that waits until `deadline`."""
+        """A limiter accepted a request of a client that waits until `deadline`."""
 
     def answered(self, at: float, request: str, word: str) -> None:
-        """Its client got an answer: served, refused, failed, or wrong (another's)."""
+        """The client received an answer.
+
+        Args:
+            at: The time of the event.
+            request: The request.
+            word: `served`, `refused`, `failed`, or `wrong` for the answer to another request.
+        """
 
     def excused(self, at: float, request: str, why: str) -> None:
-        """No answer is owed: its client went away, or the limiter was killed or cut off from it."""
+        """The request needs no answer: its client disconnected, or its limiter was killed or partitioned from it."""
 
     def sent(self, at: float, limiter: str, box: str, request: str) -> None:
-        """A box got it, whole, from that limiter; `at` is when the limiter let it go."""
+        """A server received a complete request; `at` is the time at which the limiter sent it."""
 
     def ran(self, at: float, box: str, request: str) -> None:
-        """Its effect took place."""
+        """The request took effect on the server."""
 
     def told(self, at: float, limiter: str, box: str, state: str, started_at: float) -> None:
-        """The limiter has heard of the box: running, draining or gone; `started_at` in ms of the run."""
+        """The limiter learned a server's state.
+
+        Args:
+            at: The time of the event.
+            limiter: The limiter.
+            box: The server.
+            state: `running`, `draining` or `gone`.
+            started_at: The start of the server's process, in ms of the run.
+        """
 
-    def started(self, at: float, box: str, bears: float) -> None:
-        """A process of that box began, cold; warm it bears so many requests a ms."""
+    def started(self, at: float, box: str, capacity: float) -> None:
+        """A process of the server started cold; once warm it serves `capacity` requests per ms."""
 
     def spent(self, at: float, account: str, units: float) -> None:
-        """Work of that many units for the account was let go to a box."""
+        """Work of that many units was sent to a server on behalf of the account."""
 
     def limiter_began(self, at: float, limiter: str) -> None:
-        """A process of that limiter: what one before it had heard is lost."""
+        """A new process of the limiter started; it knows nothing that the previous process had learned."""
 
     def claimed(self, at: float, operator: str, target: str, limiter: str, since: float) -> None:
-        """A tool told its operator that this limiter sends nothing to the box any more, from `since` on."""
+        """A tool reported to its operator that the limiter has sent nothing to the server since `since`."""
 
     def failure(self, at: float, where: str, text: str) -> None:
-        """Code raised what nobody handled, or logged that it failed."""
+        """The code raised an unhandled exception or logged an error."""
 
     def ended(self, at: float) -> None:
-        """The run is over and has come to rest."""
+        """The run is over, and the group has had time to become idle."""
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     limiter: str
     deadline: float
 
 
 class UnansweredRequests(InvariantChecker):
-    """Rule 1: each request that was taken gets one final answer, no later than `grace` after its client's deadline."""
+    """Invariant 1: every accepted request gets exactly one final answer within `grace` after its client's deadline.
+
+    Attributes:
+        open: The requests that have no answer yet, by name.
+    """
 
     name = "no request lost"
 
     def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
-        self.open: dict[str, _Open] = {}
-        self._answered: dict[str, str] = {}
-        self._order: deque[str] = deque()
-        self._stalled: dict[str, float] = {}
+        self.open: dict[str, _OpenRequest] = {}
+        self._answers: dict[str, str] = {}
+        self._answer_order: deque[str] = deque()
+        self._stalled_until: dict[str, float] = {}
 
     def stalled(self, at: float, limiter: str, lasts: float) -> None:
-        """The limiter's machine gives it no time for so long (ms): what it owes is owed that much later."""
-        self._stalled[limiter] = max(self._stalled.get(limiter, 0.0), at + lasts)
-        for was in self.open.values():
-            if was.limiter == limiter:
-                was.deadline += lasts
+        """Extends the deadlines of a limiter whose machine gives it no CPU time for `lasts` ms."""
+        self._stalled_until[limiter] = max(self._stalled_until.get(limiter, 0.0), at + lasts)
+        for open_request in self.open.values():
+            if open_request.limiter == limiter:
+                open_request.deadline += lasts
 
     def asked(self, at: float, request: str, limiter: str, deadline: float, account: str, effect: str) -> None:
-        self.open[request] = _Open(limiter, deadline + max(0.0, self._stalled.get(limiter, 0.0) - at))
+        """Adds an open request."""
+        stall_left = max(0.0, self._stalled_until.get(limiter, 0.0) - at)
+        self.open[request] = _OpenRequest(limiter, deadline + stall_left)
 
     def answered(self, at: float, request: str, word: str) -> None:
-        if request in self._answered:
-            return self.report(at, f"{request} was answered {word} after {self._answered[request]}")
-        self._answered[request] = word
-        self._order.append(request)
-        if len(self._order) > KEPT_NAMES:
-            del self._answered[self._order.popleft()]
-        was = self.open.pop(request, None)
-        if was is None:
+        """Checks that the answer is the first one, belongs to the request and is in time."""
+        if request in self._answers:
+            return self.report(at, f"{request} was answered {word} after {self._answers[request]}")
+        self._answers[request] = word
+        self._answer_order.append(request)
+        if len(self._answer_order) > MAX_REMEMBERED_REQUESTS:
+            del self._answers[self._answer_order.popleft()]
+        open_request = self.open.pop(request, None)
+        if open_request is None:
             return
         if word == "wrong":
-            self.report(at, f"{request} got another's answer from {was.limiter}")
-        elif at > was.deadline + self._rules.grace:
-            self.report(at, f"{request} was answered {word} {at - was.deadline:.0f} ms late by {was.limiter}")
+            self.report(at, f"{request} got the answer to another request from {open_request.limiter}")
+        elif at > open_request.deadline + self._rules.grace:
+            late = at - open_request.deadline
+            self.report(at, f"{request} was answered {word} {late:.0f} ms late by {open_request.limiter}")
 
     def excused(self, at: float, request: str, why: str) -> None:
-        was = self.open.pop(request, None)
-        if was is not None and at > was.deadline + self._rules.grace:  # it comes after the answer was owed
-            self.report(at, f"{request} was never answered by {was.limiter}")
+        """Closes the request; an excuse that comes after the answer was due does not count."""
+        open_request = self.open.pop(request, None)
+        if open_request is not None and at > open_request.deadline + self._rules.grace:
+            self.report(at, f"{request} was never answered by {open_request.limiter}")
 
     def ended(self, at: float) -> None:
-        for request, was in self.open.items():
-            if at > was.deadline + self._rules.grace:
-                self.report(at, f"{request} was never answered by {was.limiter}")
+        """Reports the requests that are still open past their deadline."""
+        for request, open_request in self.open.items():
+            if at > open_request.deadline + self._rules.grace:
+                self.report(at, f"{request} was never answered by {open_request.limiter}")
 
 
 class RepeatedEffects(InvariantChecker):
-    """Rule 2: a request whose repeat would have a second effect runs once."""
+    """Invariant 2: a request that is not idempotent takes effect at most once."""
 
     name = "no effect twice"
 
     def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._effects: dict[str, str] = {}
-        self._ran: dict[str, str] = {}
+        self._ran_on: dict[str, str] = {}
         self._order: deque[str] = deque()
 
     def asked(self, at: float, request: str, limiter: str, deadline: float, account: str, effect: str) -> None:
+        """Remembers a request that may not take effect twice."""
         if effect != "free":
             self._effects[request] = effect
             self._order.append(request)
-            if len(self._order) > KEPT_NAMES:
-                old = self._order.popleft()
-                self._effects.pop(old, None)
-                self._ran.pop(old, None)
+            if len(self._order) > MAX_REMEMBERED_REQUESTS:
+                oldest = self._order.popleft()
+                self._effects.pop(oldest, None)
+                self._ran_on.pop(oldest, None)
 
     def ran(self, at: float, box: str, request: str) -> None:
+        """Checks that the request has not taken effect before."""
         if request not in self._effects:
             return
-        if request in self._ran:
-            self.report(at, f"{request} ({self._effects[request]}) ran on {self._ran[request]} and on {box}")
-        self._ran[request] = box
+        if request in self._ran_on:
+            self.report(at, f"{request} ({self._effects[request]}) ran on {self._ran_on[request]} and on {box}")
+        self._ran_on[request] = box
 
 
 class DrainedServers(InvariantChecker):
-    """Rule 3: no work goes to a box later than `drain` after the limiter heard that it drains or is gone."""
+    """Invariant 3: a limiter sends nothing later than `drain` after it learns that a server drains or is gone."""
 
     name = "drains kept"
 
     def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
-        self._since: dict[tuple[str, str], float] = {}
+        self._drained_since: dict[tuple[str, str], float] = {}
 
     def limiter_began(self, at: float, limiter: str) -> None:
-        for key in [key for key in self._since if key[0] == limiter]:
-            del self._since[key]
+        """Forgets what the limiter's previous process had learned."""
+        for key in [key for key in self._drained_since if key[0] == limiter]:
+            del self._drained_since[key]
 
     def told(self, at: float, limiter: str, box: str, state: str, started_at: float) -> None:
+        """Records when the limiter first learned that the server does not run."""
         if state == "running":
-            self._since.pop((limiter, box), None)
+            self._drained_since.pop((limiter, box), None)
         else:
-            self._since.setdefault((limiter, box), at)
+            self._drained_since.setdefault((limiter, box), at)
 
     def sent(self, at: float, limiter: str, box: str, request: str) -> None:
-        since = self._since.get((limiter, box))
+        """Checks that the server is not drained for this limiter."""
+        since = self._drained_since.get((limiter, box))
         if since is not None and at > since + self._rules.drain:
-            self.report(at, f"{limiter} sent {request} to {box} {at - since:.0f} ms after it heard of its drain")
+            self.report(at, f"{limiter} sent {request} to {box} {at - since:.0f} ms after it learned of its drain")
 
 
 @dataclass(slots=True)
-class _Cold:
-    began: float
-    bears: float
-    told: dict[str, float] = field(default_factory=dict)
-    work: deque[tuple[float, bool]] = field(default_factory=deque)  # when, and from one that had heard of the start
+class _ColdServer:
+    """A server that is still warming up.
+
+    Attributes:
+        started_at: When its process started.
+        capacity: Its capacity when warm, in requests per ms.
+        informed: The limiters that have learned of the start, with the time at which they did.
+        sends: The requests within the window: the time, and whether the limiter knew of the start.
+    """
+
+    started_at: float
+    capacity: float
+    informed: dict[str, float] = field(default_factory=dict)
+    sends: deque[tuple[float, bool]] = field(default_factory=deque)
 
 
 class ColdServers(InvariantChecker):
-    """Rule 4: within any `window`, a cold box gets no more than `multiple` times its present capacity, and a little for
-    chance (two deviations and three), where two thirds of that came from limiters that had heard of its start."""
+    """Invariant 4: in any `window`, a cold server receives at most `multiple` times its present capacity.
+
+    Two standard deviations and three requests are allowed on top for chance. An excess counts only if two thirds of the
+    requests (`informed_share`) came from limiters that knew of the server's start.
+
+    Attributes:
+        worst: The largest ratio of the requests in a window to the allowed number.
+    """
 
     name = "no cold box pushed over"
 
     def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
         self._rules = rules
-        self._cold: dict[str, _Cold] = {}
-        self.worst = 0.0  # the most that a window held, over what it may
+        self._cold: dict[str, _ColdServer] = {}
+        self.worst = 0.0
 
-    def started(self, at: float, box: str, bears: float) -> None:
-        self._cold[box] = _Cold(at, bears)
+    def started(self, at: float, box: str, capacity: float) -> None:
+        """Starts to watch the server."""
+        self._cold[box] = _ColdServer(at, capacity)
 
     def told(self, at: float, limiter: str, box: str, state: str, started_at: float) -> None:
+        """Records that the limiter knows of the present process of the server."""
         cold = self._cold.get(box)
-        if cold is not None and abs(started_at - cold.began) < 2.0:
-            cold.told.setdefault(limiter, at)
+        if cold is not None and abs(started_at - cold.started_at) < 2.0:
+            cold.informed.setdefault(limiter, at)
 
     def limiter_began(self, at: float, limiter: str) -> None:
+        """Forgets what the limiter's previous process had learned."""
         for cold in self._cold.values():
-            cold.told.pop(limiter, None)
+            cold.informed.pop(limiter, None)
 
     def sent(self, at: float, limiter: str, box: str, request: str) -> None:
+        """Checks the number of requests that the server received within the window."""
         cold = self._cold.get(box)
         if cold is None:
             return
-        rules, work = self._rules, cold.work
-        age = at - cold.began
+        rules, sends = self._rules, cold.sends
+        age = at - cold.started_at
         if age >= rules.cold_ms:
             del self._cold[box]
             return
-        work.append((at, limiter in cold.told))
-        while work and at - work[0][0] > rules.window:
-            work.popleft()
+        sends.append((at, limiter in cold.informed))
+        while sends and at - sends[0][0] > rules.window:
+            sends.popleft()
         share = rules.cold_share + (1.0 - rules.cold_share) * max(0.0, age) / rules.cold_ms
-        mean = cold.bears * share * rules.multiple * rules.window
+        mean = cold.capacity * share * rules.multiple * rules.window
         allowed = mean + 2.0 * mean**0.5 + 3.0
-        told = sum(known for _, known in work)
-        self.worst = max(self.worst, len(work) / allowed)
-        if len(work) > allowed and told >= rules.told_share * len(work):
-            self.report(at, f"{box} got {len(work)} within {rules.window:.0f} ms, {allowed:.0f} are the most")
+        informed = sum(is_informed for _, is_informed in sends)
+        self.worst = max(self.worst, len(sends) / allowed)
+        if len(sends) > allowed and informed >= rules.informed_share * len(sends):
+            self.report(
+                at,
+                f"{box} received {len(sends)} requests within {rules.window:.0f} ms, at most {allowed:.0f} are allowed",
+            )
 
 
 class HardCeilings(InvariantChecker):
-    """Rule 5: what is let go for an account stays under ceiling burst + rate x time, and its slack, in any span."""
+    """Invariant 5: over any span, an account's work stays within ceiling burst + rate x time + slack.
+
+    Attributes:
+        worst: The most units by which an account exceeded burst + rate x time.
+    """
 
     name = "ceilings kept"
 
@@ -262,13 +350,21 @@
         super().__init__()
         self._plans: dict[str, tuple[float, float, float]] = {}
         self._levels: dict[str, tuple[float, float]] = {}
-        self.worst = 0.0  # units over burst + rate x time
+        self.worst = 0.0
 
     def ceiling(self, account: str, rate: float, burst: float, slack: float) -> None:
-        """The account has one: units a second, units, units."""
+        """Sets the account's ceiling.
+
+        Args:
+            account: The account.
+            rate: Units per second.
+            burst: Units.
+            slack: Units by which the ceiling may be exceeded.
+        """
         self._plans[account] = (rate / 1000.0, burst, slack)
 
     def spent(self, at: float, account: str, units: float) -> None:
+        """Adds the units to the account's bucket and checks its level."""
         plan = self._plans.get(account)
         if plan is None:
             return
@@ -278,12 +374,15 @@
         self._levels[account] = (level, max(at, since))
         self.worst = max(self.worst, level - burst)
         if level > burst + slack + 1e-6:
-            self.report(at, f"account {account}: {level - burst:.2f} units over its ceiling, {slack:g} are its slack")
+            self.report(at, f"account {account}: {level - burst:.2f} units over its ceiling, its slack is {slack:g}")
 
 
 class DrainReports(InvariantChecker):
-    """A drain's report is honest: once a tool has said that a limiter sends a box no more, it does not; what was being
-    written in that `instant` is the last."""
+    """Checks that a drain report is true.
+
+    Once a tool has reported that a limiter sends nothing to a server any more, the limiter sends nothing more. Only a
+    request that was being written may still arrive, within `instant`.
+    """
 
     name = "drain reported as it is"
 
@@ -291,29 +390,38 @@
         super().__init__()
         self._instant = rules.instant
         self._claims: dict[tuple[str, str], float] = {}
-        self._last: dict[tuple[str, str], float] = {}
+        self._last_sent: dict[tuple[str, str], float] = {}
 
     def claimed(self, at: float, operator: str, target: str, limiter: str, since: float) -> None:
+        """Checks the report against the limiter's last request to the server."""
         key = (limiter, target)
         self._claims.setdefault(key, since)
-        if self._last.get(key, -1e18) > since + self._instant:
-            late = self._last[key] - since
-            self.report(at, f"{operator} was told that {limiter} sends {target} no more, {late:.0f} ms before it did")
+        if self._last_sent.get(key, -1e18) > since + self._instant:
+            late = self._last_sent[key] - since
+            self.report(
+                at,
+                f"{operator} was told that {limiter} sends nothing to {target} any more, but it sent a request "
+                f"{late:.0f} ms after the time in the report",
+            )
 
     def undrained(self, target: str) -> None:
+        """Withdraws the reports on the server, because an operator reinstates it."""
         for key in [key for key in self._claims if key[1] == target]:
             del self._claims[key]
 
     def sent(self, at: float, limiter: str, box: str, request: str) -> None:
+        """Checks that the server was not reported as drained at this limiter."""
         key = (limiter, box)
-        self._last[key] = at
+        self._last_sent[key] = at
         since = self._claims.get(key)
         if since is not None and at > since + self._instant:
-            self.report(at, f"{limiter} sent {request} to {box}, which its operator was told is drained there")
+            self.report(
+                at, f"{limiter} sent {request} to {box}, although its operator was told that it is drained there"
+            )
 
 
 class UnhandledErrors(InvariantChecker):
-    """Nothing fails in the code itself: no exception that nobody handles, no event that the module cannot take."""
+    """Checks that the code raises no unhandled exception and receives no event that it cannot handle."""
 
     name = "nothing raised"
 
@@ -321,71 +429,95 @@
         super().__init__()
 
     def failure(self, at: float, where: str, text: str) -> None:
+        """Reports the error."""
         self.report(at, f"{where}: {text}")
 
 
 class Quiescence(InvariantChecker):
-    """What a run leaves behind: `look` gives, at its end, what should be nought by then, by name."""
+    """Checks that nothing is left over when the group is idle at the end of a run."""
 
     name = "all comes to rest"
 
-    def __init__(self, rules: CheckerLimits, look: Callable[[], dict[str, int]] = dict) -> None:
+    def __init__(self, rules: CheckerLimits, count_leftovers: Callable[[], dict[str, int]] = dict) -> None:
+        """Creates the checker.
+
+        Args:
+            rules: The tolerances.
+            count_leftovers: Returns the counts that have to be zero at the end of the run, by name.
+        """
         super().__init__()
-        self._look = look
+        self._count_leftovers = count_leftovers
 
     def ended(self, at: float) -> None:
-        for what, left in self._look().items():
+        """Reports each count that is not zero."""
+        for name, left in self._count_leftovers().items():
             if left:
-                self.report(at, f"{left} {what}")
+                self.report(at, f"{left} {name}")
 
 
 class UnboundedGrowth(InvariantChecker):
-    """Nothing grows with time: of what is counted now and then while requests come, the least of the last third is no
-    more than `TIMES` that of the middle one, and `MORE`. What grows evenly from nothing has twice as much there; a rush
-    leaves the least of a third alone. Told by the world through `counted`."""
+    """Checks that no sampled count grows with time.
+
+    The samples are taken from time to time while requests come, and passed to `counted`. The least sample of the last
+    third of the run may be at most `MAX_RATIO` times that of the middle third, plus `MAX_INCREASE`. A count that grows
+    evenly from zero doubles between the two; a traffic spike does not change the least sample of a third.
+    """
 
     name = "no unbounded growth"
-    TIMES, MORE = 1.5, 200
+    MAX_RATIO, MAX_INCREASE = 1.5, 200
 
     def __init__(self, rules: CheckerLimits) -> None:
         super().__init__()
-        self._seen: dict[str, list[int]] = {}
+        self._samples: dict[str, list[int]] = {}
 
     def counted(self, what: str, number: int) -> None:
-        seen = self._seen.setdefault(what, [])
-        seen.append(number)
-        if len(seen) >= MOST_SAMPLES:  # of each two the lesser: it is the least that is compared
-            seen[:] = [min(pair) for pair in zip(seen[::2], seen[1::2], strict=True)]
+        """Adds a sample of the count of that name."""
+        samples = self._samples.setdefault(what, [])
+        samples.append(number)
+        if len(samples) >= MAX_SAMPLES:  # keeps the lesser of each two, as the least samples are compared
+            samples[:] = [min(pair) for pair in zip(samples[::2], samples[1::2], strict=True)]
 
     def ended(self, at: float) -> None:
-        for what, seen in self._seen.items():
-            third = len(seen) // 3
+        """Compares the last third of each count with the middle third."""
+        for what, samples in self._samples.items():
+            third = len(samples) // 3
             if third < 3:
                 continue
-            middle, last = min(seen[third : 2 * third]), min(seen[-third:])
-            if last > self.TIMES * middle + self.MORE:
+            middle, last = min(samples[third : 2 * third]), min(samples[-third:])
+            if last > self.MAX_RATIO * middle + self.MAX_INCREASE:
                 self.report(at, f"{what} grew from {middle} to {last}")
 
 
 class RecordAgreement(InvariantChecker):
-    """Agents that reach one another hold the same records within `within` ms of the last change or heal."""
+    """Checks that agents that can reach one another hold the same records at the end of a run.
+
+    Attributes:
+        within: How long after the last change or the end of the last partition they may differ, in ms.
+    """
 
     name = "records agree"
     within = 3000.0
 
     def __init__(self, rules: CheckerLimits, digests: Callable[[], dict[str, str]] = dict) -> None:
+        """Creates the checker.
+
+        Args:
+            rules: The tolerances.
+            digests: Returns the digest of the records of each agent, by the agent's name.
+        """
         super().__init__()
         self._digests = digests
 
     def ended(self, at: float) -> None:
+        """Compares the digests."""
         digests = self._digests()
         if len(set(digests.values())) > 1:
-            held = ", ".join(f"{name} {digest[:8]}" for name, digest in sorted(digests.items()))
-            self.report(at, f"after a rest they hold different records: {held}")
+            listing = ", ".join(f"{name} {digest[:8]}" for name, digest in sorted(digests.items()))
+            self.report(at, f"the agents hold different records at the end of the run: {listing}")
 
 
 class CheckerEvents:
-    """What judges hear, each taking what the `InvariantChecker` of that name does."""
+    """The events that are passed on to checkers; each has the signature of the `InvariantChecker` method it names."""
 
     asked: Callable[..., None]
     answered: Callable[..., None]
@@ -401,12 +533,17 @@
 
 
 class CheckerSet(CheckerEvents):
-    """All judges of a run, told as one."""
+    """All checkers of a run; passes each event to those that override its method.
+
+    Attributes:
+        checkers: The checkers.
+        ended: Tells all checkers that the run is over.
+    """
 
     ended: Callable[..., None]
 
-    def __init__(self, judges: list[InvariantChecker]) -> None:
-        self.checkers = judges
+    def __init__(self, checkers: list[InvariantChecker]) -> None:
+        self.checkers = checkers
         self.counts: Counter[str] = Counter()
         for name in (
             "asked",
@@ -422,20 +559,25 @@
             "failure",
             "ended",
         ):
-            base = getattr(InvariantChecker, name)
-            hears = [getattr(judge, name) for judge in judges if getattr(type(judge), name) is not base]
-            setattr(self, name, _all(hears))
+            base_method = getattr(InvariantChecker, name)
+            handlers = [
+                getattr(checker, name) for checker in checkers if getattr(type(checker), name) is not base_method
+            ]
+            setattr(self, name, _call_all(handlers))
 
     def violations(self) -> list[Violation]:
-        return sorted((each for judge in self.checkers for each in judge.violations), key=lambda broken: broken.at)
+        """Returns the remembered violations of all checkers in order of time."""
+        violations = (violation for checker in self.checkers for violation in checker.violations)
+        return sorted(violations, key=lambda violation: violation.at)
 
     def total(self) -> int:
-        return sum(judge.count for judge in self.checkers)
+        """Returns the number of all violations."""
+        return sum(checker.count for checker in self.checkers)
 
 
-def _all(hears: list[Callable[..., None]]) -> Callable[..., None]:
-    def tell(*args: object) -> None:
-        for hear in hears:
-            hear(*args)
+def _call_all(handlers: list[Callable[..., None]]) -> Callable[..., None]:
+    def dispatch(*args: object) -> None:
+        for handler in handlers:
+            handler(*args)
 
-    return tell
+    return dispatch
--- a/elderlock/sim/models/__init__.py
+++ b/elderlock/sim/models/__init__.py
@@ -1,1 +1,1 @@
-"""What the group meets, as formulas: boxes, the network, the counter, machines. No I/O, no clock of their own."""
+"""Models of the servers, network, counter and machines around the group. They do no I/O and have no clock."""
--- a/tests/sim/test_judges.py
+++ b/tests/sim/test_judges.py
@@ -119,7 +119,7 @@
     assert [text.split(" by")[0] for _, _, text in judge.violations] == [
         "a was answered failed after served",
         "b was answered failed 60 ms late",
-        "c got another's answer from n0",
+        "c got the answer to another request from n0",
         "d was never answered",
     ]
 
@@ -138,7 +138,7 @@
 def test_a_burst_at_a_cold_box_counts_only_by_those_who_knew() -> None:
     def judged(told: bool) -> int:
         judge = j.ColdServers(RULES)
-        judge.started(0.0, "s", bears=0.1)
+        judge.started(0.0, "s", capacity=0.1)
         if told:
             judge.told(1.0, "n0", "s", "running", 0.0)
         for number in range(120):
