--- a/elderlock/sim/virtual/__init__.py
+++ b/elderlock/sim/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""What stands under the shells in simulated time: an event loop, a network, processes, files and the clock."""
+"""The simulated system under the shells: an event loop, a network, processes, files and clocks."""
--- a/elderlock/sim/virtual/network.py
+++ b/elderlock/sim/virtual/network.py
@@ -1,9 +1,11 @@
-"""A network in memory: streams with back-pressure, split reads, resets and half-closed ends, and datagrams that get
-lost, doubled and reordered. Its delays and cuts are the model's (`elderlock.sim.models.link_conditions`).
+"""A network in memory: streams and datagrams between simulated machines.
 
-A stream is two pipes. Bytes leave when they are written and come in order after the way's delay; across a cut they
-wait for its end, as TCP's repeats do. The kernel of a killed process resets its streams; a machine that vanished
-says nothing at all.
+Streams have back-pressure, split reads, resets and half-closed ends. Datagrams can be lost, duplicated and reordered.
+Delays, loss and cuts come from `elderlock.sim.models.link_conditions`.
+
+A stream has two ends. Bytes leave when they are written and arrive in order after the delay of the link. Across a cut
+they wait for its end, like segments that TCP retransmits. The kernel of a killed process resets its streams; a machine
+that vanished sends nothing at all.
 """
 
 from __future__ import annotations
@@ -20,40 +22,46 @@
 from elderlock.sim.virtual.loop import TIE_BREAK_S, SimLoop
 from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process
 
-KERNEL_BUFFER_BYTES = 1 << 18  # bytes that the kernels take of one direction before `write` has to buffer
-HIGH_WATER = 1 << 16  # bytes buffered above that, beyond which a protocol is told to pause
-READ_MOST = 1 << 14  # bytes handed over at once, what the shells' buffers hold
-SPLIT = 0.1  # share of arrivals that come in two reads
-SYN_AGAIN = (1.0, 3.0, 7.0)  # s after which a lost SYN is sent again
-ACCEPT_AGAIN = 1.0  # s that an accept out of descriptors waits, as asyncio has it
+KERNEL_BUFFER_BYTES = 1 << 18  # bytes in one direction that both kernels hold before `write` buffers in the process
+HIGH_WATER_BYTES = 1 << 16  # bytes in the write buffer above which the protocol is paused
+MAX_READ_BYTES = 1 << 14  # bytes of one read; the size of the buffers in the shells
+SPLIT_SHARE = 0.1  # share of arrivals that come in two reads
+SYN_RETRY_DELAYS_S = (1.0, 3.0, 7.0)  # waits before the retransmissions of a lost SYN
+ACCEPT_RETRY_S = 1.0  # wait after an accept found no free descriptor; the value of asyncio
 
 Address = tuple[str, int]
 
 
 class Faults(Protocol):
-    """Asked at each step of input or output; the way in which it fails, or empty."""
+    """Injects faults into single steps of input and output."""
 
-    def at(self, kind: str, process: Process | None) -> str: ...
+    def at(self, kind: str, process: Process | None) -> str:
+        """Returns the fault of this step of that kind, or an empty string."""
 
 
 class Tap(Protocol):
-    """Looks on at one end of a stream."""
+    """Observes one end of a stream."""
 
-    def wrote(self, data: bytes) -> None: ...
+    def wrote(self, data: bytes) -> None:
+        """This end wrote the data."""
 
-    def read(self, data: bytes) -> None: ...
+    def read(self, data: bytes) -> None:
+        """This end read the data."""
 
     def closed(self, by_us: bool) -> None:
-        """The end is over; `by_us`: this end closed first."""
+        """This end is closed; `by_us` is whether it closed first."""
 
 
 class NoFaults:
+    """Injects no faults."""
+
     def at(self, kind: str, process: Process | None) -> str:
+        """Returns an empty string."""
         return ""
 
 
 class _Socket:
-    """What code asks of a transport's socket."""
+    """The part of a transport's socket that the code uses."""
 
     family = 2
 
@@ -65,27 +73,41 @@
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
         if option == 13 and isinstance(value, bytes) and isinstance(self._stream, Stream):  # SO_LINGER
-            self._stream.hard = value[:4] != b"\0\0\0\0"
+            self._stream.resets_on_close = value[:4] != b"\0\0\0\0"
 
     def fileno(self) -> int:
         return -1
 
 
 class Listener:
-    """An `asyncio.Server` as far as its users go."""
+    """The part of `asyncio.Server` that the code uses.
+
+    Attributes:
+        network: The network.
+        at: The address or path.
+        factory: Makes the protocol of an accepted connection.
+        backlog: How many connections may wait to be accepted.
+        process: The process that listens.
+        context: The context of that process.
+        pending: How many connections wait to be accepted.
+        sockets: The listening socket.
+        open: Whether it still listens.
+    """
 
     def __init__(self, network: Network, at: Any, factory: Callable[[], Any], backlog: int) -> None:
         self.network, self.at, self.factory, self.backlog = network, at, factory, backlog
         self.process = CURRENT_PROCESS.get()
         self.context = contextvars.copy_context()
-        self.pending = 0  # connected by the kernel, and not taken yet
+        self.pending = 0
         self.sockets: tuple[_Socket, ...] = (_Socket(self, at),)
         self.open = True
 
     def is_serving(self) -> bool:
+        """Returns whether it still listens."""
         return self.open
 
     def close(self) -> None:
+        """Stops listening."""
         self.open = False
         if self.network.listening.get(self.at) is self:
             del self.network.listening[self.at]
@@ -95,12 +117,15 @@
     killed = close
 
     async def wait_closed(self) -> None:
+        """Returns at once, as accepted connections do not belong to the listener."""
         return None
 
     async def start_serving(self) -> None:
+        """Does nothing: a listener accepts from its creation."""
         return None
 
     def get_loop(self) -> SimLoop:
+        """Returns the event loop."""
         return self.network.loop
 
     async def __aenter__(self) -> Listener:
@@ -111,8 +136,22 @@
 
 
 class Stream(asyncio.Transport):
-    """One end of a connection. Invariant: the peer sees every byte written before an orderly end, once, in order; a
-    reset takes what it has not read yet."""
+    """One end of a connection.
+
+    Invariant: the peer reads every byte that was written before an orderly close, once and in order. A reset discards
+    what the peer has not read yet.
+
+    Attributes:
+        network: The network.
+        loop: The event loop.
+        context: The context of the process that the end belongs to.
+        machine: The machine of this end.
+        process: The process that the end belongs to.
+        peer: The other end.
+        resets_on_close: Whether a close resets the connection, as SO_LINGER with time 0 does.
+        is_connected: Whether the protocol's `connection_made` was called.
+        tap: An observer of this end.
+    """
 
     def __init__(
         self, network: Network, protocol: Any, context: contextvars.Context, machine: Machine, name: Any, peer_name: Any
@@ -122,62 +161,71 @@
         self.machine = machine
         self.process = context.get(CURRENT_PROCESS)
         self.peer: Stream
-        self.hard: bool = False  # a close resets
-        self._closing = self._lost = self._eof_sent = self._eof_seen = self.made = False
-        self._paused = False
-        self._told_paused = False
-        self._arrived: deque[bytes] = deque()  # what has come and was not taken
-        self._flight = 0  # bytes written that the peer has not taken
+        self.resets_on_close: bool = False
+        self._closing = self._lost = self._eof_sent = self._eof_received = self.is_connected = False
+        self._reading_paused = False
+        self._writing_paused = False
+        self._received: deque[bytes] = deque()  # received by the kernel and not read yet
+        self._in_flight_bytes = 0  # written and not read by the peer yet
         self._last_arrival = 0.0
-        self._stuck: deque[tuple[str, bytes]] = deque()  # behind a cut
+        self._blocked: deque[tuple[str, bytes]] = deque()  # waits for the end of a cut
         self.tap: Tap | None = None
         self._close_when_drained = False
         if self.process is not None:
             self.process.resources[self] = None
 
-    # The protocol's side
+    # The interface to the protocol
 
     def _call(self, callback: Callable[..., None], *args: Any) -> None:
         self.loop.call_soon(callback, *args, context=self.context)
 
     def begin(self) -> None:
-        """`connection_made`, in the process that the stream belongs to."""
+        """Calls the protocol's `connection_made` in the process that the end belongs to."""
         if self._lost:
             return
-        self.made = True
+        self.is_connected = True
         self._protocol.connection_made(self)
-        self._hand_over()
+        self._deliver()
 
     def get_protocol(self) -> Any:
+        """Returns the protocol."""
         return self._protocol
 
     def set_protocol(self, protocol: Any) -> None:
+        """Replaces the protocol."""
         self._protocol = protocol
 
     def is_closing(self) -> bool:
         return self._closing
 
     def is_reading(self) -> bool:
-        return not self._paused and not self._closing
+        """Returns whether data is notify_transfer to the protocol."""
+        return not self._reading_paused and not self._closing
 
     def pause_reading(self) -> None:
-        self._paused = True
+        """Stops passing data to the protocol."""
+        self._reading_paused = True
 
     def resume_reading(self) -> None:
-        if self._paused:
-            self._paused = False
-            self._call(self._hand_over)
+        """Continues to pass data to the protocol."""
+        if self._reading_paused:
+            self._reading_paused = False
+            self._call(self._deliver)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Does nothing: the limits are fixed."""
         pass
 
     def get_write_buffer_size(self) -> int:
-        return max(0, self._flight - KERNEL_BUFFER_BYTES)
+        """Returns the number of bytes that the kernels have not taken."""
+        return max(0, self._in_flight_bytes - KERNEL_BUFFER_BYTES)
 
     def can_write_eof(self) -> bool:
+        """Returns that half-closing is supported."""
         return True
 
     def write(self, data: Any) -> None:
+        """Sends data, unless a fault is injected."""
         if self._closing or self._eof_sent or self._lost:
             return
         data = bytes(data)
@@ -186,196 +234,220 @@
         if self.tap is not None:
             self.tap.wrote(data)
         match self.network.faults.at("write", self.process):
-            case "reset":  # before a byte of it left
+            case "reset":  # before any byte is sent
                 return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
             case "half":
                 data = data[: len(data) // 2]
                 self._send("data", data)
-                self._flight += len(data)
+                self._in_flight_bytes += len(data)
                 return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
-            case "sent":  # it leaves whole, and the answer never comes
+            case "sent":  # all bytes are sent, but no answer can come
                 self._send("data", data)
                 return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
-            case "late" if self.machine.floor and self.peer.machine.floor:  # a client's own link is not ours
+            # links of clients are not delayed; clients are in no zone
+            case "late" if self.machine.floor and self.peer.machine.floor:
                 self._last_arrival = max(self._last_arrival, self.loop.time()) + 3.0
-        self._flight += len(data)
+        self._in_flight_bytes += len(data)
         self._send("data", data)
-        if self._flight > KERNEL_BUFFER_BYTES + HIGH_WATER and not self._told_paused:
-            self._told_paused = True
+        if self._in_flight_bytes > KERNEL_BUFFER_BYTES + HIGH_WATER_BYTES and not self._writing_paused:
+            self._writing_paused = True
             self._protocol.pause_writing()
 
     def writelines(self, list_of_data: Any) -> None:
+        """Sends the concatenated data."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
+        """Half-closes the connection."""
         if not self._eof_sent and not self._closing:
             self._eof_sent = True
             self._send("fin", b"")
 
     def close(self) -> None:
+        """Closes the connection after the buffered data has been sent."""
         if self._closing:
             return
         self._closing = True
-        self._tell_tap(True)
-        self._leave()
-        if self._flight > KERNEL_BUFFER_BYTES:
+        self._close_tap(True)
+        self._send_close()
+        if self._in_flight_bytes > KERNEL_BUFFER_BYTES:
             self._close_when_drained = True
         else:
-            self._call(self._gone, None)
+            self._call(self._connection_lost, None)
 
     def abort(self) -> None:
-        """What the kernel has taken still goes; input that nobody read, or no linger, makes it a reset."""
+        """Closes the connection at once.
+
+        Data that the kernel has taken is still sent. Unread input or SO_LINGER with time 0 makes the close a reset.
+        """
         if self._lost:
             return
         if not self._closing:
             self._closing = True
-            self._tell_tap(True)
-            self._leave()
-        self._call(self._gone, None)
+            self._close_tap(True)
+            self._send_close()
+        self._call(self._connection_lost, None)
 
-    def _tell_tap(self, by_us: bool) -> None:
+    def _close_tap(self, by_us: bool) -> None:
         if self.tap is not None:
             self.tap.closed(by_us)
             self.tap = None
 
-    def _leave(self) -> None:
-        if self.hard or self._arrived:
+    def _send_close(self) -> None:
+        if self.resets_on_close or self._received:
             self._send("rst", b"")
         elif not self._eof_sent:
             self._send("fin", b"")
         self._eof_sent = True
 
-    def _gone(self, error: Exception | None) -> None:
+    def _connection_lost(self, error: Exception | None) -> None:
         if self._lost:
             return
         self._lost = self._closing = True
-        self._arrived.clear()
-        self._tell_tap(False)
-        self._release()
-        if self.made:
+        self._received.clear()
+        self._close_tap(False)
+        self._release_descriptor()
+        if self.is_connected:
             self._protocol.connection_lost(error)
 
     def reset_connection(self, error: Exception) -> None:
-        """The connection is reset for both."""
+        """Resets the connection at both ends."""
         if not self._closing or self._close_when_drained:
             self._closing = True
             self._send("rst", b"")
-            self._call(self._gone, error)
+            self._call(self._connection_lost, error)
 
-    def _release(self) -> None:
+    def _release_descriptor(self) -> None:
         if self.process is not None:
             self.process.resources.pop(self, None)
 
     def killed(self) -> None:
-        """Its process has ended: the kernel closes, and nobody here hears of it."""
+        """Closes the end in the kernel after its process ended; the protocol is not called."""
         if not self._lost:
             self._lost = True
             if not self._closing:
                 self._closing = True
-                self._leave()
-            self._arrived.clear()
+                self._send_close()
+            self._received.clear()
 
-    # The wire's side
+    # The interface to the network
 
     def _send(self, what: str, data: bytes) -> None:
         network = self.network
-        if self._stuck or network.ways.is_cut(self.machine, self.peer.machine):
-            if not self._stuck:
+        if self._blocked or network.ways.is_cut(self.machine, self.peer.machine):
+            if not self._blocked:
                 network.stuck[self] = None
-            self._stuck.append((what, data))
+            self._blocked.append((what, data))
             return
-        self._depart(what, data)
+        self._transmit(what, data)
 
-    def _depart(self, what: str, data: bytes, held: float = 0.0) -> None:
+    def _transmit(self, what: str, data: bytes, held: float = 0.0) -> None:
         network = self.network
         way = network.ways.delay(self.machine, self.peer.machine) / 1000.0
         if network.ways.is_lost(self.machine, self.peer.machine):
             way += network.ways.retransmission_delay() / 1000.0
-        # timers of one instant change places: those of one stream must not
+        # timers due at the same time run in a random order, but the segments of one stream must stay in order
         at = max(self._last_arrival + 2.0 * TIE_BREAK_S, self.loop.time() + way + held)
         self._last_arrival = at
-        network.passed(what, self, data)
+        network.notify_transfer(what, self, data)
         self.loop.call_at(at, self.peer.arrive, what, data, context=network.wire)
 
-    def flush(self) -> None:
-        """The cut has ended: what waited goes on, after the repeat's own wait."""
-        stuck, self._stuck = self._stuck, deque()
+    def resume_after_cut(self) -> None:
+        """Sends what waited for the end of a cut, after the delay of a retransmission."""
+        stuck, self._blocked = self._blocked, deque()
         held = self.network.ways.retransmission_delay() / 1000.0
         for what, data in stuck:
-            self._depart(what, data, held)
+            self._transmit(what, data, held)
 
     def arrive(self, what: str, data: bytes) -> None:
-        """Run by the wire, not by a process: a paused one's kernel takes it in."""
+        """Receives a segment in the kernel.
+
+        It runs outside of any process, because the kernel receives even while the process is paused.
+
+        Args:
+            what: `data`, `fin` or `rst`.
+            data: The bytes of a data segment.
+        """
         if self._lost or (self._closing and not self._close_when_drained):
             if what == "data" and not self.peer._lost:
-                self._send("rst", b"")  # sent to a closed end
-                self.peer._flight = 0
+                self._send("rst", b"")  # the answer of a closed end
+                self.peer._in_flight_bytes = 0
             return
         if what == "rst":
-            self._arrived.clear()
-            self._call(self._gone, ConnectionResetError(errno.ECONNRESET, "Connection reset by peer"))
+            self._received.clear()
+            self._call(self._connection_lost, ConnectionResetError(errno.ECONNRESET, "Connection reset by peer"))
             return
         if what == "data":
             if self.network.faults.at("read", self.process) == "reset":
-                self._arrived.clear()
+                self._received.clear()
                 return self.reset_connection(ConnectionResetError(errno.ECONNRESET, "reset"))
-            if len(data) > 1 and self.network.rng.random() < SPLIT:
+            if len(data) > 1 and self.network.rng.random() < SPLIT_SHARE:
                 cut = self.network.rng.randrange(1, len(data))
-                self._arrived.append(data[:cut])
-                self._call(self._hand_over)
-                self._arrived.append(data[cut:])
+                self._received.append(data[:cut])
+                self._call(self._deliver)
+                self._received.append(data[cut:])
             else:
-                self._arrived += (data[at : at + READ_MOST] for at in range(0, len(data), READ_MOST))
+                self._received += (data[at : at + MAX_READ_BYTES] for at in range(0, len(data), MAX_READ_BYTES))
         else:
-            self._eof_seen = True
-        self._call(self._hand_over)
+            self._eof_received = True
+        self._call(self._deliver)
 
-    def _hand_over(self) -> None:
-        """As much as one read gives, then again; the end of the stream after all of it."""
-        if self._lost or self._paused or not self.made:
+    def _deliver(self) -> None:
+        """Passes the data of one read to the protocol and schedules the next; reports the end of the stream last."""
+        if self._lost or self._reading_paused or not self.is_connected:
             return
-        if self._arrived:
+        if self._received:
             if self._closing:
                 return
-            data = self._arrived.popleft()
+            data = self._received.popleft()
             if self.tap is not None:
                 self.tap.read(data)
             if isinstance(self._protocol, asyncio.BufferedProtocol):
                 view = memoryview(self._protocol.get_buffer(len(data)))
                 taken = min(len(view), len(data))
                 view[:taken] = data[:taken]
-                if taken < len(data):  # the tap has seen these once, and sees them again
-                    raise ValueError("a protocol's buffer is smaller than what one read gives")
+                if taken < len(data):  # a second read of the rest would pass it to the tap twice
+                    raise ValueError(f"the protocol's buffer has {len(view)} bytes, a read gives {len(data)}")
                 self._protocol.buffer_updated(taken)
             else:
                 taken = len(data)
                 self._protocol.data_received(data)
-            self.peer.taken(taken)
-            if self._arrived or self._eof_seen:
-                self._call(self._hand_over)
-        elif self._eof_seen and not self._closing:
-            self._eof_seen = False
+            self.peer.acknowledge(taken)
+            if self._received or self._eof_received:
+                self._call(self._deliver)
+        elif self._eof_received and not self._closing:
+            self._eof_received = False
             if not self._protocol.eof_received():
                 self.close()
 
-    def taken(self, count: int) -> None:
-        """The peer has read so many bytes; an acknowledgement costs the way back, which we leave out."""
-        self._flight = max(0, self._flight - count)
+    def acknowledge(self, count: int) -> None:
+        """Handles that the peer has read that many bytes; the delay of the acknowledgement is not simulated."""
+        self._in_flight_bytes = max(0, self._in_flight_bytes - count)
         if self._lost:
             return
-        if self._close_when_drained and self._flight <= KERNEL_BUFFER_BYTES:
+        if self._close_when_drained and self._in_flight_bytes <= KERNEL_BUFFER_BYTES:
             self._close_when_drained = False
-            self._call(self._gone, None)
-        if self._told_paused and self._flight <= KERNEL_BUFFER_BYTES:
-            self._told_paused = False
+            self._call(self._connection_lost, None)
+        if self._writing_paused and self._in_flight_bytes <= KERNEL_BUFFER_BYTES:
+            self._writing_paused = False
             self._call(self._resume)
 
     def _resume(self) -> None:
-        if not self._lost and self.made:
+        if not self._lost and self.is_connected:
             self._protocol.resume_writing()
 
 
 class Datagrams(asyncio.DatagramTransport):
+    """A datagram endpoint.
+
+    Attributes:
+        network: The network.
+        at: Its address.
+        process: The process that it belongs to.
+        context: The context of that process.
+        machine: The machine of the process.
+    """
+
     def __init__(self, network: Network, protocol: Any, at: Address, remote: Address | None) -> None:
         super().__init__({"sockname": at, "peername": remote})
         self.network, self._protocol, self.at, self._remote = network, protocol, at, remote
@@ -387,6 +459,7 @@
             self.process.resources[self] = None
 
     def sendto(self, data: Any, addr: Any = None) -> None:
+        """Sends a datagram to the address or to all members of a multicast group, except to itself."""
         network: Network = self.network
         to: Any = addr or self._remote
         if self._closing:
@@ -399,18 +472,19 @@
     def _send(self, data: bytes, to: Address) -> None:
         network = self.network
         there = network.bound.get((to[0], to[1]))
-        network.passed("datagram", self, data)
+        network.notify_transfer("datagram", self, data)
         fault = network.faults.at("datagram", self.process)
         if there is None or fault == "lost" or network.ways.is_cut(self.machine, there.machine):
             return
         if network.ways.is_datagram_lost(self.machine, there.machine):
             return
         copies = 2 if fault == "doubled" or network.ways.is_duplicated() else 1
-        for _ in range(copies):  # each with a delay of its own: that is what reorders them
+        for _ in range(copies):  # each copy draws its own delay, which can reorder datagrams
             way = network.ways.delay(self.machine, there.machine) / 1000.0 + (0.5 if fault == "late" else 0.0)
             network.loop.call_later(way, there.arrive, data, self.at, context=network.wire)
 
     def arrive(self, data: bytes, sender: Address) -> None:
+        """Receives a datagram in the kernel."""
         if not self._closing:
             self.network.loop.call_soon(self._receive, data, sender, context=self.context)
 
@@ -437,7 +511,23 @@
 
 
 class Network:
-    """`machines` says on which machine a host's address lies; an unknown one is the world's own."""
+    """The network of a run.
+
+    Attributes:
+        loop: The event loop.
+        ways: The conditions of the links.
+        rng: The source of randomness.
+        faults: The injected faults of input and output.
+        listening: The listeners, by address or path.
+        bound: The datagram endpoints, by address.
+        stuck: The streams that wait for the end of a cut.
+        machines: The machine of each host address; unknown addresses belong to `world`.
+        world: The machine of everything outside of the group, such as clients.
+        wire: The context in which the network itself runs, outside of any process.
+        multicast_groups: The member addresses of each group address.
+        on_transfer: Called for each segment and datagram with its kind, the sending transport and the data.
+        on_connect: Called for each new connection with both ends and the address; it may set their taps.
+    """
 
     def __init__(self, loop: SimLoop, ways: LinkConditions, rng: random.Random, faults: Faults | None = None) -> None:
         self.loop, self.ways, self.rng = loop, ways, rng
@@ -451,43 +541,49 @@
         self._port = 20_000
         self.wire = contextvars.copy_context()
         self.wire.run(CURRENT_PROCESS.set, None)
-        self.multicast_groups: dict[Address, list[Address]] = {}  # addresses that stand for many
+        self.multicast_groups: dict[Address, list[Address]] = {}
         self.on_transfer: Callable[[str, Any, bytes], None] | None = None
-        self.on_connect: Callable[[Stream, Stream, Any], None] | None = None  # may put taps on both ends
+        self.on_connect: Callable[[Stream, Stream, Any], None] | None = None
         ways.on_cuts_removed = self.resume_stuck_streams
 
     def machine(self) -> Machine:
+        """Returns the machine of the current process."""
         process = CURRENT_PROCESS.get()
         return process.machine if process is not None else self.world
 
     def port(self) -> int:
+        """Allocates a port number."""
         self._port += 1
         return self._port
 
-    def passed(self, what: str, by: Any, data: bytes) -> None:
+    def notify_transfer(self, what: str, by: Any, data: bytes) -> None:
+        """Reports a segment or datagram to `on_transfer`."""
         if self.on_transfer is not None:
             self.on_transfer(what, by, data)
 
     def resume_stuck_streams(self) -> None:
+        """Continues the streams whose link is no longer cut."""
         for stream in list(self.stuck):
             if not self.ways.is_cut(stream.machine, stream.peer.machine):
                 del self.stuck[stream]
-                stream.flush()
+                stream.resume_after_cut()
 
-    def _descriptor(self) -> None:
+    def _check_descriptor_limit(self) -> None:
         process = CURRENT_PROCESS.get()
         if process is not None and len(process.resources) >= process.machine.descriptors:
             raise OSError(errno.EMFILE, "Too many open files")
 
     def listen(self, factory: Callable[[], Any], host: str, port: int, backlog: int = 100) -> Listener:
+        """Starts a TCP server; port 0 allocates a port."""
         at = (host, port or self.port())
         return self._listen(factory, at, backlog)
 
     def listen_unix(self, factory: Callable[[], Any], path: str, backlog: int = 100) -> Listener:
+        """Starts a server on a Unix socket."""
         return self._listen(factory, path, backlog)
 
     def _listen(self, factory: Callable[[], Any], at: Any, backlog: int) -> Listener:
-        self._descriptor()
+        self._check_descriptor_limit()
         if at in self.listening:
             raise OSError(errno.EADDRINUSE, f"{at}: address already in use")
         listening = self.listening[at] = Listener(self, at, factory, backlog)
@@ -496,20 +592,22 @@
         return listening
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[Any, Any]:
+        """Opens a TCP connection and returns its transport and protocol."""
         here, there = self.machine(), self.machines.get(host, self.world)
         return await self._connect(factory, (host, port), here, there, (here.host, self.port()))
 
     async def connect_unix(self, factory: Callable[[], Any], path: str) -> tuple[Any, Any]:
+        """Opens a connection to a Unix socket on the same machine."""
         here = self.machine()
         return await self._connect(factory, path, here, here, "")
 
     async def _connect(
         self, factory: Callable[[], Any], at: Any, here: Machine, there: Machine, name: Any
     ) -> tuple[Any, Any]:
-        self._descriptor()
+        self._check_descriptor_limit()
         process = CURRENT_PROCESS.get()
         fault = self.faults.at("connect", process)
-        for number in range(len(SYN_AGAIN) + 1):
+        for number in range(len(SYN_RETRY_DELAYS_S) + 1):
             out = self.ways.delay(here, there) / 1000.0
             back = self.ways.delay(there, here) / 1000.0
             lost = fault == "silent" or self.ways.is_cut(here, there) or self.ways.is_cut(there, here)
@@ -518,9 +616,9 @@
             if not lost and listening is not None and listening.pending >= listening.backlog:
                 lost = True
             if lost:
-                if number == len(SYN_AGAIN):
+                if number == len(SYN_RETRY_DELAYS_S):
                     raise TimeoutError(errno.ETIMEDOUT, "Connection timed out")
-                await asyncio.sleep(SYN_AGAIN[number])
+                await asyncio.sleep(SYN_RETRY_DELAYS_S[number])
                 continue
             await asyncio.sleep(out)
             listening = self.listening.get(at)
@@ -528,7 +626,7 @@
                 await asyncio.sleep(back)
                 raise ConnectionRefusedError(errno.ECONNREFUSED, f"{at}: connection refused")
             server = Stream(self, None, listening.context, there, at, name)
-            server._release()  # its descriptor begins with the accept
+            server._release_descriptor()  # it takes a descriptor only when it is accepted
             client = Stream(self, None, contextvars.copy_context(), here, name, at)
             client.peer, server.peer = server, client
             if self.on_connect is not None:
@@ -538,7 +636,7 @@
             try:
                 await asyncio.sleep(back)
             except BaseException:
-                client.hard = True
+                client.resets_on_close = True
                 client.abort()
                 raise
             if client._lost:
@@ -551,15 +649,15 @@
         raise AssertionError("unreachable")
 
     def _accept(self, listening: Listener, server: Stream) -> None:
-        """In the listener's process: a paused one takes nothing, and its backlog fills."""
+        """Accepts a connection in the listener's process; while that is paused, the backlog fills."""
         if not listening.open:
             listening.pending -= 1
-            server.hard = True
+            server.resets_on_close = True
             server.abort()
             return
         process = listening.process
         if process is not None and len(process.resources) >= process.machine.descriptors:
-            self.loop.call_later(ACCEPT_AGAIN, self._accept, listening, server)
+            self.loop.call_later(ACCEPT_RETRY_S, self._accept, listening, server)
             return
         listening.pending -= 1
         if server._lost:
@@ -572,7 +670,8 @@
     def datagrams(
         self, factory: Callable[[], Any], local: Address | None, remote: Address | None
     ) -> tuple[Datagrams, Any]:
-        self._descriptor()
+        """Creates a datagram endpoint; without a local address it gets the machine's address and an allocated port."""
+        self._check_descriptor_limit()
         at = local or (self.machine().host, 0)
         if not at[1]:
             at = (at[0], self.port())
@@ -584,5 +683,5 @@
         return transport, protocol
 
     def assign_host(self, host: str, machine: Machine) -> None:
-        """That address lies on this machine."""
+        """Assigns a host address to a machine."""
         self.machines[host] = machine
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -157,7 +157,7 @@
         while True:
             await asyncio.sleep(0)
 
-    with pytest.raises(LivelockError, match="time stands"):
+    with pytest.raises(LivelockError, match="the clock stays at"):
         run(loop, spin)
 
 
