--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -30,7 +30,7 @@
 from elderlock.sim import decisions, search, shells
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import Net, Plan, Scenario, ServerKind, Service, Settings, with_load
-from elderlock.sim.seeds import Floor
+from elderlock.sim.seeds import Level
 from elderlock.standins.boxes import OLD, STD
 from elderlock.trial.processes import swept
 
@@ -113,7 +113,7 @@
     return alike
 
 
-search_floors: tuple[Floor, ...] = ("shells", "decisions")
+search_floors: tuple[Level, ...] = ("shells", "decisions")
 
 
 def bites() -> tuple[int, int]:
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -66,7 +66,7 @@
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._number = 0
         self._begun = 0
-        self.dry = False
+        self.arrivals_done = False
         self.hoard = 0.0  # share of those asked just now whose client keeps its connection
         self._last: Arrival | None = None
         self.silent: list[Any] = []  # connections that say nothing
@@ -89,14 +89,14 @@
             if wait > 0:
                 await asyncio.sleep(wait)
             self._launch(arrival)
-        self.dry = True
+        self.arrivals_done = True
 
     async def rush(self, rate: float, lasts: float) -> None:
         """As many requests a second more, like those of the schedule."""
         ends = self.loop.time() + lasts
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
-            if self.loop.time() >= ends or self.dry:
+            if self.loop.time() >= ends or self.arrivals_done:
                 return
             if self._last is not None:
                 self._launch(self._last)
@@ -126,7 +126,7 @@
 
     def close(self) -> None:
         """On a real loop, which outlives them."""
-        self.dry = True
+        self.arrivals_done = True
         for task in self._tasks:
             task.cancel()
         for request in list(self.open):
--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -25,19 +25,19 @@
     def begin(self, number: int, fault: Fault) -> None:
         world = self.world
         world.trace.event(world.at(), "fault", f"{number} {fault.target} {fault.what}")
-        match fault.kind():
+        match fault.target_kind():
             case "box":
                 uids = list(world.boxes)
-                for each in fault.numbers(len(uids)):
+                for each in fault.target_numbers(len(uids)):
                     self._box(fault, world.boxes[uids[each]])
             case "limiter":
-                for each in fault.numbers(world.scenario.limiters):
+                for each in fault.target_numbers(world.scenario.limiters):
                     self._limiter(fault, each)
             case "agent":
-                for each in fault.numbers(world.scenario.agents):
+                for each in fault.target_numbers(world.scenario.agents):
                     self._agent(fault, each)
             case "floor":
-                for each in fault.numbers(world.scenario.floors):
+                for each in fault.target_numbers(world.scenario.floors):
                     self._floor(fault, floor_name(each))
             case "counter":
                 self._counter(fault)
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -465,7 +465,7 @@
         # before that each limiter may not have met each customer, nor the first time-out come
         if self.scenario.lasts_s >= LONG:
             self.growth.counted("accounts", accounts)
-            self.growth.counted("what is due", self.schedule.waiting())
+            self.growth.counted("what is due", self.schedule.pending_count())
         self.features.add(f"{'+'.join(sorted(phases))} out={min(out, 3)} silent={min(silent, 2)}")
 
 
--- a/elderlock/sim/experiment.py
+++ b/elderlock/sim/experiment.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from elderlock.load.scenario import ScenarioError, Strict
-from elderlock.sim.figures import NUMBERS
+from elderlock.sim.figures import FIGURE_NAMES
 from elderlock.sim.scenario import Scenario, parse, read
 
 SHIPPED = resources.files("elderlock.sim") / "scenarios"
@@ -115,7 +115,7 @@
 
 
 def figure_known(name: str) -> bool:
-    return name in NUMBERS or name.startswith(("share.", "more."))
+    return name in FIGURE_NAMES or name.startswith(("share.", "more."))
 
 
 def bound(text: str, file: ExperimentFile) -> Bound:
@@ -125,7 +125,9 @@
         raise ScenarioError(f"fail_if: {text!r} is not like served_in_time@SETTING[SCENARIO]<0.95 or diff.p99_ms>20")
     diff, figure, setting, scenario, sign, value = found.groups()
     if not figure_known(figure):
-        raise ScenarioError(f"fail_if: there is no figure {figure!r}; there are {', '.join(NUMBERS)} and share.OUTCOME")
+        raise ScenarioError(
+            f"fail_if: there is no figure {figure!r}; there are {', '.join(FIGURE_NAMES)} and share.OUTCOME"
+        )
     if setting and setting not in {s.name for s in file.setting}:
         raise ScenarioError(f"fail_if: there is no setting {setting!r}")
     if scenario and scenario not in {s.name for s in file.scenario}:
@@ -175,7 +177,9 @@
         raise ScenarioError(f"it must have between 1 and {MOST_RUNS} runs")
     for figure in file.figures:
         if not figure_known(figure):
-            raise ScenarioError(f"figures: there is no {figure!r}; there are {', '.join(NUMBERS)} and share.OUTCOME")
+            raise ScenarioError(
+                f"figures: there is no {figure!r}; there are {', '.join(FIGURE_NAMES)} and share.OUTCOME"
+            )
     return {
         (scenario.name, setting.name): scenario_of(scenario.file, folder, (*scenario.set, *setting.set))
         for scenario in file.scenario
--- a/elderlock/sim/figures.py
+++ b/elderlock/sim/figures.py
@@ -46,12 +46,12 @@
             return self.outcomes.get(name[6:], 0) / max(1, self.offered)
         if name.startswith("more."):
             return self.more[name[5:]]
-        if name not in NUMBERS:
+        if name not in FIGURE_NAMES:
             raise KeyError(name)
         return float(getattr(self, name))
 
 
-NUMBERS = (
+FIGURE_NAMES = (
     "offered",
     "p50_ms",
     "p99_ms",
--- a/elderlock/sim/grammar.py
+++ b/elderlock/sim/grammar.py
@@ -144,7 +144,7 @@
             if fault.at_s > ends:
                 continue
             if fault.what == "remove" or fault.what == "dead":
-                count = len(fault.numbers(self._scenario.boxes)) if fault.kind() == "box" else 1
+                count = len(fault.target_numbers(self._scenario.boxes)) if fault.target_kind() == "box" else 1
                 if removed + count > MOST_REMOVED * self._scenario.boxes:
                     continue
                 removed += count
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -146,10 +146,10 @@
     for_s: float = 0.0
     by: float = 0.0
 
-    def kind(self) -> str:
+    def target_kind(self) -> str:
         return self.target.partition(":")[0]
 
-    def numbers(self, count: int) -> range:
+    def target_numbers(self, count: int) -> range:
         """Which of `count` it names."""
         _, _, which = self.target.partition(":")
         if which in ("", "*"):
@@ -157,7 +157,7 @@
         first, _, last = which.partition("-")
         return range(min(int(first), count), min(int(last or first) + 1, count))
 
-    def ends(self) -> tuple[str, str]:
+    def link_ends(self) -> tuple[str, str]:
         """Of a `way:`: whence and whither."""
         found = WAY.fullmatch(self.target)
         assert found is not None
@@ -440,7 +440,7 @@
             "counter, discovery, peers, clients, way:A>B with A and B box:N, limiter:N, agent:N, counter, discovery, "
             "clients or tool"
         )
-    able = FAULTS_BY_TARGET[fault.kind()]
+    able = FAULTS_BY_TARGET[fault.target_kind()]
     if fault.what not in able:
         raise ScenarioError(f"{where}: {fault.target} cannot be made {fault.what}; it can be {', '.join(sorted(able))}")
     load.bounds(
@@ -457,11 +457,11 @@
         why = ""
         if floor != "trial" and fault.what in TRIAL_ONLY:
             why = "real files and real wires alone show that"
-        elif floor == "decisions" and (fault.what in SHELLS_ONLY or fault.kind() == "way"):
+        elif floor == "decisions" and (fault.what in SHELLS_ONLY or fault.target_kind() == "way"):
             why = "there are no processes, files and connections on this floor"
         elif floor == "decisions" and fault.what in ("silent-clients", "hoard", "clock"):
             why = "there are no connections and no machine's clocks on this floor"
-        elif floor == "trial" and fault.kind() == "floor" and fault.what == "loss":
+        elif floor == "trial" and fault.target_kind() == "floor" and fault.what == "loss":
             why = "a relay passes streams whole: lose datagrams by peers or by way"
         if why:
             found.append(f"{fault.target} {fault.what} at {fault.at_s:g} s: {why}")
--- a/elderlock/sim/schedule.py
+++ b/elderlock/sim/schedule.py
@@ -46,7 +46,7 @@
         heapq.heappush(self._due, (self.time + max(wait, 0.0), tie, self._number, due))
         return due
 
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """How many things are due, cancelled ones among them."""
         return len(self._due)
 
--- a/elderlock/sim/search.py
+++ b/elderlock/sim/search.py
@@ -20,7 +20,7 @@
 from elderlock.sim.figures import Result
 from elderlock.sim.grammar import Corpus, Grammar, shrink
 from elderlock.sim.scenario import Fault, Scenario
-from elderlock.sim.seeds import Floor, Seed
+from elderlock.sim.seeds import Level, Seed
 
 WAYS: dict[str, tuple[str, ...]] = {
     "connect": ("refused", "silent", "reset"),
@@ -75,7 +75,7 @@
     """One search over a scenario. The schedules come from `seed`, also which run gets which; what is varied depends
     on the order in which runs end, so a search is not repeated, but each of its runs is."""
 
-    def __init__(self, scenario: Scenario, floor: Floor, seed: int) -> None:
+    def __init__(self, scenario: Scenario, floor: Level, seed: int) -> None:
         self.scenario, self.floor = scenario, floor
         self._rng = random.Random(f"search/{seed}")
         self._corpus = Corpus(Grammar(scenario, floor), self._rng)
@@ -130,7 +130,7 @@
         report.found.append(cut_down(scenario, seed, self.floor, result, shrink_most))
 
 
-def cut_down(scenario: Scenario, seed: int, floor: Floor, result: Result, most: int = 200) -> Found:
+def cut_down(scenario: Scenario, seed: int, floor: Level, result: Result, most: int = 200) -> Found:
     """The shortest schedule that still breaks one of the rules that this one broke."""
     rules = set(result.rules())
 
--- a/elderlock/sim/seeds.py
+++ b/elderlock/sim/seeds.py
@@ -16,7 +16,7 @@
 from elderlock.sim.scenario import FORMAT, Scenario, check, timeline
 
 LONGEST = 32 << 20  # bytes
-Floor = Literal["shells", "decisions"]
+Level = Literal["shells", "decisions"]
 
 
 class SeedError(Exception):
@@ -33,7 +33,7 @@
 
     scenario: Scenario
     seed: int
-    floor: Floor = "shells"
+    floor: Level = "shells"
     broke: tuple[str, ...] = ()
     about: str = ""
     digest: str = ""
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -37,19 +37,19 @@
         return lambda: self.world.ways.remove_cuts(pairs)
 
     async def _fault(self, fault: Fault) -> None:
-        match fault.kind():
+        match fault.target_kind():
             case "box":
                 uids = list(self.world.listing.boxes)
-                for number in fault.numbers(len(uids)):
+                for number in fault.target_numbers(len(uids)):
                     await self.box_fault(fault, self.world.listing.boxes.get(uids[number]))
             case "limiter":
-                for number in fault.numbers(self.world.scenario.limiters):
+                for number in fault.target_numbers(self.world.scenario.limiters):
                     await self._limiter_fault(fault, number)
             case "agent":
-                for number in fault.numbers(self.world.scenario.agents):
+                for number in fault.target_numbers(self.world.scenario.agents):
                     await self._agent_fault(fault, number)
             case "floor":
-                for number in fault.numbers(self.world.scenario.floors):
+                for number in fault.target_numbers(self.world.scenario.floors):
                     await self._floor_fault(fault, floor_name(number))
             case "counter":
                 await self.counter_fault(fault)
@@ -92,7 +92,7 @@
 
     def _way_fault(self, fault: Fault) -> None:
         ways, by = self.world.ways, effective_amount(fault)
-        source, target = (self._machine_of(end) for end in fault.ends())
+        source, target = (self._machine_of(end) for end in fault.link_ends())
         pair = (source, target)
         match fault.what:
             case "cut":
@@ -105,7 +105,7 @@
                 ways.pair_extra_loss[pair] = by
                 self._for(fault, lambda: ways.pair_extra_loss.pop(pair, None))
             case "reset":
-                if "clients" in fault.ends():
+                if "clients" in fault.link_ends():
                     self.world.broke_streams = True
                 for process in list(self.world.processes.values()):
                     for held in list(process.resources) if process.alive else ():
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -253,7 +253,7 @@
             self.loop.call_later(fault.at_s, self.faults.begin, number, fault)
         self.loop.create_task(self._sample())
         await asyncio.sleep(s.lasts_s)
-        self.clients.dry = True
+        self.clients.arrivals_done = True
         await asyncio.sleep(s.longest_deadline() / 1000.0 + s.rest_s)
         self.bench.ended(self.at())
 
@@ -538,7 +538,7 @@
     async def _sample(self) -> None:
         """The states that came together, for the search, and what could grow."""
         assert self.clients is not None
-        while not self.clients.dry:
+        while not self.clients.arrivals_done:
             await asyncio.sleep(SAMPLE_EVERY)
             phases, out = set(), 0
             for name, gateway in self.gateways.items():
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -42,19 +42,19 @@
 
     async def _fault(self, fault: Fault) -> None:
         world, s = self.world, self.world.scenario
-        match fault.kind():
+        match fault.target_kind():
             case "box":
                 uids = list(world.listing.boxes)
-                for number in fault.numbers(len(uids)):
+                for number in fault.target_numbers(len(uids)):
                     await self.box_fault(fault, world.listing.boxes.get(uids[number]))
             case "limiter":
-                for number in fault.numbers(s.limiters):
+                for number in fault.target_numbers(s.limiters):
                     await self._limiter_fault(fault, number)
             case "agent":
-                for number in fault.numbers(s.agents):
+                for number in fault.target_numbers(s.agents):
                     await self._agent_fault(fault, number)
             case "floor":
-                for number in fault.numbers(s.floors):
+                for number in fault.target_numbers(s.floors):
                     await self._floor_fault(fault, floor_name(number))
             case "counter":
                 await self.counter_fault(fault)
@@ -99,7 +99,7 @@
         return end
 
     def _way_fault(self, fault: Fault) -> None:
-        source, target = (self._name(end) for end in fault.ends())
+        source, target = (self._name(end) for end in fault.link_ends())
         match fault.what:
             case "reset":
                 for relay, _ in self.world.relays.between([(source, target)]):
--- a/elderlock/trial/run.py
+++ b/elderlock/trial/run.py
@@ -131,7 +131,7 @@
 async def _sampled(ground: Ground, looks: Looks) -> None:
     while True:
         await asyncio.sleep(SAMPLE_EVERY)
-        if ground.clients is not None and not ground.clients.dry:
+        if ground.clients is not None and not ground.clients.arrivals_done:
             ground.sample()
         await looks.look()
 
@@ -145,7 +145,7 @@
     sampling = ground.loop.create_task(_sampled(ground, looks))
     try:
         await asyncio.sleep(s.lasts_s)
-        clients.dry = True
+        clients.arrivals_done = True
         await asyncio.sleep(s.longest_deadline() / 1000.0 + s.rest_s)
         async with asyncio.timeout(SETTLE_WITHIN):
             await faults.settled()
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -97,7 +97,7 @@
         for fault in faults:
             check_fault("drawn", fault, scenario.lasts_s)
             assert fault.at_s + fault.for_s <= scenario.lasts_s + 1e-6
-        removed = sum(len(f.numbers(6)) for f in faults if f.what == "remove")
+        removed = sum(len(f.target_numbers(6)) for f in faults if f.what == "remove")
         assert removed <= MOST_REMOVED * scenario.boxes
         faults = grammar.vary(faults, rng)
 
