--- a/elderlock/sim/__init__.py
+++ b/elderlock/sim/__init__.py
@@ -1,1 +1,1 @@
-"""A whole group in simulated time: the code that ships, models of what it meets, judges, search and experiments."""
+"""Simulates a whole group: the shipped code, models of its surroundings, invariant checkers, search and experiments."""
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -1,5 +1,4 @@
-"""The clients on the shells' floor: the load generator's schedule, front, connections and manners, on virtual
-sockets."""
+"""The clients at the shells level: the load generator's schedule, connections and client behavior on virtual sockets."""
 
 from __future__ import annotations
 
@@ -17,16 +16,17 @@
 from elderlock.load.wire import Connection, Pool, Request
 from elderlock.sim.scenario import Scenario
 
-PING_EVERY, PING_WITHIN = 0.3, 2.0  # s
-OVER = 1.0  # s after the longest deadline
+PING_INTERVAL_S, PING_TIMEOUT_S = 0.3, 2.0
 
+# Called with a request, its outcome, and the ms from its intended start to its end
 Finished = Callable[[Request, str, float], None]
 
 
 class HoardingPool(Pool):
-    """Connections of many clients, some of which ask once and keep theirs for good, used by nobody."""
+    """The connections of many clients, some of which send one request and keep their connection open forever."""
 
     def free(self, connection: Connection) -> None:
+        """Returns a connection to the pool, unless its client hoards it."""
         clients = self.engine
         assert isinstance(clients, Clients)
         if clients.hoard and connection.usable() and clients.rng.random() < clients.hoard:
@@ -36,7 +36,18 @@
 
 
 class Clients:
-    """`finished` hears of each request's end once: how, and after how long (ms) from its intended start."""
+    """All clients of a run.
+
+    Attributes:
+        loop: The event loop.
+        rng: The source of randomness.
+        front: The limiters' addresses and health.
+        counts: Counts of requests, retries, attempts and outcomes.
+        open: The requests that have not ended.
+        arrivals_done: Whether the schedule has ended.
+        hoard: The share of requests whose client now keeps its connection.
+        silent: The connections that never send anything.
+    """
 
     def __init__(
         self,
@@ -46,69 +57,78 @@
         rng: random.Random,
         finished: Finished,
     ) -> None:
+        """Creates the clients.
+
+        Args:
+            scenario: The scenario.
+            addresses: The addresses of the limiters.
+            arrivals: The requests in order of time.
+            rng: The source of randomness.
+            finished: Called once for each request when it ends.
+        """
         self.loop = asyncio.get_running_loop()
         self._scenario, self._arrivals, self.rng, self._finished = scenario, arrivals, rng, finished
         traffic = scenario.traffic(0)
-        manners = [traffic.clients_of(number) for number in range(max(1, len(scenario.stream)))]
-        self._ways = [Way(clients) for clients in manners]
-        self._marks = [clients.marks_retries for clients in manners]
+        behaviors = [traffic.clients_of(number) for number in range(max(1, len(scenario.stream)))]
+        self._ways = [Way(clients) for clients in behaviors]
+        self._marks_retries = [clients.marks_retries for clients in behaviors]
         self._addresses = addresses
-        self.front = Front(len(addresses), PING_WITHIN)
+        self.front = Front(len(addresses), PING_TIMEOUT_S)
         self._pools = [
             [
-                HoardingPool(self, self.loop, at, own.connections == "keep", own.most_connections, True)
+                HoardingPool(self, self.loop, at, clients.connections == "keep", clients.most_connections, True)
                 for at in addresses
             ]
-            for own in manners
+            for clients in behaviors
         ]
         self.counts: Counter[str] = Counter()
         self.open: dict[Request, None] = {}
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._number = 0
-        self._begun = 0
+        self._last_number = 0
+        self._started_us = 0
         self.arrivals_done = False
-        self.hoard = 0.0  # share of those asked just now whose client keeps its connection
-        self._last: Arrival | None = None
-        self.silent: list[Any] = []  # connections that say nothing
+        self.hoard = 0.0
+        self._last_arrival: Arrival | None = None
+        self.silent: list[Any] = []
 
     def start(self) -> None:
-        """The schedule begins now."""
-        self._begun = now_us()
+        """Starts the schedule."""
+        self._started_us = now_us()
         for target in range(len(self._addresses)):
-            self._task(ping(self.front, target, self._addresses[target], PING_EVERY, PING_WITHIN))
-        self._task(self._send())
+            self._create_task(ping(self.front, target, self._addresses[target], PING_INTERVAL_S, PING_TIMEOUT_S))
+        self._create_task(self._send())
 
-    def _task(self, work: Any) -> None:
+    def _create_task(self, work: Any) -> None:
         task = self.loop.create_task(work)
         self._tasks[task] = None
         task.add_done_callback(self._tasks.pop)
 
     async def _send(self) -> None:
         for arrival in self._arrivals:
-            wait = (self._begun + arrival.at - now_us()) / 1e6
+            wait = (self._started_us + arrival.at - now_us()) / 1e6
             if wait > 0:
                 await asyncio.sleep(wait)
             self._launch(arrival)
         self.arrivals_done = True
 
     async def rush(self, rate: float, lasts: float) -> None:
-        """As many requests a second more, like those of the schedule."""
+        """Sends `rate` additional requests per second for `lasts` s, each a copy of the latest of the schedule."""
         ends = self.loop.time() + lasts
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
             if self.loop.time() >= ends or self.arrivals_done:
                 return
-            if self._last is not None:
-                self._launch(self._last)
+            if self._last_arrival is not None:
+                self._launch(self._last_arrival)
 
     async def silent_crowd(self, rate: float, lasts: float) -> None:
-        """So many connections a second that never say a word, each kept until the limiter ends it."""
+        """Opens `rate` connections per second for `lasts` s that send nothing until the limiter closes them."""
         ends = self.loop.time() + lasts
         while self.loop.time() < ends:
             await asyncio.sleep(self.rng.expovariate(rate))
-            self._task(self._silent(self.rng.choice(self._addresses)))
+            self._create_task(self._keep_silent_connection(self.rng.choice(self._addresses)))
 
-    async def _silent(self, at: tuple[str, int]) -> None:
+    async def _keep_silent_connection(self, at: tuple[str, int]) -> None:
         try:
             async with asyncio.timeout(5.0):
                 reader, writer = await asyncio.open_connection(*at)
@@ -125,7 +145,7 @@
             writer.close()
 
     def close(self) -> None:
-        """On a real loop, which outlives them."""
+        """Stops all clients; needed on a real event loop, which continues to run."""
         self.arrivals_done = True
         for task in self._tasks:
             task.cancel()
@@ -138,16 +158,16 @@
             for pool in pools:
                 pool.close()
 
-    # One request, as the load generator's worker has it
+    # A request, handled as the load generator's worker does
 
     def _launch(self, arrival: Arrival) -> None:
-        self._number += 1
-        self._last = arrival
-        request = Request(self._number, arrival, now_us(), arrival.stream)
+        self._last_number += 1
+        self._last_arrival = arrival
+        request = Request(self._last_number, arrival, now_us(), arrival.stream)
         self.open[request] = None
         self.counts["offered"] += 1
         if arrival.leaves:
-            request.leave = self.loop.call_later(arrival.leaves / 1e6, self._leaves, request)
+            request.leave = self.loop.call_later(arrival.leaves / 1e6, self._leave, request)
         self._try(request)
 
     def _try(self, request: Request) -> None:
@@ -168,24 +188,33 @@
         self._pools[request.way][target].send(request)
 
     def terms(self, request: Request) -> bytes:
-        a = request.arrival
-        left = self._ways[request.way].patience(a.deadline, (request.wrote - request.began) / 1000.0)
-        marked = b",r=1" if request.tries > 1 and self._marks[request.way] else b""
+        """Returns the parameters of the present attempt as the limiter's protocol encodes them."""
+        arrival = request.arrival
+        time_left = self._ways[request.way].patience(arrival.deadline, (request.wrote - request.began) / 1000.0)
+        retry_mark = b",r=1" if request.tries > 1 and self._marks_retries[request.way] else b""
         return b"c=%b,t=%b,units=%b,spread=%d,first=%d,d=%d%b" % (
-            a.class_name.encode(),
-            a.plan.encode(),
-            f"{a.units:g}".encode(),
-            a.spread,
-            a.first,
-            max(1, int(left)),
-            marked,
+            arrival.class_name.encode(),
+            arrival.plan.encode(),
+            f"{arrival.units:g}".encode(),
+            arrival.spread,
+            arrival.first,
+            max(1, int(time_left)),
+            retry_mark,
         )
 
     def wrote(self, request: Request) -> None:
+        """Records that the present attempt was sent."""
         request.sent = True
         self.counts["tries"] += 1
 
     def ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
+        """Handles the end of an attempt: retries the request, or ends it.
+
+        Args:
+            request: The request.
+            outcome: The outcome of the attempt.
+            advice: The limiter's advice when to retry, in ms; None if it gave none.
+        """
         if not request.active:
             return
         request.active = False
@@ -194,13 +223,14 @@
             request.timer = None
         request.reason = reason(request.reason, outcome, request.sent, request.wrote > 0)
         arrival, waited = request.arrival, (now_us() - request.began) / 1000.0
-        again = None
+        retry = None
         if outcome not in FINAL:
-            way = self._ways[request.way]
-            again = way.after(outcome, advice, request.tries, arrival.honours, waited, arrival.deadline, self.rng)
-        if again is None:
+            retry = self._ways[request.way].after(
+                outcome, advice, request.tries, arrival.honours, waited, arrival.deadline, self.rng
+            )
+        if retry is None:
             return self._finish(request, request.reason)
-        request.again = self.loop.call_later(again.wait / 1000.0, self._try, request)
+        request.again = self.loop.call_later(retry.wait / 1000.0, self._try, request)
 
     def _timed_out(self, request: Request) -> None:
         request.timer = None
@@ -209,7 +239,7 @@
             request.connection = None
         self.ended(request, "timeout")
 
-    def _leaves(self, request: Request) -> None:
+    def _leave(self, request: Request) -> None:
         if not request.over:
             if request.connection is not None:
                 request.connection.give_up(gone=True)
@@ -226,10 +256,13 @@
         self._finished(request, outcome, (now_us() - request.began) / 1000.0)
 
     def count(self, name: str) -> None:
+        """Increments a count."""
         self.counts[name] += 1
 
     def dialled(self, took_us: int) -> None:
+        """Ignores that a connection was opened."""
         pass
 
     def out_of_descriptors(self) -> None:
+        """Counts an attempt that found no free file descriptor."""
         self.counts["descriptors"] += 1
--- a/elderlock/sim/limiter_settings.py
+++ b/elderlock/sim/limiter_settings.py
@@ -1,5 +1,7 @@
-"""What a scenario says to each limiter: the platform's settings object and the operators' file. No I/O; the simulation
-and the proving ground start their limiters with the same."""
+"""Builds the limiters' settings from a scenario: the platform's settings object and the operators' file.
+
+The simulation and trials with real processes start their limiters with the same settings. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +12,29 @@
 from elderlock.sim.scenario import Scenario, floor_name
 from elderlock.standins.settings import facts
 
-DRAIN = 250.0  # ms, the rule's
+DRAIN_GRACE_MS = 250.0  # the `drain` limit of the invariant checkers
 
 
 def uses_peer_messages(scenario: Scenario) -> bool:
-    """Whether limiters send one another datagrams."""
+    """Returns whether limiters send one another datagrams."""
     return scenario.limiters > 1 and scenario.settings.peers
 
 
 def settings_for_limiter(scenario: Scenario, number: int, rules: CheckerLimits) -> dict[str, Any]:
-    """Of limiter `number`."""
+    """Returns the settings object of a limiter.
+
+    Args:
+        scenario: The scenario.
+        number: The number of the limiter.
+        rules: The tolerances of the invariant checkers, some of which are settings too.
+    """
     s, kind = scenario, scenario.kind[0]
-    own = facts(
+    settings = facts(
         peers=uses_peer_messages(s),
         **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
         **{"dial-timeout": s.settings.dial_ms, "keepalive": s.settings.keepalive_ms},
     )
-    own.update(
+    settings.update(
         {
             "ordinal": number,
             "peers-total": s.limiters,
@@ -50,7 +58,7 @@
                 for p in s.plan
             ],
             "rules": {
-                "drain-grace": DRAIN,
+                "drain-grace": DRAIN_GRACE_MS,
                 "cold": kind.cold_ms,
                 "cold-share": kind.cold_share,
                 "tip-multiple": rules.multiple,
@@ -59,30 +67,30 @@
             "family-info": {"peer-intake": s.settings.peer_intake, "largest": 1e6},
         }
     )
-    return own
+    return settings
 
 
 def budget_toml(scenario: Scenario) -> str:
-    """What the group's file says of what may be out at once."""
+    """Returns the part of the group's file that limits how much may be drained at once; empty for no limit."""
     share = scenario.settings.budget
     if not share:
         return ""
-    boxes = f"[budget.boxes]\nshare = {share}\nweight_share = 1.0\nfloor_least = 0\n"
-    return boxes + f"[budget.limiters]\nshare = {share}\n"
+    servers = f"[budget.boxes]\nshare = {share}\nweight_share = 1.0\nfloor_least = 0\n"
+    return servers + f"[budget.limiters]\nshare = {share}\n"
 
 
 def max_drained(scenario: Scenario) -> dict[str, float]:
-    """Of boxes and limiters that operators may have taken out at once, without force; 0 for no bound."""
+    """Returns how many servers and limiters operators may drain at once without force; 0 for no bound."""
     s = scenario.settings
     limiters = s.max_drained(scenario.limiters) if scenario.agents else 0
     return {DRAINED["box"]: s.max_drained(scenario.boxes), DRAINED["limiter"]: limiters}
 
 
 def operators_toml(scenario: Scenario) -> str:
-    """What a limiter's operators' file sets beside its control socket."""
+    """Returns the part of a limiter's operators' file that does not concern its control socket."""
     s = scenario.settings
     text = f"[routing]\nsubset = {s.subset}\naway_ms = {s.away_ms}\n"
     if s.peers:
-        on = {"evidence": s.shared, "ceilings": s.shared_ceilings and not s.counter}
-        text += "[shared]\n" + "".join(f"{name} = true\n" for name, wanted in on.items() if wanted)
+        options = {"evidence": s.shared, "ceilings": s.shared_ceilings and not s.counter}
+        text += "[shared]\n" + "".join(f"{name} = true\n" for name, is_on in options.items() if is_on)
     return text + ('[quota]\nstore = "tally"\n' if s.counter else "")
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -1,7 +1,9 @@
-"""What is simulated: a group, what it meets, its clients, and the faults that befall it. TOML, checked whole before
-anything runs; every complaint names the place. Times are s unless a name ends in `_ms`. No I/O but `read`.
+"""Scenarios: a group, its surroundings, its clients, and the faults that are injected.
 
-Traffic is the load generator's: the same streams, the same accounts, the same manners of clients.
+A scenario is a TOML file that is checked completely before anything runs; every error names the entry. Times are s
+unless a name ends in `_ms`. Only `read` does I/O.
+
+The traffic is that of the load generator, with the same streams, accounts and client behavior. A floor is a zone.
 """
 
 from __future__ import annotations
@@ -20,12 +22,12 @@
 from elderlock.sim.models.link_conditions import LinkDelays
 from elderlock.standins.model import Shape
 
-FORMAT = 1  # of the models and of this file: a kept seed of another one no longer applies
-MOST_LIMITERS, MOST_BOXES = 2000, 50_000
-LONGEST_S = 200_000.0
-FARTHEST = 2e12  # ms that a clock may be stepped by: back to 1970 and as far ahead
-LONGEST_RECORDED = 10_000.0  # ms, of a deadline in a trace
-LONGEST_FILE = 32 << 20  # bytes: a schedule of 100,000 faults is some 8 MB
+FORMAT = 1  # version of the models and of this file; a kept seed of another version no longer applies
+MAX_LIMITERS, MAX_SERVERS = 2000, 50_000
+MAX_DURATION_S = 200_000.0
+MAX_AMOUNT = 2e12  # ms that a clock may be set back or ahead: about as far as 1970 lies back
+LONGEST_TRACE_DEADLINE_MS = 10_000.0  # longest deadline in a recorded trace
+MAX_FILE_BYTES = 32 << 20  # a schedule of 100,000 faults has about 8 MB
 
 FaultKind = Literal[
     "slow",
@@ -74,6 +76,7 @@
     "reset",
     "half-close",
 ]
+# The faults that can be injected into each kind of target
 FAULTS_BY_TARGET: dict[str, frozenset[str]] = {
     "box": frozenset(
         {"slow", "errs", "silent", "refusing", "restart", "pause", "drain", "remove", "lies", "op-drain", "op-undrain"}
@@ -108,7 +111,9 @@
     "peers": frozenset({"silent", "loss", "late"}),
     "clients": frozenset({"rush", "silent-clients", "hoard"}),
 }
+# Faults that only the shells level of the simulation and trials can play
 SHELLS_ONLY = frozenset({"term", "disk-full", "disk-error", "refusing", "reset"})
+# Faults that only trials with real processes can play
 TRIAL_ONLY = frozenset(
     {
         "disk-slow",
@@ -124,21 +129,36 @@
         "half-close",
     }
 )
-END = r"(?:(?:box|limiter|agent):\d{1,6}|counter|discovery|clients|tool)"
-WAY = re.compile(rf"way:({END})>({END})")
+LINK_END = r"(?:(?:box|limiter|agent):\d{1,6}|counter|discovery|clients|tool)"
+LINK_TARGET = re.compile(rf"way:({LINK_END})>({LINK_END})")
 TARGET = re.compile(
-    r"(box|limiter|agent|floor):(\*|\d{1,6}(?:-\d{1,6})?)|(counter|discovery|peers|clients|house)|" + WAY.pattern
+    r"(box|limiter|agent|floor):(\*|\d{1,6}(?:-\d{1,6})?)|(counter|discovery|peers|clients|house)|"
+    + LINK_TARGET.pattern
 )
 
 
 class Fault(Strict, frozen=True):
-    """`at_s` after the start, for `for_s` (0: what it does cannot end, or it stays to the end). `by`: times for slow, a
-    share for errs and loss, ms for late, pause and clock, requests a second more for rush, connections a second for
-    silent-clients, the share of clients that ask once and keep their connection for good for hoard, ms of disorder for
-    reorder, bytes a second for trickle, ms for disk-slow, s after which a real tool gives up for op-drain and
-    op-undrain. `target`: `box:3`, `box:0-4`, `box:*`, `limiter:1`, `agent:0`, `floor:1`, `house` (all), `counter`,
-    `discovery`, `peers`, `clients`, or `way:limiter:0>box:3`, the way from one to another and not the way back; `tool`
-    is an operator's command there."""
+    """A fault that is injected during a run.
+
+    Attributes:
+        at_s: When it begins, after the start of the run.
+        what: The kind of fault.
+        target: `box:3`, `box:0-4`, `box:*`, `limiter:1`, `agent:0`, `floor:1`, `house` (everything), `counter`,
+            `discovery`, `peers`, `clients`, or `way:limiter:0>box:3` for the link from one to another in this
+            direction only. In a link, `tool` is an operator's command.
+        for_s: How long it lasts; 0 if its effect cannot end, or lasts until the end of the run.
+        by: Its amount; 0 for the default of its kind:
+
+            - slow: a factor
+            - errs, loss, duplicate: a share
+            - late, pause, clock, disk-slow: ms
+            - rush: additional requests per second
+            - silent-clients: connections per second
+            - hoard: the share of clients that send one request and keep their connection open forever
+            - reorder: ms by which data is reordered
+            - trickle: bytes per second
+            - op-drain, op-undrain: s after which a real tool gives up
+    """
 
     at_s: float
     what: FaultKind
@@ -147,10 +167,11 @@
     by: float = 0.0
 
     def target_kind(self) -> str:
+        """Returns the part of the target before the colon, such as `box`."""
         return self.target.partition(":")[0]
 
     def target_numbers(self, count: int) -> range:
-        """Which of `count` it names."""
+        """Returns the numbers of the targets among `count` of them."""
         _, _, which = self.target.partition(":")
         if which in ("", "*"):
             return range(count)
@@ -158,16 +179,16 @@
         return range(min(int(first), count), min(int(last or first) + 1, count))
 
     def link_ends(self) -> tuple[str, str]:
-        """Of a `way:`: whence and whither."""
-        found = WAY.fullmatch(self.target)
-        assert found is not None
-        return found[1], found[2]
+        """Returns the source and the destination of a link (`way:`)."""
+        match = LINK_TARGET.fullmatch(self.target)
+        assert match is not None
+        return match[1], match[2]
 
     def text(self) -> str:
-        """A line for people."""
-        words = f"{self.at_s:8.3f} s  {self.target:<12} {self.what}"
-        words += f" by {self.by:g}" if self.by else ""
-        return words + (f", for {self.for_s:.3f} s" if self.for_s else "")
+        """Returns a line for reports."""
+        line = f"{self.at_s:8.3f} s  {self.target:<12} {self.what}"
+        line += f" by {self.by:g}" if self.by else ""
+        return line + (f", for {self.for_s:.3f} s" if self.for_s else "")
 
 
 DEFAULT_BY: dict[str, float] = {
@@ -188,7 +209,20 @@
 
 
 class Plan(Strict, frozen=True):
-    """Units a second and units. `over_worth` and `over_cost`: what a unit beyond the quota earns and costs."""
+    """A plan that accounts belong to.
+
+    Attributes:
+        name: Its name.
+        price: The price of a unit within the quota.
+        rate: The quota in units per second.
+        burst: The quota's burst in units.
+        ceiling_rate: The hard ceiling in units per second; 0 for none.
+        ceiling_burst: The ceiling's burst in units.
+        ceiling_slack: The units by which the ceiling may be exceeded.
+        over_worth: What a unit beyond the quota earns.
+        over_cost: What a unit beyond the quota costs.
+        open_limit: The most requests of an account in flight at once; 0 for no limit.
+    """
 
     name: str
     price: float = 1.0
@@ -203,7 +237,13 @@
 
 
 class Service(Strict, frozen=True):
-    """A class of requests. `effect` as the settings have it: free, guarded, single_shot."""
+    """A class of requests.
+
+    Attributes:
+        name: Its name.
+        aim_ms: Its latency objective.
+        effect: Whether a request may be repeated, as in the limiters' settings.
+    """
 
     name: str = "lookup"
     aim_ms: float = 300.0
@@ -211,7 +251,20 @@
 
 
 class ServerKind(Strict, frozen=True):
-    """A kind of box; boxes take the kinds in turn. See `elderlock.standins.model`."""
+    """A kind of server; see `elderlock.standins.model`. Servers are assigned the kinds in turn.
+
+    Attributes:
+        name: Its name.
+        cores: The number of requests that it processes at once.
+        speed: Its speed relative to the standard kind.
+        room: The most requests that wait; it rejects further ones.
+        work_ms: The mean processing time of a request.
+        cold_share: The share of its capacity that it has when it starts.
+        cold_ms: How long it takes to warm up.
+        crowd: How much each waiting request slows down those in service.
+        report_every_ms: The interval of its load reports; 0 for none.
+        noise: The random error of its load reports, as a share.
+    """
 
     name: str = "std-2c"
     cores: int = 2
@@ -225,6 +278,7 @@
     noise: float = 0.0
 
     def shape(self) -> Shape:
+        """Returns the parameters of the server model."""
         return Shape(
             self.cores,
             self.speed,
@@ -239,7 +293,15 @@
 
 
 class Net(Strict, frozen=True):
-    """See `elderlock.sim.models.link_conditions`; ms and shares."""
+    """Delays in ms and loss rates as shares; see `elderlock.sim.models.link_conditions`.
+
+    Attributes:
+        same_ms: Base delay within a zone.
+        cross_ms: Base delay between zones.
+        jitter: Mean of the random delay as a share of the base.
+        loss: Share of TCP segments that are lost.
+        datagram_loss: Share of datagrams that are lost.
+    """
 
     same_ms: float = 0.25
     cross_ms: float = 2.0
@@ -248,33 +310,74 @@
     datagram_loss: float = 0.01
 
     def delays(self) -> LinkDelays:
+        """Returns the parameters of the link model."""
         return LinkDelays(self.same_ms, self.cross_ms, self.jitter, loss=self.loss, datagram_loss=self.datagram_loss)
 
 
 class Settings(Strict, frozen=True):
-    """What an operator may set, and what an experiment compares."""
+    """Settings that an operator may choose and an experiment may compare.
+
+    Attributes:
+        subset: The size of each limiter's subset of servers; 0 for all.
+        away_ms: The latency penalty of servers in another zone.
+        counter: Whether quotas are kept in a shared counter instead of being coordinated by datagrams.
+        peers: Whether limiters send one another datagrams.
+        max_attempts: The most attempts for a request.
+        sockets: The limit of open file descriptors for each process.
+        keepalive_ms: How long an idle connection to a server is kept.
+        dial_ms: The time-out for connecting to a server.
+        peer_intake: The most datagrams per second that a limiter accepts.
+        shared: Whether limiters share health evidence on servers; only with `peers`.
+        shared_ceilings: Whether the limiters' parts of hard ceilings follow demand; only with `peers` and without
+            `counter`.
+        memory_mb: The memory limit of a limiter.
+        budget: The share of the servers, and of the limiters, that may be drained at once with the agents' permits; 0
+            for no permits.
+    """
 
     subset: int = 0
     away_ms: float = 0.0
-    counter: bool = False  # quotas by a shared counter in place of datagrams
+    counter: bool = False
     peers: bool = True
     max_attempts: int = 3
     sockets: int = 1024
     keepalive_ms: float = 15_000.0
     dial_ms: float = 250.0
-    peer_intake: float = 100.0  # datagrams a second
-    shared: bool = False  # limiters share health evidence on boxes, where they talk
-    shared_ceilings: bool = False  # parts of ceilings go by demand, where they talk and no counter holds them
+    peer_intake: float = 100.0
+    shared: bool = False
+    shared_ceilings: bool = False
     memory_mb: float = 192.0
-    budget: float = 0.0  # share of the boxes that may be out at once by permits of the agents; 0 for no permits
+    budget: float = 0.0
 
     def max_drained(self, boxes: int) -> int:
-        """Of so many boxes that operators may have taken out at once, without force."""
+        """Returns how many of that many servers or limiters operators may drain at once without force."""
         return int(self.budget * boxes + 1e-9)
 
 
 class Scenario(Strict, frozen=True):
-    """Clients and discovery stand on no floor: no cut is theirs."""
+    """A scenario. Clients and discovery are in no zone, so that no partition between zones affects them.
+
+    Attributes:
+        name: Its name.
+        lasts_s: How long clients send requests.
+        format: The version of the models.
+        about: A description.
+        limiters: The number of limiters.
+        boxes: The number of servers.
+        floors: The number of zones.
+        agents: The number of agents.
+        stream: The streams of requests.
+        replay: A recorded trace instead of streams; its path is relative to the scenario's file.
+        clients: The behavior of the clients.
+        plan: The plans.
+        service: The classes of requests.
+        kind: The kinds of servers.
+        net: The network.
+        settings: The limiters' settings.
+        fault: The faults to inject.
+        warm_s: The time from the start that is left out of the figures.
+        rest_s: The time after the last fault and the last arrival in which the group has to become idle.
+    """
 
     name: str
     lasts_s: float = 20.0
@@ -285,7 +388,7 @@
     floors: int = 3
     agents: int = 0
     stream: tuple[load.Stream, ...] = ()
-    replay: load.Replay | None = None  # a recorded trace in place of streams; its path counts from the scenario's file
+    replay: load.Replay | None = None
     clients: Clients = Clients()
     plan: tuple[Plan, ...] = ()
     service: tuple[Service, ...] = (Service(),)
@@ -293,11 +396,11 @@
     net: Net = Net()
     settings: Settings = Settings()
     fault: tuple[Fault, ...] = ()
-    warm_s: float = 2.0  # from the start, not counted in figures
-    rest_s: float = 4.0  # after the last fault and the last arrival, in which all has to come to rest
+    warm_s: float = 2.0
+    rest_s: float = 4.0
 
     def traffic(self, seed: int) -> load.Scenario:
-        """As the load generator's schedule takes it."""
+        """Returns the traffic as a scenario of the load generator."""
         return load.Scenario(
             name=self.name,
             for_s=self.lasts_s,
@@ -308,24 +411,33 @@
         )
 
     def longest_deadline(self) -> float:
-        """ms, of what clients ask."""
-        return max((stream.deadline_ms for stream in self.stream), default=LONGEST_RECORDED)
+        """Returns the longest deadline of a request, in ms."""
+        return max((stream.deadline_ms for stream in self.stream), default=LONGEST_TRACE_DEADLINE_MS)
 
     def floor_names(self) -> list[str]:
+        """Returns the names of the zones."""
         return [floor_name(number) for number in range(self.floors)]
 
     def capacity(self) -> float:
-        """Requests a second that all boxes bear, warm and in good health."""
+        """Returns the requests per second that all servers can serve when they are warm and healthy."""
         kinds = [self.kind[n % len(self.kind)].shape().bears() for n in range(self.boxes)]
         return 1000.0 * sum(kinds)
 
 
 def floor_name(number: int) -> str:
+    """Returns the name of a zone."""
     return f"floor-{number + 2}"
 
 
 def with_load(share: float, scenario: Scenario, accounts: int = 100, skew: float = 0.6) -> Scenario:
-    """With one stream that asks for that share of what the boxes bear, and a plan that lets all of it in."""
+    """Returns the scenario with a single stream at that share of the servers' capacity, and a plan that admits all.
+
+    Args:
+        share: The load as a share of the capacity.
+        scenario: The scenario; its own plans are kept if it has any.
+        accounts: The number of accounts.
+        skew: The skew of the load over the accounts.
+    """
     mix = Mix(count=accounts, skew=skew)
     shape = (load.Steady(rate=share * scenario.capacity()),)
     stream = load.Stream(
@@ -340,14 +452,23 @@
 
 
 def parse(text: str, where: str, changes: Sequence[str] = ()) -> Scenario:
-    """`changes` are `a.b=value` in place of the file's own. Raises `ScenarioError`."""
+    """Parses and checks a scenario.
+
+    Args:
+        text: The TOML text.
+        where: The name of the text in errors.
+        changes: Values that replace those of the text, as `a.b=value`.
+
+    Raises:
+        ScenarioError: The text is not a valid scenario.
+    """
     try:
         raw = tomllib.loads(text)
         for change in changes:
             load.set_value(raw, change)
-        given = raw.get("format", FORMAT)
-        if given != FORMAT:
-            raise ScenarioError(f"it is of format {given}, this program's is {FORMAT}: it no longer applies")
+        version = raw.get("format", FORMAT)
+        if version != FORMAT:
+            raise ScenarioError(f"it has format {version}, this program has format {FORMAT}: it no longer applies")
         scenario = msgspec.convert(raw, Scenario)
         check(scenario)
     except tomllib.TOMLDecodeError as error:
@@ -358,39 +479,47 @@
 
 
 def read(path: Path, changes: Sequence[str] = ()) -> Scenario:
-    """Raises `ScenarioError`."""
+    """Reads and checks a scenario file; see `parse`.
+
+    Raises:
+        ScenarioError: The file cannot be read or is not a valid scenario.
+    """
     try:
-        if path.stat().st_size > LONGEST_FILE:
-            raise ScenarioError(f"{path}: longer than {LONGEST_FILE} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise ScenarioError(f"{path}: longer than {MAX_FILE_BYTES} bytes")
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise ScenarioError(f"{path}: {error}") from None
     scenario = parse(text, str(path), changes)
     if scenario.replay is None:
         return scenario
-    beside = str(path.resolve().parent / scenario.replay.path)
-    return msgspec.structs.replace(scenario, replay=msgspec.structs.replace(scenario.replay, path=beside))
+    trace_path = str(path.resolve().parent / scenario.replay.path)
+    return msgspec.structs.replace(scenario, replay=msgspec.structs.replace(scenario.replay, path=trace_path))
 
 
 def check(scenario: Scenario) -> None:
-    """Raises `ScenarioError`."""
+    """Checks a scenario.
+
+    Raises:
+        ScenarioError: A value is out of range, or a name is unknown.
+    """
     s = scenario
     load.bounds(
         "the group",
-        limiters=(s.limiters, 1, MOST_LIMITERS),
-        boxes=(s.boxes, 1, MOST_BOXES),
+        limiters=(s.limiters, 1, MAX_LIMITERS),
+        boxes=(s.boxes, 1, MAX_SERVERS),
         floors=(s.floors, 1, 100),
         agents=(s.agents, 0, s.limiters),
-        lasts_s=(s.lasts_s, 0.1, LONGEST_S),
+        lasts_s=(s.lasts_s, 0.1, MAX_DURATION_S),
         warm_s=(s.warm_s, 0, s.lasts_s),
         rest_s=(s.rest_s, 0, 3600),
     )
     if bool(s.stream) == (s.replay is not None):
-        raise ScenarioError("it needs a [[stream]] or a [replay], and not both")
+        raise ScenarioError("the scenario needs a [[stream]] or a [replay], but not both")
     if s.replay is not None and s.replay.rename_key:
-        raise ScenarioError("replay: a trace is renamed by elderlock load rename")
+        raise ScenarioError("replay: rename_key is not supported here, rename the trace with elderlock load rename")
     if not s.service or not s.kind:
-        raise ScenarioError("it needs one [[service]] and one [[kind]] at least")
+        raise ScenarioError("the scenario needs at least one [[service]] and one [[kind]]")
     plans, services = {plan.name for plan in s.plan}, {service.name for service in s.service}
     if s.stream:
         load.check(s.traffic(0))
@@ -414,7 +543,7 @@
         )
     load.bounds(
         "settings",
-        subset=(s.settings.subset, 0, MOST_BOXES),
+        subset=(s.settings.subset, 0, MAX_SERVERS),
         max_attempts=(s.settings.max_attempts, 1, 10),
         budget=(s.settings.budget, 0, 1),
         sockets=(s.settings.sockets, 64, 1_000_000),
@@ -433,47 +562,74 @@
 
 
 def check_fault(where: str, fault: Fault, lasts: float) -> None:
-    """Raises `ScenarioError`."""
+    """Checks a fault.
+
+    Args:
+        where: The name of the fault in errors.
+        fault: The fault.
+        lasts: The duration of the scenario, in s.
+
+    Raises:
+        ScenarioError: The target is invalid, cannot have this fault, or a value is out of range.
+    """
     if TARGET.fullmatch(fault.target) is None:
         raise ScenarioError(
-            f"{where}: {fault.target!r} is no target: box:N, box:N-M, box:*, limiter:N, agent:N, floor:N, house, "
-            "counter, discovery, peers, clients, way:A>B with A and B box:N, limiter:N, agent:N, counter, discovery, "
-            "clients or tool"
+            f"{where}: {fault.target!r} is not a valid target; valid are box:N, box:N-M, box:*, limiter:N, agent:N, "
+            "floor:N, house, counter, discovery, peers, clients, and way:A>B with A and B box:N, limiter:N, agent:N, "
+            "counter, discovery, clients or tool"
+        )
+    supported = FAULTS_BY_TARGET[fault.target_kind()]
+    if fault.what not in supported:
+        raise ScenarioError(
+            f"{where}: {fault.target} does not support the fault {fault.what!r}; "
+            f"it supports {', '.join(sorted(supported))}"
         )
-    able = FAULTS_BY_TARGET[fault.target_kind()]
-    if fault.what not in able:
-        raise ScenarioError(f"{where}: {fault.target} cannot be made {fault.what}; it can be {', '.join(sorted(able))}")
     load.bounds(
-        where, at_s=(fault.at_s, 0, lasts), for_s=(fault.for_s, 0, LONGEST_S), by=(fault.by, -FARTHEST, FARTHEST)
+        where,
+        at_s=(fault.at_s, 0, lasts),
+        for_s=(fault.for_s, 0, MAX_DURATION_S),
+        by=(fault.by, -MAX_AMOUNT, MAX_AMOUNT),
     )
     if fault.what in ("errs", "loss", "hoard", "duplicate") and not 0 <= fault.by <= 1:
-        raise ScenarioError(f"{where}: by is {fault.by:g}, a share lies between 0 and 1")
+        raise ScenarioError(f"{where}: by is {fault.by:g}, but a share lies between 0 and 1")
 
 
 def unsupported_faults(scenario: Scenario, floor: str) -> list[str]:
-    """What of its faults that floor (shells, decisions or trial) cannot play, each with why, for people."""
-    found = []
+    """Lists the faults that a level cannot play, each with the reason.
+
+    Args:
+        scenario: The scenario.
+        floor: The level: `shells`, `decisions` or `trial`.
+    """
+    unsupported = []
     for fault in scenario.fault:
         why = ""
         if floor != "trial" and fault.what in TRIAL_ONLY:
-            why = "real files and real wires alone show that"
+            why = "only real files and real connections can have this fault"
         elif floor == "decisions" and (fault.what in SHELLS_ONLY or fault.target_kind() == "way"):
-            why = "there are no processes, files and connections on this floor"
+            why = "this level simulates no processes, files or connections"
         elif floor == "decisions" and fault.what in ("silent-clients", "hoard", "clock"):
-            why = "there are no connections and no machine's clocks on this floor"
+            why = "this level simulates no connections and no clocks of machines"
         elif floor == "trial" and fault.target_kind() == "floor" and fault.what == "loss":
-            why = "a relay passes streams whole: lose datagrams by peers or by way"
+            why = "a relay loses no data of streams; to lose datagrams, use the target peers or a way"
         if why:
-            found.append(f"{fault.target} {fault.what} at {fault.at_s:g} s: {why}")
-    return found
+            unsupported.append(f"{fault.target} {fault.what} at {fault.at_s:g} s: {why}")
+    return unsupported
 
 
 def effective_amount(fault: Fault) -> float:
+    """Returns the fault's amount, or the default of its kind."""
     return fault.by or DEFAULT_BY.get(fault.what, 0.0)
 
 
 def cut_pairs(fault: Fault, name: str, others: Sequence[str]) -> list[tuple[str, str]]:
-    """From whom nothing comes to whom, where `name` is cut off from the others: both ways, or to or from it alone."""
+    """Returns the ordered pairs of names whose link a partition cuts.
+
+    Args:
+        fault: The fault: `cut` cuts both directions, `cut-to` and `cut-from` only those to or from `name`.
+        name: The machine or zone that is partitioned from the others.
+        others: The others.
+    """
     pairs = []
     for other in others:
         if other != name:
@@ -483,10 +639,10 @@
 
 
 def timeline(scenario: Scenario, seed: int) -> str:
-    """Readable, in order."""
+    """Describes a scenario and its faults in order of time, for reports."""
     s = scenario
     lines = [
-        f"{s.name}: seed {seed}, {s.limiters} limiters, {s.boxes} boxes, {s.floors} floors, {s.agents} agents, "
+        f"{s.name}: seed {seed}, {s.limiters} limiters, {s.boxes} servers, {s.floors} zones, {s.agents} agents, "
         f"{s.lasts_s:g} s"
     ]
     return "\n".join([*lines, *(fault.text() for fault in sorted(s.fault, key=lambda f: f.at_s)), ""])
--- a/elderlock/sim/schedule.py
+++ b/elderlock/sim/schedule.py
@@ -1,4 +1,4 @@
-"""Simulated time for what does no I/O: what falls due, in order, on a clock that jumps. Times are ms."""
+"""Timers on a simulated clock for code that does no I/O; the clock jumps to the next timer. Times are ms."""
 
 from __future__ import annotations
 
@@ -9,11 +9,17 @@
 
 from elderlock.sim.virtual.loop import DeadlockError, LivelockError
 
-MAX_STEPS_AT_ONE_TIME = 2_000_000  # steps in which time stood still
+MAX_STEPS_AT_ONE_TIME = 2_000_000  # timers run without progress of time
 
 
-class Due:
-    """Something that will happen, unless it is cancelled."""
+class Timer:
+    """A scheduled call.
+
+    Attributes:
+        do: The function.
+        args: Its arguments.
+        live: Whether the call was not cancelled.
+    """
 
     __slots__ = ("args", "do", "live")
 
@@ -21,51 +27,73 @@
         self.do, self.args, self.live = do, args, True
 
     def cancel(self) -> None:
+        """Cancels the call."""
         self.live = False
 
 
 class Schedule:
-    """Two things due at one instant come in an order that `ties` seeds; None keeps the order in which they were set.
+    """The clock and the timers of a run.
+
+    Invariant: `now` never goes back.
 
-    Invariant: `now` never goes back."""
+    Attributes:
+        time: The present time.
+        steps: The number of timers that have run.
+    """
 
     def __init__(self, start: float, ties: int | None = 0) -> None:
+        """Creates a schedule without timers.
+
+        Args:
+            start: The present time.
+            ties: Seeds the order of timers due at the same time; None keeps the order in which they were set.
+        """
         self.time = start
-        self._due: list[tuple[float, float, int, Due]] = []
+        self._timers: list[tuple[float, float, int, Timer]] = []
         self._ties = random.Random(f"ties/{ties}") if ties is not None else None
-        self._number = self.steps = 0
-        self._still = 0
+        self._timers_set = self.steps = 0
+        self._steps_at_this_time = 0
 
     def now(self) -> float:
+        """Returns the present time."""
         return self.time
 
-    def after(self, wait: float, do: Callable[..., None], *args: Any) -> Due:
-        due = Due(do, args)
-        self._number += 1
+    def after(self, wait: float, do: Callable[..., None], *args: Any) -> Timer:
+        """Schedules a call of `do` after `wait`."""
+        timer = Timer(do, args)
+        self._timers_set += 1
         tie = self._ties.random() if self._ties is not None else 0.0
-        heapq.heappush(self._due, (self.time + max(wait, 0.0), tie, self._number, due))
-        return due
+        heapq.heappush(self._timers, (self.time + max(wait, 0.0), tie, self._timers_set, timer))
+        return timer
 
     def pending_count(self) -> int:
-        """How many things are due, cancelled ones among them."""
-        return len(self._due)
+        """Returns the number of timers, including cancelled ones."""
+        return len(self._timers)
 
     def play(self, until: float, waits: Callable[[], str] = str) -> None:
-        """Up to that time. Raises `DeadlockError` where nothing is left while `waits` says that somebody waits, and
-        `LivelockError`."""
-        heap = self._due
+        """Runs the timers up to that time.
+
+        Args:
+            until: The time.
+            waits: Describes what is still waited for; empty if there is nothing.
+
+        Raises:
+            DeadlockError: No timer is left while something is waited for.
+            LivelockError: Timers run without end at one time of the clock.
+        """
+        heap = self._timers
         while heap and heap[0][0] <= until:
-            at, _, _, due = heapq.heappop(heap)
-            if not due.live:
+            at, _, _, timer = heapq.heappop(heap)
+            if not timer.live:
                 continue
             if at > self.time:
-                self.time, self._still = at, 0
+                self.time, self._steps_at_this_time = at, 0
             else:
-                self._still += 1
-                if self._still > MAX_STEPS_AT_ONE_TIME:
-                    raise LivelockError(f"time stands at {at:.3f} ms in {due.do!r}")
+                self._steps_at_this_time += 1
+                if self._steps_at_this_time > MAX_STEPS_AT_ONE_TIME:
+                    raise LivelockError(f"the clock stays at {at:.3f} ms in {timer.do!r}")
             self.steps += 1
-            due.do(*due.args)
+            timer.do(*timer.args)
         if not heap and (who := waits()):
-            raise DeadlockError(f"nothing is left to happen; {who}")
+            raise DeadlockError(f"no timer is left; {who}")
         self.time = max(self.time, until)
--- a/elderlock/sim/seeds.py
+++ b/elderlock/sim/seeds.py
@@ -1,7 +1,7 @@
-"""Seeds that are kept: a scenario with its faults, its seed, its floor, and what it broke when it was found.
+"""Kept seeds: a scenario with its faults, its seed and level, and the invariants that it violated when it was found.
 
-A kept seed plays the same run for as long as the models stay as they are. Their format is in the file: a seed of
-another one says that it no longer applies, and never passes in silence.
+A kept seed plays the same run as long as the models do not change. The file holds the version of the models. A seed
+of another version is reported as no longer applicable and never passes silently.
 """
 
 from __future__ import annotations
@@ -15,21 +15,30 @@
 from elderlock.load.scenario import ScenarioError, Strict
 from elderlock.sim.scenario import FORMAT, Scenario, check, timeline
 
-LONGEST = 32 << 20  # bytes
+MAX_FILE_BYTES = 32 << 20
 Level = Literal["shells", "decisions"]
 
 
 class SeedError(Exception):
-    """The file is no seed that can be played."""
+    """The file is not a seed that can be played."""
 
 
 class NoLongerAppliesError(SeedError):
-    """It is of another format of the models: what it showed, it may not show any more."""
+    """The seed was made for another version of the models and may not show the same failure any more."""
 
 
 class Seed(Strict, frozen=True):
-    """`broke`: the rules that it broke when it was kept; empty for one that is kept as a good example. `digest`: of its
-    run, where that is to stay the same too."""
+    """A kept seed.
+
+    Attributes:
+        scenario: The scenario.
+        seed: The seed.
+        floor: The level that it runs at.
+        broke: The invariants that it violated when it was kept; empty for an example of a good run.
+        about: A description.
+        digest: The digest of its run, if that has to stay the same too.
+        format: The version of the models.
+    """
 
     scenario: Scenario
     seed: int
@@ -40,50 +49,60 @@
     format: int = FORMAT
 
     def text(self) -> str:
-        """For people: what befalls the group, in order."""
+        """Describes the scenario and its faults in order of time, for the comment in the file."""
         broke = f"broke: {', '.join(self.broke)}\n" if self.broke else ""
         about = f"{self.about}\n" if self.about else ""
-        return f"{about}{timeline(self.scenario, self.seed)}on the {self.floor}' floor\n{broke}"
+        return f"{about}{timeline(self.scenario, self.seed)}at the {self.floor} level\n{broke}"
 
 
 def write(seed: Seed, path: Path) -> None:
-    """Raises `OSError`."""
+    """Writes a seed to a file.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     comment = "".join(f"# {line}\n" for line in seed.text().splitlines())
-    # only what differs from the defaults, so that a person can read it
-    raw = msgspec.toml.encode(_plain(seed)).decode()
+    # only values that differ from the defaults, to keep the file readable
+    raw = msgspec.toml.encode(_without_defaults(seed)).decode()
     path.write_text(comment + "\n" + raw, encoding="utf-8")
 
 
-def _plain(value: object) -> object:
-    """As builtins, without what is as its form has it."""
+def _without_defaults(value: object) -> object:
+    """Converts a value to builtin types and leaves out the fields that have their defaults, except `format`."""
     if isinstance(value, msgspec.Struct):
-        info = msgspec.structs.fields(value)
+        fields = msgspec.structs.fields(value)
         config = value.__struct_config__
-        found: dict[str, object] = {config.tag_field: config.tag} if config.tag_field else {}
-        for each in info:
-            mine = getattr(value, each.name)
-            if each.name == "format" or each.default is msgspec.NODEFAULT or mine != each.default:
-                found[each.encode_name] = _plain(mine)
-        return found
+        converted: dict[str, object] = {config.tag_field: config.tag} if config.tag_field else {}
+        for field in fields:
+            field_value = getattr(value, field.name)
+            if field.name == "format" or field.default is msgspec.NODEFAULT or field_value != field.default:
+                converted[field.encode_name] = _without_defaults(field_value)
+        return converted
     if isinstance(value, tuple | list):
-        return [_plain(each) for each in value]
+        return [_without_defaults(each) for each in value]
     return value
 
 
 def read(path: Path) -> Seed:
-    """Raises `SeedError`, or `NoLongerAppliesError` for one of another format."""
+    """Reads a seed.
+
+    Raises:
+        NoLongerAppliesError: The seed is of another version of the models.
+        SeedError: The file cannot be read or is not a valid seed.
+    """
     try:
-        if path.stat().st_size > LONGEST:
-            raise SeedError(f"{path}: longer than {LONGEST} bytes")
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise SeedError(f"{path}: longer than {MAX_FILE_BYTES} bytes")
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise SeedError(f"{path}: {error}") from None
-    given = raw.get("format")
-    inner = raw.get("scenario", {}).get("format", given) if isinstance(raw.get("scenario"), dict) else given
-    if given != FORMAT or inner != FORMAT:
+    version = raw.get("format")
+    scenario = raw.get("scenario", {})
+    scenario_version = scenario.get("format", version) if isinstance(scenario, dict) else version
+    if version != FORMAT or scenario_version != FORMAT:
         raise NoLongerAppliesError(
-            f"{path}: it is of format {given}, the models are of format {FORMAT}: it no longer applies. Find the "
-            "failure again under these models, or remove the file with the reason"
+            f"{path}: the seed has format {version}, the models have format {FORMAT}: it no longer applies. Find the "
+            "failure again with these models, or remove the file and state why"
         )
     try:
         seed = msgspec.convert(raw, Seed)
--- a/elderlock/sim/traffic.py
+++ b/elderlock/sim/traffic.py
@@ -1,4 +1,4 @@
-"""What a run's clients ask: the load generator's schedule, or a trace that a limiter's traffic was recorded in."""
+"""The requests of a run's clients: the load generator's schedule, or a recorded trace of a limiter's traffic."""
 
 from __future__ import annotations
 
@@ -13,14 +13,21 @@
 
 
 def arrivals(scenario: Scenario, seed: int) -> Iterator[Arrival]:
-    """In order of time. A trace is read as a stream; it raises `TraceError`, `OSError`, or `ScenarioError` for a class
-    that the scenario has not, where it comes to that."""
+    """Yields the requests in order of time.
+
+    A trace is read while it is iterated, and its errors are raised then.
+
+    Raises:
+        OSError: The trace cannot be read.
+        ScenarioError: The trace has a class of requests that the scenario does not have.
+        TraceError: The trace is invalid.
+    """
     if scenario.replay is None:
         return schedule(scenario.traffic(seed), scenario.limiters)
-    return _replayed(scenario)
+    return _arrivals_of_trace(scenario)
 
 
-def _replayed(scenario: Scenario) -> Iterator[Arrival]:
+def _arrivals_of_trace(scenario: Scenario) -> Iterator[Arrival]:
     assert scenario.replay is not None
     plans = tuple(plan.name for plan in scenario.plan)
     services = {service.name for service in scenario.service}
@@ -28,5 +35,5 @@
         if arrival.at >= scenario.lasts_s * 1e6:
             return
         if arrival.class_name not in services:
-            raise ScenarioError(f"{scenario.replay.path}: there is no service {arrival.class_name!r}")
+            raise ScenarioError(f"{scenario.replay.path}: the scenario has no service {arrival.class_name!r}")
         yield arrival
--- a/elderlock/sim/virtual/network.py
+++ b/elderlock/sim/virtual/network.py
@@ -196,6 +196,7 @@
         self._protocol = protocol
 
     def is_closing(self) -> bool:
+        """Returns whether it is closed or closing."""
         return self._closing
 
     def is_reading(self) -> bool:
@@ -493,9 +494,11 @@
             self._protocol.datagram_received(data, sender)
 
     def is_closing(self) -> bool:
+        """Returns whether it is closed or closing."""
         return self._closing
 
     def close(self) -> None:
+        """Closes the endpoint."""
         if not self._closing:
             self._closing = True
             self.network.bound.pop(self.at, None)
@@ -506,6 +509,7 @@
     abort = close
 
     def killed(self) -> None:
+        """Closes the endpoint after its process ended; the protocol is not called."""
         self._closing = True
         self.network.bound.pop(self.at, None)
 
