--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -124,7 +124,17 @@
         for world in (shells.ShellWorld(given, 1), decisions.DecisionWorld(given, 1))
         for judge in world.bench.checkers
     }
-    command = [sys.executable, "-m", "pytest", "-vv", "-n", "4", "tests/sim/test_judges.py", "-k", "test_a_judge_bites"]
+    command = [
+        sys.executable,
+        "-m",
+        "pytest",
+        "-vv",
+        "-n",
+        "4",
+        "tests/sim/test_invariant_checkers.py",
+        "-k",
+        "test_checker_detects_flaw",
+    ]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     shown = {name for name in names if f"[{name.replace(' ', '_')}-" in done.stdout and "failed" not in done.stdout}
     return len(names), len(shown)
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -1,4 +1,4 @@
-"""The clients at the shells level: the load generator's schedule, connections and client behavior on virtual sockets."""
+"""The clients at the shells level: the load generator's schedule, connections and behavior on virtual sockets."""
 
 from __future__ import annotations
 
--- a/tests/sim/test_virtual.py
+++ b/tests/sim/test_virtual.py
@@ -1,4 +1,4 @@
-"""The loop, the network, processes and machines that the shells run on."""
+"""The simulated event loop, network, processes and machines that the shells run on."""
 
 from __future__ import annotations
 
@@ -30,17 +30,17 @@
 AT = ("127.0.1.2", 80)
 
 
-class Scripted:
-    """Fails the n-th step of a kind in a way."""
+class FaultAtStep:
+    """Injects a fault into the n-th step of a kind."""
 
-    def __init__(self, kind: str, number: int, way: str) -> None:
-        self._kind, self._left, self._way = kind, number, way
+    def __init__(self, kind: str, number: int, fault: str) -> None:
+        self._kind, self._steps_left, self._fault = kind, number, fault
 
     def at(self, kind: str, process: Process | None) -> str:
         if kind != self._kind:
             return ""
-        self._left -= 1
-        return self._way if self._left == 0 else ""
+        self._steps_left -= 1
+        return self._fault if self._steps_left == 0 else ""
 
 
 def world(faults: Any = None, **delays: float) -> tuple[SimLoop, Network]:
@@ -52,30 +52,30 @@
 
 
 def run(loop: SimLoop, work: Callable[[], Coroutine[Any, Any, Any]]) -> Any:
-    async def whole() -> Any:
+    async def main() -> Any:
         return await work()
 
     try:
-        return loop.run_until_complete(whole())
+        return loop.run_until_complete(main())
     finally:
         loop.discard_pending()
         loop.close()
 
 
-class Echo(asyncio.Protocol):
+class RecordingProtocol(asyncio.Protocol):
     def __init__(self) -> None:
         self.transport: Any = None
-        self.got = b""
+        self.received = b""
         self.reads = 0
-        self.lost: list[Exception | None] = []
+        self.lost_errors: list[Exception | None] = []
         self.paused = False
-        self.over = asyncio.get_running_loop().create_future()
+        self.closed = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += data
+        self.received += data
         self.reads += 1
 
     def pause_writing(self) -> None:
@@ -85,55 +85,57 @@
         self.paused = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost.append(exc)
-        if not self.over.done():
-            self.over.set_result(None)
+        self.lost_errors.append(exc)
+        if not self.closed.done():
+            self.closed.set_result(None)
 
 
-async def pair(loop: SimLoop, network: Network) -> tuple[Echo, Echo, Process]:
-    """A client here and a server there, in a process of its own."""
-    served: list[Echo] = []
+async def connect_pair(loop: SimLoop, network: Network) -> tuple[RecordingProtocol, RecordingProtocol, Process]:
+    """Returns the ends of a connection from HERE to a server THERE, and the server's process."""
+    accepted: list[RecordingProtocol] = []
 
-    def make() -> Echo:
-        served.append(Echo())
-        return served[-1]
+    def make_protocol() -> RecordingProtocol:
+        accepted.append(RecordingProtocol())
+        return accepted[-1]
 
     process = Process(1, "server", THERE)
 
     async def serve() -> None:
-        await loop.create_server(make, *AT)
+        await loop.create_server(make_protocol, *AT)
         await asyncio.Event().wait()
 
     start(loop, process, serve)
     await asyncio.sleep(0.1)
-    _, client = await context_of(Process(2, "client", HERE)).run(loop.create_task, loop.create_connection(Echo, *AT))
+    _, client = await context_of(Process(2, "client", HERE)).run(
+        loop.create_task, loop.create_connection(RecordingProtocol, *AT)
+    )
     await asyncio.sleep(0.1)
-    return client, served[0], process
+    return client, accepted[0], process
 
 
-def test_time_jumps_and_costs_nothing() -> None:
+def test_the_clock_jumps_over_a_sleep() -> None:
     loop, _ = world()
 
     async def work() -> float:
-        await asyncio.sleep(86_400.0)  # in life this would be the suite's last test
+        await asyncio.sleep(86_400.0)
         return asyncio.get_running_loop().time()
 
     assert run(loop, work) == pytest.approx(START_MONOTONIC_S + 86_400.0)
 
 
-def test_timers_of_one_instant_come_in_an_order_that_the_seed_gives() -> None:
+def test_the_seed_determines_the_order_of_timers_due_at_the_same_time() -> None:
     orders = set()
     for seed in range(8):
         loop = SimLoop(seed)
-        told: list[int] = []
+        order: list[int] = []
         for number in range(2):
-            loop.call_at(START_MONOTONIC_S + 1.0, told.append, number)
+            loop.call_at(START_MONOTONIC_S + 1.0, order.append, number)
         run(loop, lambda: asyncio.sleep(2.0))
-        orders.add(tuple(told))
+        orders.add(tuple(order))
     assert orders == {(0, 1), (1, 0)}
 
 
-def test_a_deadlock_says_who_waits_for_what() -> None:
+def test_a_deadlock_names_the_waiting_tasks() -> None:
     loop, _ = world()
 
     async def work() -> None:
@@ -149,7 +151,7 @@
         run(loop, work)
 
 
-def test_a_livelock_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_livelock_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(virtual, "MAX_STEPS_AT_ONE_TIME", 1000)
     loop, _ = world()
 
@@ -161,100 +163,102 @@
         run(loop, spin)
 
 
-def test_bytes_come_whole_once_and_in_order_however_they_are_cut() -> None:
+def test_bytes_arrive_once_and_in_order_when_reads_are_split() -> None:
     loop, network = world()
     sent = random.Random(3).randbytes(500_000)
 
     async def work() -> None:
-        client, server, _ = await pair(loop, network)
+        client, server, _ = await connect_pair(loop, network)
         for at in range(0, len(sent), 7001):
             client.transport.write(sent[at : at + 7001])
         client.transport.close()
-        await server.over
-        assert server.got == sent and server.lost == [None]
+        await server.closed
+        assert server.received == sent and server.lost_errors == [None]
         assert server.reads > len(sent) / 7001  # some were split
 
     run(loop, work)
 
 
-def test_a_reader_that_pauses_pauses_the_writer() -> None:
+def test_a_paused_reader_pauses_the_writer() -> None:
     loop, network = world()
 
     async def work() -> None:
-        client, server, _ = await pair(loop, network)
+        client, server, _ = await connect_pair(loop, network)
         server.transport.pause_reading()
         while not client.paused:
             client.transport.write(b"x" * 10_000)
             await asyncio.sleep(0)
-        assert server.got == b""
+        assert server.received == b""
         server.transport.resume_reading()
         await asyncio.sleep(1.0)
-        assert not client.paused and len(server.got) > KERNEL_BUFFER_BYTES
+        assert not client.paused and len(server.received) > KERNEL_BUFFER_BYTES
 
     run(loop, work)
 
 
-def test_a_half_closed_end_still_gets_its_answer() -> None:
+def test_a_half_closed_client_still_receives_data() -> None:
     loop, network = world()
 
-    class Keeps(Echo):
+    class HalfOpenProtocol(RecordingProtocol):
         def eof_received(self) -> bool:
             self.transport.write(b"last")
             return True
 
     async def work() -> None:
-        made: list[Keeps] = []
-        await loop.create_server(lambda: made.append(Keeps()) or made[-1], *AT)  # type: ignore[func-returns-value]
-        _, client = await loop.create_connection(Echo, *AT)
+        accepted: list[HalfOpenProtocol] = []
+        await loop.create_server(lambda: accepted.append(HalfOpenProtocol()) or accepted[-1], *AT)  # type: ignore[func-returns-value]
+        _, client = await loop.create_connection(RecordingProtocol, *AT)
         client.transport.write_eof()
         await asyncio.sleep(0.1)
-        assert client.got == b"last" and client.lost == []
+        assert client.received == b"last" and client.lost_errors == []
 
     run(loop, work)
 
 
-@pytest.mark.parametrize("way, got", [("reset", 0), ("half", 5), ("sent", 10), ("late", 10)])
-def test_a_write_fails_in_each_way(way: str, got: int) -> None:
-    loop, network = world(Scripted("write", 1, way))
+@pytest.mark.parametrize("fault, received", [("reset", 0), ("half", 5), ("sent", 10), ("late", 10)])
+def test_a_write_fails_as_injected(fault: str, received: int) -> None:
+    loop, network = world(FaultAtStep("write", 1, fault))
 
     async def work() -> None:
-        client, server, _ = await pair(loop, network)
+        client, server, _ = await connect_pair(loop, network)
         client.transport.write(b"0123456789")
         began = loop.time()
-        if way != "late":
-            await client.over
-            assert isinstance(client.lost[0], ConnectionResetError)
-        while len(server.got) < got:
+        if fault != "late":
+            await client.closed
+            assert isinstance(client.lost_errors[0], ConnectionResetError)
+        while len(server.received) < received:
             await asyncio.sleep(0.1)
-        assert server.got == b"0123456789"[:got]
-        assert way != "late" or loop.time() - began > 2.9
+        assert server.received == b"0123456789"[:received]
+        assert fault != "late" or loop.time() - began > 2.9
 
     run(loop, work)
 
 
-@pytest.mark.parametrize("way, error", [("refused", ConnectionRefusedError), ("silent", TimeoutError), ("reset", None)])
-def test_a_connect_fails_in_each_way(way: str, error: type[OSError] | None) -> None:
-    loop, network = world(Scripted("connect", 1, way))
+@pytest.mark.parametrize(
+    "fault, error", [("refused", ConnectionRefusedError), ("silent", TimeoutError), ("reset", None)]
+)
+def test_a_connect_fails_as_injected(fault: str, error: type[OSError] | None) -> None:
+    loop, network = world(FaultAtStep("connect", 1, fault))
 
     async def work() -> None:
-        await loop.create_server(Echo, *AT)
+        await loop.create_server(RecordingProtocol, *AT)
         if error is not None:
             with pytest.raises(error):
-                await loop.create_connection(Echo, *AT)
+                await loop.create_connection(RecordingProtocol, *AT)
         else:
-            _, client = await loop.create_connection(Echo, *AT)
-            await client.over
-            assert isinstance(client.lost[0], ConnectionResetError)
+            _, client = await loop.create_connection(RecordingProtocol, *AT)
+            await client.closed
+            assert isinstance(client.lost_errors[0], ConnectionResetError)
 
     run(loop, work)
 
 
-def test_a_killed_process_resets_its_streams_and_runs_nothing_more() -> None:
+def test_a_killed_process_closes_its_streams_and_runs_nothing_more() -> None:
     loop, network = world()
     ran: list[str] = []
 
     async def work() -> None:
-        client, _, process = await pair(loop, network)
+        client, _, process = await connect_pair(loop, network)
 
         async def clean_up() -> None:
             try:
@@ -265,68 +269,68 @@
         context_of(process).run(loop.create_task, clean_up())
         await asyncio.sleep(0.1)
         process.signal(signal.SIGKILL, loop)
-        await client.over
+        await client.closed
         assert process.exit_code == -signal.SIGKILL and AT not in network.listening
         await asyncio.sleep(10.0)
         assert ran == []
         with pytest.raises(ConnectionRefusedError):
-            await loop.create_connection(Echo, *AT)
+            await loop.create_connection(RecordingProtocol, *AT)
 
     run(loop, work)
 
 
-def test_a_paused_process_gets_what_came_in_its_order() -> None:
+def test_a_paused_process_receives_in_order_when_it_continues() -> None:
     loop, network = world()
 
     async def work() -> None:
-        client, server, process = await pair(loop, network)
+        client, server, process = await connect_pair(loop, network)
         process.signal(signal.SIGSTOP, loop)
         for number in range(20):
             client.transport.write(b"%d," % number)
         await asyncio.sleep(2.0)
-        assert server.got == b""
+        assert server.received == b""
         process.signal(signal.SIGCONT, loop)
         await asyncio.sleep(0.1)
-        assert server.got == b"".join(b"%d," % n for n in range(20))
+        assert server.received == b"".join(b"%d," % n for n in range(20))
 
     run(loop, work)
 
 
-def test_a_backlog_that_is_full_loses_who_comes_next() -> None:
+def test_a_full_backlog_drops_the_next_connection_attempt() -> None:
     loop, network = world()
 
     async def work() -> None:
         process = Process(1, "server", THERE)
 
         async def serve() -> None:
-            await loop.create_server(Echo, *AT, backlog=3)
+            await loop.create_server(RecordingProtocol, *AT, backlog=3)
             await asyncio.Event().wait()
 
         start(loop, process, serve)
         await asyncio.sleep(0.1)
         process.signal(signal.SIGSTOP, loop)
         for _ in range(3):
-            await loop.create_connection(Echo, *AT)
+            await loop.create_connection(RecordingProtocol, *AT)
         began = loop.time()
         loop.call_later(0.5, process.signal, signal.SIGCONT, loop)
-        await loop.create_connection(Echo, *AT)
-        assert loop.time() - began >= 1.0  # its SYN was sent again
+        await loop.create_connection(RecordingProtocol, *AT)
+        assert loop.time() - began >= 1.0  # the SYN was retransmitted
 
     run(loop, work)
 
 
-def test_descriptors_are_bounded_for_each_process() -> None:
+def test_each_process_has_a_limit_of_descriptors() -> None:
     loop, _ = world()
     few = Machine("few", "a", "127.0.1.3", descriptors=3)
 
     async def work() -> None:
-        await loop.create_server(Echo, *AT)
+        await loop.create_server(RecordingProtocol, *AT)
 
         async def dial() -> int:
             for _ in range(3):
-                await loop.create_connection(Echo, *AT)
+                await loop.create_connection(RecordingProtocol, *AT)
             with pytest.raises(OSError) as caught:
-                await loop.create_connection(Echo, *AT)
+                await loop.create_connection(RecordingProtocol, *AT)
             assert caught.value.errno == errno.EMFILE
             return 7
 
@@ -337,36 +341,36 @@
     run(loop, work)
 
 
-def test_a_cut_is_one_way_and_what_waits_comes_after_it() -> None:
+def test_a_cut_blocks_one_direction_and_its_data_arrives_afterwards() -> None:
     loop, network = world()
 
     async def work() -> None:
-        client, server, _ = await pair(loop, network)
+        client, server, _ = await connect_pair(loop, network)
         network.ways.add_cuts([("here", "there")])
         client.transport.write(b"to")
         server.transport.write(b"from")
         await asyncio.sleep(1.0)
-        assert server.got == b"" and client.got == b"from"
+        assert server.received == b"" and client.received == b"from"
         network.ways.remove_cuts([("here", "there")])
         await asyncio.sleep(1.0)
-        assert server.got == b"to"
+        assert server.received == b"to"
 
     run(loop, work)
 
 
-def test_datagrams_are_lost_doubled_and_reordered() -> None:
+def test_datagrams_are_lost_duplicated_and_reordered() -> None:
     loop, network = world(jitter=20.0, datagram_loss=0.1, double=0.05)
-    got: list[bytes] = []
+    received: list[bytes] = []
 
-    class Takes(asyncio.DatagramProtocol):
+    class RecordingDatagramProtocol(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: Any) -> None:
-            got.append(data)
+            received.append(data)
 
     async def work() -> None:
         there = Process(1, "there", THERE)
 
         async def bind() -> None:
-            await loop.create_datagram_endpoint(Takes, local_addr=AT)
+            await loop.create_datagram_endpoint(RecordingDatagramProtocol, local_addr=AT)
             await asyncio.Event().wait()
 
         start(loop, there, bind)
@@ -378,16 +382,16 @@
         await asyncio.sleep(1.0)
 
     run(loop, work)
-    assert 300 < len(set(got)) < 500 and len(got) > len(set(got)) and got != sorted(got)
+    assert 300 < len(set(received)) < 500 and len(received) > len(set(received)) and received != sorted(received)
 
 
-def test_the_clock_and_chance_are_the_simulations_within_a_run_alone() -> None:
+def test_clocks_and_randomness_are_simulated_only_within_a_run() -> None:
     loop, _ = world()
     before = time.time
 
-    def seen(seed: int) -> list[Any]:
-        fresh = SimLoop(seed)
-        with simulated_system(fresh, seed):
+    def draw(seed: int) -> list[Any]:
+        other_loop = SimLoop(seed)
+        with simulated_system(other_loop, seed):
             assert time.time() == pytest.approx(virtual.START_UNIX_S) and time.monotonic() == START_MONOTONIC_S
             with pytest.raises(RealTimeError):
                 time.sleep(1.0)
@@ -399,29 +403,29 @@
                 secrets.token_hex(4),
                 random.Random(5).random(),
             ]
-        fresh.close()
+        other_loop.close()
         return drawn
 
-    assert seen(1) == seen(1) and seen(1) != seen(2)
-    assert seen(1)[-1] == seen(2)[-1] == random.Random(5).random()  # a seed that is given stays
+    assert draw(1) == draw(1) and draw(1) != draw(2)
+    assert draw(1)[-1] == draw(2)[-1] == random.Random(5).random()  # an explicit seed is kept
     assert time.time is before
     loop.close()
 
 
-def test_each_machine_has_its_own_clock_and_each_process_its_own_place() -> None:
+def test_each_machine_has_its_own_clock_and_each_process_its_own_environment() -> None:
     loop, _ = world()
     late = Machine("late", "a", offset=2500.0, drift=0.01)
     process = Process(4242, "p", late, {"WHERE": "here"})
 
     async def work() -> None:
-        seen: list[Any] = []
+        observed: list[Any] = []
 
-        async def look() -> None:
+        async def observe() -> None:
             await asyncio.sleep(100.0)
-            seen.extend([time.time(), time.monotonic(), os.getpid(), os.environ["WHERE"]])
+            observed.extend([time.time(), time.monotonic(), os.getpid(), os.environ["WHERE"]])
 
-        await start(loop, process, look)
-        assert seen == [
+        await start(loop, process, observe)
+        assert observed == [
             pytest.approx(virtual.START_UNIX_S + 103.5),
             pytest.approx(START_MONOTONIC_S + 101.0),
             4242,
@@ -433,11 +437,11 @@
         run(loop, work)
 
 
-@pytest.mark.parametrize("fails", ["disk-full", "disk-error"])
-def test_a_disk_fails_on_command_and_a_killed_agent_keeps_what_it_kept(fails: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("failure", ["disk-full", "disk-error"])
+def test_a_disk_fails_on_command_and_a_killed_agent_keeps_committed_data(failure: str, tmp_path: Path) -> None:
     machine = Machine("m")
     loop, network = world()
-    host = SimHost(machine, network.faults, lambda *given: pytest.fail("nothing is started"), {}, lambda *given: None)
+    host = SimHost(machine, network.faults, lambda *args: pytest.fail("a process was started"), {}, lambda *args: None)
     line = AuditLine(0.0, "an", "operator", "drain", 1, "")
 
     async def work() -> None:
@@ -447,7 +451,7 @@
             host.lock(tmp_path / "lock")
             store = host.store(tmp_path / "store.db")
             store.save_records([], line)
-            machine.disk_failure = fails
+            machine.disk_failure = failure
             with pytest.raises(StoreError):
                 store.save_records([], line)
             with pytest.raises(OSError):
@@ -461,7 +465,7 @@
             host.lock(tmp_path / "lock")
         process.signal(signal.SIGKILL, loop)
         os.close(host.lock(tmp_path / "lock"))
-        with sqlite3.connect(tmp_path / "store.db") as kept:
-            assert kept.execute("SELECT count(*) FROM audit").fetchone() == (1,)
+        with sqlite3.connect(tmp_path / "store.db") as database:
+            assert database.execute("SELECT count(*) FROM audit").fetchone() == (1,)
 
     run(loop, work)
