--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -25,7 +25,7 @@
 FORMAT = 1  # version of the models and of this file; a kept seed of another version no longer applies
 MAX_LIMITERS, MAX_SERVERS = 2000, 50_000
 MAX_DURATION_S = 200_000.0
-MAX_AMOUNT = 2e12  # ms that a clock may be set back or ahead: about as far as 1970 lies back
+MAX_AMOUNT = 2e12  # largest amount of a fault; for a clock in ms, it reaches back to 1970 and as far ahead
 LONGEST_TRACE_DEADLINE_MS = 10_000.0  # longest deadline in a recorded trace
 MAX_FILE_BYTES = 32 << 20  # a schedule of 100,000 faults has about 8 MB
 
--- a/elderlock/sim/virtual/loop.py
+++ b/elderlock/sim/virtual/loop.py
@@ -19,7 +19,7 @@
 
 from elderlock.sim.virtual.processes import CURRENT_PROCESS
 
-START_UNIX_S = 1_700_000_000.0  # Unix time of the start of a run
+START_UNIX_S = 1_700_000_000.0  # Unix time at the start of a run
 START_MONOTONIC_S = 10_000.0  # the monotonic clock at the start of a run
 MAX_STEPS_AT_ONE_TIME = 300_000  # iterations of the loop without progress of time
 TIE_BREAK_S = 1e-9  # most by which timers due at the same time are shifted, in an order that the seed determines
--- a/elderlock/sim/virtual/network.py
+++ b/elderlock/sim/virtual/network.py
@@ -342,23 +342,23 @@
             return
         self._transmit(what, data)
 
-    def _transmit(self, what: str, data: bytes, held: float = 0.0) -> None:
+    def _transmit(self, what: str, data: bytes, extra_delay: float = 0.0) -> None:
         network = self.network
-        way = network.ways.delay(self.machine, self.peer.machine) / 1000.0
+        delay = network.ways.delay(self.machine, self.peer.machine) / 1000.0
         if network.ways.is_lost(self.machine, self.peer.machine):
-            way += network.ways.retransmission_delay() / 1000.0
+            delay += network.ways.retransmission_delay() / 1000.0
         # timers due at the same time run in a random order, but the segments of one stream must stay in order
-        at = max(self._last_arrival + 2.0 * TIE_BREAK_S, self.loop.time() + way + held)
+        at = max(self._last_arrival + 2.0 * TIE_BREAK_S, self.loop.time() + delay + extra_delay)
         self._last_arrival = at
         network.notify_transfer(what, self, data)
         self.loop.call_at(at, self.peer.arrive, what, data, context=network.wire)
 
     def resume_after_cut(self) -> None:
         """Sends what waited for the end of a cut, after the delay of a retransmission."""
-        stuck, self._blocked = self._blocked, deque()
-        held = self.network.ways.retransmission_delay() / 1000.0
-        for what, data in stuck:
-            self._transmit(what, data, held)
+        blocked, self._blocked = self._blocked, deque()
+        extra_delay = self.network.ways.retransmission_delay() / 1000.0
+        for what, data in blocked:
+            self._transmit(what, data, extra_delay)
 
     def arrive(self, what: str, data: bytes) -> None:
         """Receives a segment in the kernel.
@@ -481,8 +481,8 @@
             return
         copies = 2 if fault == "doubled" or network.ways.is_duplicated() else 1
         for _ in range(copies):  # each copy draws its own delay, which can reorder datagrams
-            way = network.ways.delay(self.machine, there.machine) / 1000.0 + (0.5 if fault == "late" else 0.0)
-            network.loop.call_later(way, there.arrive, data, self.at, context=network.wire)
+            delay = network.ways.delay(self.machine, there.machine) / 1000.0 + (0.5 if fault == "late" else 0.0)
+            network.loop.call_later(delay, there.arrive, data, self.at, context=network.wire)
 
     def arrive(self, data: bytes, sender: Address) -> None:
         """Receives a datagram in the kernel."""
@@ -611,23 +611,23 @@
         self._check_descriptor_limit()
         process = CURRENT_PROCESS.get()
         fault = self.faults.at("connect", process)
-        for number in range(len(SYN_RETRY_DELAYS_S) + 1):
-            out = self.ways.delay(here, there) / 1000.0
-            back = self.ways.delay(there, here) / 1000.0
-            lost = fault == "silent" or self.ways.is_cut(here, there) or self.ways.is_cut(there, here)
-            lost = lost or self.ways.is_lost(here, there)
+        for attempt in range(len(SYN_RETRY_DELAYS_S) + 1):
+            delay_there = self.ways.delay(here, there) / 1000.0
+            delay_back = self.ways.delay(there, here) / 1000.0
+            is_lost = fault == "silent" or self.ways.is_cut(here, there) or self.ways.is_cut(there, here)
+            is_lost = is_lost or self.ways.is_lost(here, there)
             listening = self.listening.get(at)
-            if not lost and listening is not None and listening.pending >= listening.backlog:
-                lost = True
-            if lost:
-                if number == len(SYN_RETRY_DELAYS_S):
+            if not is_lost and listening is not None and listening.pending >= listening.backlog:
+                is_lost = True
+            if is_lost:
+                if attempt == len(SYN_RETRY_DELAYS_S):
                     raise TimeoutError(errno.ETIMEDOUT, "Connection timed out")
-                await asyncio.sleep(SYN_RETRY_DELAYS_S[number])
+                await asyncio.sleep(SYN_RETRY_DELAYS_S[attempt])
                 continue
-            await asyncio.sleep(out)
+            await asyncio.sleep(delay_there)
             listening = self.listening.get(at)
             if listening is None or fault == "refused":
-                await asyncio.sleep(back)
+                await asyncio.sleep(delay_back)
                 raise ConnectionRefusedError(errno.ECONNREFUSED, f"{at}: connection refused")
             server = Stream(self, None, listening.context, there, at, name)
             server._release_descriptor()  # it takes a descriptor only when it is accepted
@@ -638,7 +638,7 @@
             listening.pending += 1
             self.loop.call_soon(self._accept, listening, server, context=listening.context)
             try:
-                await asyncio.sleep(back)
+                await asyncio.sleep(delay_back)
             except BaseException:
                 client.resets_on_close = True
                 client.abort()
--- a/tests/sim/test_invariant_checkers.py
+++ b/tests/sim/test_invariant_checkers.py
@@ -17,7 +17,7 @@
 
 
 def scenario(load: float = 0.5, accounts: int = 100, **changes: Any) -> Scenario:
-    unloaded = Scenario("bite", **{"lasts_s": 6.0, "warm_s": 1.0, "rest_s": 3.0, "boxes": 6, **changes})
+    unloaded = Scenario("flaw-case", **{"lasts_s": 6.0, "warm_s": 1.0, "rest_s": 3.0, "boxes": 6, **changes})
     return with_load(load, unloaded, accounts)
 
 
