--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -642,7 +642,7 @@
     """Describes a scenario and its faults in order of time, for reports."""
     s = scenario
     lines = [
-        f"{s.name}: seed {seed}, {s.limiters} limiters, {s.boxes} servers, {s.floors} zones, {s.agents} agents, "
+        f"{s.name}: seed {seed}, {s.limiters} limiters, {s.boxes} boxes, {s.floors} floors, {s.agents} agents, "
         f"{s.lasts_s:g} s"
     ]
     return "\n".join([*lines, *(fault.text() for fault in sorted(s.fault, key=lambda f: f.at_s)), ""])
--- a/elderlock/sim/seeds.py
+++ b/elderlock/sim/seeds.py
@@ -52,7 +52,7 @@
         """Describes the scenario and its faults in order of time, for the comment in the file."""
         broke = f"broke: {', '.join(self.broke)}\n" if self.broke else ""
         about = f"{self.about}\n" if self.about else ""
-        return f"{about}{timeline(self.scenario, self.seed)}at the {self.floor} level\n{broke}"
+        return f"{about}{timeline(self.scenario, self.seed)}on the {self.floor}' floor\n{broke}"
 
 
 def write(seed: Seed, path: Path) -> None:
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -102,7 +102,7 @@
             held = await here.records()
             assert all(len([r for r in records if r.is_drained]) == 3 for records in held.values())
             here.faults.agreed.ended(here.ground.at())
-            assert here.faults.agreed.broken == [] and judged(here.ground).broken == []
+            assert here.faults.agreed.violations == [] and judged(here.ground).broken == []
 
     run(test(), within=90.0)
 
