--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -112,7 +112,7 @@
         self.arrivals_done = True
 
     async def rush(self, rate: float, lasts: float) -> None:
-        """Sends `rate` additional requests per second for `lasts` s, each a copy of the latest of the schedule."""
+        """Sends `rate` additional requests per second for `lasts` s, each a copy of the latest request."""
         ends = self.loop.time() + lasts
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
@@ -122,7 +122,10 @@
                 self._launch(self._last_arrival)
 
     async def silent_crowd(self, rate: float, lasts: float) -> None:
-        """Opens `rate` connections per second for `lasts` s that send nothing until the limiter closes them."""
+        """Opens `rate` connections per second for `lasts` s.
+
+        They send nothing and stay open until the limiter closes them.
+        """
         ends = self.loop.time() + lasts
         while self.loop.time() < ends:
             await asyncio.sleep(self.rng.expovariate(rate))
--- a/elderlock/sim/limiter_settings.py
+++ b/elderlock/sim/limiter_settings.py
@@ -87,7 +87,7 @@
 
 
 def operators_toml(scenario: Scenario) -> str:
-    """Returns the part of a limiter's operators' file that does not concern its control socket."""
+    """Returns the part of a limiter's operators' file that follows the settings of its control socket."""
     s = scenario.settings
     text = f"[routing]\nsubset = {s.subset}\naway_ms = {s.away_ms}\n"
     if s.peers:
