--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -111,7 +111,7 @@
                 len([record for record in records if record.is_drained]) == 3 for records in records_by_agent.values()
             )
             running.faults.agreed.ended(running.ground.at())
-            assert running.faults.agreed.broken == [] and judged(running.ground).broken == []
+            assert running.faults.agreed.violations == [] and judged(running.ground).broken == []
 
     run(test(), within=90.0)
 
