--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -20,7 +20,7 @@
 
 import uvloop
 
-from elderlock.load.coordinator import Coordinator, local_lines
+from elderlock.load.coordinator import Coordinator, local_worker_links
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
@@ -100,7 +100,7 @@
         if second.at in (0, 1):
             marks.append((cpu_s(subject.process.pid), ended))  # type: ignore[union-attr]
 
-    made = await Coordinator(read, local_lines(workers), live).run()
+    made = await Coordinator(read, local_worker_links(workers), live).run()
     total = cpu_s(subject.process.pid)
     begun, before = marks[-1]
     return (total - begun) / max(1, ended - before) * 1e6, made
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -20,8 +20,8 @@
 import limiter_cost
 import uvloop
 
-from elderlock.load.coordinator import Coordinator, LocalLine
-from elderlock.load.figures import decoded
+from elderlock.load.coordinator import Coordinator, LocalWorkerLink
+from elderlock.load.metrics import decode_histogram
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
@@ -46,7 +46,7 @@
 shape = [{{ kind = "steady", rate = {rate} }}]
 accounts = {{ count = 100 }}
 """
-Meddle = Callable[[list[LocalLine]], Awaitable[None]]
+Meddle = Callable[[list[LocalWorkerLink]], Awaitable[None]]
 
 
 async def run(
@@ -71,7 +71,7 @@
         deadline=deadline,
     )
     read = parse(text, "truth", [f"targets.addresses={json.dumps(targets)}", *changes])
-    lines = [LocalLine(number) for number in range(workers)]
+    lines = [LocalWorkerLink(number) for number in range(workers)]
 
     async def began(at: float) -> list[tuple[float, str]]:
         if meddle is not None:
@@ -83,7 +83,7 @@
 
 def found(made: Report, share: float, service: bool = False) -> float:
     lines = made.by["all"]["all"]
-    histogram = decoded(lines.service_hdr if service else lines.latency_hdr).hdr()
+    histogram = decode_histogram(lines.service_hdr if service else lines.latency_hdr).hdr()
     return float(histogram.get_value_at_percentile(100 * share)) / 1000.0
 
 
@@ -188,19 +188,19 @@
 async def late_runs() -> dict[str, Any]:
     """Runs that are made late on purpose, each of which has to be told, with its cause."""
 
-    def pid(lines: list[LocalLine]) -> int:
+    def pid(lines: list[LocalWorkerLink]) -> int:
         process = lines[0].process
         assert process is not None
         return process.pid
 
-    async def stopped(lines: list[LocalLine]) -> None:
+    async def stopped(lines: list[LocalWorkerLink]) -> None:
         await asyncio.sleep(1.5)
         os.kill(pid(lines), signal.SIGSTOP)
         await asyncio.sleep(1.0)
         os.kill(pid(lines), signal.SIGCONT)
 
     def beside(count: int) -> Meddle:
-        async def meddle(lines: list[LocalLine]) -> None:
+        async def meddle(lines: list[LocalWorkerLink]) -> None:
             core = max(os.sched_getaffinity(0))
             os.sched_setaffinity(pid(lines), {core})
             stop = asyncio.Event()
@@ -209,7 +209,7 @@
 
         return meddle
 
-    async def few_descriptors(lines: list[LocalLine]) -> None:
+    async def few_descriptors(lines: list[LocalWorkerLink]) -> None:
         import resource
 
         resource.prlimit(pid(lines), resource.RLIMIT_NOFILE, (24, 24))
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -25,8 +25,8 @@
 from elderlock.cli.running import PREFIX
 from elderlock.cli.up import running
 from elderlock.load import scenario as load
-from elderlock.load.accounts import Mix
-from elderlock.load.coordinator import Coordinator, local_lines
+from elderlock.load.accounts import AccountMix
+from elderlock.load.coordinator import Coordinator, local_worker_links
 from elderlock.sim import decisions, search, shells
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import BoxKind, Net, Plan, Scenario, Service, Settings, of_load
@@ -189,7 +189,7 @@
         name="main",
         plan="shop",
         shape=shape,
-        accounts=Mix(count=200, skew=0.6),
+        accounts=AccountMix(count=200, skew=0.6),
         deadline_ms=3000.0,
         clients=load.Clients(),
         class_name="lookup",
@@ -201,7 +201,7 @@
         stop = asyncio.Event()
         async with running(folder, mark, 3, 9, 1, stop) as (world, _):
             at = msgspec.structs.replace(real, targets=load.Targets(addresses=tuple(world.listens)))
-            coordinator = Coordinator(at, local_lines(1))
+            coordinator = Coordinator(at, local_worker_links(1))
             report = await coordinator.run()
             found["served"] = report.outcomes.get("served", 0) / max(1, sum(report.outcomes.values()))
             found["p99"] = report.by["outcome"]["served"].latency["p99"]
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -22,12 +22,19 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError
 from elderlock.load import compare, report, scenario, trace
-from elderlock.load.coordinator import Coordinator, Line, LoadError, key_of, local_lines, most_workers
-from elderlock.load.figures import Second
+from elderlock.load.coordinator import (
+    Coordinator,
+    LoadError,
+    WorkerLink,
+    local_worker_links,
+    maximum_workers,
+    renaming_key,
+)
+from elderlock.load.metrics import Second
 from elderlock.load.rename import Renamer
 from elderlock.load.report import Exit, Report
 from elderlock.load.scenario import Scenario, ScenarioError
-from elderlock.load.thresholds import ThresholdError, threshold
+from elderlock.load.thresholds import ThresholdError, parse_threshold
 
 Began = Callable[[float], Awaitable[list[tuple[float, str]]]]
 
@@ -43,7 +50,9 @@
         run.add_argument("--set", action="append", default=[], metavar="NAME=VALUE", help="in place of the file's own")
         run.add_argument("--seed", type=int)
         run.add_argument("--for", dest="lasts", type=seconds, metavar="S", help="so long, in place of for_s")
-        run.add_argument("--workers", type=int, metavar="N", help=f"processes that send (up to {most_workers()} here)")
+        run.add_argument(
+            "--workers", type=int, metavar="N", help=f"processes that send (up to {maximum_workers()} here)"
+        )
         run.add_argument("--json", type=Path, metavar="FILE", help="the report, for load show and load compare")
         run.add_argument("--html", type=Path, metavar="FILE", help="the report as one page")
         run.add_argument("--record", type=Path, metavar="FILE", help="a trace of what was sent")
@@ -131,7 +140,7 @@
         changes.append(f"record={json.dumps(str(options.record))}")
     read = scenario.read(options.scenario, changes)
     for text in options.fail_if:
-        threshold(text)
+        parse_threshold(text)
     for path in (options.json, options.html, options.record):
         if path is not None and not path.resolve().parent.is_dir():
             raise ScenarioError(f"{path}: there is no such folder")
@@ -153,7 +162,7 @@
 async def _send(
     options: argparse.Namespace,
     read: Scenario,
-    lines: Sequence[Line],
+    lines: Sequence[WorkerLink],
     began: Began | None = None,
 ) -> int:
     if not read.targets.addresses:
@@ -161,11 +170,11 @@
 
     def live(second: Second) -> None:
         if not options.quiet:
-            print(report.live(second), file=sys.stderr, flush=True)
+            print(report.live_line(second), file=sys.stderr, flush=True)
 
     # a part of a trace for each worker, which the run joins at its end
     with tempfile.TemporaryDirectory(prefix="elderlock-load-", ignore_cleanup_errors=True) as folder:
-        coordinator = Coordinator(read, lines, live, began, key_of(read), Path(folder))
+        coordinator = Coordinator(read, lines, live, began, renaming_key(read), Path(folder))
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, coordinator.interrupt)
@@ -193,9 +202,9 @@
 
 
 def _page(made: Report) -> bytes:
-    from elderlock.load.page import page
+    from elderlock.load.html_report import render_page
 
-    return page(made).encode()
+    return render_page(made).encode()
 
 
 def _write(path: Path, data: bytes) -> None:
@@ -228,12 +237,12 @@
     try:
         if not addresses and group is not None:
             addresses = await _listens(group)
-        lines = local_lines(read.workers)
+        lines = local_worker_links(read.workers)
         if agents:
-            from elderlock.load.remote import RemoteLine
+            from elderlock.load.remote_worker import RemoteWorkerLink
 
             assert group is not None
-            lines += [RemoteLine(group, agent, read.workers + n) for n, agent in enumerate(agents)]
+            lines += [RemoteWorkerLink(group, agent, read.workers + n) for n, agent in enumerate(agents)]
         return await _send(options, _at(read, addresses), lines)
     finally:
         if group is not None:
@@ -299,7 +308,7 @@
                 raise ScenarioError("this needs the extra elderlock[grpc]")
             addresses = world.doors if kind == "grpc" else world.listens
             print(f"{world.limiters} limiters and {len(world.boxes)} boxes are up", file=sys.stderr, flush=True)
-            return await _send(options, _at(read, addresses, kind), local_lines(read.workers), troubles.run)
+            return await _send(options, _at(read, addresses, kind), local_worker_links(read.workers), troubles.run)
     except (UpError, TroubleError) as error:
         raise LoadError(str(error)) from None
 
@@ -316,7 +325,7 @@
 
 def show(options: argparse.Namespace) -> int:
     made = _report(options.report)
-    failed = report.judged(made, options.fail_if)
+    failed = report.failed_thresholds(made, options.fail_if)
     made.failed += failed
     if failed and made.exit == Exit.DONE:
         made.exit = Exit.FAILED
@@ -324,19 +333,19 @@
 
 
 def compared(options: argparse.Namespace) -> int:
-    found, warnings = compare.compared(_report(options.before), _report(options.after))
+    found, warnings = compare.compare_reports(_report(options.before), _report(options.after))
     if options.json:
         rows = [{**msgspec.structs.asdict(each), "verdict": each.verdict} for each in found]
         print(json.dumps({"differences": rows, "careful": warnings}))
     else:
-        print("\n".join(compare.lines(found, warnings)))
+        print("\n".join(compare.table_lines(found, warnings)))
     return Exit.DONE
 
 
 def check(options: argparse.Namespace) -> int:
     if options.file.endswith(".toml") or len(Path(options.file).parts) == 1 and not Path(options.file).exists():
         read = scenario.read(options.file, options.set)
-        rates = [sum(piece.expected for piece in scenario.pieces(s, read.for_s)) for s in read.stream]
+        rates = [sum(piece.expected for piece in scenario.rate_segments(s, read.for_s)) for s in read.stream]
         what = f"a replay of {read.replay.path}" if read.replay else f"about {sum(rates):.0f} requests"
         print(f"{read.name}: can be used; {what}, {len(read.trouble)} troubles")
         return Exit.DONE
@@ -345,14 +354,14 @@
     accounts: set[str] = set()
     last = 0
     with trace.open_trace(Path(options.file)) as file:
-        for _, row in trace.rows(trace.lines(file)):
+        for _, row in trace.read_rows(trace.read_lines(file)):
             if isinstance(row, trace.TraceError):
                 counts[row.reason] += 1
                 first.setdefault(row.reason, str(row))
             else:
                 counts["rows"] += 1
                 last = row.at
-                if len(accounts) < scenario.MOST_ACCOUNTS:
+                if len(accounts) < scenario.MAXIMUM_ACCOUNTS:
                     accounts.add(row.account)
     print(f"{counts.pop('rows', 0)} requests of {len(accounts)} accounts, to {last / 1e6:.3f} s")
     for reason, count in counts.items():
@@ -364,8 +373,8 @@
     renamer = Renamer(options.key.read_bytes())
     if options.out.resolve() == options.trace.resolve():
         raise ValueError(f"{options.out}: a trace is not renamed in place")
-    with trace.open_trace(options.trace) as file, contextlib.closing(trace.Writer(options.out)) as writer:
-        for _, row in trace.rows(trace.lines(file)):
+    with trace.open_trace(options.trace) as file, contextlib.closing(trace.TraceWriter(options.out)) as writer:
+        for _, row in trace.read_rows(trace.read_lines(file)):
             if isinstance(row, trace.TraceError):
                 raise row
             row.account = renamer(row.account)
@@ -391,13 +400,13 @@
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     began = before = time.monotonic()
     missed = 0
-    with contextlib.closing(trace.Writer(options.out)) as writer:
+    with contextlib.closing(trace.TraceWriter(options.out)) as writer:
         while True:
             seen = await observe_group(group, MAXIMUM_ACCOUNTS)
             now = time.monotonic()
             missed += len(seen.missing)
             states = {state.limiter: state for state in seen.states()}
-            for row in recorder.look(states, before - began, now - began):
+            for row in recorder.poll(states, before - began, now - began):
                 writer.write(row)
             before = now
             if stop.is_set() or now - began >= options.lasts:
@@ -406,13 +415,13 @@
                 async with asyncio.timeout(min(options.every, max(0.0, began + options.lasts - now))):
                     await stop.wait()
     group.close()
-    print(f"{writer.rows} requests in {recorder.looks} looks")
+    print(f"{writer.rows} requests in {recorder.polls} looks")
     if recorder.uncounted or missed:
         print(f"not told apart: {recorder.uncounted} requests; agents that did not answer: {missed} times")
     return Exit.DONE if writer.rows else Exit.INCOMPLETE
 
 
 def scenarios(options: argparse.Namespace) -> int:
-    for name in scenario.ships():
+    for name in scenario.shipped_scenarios():
         print(f"{name}: {scenario.read(name).about}")
     return Exit.DONE
--- a/elderlock/load/accounts.py
+++ b/elderlock/load/accounts.py
@@ -18,7 +18,7 @@
 MOST_PROPOSED = 64  # of which nearly none is ever needed; the last one is taken then
 
 
-class Mix(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class AccountMix(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """`skew` is Zipf's exponent, 0 for equal shares. `heavy` and `spiky` are shares of the accounts; a heavy
     one has `heavy_times` its weight always, a spiky one `spike_times` for `spike_s` in every `spike_every_s`.
     Ranks move on by one account in `move_every_s` each; 0 is never."""
@@ -37,7 +37,7 @@
 class Population:
     """`names` are the accounts' numbers, all different; `groups` and `firsts` go with them."""
 
-    def __init__(self, mix: Mix, rng: random.Random, limiters: int) -> None:
+    def __init__(self, mix: AccountMix, rng: random.Random, limiters: int) -> None:
         self.mix = mix
         chosen: dict[int, None] = {}
         while len(chosen) < mix.count:
--- a/elderlock/load/clientele.py
+++ b/elderlock/load/client_policy.py
@@ -15,7 +15,7 @@
 AGAIN_AT_LEAST = 1.0  # ms that must be left of the deadline for a further try
 
 
-def reason(before: str, outcome: str, sent: bool, wrote: bool) -> str:
+def combined_outcome(before: str, outcome: str, sent: bool, wrote: bool) -> str:
     """What a request counts as, where its latest try ended so: how the last try that was sent ended, or why none
     was. `sent`: any try was; `wrote`: this one was. One that was written, and whose connection ended with no answer
     and could not be had anew, is lost."""
@@ -25,23 +25,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Again:
+class Retry:
     """Try once more after `wait` ms."""
 
-    wait: float
+    wait_ms: float
 
 
-class Way:
+class ClientPolicy:
     """The clients of one stream. What one client has tried is in the caller's hands: a count and a flag."""
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
 
-    def patience(self, deadline: float, waited: float) -> float:
+    def attempt_timeout_ms(self, deadline: float, waited: float) -> float:
         """How long a try that begins `waited` ms after the intended start is waited for."""
         return min(self._clients.try_share * deadline, deadline - waited)
 
-    def after(
+    def next_retry(
         self,
         outcome: str,
         advice: float | None,
@@ -50,7 +50,7 @@
         waited: float,
         deadline: float,
         rng: random.Random,
-    ) -> Again | None:
+    ) -> Retry | None:
         """`advice` is the limiter's "come back" in ms, None where it gave none. A client that honours it
         waits so long, and goes away where that is longer than it may wait or has time for; one that does not
         takes its own back-off as after any failure."""
@@ -66,4 +66,4 @@
             wait = clients.backoff_ms * (2.0 ** (tries - 1) if clients.backoff == "exp" else 1.0)
             if clients.jitter:
                 wait *= rng.random()
-        return Again(wait) if waited + wait + AGAIN_AT_LEAST <= deadline else None
+        return Retry(wait) if waited + wait + AGAIN_AT_LEAST <= deadline else None
--- a/elderlock/load/clock.py
+++ b/elderlock/load/clock.py
@@ -28,7 +28,7 @@
     )
 
 
-class Ticker:
+class OneShotTimer:
     """Calls `due` at the time last set, once; a time that has passed is due at once (timerfd_create(2))."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, due: Callable[[], None]) -> None:
@@ -42,7 +42,7 @@
         self._at = ctypes.byref(self._spec)
         loop.add_reader(self._fd, self._fired)
 
-    def at(self, us: int) -> None:
+    def set(self, us: int) -> None:
         spec = self._spec
         spec.value_s, rest = divmod(max(us, 1), 1_000_000)
         spec.value_ns = rest * 1000
@@ -63,7 +63,7 @@
             self._fd = -1
 
 
-class Watch:
+class ProcessMonitor:
     """What this process did and waited for since the last look: the facts behind its lateness."""
 
     def __init__(self) -> None:
--- a/elderlock/load/compare.py
+++ b/elderlock/load/compare.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from elderlock.load.figures import Spread, decoded
+from elderlock.load.metrics import Histogram, decode_histogram
 from elderlock.load.report import Report
 
 BLOCKS = 10  # of each run; fewer where it is shorter
@@ -41,7 +41,7 @@
         return "higher" if self.after > self.before else "lower"
 
 
-def _groups(report: Report) -> list[tuple[Spread, dict[str, int]]]:
+def _groups(report: Report) -> list[tuple[Histogram, dict[str, int]]]:
     """The run's blocks as about `BLOCKS` of equal length; those that hold nothing are left out."""
     blocks = report.blocks
     if report.lasted_s > 0:
@@ -52,9 +52,9 @@
     groups = []
     for number in range(count):
         part = blocks[number * len(blocks) // count : (number + 1) * len(blocks) // count]
-        spread, outcomes = Spread(), dict[str, int]()
+        spread, outcomes = Histogram(), dict[str, int]()
         for block in part:
-            spread.merge(decoded(block.latency))
+            spread.merge(decode_histogram(block.latency))
             for name, n in block.outcomes.items():
                 outcomes[name] = outcomes.get(name, 0) + n
         if spread.counts:
@@ -68,7 +68,7 @@
     return ERRORS * math.sqrt(statistics.variance(before) / len(before) + statistics.variance(after) / len(after))
 
 
-def compared(before: Report, after: Report) -> tuple[list[Difference], list[str]]:
+def compare_reports(before: Report, after: Report) -> tuple[list[Difference], list[str]]:
     """The differences, and what speaks against comparing the two at all."""
     warnings = []
     if before.scenario != after.scenario or before.seed != after.seed:
@@ -97,7 +97,7 @@
     return found, warnings
 
 
-def lines(found: Sequence[Difference], warnings: Sequence[str]) -> list[str]:
+def table_lines(found: Sequence[Difference], warnings: Sequence[str]) -> list[str]:
     rows = [("", "first", "second", "noise", "")]
     for each in found:
         noise = "-" if each.noise is None else f"{each.noise:.4g}"
--- a/elderlock/load/coordinator.py
+++ b/elderlock/load/coordinator.py
@@ -20,11 +20,11 @@
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.load import messages as m
 from elderlock.load.clock import now_us
-from elderlock.load.figures import Second, Totals
-from elderlock.load.report import Report, report
+from elderlock.load.metrics import Second, Totals
+from elderlock.load.report import Report, build_report
 from elderlock.load.scenario import Scenario, ScenarioError
 from elderlock.load.schedule import Arrival, schedule
-from elderlock.load.trace import Source, TraceError, merged
+from elderlock.load.trace import TraceError, TraceReplay, merge_traces
 from elderlock.spawning import spawn
 
 READY_WITHIN = 60.0  # s: 100,000 accounts are drawn first
@@ -38,7 +38,7 @@
     """The run could not begin; the text says why."""
 
 
-class Line(Protocol):
+class WorkerLink(Protocol):
     """The way to one worker."""
 
     name: str
@@ -50,7 +50,7 @@
     async def close(self) -> None: ...
 
 
-class LocalLine:
+class LocalWorkerLink:
     """A worker process of this machine."""
 
     def __init__(self, number: int) -> None:
@@ -96,7 +96,7 @@
 
 
 class _Worker:
-    def __init__(self, number: int, line: Line) -> None:
+    def __init__(self, number: int, line: WorkerLink) -> None:
         self.number, self.line = number, line
         self.ready: asyncio.Future[str] = asyncio.get_running_loop().create_future()  # empty where all is well
         self.told: dict[int, asyncio.Future[int]] = {}
@@ -112,7 +112,7 @@
     def __init__(
         self,
         scenario: Scenario,
-        lines: Sequence[Line],
+        lines: Sequence[WorkerLink],
         live: Callable[[Second], None] = lambda second: None,
         began: Callable[[float], Awaitable[list[tuple[float, str]]]] | None = None,
         key: bytes = b"",
@@ -136,7 +136,7 @@
             case m.Ready():
                 if not worker.ready.done():
                     worker.ready.set_result("")
-            case m.Told():
+            case m.ClockReading():
                 future = worker.told.pop(message.number, None)
                 if future is not None and not future.done():
                     future.set_result(message.now)
@@ -195,7 +195,7 @@
                 )
             except OSError as error:
                 raise LoadError(f"{worker.line.name} cannot be started: {error}") from None
-            local = isinstance(worker.line, LocalLine)
+            local = isinstance(worker.line, LocalWorkerLink)
             trace = self._trace_part(worker.number) if local else ""
             job = m.Job(m.VERSION, self.scenario, worker.number, len(self.workers), self._key, trace)
             worker.line.say(job)
@@ -218,13 +218,13 @@
     async def _set_clock(self, worker: _Worker) -> None:
         """The offset of its clock by the exchange that took the least time (Cristian, 1989); workers of this
         machine share ours."""
-        if isinstance(worker.line, LocalLine):
+        if isinstance(worker.line, LocalWorkerLink):
             return
         best = None
         for number in range(CLOCK_ASKS):
             future = worker.told[number] = asyncio.get_running_loop().create_future()
             sent = now_us()
-            worker.line.say(m.Clock(number))
+            worker.line.say(m.ReadClock(number))
             told = await future
             took = now_us() - sent
             if best is None or took < best[0]:
@@ -264,7 +264,7 @@
             self.notes.append(f"{worker.line.name} was lost: {worker.gone}")
         scheduled = await asyncio.to_thread(self._scheduled, dead)
         self._write_trace()
-        return report(
+        return build_report(
             self.totals,
             self.scenario,
             scheduled=scheduled,
@@ -314,7 +314,7 @@
         limiters = len(self.scenario.targets.addresses)
         if self.scenario.replay is not None:
             try:
-                yield from Source(self.scenario.replay, self._key).arrivals(limiters)
+                yield from TraceReplay(self.scenario.replay, self._key).arrivals(limiters)
             except (TraceError, OSError):
                 return
         else:
@@ -325,18 +325,18 @@
             return
         parts = [Path(self._trace_part(worker.number)) for worker in self.workers]
         try:
-            rows = merged([part for part in parts if part.exists()], Path(self.scenario.record))
+            rows = merge_traces([part for part in parts if part.exists()], Path(self.scenario.record))
         except OSError as error:
             self.notes.append(f"the trace could not be written: {error}")
         else:
             self.notes.append(f"{rows} requests recorded in {self.scenario.record}")
 
 
-def local_lines(count: int) -> list[Line]:
-    return [LocalLine(number) for number in range(count)]
+def local_worker_links(count: int) -> list[WorkerLink]:
+    return [LocalWorkerLink(number) for number in range(count)]
 
 
-def key_of(scenario: Scenario) -> bytes:
+def renaming_key(scenario: Scenario) -> bytes:
     """The bytes that rename a replay's accounts. Raises `ScenarioError`."""
     replay = scenario.replay
     if replay is None or not replay.rename_key:
@@ -347,6 +347,6 @@
         raise ScenarioError(f"the key: {error}") from None
 
 
-def most_workers() -> int:
+def maximum_workers() -> int:
     """One for each core but one, which the coordinator and the system have."""
     return max(1, len(os.sched_getaffinity(0)) - 1)
--- a/elderlock/load/asking.py
+++ b/elderlock/load/grpc_client.py
@@ -19,13 +19,13 @@
 from elderlock.authz.door import ENDPOINT, LIFE
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.load.clock import now_us
-from elderlock.load.wire import MISSING, Engine, Request, command
+from elderlock.load.resp_client import MISSING, Engine, Request, command
 
 REPORT_WITHIN = 2.0  # s
 MOST_IDLE = 64  # connections kept to one box
 
 
-class Boxes:
+class LookupClient:
     """Lookups at the boxes, one at a time on each connection; those that ended well are kept."""
 
     def __init__(self) -> None:
@@ -76,11 +76,11 @@
                 writer.transport.abort()
 
 
-class AskingDoor:
+class GrpcClient:
     """One channel to each target; gRPC carries many questions on one connection."""
 
     def __init__(self, engine: Engine, loop: asyncio.AbstractEventLoop, addresses: Sequence[tuple[str, int]]) -> None:
-        self._engine, self._loop, self._boxes = engine, loop, Boxes()
+        self._engine, self._loop, self._boxes = engine, loop, LookupClient()
         self._channels = [grpc.aio.insecure_channel(f"{host}:{port}") for host, port in addresses]
         self._auth = [auth_grpc.AuthorizationStub(channel) for channel in self._channels]
         self._lookups: list[Any] = [
@@ -96,7 +96,7 @@
 
     def send(self, request: Request, patience: float) -> None:
         """`patience` in ms."""
-        self._task(self._ask(request, request.tries, patience))
+        self._task(self._ask(request, request.attempts, patience))
 
     async def _ask(self, request: Request, tries: int, patience: float) -> None:
         arrival, target = request.arrival, request.target
@@ -112,9 +112,9 @@
         }
         for key, value in values.items():
             question.attributes.context_extensions[key] = value
-        request.wrote = now_us()
-        sent = command(arrival.account, request.id, self._engine.terms(request))
-        self._engine.wrote(request)
+        request.written_at_us = now_us()
+        sent = command(arrival.account, request.id, self._engine.request_terms(request))
+        self._engine.on_request_written(request)
         advice: float | None = None
         answer: Any = None
         try:
@@ -125,11 +125,11 @@
             outcome = {"UNAVAILABLE": "lost", "DEADLINE_EXCEEDED": "timeout"}.get(name, "failed")
         else:
             outcome, advice = self._read(answer)
-        if not request.active or request.tries != tries:
+        if not request.is_active or request.attempts != tries:
             if outcome in ("served", "refused"):
                 self._engine.count("late_answers")
         else:
-            self._engine.ended(request, outcome, advice)
+            self._engine.on_attempt_ended(request, outcome, advice)
         if outcome == "served":
             await self._look_up(target, request.id.decode(), arrival.account, sent, _headers(answer))
 
--- a/elderlock/load/pinging.py
+++ b/elderlock/load/health_check.py
@@ -4,10 +4,12 @@
 
 import asyncio
 
-from elderlock.load.targets import Front
+from elderlock.load.targets import TargetSelector
 
 
-async def ping(front: Front, target: int, address: tuple[str, int], every: float, silent: float) -> None:
+async def run_health_check(
+    front: TargetSelector, target: int, address: tuple[str, int], every: float, silent: float
+) -> None:
     """Tells `front` of each answer, for ever. `every` s between PINGs; `silent` s that a connection or an answer may
     take."""
     loop = asyncio.get_running_loop()
@@ -22,7 +24,7 @@
                     line = await reader.readline()
                 if not line:
                     break
-                tell = front.ponged if line == b"+PONG\r\n" else front.turned_away
+                tell = front.record_pong if line == b"+PONG\r\n" else front.record_unavailable
                 tell(target, loop.time())
                 await asyncio.sleep(every)
         except (OSError, TimeoutError, RuntimeError):
@@ -32,5 +34,5 @@
         finally:
             if writer is not None:
                 writer.transport.abort()
-        front.look(loop.time())
+        front.expire_silent(loop.time())
         await asyncio.sleep(every / 3.0)
--- a/elderlock/load/page.py
+++ b/elderlock/load/html_report.py
@@ -11,8 +11,8 @@
 import pygal
 from pygal.style import CleanStyle
 
-from elderlock.load.clientele import OUTCOMES
-from elderlock.load.figures import decoded
+from elderlock.load.client_policy import OUTCOMES
+from elderlock.load.metrics import decode_histogram
 from elderlock.load.report import Exit, Report, behind_lines, summary
 
 # pygal puts a finder of the old form into the import system, for plug-ins that are not used here; whoever asks
@@ -63,7 +63,7 @@
     return [max(points[n : n + step], key=lambda point: point[1]) for n in range(0, len(points), step)]
 
 
-def page(report: Report) -> str:
+def render_page(report: Report) -> str:
     seconds = report.seconds
     charts = [
         _chart(
@@ -114,7 +114,7 @@
     if lines is not None:
         curves = []
         for name, encoded in (("from the intended start", lines.latency_hdr), ("service time", lines.service_hdr)):
-            histogram = decoded(encoded).hdr()
+            histogram = decode_histogram(encoded).hdr()
             # so many nines as the axis: 90 is 1, 99 is 2
             points = [
                 (nines(share), histogram.get_value_at_percentile(share) / 1000.0)
--- a/elderlock/load/lateness.py
+++ b/elderlock/load/lateness.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from elderlock.load.scenario import Truth
+from elderlock.load.scenario import LatenessLimits
 
 CPU_FULL = 0.8  # of a core, from which on the generator's own work is the cause
 WAITED_SHARE = 0.3  # of a second that it was ready and no core was free
@@ -20,7 +20,7 @@
 PREEMPTED = 4  # times in a second that a core was taken from it: somebody else is busy there
 
 
-class Facts(msgspec.Struct, array_like=True, frozen=True):
+class ResourceUsage(msgspec.Struct, array_like=True, frozen=True):
     """What the worker knows of one second of its own. `gap_ms`: its loop's longest stand-still, and of it
     `gap_cpu_ms` in which it worked. `wait_ms`: in which it was ready and had no core, where the kernel tells;
     `preempted` is how often a core was taken from it, which every kernel tells."""
@@ -37,7 +37,7 @@
     slowest_dial_ms: float = 0.0
 
 
-class Span(msgspec.Struct, array_like=True):
+class LateSpan(msgspec.Struct, array_like=True):
     """The generator was behind from `start` to `end` (s of the run): `late` sends of it by up to
     `most_ms`."""
 
@@ -58,7 +58,9 @@
     return ordered[max(0, min(len(ordered) - 1, -int(-share * len(ordered) // 1) - 1))]
 
 
-def judged(worker: int, start: float, end: float, late: array[int], facts: Facts, truth: Truth) -> Span | None:
+def find_late_span(
+    worker: int, start: float, end: float, late: array[int], facts: ResourceUsage, truth: LatenessLimits
+) -> LateSpan | None:
     """`late` are µs, one a send of this second."""
     most = max(late, default=0) / 1000.0
     p99 = quantile(late, 0.99) / 1000.0
@@ -67,10 +69,10 @@
         return None
     bound = truth.late_p99_ms * 1000.0
     why, text = _cause(most, facts, truth)
-    return Span(worker, start, end, sum(each > bound for each in late), most, why, text)
+    return LateSpan(worker, start, end, sum(each > bound for each in late), most, why, text)
 
 
-def _cause(most: float, facts: Facts, truth: Truth) -> tuple[str, str]:
+def _cause(most: float, facts: ResourceUsage, truth: LatenessLimits) -> tuple[str, str]:
     if facts.descriptors:
         return "descriptors", f"{facts.descriptors} connections could not be opened: out of descriptors or ports"
     # lateness of the loop explains slow dials as well, so it is looked at first
@@ -95,14 +97,14 @@
     return "unknown", f"CPU {facts.cpu_ms:.0f} of {facts.wall_ms:.0f} ms, longest stand-still {facts.gap_ms:.0f} ms"
 
 
-def joined(spans: Sequence[Span]) -> list[Span]:
+def merge_spans(spans: Sequence[LateSpan]) -> list[LateSpan]:
     """Neighbours of one worker and one cause as one."""
-    found: list[Span] = []
+    found: list[LateSpan] = []
     for span in sorted(spans, key=lambda s: (s.worker, s.start)):
         last = found[-1] if found else None
         if last is not None and (last.worker, last.why) == (span.worker, span.why) and span.start - last.end < 0.5:
             text = span.text if span.most_ms > last.most_ms else last.text
-            found[-1] = Span(
+            found[-1] = LateSpan(
                 span.worker,
                 last.start,
                 span.end,
--- a/elderlock/load/messages.py
+++ b/elderlock/load/messages.py
@@ -1,11 +1,11 @@
 """What a coordinator and its workers say, as frames of MessagePack. Times are µs of CLOCK_MONOTONIC, which is one
-clock for all processes of a machine; a worker elsewhere is told its own, by the offset that `Clock` finds."""
+clock for all processes of a machine; a worker elsewhere is told its own, by the offset that `ReadClock` finds."""
 
 from __future__ import annotations
 
 import msgspec
 
-from elderlock.load.lateness import Facts
+from elderlock.load.lateness import ResourceUsage
 from elderlock.load.scenario import Scenario
 
 VERSION = 1
@@ -27,7 +27,7 @@
     trace_to: str = ""
 
 
-class Clock(Message, tag="clock"):
+class ReadClock(Message, tag="clock"):
     number: int
 
 
@@ -46,8 +46,8 @@
     pid: int
 
 
-class Told(Message, tag="told"):
-    """The worker's clock, in answer to `Clock`."""
+class ClockReading(Message, tag="told"):
+    """The worker's clock, in answer to `ReadClock`."""
 
     number: int
     now: int
@@ -82,7 +82,7 @@
     counts: dict[str, int]
     samples: list[Sample]
     late: bytes
-    facts: Facts
+    facts: ResourceUsage
     open: int
     open_sent: int  # of them those that were sent
     rss_kb: int
@@ -92,8 +92,8 @@
     last: bool = False
 
 
-ToWorker = Job | Clock | Start | Stop
-FromWorker = Ready | Told | Failed | Interval
+ToWorker = Job | ReadClock | Start | Stop
+FromWorker = Ready | ClockReading | Failed | Interval
 
 _encoder = msgspec.msgpack.Encoder()
 _to_worker: msgspec.msgpack.Decoder[ToWorker] = msgspec.msgpack.Decoder(ToWorker)
--- a/elderlock/load/figures.py
+++ b/elderlock/load/metrics.py
@@ -14,10 +14,10 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from elderlock.load.clientele import ANSWERS, OUTCOMES, UNANSWERED, UNSENT
-from elderlock.load.lateness import Span, joined, judged
+from elderlock.load.client_policy import ANSWERS, OUTCOMES, UNANSWERED, UNSENT
+from elderlock.load.lateness import LateSpan, find_late_span, merge_spans
 from elderlock.load.messages import Interval
-from elderlock.load.scenario import Truth
+from elderlock.load.scenario import LatenessLimits
 
 LEAST, MOST, DIGITS = 1, 3_600_000_000, 3  # µs: an hour
 EXACT_BITS = 11  # values below 2^11 µs are exact at three digits
@@ -28,13 +28,13 @@
 Key = tuple[str, str, str, int]  # outcome, plan, group, target
 
 
-def classed(value: int) -> int:
+def bucket_floor(value: int) -> int:
     """The lowest value of the histogram's class that this one falls in."""
     shift = value.bit_length() - EXACT_BITS
     return value if shift <= 0 else value >> shift << shift
 
 
-class Spread:
+class Histogram:
     """A sparse histogram in the classes of an HDR histogram."""
 
     __slots__ = ("counts",)
@@ -45,9 +45,9 @@
     def add(self, values: Iterable[int]) -> None:
         counts = self.counts
         for value in values:
-            counts[classed(value)] += 1
+            counts[bucket_floor(value)] += 1
 
-    def merge(self, other: Spread) -> None:
+    def merge(self, other: Histogram) -> None:
         self.counts.update(other.counts)
 
     def total(self) -> int:
@@ -75,9 +75,9 @@
         return found
 
 
-def decoded(text: str) -> Spread:
+def decode_histogram(text: str) -> Histogram:
     """Raises `ValueError` for what is no histogram."""
-    spread = Spread()
+    spread = Histogram()
     try:
         histogram = HdrHistogram.decode(text)
     except Exception as error:  # the library lets whatever its codec met through
@@ -85,19 +85,19 @@
     # the library's iterators go through every class in Python; most hold nothing
     for index, count in enumerate(histogram.counts[: histogram.counts_len]):
         if count:
-            spread.counts[classed(histogram.get_value_from_index(index))] += count
+            spread.counts[bucket_floor(histogram.get_value_from_index(index))] += count
     return spread
 
 
-class Pair:
+class LatencyPair:
     """Latency from the intended start, and service time from the real one."""
 
     __slots__ = ("latency", "service")
 
     def __init__(self) -> None:
-        self.latency, self.service = Spread(), Spread()
+        self.latency, self.service = Histogram(), Histogram()
 
-    def merge(self, other: Pair) -> None:
+    def merge(self, other: LatencyPair) -> None:
         self.latency.merge(other.latency)
         self.service.merge(other.service)
 
@@ -127,12 +127,12 @@
     """Takes the workers' intervals in any order. The ledger: offered = sent + unsent + open, and
     sent = answered + unanswered + open of what was sent; `check` says where that does not hold."""
 
-    def __init__(self, truth: Truth, workers: int) -> None:
+    def __init__(self, truth: LatenessLimits, workers: int) -> None:
         self.truth, self.workers = truth, workers
         self.counts: Counter[str] = Counter()
-        self.pairs: dict[Key, Pair] = {}
-        self.late = Spread()
-        self.spans: list[Span] = []
+        self.pairs: dict[Key, LatencyPair] = {}
+        self.late = Histogram()
+        self.spans: list[LateSpan] = []
         self.faults: Counter[str] = Counter()
         self.shown: dict[str, str] = {}
         self.changes: list[tuple[float, int, bool]] = []
@@ -143,7 +143,7 @@
         self.offered = [0] * workers
         self.last: set[int] = set()
         self._seconds: dict[int, list[Interval]] = {}
-        self._blocks: list[tuple[float, float, Counter[str], Spread]] = []
+        self._blocks: list[tuple[float, float, Counter[str], Histogram]] = []
         self._block_s = 1.0
         self.seconds: list[Second] = []
 
@@ -155,15 +155,15 @@
         late: array[int] = array("I")
         late.frombytes(interval.late)
         self.late.add(late)
-        span = judged(worker, interval.start, interval.end, late, interval.facts, self.truth)
+        span = find_late_span(worker, interval.start, interval.end, late, interval.facts, self.truth)
         if span is not None:
             self.spans.append(span)
             if len(self.spans) > MOST_SPANS:
-                self.spans = joined(self.spans)
-        spread, outcomes = Spread(), Counter[str]()
+                self.spans = merge_spans(self.spans)
+        spread, outcomes = Histogram(), Counter[str]()
         for sample in interval.samples:
             key = (sample.outcome, sample.plan, sample.group, sample.target)
-            pair = self.pairs.setdefault(key, Pair())
+            pair = self.pairs.setdefault(key, LatencyPair())
             latency: array[int] = array("I")
             latency.frombytes(sample.latency)
             service: array[int] = array("I")
@@ -186,11 +186,11 @@
             self.last.add(worker)
         self._seconds.setdefault(interval.number, []).append(interval)
 
-    def _block(self, interval: Interval, outcomes: Counter[str], spread: Spread) -> None:
+    def _block(self, interval: Interval, outcomes: Counter[str], spread: Histogram) -> None:
         number = int(interval.start / self._block_s)
         while len(self._blocks) <= number:
             start = len(self._blocks) * self._block_s
-            self._blocks.append((start, start + self._block_s, Counter(), Spread()))
+            self._blocks.append((start, start + self._block_s, Counter(), Histogram()))
         _, _, counts, into = self._blocks[number]
         counts.update(outcomes)
         into.merge(spread)
@@ -203,7 +203,7 @@
         self._block_s *= 2.0
         self._blocks = []
         for number, parts in enumerate(pairs):
-            counts, spread = Counter[str](), Spread()
+            counts, spread = Counter[str](), Histogram()
             for _, _, part_counts, part in parts:
                 counts.update(part_counts)
                 spread.merge(part)
@@ -214,7 +214,7 @@
         intervals = self._seconds.pop(number, None)
         if intervals is None:
             return None
-        counts, outcomes, spread, late = Counter[str](), Counter[str](), Spread(), Spread()
+        counts, outcomes, spread, late = Counter[str](), Counter[str](), Histogram(), Histogram()
         for interval in intervals:
             counts.update(interval.counts)
             values: array[int] = array("I")
@@ -280,9 +280,9 @@
             wrong.append(f"{ledger['offered']} offered and {self.late.total()} figures of lateness")
         return wrong
 
-    def by(self, place: int | None = None) -> dict[str, Pair]:
+    def by(self, place: int | None = None) -> dict[str, LatencyPair]:
         """Merged by one part of the key: 0 outcome, 1 plan, 2 group, 3 target; None over all."""
-        found: dict[str, Pair] = {}
+        found: dict[str, LatencyPair] = {}
         for key, pair in self.pairs.items():
-            found.setdefault("all" if place is None else str(key[place]), Pair()).merge(pair)
+            found.setdefault("all" if place is None else str(key[place]), LatencyPair()).merge(pair)
         return found
--- a/elderlock/load/recorder.py
+++ b/elderlock/load/recorder.py
@@ -26,9 +26,9 @@
         self._process: dict[str, tuple[int, float]] = {}
         self._told_plan: dict[str, str] = {}
         self.uncounted = 0  # requests of accounts that the limiters do not count apart, or of no known plan
-        self.looks = 0
+        self.polls = 0
 
-    def look(self, states: Mapping[str, LimiterState], since: float, now: float) -> list[Row]:
+    def poll(self, states: Mapping[str, LimiterState], since: float, now: float) -> list[Row]:
         """The requests that ended between `since` and `now` (s of the trace), in order of time. The first look
         only takes the figures down, and so does the first after a limiter's restart: its counts began anew."""
         found: list[Row] = []
@@ -48,7 +48,7 @@
                     Row(round((since + (n + 0.5) * step) * 1e6), account, plan, deadline=self._deadline)
                     for n in range(count)
                 ]
-        self.looks += 1
+        self.polls += 1
         return sorted(found, key=lambda row: row.at)
 
     def _grown(self, name: str, accounts: Mapping[str, AnswerCounts], fresh: bool) -> Iterator[tuple[str, int]]:
@@ -58,7 +58,7 @@
             self._last[name, account] = total
             if before is not None and not fresh and total > before:
                 yield account, total - before
-            elif before is None and not fresh and self.looks:
+            elif before is None and not fresh and self.polls:
                 yield account, total  # it was not there at the last look
 
     def _plan_growth(self, name: str, plans: Mapping[str, AnswerCounts], fresh: bool) -> dict[str, int]:
--- a/elderlock/load/remote.py
+++ b/elderlock/load/remote_worker.py
@@ -18,7 +18,7 @@
 MOST_MISSED = 5.0  # s of an agent's silence after which its worker counts as lost: its lease has run out
 
 
-class RemoteLine:
+class RemoteWorkerLink:
     """A line to a worker at that agent of the group."""
 
     def __init__(self, group: Group, agent: str, number: int) -> None:
--- a/elderlock/load/report.py
+++ b/elderlock/load/report.py
@@ -1,4 +1,4 @@
-"""What a run came to, as one record that is kept, shown, compared and judged. No I/O."""
+"""What a run came to, as one record that is kept, shown, compared and failed_thresholds. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from elderlock.load.clientele import OUTCOMES
-from elderlock.load.figures import POINTS, Block, Second, Spread, Totals, decoded
-from elderlock.load.lateness import Span, joined
+from elderlock.load.client_policy import OUTCOMES
+from elderlock.load.lateness import LateSpan, merge_spans
+from elderlock.load.metrics import POINTS, Block, Histogram, Second, Totals, decode_histogram
 from elderlock.load.scenario import Scenario
-from elderlock.load.thresholds import percentile, threshold
+from elderlock.load.thresholds import parse_percentile, parse_threshold
 
 VERSION = 1
 
@@ -26,7 +26,7 @@
     INCOMPLETE = 9  # a part of the load was not sent: a worker died, the trace broke off, it was stopped
 
 
-class Lines(msgspec.Struct):
+class LatencySummary(msgspec.Struct):
     """Latency from the intended start and service time from the real one: ms by percentile, and the
     histograms as HdrHistogram encodes them."""
 
@@ -49,10 +49,10 @@
     outcomes: dict[str, int]
     counts: dict[str, int]
     rate_error: float
-    by: dict[str, dict[str, Lines]]  # all, outcome, plan, group, target
+    by: dict[str, dict[str, LatencySummary]]  # all, outcome, plan, group, target
     late: dict[str, float]
     late_hdr: str
-    behind: list[Span]
+    behind: list[LateSpan]
     bounds: dict[str, float | bool]
     seconds: list[Second]
     blocks: list[Block]
@@ -66,11 +66,11 @@
     exit: int
 
 
-def _lines(latency: Spread, service: Spread) -> Lines:
-    return Lines(latency.total(), latency.times(), service.times(), latency.encoded(), service.encoded())
+def _lines(latency: Histogram, service: Histogram) -> LatencySummary:
+    return LatencySummary(latency.total(), latency.times(), service.times(), latency.encoded(), service.encoded())
 
 
-def report(
+def build_report(
     totals: Totals,
     scenario: Scenario,
     *,
@@ -84,7 +84,7 @@
 ) -> Report:
     ledger = totals.ledger(scheduled)
     wrong = [f"the figures do not add up: {text}" for text in totals.check(ledger)]
-    by: dict[str, dict[str, Lines]] = {}
+    by: dict[str, dict[str, LatencySummary]] = {}
     for name, place in (("all", None), ("outcome", 0), ("plan", 1), ("group", 2), ("target", 3)):
         by[name] = {key: _lines(pair.latency, pair.service) for key, pair in sorted(totals.by(place).items())}
     own = totals.counts["overdue"] + totals.outcomes().get("descriptors", 0) + max(0, ledger["missing"])
@@ -103,7 +103,7 @@
         by,
         totals.late.times(),
         totals.late.encoded(),
-        joined(totals.spans),
+        merge_spans(totals.spans),
         msgspec.structs.asdict(scenario.truth),
         totals.seconds,
         totals.blocks(),
@@ -116,7 +116,7 @@
         [],
         0,
     )
-    made.failed = judged(made, (*scenario.fail_if, *fail_if))
+    made.failed = failed_thresholds(made, (*scenario.fail_if, *fail_if))
     if incomplete or wrong or ledger["missing"]:
         made.exit = Exit.INCOMPLETE
     elif made.behind:
@@ -126,7 +126,7 @@
     return made
 
 
-class Measured:
+class ReportMetrics:
     """A report as thresholds look into it."""
 
     def __init__(self, report: Report) -> None:
@@ -144,7 +144,7 @@
             known = lines.latency if kind == "latency" else lines.service
         if point in known or not known:
             return known.get(point)
-        return float(decoded(encoded).hdr().get_value_at_percentile(percentile(point))) / 1000.0
+        return float(decode_histogram(encoded).hdr().get_value_at_percentile(parse_percentile(point))) / 1000.0
 
     def count(self, name: str) -> float:
         if name == "behind_s":
@@ -159,10 +159,10 @@
         return self._report.rate_error
 
 
-def judged(report: Report, texts: Sequence[str]) -> list[str]:
+def failed_thresholds(report: Report, texts: Sequence[str]) -> list[str]:
     """What is to be said of the thresholds that were not kept. Raises `ThresholdError`."""
-    measured = Measured(report)
-    return [said for text in texts if (said := threshold(text).failed(measured)) is not None]
+    measured = ReportMetrics(report)
+    return [said for text in texts if (said := parse_threshold(text).failed(measured)) is not None]
 
 
 def encode(report: Report) -> bytes:
@@ -253,7 +253,7 @@
     return lines
 
 
-def behind_lines(spans: Sequence[Span]) -> list[str]:
+def behind_lines(spans: Sequence[LateSpan]) -> list[str]:
     if not spans:
         return []
     return ["GENERATOR FELL BEHIND: these figures are not of the target alone"] + [
@@ -263,7 +263,7 @@
     ]
 
 
-def live(second: Second) -> str:
+def live_line(second: Second) -> str:
     """One line of the live view."""
     ends = " ".join(f"{name} {count}" for name, count in second.outcomes.items()) or "no ends"
     times = f"p50 {_ms(second.times.get('p50'))} p99 {_ms(second.times.get('p99'))}" if second.times else "no times"
--- a/elderlock/load/wire.py
+++ b/elderlock/load/resp_client.py
@@ -26,55 +26,55 @@
     """One request of the schedule through all its tries. `began` is its intended start in µs."""
 
     __slots__ = (
-        "active",
-        "again",
+        "is_active",
+        "retry_timer",
         "arrival",
-        "began",
+        "intended_start_us",
         "connection",
         "id",
-        "leave",
+        "departure_timer",
         "number",
-        "over",
-        "reason",
-        "resent",
-        "sent",
+        "is_finished",
+        "outcome",
+        "was_resent",
+        "was_sent",
         "target",
-        "timer",
-        "tries",
-        "way",
-        "wrote",
+        "timeout_timer",
+        "attempts",
+        "policy_index",
+        "written_at_us",
     )
 
     def __init__(self, number: int, arrival: Arrival, began: int, way: int) -> None:
-        self.number, self.arrival, self.began, self.way = number, arrival, began, way
+        self.number, self.arrival, self.intended_start_us, self.policy_index = number, arrival, began, way
         self.id = b""
-        self.tries = 0
+        self.attempts = 0
         self.target = -1
-        self.wrote = 0  # µs at which the present try began in truth; 0 while it has not
-        self.sent = self.over = self.resent = False
-        self.active = False  # a try is under way
-        self.reason = ""  # how the last try that was sent ended, else why none was
+        self.written_at_us = 0  # µs at which the present try began in truth; 0 while it has not
+        self.was_sent = self.is_finished = self.was_resent = False
+        self.is_active = False  # a try is under way
+        self.outcome = ""  # how the last try that was sent ended, else why none was
         self.connection: Connection | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.leave: asyncio.TimerHandle | None = None
-        self.again: asyncio.TimerHandle | None = None
+        self.timeout_timer: asyncio.TimerHandle | None = None
+        self.departure_timer: asyncio.TimerHandle | None = None
+        self.retry_timer: asyncio.TimerHandle | None = None
 
 
 class Engine(Protocol):
     """Who hears how tries end, and counts."""
 
-    def wrote(self, request: Request) -> None: ...
+    def on_request_written(self, request: Request) -> None: ...
 
-    def ended(self, request: Request, outcome: str, advice: float | None = None) -> None: ...
+    def on_attempt_ended(self, request: Request, outcome: str, advice: float | None = None) -> None: ...
 
-    def terms(self, request: Request) -> bytes:
+    def request_terms(self, request: Request) -> bytes:
         """The list of names and values, as it stands when the request is written."""
 
     def count(self, name: str) -> None: ...
 
-    def dialled(self, took_us: int) -> None: ...
+    def on_connected(self, took_us: int) -> None: ...
 
-    def out_of_descriptors(self) -> None: ...
+    def on_out_of_descriptors(self) -> None: ...
 
 
 class Connection(asyncio.Protocol):
@@ -95,16 +95,18 @@
     def carry(self, request: Request) -> None:
         assert self.transport is not None
         self.request, request.connection = request, self
-        request.wrote = now_us()
-        terms = self.pool.engine.terms(request)
+        request.written_at_us = now_us()
+        terms = self.pool.engine.request_terms(request)
         sent = command(request.arrival.account, request.id, terms)
-        if request.arrival.pause:
+        if request.arrival.pause_ms:
             half = len(sent) // 2
             self.transport.write(sent[:half])
-            self.pool.loop.call_later(request.arrival.pause / 1000.0, self._rest, request, request.tries, sent[half:])
+            self.pool.loop.call_later(
+                request.arrival.pause_ms / 1000.0, self._rest, request, request.attempts, sent[half:]
+            )
         else:
             self.transport.write(sent)
-        self.pool.engine.wrote(request)
+        self.pool.engine.on_request_written(request)
 
     def _rest(self, request: Request, tries: int, data: bytes) -> None:
         if self.usable() and self.transport is not None and (self.request is request or self.owed):
@@ -139,16 +141,16 @@
             self.pool.free(self)
         else:
             self._spoiled()
-        engine.ended(request, outcome, advice)
+        engine.on_attempt_ended(request, outcome, advice)
 
     def _spoiled(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def give_up(self, gone: bool) -> None:
+    def give_up(self, client_left: bool) -> None:
         """The request's time is up, or its client has gone, which closes the connection."""
         self.request = None
-        if gone:
+        if client_left:
             return self._spoiled()
         self.owed = True
         self.pool.loop.call_later(LATE_FOR, self._late_no_more)
@@ -160,7 +162,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.pool.lost(self)
         request, self.request = self.request, None
-        if request is not None and request.active:
+        if request is not None and request.is_active:
             request.connection = None
             self.pool.crossed(request)
 
@@ -191,13 +193,13 @@
                 return connection.carry(request)
         if self.count >= self._most:
             self.engine.count("waited")
-            self._waiting.append((request, request.tries))
+            self._waiting.append((request, request.attempts))
         else:
             self._dial(request)
 
     def _dial(self, request: Request) -> None:
         self.count += 1
-        task = self.loop.create_task(self._open(request, request.tries))
+        task = self.loop.create_task(self._open(request, request.attempts))
         self._dials.add(task)
         task.add_done_callback(self._dials.discard)
 
@@ -215,15 +217,15 @@
         except OSError as error:
             self.count -= 1
             if error.errno in OURS:
-                self.engine.out_of_descriptors()
-            if request.active and request.tries == tries and request.connection is None:
-                self.engine.ended(request, "descriptors" if error.errno in OURS else "refused_connection")
+                self.engine.on_out_of_descriptors()
+            if request.is_active and request.attempts == tries and request.connection is None:
+                self.engine.on_attempt_ended(request, "descriptors" if error.errno in OURS else "refused_connection")
             self._next()
             return
-        self.engine.dialled(now_us() - began)
+        self.engine.on_connected(now_us() - began)
         self.engine.count("connections")
         connection = made[0]
-        if not request.active or request.tries != tries or request.connection is not None:
+        if not request.is_active or request.attempts != tries or request.connection is not None:
             self.free(connection)  # its time was up meanwhile, or it had another connection
         elif connection.usable():
             connection.carry(request)
@@ -244,7 +246,7 @@
     def _first_waiting(self) -> Request | None:
         while self._waiting:
             request, tries = self._waiting.popleft()
-            if request.active and request.tries == tries and request.wrote == 0:
+            if request.is_active and request.attempts == tries and request.written_at_us == 0:
                 return request
         return None
 
@@ -260,9 +262,9 @@
 
     def crossed(self, request: Request) -> None:
         """Its connection ended with no answer: once more on a new one, then it is lost."""
-        if request.resent:
-            return self.engine.ended(request, "lost")
-        request.resent = True
+        if request.was_resent:
+            return self.engine.on_attempt_ended(request, "lost")
+        request.was_resent = True
         self.engine.count("resent")
         self._dial(request)
 
--- a/elderlock/load/scenario.py
+++ b/elderlock/load/scenario.py
@@ -13,12 +13,12 @@
 
 from elderlock.fleet.config import address
 from elderlock.load import shapes
-from elderlock.load.accounts import Mix
+from elderlock.load.accounts import AccountMix
 from elderlock.load.shapes import Piece
 
 LONGEST_S = 86_400.0
 MOST_RATE = 1e6
-MOST_ACCOUNTS = 1_000_000
+MAXIMUM_ACCOUNTS = 1_000_000
 LONGEST_FILE = 1 << 20  # bytes
 SHIPPED = resources.files("elderlock.load") / "scenarios"
 
@@ -27,34 +27,34 @@
     """The scenario cannot be used; the text says where and why."""
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     pass
 
 
-class Steady(Strict, frozen=True, tag="steady", tag_field="kind"):
+class Steady(StrictStruct, frozen=True, tag="steady", tag_field="kind"):
     rate: float
     for_s: float = 0.0  # 0: what is left of the run
 
 
-class Ramp(Strict, frozen=True, tag="ramp", tag_field="kind"):
+class Ramp(StrictStruct, frozen=True, tag="ramp", tag_field="kind"):
     rate: float
     to: float
     for_s: float = 0.0
 
 
-class Steps(Strict, frozen=True, tag="steps", tag_field="kind"):
+class Steps(StrictStruct, frozen=True, tag="steps", tag_field="kind"):
     rates: tuple[float, ...]
     for_s: float = 0.0
 
 
-class Wave(Strict, frozen=True, tag="wave", tag_field="kind"):
+class Wave(StrictStruct, frozen=True, tag="wave", tag_field="kind"):
     rate: float
     swing: float  # of the rate, up to 1
     period_s: float
     for_s: float = 0.0
 
 
-class Bursts(Strict, frozen=True, tag="bursts", tag_field="kind"):
+class Bursts(StrictStruct, frozen=True, tag="bursts", tag_field="kind"):
     rate: float
     peak: float
     every_s: float
@@ -62,7 +62,7 @@
     for_s: float = 0.0
 
 
-class Spike(Strict, frozen=True, tag="spike", tag_field="kind"):
+class Spike(StrictStruct, frozen=True, tag="spike", tag_field="kind"):
     rate: float
     peak: float
     at_s: float  # of its top, from where this shape begins
@@ -73,7 +73,7 @@
 Shape = Steady | Ramp | Steps | Wave | Bursts | Spike
 
 
-class Clients(Strict, frozen=True):
+class Clients(StrictStruct, frozen=True):
     """How clients act. `try_share`: a try is given up after this share of the deadline. `honour`: the share of
     clients that come again when they were told to. `impatient`: the share of requests whose client goes away
     at a random time within its deadline."""
@@ -93,7 +93,7 @@
     slow_ms: float = 500.0
 
 
-class Stream(Strict, frozen=True):
+class Stream(StrictStruct, frozen=True):
     name: str
     plan: str
     class_name: str = msgspec.field(name="class", default="lookup")
@@ -102,11 +102,11 @@
     deadline_ms: float = 1200.0
     spread: int = 0  # limiters that an account's requests go to; 0: all, three at most
     shape: tuple[Shape, ...] = ()
-    accounts: Mix = Mix()
+    accounts: AccountMix = AccountMix()
     clients: Clients | None = None
 
 
-class Replay(Strict, frozen=True):
+class Replay(StrictStruct, frozen=True):
     """A recorded trace in place of streams. `speed` 2 is twice as fast; `from_s` and `to_s` cut it in its own
     time; `loops` plays it so often; `rename_key` names a file whose bytes rename the accounts."""
 
@@ -120,7 +120,7 @@
     plans: tuple[str, ...] = ()  # those that may stand in it; none named: any
 
 
-class Trouble(Strict, frozen=True):
+class Fault(StrictStruct, frozen=True):
     """What goes wrong with the stand-ins of `elderlock load up`, `at_s` after the start for `for_s`. Targets:
     boxes by uid, `counter`, `discovery`, `peers`, limiters by name; `*` all boxes."""
 
@@ -131,7 +131,7 @@
     by_ms: float = 200.0  # for slow
 
 
-class Truth(Strict, frozen=True):
+class LatenessLimits(StrictStruct, frozen=True):
     """When a run's generator counts as having fallen behind."""
 
     late_p99_ms: float = 20.0  # the p99 of a second's sends against their schedule
@@ -140,21 +140,21 @@
     verify: bool = False  # an answer has to hold its request's id: for targets that echo it
 
 
-class Targets(Strict, frozen=True):
+class Targets(StrictStruct, frozen=True):
     kind: Literal["resp", "grpc"] = "resp"
     addresses: tuple[str, ...] = ()
     silent_s: float = 2.0  # of a target's silence on PING, after which the front passes it over
     ping_s: float = 0.3
 
 
-class Group(Strict, frozen=True):
+class Group(StrictStruct, frozen=True):
     """What `elderlock load up` starts."""
 
     limiters: int = 3
     boxes: int = 9
 
 
-class Scenario(Strict, frozen=True):
+class Scenario(StrictStruct, frozen=True):
     name: str
     for_s: float = 0.0
     seed: int = 1
@@ -164,9 +164,9 @@
     replay: Replay | None = None
     clients: Clients = Clients()
     targets: Targets = Targets()
-    truth: Truth = Truth()
+    truth: LatenessLimits = LatenessLimits()
     group: Group = Group()
-    trouble: tuple[Trouble, ...] = ()
+    trouble: tuple[Fault, ...] = ()
     fail_if: tuple[str, ...] = ()
     record: str = ""  # a trace of this run is written there
 
@@ -179,7 +179,7 @@
         return max((stream.deadline_ms for stream in self.stream), default=1200.0)
 
 
-def pieces(stream: Stream, lasts: float) -> list[Piece]:
+def rate_segments(stream: Stream, lasts: float) -> list[Piece]:
     """The stream's rate over the run. Raises `ScenarioError`."""
     made: list[Piece] = []
     at = 0.0
@@ -258,7 +258,9 @@
     if path.suffix != ".toml" and len(path.parts) == 1:
         shipped = SHIPPED / f"{name}.toml"
         if not shipped.is_file():
-            raise ScenarioError(f"no scenario {name!r} ships; there are {', '.join(ships())}, or name a .toml file")
+            raise ScenarioError(
+                f"no scenario {name!r} ships; there are {', '.join(shipped_scenarios())}, or name a .toml file"
+            )
         return parse(shipped.read_text(), str(name), changes)
     try:
         if path.stat().st_size > LONGEST_FILE:
@@ -269,11 +271,11 @@
     return parse(text, str(path), changes)
 
 
-def ships() -> list[str]:
+def shipped_scenarios() -> list[str]:
     return sorted(entry.name.removesuffix(".toml") for entry in SHIPPED.iterdir() if entry.name.endswith(".toml"))
 
 
-def bounds(where: str, **values: tuple[float, float, float]) -> None:
+def check_ranges(where: str, **values: tuple[float, float, float]) -> None:
     for name, (value, least, most) in values.items():
         if not least <= value <= most:
             raise ScenarioError(f"{where}: {name} is {value:g}, it must lie between {least:g} and {most:g}")
@@ -283,9 +285,9 @@
     """Raises `ScenarioError`."""
     if bool(scenario.stream) == (scenario.replay is not None):
         raise ScenarioError("it needs streams or a replay, and not both")
-    bounds("the run", workers=(scenario.workers, 1, 64), seed=(scenario.seed, 0, 2**63))
+    check_ranges("the run", workers=(scenario.workers, 1, 64), seed=(scenario.seed, 0, 2**63))
     if scenario.stream:
-        bounds("the run", for_s=(scenario.for_s, 0.1, LONGEST_S))
+        check_ranges("the run", for_s=(scenario.for_s, 0.1, LONGEST_S))
     names = [stream.name for stream in scenario.stream]
     if len(set(names)) != len(names):
         raise ScenarioError("two streams have the same name")
@@ -294,7 +296,7 @@
     _check_clients("clients", scenario.clients)
     replay = scenario.replay
     if replay is not None:
-        bounds(
+        check_ranges(
             "replay",
             speed=(replay.speed, 0.001, 10_000),
             loops=(replay.loops, 1, 1_000_000),
@@ -313,26 +315,26 @@
         if not port:
             raise ScenarioError(f"targets: {target!r} has no port")
     truth = scenario.truth
-    bounds(
+    check_ranges(
         "truth",
         late_p99_ms=(truth.late_p99_ms, 0.1, 60_000),
         late_most_ms=(truth.late_most_ms, 0.1, 60_000),
         connect_ms=(truth.connect_ms, 1, 60_000),
     )
-    bounds("targets", silent_s=(scenario.targets.silent_s, 0.1, 60), ping_s=(scenario.targets.ping_s, 0.05, 60))
-    bounds("group", limiters=(scenario.group.limiters, 1, 40), boxes=(scenario.group.boxes, 1, 200))
+    check_ranges("targets", silent_s=(scenario.targets.silent_s, 0.1, 60), ping_s=(scenario.targets.ping_s, 0.05, 60))
+    check_ranges("group", limiters=(scenario.group.limiters, 1, 40), boxes=(scenario.group.boxes, 1, 200))
     for number, trouble in enumerate(scenario.trouble):
-        bounds(
+        check_ranges(
             f"trouble {number}",
             at_s=(trouble.at_s, 0, LONGEST_S),
             for_s=(trouble.for_s, 0, LONGEST_S),
             by_ms=(trouble.by_ms, 0, 60_000),
         )
-    from elderlock.load.thresholds import ThresholdError, threshold
+    from elderlock.load.thresholds import ThresholdError, parse_threshold
 
     for text in scenario.fail_if:
         try:
-            threshold(text)
+            parse_threshold(text)
         except ThresholdError as error:
             raise ScenarioError(f"fail_if: {error}") from None
 
@@ -347,30 +349,30 @@
     if not stream.units:
         raise ScenarioError(f"{where}: it has no units")
     for units in stream.units:
-        bounds(where, units=(units, 1e-6, 1e6))
-    bounds(where, deadline_ms=(stream.deadline_ms, 1, 600_000), spread=(stream.spread, 0, 1000))
+        check_ranges(where, units=(units, 1e-6, 1e6))
+    check_ranges(where, deadline_ms=(stream.deadline_ms, 1, 600_000), spread=(stream.spread, 0, 1000))
     for number, shape in enumerate(stream.shape):
         place = f"{where}, shape {number}"
         given = msgspec.structs.asdict(shape)
         for key in ("rate", "to", "peak"):
             if key in given:
-                bounds(place, **{key: (given[key], 0, MOST_RATE)})
+                check_ranges(place, **{key: (given[key], 0, MOST_RATE)})
         for rate in given.get("rates", ()):
-            bounds(place, rate=(rate, 0, MOST_RATE))
+            check_ranges(place, rate=(rate, 0, MOST_RATE))
         if given.get("rates") == ():
             raise ScenarioError(f"{place}: it has no rates")
-        bounds(place, for_s=(shape.for_s, 0, LONGEST_S))
+        check_ranges(place, for_s=(shape.for_s, 0, LONGEST_S))
         if isinstance(shape, Wave):
-            bounds(place, swing=(shape.swing, 0, 1), period_s=(shape.period_s, 0.01, LONGEST_S))
+            check_ranges(place, swing=(shape.swing, 0, 1), period_s=(shape.period_s, 0.01, LONGEST_S))
         if isinstance(shape, Bursts):
-            bounds(place, every_s=(shape.every_s, 0.01, LONGEST_S), burst_s=(shape.burst_s, 0.001, shape.every_s))
+            check_ranges(place, every_s=(shape.every_s, 0.01, LONGEST_S), burst_s=(shape.burst_s, 0.001, shape.every_s))
         if isinstance(shape, Spike):
-            bounds(place, spike_s=(shape.spike_s, 0.001, LONGEST_S))
-    pieces(stream, lasts)
+            check_ranges(place, spike_s=(shape.spike_s, 0.001, LONGEST_S))
+    rate_segments(stream, lasts)
     accounts = stream.accounts
-    bounds(
+    check_ranges(
         f"{where}, accounts",
-        count=(accounts.count, 1, MOST_ACCOUNTS),
+        count=(accounts.count, 1, MAXIMUM_ACCOUNTS),
         skew=(accounts.skew, 0, 5),
         heavy=(accounts.heavy, 0, 1),
         spiky=(accounts.spiky, 0, 1 - accounts.heavy),
@@ -385,7 +387,7 @@
 
 
 def _check_clients(where: str, clients: Clients) -> None:
-    bounds(
+    check_ranges(
         where,
         retries=(clients.retries, 0, 20),
         try_share=(clients.try_share, 0.01, 1),
--- a/elderlock/load/schedule.py
+++ b/elderlock/load/schedule.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from elderlock.load.accounts import GROUPS, Population
-from elderlock.load.scenario import Scenario, Stream, pieces
+from elderlock.load.scenario import Scenario, Stream, rate_segments
 from elderlock.load.shapes import arrivals, unit_even, unit_poisson
 
 MOST_SPREAD = 3
@@ -34,9 +34,9 @@
     deadline: float  # ms
     spread: int
     first: int
-    honours: bool
-    leaves: int
-    pause: float = 0.0
+    honours_retry_after: bool
+    leaves_after_us: int
+    pause_ms: float = 0.0
 
 
 def stream_rng(seed: int, name: str, part: str) -> random.Random:
@@ -61,7 +61,7 @@
         names, groups, firsts, draw = population.names, population.groups, population.firsts, population.draw
         plan, kind, deadline = stream.plan, stream.class_name, stream.deadline_ms
         one, several = stream.units[0], stream.units if len(stream.units) > 1 else None
-        for time in arrivals(pieces(stream, self.lasts), unit):
+        for time in arrivals(rate_segments(stream, self.lasts), unit):
             index = draw(rng, time)
             units = rng.choice(several) if several is not None else one
             honours = clients.honour >= 1.0 or rng.random() < clients.honour
@@ -94,7 +94,7 @@
     return iter(heapq.merge(*sources, key=attrgetter("at")))
 
 
-def share(all_of_them: Iterator[Arrival], worker: int, workers: int) -> Iterator[tuple[int, Arrival]]:
+def worker_share(all_of_them: Iterator[Arrival], worker: int, workers: int) -> Iterator[tuple[int, Arrival]]:
     """Those of one worker, dealt out in turn, with their numbers in the whole schedule."""
     for number, arrival in enumerate(all_of_them):
         if number % workers == worker:
--- a/elderlock/load/targets.py
+++ b/elderlock/load/targets.py
@@ -6,40 +6,40 @@
 import random
 
 
-class Front:
+class TargetSelector:
     """A target takes part from its first good answer to PING on, until it answers PING with anything else or
     has been silent for `silent` s: so long the front goes on sending to a dead one."""
 
     def __init__(self, count: int, silent: float) -> None:
         self._silent = silent
-        self.part = [False] * count
+        self.available = [False] * count
         self._heard = [0.0] * count
         self.changes: list[tuple[float, int, bool]] = []
 
-    def ponged(self, target: int, now: float) -> None:
+    def record_pong(self, target: int, now: float) -> None:
         self._heard[target] = now
         self._set(target, True, now)
 
-    def turned_away(self, target: int, now: float) -> None:
+    def record_unavailable(self, target: int, now: float) -> None:
         """It answered PING with something else: it is drained, or not ready."""
         self._set(target, False, now)
 
-    def look(self, now: float) -> None:
+    def expire_silent(self, now: float) -> None:
         for target, heard in enumerate(self._heard):
-            if self.part[target] and now - heard > self._silent:
+            if self.available[target] and now - heard > self._silent:
                 self._set(target, False, now)
 
     def _set(self, target: int, part: bool, now: float) -> None:
-        if self.part[target] != part:
-            self.part[target] = part
+        if self.available[target] != part:
+            self.available[target] = part
             self.changes.append((now, target, part))
 
     def choose(self, spread: int, first: int, rng: random.Random) -> int | None:
         """One of the set, where one of it takes part, else one of all; None where none does."""
-        count = len(self.part)
-        able = [m for m in ((first + n) % count for n in range(min(spread, count))) if self.part[m]]
+        count = len(self.available)
+        able = [m for m in ((first + n) % count for n in range(min(spread, count))) if self.available[m]]
         if not able:
-            able = [m for m in range(count) if self.part[m]]
+            able = [m for m in range(count) if self.available[m]]
         if not able:
             return None
         return able[0] if len(able) == 1 else able[int(rng.random() * len(able))]
--- a/elderlock/load/thresholds.py
+++ b/elderlock/load/thresholds.py
@@ -36,7 +36,7 @@
     """The text is no threshold."""
 
 
-class Figures(Protocol):
+class MetricSource(Protocol):
     def time(self, kind: str, point: str, by: str, value: str) -> float | None:
         """ms; None where there is none."""
 
@@ -57,7 +57,7 @@
     equal: bool
     bound: float  # ms for times
 
-    def figure(self, figures: Figures) -> float | None:
+    def figure(self, figures: MetricSource) -> float | None:
         kind, _, point = self.name.partition(".")
         if self.name[0] == "p" and self.name[1:2].isdigit():
             return figures.time("latency", self.name, self.by, self.value)
@@ -67,7 +67,7 @@
             return figures.share(point)
         return figures.rate() if kind == "rate_error" else figures.count(kind)
 
-    def failed(self, figures: Figures) -> str | None:
+    def failed(self, figures: MetricSource) -> str | None:
         """What to say of it, None where it is kept. A figure that is not there has failed: a run in which
         nothing was served must not pass a bound on how fast it was."""
         figure = self.figure(figures)
@@ -79,7 +79,7 @@
         return None
 
 
-def threshold(text: str) -> Threshold:
+def parse_threshold(text: str) -> Threshold:
     """Raises `ThresholdError`."""
     found = FORM.fullmatch(text.strip())
     if found is None:
@@ -89,7 +89,7 @@
     quantile = name[0] == "p" and name[1:2].isdigit()
     timed = quantile or kind in TIMES
     if timed:
-        percentile(name if quantile else point)
+        parse_percentile(name if quantile else point)
         if unit not in UNITS:
             raise ThresholdError(f"{text!r}: a time needs its unit: us, ms or s")
     elif unit in UNITS:
@@ -109,7 +109,7 @@
     return Threshold(text.strip(), name, by, value, found["sign"][0] == ">", found["sign"].endswith("="), bound)
 
 
-def percentile(point: str) -> float:
+def parse_percentile(point: str) -> float:
     """Of `p99.9` or `max`: 99.9 or 100. Raises `ThresholdError`."""
     if point == "max":
         return 100.0
--- a/elderlock/load/trace.py
+++ b/elderlock/load/trace.py
@@ -68,7 +68,7 @@
 _header = msgspec.json.Decoder(_Header)
 
 
-def lines(file: IO[bytes]) -> Iterator[tuple[int, bytes | TraceError]]:
+def read_lines(file: IO[bytes]) -> Iterator[tuple[int, bytes | TraceError]]:
     """Numbered lines without their ends. One that is too long or cut comes as an error in its place; what
     cannot be unpacked any further ends the file with one."""
     number = 0
@@ -90,7 +90,7 @@
         yield number + 1, TraceError(number + 1, "damaged", f"the compressed file is damaged: {error}")
 
 
-def rows(numbered: Iterable[tuple[int, bytes | TraceError]]) -> Iterator[tuple[int, Row | TraceError]]:
+def read_rows(numbered: Iterable[tuple[int, bytes | TraceError]]) -> Iterator[tuple[int, Row | TraceError]]:
     """The requests of either form. Lines behind a header of a version that is not known are faults until one
     that is. An empty file is one fault."""
     form: Literal["json", "csv", ""] = ""
@@ -174,7 +174,7 @@
         raise ValueError("units, deadline, spread or first is out of range")
 
 
-class Source:
+class TraceReplay:
     """A trace as the replay wants it: cut, at a speed, looped, renamed. `faults` counts what was passed over
     or mapped, by reason; `shown` are the first of each, with their lines."""
 
@@ -213,7 +213,7 @@
         plans = frozenset(replay.plans)
         begin: int | None = None
         with open_trace(Path(replay.path)) as file:
-            for number, row in rows(lines(file)):
+            for number, row in read_rows(read_lines(file)):
                 if isinstance(row, TraceError):
                     self._fault(row)
                     continue
@@ -255,7 +255,7 @@
     return cast(IO[bytes], file)
 
 
-class Writer:
+class TraceWriter:
     """Writes a trace: `.csv` in the name gives CSV, `.gz` packs it. Rows must come in order of time."""
 
     def __init__(self, path: Path) -> None:
@@ -283,19 +283,19 @@
         self._file.close()
 
 
-def merged(parts: Iterable[Path], target: Path) -> int:
+def merge_traces(parts: Iterable[Path], target: Path) -> int:
     """One trace of several, in order of time; each is read as a stream. Returns its rows."""
     import heapq
     from contextlib import ExitStack
 
     def good(file: IO[bytes]) -> Iterator[Row]:
-        for _, row in rows(lines(file)):
+        for _, row in read_rows(read_lines(file)):
             if isinstance(row, Row):
                 yield row
 
     with ExitStack() as stack:
         files = [stack.enter_context(open_trace(part)) for part in parts]
-        writer = Writer(target)
+        writer = TraceWriter(target)
         stack.callback(writer.close)
         for row in heapq.merge(*map(good, files), key=lambda row: row.at):
             writer.write(row)
--- a/elderlock/load/worker.py
+++ b/elderlock/load/worker.py
@@ -23,15 +23,15 @@
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
 from elderlock.fleet.config import address
 from elderlock.load import messages as m
-from elderlock.load.clientele import FINAL, Again, Way, reason
-from elderlock.load.clock import Ticker, Watch, now_us
-from elderlock.load.lateness import Facts
-from elderlock.load.pinging import ping
+from elderlock.load.client_policy import FINAL, ClientPolicy, Retry, combined_outcome
+from elderlock.load.clock import OneShotTimer, ProcessMonitor, now_us
+from elderlock.load.health_check import run_health_check
+from elderlock.load.lateness import ResourceUsage
+from elderlock.load.resp_client import Pool, Request
 from elderlock.load.scenario import Scenario
-from elderlock.load.schedule import Arrival, schedule, share
-from elderlock.load.targets import Front
-from elderlock.load.trace import Row, Source, TraceError, Writer
-from elderlock.load.wire import Pool, Request
+from elderlock.load.schedule import Arrival, schedule, worker_share
+from elderlock.load.targets import TargetSelector
+from elderlock.load.trace import Row, TraceError, TraceReplay, TraceWriter
 
 AHEAD = 512  # arrivals that are drawn before they are due
 DRAW = 8  # of them at a time, so that drawing delays no send for long
@@ -53,28 +53,28 @@
         self.job, self.scenario, self._say = job, job.scenario, say
         scenario: Scenario = job.scenario
         self.addresses = [address(each) for each in scenario.targets.addresses]
-        self.front = Front(len(self.addresses), scenario.targets.silent_s)
-        self.source: Source | None = None
+        self.front = TargetSelector(len(self.addresses), scenario.targets.silent_s)
+        self.source: TraceReplay | None = None
         if scenario.replay is not None:
-            self.source = Source(scenario.replay, job.key)
+            self.source = TraceReplay(scenario.replay, job.key)
             arrivals = self.source.arrivals(len(self.addresses))
         else:
             arrivals = schedule(scenario, len(self.addresses))
-        self._left: Iterator[tuple[int, Arrival]] = share(arrivals, job.worker, job.workers)
+        self._left: Iterator[tuple[int, Arrival]] = worker_share(arrivals, job.worker, job.workers)
         self._ahead: deque[tuple[int, Arrival]] = deque()
         self._dry = False
         self.rng = random.Random(f"{scenario.seed}/worker/{job.worker}")
         self._run = os.urandom(4).hex().encode()
         ways = [scenario.clients_of(number) for number in range(max(1, len(scenario.stream)))]
-        self._ways = [Way(clients) for clients in ways]
+        self._ways = [ClientPolicy(clients) for clients in ways]
         self._marks = [clients.marks_retries for clients in ways]
         self._pools: list[list[Pool]] = []
-        self._asking: Any = None
+        self._grpc_client: Any = None
         if scenario.targets.kind == "grpc":
-            from elderlock.load.asking import AskingDoor
+            from elderlock.load.grpc_client import GrpcClient
 
-            self._asking = AskingDoor(self, self.loop, self.addresses)
-            self.front.part = [True] * len(self.addresses)
+            self._grpc_client = GrpcClient(self, self.loop, self.addresses)
+            self.front.available = [True] * len(self.addresses)
         else:
             made: dict[Any, list[Pool]] = {}
             for clients in ways:
@@ -84,9 +84,9 @@
                         Pool(self, self.loop, address, keep, most, scenario.truth.verify) for address in self.addresses
                     ]
                 self._pools.append(made[clients])
-        self._trace = Writer(Path(job.trace_to)) if job.trace_to else None
+        self._trace = TraceWriter(Path(job.trace_to)) if job.trace_to else None
         self._terms: dict[tuple[str, str, float, int, int], bytes] = {}
-        self._watch = Watch()
+        self._watch = ProcessMonitor()
         self._tasks: set[asyncio.Task[None]] = set()
         self._begun = 0
         self._open: set[Request] = set()
@@ -102,7 +102,7 @@
         self._facts_cpu = self._facts_wait = self._beat_cpu = 0.0
         self._facts_preempted = 0
         self._shown: dict[str, str] = {}
-        self._ticker = Ticker(self.loop, self._due)
+        self._ticker = OneShotTimer(self.loop, self._due)
         self._due_end = scenario.for_s * 1e6
 
     def _fresh(self) -> None:
@@ -117,13 +117,15 @@
 
     async def ready(self) -> None:
         """Until a target takes part, or none does in time."""
-        if self._asking is None:
+        if self._grpc_client is None:
             targets = self.scenario.targets
             for target in range(len(self.addresses)):
-                self._task(ping(self.front, target, self.addresses[target], targets.ping_s, targets.silent_s))
+                self._task(
+                    run_health_check(self.front, target, self.addresses[target], targets.ping_s, targets.silent_s)
+                )
             try:
                 async with asyncio.timeout(TARGETS_WITHIN):
-                    while not any(self.front.part):
+                    while not any(self.front.available):
                         await asyncio.sleep(0.01)
             except TimeoutError:
                 pass  # whether they come up later is seen by the run
@@ -147,7 +149,7 @@
         self._ahead.clear()
         if now:
             for request in list(self._open):
-                self._finish(request, "left" if request.sent else "ended")
+                self._finish(request, "left" if request.was_sent else "ended")
         self._arm()
 
     def _task(self, work: Any) -> None:
@@ -172,10 +174,10 @@
 
     def _arm(self) -> None:
         if self._ahead:
-            return self._ticker.at(self._begun + self._ahead[0][1].at)
+            return self._ticker.set(self._begun + self._ahead[0][1].at)
         self._draw(DRAW)
         if self._ahead:
-            self._ticker.at(self._begun + self._ahead[0][1].at)
+            self._ticker.set(self._begun + self._ahead[0][1].at)
         elif not self._over and not self._open:
             self._end()
         elif not self._over:
@@ -210,8 +212,10 @@
             self._record(arrival)
         request = Request(number, arrival, began, arrival.stream)
         self._open.add(request)
-        if arrival.leaves:
-            request.leave = self.loop.call_later(max(0.0, (arrival.leaves - late) / 1e6), self._leaves, request)
+        if arrival.leaves_after_us:
+            request.departure_timer = self.loop.call_later(
+                max(0.0, (arrival.leaves_after_us - late) / 1e6), self._leaves, request
+            )
         self._try(request, now)
 
     def _record(self, arrival: Arrival) -> None:
@@ -235,30 +239,30 @@
     # One request
 
     def _try(self, request: Request, now: int) -> None:
-        request.again = None
+        request.retry_timer = None
         arrival = request.arrival
-        waited = (now - request.began) / 1000.0
-        request.tries += 1
-        request.wrote, request.resent, request.connection = 0, False, None
-        request.active = True
-        patience = self._ways[request.way].patience(arrival.deadline, waited)
+        waited = (now - request.intended_start_us) / 1000.0
+        request.attempts += 1
+        request.written_at_us, request.was_resent, request.connection = 0, False, None
+        request.is_active = True
+        patience = self._ways[request.policy_index].attempt_timeout_ms(arrival.deadline, waited)
         if patience <= 0.0:
             # its time ran out before we came to it; that it was never sent is our doing, and told
-            return self.ended(request, "backlog")
+            return self.on_attempt_ended(request, "backlog")
         target = self.front.choose(arrival.spread, arrival.first, self.rng)
         if target is None:
-            return self.ended(request, "nowhere")
+            return self.on_attempt_ended(request, "nowhere")
         request.target = target
-        if request.tries > 1:
+        if request.attempts > 1:
             self.counts["retries"] += 1
-        request.id = b"%b-%x-%x" % (self._run, request.number, request.tries)
-        request.timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
-        if self._asking is not None:
-            self._asking.send(request, patience)
+        request.id = b"%b-%x-%x" % (self._run, request.number, request.attempts)
+        request.timeout_timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
+        if self._grpc_client is not None:
+            self._grpc_client.send(request, patience)
         else:
-            self._pools[request.way][target].send(request)
+            self._pools[request.policy_index][target].send(request)
 
-    def terms(self, request: Request) -> bytes:
+    def request_terms(self, request: Request) -> bytes:
         arrival = request.arrival
         key = (arrival.class_name, arrival.plan, arrival.units, arrival.spread, arrival.first)
         terms = self._terms.get(key)
@@ -272,79 +276,79 @@
                 arrival.spread,
                 arrival.first,
             )
-        waited = (request.wrote - request.began) / 1000.0
-        left = max(1, int(self._ways[request.way].patience(arrival.deadline, waited)))
-        marked = b",r=1" if request.tries > 1 and self._marks[request.way] else b""
+        waited = (request.written_at_us - request.intended_start_us) / 1000.0
+        left = max(1, int(self._ways[request.policy_index].attempt_timeout_ms(arrival.deadline, waited)))
+        marked = b",r=1" if request.attempts > 1 and self._marks[request.policy_index] else b""
         return b"%b%d%b" % (terms, left, marked)
 
-    def wrote(self, request: Request) -> None:
-        if not request.sent:
-            request.sent = True
+    def on_request_written(self, request: Request) -> None:
+        if not request.was_sent:
+            request.was_sent = True
             self.counts["sent"] += 1
             self._open_sent += 1
         self.counts["tries"] += 1
 
-    def ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
+    def on_attempt_ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
         """How the try under way ended; what comes for it later says nothing any more."""
-        if not request.active:
+        if not request.is_active:
             return
-        request.active = False
-        if request.timer is not None:
-            request.timer.cancel()
-            request.timer = None
-        request.reason = reason(request.reason, outcome, request.sent, request.wrote > 0)
+        request.is_active = False
+        if request.timeout_timer is not None:
+            request.timeout_timer.cancel()
+            request.timeout_timer = None
+        request.outcome = combined_outcome(request.outcome, outcome, request.was_sent, request.written_at_us > 0)
         arrival, now = request.arrival, now_us()
-        again: Again | None = None
+        again: Retry | None = None
         if outcome not in FINAL and not self._over:
-            again = self._ways[request.way].after(
+            again = self._ways[request.policy_index].next_retry(
                 outcome,
                 advice,
-                request.tries,
-                arrival.honours,
-                (now - request.began) / 1000.0,
+                request.attempts,
+                arrival.honours_retry_after,
+                (now - request.intended_start_us) / 1000.0,
                 arrival.deadline,
                 self.rng,
             )
         if again is None:
-            return self._finish(request, request.reason)
-        request.again = self.loop.call_later(again.wait / 1000.0, self._again, request)
+            return self._finish(request, request.outcome)
+        request.retry_timer = self.loop.call_later(again.wait_ms / 1000.0, self._again, request)
 
     def _again(self, request: Request) -> None:
-        if not request.over:
+        if not request.is_finished:
             self._try(request, now_us())
 
     def _timed_out(self, request: Request) -> None:
-        request.timer = None
-        written = request.wrote > 0
+        request.timeout_timer = None
+        written = request.written_at_us > 0
         if request.connection is not None:
-            request.connection.give_up(gone=False)
+            request.connection.give_up(client_left=False)
             request.connection = None
-        self.ended(request, "timeout" if written else "backlog")
+        self.on_attempt_ended(request, "timeout" if written else "backlog")
 
     def _leaves(self, request: Request) -> None:
-        if request.over:
+        if request.is_finished:
             return
         if request.connection is not None:
-            request.connection.give_up(gone=True)
+            request.connection.give_up(client_left=True)
             request.connection = None
-        self._finish(request, "left" if request.sent else "ended")
+        self._finish(request, "left" if request.was_sent else "ended")
 
     def _finish(self, request: Request, outcome: str) -> None:
-        request.over, request.active = True, False
-        for timer in (request.timer, request.leave, request.again):
+        request.is_finished, request.is_active = True, False
+        for timer in (request.timeout_timer, request.departure_timer, request.retry_timer):
             if timer is not None:
                 timer.cancel()
         self._open.discard(request)
-        self._open_sent -= request.sent
+        self._open_sent -= request.was_sent
         now = now_us()
         arrival = request.arrival
         key = (outcome, arrival.plan, arrival.group, request.target)
         pair = self._samples.get(key)
         if pair is None:
             pair = self._samples[key] = (array("I"), array("I"))
-        pair[0].append(min(max(now - request.began, 0), UINT32))
-        if request.wrote:
-            pair[1].append(min(now - request.wrote, UINT32))
+        pair[0].append(min(max(now - request.intended_start_us, 0), UINT32))
+        if request.written_at_us:
+            pair[1].append(min(now - request.written_at_us, UINT32))
         if not self._open and not self._ahead and not self._over:
             self._arm()
 
@@ -353,13 +357,13 @@
     def count(self, name: str) -> None:
         self.counts[name] += 1
 
-    def dialled(self, took_us: int) -> None:
+    def on_connected(self, took_us: int) -> None:
         self._dials += 1
         took = took_us / 1000.0
         self._slowest = max(self._slowest, took)
         self._slow_dials += took > self.scenario.truth.connect_ms
 
-    def out_of_descriptors(self) -> None:
+    def on_out_of_descriptors(self) -> None:
         self._descriptors += 1
 
     # What the coordinator is told
@@ -397,7 +401,7 @@
     def _flush(self, last: bool) -> None:
         end = max((now_us() - self._begun) / 1e6, self._since)
         cpu, wait, preempted = self._watch.cpu_ms(), self._watch.wait_ms(), self._watch.preempted()
-        facts = Facts(
+        facts = ResourceUsage(
             (end - self._since) * 1000.0,
             cpu - self._facts_cpu,
             wait - self._facts_wait,
@@ -456,8 +460,8 @@
             task.cancel()
         for pool in {id(pool): pool for pools in self._pools for pool in pools}.values():
             pool.close()
-        if self._asking is not None:
-            await self._asking.close()
+        if self._grpc_client is not None:
+            await self._grpc_client.close()
 
 
 class _Line(asyncio.Protocol):
@@ -518,8 +522,8 @@
             match message:
                 case None:
                     return 1
-                case m.Clock():
-                    say(m.Told(message.number, now_us()))
+                case m.ReadClock():
+                    say(m.ClockReading(message.number, now_us()))
                 case m.Job():
                     if message.version != m.VERSION:
                         say(m.Failed(f"version {message.version} is not known; this worker speaks {m.VERSION}"))
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from elderlock.load.clientele import FINAL, Way, reason
+from elderlock.load.client_policy import FINAL, ClientPolicy, combined_outcome
 from elderlock.load.clock import now_us
-from elderlock.load.pinging import ping
+from elderlock.load.health_check import run_health_check
+from elderlock.load.resp_client import Connection, Pool, Request
 from elderlock.load.schedule import Arrival
-from elderlock.load.targets import Front
-from elderlock.load.wire import Connection, Pool, Request
+from elderlock.load.targets import TargetSelector
 from elderlock.sim.scenario import Scenario
 
 PING_EVERY, PING_WITHIN = 0.3, 2.0  # s
@@ -50,10 +50,10 @@
         self._scenario, self._arrivals, self.rng, self._finished = scenario, arrivals, rng, finished
         traffic = scenario.traffic(0)
         manners = [traffic.clients_of(number) for number in range(max(1, len(scenario.stream)))]
-        self._ways = [Way(clients) for clients in manners]
+        self._ways = [ClientPolicy(clients) for clients in manners]
         self._marks = [clients.marks_retries for clients in manners]
         self._addresses = addresses
-        self.front = Front(len(addresses), PING_WITHIN)
+        self.front = TargetSelector(len(addresses), PING_WITHIN)
         self._pools = [
             [
                 HoardingPool(self, self.loop, at, own.connections == "keep", own.most_connections, True)
@@ -75,7 +75,7 @@
         """The schedule begins now."""
         self._begun = now_us()
         for target in range(len(self._addresses)):
-            self._task(ping(self.front, target, self._addresses[target], PING_EVERY, PING_WITHIN))
+            self._task(run_health_check(self.front, target, self._addresses[target], PING_EVERY, PING_WITHIN))
         self._task(self._send())
 
     def _task(self, work: Any) -> None:
@@ -130,8 +130,8 @@
         for task in self._tasks:
             task.cancel()
         for request in list(self.open):
-            request.active = False
-            for timer in (request.timer, request.leave, request.again):
+            request.is_active = False
+            for timer in (request.timeout_timer, request.departure_timer, request.retry_timer):
                 if timer is not None:
                     timer.cancel()
         for pools in self._pools:
@@ -146,31 +146,35 @@
         request = Request(self._number, arrival, now_us(), arrival.stream)
         self.open[request] = None
         self.counts["offered"] += 1
-        if arrival.leaves:
-            request.leave = self.loop.call_later(arrival.leaves / 1e6, self._leaves, request)
+        if arrival.leaves_after_us:
+            request.departure_timer = self.loop.call_later(arrival.leaves_after_us / 1e6, self._leaves, request)
         self._try(request)
 
     def _try(self, request: Request) -> None:
-        request.again = None
-        if request.over:
+        request.retry_timer = None
+        if request.is_finished:
             return
         arrival, now = request.arrival, now_us()
-        request.tries += 1
-        request.wrote, request.resent, request.connection, request.active = 0, False, None, True
-        patience = self._ways[request.way].patience(arrival.deadline, (now - request.began) / 1000.0)
+        request.attempts += 1
+        request.written_at_us, request.was_resent, request.connection, request.is_active = 0, False, None, True
+        patience = self._ways[request.policy_index].attempt_timeout_ms(
+            arrival.deadline, (now - request.intended_start_us) / 1000.0
+        )
         target = self.front.choose(arrival.spread, arrival.first, self.rng)
         if target is None or patience <= 0.0:
-            return self.ended(request, "nowhere" if target is None else "timeout")
+            return self.on_attempt_ended(request, "nowhere" if target is None else "timeout")
         request.target = target
-        self.counts["retries"] += request.tries > 1
-        request.id = b"q%d-%d" % (request.number, request.tries)
-        request.timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
-        self._pools[request.way][target].send(request)
+        self.counts["retries"] += request.attempts > 1
+        request.id = b"q%d-%d" % (request.number, request.attempts)
+        request.timeout_timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
+        self._pools[request.policy_index][target].send(request)
 
-    def terms(self, request: Request) -> bytes:
+    def request_terms(self, request: Request) -> bytes:
         a = request.arrival
-        left = self._ways[request.way].patience(a.deadline, (request.wrote - request.began) / 1000.0)
-        marked = b",r=1" if request.tries > 1 and self._marks[request.way] else b""
+        left = self._ways[request.policy_index].attempt_timeout_ms(
+            a.deadline, (request.written_at_us - request.intended_start_us) / 1000.0
+        )
+        marked = b",r=1" if request.attempts > 1 and self._marks[request.policy_index] else b""
         return b"c=%b,t=%b,units=%b,spread=%d,first=%d,d=%d%b" % (
             a.class_name.encode(),
             a.plan.encode(),
@@ -181,55 +185,57 @@
             marked,
         )
 
-    def wrote(self, request: Request) -> None:
-        request.sent = True
+    def on_request_written(self, request: Request) -> None:
+        request.was_sent = True
         self.counts["tries"] += 1
 
-    def ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
-        if not request.active:
+    def on_attempt_ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
+        if not request.is_active:
             return
-        request.active = False
-        if request.timer is not None:
-            request.timer.cancel()
-            request.timer = None
-        request.reason = reason(request.reason, outcome, request.sent, request.wrote > 0)
-        arrival, waited = request.arrival, (now_us() - request.began) / 1000.0
+        request.is_active = False
+        if request.timeout_timer is not None:
+            request.timeout_timer.cancel()
+            request.timeout_timer = None
+        request.outcome = combined_outcome(request.outcome, outcome, request.was_sent, request.written_at_us > 0)
+        arrival, waited = request.arrival, (now_us() - request.intended_start_us) / 1000.0
         again = None
         if outcome not in FINAL:
-            way = self._ways[request.way]
-            again = way.after(outcome, advice, request.tries, arrival.honours, waited, arrival.deadline, self.rng)
+            way = self._ways[request.policy_index]
+            again = way.next_retry(
+                outcome, advice, request.attempts, arrival.honours_retry_after, waited, arrival.deadline, self.rng
+            )
         if again is None:
-            return self._finish(request, request.reason)
-        request.again = self.loop.call_later(again.wait / 1000.0, self._try, request)
+            return self._finish(request, request.outcome)
+        request.retry_timer = self.loop.call_later(again.wait_ms / 1000.0, self._try, request)
 
     def _timed_out(self, request: Request) -> None:
-        request.timer = None
+        request.timeout_timer = None
         if request.connection is not None:
-            request.connection.give_up(gone=False)
+            request.connection.give_up(client_left=False)
             request.connection = None
-        self.ended(request, "timeout")
+        self.on_attempt_ended(request, "timeout")
 
     def _leaves(self, request: Request) -> None:
-        if not request.over:
+        if not request.is_finished:
             if request.connection is not None:
-                request.connection.give_up(gone=True)
+                request.connection.give_up(client_left=True)
                 request.connection = None
             self._finish(request, "left")
 
     def _finish(self, request: Request, outcome: str) -> None:
-        request.over, request.active = True, False
-        for timer in (request.timer, request.leave, request.again):
+        request.is_finished, request.is_active = True, False
+        for timer in (request.timeout_timer, request.departure_timer, request.retry_timer):
             if timer is not None:
                 timer.cancel()
         self.open.pop(request, None)
         self.counts[outcome] += 1
-        self._finished(request, outcome, (now_us() - request.began) / 1000.0)
+        self._finished(request, outcome, (now_us() - request.intended_start_us) / 1000.0)
 
     def count(self, name: str) -> None:
         self.counts[name] += 1
 
-    def dialled(self, took_us: int) -> None:
+    def on_connected(self, took_us: int) -> None:
         pass
 
-    def out_of_descriptors(self) -> None:
+    def on_out_of_descriptors(self) -> None:
         self.counts["descriptors"] += 1
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -16,9 +16,9 @@
 import elderlock.structures.rendezvous as ranking
 from elderlock import interface as api
 from elderlock.interface import ListKind
-from elderlock.load.clientele import FINAL, Way, reason
+from elderlock.load.client_policy import FINAL, ClientPolicy, combined_outcome
 from elderlock.load.schedule import Arrival
-from elderlock.load.targets import Front
+from elderlock.load.targets import TargetSelector
 from elderlock.settings_reader import IDEMPOTENCY_BY_NAME
 from elderlock.sim import judges as j
 from elderlock.sim.decision_faults import DecisionFaults
@@ -99,8 +99,8 @@
         self.agents: list[SimAgent] = []
         self.faults = DecisionFaults(self)
         traffic = scenario.traffic(seed)
-        self._ways_of = [Way(traffic.clients_of(number)) for number in range(max(1, len(scenario.stream)))]
-        self.front = Front(scenario.limiters, NOTICE)
+        self._ways_of = [ClientPolicy(traffic.clients_of(number)) for number in range(max(1, len(scenario.stream)))]
+        self.front = TargetSelector(scenario.limiters, NOTICE)
         self._arrivals: Iterator[Arrival] = arrivals(scenario, seed)
         self._client_rng = random.Random(f"clients/{seed}")
         self.last: Arrival | None = None
@@ -171,7 +171,7 @@
             node.start()
             self.bench.limiter_began(self.at(), node.name)
             self.teller.whole(node)
-            self.front.ponged(node.number, 0.0)
+            self.front.record_pong(node.number, 0.0)
         for number in range(s.agents):
             share = range(number * s.limiters // s.agents, (number + 1) * s.limiters // s.agents)
             self.agents.append(SimAgent(self, number, self.machines[share[0]], share))
@@ -310,8 +310,8 @@
         self._asks += 1
         self.last = arrival
         ask = self.open[self._asks] = Ask(self._asks, arrival, self.schedule.time)
-        if arrival.leaves:
-            self.schedule.after(arrival.leaves / 1000.0, self._leaves, ask)
+        if arrival.leaves_after_us:
+            self.schedule.after(arrival.leaves_after_us / 1000.0, self._leaves, ask)
         self._try(ask)
 
     def _try(self, ask: Ask) -> None:
@@ -319,7 +319,7 @@
             return
         arrival, now = ask.arrival, self.schedule.time
         ask.tries += 1
-        left = self._ways_of[arrival.stream].patience(arrival.deadline, now - ask.began)
+        left = self._ways_of[arrival.stream].attempt_timeout_ms(arrival.deadline, now - ask.began)
         target = self.front.choose(arrival.spread, arrival.first, self._client_rng)
         if target is None or left <= 0:
             return self._tried(ask, "nowhere" if target is None else "timeout", None, ask.tries)
@@ -370,16 +370,16 @@
     def _tried(self, ask: Ask, outcome: str, advice: float | None, tries: int) -> None:
         arrival, waited = ask.arrival, self.schedule.time - ask.began
         sent = outcome not in ("nowhere", "refused_connection")
-        ask.reason = reason(ask.reason, outcome, bool(ask.reason), sent)
+        ask.reason = combined_outcome(ask.reason, outcome, bool(ask.reason), sent)
         again = None
         if outcome not in FINAL:
-            again = self._ways_of[arrival.stream].after(
-                outcome, advice, tries, arrival.honours, waited, arrival.deadline, self._client_rng
+            again = self._ways_of[arrival.stream].next_retry(
+                outcome, advice, tries, arrival.honours_retry_after, waited, arrival.deadline, self._client_rng
             )
         if again is None:
             return self._finish(ask, ask.reason)
         ask.tries = tries
-        self.schedule.after(again.wait, self._try, ask)
+        self.schedule.after(again.wait_ms, self._try, ask)
 
     def _finish(self, ask: Ask, outcome: str) -> None:
         ask.over = True
@@ -399,7 +399,7 @@
 
     def _noticed(self, node: Node) -> None:
         if self.nodes[node.number] is node:
-            self.front.turned_away(node.number, 0.0)
+            self.front.record_unavailable(node.number, 0.0)
 
     def _back(self, number: int) -> None:
         node = self.nodes[number] = self._make(self, number, self.machines[number], self.rng.getrandbits(63))
@@ -416,7 +416,7 @@
         if self.nodes[node.number] is not node or not node.alive:
             return
         if node.limiter.endpoints.servers:
-            self.front.ponged(node.number, 0.0)
+            self.front.record_pong(node.number, 0.0)
         else:
             self.schedule.after(PING_EVERY, self._ponged, node)
 
--- a/elderlock/sim/experiment.py
+++ b/elderlock/sim/experiment.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from elderlock.load.scenario import ScenarioError, Strict
+from elderlock.load.scenario import ScenarioError, StrictStruct
 from elderlock.sim.figures import NUMBERS
 from elderlock.sim.scenario import Scenario, parse, read
 
@@ -37,7 +37,7 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}")
 
 
-class ScenarioPart(Strict, frozen=True):
+class ScenarioPart(StrictStruct, frozen=True):
     """`file`: relative to the experiment's, or the name of one that ships. `set`: as for a setting."""
 
     name: str
@@ -45,14 +45,14 @@
     set: tuple[str, ...] = ()
 
 
-class SettingPart(Strict, frozen=True):
+class SettingPart(StrictStruct, frozen=True):
     """`set`: `settings.subset=40`, `net.loss=0.01`, whatever the scenario's file can hold."""
 
     name: str
     set: tuple[str, ...] = ()
 
 
-class ExperimentFile(Strict, frozen=True):
+class ExperimentFile(StrictStruct, frozen=True):
     """`seeds`: so many, counted from `first_seed`. `baseline`: the setting that the others are compared with; the first
     if it is empty. `fail_if`: `served_in_time@SETTING[SCENARIO]<0.95`, `diff.p99_ms@SETTING>20`; without a setting or
     scenario it holds for each."""
--- a/elderlock/sim/page.py
+++ b/elderlock/sim/page.py
@@ -11,7 +11,7 @@
 import pygal
 from pygal.style import CleanStyle
 
-from elderlock.load.page import STYLE
+from elderlock.load.html_report import STYLE
 from elderlock.sim.compare import Line, failures
 from elderlock.sim.experiment import Cell, Experiment
 from elderlock.sim.figures import Result
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from elderlock.load import scenario as load
-from elderlock.load.accounts import Mix
-from elderlock.load.scenario import Clients, ScenarioError, Strict
+from elderlock.load.accounts import AccountMix
+from elderlock.load.scenario import Clients, ScenarioError, StrictStruct
 from elderlock.sim.models.ways import Delays
 from elderlock.standins.model import Shape
 
@@ -131,7 +131,7 @@
 )
 
 
-class Fault(Strict, frozen=True):
+class Fault(StrictStruct, frozen=True):
     """`at_s` after the start, for `for_s` (0: what it does cannot end, or it stays to the end). `by`: times for slow, a
     share for errs and loss, ms for late, pause and clock, requests a second more for rush, connections a second for
     silent-clients, the share of clients that ask once and keep their connection for good for hoard, ms of disorder for
@@ -187,7 +187,7 @@
 }
 
 
-class Plan(Strict, frozen=True):
+class Plan(StrictStruct, frozen=True):
     """Units a second and units. `over_worth` and `over_cost`: what a unit beyond the quota earns and costs."""
 
     name: str
@@ -202,7 +202,7 @@
     open_limit: int = 0
 
 
-class Service(Strict, frozen=True):
+class Service(StrictStruct, frozen=True):
     """A class of requests. `effect` as the settings have it: free, guarded, single_shot."""
 
     name: str = "lookup"
@@ -210,7 +210,7 @@
     effect: Literal["free", "guarded", "single_shot"] = "free"
 
 
-class BoxKind(Strict, frozen=True):
+class BoxKind(StrictStruct, frozen=True):
     """A kind of box; boxes take the kinds in turn. See `elderlock.standins.model`."""
 
     name: str = "std-2c"
@@ -238,7 +238,7 @@
         )
 
 
-class Net(Strict, frozen=True):
+class Net(StrictStruct, frozen=True):
     """See `elderlock.sim.models.ways`; ms and shares."""
 
     same_ms: float = 0.25
@@ -251,7 +251,7 @@
         return Delays(self.same_ms, self.cross_ms, self.jitter, loss=self.loss, datagram_loss=self.datagram_loss)
 
 
-class Settings(Strict, frozen=True):
+class Settings(StrictStruct, frozen=True):
     """What an operator may set, and what an experiment compares."""
 
     subset: int = 0
@@ -273,7 +273,7 @@
         return int(self.budget * boxes + 1e-9)
 
 
-class Scenario(Strict, frozen=True):
+class Scenario(StrictStruct, frozen=True):
     """Clients and discovery stand on no floor: no cut is theirs."""
 
     name: str
@@ -326,7 +326,7 @@
 
 def of_load(share: float, scenario: Scenario, accounts: int = 100, skew: float = 0.6) -> Scenario:
     """With one stream that asks for that share of what the boxes bear, and a plan that lets all of it in."""
-    mix = Mix(count=accounts, skew=skew)
+    mix = AccountMix(count=accounts, skew=skew)
     shape = (load.Steady(rate=share * scenario.capacity()),)
     stream = load.Stream(
         name="main",
@@ -375,7 +375,7 @@
 def check(scenario: Scenario) -> None:
     """Raises `ScenarioError`."""
     s = scenario
-    load.bounds(
+    load.check_ranges(
         "the group",
         limiters=(s.limiters, 1, MOST_LIMITERS),
         boxes=(s.boxes, 1, MOST_BOXES),
@@ -400,7 +400,7 @@
         if stream.class_name not in services:
             raise ScenarioError(f"stream {stream.name}: there is no service {stream.class_name!r}")
     for kind in s.kind:
-        load.bounds(
+        load.check_ranges(
             f"kind {kind.name}",
             cores=(kind.cores, 1, 1000),
             speed=(kind.speed, 0.001, 1000),
@@ -412,7 +412,7 @@
             noise=(kind.noise, 0, 1),
             report_every_ms=(kind.report_every_ms, 0, 60_000),
         )
-    load.bounds(
+    load.check_ranges(
         "settings",
         subset=(s.settings.subset, 0, MOST_BOXES),
         max_attempts=(s.settings.max_attempts, 1, 10),
@@ -420,7 +420,7 @@
         sockets=(s.settings.sockets, 64, 1_000_000),
         keepalive_ms=(s.settings.keepalive_ms, 100, 600_000),
     )
-    load.bounds(
+    load.check_ranges(
         "net",
         same_ms=(s.net.same_ms, 0, 1000),
         cross_ms=(s.net.cross_ms, 0, 10_000),
@@ -443,7 +443,7 @@
     able = ABLE[fault.kind()]
     if fault.what not in able:
         raise ScenarioError(f"{where}: {fault.target} cannot be made {fault.what}; it can be {', '.join(sorted(able))}")
-    load.bounds(
+    load.check_ranges(
         where, at_s=(fault.at_s, 0, lasts), for_s=(fault.for_s, 0, LONGEST_S), by=(fault.by, -FARTHEST, FARTHEST)
     )
     if fault.what in ("errs", "loss", "hoard", "duplicate") and not 0 <= fault.by <= 1:
--- a/elderlock/sim/seeds.py
+++ b/elderlock/sim/seeds.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from elderlock.load.scenario import ScenarioError, Strict
+from elderlock.load.scenario import ScenarioError, StrictStruct
 from elderlock.sim.scenario import FORMAT, Scenario, check, timeline
 
 LONGEST = 32 << 20  # bytes
@@ -27,7 +27,7 @@
     """It is of another format of the models: what it showed, it may not show any more."""
 
 
-class Seed(Strict, frozen=True):
+class Seed(StrictStruct, frozen=True):
     """`broke`: the rules that it broke when it was kept; empty for one that is kept as a good example. `digest`: of its
     run, where that is to stay the same too."""
 
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -24,7 +24,7 @@
 from elderlock.decisions.outlier_detection import OutlierDetector
 from elderlock.fleet.agent import agent as agents
 from elderlock.interface import ServerState
-from elderlock.load.wire import Request
+from elderlock.load.resp_client import Request
 from elderlock.net import startup
 from elderlock.net.config import ConfigError, load_config
 from elderlock.net.endpoint_list import EndpointList
@@ -460,7 +460,7 @@
             arrival = request.arrival
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
             self.account.refused(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
-        began = (request.began / 1e6 - START) * 1000.0 - self.zero
+        began = (request.intended_start_us / 1e6 - START) * 1000.0 - self.zero
         self.account.finished(began, outcome, took, request.arrival.account)
 
     def _gateway_class(self) -> type[Gateway]:
--- a/elderlock/sim/traffic.py
+++ b/elderlock/sim/traffic.py
@@ -8,7 +8,7 @@
 
 from elderlock.load.scenario import ScenarioError
 from elderlock.load.schedule import Arrival, schedule
-from elderlock.load.trace import Source
+from elderlock.load.trace import TraceReplay
 from elderlock.sim.scenario import Scenario
 
 
@@ -24,7 +24,7 @@
     assert scenario.replay is not None
     plans = tuple(plan.name for plan in scenario.plan)
     services = {service.name for service in scenario.service}
-    for arrival in Source(msgspec.structs.replace(scenario.replay, plans=plans)).arrivals(scenario.limiters):
+    for arrival in TraceReplay(msgspec.structs.replace(scenario.replay, plans=plans)).arrivals(scenario.limiters):
         if arrival.at >= scenario.lasts_s * 1e6:
             return
         if arrival.class_name not in services:
--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -25,7 +25,7 @@
 import hiredis
 import uvloop
 
-from elderlock.load.clock import Ticker, now_us
+from elderlock.load.clock import OneShotTimer, now_us
 from elderlock.spawning import spawn
 from elderlock.standins.boxes import MISSING, served
 
@@ -79,7 +79,7 @@
         self.taken = 0
         self.took = array("I")  # µs from each request's coming to its answer's going, as they were in truth
         self.ready = True  # what PING is answered by
-        self._ticker = Ticker(self._loop, self._fire)
+        self._ticker = OneShotTimer(self._loop, self._fire)
         self.server: asyncio.Server | None = None
         self.connections: set[_Peer] = set()
         self.port = 0
@@ -106,7 +106,7 @@
         self._number += 1
         heapq.heappush(self._due, (at, self._number, reply, now))
         if self._due[0][1] == self._number:
-            self._ticker.at(at)
+            self._ticker.set(at)
 
     def _fire(self) -> None:
         now = now_us()
@@ -115,7 +115,7 @@
             reply()
             self.took.append(now_us() - came)
         if self._due:
-            self._ticker.at(self._due[0][0])
+            self._ticker.set(self._due[0][0])
 
     async def stop(self) -> None:
         """As a process that ends: nothing listens, connections break."""
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -22,7 +22,7 @@
 from elderlock.control.records import Records
 from elderlock.fleet import messages as f
 from elderlock.fleet.client.group_client import Group
-from elderlock.load.wire import Request
+from elderlock.load.resp_client import Request
 from elderlock.sim import judges as j
 from elderlock.sim.clients import Clients
 from elderlock.sim.facts import budget_of, operators_of, settings_of, talks
@@ -563,7 +563,7 @@
         if outcome == "refused":
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
             self.account.refused(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
-        began = request.began / 1000.0 - self._began * 1000.0 - self.zero
+        began = request.intended_start_us / 1000.0 - self._began * 1000.0 - self.zero
         self.account.finished(began, outcome, took, arrival.account)
 
     def ask(self) -> Clients:
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -14,7 +14,7 @@
 from elderlock.control.framing import FrameDecoder, encode_frame
 from elderlock.gossip import escrow_messages as ceilings
 from elderlock.gossip import evidence_messages as wire
-from elderlock.load import wire as load_wire
+from elderlock.load import resp_client as load_resp_client
 from elderlock.net import gateway, resp
 from elderlock.net.client_commands import CommandParser
 from elderlock.net.config import parse_config
@@ -173,7 +173,7 @@
 
 
 def test_the_load_generator_writes_a_request_as_stored() -> None:
-    assert load_wire.command(CUSTOMER, b"9b1f", b"c=lookup,t=team,d=3000") == (
+    assert load_resp_client.command(CUSTOMER, b"9b1f", b"c=lookup,t=team,d=3000") == (
         b"*4\r\n$8\r\nAPI.READ\r\n$16\r\n00000000b4d65521\r\n$4\r\n9b1f\r\n$22\r\nc=lookup,t=team,d=3000\r\n"
     )
 
--- a/tests/compatibility/test_encoded_messages.py
+++ b/tests/compatibility/test_encoded_messages.py
@@ -43,9 +43,9 @@
 from elderlock.fleet.supervision import versions as fleet_versions
 from elderlock.load import accounts as load_accounts
 from elderlock.load import compare as load_compare
-from elderlock.load import figures as load_figures
 from elderlock.load import lateness as load_lateness
 from elderlock.load import messages as load_messages
+from elderlock.load import metrics as load_metrics
 from elderlock.load import report as load_report
 from elderlock.load import scenario as load_scenario
 from elderlock.load import trace as load_trace
@@ -159,22 +159,22 @@
     "fleet-plan.box-sum": fleet_plan.ServerSummary,
     "fleet-plan.plan": fleet_plan.Plan,
     "fleet-version.version-file": fleet_versions.VersionFile,
-    "load-scenario.mix": load_accounts.Mix,
+    "load-scenario.mix": load_accounts.AccountMix,
     "load-compare.difference": load_compare.Difference,
-    "load-report.second": load_figures.Second,
-    "load-report.block": load_figures.Block,
-    "load-report.facts": load_lateness.Facts,
-    "load-report.span": load_lateness.Span,
+    "load-report.second": load_metrics.Second,
+    "load-report.block": load_metrics.Block,
+    "load-report.facts": load_lateness.ResourceUsage,
+    "load-report.span": load_lateness.LateSpan,
     "load-worker.job": load_messages.Job,
-    "load-worker.clock": load_messages.Clock,
+    "load-worker.clock": load_messages.ReadClock,
     "load-worker.start": load_messages.Start,
     "load-worker.stop": load_messages.Stop,
     "load-worker.ready": load_messages.Ready,
-    "load-worker.told": load_messages.Told,
+    "load-worker.told": load_messages.ClockReading,
     "load-worker.failed": load_messages.Failed,
     "load-worker.sample": load_messages.Sample,
     "load-worker.interval": load_messages.Interval,
-    "load-report.lines": load_report.Lines,
+    "load-report.lines": load_report.LatencySummary,
     "load-report.report": load_report.Report,
     "load-scenario.steady": load_scenario.Steady,
     "load-scenario.ramp": load_scenario.Ramp,
@@ -185,8 +185,8 @@
     "load-scenario.clients": load_scenario.Clients,
     "load-scenario.stream": load_scenario.Stream,
     "load-scenario.replay": load_scenario.Replay,
-    "load-scenario.trouble": load_scenario.Trouble,
-    "load-scenario.truth": load_scenario.Truth,
+    "load-scenario.trouble": load_scenario.Fault,
+    "load-scenario.truth": load_scenario.LatenessLimits,
     "load-scenario.targets": load_scenario.Targets,
     "load-scenario.group": load_scenario.Group,
     "load-scenario.scenario": load_scenario.Scenario,
@@ -228,7 +228,7 @@
     control_messages.Message: "the base class of the control messages",
     fleet_messages.Message: "the base class of the agents' messages",
     load_messages.Message: "the base class of the load workers' messages",
-    load_scenario.Strict: "the base class of the parts of scenario files",
+    load_scenario.StrictStruct: "the base class of the parts of scenario files",
     fleet_auth.Identity: "the owner of a token; the file of tokens has its own format",
     fleet_operate.Order: "a command's options",
     fleet_operate.Result: "a command's result; the command line prints it under other keys",
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -20,8 +20,8 @@
 from elderlock.fleet.launcher.launcher import LauncherProcess
 from elderlock.fleet.messages import AuditLine
 from elderlock.load import report, trace
-from elderlock.load.figures import Totals
-from elderlock.load.scenario import Ramp, Scenario, Steady, Truth
+from elderlock.load.metrics import Totals
+from elderlock.load.scenario import LatenessLimits, Ramp, Scenario, Steady
 from elderlock.net.config import load_config
 from elderlock.rollout import permit_ledger as ledger
 from elderlock.rollout.agent_launcher import AgentVersion, LauncherState
@@ -205,12 +205,12 @@
 @pytest.mark.parametrize("name", TRACES)
 def test_a_recorded_trace_is_read_with_its_rows(name: str) -> None:
     with trace.open_trace(DATA / name) as file:
-        assert [row for _, row in trace.rows(trace.lines(file))] == ROWS
+        assert [row for _, row in trace.read_rows(trace.read_lines(file))] == ROWS
 
 
 @pytest.mark.parametrize("name", TRACES)
 def test_a_trace_is_written_as_the_recorded_one(name: str, tmp_path: Path) -> None:
-    writer = trace.Writer(tmp_path / name)
+    writer = trace.TraceWriter(tmp_path / name)
     for row in ROWS:
         writer.write(row)
     writer.close()
@@ -230,13 +230,13 @@
     assert (made.targets_changed, made.trouble) == ([(0.5, 0, True)], [(1.0, "a box was stopped")])
     assert made.by["all"]["all"].latency["p99"] == 30.015
     # p75 is not stored, so it is computed from the histogram.
-    assert report.judged(made, ["p75>29ms"]) == ["p75>29ms: it is 30.015"]
-    assert report.judged(made, ["p99>20ms"]) == made.failed
+    assert report.failed_thresholds(made, ["p75>29ms"]) == ["p75>29ms: it is 30.015"]
+    assert report.failed_thresholds(made, ["p99>20ms"]) == made.failed
 
 
 def test_a_new_load_report_has_the_keys_of_the_old_one() -> None:
-    made = report.report(
-        Totals(Truth(), 1), Scenario("made"), scheduled=0, began_at=0.0, lasted=1.0, notes=[], incomplete=False
+    made = report.build_report(
+        Totals(LatenessLimits(), 1), Scenario("made"), scheduled=0, began_at=0.0, lasted=1.0, notes=[], incomplete=False
     )
     stored = json.loads((DATA / "load_report.json").read_bytes())
     again = json.loads(report.encode(made))
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -20,7 +20,7 @@
 from elderlock.fleet.config import FileError, read_agent
 from elderlock.load import messages as m
 from elderlock.load.coordinator import Coordinator
-from elderlock.load.remote import RemoteLine
+from elderlock.load.remote_worker import RemoteWorkerLink
 from elderlock.load.report import Exit, Report, decode
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
@@ -191,7 +191,7 @@
 def test_a_lent_worker_loses_no_frame_to_a_lost_answer_and_takes_none_twice() -> None:
     async def test() -> None:
         lending = WorkerLeasing(1)
-        clock = [m.encode(m.Clock(n)) for n in range(3)]
+        clock = [m.encode(m.ReadClock(n)) for n in range(3)]
         assert lending.begins("a") and not lending.refusal()
         taken, first, _, _ = await lending.talk("a", 0, clock[:2], 0, False)
         assert (taken, first) == (2, 0) and "are in use" in lending.refusal()
@@ -203,7 +203,7 @@
             await asyncio.sleep(0.01)
             taken, first, frames, ended = await lending.talk("a", 3, (), 0, False)
         told = [m.from_worker(frame) for frame in frames]
-        assert [message.number for message in told if isinstance(message, m.Told)] == [0, 1, 2] and taken == 3
+        assert [message.number for message in told if isinstance(message, m.ClockReading)] == [0, 1, 2] and taken == 3
         _, first, frames, ended = await lending.talk("a", 3, (), 2, False)
         assert (first, len(frames), ended) == (2, 1, "")
         assert (await lending.talk("a", 3, (), 3, True))[3] == "ended as asked" and lending.begins("a")
@@ -226,14 +226,14 @@
         while not isinstance(await group.ask("agent-0", lambda id: f.Audit(id), f.Audited, 1.0), f.Audited):
             await asyncio.sleep(0.02)
         scenario = parse(SCENARIO, "test", [f"targets.addresses=['{target.endpoint}']", "for_s=2"])
-        lines = [RemoteLine(group, "agent-0", 0)]
+        lines = [RemoteWorkerLink(group, "agent-0", 0)]
         made = await Coordinator(scenario, lines).run()
         assert fits(made.exit, made) and made.outcomes["served"] == made.ledger["scheduled"] > 100, made
         assert any("clock of worker 0 at agent-0 is known within" in note for note in made.notes)
         audit = await group.ask("agent-0", lambda id: f.Audit(id), f.Audited, 1.0)
         assert isinstance(audit, f.Audited) and any("lent a worker" in line.what for line in audit.lines)
         # an agent that dies takes its worker along: what it was to send is missing, and told
-        lines = [RemoteLine(group, "agent-0", 0)]
+        lines = [RemoteWorkerLink(group, "agent-0", 0)]
         long = parse(SCENARIO, "test", [f"targets.addresses=['{target.endpoint}']", "for_s=3"])
         coordinator = Coordinator(long, lines)
         running = asyncio.ensure_future(coordinator.run())
--- a/tests/load/test_runs.py
+++ b/tests/load/test_runs.py
@@ -15,11 +15,11 @@
 import pytest
 
 from elderlock.load import messages as m
-from elderlock.load.coordinator import Coordinator, LoadError, LocalLine
-from elderlock.load.pinging import ping
+from elderlock.load.coordinator import Coordinator, LoadError, LocalWorkerLink
+from elderlock.load.health_check import run_health_check
 from elderlock.load.report import Exit, Report
 from elderlock.load.scenario import parse
-from elderlock.load.targets import Front
+from elderlock.load.targets import TargetSelector
 from elderlock.load.worker import Worker
 from elderlock.standins import delays
 from elderlock.standins.delays import Target
@@ -41,7 +41,7 @@
 shape = [{ kind = "steady", rate = 100 }]
 accounts = { count = 20 }
 """
-Meddle = Callable[[list[LocalLine], Coordinator], Coroutine[Any, Any, None]]
+Meddle = Callable[[list[LocalWorkerLink], Coordinator], Coroutine[Any, Any, None]]
 
 
 async def played(
@@ -49,7 +49,7 @@
 ) -> Report:
     addresses = ",".join(f"'{target}'" for target in targets)
     scenario = parse(TEXT, "test", [f"targets.addresses=[{addresses}]", *changes])
-    lines = [LocalLine(number) for number in range(workers)]
+    lines = [LocalWorkerLink(number) for number in range(workers)]
 
     async def began(at: float) -> list[tuple[float, str]]:
         if meddle is not None:
@@ -62,7 +62,7 @@
     return made
 
 
-def pid(line: LocalLine) -> int:
+def pid(line: LocalWorkerLink) -> int:
     assert line.process is not None
     return line.process.pid
 
@@ -162,7 +162,7 @@
     async def test() -> None:
         target, other = await Target({"kind": "none"}).start(), await Target({"kind": "none"}).start()
 
-        async def meddle(lines: list[LocalLine], coordinator: Coordinator) -> None:
+        async def meddle(lines: list[LocalWorkerLink], coordinator: Coordinator) -> None:
             await until(lambda: target.taken > 20)
             await target.stop()
             before = other.taken
@@ -192,8 +192,8 @@
                     resets.append(writer)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        front = Front(1, 1.0)
-        asking = asyncio.ensure_future(ping(front, 0, server.sockets[0].getsockname(), 0.1, 1.0))
+        front = TargetSelector(1, 1.0)
+        asking = asyncio.ensure_future(run_health_check(front, 0, server.sockets[0].getsockname(), 0.1, 1.0))
         await until(lambda: len(resets) == 3 or asking.done())
         assert not asking.done(), asking.exception()
         asking.cancel()
@@ -214,14 +214,14 @@
     run(test())
 
 
-async def _stop_a_while(lines: list[LocalLine], coordinator: Coordinator) -> None:
+async def _stop_a_while(lines: list[LocalWorkerLink], coordinator: Coordinator) -> None:
     await until(lambda: coordinator.totals.counts["offered"] > 0)
     os.kill(pid(lines[0]), signal.SIGSTOP)
     await asyncio.sleep(1.0)  # the failure itself, no proof
     os.kill(pid(lines[0]), signal.SIGCONT)
 
 
-async def _few_descriptors(lines: list[LocalLine], coordinator: Coordinator) -> None:
+async def _few_descriptors(lines: list[LocalWorkerLink], coordinator: Coordinator) -> None:
     resource.prlimit(pid(lines[0]), resource.RLIMIT_NOFILE, (24, 24))
 
 
@@ -254,7 +254,7 @@
     run(test(), within=120.0)
 
 
-class LateReader(LocalLine):
+class LateReader(LocalWorkerLink):
     """It reads that its worker is ready, and no more till that has ended, or has had a second to do so since its last
     send: what the worker says last stands in the pipe, and most of it behind that."""
 
@@ -321,7 +321,7 @@
     async def test() -> None:
         target = await Target({"kind": "none"}).start()
 
-        async def meddle(lines: list[LocalLine], coordinator: Coordinator) -> None:
+        async def meddle(lines: list[LocalWorkerLink], coordinator: Coordinator) -> None:
             await until(lambda: len(coordinator.totals.seconds) > 0)
             os.kill(pid(lines[1]), signal.SIGKILL)
 
@@ -338,7 +338,7 @@
 def test_workers_end_with_their_coordinator() -> None:
     async def test() -> None:
         target = await Target({"kind": "none"}).start()
-        line = LocalLine(0)
+        line = LocalWorkerLink(0)
         gone = asyncio.Event()
         ready = asyncio.Event()
         await line.open(lambda message: ready.set(), lambda why: gone.set())
@@ -386,7 +386,7 @@
         path.write_text('{"trace":1}\n' + "".join(line % (n * 1000) for n in range(2000)) + "what\n" + line % 2000000)
         text = f'name="r"\n[replay]\npath="{path}"\non_error="{policy}"\n[targets]\naddresses=["{target.endpoint}"]\n'
         scenario = parse(text, "r")
-        made = await Coordinator(scenario, [LocalLine(0), LocalLine(1)]).run()
+        made = await Coordinator(scenario, [LocalWorkerLink(0), LocalWorkerLink(1)]).run()
         if policy == "stop":
             assert made.exit == Exit.INCOMPLETE and any("line 2002" in note for note in made.notes)
         else:
@@ -404,7 +404,7 @@
         ):
             scenario = parse(f'name="r"\n{changes}\n[targets]\naddresses=["127.0.0.1:9"]', "r")
             with pytest.raises(LoadError, match=words):
-                await Coordinator(scenario, [LocalLine(0)]).run()
+                await Coordinator(scenario, [LocalWorkerLink(0)]).run()
 
     run(test())
 
@@ -413,7 +413,7 @@
     async def test() -> None:
         target = await Target({"kind": "constant", "ms": 30}).start()
 
-        async def meddle(lines: list[LocalLine], coordinator: Coordinator) -> None:
+        async def meddle(lines: list[LocalWorkerLink], coordinator: Coordinator) -> None:
             await until(lambda: target.taken > 20)
             coordinator.interrupt()
 
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -13,8 +13,8 @@
 from hypothesis import strategies as st
 
 from elderlock.load import scenario as s
-from elderlock.load.accounts import HEAVY, SPIKY, Mix, Population
-from elderlock.load.schedule import Arrival, schedule, share
+from elderlock.load.accounts import HEAVY, SPIKY, AccountMix, Population
+from elderlock.load.schedule import Arrival, schedule, worker_share
 from elderlock.load.shapes import Piece, arrivals, rate_at, unit_even, unit_poisson
 
 TEXT = """
@@ -63,7 +63,7 @@
 @given(st.integers(1, 9))
 def test_the_workers_share_it_out_without_gap_or_overlap(workers: int) -> None:
     whole = list(enumerate(schedule(read("for_s=5"), 3)))
-    parts = [list(share(schedule(read("for_s=5"), 3), worker, workers)) for worker in range(workers)]
+    parts = [list(worker_share(schedule(read("for_s=5"), 3), worker, workers)) for worker in range(workers)]
     assert sorted(each for part in parts for each in part) == whole
 
 
@@ -73,8 +73,10 @@
     assert found[0].at >= 0 and found[-1].at <= 20_000_000
     assert {a.plan for a in found} == {"shop", "enterprise"}
     big = [a for a in found if a.stream == 1]
-    assert {a.units for a in big} == {1, 2} and {a.honours for a in big} == {True, False}
-    assert any(a.leaves for a in big) and any(a.pause for a in big) and not all(a.leaves for a in big)
+    assert {a.units for a in big} == {1, 2} and {a.honours_retry_after for a in big} == {True, False}
+    assert (
+        any(a.leaves_after_us for a in big) and any(a.pause_ms for a in big) and not all(a.leaves_after_us for a in big)
+    )
 
 
 PIECES = st.lists(st.tuples(st.floats(0.1, 5), st.floats(0, 200), st.floats(0, 200)), min_size=1, max_size=6)
@@ -124,16 +126,16 @@
 )
 def test_each_shape_has_as_many_as_its_curve(shape: dict[str, Any], expected: float) -> None:
     stream = msgspec.convert({"name": "a", "plan": "p", "shape": [shape]}, s.Stream)
-    assert sum(piece.expected for piece in s.pieces(stream, 10.0)) == pytest.approx(expected, rel=0.002)
+    assert sum(piece.expected for piece in s.rate_segments(stream, 10.0)) == pytest.approx(expected, rel=0.002)
 
 
 def test_accounts_have_the_shares_that_are_asked_for() -> None:
     rng = random.Random(1)
-    population = Population(Mix(100, skew=0.0, heavy=0.1, heavy_times=9.0), rng, 3)
+    population = Population(AccountMix(100, skew=0.0, heavy=0.1, heavy_times=9.0), rng, 3)
     drawn = [population.draw(rng, 0.0) for _ in range(40_000)]
     heavy = sum(population.groups[index] == HEAVY for index in drawn) / len(drawn)
     assert heavy == pytest.approx(10 * 9 / (10 * 9 + 90), abs=0.02)
-    zipf = Population(Mix(50, skew=1.0), rng, 3)
+    zipf = Population(AccountMix(50, skew=1.0), rng, 3)
     counts = [0] * 50
     for _ in range(40_000):
         counts[zipf.draw(rng, 0.0)] += 1
@@ -143,17 +145,17 @@
 
 def test_a_spiky_account_has_its_spikes_at_its_own_times_and_ranks_move() -> None:
     rng = random.Random(2)
-    population = Population(Mix(40, spiky=0.5, spike_times=20.0, spike_s=1.0, spike_every_s=10.0), rng, 3)
+    population = Population(AccountMix(40, spiky=0.5, spike_times=20.0, spike_s=1.0, spike_every_s=10.0), rng, 3)
     spiky = [index for index in range(40) if population.groups[index] == SPIKY]
     on = {index: [t for t in range(10) if population.times(index, float(t)) > 1.0] for index in spiky}
     assert all(len(times) == 1 for times in on.values()) and len({times[0] for times in on.values()}) > 3
-    moving = Population(Mix(10, skew=4.0, move_every_s=5.0), rng, 3)
+    moving = Population(AccountMix(10, skew=4.0, move_every_s=5.0), rng, 3)
     first = [moving.draw(rng, 0.0) for _ in range(200)]
     later = [moving.draw(rng, 5.0) for _ in range(200)]
     assert max(set(first), key=first.count) == 0 and max(set(later), key=later.count) == 1
 
 
-@pytest.mark.parametrize("name", s.ships())
+@pytest.mark.parametrize("name", s.shipped_scenarios())
 def test_every_scenario_that_ships_can_be_used(name: str) -> None:
     read_ = s.read(name)
     assert read_.about and list(islice(schedule(read_, 3), 100))
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -17,7 +17,17 @@
 from elderlock.load.rename import Renamer
 from elderlock.load.scenario import Replay
 from elderlock.load.schedule import Arrival
-from elderlock.load.trace import LONGEST_LINE, Row, Source, TraceError, Writer, lines, merged, open_trace, rows
+from elderlock.load.trace import (
+    LONGEST_LINE,
+    Row,
+    TraceError,
+    TraceReplay,
+    TraceWriter,
+    merge_traces,
+    open_trace,
+    read_lines,
+    read_rows,
+)
 
 HEAD = b'{"trace":1}\n'
 A, B = "00000000000000aa", "00000000000000bb"
@@ -32,13 +42,13 @@
     return path
 
 
-def replayed(path: Path, **changes: Any) -> tuple[list[Arrival], Source]:
-    source = Source(Replay(str(path), **changes), b"k" * 16)
+def replayed(path: Path, **changes: Any) -> tuple[list[Arrival], TraceReplay]:
+    source = TraceReplay(Replay(str(path), **changes), b"k" * 16)
     return list(source.arrivals(3)), source
 
 
 def faults(data: bytes) -> list[tuple[int, str]]:
-    return [(n, row.reason) for n, row in rows(lines(io.BytesIO(data))) if isinstance(row, TraceError)]
+    return [(n, row.reason) for n, row in read_rows(read_lines(io.BytesIO(data))) if isinstance(row, TraceError)]
 
 
 @pytest.mark.parametrize(
@@ -95,24 +105,24 @@
 @pytest.mark.parametrize("name", ["t.jsonl", "t.jsonl.gz", "t.csv", "t.csv.gz"])
 def test_what_is_written_is_read_again(name: str, tmp_path: Path) -> None:
     made = [Row(n, A, "shop", "lookup", 1.5, 900.0, 2, 1, "served") for n in (0, 4, 4, 9)]
-    writer = Writer(tmp_path / name)
+    writer = TraceWriter(tmp_path / name)
     for row in made:
         writer.write(row)
     writer.close()
     with open_trace(tmp_path / name) as file:
-        assert [row for _, row in rows(lines(file))] == made
+        assert [row for _, row in read_rows(read_lines(file))] == made
 
 
 def test_a_compressed_trace_that_is_cut_or_damaged_says_so(tmp_path: Path) -> None:
     packed = gzip.compress(HEAD + b"".join(line(n) for n in range(20_000)))
     path = write(tmp_path / "cut.gz", packed[: len(packed) // 2])
     with open_trace(path) as file:
-        *_, (_, last) = rows(lines(file))
+        *_, (_, last) = read_rows(read_lines(file))
     assert isinstance(last, TraceError) and last.reason == "cut"
     damaged = bytearray(packed)
     damaged[len(packed) // 2] ^= 255
     with open_trace(write(tmp_path / "bad.gz", bytes(damaged))) as file:
-        assert any(isinstance(row, TraceError) for _, row in rows(lines(file)))
+        assert any(isinstance(row, TraceError) for _, row in read_rows(read_lines(file)))
 
 
 def test_a_trace_of_any_length_takes_the_same_memory() -> None:
@@ -138,7 +148,7 @@
 
     def peak(count: int) -> int:
         tracemalloc.start()
-        read = sum(1 for _ in rows(lines(io.BufferedReader(Endless(count)))))
+        read = sum(1 for _ in read_rows(read_lines(io.BufferedReader(Endless(count)))))
         _, most = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         assert read == count
@@ -151,7 +161,7 @@
 def test_parts_are_joined_in_order_of_time(tmp_path: Path) -> None:
     one = write(tmp_path / "1", HEAD + line(1) + line(5))
     two = write(tmp_path / "2", HEAD + line(2) + line(3) + line(9))
-    assert merged([one, two], tmp_path / "all.jsonl") == 5
+    assert merge_traces([one, two], tmp_path / "all.jsonl") == 5
     assert [a.at for a in replayed(tmp_path / "all.jsonl")[0]] == [0, 1, 2, 4, 8]
 
 
@@ -172,4 +182,4 @@
     assert first == third != second and A not in (first, second)
     assert Renamer(b"k" * 16)(A) == first != Renamer(b"j" * 16)(A)
     with pytest.raises(TraceError, match="at least 16 are needed"):
-        Source(Replay(str(path), rename_key="k"), b"short")
+        TraceReplay(Replay(str(path), rename_key="k"), b"short")
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -17,7 +17,7 @@
 from elderlock import interface as api
 from elderlock.decisions.attempts import Attempts
 from elderlock.load.scenario import ScenarioError
-from elderlock.load.trace import Row, Writer
+from elderlock.load.trace import Row, TraceWriter
 from elderlock.sim import decisions, schedule, search, seeds, shells
 from elderlock.sim import judges as j
 from elderlock.sim.grammar import MOST_REMOVED, Grammar, shrink
@@ -310,7 +310,7 @@
 
 
 def test_a_recorded_trace_is_played_on_both_floors(tmp_path: Path) -> None:
-    writer = Writer(tmp_path / "t.jsonl")
+    writer = TraceWriter(tmp_path / "t.jsonl")
     for number in range(200):
         writer.write(Row(at=5_000_000 + number * 10_000, account=f"{number % 7:016x}", plan="plain", deadline=900.0))
     writer.close()
