--- a/elderlock/load/__init__.py
+++ b/elderlock/load/__init__.py
@@ -1,1 +1,1 @@
-"""An open-loop load generator: schedules, traces, clients' ways, and the truth about its own lateness."""
+"""An open-loop load generator: schedules, traces, client behaviour, and a check of the generator's own lateness."""
--- a/elderlock/load/client_policy.py
+++ b/elderlock/load/client_policy.py
@@ -1,4 +1,4 @@
-"""What a client does after each try: done, again, or gone. No I/O; times are ms."""
+"""The retry policy of clients: after each attempt a client finishes, retries or gives up. No I/O; times are ms."""
 
 from __future__ import annotations
 
@@ -11,59 +11,83 @@
 UNANSWERED = ("timeout", "lost", "left")
 UNSENT = ("nowhere", "refused_connection", "descriptors", "backlog", "ended")
 OUTCOMES = (*ANSWERS, *UNANSWERED, *UNSENT)
-FINAL = frozenset({"served", "left", "ended"})  # nobody tries again after these
-AGAIN_AT_LEAST = 1.0  # ms that must be left of the deadline for a further try
+FINAL = frozenset({"served", "left", "ended"})  # outcomes that are never retried
+MINIMUM_REMAINING_MS = 1.0  # time before the deadline that a retry needs at least
 
 
-def combined_outcome(before: str, outcome: str, sent: bool, wrote: bool) -> str:
-    """What a request counts as, where its latest try ended so: how the last try that was sent ended, or why none
-    was. `sent`: any try was; `wrote`: this one was. One that was written, and whose connection ended with no answer
-    and could not be had anew, is lost."""
-    if outcome not in UNSENT or not sent:
+def combined_outcome(previous: str, outcome: str, was_sent: bool, was_written: bool) -> str:
+    """Return the outcome of a request after its latest attempt.
+
+    It is the outcome of the last attempt that was sent. If none was sent, it is the reason of the latest attempt. An
+    attempt that was written counts as lost if its connection ended without an answer and no new one could be opened.
+
+    Args:
+        previous: Outcome of the request before the latest attempt.
+        outcome: Outcome of the latest attempt.
+        was_sent: Any attempt was sent.
+        was_written: The latest attempt was sent.
+    """
+    if outcome not in UNSENT or not was_sent:
         return outcome
-    return "lost" if wrote else before
+    return "lost" if was_written else previous
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """Try once more after `wait` ms."""
+    """A retry after `wait_ms`."""
 
     wait_ms: float
 
 
 class ClientPolicy:
-    """The clients of one stream. What one client has tried is in the caller's hands: a count and a flag."""
+    """The retry policy of the clients of one stream. The caller stores the state of each client."""
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
 
-    def attempt_timeout_ms(self, deadline: float, waited: float) -> float:
-        """How long a try that begins `waited` ms after the intended start is waited for."""
-        return min(self._clients.try_share * deadline, deadline - waited)
+    def attempt_timeout_ms(self, deadline: float, elapsed: float) -> float:
+        """Return the timeout of an attempt.
+
+        Args:
+            deadline: Deadline of the request, from its intended start.
+            elapsed: Time from the intended start to the start of the attempt.
+        """
+        return min(self._clients.try_share * deadline, deadline - elapsed)
 
     def next_retry(
         self,
         outcome: str,
         advice: float | None,
-        tries: int,
-        honours: bool,
-        waited: float,
+        attempts: int,
+        honours_retry_after: bool,
+        elapsed: float,
         deadline: float,
         rng: random.Random,
     ) -> Retry | None:
-        """`advice` is the limiter's "come back" in ms, None where it gave none. A client that honours it
-        waits so long, and goes away where that is longer than it may wait or has time for; one that does not
-        takes its own back-off as after any failure."""
+        """Return the retry after an attempt, or None if the client does not retry.
+
+        A client that honours the advised wait waits that long, and gives up if its policy or the deadline does not
+        allow the wait. A client that ignores it uses its own backoff, as after any other failure.
+
+        Args:
+            outcome: Outcome of the attempt.
+            advice: Wait that the limiter advised with a refusal, or None.
+            attempts: Number of attempts so far.
+            honours_retry_after: This client honours the advised wait.
+            elapsed: Time since the intended start of the request.
+            deadline: Deadline of the request, from its intended start.
+            rng: Source of the jitter.
+        """
         clients = self._clients
-        if outcome in FINAL or tries > clients.retries:
+        if outcome in FINAL or attempts > clients.retries:
             return None
-        wait = 0.0
-        if outcome == "refused" and advice is not None and honours:
+        wait_ms = 0.0
+        if outcome == "refused" and advice is not None and honours_retry_after:
             if advice > clients.most_wait_ms:
                 return None
-            wait = advice
+            wait_ms = advice
         elif clients.backoff != "none":
-            wait = clients.backoff_ms * (2.0 ** (tries - 1) if clients.backoff == "exp" else 1.0)
+            wait_ms = clients.backoff_ms * (2.0 ** (attempts - 1) if clients.backoff == "exp" else 1.0)
             if clients.jitter:
-                wait *= rng.random()
-        return Retry(wait) if waited + wait + AGAIN_AT_LEAST <= deadline else None
+                wait_ms *= rng.random()
+        return Retry(wait_ms) if elapsed + wait_ms + MINIMUM_REMAINING_MS <= deadline else None
--- a/elderlock/load/compare.py
+++ b/elderlock/load/compare.py
@@ -1,9 +1,8 @@
-"""Two runs side by side, with the noise stated: a difference counts where it is beyond what the blocks of either
-run differ among themselves. No I/O.
+"""Compares two runs and tells real differences from noise. No I/O.
 
-Each run is cut into blocks of time; the percentile of each block is a sample of its own, and blocks, unlike
-single requests, hardly depend on one another (batch means, Law and Kelton, *Simulation Modeling and
-Analysis*). The bound is two standard errors of the difference.
+Each run is cut into blocks of time. The percentile of each block is one sample, and blocks, unlike single requests, are
+nearly independent of each other (batch means, Law and Kelton, *Simulation Modeling and Analysis*). The noise is two
+standard errors of the difference.
 """
 
 from __future__ import annotations
@@ -17,15 +16,21 @@
 from elderlock.load.metrics import Histogram, decode_histogram
 from elderlock.load.report import Report
 
-BLOCKS = 10  # of each run; fewer where it is shorter
-LEAST_BLOCKS = 4
-ERRORS = 2.0  # standard errors beyond which it is called a difference
+TARGET_BLOCKS = 10  # of each run; fewer in a short run
+MINIMUM_BLOCKS = 4
+SIGNIFICANT_ERRORS = 2.0  # standard errors beyond which a difference is significant
 POINTS = ("p50", "p90", "p99", "p99.9", "mean")
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """`noise` is what a difference has to exceed, in the figure's own unit; None where the runs are too short
-    to tell."""
+    """A metric of two runs.
+
+    Attributes:
+        what: Name of the metric.
+        before: Its value in the first run.
+        after: Its value in the second run.
+        noise: Difference that must be exceeded, in the unit of the metric; None if the runs are too short to tell.
+    """
 
     what: str
     before: float
@@ -34,6 +39,7 @@
 
     @property
     def verdict(self) -> str:
+        """Whether the second run's value is higher, lower or within the noise."""
         if self.noise is None:
             return "cannot be told: too short"
         if abs(self.after - self.before) <= self.noise:
@@ -41,70 +47,79 @@
         return "higher" if self.after > self.before else "lower"
 
 
-def _groups(report: Report) -> list[tuple[Histogram, dict[str, int]]]:
-    """The run's blocks as about `BLOCKS` of equal length; those that hold nothing are left out."""
+def _block_groups(report: Report) -> list[tuple[Histogram, dict[str, int]]]:
+    """Merge the run's blocks into about `TARGET_BLOCKS` of equal length, and leave out empty ones."""
     blocks = report.blocks
     if report.lasted_s > 0:
         blocks = [block for block in blocks if block.start < report.lasted_s]
-    count = min(BLOCKS, len(blocks))
+    count = min(TARGET_BLOCKS, len(blocks))
     if not count:
         return []
     groups = []
     for number in range(count):
         part = blocks[number * len(blocks) // count : (number + 1) * len(blocks) // count]
-        spread, outcomes = Histogram(), dict[str, int]()
+        histogram, outcomes = Histogram(), dict[str, int]()
         for block in part:
-            spread.merge(decode_histogram(block.latency))
+            histogram.merge(decode_histogram(block.latency))
             for name, n in block.outcomes.items():
                 outcomes[name] = outcomes.get(name, 0) + n
-        if spread.counts:
-            groups.append((spread, outcomes))
+        if histogram.counts:
+            groups.append((histogram, outcomes))
     return groups
 
 
 def _noise(before: Sequence[float], after: Sequence[float]) -> float | None:
-    if min(len(before), len(after)) < LEAST_BLOCKS:
+    if min(len(before), len(after)) < MINIMUM_BLOCKS:
         return None
-    return ERRORS * math.sqrt(statistics.variance(before) / len(before) + statistics.variance(after) / len(after))
+    variance = statistics.variance(before) / len(before) + statistics.variance(after) / len(after)
+    return SIGNIFICANT_ERRORS * math.sqrt(variance)
 
 
 def compare_reports(before: Report, after: Report) -> tuple[list[Difference], list[str]]:
-    """The differences, and what speaks against comparing the two at all."""
+    """Return the differences between two runs, and warnings about runs that are hardly comparable."""
     warnings = []
     if before.scenario != after.scenario or before.seed != after.seed:
         warnings.append(
-            f"not the same load: {before.scenario} with seed {before.seed}, {after.scenario} with seed {after.seed}"
+            f"the runs had different loads: {before.scenario} with seed {before.seed}, "
+            f"{after.scenario} with seed {after.seed}"
         )
     if before.bounds != after.bounds:
-        warnings.append("the runs had other bounds for their own lateness")
+        warnings.append("the runs had different limits for the lateness of the generator")
     for name, run in (("first", before), ("second", after)):
         if run.behind:
-            warnings.append(f"in the {name} run the generator fell behind: its times are not of the target alone")
+            warnings.append(f"in the {name} run the generator fell behind: its times do not measure the targets alone")
         if run.ledger["missing"]:
             warnings.append(f"in the {name} run {run.ledger['missing']} requests are not accounted for")
-    groups = [_groups(before), _groups(after)]
-    found = []
+    groups = [_block_groups(before), _block_groups(after)]
+    differences = []
     for point in POINTS:
-        one, two = before.by["all"].get("all"), after.by["all"].get("all")
-        if one is None or two is None or point not in one.latency or point not in two.latency:
+        first, second = before.by["all"].get("all"), after.by["all"].get("all")
+        if first is None or second is None or point not in first.latency or point not in second.latency:
             continue
-        samples = [[spread.times((point,) if point != "mean" else ())[point] for spread, _ in g] for g in groups]
-        found.append(Difference(f"{point} ms", one.latency[point], two.latency[point], _noise(*samples)))
+        samples = [
+            [histogram.times((point,) if point != "mean" else ())[point] for histogram, _ in run_groups]
+            for run_groups in groups
+        ]
+        differences.append(Difference(f"{point} ms", first.latency[point], second.latency[point], _noise(*samples)))
     for name in sorted(before.outcomes.keys() | after.outcomes.keys()):
         shares = [run.outcomes.get(name, 0) / max(1, run.ledger["scheduled"]) for run in (before, after)]
-        samples = [[outcomes.get(name, 0) / sum(outcomes.values()) for _, outcomes in g if outcomes] for g in groups]
-        found.append(Difference(f"share {name}", shares[0], shares[1], _noise(*samples)))
-    return found, warnings
+        samples = [
+            [outcomes.get(name, 0) / sum(outcomes.values()) for _, outcomes in run_groups if outcomes]
+            for run_groups in groups
+        ]
+        differences.append(Difference(f"share {name}", shares[0], shares[1], _noise(*samples)))
+    return differences, warnings
 
 
-def table_lines(found: Sequence[Difference], warnings: Sequence[str]) -> list[str]:
+def table_lines(differences: Sequence[Difference], warnings: Sequence[str]) -> list[str]:
+    """Return the comparison as the lines of a text table, after the warnings."""
     rows = [("", "first", "second", "noise", "")]
-    for each in found:
+    for each in differences:
         noise = "-" if each.noise is None else f"{each.noise:.4g}"
         rows.append((each.what, f"{each.before:.4g}", f"{each.after:.4g}", noise, each.verdict))
     widths = [max(len(row[n]) for row in rows) for n in range(4)]
     return [
-        *(f"careful: {text}" for text in warnings),
+        *(f"warning: {text}" for text in warnings),
         *(
             f"{a.ljust(widths[0])}  {b.rjust(widths[1])}  {c.rjust(widths[2])}  {d.rjust(widths[3])}  {e}".rstrip()
             for a, b, c, d, e in rows
--- a/elderlock/load/coordinator.py
+++ b/elderlock/load/coordinator.py
@@ -1,7 +1,7 @@
-"""Starts workers on one clock, gathers what they tell, and says what became of each of them.
+"""Runs the workers of a load run on a common clock, collects their measurements and builds the report.
 
-A worker is a process of this machine, or one that another machine's agent lends. One that dies takes with it
-what it had not told, and the schedule says to the request how much that was.
+A worker is a process on this machine, or one that another machine's agent leases to the run. A worker that dies loses
+the measurements that it had not sent; the schedule tells exactly how many requests those were.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 import msgspec
 
 from elderlock.control.framing import FrameDecoder, FrameError, encode_frame
-from elderlock.load import messages as m
+from elderlock.load import messages
 from elderlock.load.clock import now_us
 from elderlock.load.metrics import Second, Totals
 from elderlock.load.report import Report, build_report
@@ -27,38 +27,60 @@
 from elderlock.load.trace import TraceError, TraceReplay, merge_traces
 from elderlock.spawning import spawn
 
-READY_WITHIN = 60.0  # s: 100,000 accounts are drawn first
-LEAD = 300_000  # µs between the last word before the start and the start
-CLOCK_ASKS = 8  # exchanges by which a worker's clock is told; the quickest counts
-SILENT_FOR = 10.0  # s beyond the end of the schedule and the longest deadline that a worker may be silent
-LOOK_AHEAD = 2.0  # s that a second's figures are waited for from a worker that is late with them
+READY_TIMEOUT_S = 60.0  # a worker may have to draw 100,000 accounts first
+START_DELAY_US = 300_000  # between the start message and the start of the schedule
+CLOCK_EXCHANGES = 8  # per worker; the one with the shortest round trip counts
+SILENCE_TIMEOUT_S = 10.0  # maximum silence of a worker after the schedule's end and the longest deadline
+LATE_INTERVAL_TIMEOUT_S = 2.0  # how long the live figures of a second wait for an interval that is late
 
 
 class LoadError(Exception):
-    """The run could not begin; the text says why."""
+    """The run could not start; the text says why."""
 
 
 class WorkerLink(Protocol):
-    """The way to one worker."""
+    """The connection to one worker.
+
+    Attributes:
+        name: Name of the worker in messages to the operator.
+    """
 
     name: str
 
-    async def open(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None: ...
+    async def open(self, on_message: Callable[[messages.FromWorker], None], on_lost: Callable[[str], None]) -> None:
+        """Start the worker.
+
+        Args:
+            on_message: Called with each message from the worker.
+            on_lost: Called with the reason when the worker or its connection has ended.
+        """
 
-    def say(self, message: m.Message) -> None: ...
+    def send(self, message: messages.Message) -> None:
+        """Send a message to the worker; it is dropped if the worker has ended."""
 
-    async def close(self) -> None: ...
+    async def close(self) -> None:
+        """End the worker."""
 
 
 class LocalWorkerLink:
-    """A worker process of this machine."""
+    """A worker process on this machine.
+
+    Attributes:
+        name: Name of the worker in messages to the operator.
+        process: The process, once it is started.
+    """
 
     def __init__(self, number: int) -> None:
         self.name = f"worker {number}"
         self.process: asyncio.subprocess.Process | None = None
         self._task: asyncio.Task[None] | None = None
 
-    async def open(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
+    async def open(self, on_message: Callable[[messages.FromWorker], None], on_lost: Callable[[str], None]) -> None:
+        """Start the process and read its messages; see `WorkerLink.open`.
+
+        Raises:
+            OSError: The process cannot be started.
+        """
         self.process = await spawn(
             sys.executable,
             "-m",
@@ -67,119 +89,159 @@
             stdout=asyncio.subprocess.PIPE,
             start_new_session=True,
         )
-        self._task = asyncio.get_running_loop().create_task(self._read(heard, gone))
+        self._task = asyncio.get_running_loop().create_task(self._read(on_message, on_lost))
 
-    async def _read(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
+    async def _read(self, on_message: Callable[[messages.FromWorker], None], on_lost: Callable[[str], None]) -> None:
         assert self.process is not None and self.process.stdout is not None
-        framer, why = FrameDecoder(m.LONGEST), ""
+        decoder, reason = FrameDecoder(messages.MAXIMUM_MESSAGE_BYTES), ""
         try:
             while data := await self.process.stdout.read(1 << 18):
-                for body in framer.feed(data):
-                    heard(m.from_worker(body))
+                for body in decoder.feed(data):
+                    on_message(messages.decode_from_worker(body))
         except (FrameError, msgspec.DecodeError) as error:
-            why = f"it says what cannot be read: {error}"
-        code = await self.process.wait() if not why else 0
-        gone(why or (f"it was killed by signal {-code}" if code < 0 else f"it ended with {code}"))
+            reason = f"it sent a message that cannot be decoded: {error}"
+        code = await self.process.wait() if not reason else 0
+        on_lost(reason or (f"it was killed by signal {-code}" if code < 0 else f"it exited with status {code}"))
 
-    def say(self, message: m.Message) -> None:
+    def send(self, message: messages.Message) -> None:
+        """Send a message to the worker; it is dropped if the worker has ended."""
         if self.process is not None and self.process.stdin is not None and not self.process.stdin.is_closing():
-            self.process.stdin.write(encode_frame(m.encode(message)))
+            self.process.stdin.write(encode_frame(messages.encode(message)))
 
     async def close(self) -> None:
+        """Kill the process if it still runs, and wait for its end."""
         if self._task is not None:
             self._task.cancel()
         if self.process is not None and self.process.returncode is None:
-            # stopped by a signal, it would not act on a kind one
+            # A process that SIGSTOP has suspended does not react to SIGTERM.
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
             await self.process.wait()
 
 
 class _Worker:
-    def __init__(self, number: int, line: WorkerLink) -> None:
-        self.number, self.line = number, line
-        self.ready: asyncio.Future[str] = asyncio.get_running_loop().create_future()  # empty where all is well
-        self.told: dict[int, asyncio.Future[int]] = {}
-        self.offset = 0  # µs to add to our clock for its own
-        self.within = 0  # µs that the offset may be off by
-        self.gone = ""
+    """The coordinator's state of one worker.
+
+    Attributes:
+        number: Number of the worker, from 0.
+        link: Connection to the worker.
+        ready: Resolved when the worker is ready, with an empty text, or with the reason why it cannot start.
+        clock_readings: Clock exchanges that wait for an answer, by number.
+        clock_offset_us: The worker's clock minus this machine's.
+        clock_error_us: Maximum error of that offset.
+        lost_reason: Why the worker was lost; empty while it runs.
+        heard_at: Time of its last message, by the monotonic clock in s.
+    """
+
+    def __init__(self, number: int, link: WorkerLink) -> None:
+        self.number, self.link = number, link
+        self.ready: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        self.clock_readings: dict[int, asyncio.Future[int]] = {}
+        self.clock_offset_us = 0
+        self.clock_error_us = 0
+        self.lost_reason = ""
         self.heard_at = time.monotonic()
 
 
 class Coordinator:
-    """One run. `live` hears of each second; `began` is called with the start, for troubles on a timeline."""
+    """Performs one load run.
+
+    Attributes:
+        scenario: The scenario of the run.
+        workers: The state of each worker.
+        totals: The merged measurements.
+        notes: Remarks for the report.
+    """
 
     def __init__(
         self,
         scenario: Scenario,
-        lines: Sequence[WorkerLink],
+        links: Sequence[WorkerLink],
         live: Callable[[Second], None] = lambda second: None,
         began: Callable[[float], Awaitable[list[tuple[float, str]]]] | None = None,
         key: bytes = b"",
         folder: Path | None = None,
     ) -> None:
+        """Prepare a run.
+
+        Args:
+            scenario: The scenario, with the addresses of its targets.
+            links: One link for each worker.
+            live: Called with the merged measurements of each second.
+            began: Called with the monotonic start time in s; injects the faults and returns them with their times. It
+                is cancelled at the end of the run.
+            key: Key that renames a replay's accounts.
+            folder: Folder for the workers' parts of a trace.
+        """
         self.scenario, self._live, self._began, self._key = scenario, live, began, key
         self._folder = folder
-        self.workers = [_Worker(number, line) for number, line in enumerate(lines)]
-        self.totals = Totals(scenario.truth, len(lines))
+        self.workers = [_Worker(number, link) for number, link in enumerate(links)]
+        self.totals = Totals(scenario.truth, len(links))
         self.notes: list[str] = []
         self._stopped_at: float | None = None
-        self._running = False
+        self._is_running = False
         self._changed = asyncio.Event()
         self._shown = 0
 
-    # The workers' word
+    # Messages from the workers
 
-    def _heard(self, worker: _Worker, message: m.FromWorker) -> None:
+    def _on_message(self, worker: _Worker, message: messages.FromWorker) -> None:
         worker.heard_at = time.monotonic()
         match message:
-            case m.Ready():
+            case messages.Ready():
                 if not worker.ready.done():
                     worker.ready.set_result("")
-            case m.ClockReading():
-                future = worker.told.pop(message.number, None)
+            case messages.ClockReading():
+                future = worker.clock_readings.pop(message.number, None)
                 if future is not None and not future.done():
                     future.set_result(message.now)
-            case m.Failed():
+            case messages.Failed():
                 if not worker.ready.done():
                     worker.ready.set_result(message.text)
-                elif self._running:
-                    self._stop(f"{worker.line.name}: {message.text}")
+                elif self._is_running:
+                    self._stop(f"{worker.link.name}: {message.text}")
                 else:
-                    worker.gone = message.text
-            case m.Interval() if message.worker == worker.number:
-                self.totals.take(message)
+                    worker.lost_reason = message.text
+            case messages.Interval() if message.worker == worker.number:
+                self.totals.add_interval(message)
                 self._changed.set()
 
-    def _gone(self, worker: _Worker, why: str) -> None:
-        worker.gone = worker.gone or why
+    def _on_lost(self, worker: _Worker, reason: str) -> None:
+        worker.lost_reason = worker.lost_reason or reason
         if not worker.ready.done():
-            worker.ready.set_result(why)
-        for future in worker.told.values():
+            worker.ready.set_result(reason)
+        for future in worker.clock_readings.values():
             if not future.done():
                 future.cancel()
         self._changed.set()
 
-    def _stop(self, why: str, now: bool = False) -> None:
+    def _stop(self, reason: str, now: bool = False) -> None:
         if self._stopped_at is None:
             self._stopped_at = time.monotonic()
-            self.notes.append(why)
+            self.notes.append(reason)
         for worker in self.workers:
-            worker.line.say(m.Stop(now))
+            worker.link.send(messages.Stop(now))
 
     def interrupt(self) -> None:
-        """The operator ends the run: what is open gets its time; a second word ends that too."""
+        """Stop the run for the operator; a second call also ends the requests in flight."""
         self._stop("stopped by the operator", now=self._stopped_at is not None)
 
     # The run
 
     async def run(self, fail_if: Sequence[str] = ()) -> Report:
-        """Raises `LoadError` where it cannot begin."""
+        """Run the scenario and return the report.
+
+        Args:
+            fail_if: Thresholds beside those of the scenario.
+
+        Raises:
+            LoadError: The run could not start.
+        """
         try:
             await self._prepare()
             return await self._run(fail_if)
         finally:
-            await asyncio.gather(*(worker.line.close() for worker in self.workers))
+            await asyncio.gather(*(worker.link.close() for worker in self.workers))
 
     def _trace_part(self, number: int) -> str:
         if not self.scenario.record or self._folder is None:
@@ -189,80 +251,87 @@
     async def _prepare(self) -> None:
         for worker in self.workers:
             try:
-                await worker.line.open(
-                    lambda message, worker=worker: self._heard(worker, message),  # type: ignore[misc]
-                    lambda why, worker=worker: self._gone(worker, why),  # type: ignore[misc]
+                await worker.link.open(
+                    lambda message, worker=worker: self._on_message(worker, message),  # type: ignore[misc]
+                    lambda reason, worker=worker: self._on_lost(worker, reason),  # type: ignore[misc]
                 )
             except OSError as error:
-                raise LoadError(f"{worker.line.name} cannot be started: {error}") from None
-            local = isinstance(worker.line, LocalWorkerLink)
-            trace = self._trace_part(worker.number) if local else ""
-            job = m.Job(m.VERSION, self.scenario, worker.number, len(self.workers), self._key, trace)
-            worker.line.say(job)
+                raise LoadError(f"{worker.link.name} cannot be started: {error}") from None
+            is_local = isinstance(worker.link, LocalWorkerLink)
+            trace_part = self._trace_part(worker.number) if is_local else ""
+            job = messages.Job(messages.VERSION, self.scenario, worker.number, len(self.workers), self._key, trace_part)
+            worker.link.send(job)
         try:
-            async with asyncio.timeout(READY_WITHIN):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 for worker in self.workers:
-                    if why := await worker.ready:
-                        raise LoadError(f"{worker.line.name}: {why}")
-                await asyncio.gather(*(self._set_clock(worker) for worker in self.workers))
+                    if reason := await worker.ready:
+                        raise LoadError(f"{worker.link.name}: {reason}")
+                await asyncio.gather(*(self._measure_clock(worker) for worker in self.workers))
         except TimeoutError:
-            away = [worker.line.name for worker in self.workers if not worker.ready.done()]
-            raise LoadError(f"not ready in {READY_WITHIN:g} s: {', '.join(away) or 'the clocks'}") from None
+            pending = [worker.link.name for worker in self.workers if not worker.ready.done()]
+            what = ", ".join(pending) or "the clock exchange"
+            raise LoadError(f"not ready within {READY_TIMEOUT_S:g} s: {what}") from None
         except asyncio.CancelledError:
-            if gone := [f"{w.line.name}: {w.gone}" for w in self.workers if w.gone]:
-                raise LoadError("; ".join(gone)) from None
+            if lost := [f"{w.link.name}: {w.lost_reason}" for w in self.workers if w.lost_reason]:
+                raise LoadError("; ".join(lost)) from None
             raise
-        if failed := [f"{w.line.name}: {w.gone}" for w in self.workers if w.gone]:
-            raise LoadError("; ".join(failed))
+        if lost := [f"{w.link.name}: {w.lost_reason}" for w in self.workers if w.lost_reason]:
+            raise LoadError("; ".join(lost))
+
+    async def _measure_clock(self, worker: _Worker) -> None:
+        """Measure the offset of a remote worker's clock by the exchange with the shortest round trip (Cristian, 1989).
 
-    async def _set_clock(self, worker: _Worker) -> None:
-        """The offset of its clock by the exchange that took the least time (Cristian, 1989); workers of this
-        machine share ours."""
-        if isinstance(worker.line, LocalWorkerLink):
+        Workers of this machine share its clock.
+        """
+        if isinstance(worker.link, LocalWorkerLink):
             return
         best = None
-        for number in range(CLOCK_ASKS):
-            future = worker.told[number] = asyncio.get_running_loop().create_future()
-            sent = now_us()
-            worker.line.say(m.ReadClock(number))
-            told = await future
-            took = now_us() - sent
-            if best is None or took < best[0]:
-                best = took, told - (sent + took // 2)
+        for number in range(CLOCK_EXCHANGES):
+            future = worker.clock_readings[number] = asyncio.get_running_loop().create_future()
+            sent_at = now_us()
+            worker.link.send(messages.ReadClock(number))
+            reading = await future
+            round_trip = now_us() - sent_at
+            if best is None or round_trip < best[0]:
+                best = round_trip, reading - (sent_at + round_trip // 2)
         assert best is not None
-        worker.within, worker.offset = best[0] // 2, best[1]
-        self.notes.append(f"the clock of {worker.line.name} is known within {worker.within / 1000.0:.1f} ms")
+        worker.clock_error_us, worker.clock_offset_us = best[0] // 2, best[1]
+        self.notes.append(f"the clock of {worker.link.name} is known within {worker.clock_error_us / 1000.0:.1f} ms")
 
     async def _run(self, fail_if: Sequence[str]) -> Report:
-        start = now_us() + LEAD
+        start = now_us() + START_DELAY_US
         for worker in self.workers:
-            worker.line.say(m.Start(start + worker.offset))
-        self._running = True
-        began_at, began = time.time() + LEAD / 1e6, time.monotonic() + LEAD / 1e6
-        troubles = asyncio.ensure_future(self._began(began)) if self._began is not None else None
-        longest = self.scenario.longest_deadline() / 1000.0
+            worker.link.send(messages.Start(start + worker.clock_offset_us))
+        self._is_running = True
+        began_at, began = time.time() + START_DELAY_US / 1e6, time.monotonic() + START_DELAY_US / 1e6
+        fault_injection = asyncio.ensure_future(self._began(began)) if self._began is not None else None
+        longest_deadline_s = self.scenario.longest_deadline() / 1000.0
         while True:
-            waiting = [w for w in self.workers if not w.gone and w.number not in self.totals.last]
-            self._show(began, bool(waiting))
-            if not waiting:
+            running = [w for w in self.workers if not w.lost_reason and w.number not in self.totals.finished_workers]
+            self._publish_seconds(began, bool(running))
+            if not running:
                 break
             self._changed.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await self._changed.wait()
-            self._give_up(waiting, began, longest)
+            self._give_up_silent(running, began, longest_deadline_s)
         lasted = max((second.at + 1.0 for second in self.totals.seconds), default=0.0)
         if self.scenario.for_s and self._stopped_at is None:
             lasted = self.scenario.for_s
-        told = []
-        if troubles is not None:
-            troubles.cancel()
+        injected_faults = []
+        if fault_injection is not None:
+            fault_injection.cancel()
             with contextlib.suppress(asyncio.CancelledError):
-                told = await troubles
-        dead = [worker for worker in self.workers if worker.gone and worker.number not in self.totals.last]
-        for worker in dead:
-            self.notes.append(f"{worker.line.name} was lost: {worker.gone}")
-        scheduled = await asyncio.to_thread(self._scheduled, dead)
+                injected_faults = await fault_injection
+        lost = [
+            worker
+            for worker in self.workers
+            if worker.lost_reason and worker.number not in self.totals.finished_workers
+        ]
+        for worker in lost:
+            self.notes.append(f"{worker.link.name} was lost: {worker.lost_reason}")
+        scheduled = await asyncio.to_thread(self._count_scheduled, lost)
         self._write_trace()
         return build_report(
             self.totals,
@@ -271,38 +340,44 @@
             began_at=began_at,
             lasted=lasted,
             notes=self.notes,
-            incomplete=bool(dead) or self._stopped_at is not None,
-            trouble=told,
+            incomplete=bool(lost) or self._stopped_at is not None,
+            faults=injected_faults,
             fail_if=fail_if,
         )
 
-    def _give_up(self, waiting: Sequence[_Worker], began: float, longest: float) -> None:
-        """On workers that say nothing although their time is over."""
+    def _give_up_silent(self, running: Sequence[_Worker], began: float, longest_deadline_s: float) -> None:
+        """Mark workers as lost that are silent after the time by which they must have finished."""
         now = time.monotonic()
-        for worker in waiting:
-            over = self._stopped_at or began + (self.scenario.for_s or float("inf"))
-            if now > over + longest + SILENT_FOR and now - worker.heard_at > SILENT_FOR:
-                worker.gone = f"it has said nothing for {now - worker.heard_at:.0f} s"
-
-    def _show(self, began: float, more: bool) -> None:
-        """Seconds that all live workers have told of, or that are too old to wait for."""
+        for worker in running:
+            end = self._stopped_at or began + (self.scenario.for_s or float("inf"))
+            silence = now - worker.heard_at
+            if now > end + longest_deadline_s + SILENCE_TIMEOUT_S and silence > SILENCE_TIMEOUT_S:
+                worker.lost_reason = f"it has sent nothing for {silence:.0f} s"
+
+    def _publish_seconds(self, began: float, is_running: bool) -> None:
+        """Publish the seconds that all running workers have reported, or that are too old to wait for."""
         for number in self.totals.pending():
-            due = time.monotonic() > began + number + 1.0 + LOOK_AHEAD
-            told = all(
-                w.gone or w.number in self.totals.last or self.totals.seen[w.number] >= number for w in self.workers
+            is_due = time.monotonic() > began + number + 1.0 + LATE_INTERVAL_TIMEOUT_S
+            is_reported = all(
+                worker.lost_reason
+                or worker.number in self.totals.finished_workers
+                or self.totals.last_interval[worker.number] >= number
+                for worker in self.workers
             )
-            if more and not due and not told:
+            if is_running and not is_due and not is_reported:
                 break
-            second = self.totals.second(number)
+            second = self.totals.take_second(number)
             if second is not None:
                 self._live(second)
 
-    def _scheduled(self, dead: Sequence[_Worker]) -> int:
-        """How many requests the run should have had: what the workers that ended well offered, which was all
-        their share, and the whole share of each that did not."""
-        if self._stopped_at is not None or not dead:
+    def _count_scheduled(self, lost: Sequence[_Worker]) -> int:
+        """Return the number of requests that the run should have offered.
+
+        A worker that finished has offered its whole share. For a lost one, its share of the schedule is counted.
+        """
+        if self._stopped_at is not None or not lost:
             return self.totals.counts["offered"]
-        numbers = {worker.number for worker in dead}
+        numbers = {worker.number for worker in lost}
         if len(numbers) == len(self.workers):
             return sum(1 for _ in self._arrivals())
         lost_shares = sum(1 for n, _ in enumerate(self._arrivals()) if n % len(self.workers) in numbers)
@@ -327,26 +402,31 @@
         try:
             rows = merge_traces([part for part in parts if part.exists()], Path(self.scenario.record))
         except OSError as error:
-            self.notes.append(f"the trace could not be written: {error}")
+            self.notes.append(f"the trace {self.scenario.record} could not be written: {error}")
         else:
             self.notes.append(f"{rows} requests recorded in {self.scenario.record}")
 
 
 def local_worker_links(count: int) -> list[WorkerLink]:
+    """Return links to this many workers on this machine."""
     return [LocalWorkerLink(number) for number in range(count)]
 
 
 def renaming_key(scenario: Scenario) -> bytes:
-    """The bytes that rename a replay's accounts. Raises `ScenarioError`."""
+    """Return the key that renames the replay's accounts; empty if none is configured.
+
+    Raises:
+        ScenarioError: The key file cannot be read.
+    """
     replay = scenario.replay
     if replay is None or not replay.rename_key:
         return b""
     try:
         return Path(replay.rename_key).read_bytes()
     except OSError as error:
-        raise ScenarioError(f"the key: {error}") from None
+        raise ScenarioError(f"replay: rename_key cannot be read: {error}") from None
 
 
 def maximum_workers() -> int:
-    """One for each core but one, which the coordinator and the system have."""
+    """Return the number of usable cores less one, which is left to the coordinator and the system."""
     return max(1, len(os.sched_getaffinity(0)) - 1)
--- a/elderlock/load/health_check.py
+++ b/elderlock/load/health_check.py
@@ -1,4 +1,4 @@
-"""The front's PINGs to one target: a connection for them alone, made anew when it ends."""
+"""Health checks of one target by PING, on a connection of their own that is reopened when it ends."""
 
 from __future__ import annotations
 
@@ -8,31 +8,39 @@
 
 
 async def run_health_check(
-    front: TargetSelector, target: int, address: tuple[str, int], every: float, silent: float
+    selector: TargetSelector, target: int, address: tuple[str, int], interval_s: float, timeout_s: float
 ) -> None:
-    """Tells `front` of each answer, for ever. `every` s between PINGs; `silent` s that a connection or an answer may
-    take."""
+    """Check a target until the task is cancelled.
+
+    Args:
+        selector: Receives the result of each check.
+        target: Number of the target.
+        address: Host and port of the target.
+        interval_s: Interval between checks.
+        timeout_s: Timeout of a connection attempt or an answer.
+    """
     loop = asyncio.get_running_loop()
     while True:
         writer = None
         try:
-            async with asyncio.timeout(silent):
+            async with asyncio.timeout(timeout_s):
                 reader, writer = await asyncio.open_connection(*address)
             while True:
                 writer.write(b"*1\r\n$4\r\nPING\r\n")
-                async with asyncio.timeout(silent):
+                async with asyncio.timeout(timeout_s):
                     line = await reader.readline()
                 if not line:
                     break
-                tell = front.record_pong if line == b"+PONG\r\n" else front.record_unavailable
-                tell(target, loop.time())
-                await asyncio.sleep(every)
+                record = selector.record_pong if line == b"+PONG\r\n" else selector.record_unavailable
+                record(target, loop.time())
+                await asyncio.sleep(interval_s)
         except (OSError, TimeoutError, RuntimeError):
-            # uvloop raises RuntimeError at a write on a connection that was reset since the last one; a task that ends
-            # there asks its target never again, and the front goes by what it heard last for good
+            # uvloop raises RuntimeError for a write to a connection that was reset since the last write. If the task
+            # ended here, the target would never be checked again and its last result would stand for the rest of the
+            # run.
             pass
         finally:
             if writer is not None:
                 writer.transport.abort()
-        front.expire_silent(loop.time())
-        await asyncio.sleep(every / 3.0)
+        selector.expire_silent(loop.time())
+        await asyncio.sleep(interval_s / 3.0)
--- a/elderlock/load/lateness.py
+++ b/elderlock/load/lateness.py
@@ -1,7 +1,7 @@
-"""The generator's truth about itself: how late each send left, when it fell behind, and why. No I/O.
+"""Detects when the generator itself fell behind its schedule, and finds the cause. No I/O.
 
-A run is behind in a second whose p99 of lateness, or whose latest send, is past the stated bound, or in which
-requests could not be sent for want of the generator's own resources. The facts of that second say why.
+A worker is behind in a second if the p99 lateness of its sends or the latest send exceeds its limit, if it ran out of
+descriptors or ports, or if its connections opened too slowly. The resource usage of that second shows the cause.
 """
 
 from __future__ import annotations
@@ -13,17 +13,28 @@
 
 from elderlock.load.scenario import LatenessLimits
 
-CPU_FULL = 0.8  # of a core, from which on the generator's own work is the cause
-WAITED_SHARE = 0.3  # of a second that it was ready and no core was free
-STOPPED_SHARE = 0.5  # of the worst lateness, for a stand-still that explains it
-LEAST_STOP = 200.0  # ms of one stand-still without work, which no sharing of cores makes
-PREEMPTED = 4  # times in a second that a core was taken from it: somebody else is busy there
+BUSY_CPU_SHARE = 0.8  # of a core; from here on the worker's own work counts as the cause
+CORE_WAIT_SHARE = 0.3  # of a second in which the worker was runnable without a core
+EXPLAINING_GAP_SHARE = 0.5  # of the worst lateness; a gap of the event loop of at least this share explains it
+MINIMUM_STOP_MS = 200.0  # one idle gap of this length is longer than any time slice of a shared core
+MINIMUM_PREEMPTIONS = 4  # involuntary context switches in a second that show other load on the machine
 
 
 class ResourceUsage(msgspec.Struct, array_like=True, frozen=True):
-    """What the worker knows of one second of its own. `gap_ms`: its loop's longest stand-still, and of it
-    `gap_cpu_ms` in which it worked. `wait_ms`: in which it was ready and had no core, where the kernel tells;
-    `preempted` is how often a core was taken from it, which every kernel tells."""
+    """What a worker measured about itself in one interval.
+
+    Attributes:
+        wall_ms: Duration of the interval.
+        cpu_ms: CPU time used.
+        wait_ms: Time in which it was runnable without a core; 0 if the kernel does not report it.
+        gap_ms: Longest gap between two turns of its event loop.
+        gap_cpu_ms: CPU time used during that gap.
+        preempted: Involuntary context switches, which every kernel reports.
+        descriptors: Connections that failed for lack of descriptors or ports.
+        dials: Connections opened.
+        slow_dials: Connections that took too long to open.
+        slowest_dial_ms: Longest time to open a connection.
+    """
 
     wall_ms: float
     cpu_ms: float
@@ -38,8 +49,17 @@
 
 
 class LateSpan(msgspec.Struct, array_like=True):
-    """The generator was behind from `start` to `end` (s of the run): `late` sends of it by up to
-    `most_ms`."""
+    """A time in which a worker was behind its schedule.
+
+    Attributes:
+        worker: Number of the worker.
+        start: Start in s of the run.
+        end: End in s of the run.
+        late: Number of late sends.
+        most_ms: Maximum lateness.
+        why: Cause: descriptors, stopped, core, cpu, backlog or unknown.
+        text: The cause as a sentence for the operator.
+    """
 
     worker: int
     start: float
@@ -51,7 +71,7 @@
 
 
 def quantile(values: Sequence[int], share: float) -> int:
-    """The least value that at least this share lies at or below; 0 of none."""
+    """Return the smallest value such that at least this share of the values is not greater; 0 without values."""
     if not values:
         return 0
     ordered = sorted(values)
@@ -59,52 +79,68 @@
 
 
 def find_late_span(
-    worker: int, start: float, end: float, late: array[int], facts: ResourceUsage, truth: LatenessLimits
+    worker: int, start: float, end: float, late: array[int], usage: ResourceUsage, limits: LatenessLimits
 ) -> LateSpan | None:
-    """`late` are µs, one a send of this second."""
-    most = max(late, default=0) / 1000.0
-    p99 = quantile(late, 0.99) / 1000.0
-    own = facts.descriptors > 0 or facts.slow_dials > 0
-    if p99 <= truth.late_p99_ms and most <= truth.late_most_ms and not own:
+    """Return the span if the worker was behind in this interval, else None.
+
+    Args:
+        worker: Number of the worker.
+        start: Start of the interval in s of the run.
+        end: End of the interval in s of the run.
+        late: Lateness of each send in µs.
+        usage: The worker's resource usage in the interval.
+        limits: The limits for its lateness.
+    """
+    maximum_ms = max(late, default=0) / 1000.0
+    p99_ms = quantile(late, 0.99) / 1000.0
+    has_connection_faults = usage.descriptors > 0 or usage.slow_dials > 0
+    if p99_ms <= limits.late_p99_ms and maximum_ms <= limits.late_most_ms and not has_connection_faults:
         return None
-    bound = truth.late_p99_ms * 1000.0
-    why, text = _cause(most, facts, truth)
-    return LateSpan(worker, start, end, sum(each > bound for each in late), most, why, text)
-
-
-def _cause(most: float, facts: ResourceUsage, truth: LatenessLimits) -> tuple[str, str]:
-    if facts.descriptors:
-        return "descriptors", f"{facts.descriptors} connections could not be opened: out of descriptors or ports"
-    # lateness of the loop explains slow dials as well, so it is looked at first
-    if most > truth.late_p99_ms:
-        idle = facts.gap_ms - facts.gap_cpu_ms
-        full = facts.cpu_ms >= CPU_FULL * facts.wall_ms or facts.gap_cpu_ms >= STOPPED_SHARE * most
-        # cores are shared in slices: one long stand-still is none of them, however often it was preempted besides
-        if facts.wait_ms < WAITED_SHARE * facts.wall_ms and idle >= max(STOPPED_SHARE * most, LEAST_STOP):
-            return "stopped", f"it stood still for {facts.gap_ms:.0f} ms without work: stopped from outside"
-        if facts.wait_ms >= WAITED_SHARE * facts.wall_ms or facts.preempted >= PREEMPTED and not full:
+    limit_us = limits.late_p99_ms * 1000.0
+    why, text = _find_cause(maximum_ms, usage, limits)
+    return LateSpan(worker, start, end, sum(each > limit_us for each in late), maximum_ms, why, text)
+
+
+def _find_cause(maximum_ms: float, usage: ResourceUsage, limits: LatenessLimits) -> tuple[str, str]:
+    if usage.descriptors:
+        return "descriptors", f"{usage.descriptors} connections could not be opened: out of descriptors or ports"
+    # A late event loop also makes connections look slow, so it is checked first.
+    if maximum_ms > limits.late_p99_ms:
+        idle_ms = usage.gap_ms - usage.gap_cpu_ms
+        is_busy = (
+            usage.cpu_ms >= BUSY_CPU_SHARE * usage.wall_ms or usage.gap_cpu_ms >= EXPLAINING_GAP_SHARE * maximum_ms
+        )
+        # Cores are shared in short time slices, so one long idle gap is a stop, whatever the number of preemptions.
+        if usage.wait_ms < CORE_WAIT_SHARE * usage.wall_ms and idle_ms >= max(
+            EXPLAINING_GAP_SHARE * maximum_ms, MINIMUM_STOP_MS
+        ):
+            return "stopped", f"it was idle for {usage.gap_ms:.0f} ms: the process was stopped from outside"
+        if usage.wait_ms >= CORE_WAIT_SHARE * usage.wall_ms or usage.preempted >= MINIMUM_PREEMPTIONS and not is_busy:
             return "core", (
-                f"a core was taken from it {facts.preempted} times and none was free for it at once; "
-                f"it got {facts.cpu_ms:.0f} ms of CPU in {facts.wall_ms:.0f}"
+                f"no core was free: it was preempted {usage.preempted} times "
+                f"and got {usage.cpu_ms:.0f} ms of CPU in {usage.wall_ms:.0f} ms"
             )
-        if full:
-            return "cpu", f"its own work took {facts.cpu_ms:.0f} ms of CPU in {facts.wall_ms:.0f}"
-    if facts.slow_dials:
+        if is_busy:
+            return "cpu", f"its own work took {usage.cpu_ms:.0f} ms of CPU in {usage.wall_ms:.0f} ms"
+    if usage.slow_dials:
         return "backlog", (
-            f"{facts.slow_dials} of {facts.dials} connections took over {truth.connect_ms:g} ms, "
-            f"up to {facts.slowest_dial_ms:.0f}"
+            f"{usage.slow_dials} of {usage.dials} connections took more than {limits.connect_ms:g} ms to open, "
+            f"up to {usage.slowest_dial_ms:.0f} ms"
         )
-    return "unknown", f"CPU {facts.cpu_ms:.0f} of {facts.wall_ms:.0f} ms, longest stand-still {facts.gap_ms:.0f} ms"
+    return "unknown", (
+        f"it used {usage.cpu_ms:.0f} ms of CPU in {usage.wall_ms:.0f} ms, "
+        f"the longest gap of its event loop was {usage.gap_ms:.0f} ms"
+    )
 
 
 def merge_spans(spans: Sequence[LateSpan]) -> list[LateSpan]:
-    """Neighbours of one worker and one cause as one."""
-    found: list[LateSpan] = []
+    """Merge adjacent spans of the same worker and cause."""
+    merged: list[LateSpan] = []
     for span in sorted(spans, key=lambda s: (s.worker, s.start)):
-        last = found[-1] if found else None
+        last = merged[-1] if merged else None
         if last is not None and (last.worker, last.why) == (span.worker, span.why) and span.start - last.end < 0.5:
             text = span.text if span.most_ms > last.most_ms else last.text
-            found[-1] = LateSpan(
+            merged[-1] = LateSpan(
                 span.worker,
                 last.start,
                 span.end,
@@ -114,5 +150,5 @@
                 text,
             )
         else:
-            found.append(span)
-    return sorted(found, key=lambda s: (s.start, s.worker))
+            merged.append(span)
+    return sorted(merged, key=lambda s: (s.start, s.worker))
--- a/elderlock/load/recorder.py
+++ b/elderlock/load/recorder.py
@@ -1,8 +1,8 @@
-"""A trace from the limiters' control figures: how many requests of which account ended, look by look. No I/O.
+"""Builds a trace from the limiters' counters: the number of ended requests of each account between two polls. No I/O.
 
-The figures say how many, not when within a look: a trace made so has the rates of each account over each look
-and evenly spread times within it. Plans are told by their counts alone, so an account gets the plan that
-the operator's map names, or the one whose count grew alike where only one did.
+The counters do not tell when a request ended between two polls. Such a trace therefore has each account's rate between
+two polls, with its requests spread evenly over that time. The counters of plans and accounts are separate, so an
+account gets the plan that the operator's map names, or the plan whose counter grew if only one did.
 """
 
 from __future__ import annotations
@@ -17,60 +17,81 @@
 
 
 class Recorder:
-    """`deadline` in ms goes into every row: the figures do not tell it."""
+    """Converts polled limiter states to trace rows.
+
+    Attributes:
+        uncounted: Requests without a row: of accounts that the limiters do not count separately, or of unknown plan.
+        polls: Number of polls.
+    """
 
     def __init__(self, plans: Mapping[str, str], deadline: float = 1200.0) -> None:
+        """Prepare the recording.
+
+        Args:
+            plans: The plan of each account, as far as it is known.
+            deadline: Deadline in ms of every row, because the counters do not contain it.
+        """
         self._plans, self._deadline = plans, deadline
-        self._last: dict[tuple[str, str], int] = {}  # limiter, account: ended so far
-        self._last_plans: dict[tuple[str, str], int] = {}
-        self._process: dict[str, tuple[int, float]] = {}
-        self._told_plan: dict[str, str] = {}
-        self.uncounted = 0  # requests of accounts that the limiters do not count apart, or of no known plan
+        self._last: dict[tuple[str, str], int] = {}  # ended requests by limiter and account
+        self._last_plans: dict[tuple[str, str], int] = {}  # ended requests by limiter and plan
+        self._processes: dict[str, tuple[int, float]] = {}  # process id and uptime in ms by limiter
+        self._inferred_plans: dict[str, str] = {}
+        self.uncounted = 0
         self.polls = 0
 
     def poll(self, states: Mapping[str, LimiterState], since: float, now: float) -> list[Row]:
-        """The requests that ended between `since` and `now` (s of the trace), in order of time. The first look
-        only takes the figures down, and so does the first after a limiter's restart: its counts began anew."""
-        found: list[Row] = []
+        """Return the requests that ended between two polls, in order of time.
+
+        The first poll only stores the counters. So does the first poll after a restart of a limiter, whose counters
+        have started again from zero.
+
+        Args:
+            states: The state of each limiter by name.
+            since: Time of the previous poll in s of the trace.
+            now: Time of this poll in s of the trace.
+        """
+        rows: list[Row] = []
         for name, state in states.items():
-            pid, uptime = self._process.get(name, (0, 0.0))
-            fresh = pid != state.pid or state.uptime_ms < uptime
-            self._process[name] = state.pid, state.uptime_ms
-            grown = list(self._grown(name, state.accounts, fresh))
-            plans = [plan for plan, count in self._plan_growth(name, state.plans, fresh).items() if count]
-            for account, count in grown:
+            pid, uptime_ms = self._processes.get(name, (0, 0.0))
+            has_restarted = pid != state.pid or state.uptime_ms < uptime_ms
+            self._processes[name] = state.pid, state.uptime_ms
+            growth = list(self._account_growth(name, state.accounts, has_restarted))
+            plans = [plan for plan, count in self._plan_growth(name, state.plans, has_restarted).items() if count]
+            for account, count in growth:
                 plan = self._plan_of(account, plans)
                 if account == OTHER_ACCOUNTS or not plan:
                     self.uncounted += count
                     continue
                 step = (now - since) / count
-                found += [
+                rows += [
                     Row(round((since + (n + 0.5) * step) * 1e6), account, plan, deadline=self._deadline)
                     for n in range(count)
                 ]
         self.polls += 1
-        return sorted(found, key=lambda row: row.at)
+        return sorted(rows, key=lambda row: row.at)
 
-    def _grown(self, name: str, accounts: Mapping[str, AnswerCounts], fresh: bool) -> Iterator[tuple[str, int]]:
+    def _account_growth(
+        self, name: str, accounts: Mapping[str, AnswerCounts], has_restarted: bool
+    ) -> Iterator[tuple[str, int]]:
         for account, counts in accounts.items():
             total = counts.total()
-            before = self._last.get((name, account))
+            previous = self._last.get((name, account))
             self._last[name, account] = total
-            if before is not None and not fresh and total > before:
-                yield account, total - before
-            elif before is None and not fresh and self.polls:
-                yield account, total  # it was not there at the last look
+            if previous is not None and not has_restarted and total > previous:
+                yield account, total - previous
+            elif previous is None and not has_restarted and self.polls:
+                yield account, total  # the account is new since the previous poll
 
-    def _plan_growth(self, name: str, plans: Mapping[str, AnswerCounts], fresh: bool) -> dict[str, int]:
-        grown = {}
+    def _plan_growth(self, name: str, plans: Mapping[str, AnswerCounts], has_restarted: bool) -> dict[str, int]:
+        growth = {}
         for plan, counts in plans.items():
             total = counts.total()
-            grown[plan] = 0 if fresh else total - self._last_plans.get((name, plan), 0)
+            growth[plan] = 0 if has_restarted else total - self._last_plans.get((name, plan), 0)
             self._last_plans[name, plan] = total
-        return grown
+        return growth
 
-    def _plan_of(self, account: str, grown: list[str]) -> str:
-        plan = self._plans.get(account) or self._told_plan.get(account, "")
-        if not plan and len(grown) == 1:
-            plan = self._told_plan[account] = grown[0]
+    def _plan_of(self, account: str, growing_plans: list[str]) -> str:
+        plan = self._plans.get(account) or self._inferred_plans.get(account, "")
+        if not plan and len(growing_plans) == 1:
+            plan = self._inferred_plans[account] = growing_plans[0]
         return plan
--- a/elderlock/load/remote_worker.py
+++ b/elderlock/load/remote_worker.py
@@ -1,4 +1,4 @@
-"""A worker that another machine's agent lends: its frames go through the agent, asked for again and again."""
+"""A worker that another machine's agent leases to the run; its messages pass through the agent, which is polled."""
 
 from __future__ import annotations
 
@@ -8,77 +8,86 @@
 
 import msgspec
 
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages as fleet_messages
 from elderlock.fleet.client.answers import Missing, Refusal, failure_reason
 from elderlock.fleet.client.group_client import Group
-from elderlock.load import messages as m
+from elderlock.load import messages
 
-ASK_EVERY = 0.2  # s; its lease is 5
-ASK_WITHIN = 2.0  # s
-MOST_MISSED = 5.0  # s of an agent's silence after which its worker counts as lost: its lease has run out
+POLL_INTERVAL_S = 0.2  # well below the worker's lease of 5 s
+POLL_TIMEOUT_S = 2.0
+AGENT_SILENCE_TIMEOUT_S = 5.0  # the worker's lease has expired by then, so the worker counts as lost
 
 
 class RemoteWorkerLink:
-    """A line to a worker at that agent of the group."""
+    """A link to a worker that an agent of the group runs; see `coordinator.WorkerLink`.
+
+    Attributes:
+        name: Name of the worker in messages to the operator.
+    """
 
     def __init__(self, group: Group, agent: str, number: int) -> None:
         self.name = f"worker {number} at {agent}"
         self._group, self._agent = group, agent
         self._job = f"{secrets.token_hex(6)}-{number}"
-        self._out: list[bytes] = []  # that the agent has not confirmed
-        self._first = 0  # the number of the first of them
-        self._have = 0  # of the worker's frames
+        self._unconfirmed: list[bytes] = []  # frames that the agent has not confirmed
+        self._first_unconfirmed = 0  # the number of the first of them
+        self._received = 0  # number of frames received from the worker
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
-    async def open(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._talk(heard, gone))
+    async def open(self, on_message: Callable[[messages.FromWorker], None], on_lost: Callable[[str], None]) -> None:
+        """Start to poll the agent, which starts the worker; see `WorkerLink.open`."""
+        self._task = asyncio.get_running_loop().create_task(self._exchange(on_message, on_lost))
 
-    async def _talk(self, heard: Callable[[m.FromWorker], None], gone: Callable[[str], None]) -> None:
+    async def _exchange(
+        self, on_message: Callable[[messages.FromWorker], None], on_lost: Callable[[str], None]
+    ) -> None:
         loop = asyncio.get_running_loop()
         answered_at = loop.time()
         while True:
-            answer = await self._ask(False)
+            answer = await self._poll(False)
             match answer:
-                case f.WorkerLeased():
+                case fleet_messages.WorkerLeased():
                     answered_at = loop.time()
-                    del self._out[: answer.taken - self._first]
-                    self._first = answer.taken
+                    del self._unconfirmed[: answer.taken - self._first_unconfirmed]
+                    self._first_unconfirmed = answer.taken
                     try:
-                        for body in answer.frames[self._have - answer.first :]:
-                            self._have += 1
-                            heard(m.from_worker(body))
+                        for body in answer.frames[self._received - answer.first :]:
+                            self._received += 1
+                            on_message(messages.decode_from_worker(body))
                     except msgspec.DecodeError as error:
-                        return gone(f"it says what cannot be read: {error}")
+                        return on_lost(f"it sent a message that cannot be decoded: {error}")
                     if answer.ended:
-                        return gone(answer.ended)
+                        return on_lost(answer.ended)
                 case Refusal():
-                    return gone(answer.text)
+                    return on_lost(answer.text)
                 case Missing():
-                    if loop.time() - answered_at > MOST_MISSED:
-                        return gone(f"its agent is silent: {failure_reason(answer)}")
+                    if loop.time() - answered_at > AGENT_SILENCE_TIMEOUT_S:
+                        return on_lost(f"its agent {self._agent} does not answer: {failure_reason(answer)}")
             self._wake.clear()
-            if not self._out or isinstance(answer, Missing):
+            if not self._unconfirmed or isinstance(answer, Missing):
                 try:
-                    async with asyncio.timeout(ASK_EVERY):
+                    async with asyncio.timeout(POLL_INTERVAL_S):
                         await self._wake.wait()
                 except TimeoutError:
                     pass
 
-    async def _ask(self, end: bool) -> f.WorkerLeased | Missing | Refusal:
-        frames = tuple(self._out)
+    async def _poll(self, end: bool) -> fleet_messages.WorkerLeased | Missing | Refusal:
+        frames = tuple(self._unconfirmed)
         return await self._group.ask(
             self._agent,
-            lambda id: f.LeaseWorker(id, self._job, self._first, frames, self._have, end),
-            f.WorkerLeased,
-            ASK_WITHIN,
+            lambda id: fleet_messages.LeaseWorker(id, self._job, self._first_unconfirmed, frames, self._received, end),
+            fleet_messages.WorkerLeased,
+            POLL_TIMEOUT_S,
         )
 
-    def say(self, message: m.Message) -> None:
-        self._out.append(m.encode(message))
+    def send(self, message: messages.Message) -> None:
+        """Queue a message for the worker, and send it with the next poll."""
+        self._unconfirmed.append(messages.encode(message))
         self._wake.set()
 
     async def close(self) -> None:
+        """Ask the agent to end the worker, if it may still run."""
         if self._task is not None and not self._task.done():
             self._task.cancel()
-            await self._ask(True)
+            await self._poll(True)
--- a/elderlock/load/report.py
+++ b/elderlock/load/report.py
@@ -1,4 +1,4 @@
-"""What a run came to, as one record that is kept, shown, compared and failed_thresholds. No I/O."""
+"""The report of a run, which is stored, printed, compared and checked against thresholds. No I/O."""
 
 from __future__ import annotations
 
@@ -21,14 +21,21 @@
 
     DONE = 0
     USAGE = 2
-    FAILED = 7  # a threshold was not kept
-    BEHIND = 8  # the generator fell behind: what it measured is not the target alone
-    INCOMPLETE = 9  # a part of the load was not sent: a worker died, the trace broke off, it was stopped
+    FAILED = 7  # a threshold was exceeded
+    BEHIND = 8  # the generator fell behind its schedule, so it did not measure the targets alone
+    INCOMPLETE = 9  # part of the load was not sent: a worker died, the trace broke off, or the run was stopped
 
 
 class LatencySummary(msgspec.Struct):
-    """Latency from the intended start and service time from the real one: ms by percentile, and the
-    histograms as HdrHistogram encodes them."""
+    """Latency and service time of a group of requests.
+
+    Attributes:
+        count: Number of requests.
+        latency: Percentiles in ms of the time from the intended start.
+        service: Percentiles in ms of the time from the actual start of the last attempt.
+        latency_hdr: The latency as an encoded HdrHistogram.
+        service_hdr: The service time as an encoded HdrHistogram.
+    """
 
     count: int
     latency: dict[str, float]
@@ -38,10 +45,41 @@
 
 
 class Report(msgspec.Struct):
+    """The results of a run.
+
+    Attributes:
+        version: Version of the report's format.
+        scenario: Name of the scenario.
+        seed: Seed of the schedule.
+        began_at: Start of the run in Unix s.
+        lasted_s: Duration of the run.
+        workers: Number of workers.
+        targets: Addresses of the targets.
+        ledger: Requests by state; see `Totals.ledger`.
+        outcomes: Requests that ended, by outcome.
+        counts: Events by name.
+        rate_error: Share of the scheduled requests that the generator failed to send on time or at all.
+        by: Latencies by dimension (all, outcome, plan, group, target) and value.
+        late: Percentiles of the lateness of sends in ms.
+        late_hdr: That lateness as an encoded HdrHistogram.
+        behind: Times in which a worker was behind its schedule.
+        bounds: The scenario's limits for that.
+        seconds: Measurements of each second.
+        blocks: Measurements of each block of time, for comparisons.
+        targets_changed: Targets that became available or unavailable, as (s of the run, target, available).
+        trouble: Faults that were injected, as (s of the run, text).
+        faults: Faulty trace lines by reason.
+        notes: Remarks for the operator.
+        rss_kb: First, last and maximum resident memory of all workers in KiB.
+        cpu_s: CPU time of all workers.
+        failed: Messages about thresholds that were exceeded.
+        exit: Exit code.
+    """
+
     version: int
     scenario: str
     seed: int
-    began_at: float  # Unix s
+    began_at: float
     lasted_s: float
     workers: int
     targets: tuple[str, ...]
@@ -49,7 +87,7 @@
     outcomes: dict[str, int]
     counts: dict[str, int]
     rate_error: float
-    by: dict[str, dict[str, LatencySummary]]  # all, outcome, plan, group, target
+    by: dict[str, dict[str, LatencySummary]]
     late: dict[str, float]
     late_hdr: str
     behind: list[LateSpan]
@@ -66,7 +104,7 @@
     exit: int
 
 
-def _lines(latency: Histogram, service: Histogram) -> LatencySummary:
+def _latency_summary(latency: Histogram, service: Histogram) -> LatencySummary:
     return LatencySummary(latency.total(), latency.times(), service.times(), latency.encoded(), service.encoded())
 
 
@@ -79,16 +117,34 @@
     lasted: float,
     notes: Sequence[str],
     incomplete: bool,
-    trouble: Sequence[tuple[float, str]] = (),
+    faults: Sequence[tuple[float, str]] = (),
     fail_if: Sequence[str] = (),
 ) -> Report:
+    """Build the report of a run.
+
+    Args:
+        totals: The merged measurements.
+        scenario: The scenario of the run.
+        scheduled: Number of requests in the schedule.
+        began_at: Start of the run in Unix s.
+        lasted: Duration of the run in s.
+        notes: Remarks for the operator.
+        incomplete: A worker was lost or the run was stopped.
+        faults: Faults that were injected, as (s of the run, text).
+        fail_if: Thresholds beside those of the scenario.
+
+    Raises:
+        ThresholdError: A threshold is malformed.
+    """
     ledger = totals.ledger(scheduled)
-    wrong = [f"the figures do not add up: {text}" for text in totals.check(ledger)]
+    ledger_errors = [f"the figures do not add up: {text}" for text in totals.check(ledger)]
     by: dict[str, dict[str, LatencySummary]] = {}
-    for name, place in (("all", None), ("outcome", 0), ("plan", 1), ("group", 2), ("target", 3)):
-        by[name] = {key: _lines(pair.latency, pair.service) for key, pair in sorted(totals.by(place).items())}
-    own = totals.counts["overdue"] + totals.outcomes().get("descriptors", 0) + max(0, ledger["missing"])
-    made = Report(
+    for name, position in (("all", None), ("outcome", 0), ("plan", 1), ("group", 2), ("target", 3)):
+        by[name] = {
+            key: _latency_summary(pair.latency, pair.service) for key, pair in sorted(totals.by(position).items())
+        }
+    generator_faults = totals.counts["overdue"] + totals.outcomes().get("descriptors", 0) + max(0, ledger["missing"])
+    report = Report(
         VERSION,
         scenario.name,
         scenario.seed,
@@ -99,7 +155,7 @@
         ledger,
         totals.outcomes(),
         dict(totals.counts),
-        own / scheduled if scheduled else 0.0,
+        generator_faults / scheduled if scheduled else 0.0,
         by,
         totals.late.times(),
         totals.late.encoded(),
@@ -108,82 +164,102 @@
         totals.seconds,
         totals.blocks(),
         totals.changes,
-        list(trouble),
+        list(faults),
         dict(totals.faults),
-        [*notes, *(f"{key}: {text}" for key, text in totals.shown.items()), *wrong],
+        [*notes, *(f"{key}: {text}" for key, text in totals.shown.items()), *ledger_errors],
         dict(zip(("first", "last", "most"), map(sum, zip(*totals.rss, strict=True)), strict=True)),
         sum(totals.cpu_ms) / 1000.0,
         [],
         0,
     )
-    made.failed = failed_thresholds(made, (*scenario.fail_if, *fail_if))
-    if incomplete or wrong or ledger["missing"]:
-        made.exit = Exit.INCOMPLETE
-    elif made.behind:
-        made.exit = Exit.BEHIND
-    elif made.failed:
-        made.exit = Exit.FAILED
-    return made
+    report.failed = failed_thresholds(report, (*scenario.fail_if, *fail_if))
+    if incomplete or ledger_errors or ledger["missing"]:
+        report.exit = Exit.INCOMPLETE
+    elif report.behind:
+        report.exit = Exit.BEHIND
+    elif report.failed:
+        report.exit = Exit.FAILED
+    return report
 
 
 class ReportMetrics:
-    """A report as thresholds look into it."""
+    """The metrics of a report that thresholds refer to; see `thresholds.MetricSource`."""
 
     def __init__(self, report: Report) -> None:
         self._report = report
 
     def time(self, kind: str, point: str, by: str, value: str) -> float | None:
-        of = self._report
+        """Return a percentile in ms, or None if nothing was measured.
+
+        Args:
+            kind: latency, service or late.
+            point: A percentile such as p99, or max.
+            by: The dimension, such as plan; empty for all requests.
+            value: The value in that dimension.
+        """
+        report = self._report
         if kind == "late":
-            encoded, known = of.late_hdr, of.late
+            encoded, stored = report.late_hdr, report.late
         else:
-            lines = of.by.get(by or "all", {}).get(value if by else "all")
-            if lines is None:
+            summary = report.by.get(by or "all", {}).get(value if by else "all")
+            if summary is None:
                 return None
-            encoded = lines.latency_hdr if kind == "latency" else lines.service_hdr
-            known = lines.latency if kind == "latency" else lines.service
-        if point in known or not known:
-            return known.get(point)
-        return float(decode_histogram(encoded).hdr().get_value_at_percentile(parse_percentile(point))) / 1000.0
+            encoded = summary.latency_hdr if kind == "latency" else summary.service_hdr
+            stored = summary.latency if kind == "latency" else summary.service
+        if point in stored or not stored:
+            return stored.get(point)
+        histogram = decode_histogram(encoded).hdr()
+        return float(histogram.get_value_at_percentile(parse_percentile(point))) / 1000.0
 
     def count(self, name: str) -> float:
+        """Return a count of the ledger or of events, or the seconds that workers were behind for `behind_s`."""
         if name == "behind_s":
             return sum(span.end - span.start for span in self._report.behind)
         return float(self._report.ledger.get(name, self._report.counts.get(name, 0)))
 
     def share(self, outcome: str) -> float:
-        """Of all that was scheduled: what was never sent was not served."""
+        """Return an outcome's share of all scheduled requests, including those that were never sent."""
         return self._report.outcomes.get(outcome, 0) / max(1, self._report.ledger["scheduled"])
 
-    def rate(self) -> float:
+    def rate_error(self) -> float:
+        """Return the share of the scheduled requests that the generator failed to send on time or at all."""
         return self._report.rate_error
 
 
 def failed_thresholds(report: Report, texts: Sequence[str]) -> list[str]:
-    """What is to be said of the thresholds that were not kept. Raises `ThresholdError`."""
-    measured = ReportMetrics(report)
-    return [said for text in texts if (said := parse_threshold(text).failed(measured)) is not None]
+    """Return a message for each threshold that the report exceeds.
+
+    Raises:
+        ThresholdError: A threshold is malformed.
+    """
+    metrics = ReportMetrics(report)
+    return [message for text in texts if (message := parse_threshold(text).failed(metrics)) is not None]
 
 
 def encode(report: Report) -> bytes:
+    """Encode a report as JSON."""
     return msgspec.json.encode(report)
 
 
 def decode(data: bytes) -> Report:
-    """Raises `ValueError` with what is wrong."""
+    """Decode a report.
+
+    Raises:
+        ValueError: The data is not a report, or its version is not supported.
+    """
     try:
-        made = msgspec.json.decode(data, type=Report)
+        report = msgspec.json.decode(data, type=Report)
     except msgspec.DecodeError as error:
-        raise ValueError(f"not a report of a run: {error}") from None
-    if made.version != VERSION:
-        raise ValueError(f"a report of version {made.version}; {VERSION} is read here")
-    return made
+        raise ValueError(f"not a report of a load run: {error}") from None
+    if report.version != VERSION:
+        raise ValueError(f"the report has version {report.version}, only {VERSION} is supported")
+    return report
 
 
-# What people read
+# Text output
 
 
-def _ms(value: float | None) -> str:
+def _format_ms(value: float | None) -> str:
     if value is None:
         return "-"
     return f"{value:.2f}" if value < 10 else f"{value:.1f}" if value < 1000 else f"{value:.0f}"
@@ -198,6 +274,7 @@
 
 
 def summary(report: Report) -> list[str]:
+    """Return the lines of the text summary."""
     ledger, counts = report.ledger, report.counts
     lines = [
         f"{report.scenario}, seed {report.seed}: {report.lasted_s:.1f} s, {report.workers} workers, "
@@ -207,68 +284,72 @@
         f"offered   {ledger['offered']} = sent {ledger['sent']} + unsent {ledger['unsent']}"
         + (f" + open {ledger['open']}" if ledger["open"] else ""),
         f"sent      {ledger['sent']} = answered {ledger['answered']} + unanswered {ledger['unanswered']}",
-        "ends: " + (", ".join(f"{n} {name}" for name in OUTCOMES if (n := report.outcomes.get(name))) or "none"),
+        "outcomes: " + (", ".join(f"{n} {name}" for name in OUTCOMES if (n := report.outcomes.get(name))) or "none"),
     ]
-    beside = {
+    event_labels = {
         "retries": "retries",
-        "resent": "resent once",
-        "late_answers": "answers too late",
-        "stray_answers": "answers to nothing",
-        "mismatched": "answers for another request",
-        "waited": "waited for a connection",
+        "resent": "resent on a new connection",
+        "late_answers": "late answers",
+        "stray_answers": "unexpected answers",
+        "mismatched": "answers to another request",
+        "waited": "waits for a connection",
         "connections": "connections opened",
     }
-    told = [f"{counts[key]} {words}" for key, words in beside.items() if counts.get(key)]
-    lines += [f"beside: {', '.join(told)}"] if told else []
+    events = [f"{counts[key]} {label}" for key, label in event_labels.items() if counts.get(key)]
+    lines += [f"events: {', '.join(events)}"] if events else []
     rows = [["ms", "count", *POINTS, "service " + POINTS[0], *POINTS[1:]]]
-    for place in ("all", "outcome", "plan", "group", "target"):
-        for key, each in report.by[place].items():
-            if place != "all" and len(report.by[place]) == 1 and place != "outcome":
+    for dimension in ("all", "outcome", "plan", "group", "target"):
+        for key, each in report.by[dimension].items():
+            if dimension != "all" and len(report.by[dimension]) == 1 and dimension != "outcome":
                 continue
-            name = key if place == "all" else f"{place} {key}"
+            name = key if dimension == "all" else f"{dimension} {key}"
             rows.append(
                 [
                     name,
                     str(each.count),
-                    *(_ms(each.latency.get(p)) for p in POINTS),
-                    *(_ms(each.service.get(p)) for p in POINTS),
+                    *(_format_ms(each.latency.get(p)) for p in POINTS),
+                    *(_format_ms(each.service.get(p)) for p in POINTS),
                 ]
             )
     lines += ["", *_table(rows), ""]
     lines.append(
-        f"sends left late by p50 {_ms(report.late.get('p50'))}, p99 {_ms(report.late.get('p99'))}, "
-        f"at most {_ms(report.late.get('max'))} ms; rate error {report.rate_error:.4f}; "
+        f"lateness of sends: p50 {_format_ms(report.late.get('p50'))}, p99 {_format_ms(report.late.get('p99'))}, "
+        f"max {_format_ms(report.late.get('max'))} ms; rate error {report.rate_error:.4f}; "
         f"CPU {report.cpu_s:.1f} s; memory {report.rss_kb['last'] / 1024:.0f} MB"
     )
     lines += [
-        f"target {t} {'takes part' if part else 'takes part no more'} from {at:.1f} s"
-        for at, t, part in report.targets_changed
+        f"target {target} {'available' if is_available else 'unavailable'} from {at:.1f} s"
+        for at, target, is_available in report.targets_changed
         if at > 0.0
     ][:20]
-    lines += [f"trouble at {at:.1f} s: {text}" for at, text in report.trouble]
-    lines += [f"passed over in the trace: {n} for {reason}" for reason, n in report.faults.items()]
+    lines += [f"fault at {at:.1f} s: {text}" for at, text in report.trouble]
+    lines += [f"faulty trace lines: {n} for {reason}" for reason, n in report.faults.items()]
     lines += [f"note: {text}" for text in report.notes]
     lines += behind_lines(report.behind)
-    lines += [f"not kept: {text}" for text in report.failed]
+    lines += [f"threshold exceeded: {text}" for text in report.failed]
     return lines
 
 
 def behind_lines(spans: Sequence[LateSpan]) -> list[str]:
+    """Return the warning about the times in which the generator was behind; empty if there are none."""
     if not spans:
         return []
-    return ["GENERATOR FELL BEHIND: these figures are not of the target alone"] + [
+    return ["THE GENERATOR FELL BEHIND ITS SCHEDULE: these results do not measure the targets alone"] + [
         f"  {span.start:.1f} to {span.end:.1f} s, worker {span.worker}: {span.late} sends late, up to "
-        f"{_ms(span.most_ms)} ms ({span.why}: {span.text})"
+        f"{_format_ms(span.most_ms)} ms ({span.why}: {span.text})"
         for span in spans
     ]
 
 
 def live_line(second: Second) -> str:
-    """One line of the live view."""
-    ends = " ".join(f"{name} {count}" for name, count in second.outcomes.items()) or "no ends"
-    times = f"p50 {_ms(second.times.get('p50'))} p99 {_ms(second.times.get('p99'))}" if second.times else "no times"
+    """Return the line of the live view for one second."""
+    outcomes = " ".join(f"{name} {count}" for name, count in second.outcomes.items()) or "no outcomes"
+    if second.times:
+        times = f"p50 {_format_ms(second.times.get('p50'))} p99 {_format_ms(second.times.get('p99'))}"
+    else:
+        times = "no latency"
     cpu = max(second.cpu.values(), default=0.0)
     return (
         f"{second.at + 1:5d} s  offered {second.counts.get('offered', 0):6d}  open {second.open:5d}  {times} ms  "
-        f"late p99 {_ms(second.late.get('p99'))} ms  busiest worker {cpu:.0%}  {ends}"
+        f"late p99 {_format_ms(second.late.get('p99'))} ms  busiest worker {cpu:.0%}  {outcomes}"
     )
