--- a/elderlock/load/resp_client.py
+++ b/elderlock/load/resp_client.py
@@ -125,11 +125,11 @@
         """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Return whether a request can be written."""
         return self.transport is not None and not self.transport.is_closing()
 
-    def carry(self, request: Request) -> None:
+    def send(self, request: Request) -> None:
         """Write the current attempt of a request and wait for its answer."""
         assert self.transport is not None
         self.request, request.connection = request, self
@@ -147,7 +147,7 @@
         self.pool.engine.on_request_written(request)
 
     def _write_rest(self, request: Request, attempts: int, data: bytes) -> None:
-        if self.usable() and self.transport is not None and (self.request is request or self.owes_late_answer):
+        if self.is_usable() and self.transport is not None and (self.request is request or self.owes_late_answer):
             self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
@@ -166,7 +166,7 @@
             engine.count("late_answers" if self.owes_late_answer else "stray_answers")
             if self.owes_late_answer:
                 self.owes_late_answer = False
-                self.pool.free(self)
+                self.pool.release(self)
             else:
                 self._abort()  # later answers could not be matched to their requests
             return
@@ -177,7 +177,7 @@
             outcome = "failed"
             self._abort()
         elif self.pool.keep:
-            self.pool.free(self)
+            self.pool.release(self)
         else:
             self._abort()
         engine.on_attempt_ended(request, outcome, advice)
@@ -204,11 +204,11 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Remove the connection from its pool and send its request again."""
-        self.pool.lost(self)
+        self.pool.remove(self)
         request, self.request = self.request, None
         if request is not None and request.is_active:
             request.connection = None
-            self.pool.crossed(request)
+            self.pool.resend_or_fail(request)
 
 
 class Pool:
@@ -243,8 +243,8 @@
         """Send the current attempt of a request on an idle or a new connection, or queue it."""
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable():
-                return connection.carry(request)
+            if connection.is_usable():
+                return connection.send(request)
         if self.count >= self._maximum:
             self.engine.count("waited")
             self._waiting.append((request, request.attempts))
@@ -281,19 +281,19 @@
         self.engine.count("connections")
         connection = connections[0]
         if not request.is_active or request.attempts != attempts or request.connection is not None:
-            self.free(connection)  # meanwhile the attempt has ended, or it has another connection
-        elif connection.usable():
-            connection.carry(request)
+            self.release(connection)  # meanwhile the attempt has ended, or it has another connection
+        elif connection.is_usable():
+            connection.send(request)
         else:
-            self.crossed(request)
+            self.resend_or_fail(request)
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Use a connection without a request for the next waiting one; else keep or close it."""
-        if not connection.usable():
+        if not connection.is_usable():
             return
         request = self._next_waiting()
         if request is not None:
-            connection.carry(request)
+            connection.send(request)
         elif self.keep:
             self._idle.append(connection)
         else:
@@ -310,14 +310,14 @@
         if self.count < self._maximum and (request := self._next_waiting()) is not None:
             self._connect(request)
 
-    def lost(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Remove a connection that has ended."""
         self.count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
         self._connect_next()
 
-    def crossed(self, request: Request) -> None:
+    def resend_or_fail(self, request: Request) -> None:
         """Handle the end of a request's connection without an answer.
 
         The first time, the request is sent again on a new connection. The second time, the attempt counts as lost.
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -26,13 +26,13 @@
 class HoardingPool(Pool):
     """Connections of many clients, some of which ask once and keep theirs for good, used by nobody."""
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         clients = self.engine
         assert isinstance(clients, Clients)
-        if clients.hoard and connection.usable() and clients.rng.random() < clients.hoard:
+        if clients.hoard and connection.is_usable() and clients.rng.random() < clients.hoard:
             clients.count("hoarded")
         else:
-            super().free(connection)
+            super().release(connection)
 
 
 class Clients:
