--- a/elderlock/load/coordinator.py
+++ b/elderlock/load/coordinator.py
@@ -356,7 +356,7 @@
 
     def _publish_seconds(self, began: float, is_running: bool) -> None:
         """Publish the seconds that all running workers have reported, or that are too old to wait for."""
-        for number in self.totals.pending():
+        for number in self.totals.pending_seconds():
             is_due = time.monotonic() > began + number + 1.0 + LATE_INTERVAL_TIMEOUT_S
             is_reported = all(
                 worker.lost_reason
--- a/elderlock/load/metrics.py
+++ b/elderlock/load/metrics.py
@@ -167,7 +167,7 @@
         late: Lateness of all sends.
         spans: Times in which a worker was behind its schedule.
         faults: Faulty trace lines by reason.
-        shown: Error messages to report, by reason.
+        error_messages: Error messages to report, by reason.
         changes: Targets that became available or unavailable, as (s of the run, target, available), seen by worker 0.
         open: Requests in flight, by worker.
         open_sent: The number of those that were sent, by worker.
@@ -186,7 +186,7 @@
         self.late = Histogram()
         self.spans: list[LateSpan] = []
         self.faults: Counter[str] = Counter()
-        self.shown: dict[str, str] = {}
+        self.error_messages: dict[str, str] = {}
         self.changes: list[tuple[float, int, bool]] = []
         self.open, self.open_sent = [0] * workers, [0] * workers
         self.rss: list[tuple[int, int, int]] = [(0, 0, 0)] * workers
@@ -229,7 +229,7 @@
         # In a replay, each worker reads the whole trace, so each reports all of its faulty lines.
         for reason, count in interval.faults.items():
             self.faults[reason] = max(self.faults[reason], count)
-        self.shown |= interval.shown
+        self.error_messages |= interval.shown
         self.changes += interval.changes if worker == 0 else []
         self.open[worker], self.open_sent[worker] = interval.open, interval.open_sent
         first_kb, _, maximum_kb = self.rss[worker]
@@ -292,7 +292,7 @@
             del self.seconds[::2]
         return second
 
-    def pending(self) -> list[int]:
+    def pending_seconds(self) -> list[int]:
         """Return the seconds that have intervals and were not taken yet, in order."""
         return sorted(self._seconds)
 
@@ -346,7 +346,7 @@
             errors.append(f"{ledger['offered']} offered, but {self.late.total()} values of lateness")
         return errors
 
-    def by(self, position: int | None = None) -> dict[str, LatencyPair]:
+    def merged_by(self, position: int | None = None) -> dict[str, LatencyPair]:
         """Merge the latencies by one part of their key.
 
         Args:
--- a/elderlock/load/report.py
+++ b/elderlock/load/report.py
@@ -141,7 +141,8 @@
     by: dict[str, dict[str, LatencySummary]] = {}
     for name, position in (("all", None), ("outcome", 0), ("plan", 1), ("group", 2), ("target", 3)):
         by[name] = {
-            key: _latency_summary(pair.latency, pair.service) for key, pair in sorted(totals.by(position).items())
+            key: _latency_summary(pair.latency, pair.service)
+            for key, pair in sorted(totals.merged_by(position).items())
         }
     generator_faults = totals.counts["overdue"] + totals.outcomes().get("descriptors", 0) + max(0, ledger["missing"])
     report = Report(
@@ -166,7 +167,7 @@
         totals.changes,
         list(faults),
         dict(totals.faults),
-        [*notes, *(f"{key}: {text}" for key, text in totals.shown.items()), *ledger_errors],
+        [*notes, *(f"{key}: {text}" for key, text in totals.error_messages.items()), *ledger_errors],
         dict(zip(("first", "last", "most"), map(sum, zip(*totals.rss, strict=True)), strict=True)),
         sum(totals.cpu_ms) / 1000.0,
         [],
--- a/elderlock/load/trace.py
+++ b/elderlock/load/trace.py
@@ -208,7 +208,7 @@
     Attributes:
         replay: The settings of the replay.
         faults: Number of lines that were skipped or mapped to another plan, by reason.
-        shown: The first error for each reason.
+        first_errors: The first error for each reason.
     """
 
     def __init__(self, replay: Replay, key: bytes = b"") -> None:
@@ -223,7 +223,7 @@
         """
         self.replay = replay
         self.faults: Counter[str] = Counter()
-        self.shown: dict[str, str] = {}
+        self.first_errors: dict[str, str] = {}
         try:
             self._rename = Renamer(key) if replay.rename_key else None
         except ValueError as error:
@@ -234,7 +234,7 @@
         if self.replay.on_error != "skip" and not (self._default_plan and error.reason == "plan"):
             raise error
         self.faults[error.reason] += 1
-        self.shown.setdefault(error.reason, str(error))
+        self.first_errors.setdefault(error.reason, str(error))
 
     def arrivals(self, limiters: int) -> Iterator[Arrival]:
         """Yield the arrivals in order of time.
--- a/elderlock/load/worker.py
+++ b/elderlock/load/worker.py
@@ -126,7 +126,7 @@
         self._gap_ms = self._gap_cpu_ms = 0.0
         self._reported_cpu_ms = self._reported_wait_ms = self._gap_check_cpu_ms = 0.0
         self._reported_preempted = 0
-        self._shown: dict[str, str] = {}
+        self._error_messages: dict[str, str] = {}
         self._timer = OneShotTimer(self.loop, self._send_due)
         self._duration_us = scenario.for_s * 1e6
 
@@ -194,7 +194,7 @@
             self._is_exhausted = True
         except (TraceError, OSError) as error:
             self._is_exhausted = True
-            self._shown["stop"] = f"the replay stopped: {error}"
+            self._error_messages["stop"] = f"the replay stopped: {error}"
             self._send_message(messages.Failed(f"the trace cannot be used: {error}"))
 
     def _set_timer(self) -> None:
@@ -261,7 +261,7 @@
             self._trace.write(row)
         except OSError as error:
             self._trace = None  # the run goes on without its trace, and the report says that the trace is incomplete
-            self._shown["record"] = f"the trace ends {arrival.at / 1e6:.1f} s into the run: {error}"
+            self._error_messages["record"] = f"the trace ends {arrival.at / 1e6:.1f} s into the run: {error}"
 
     # One request
 
@@ -461,7 +461,7 @@
         ]
         self.selector.changes.clear()
         trace_faults = self.replay.faults if self.replay is not None else Counter[str]()
-        shown = self._shown | (self.replay.shown if self.replay is not None else {})
+        error_messages = self._error_messages | (self.replay.first_errors if self.replay is not None else {})
         samples = [messages.Sample(*key, pair[0].tobytes(), pair[1].tobytes()) for key, pair in self._samples.items()]
         self._send_message(
             messages.Interval(
@@ -477,7 +477,7 @@
                 self._open_sent,
                 self._monitor.rss_kb(),
                 dict(trace_faults),
-                shown,
+                error_messages,
                 changes,
                 last,
             )
@@ -493,7 +493,7 @@
             try:
                 self._trace.close()
             except OSError as error:
-                self._shown["record"] = f"the trace is incomplete: {error}"
+                self._error_messages["record"] = f"the trace is incomplete: {error}"
         self._report_interval(last=True)
         self.finished.set()
 
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -77,7 +77,7 @@
         replayed(path)
     found, source = replayed(path, on_error="skip")
     assert [a.at for a in found] == [0, 2] and source.faults == {"backwards": 1}
-    assert source.shown["backwards"].startswith("line 3: ")
+    assert source.first_errors["backwards"].startswith("line 3: ")
 
 
 def test_requests_of_an_unknown_plan_stop_the_replay_or_are_skipped_or_mapped(tmp_path: Path) -> None:
