--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -22,12 +22,19 @@
 from elderlock.fleet.client.group_client import Group
 from elderlock.fleet.config import FileError
 from elderlock.load import compare, report, scenario, trace
-from elderlock.load.coordinator import Coordinator, Line, LoadError, key_of, local_lines, most_workers
-from elderlock.load.figures import Second
+from elderlock.load.coordinator import (
+    Coordinator,
+    LoadError,
+    WorkerLink,
+    local_worker_links,
+    maximum_workers,
+    renaming_key,
+)
+from elderlock.load.metrics import Second
 from elderlock.load.rename import Renamer
 from elderlock.load.report import Exit, Report
 from elderlock.load.scenario import Scenario, ScenarioError
-from elderlock.load.thresholds import ThresholdError, threshold
+from elderlock.load.thresholds import ThresholdError, parse_threshold
 
 # Is called with the start time, and returns the times and descriptions of the faults that it has injected
 StartCallback = Callable[[float], Awaitable[list[tuple[float, str]]]]
@@ -53,7 +60,7 @@
         run.add_argument("--seed", type=int, help="seed of the random numbers")
         run.add_argument("--for", dest="lasts", type=seconds, metavar="S", help="duration, in place of for_s")
         run.add_argument(
-            "--workers", type=int, metavar="N", help=f"number of sending processes (at most {most_workers()} here)"
+            "--workers", type=int, metavar="N", help=f"number of sending processes (at most {maximum_workers()} here)"
         )
         run.add_argument("--json", type=Path, metavar="FILE", help="write the report, for load show and load compare")
         run.add_argument("--html", type=Path, metavar="FILE", help="write the report as an HTML page")
@@ -86,9 +93,7 @@
     compare.add_argument("after", type=Path, help="a file of --json")
     compare.add_argument("--json", action="store_true", help="print one JSON object")
     check = commands.add_parser(
-        "check",
-        help="checks a scenario or a trace",
-        description="checks a scenario or a trace",
+        "check", help="checks a scenario or a trace", description="checks a scenario or a trace"
     )
     check.add_argument("file", help="a scenario or a trace")
     check.add_argument(
@@ -157,7 +162,7 @@
         changes.append(f"record={json.dumps(str(options.record))}")
     read = scenario.read(options.scenario, changes)
     for text in options.fail_if:
-        threshold(text)
+        parse_threshold(text)
     for path in (options.json, options.html, options.record):
         if path is not None and not path.resolve().parent.is_dir():
             raise ScenarioError(f"{path}: there is no such folder")
@@ -182,10 +187,7 @@
 
 
 async def _send(
-    options: argparse.Namespace,
-    read: Scenario,
-    lines: Sequence[Line],
-    on_start: StartCallback | None = None,
+    options: argparse.Namespace, read: Scenario, lines: Sequence[WorkerLink], on_start: StartCallback | None = None
 ) -> int:
     """Send the load through the workers, write and print the report, and return the exit code."""
     if not read.targets.addresses:
@@ -193,11 +195,11 @@
 
     def print_second(second: Second) -> None:
         if not options.quiet:
-            print(report.live(second), file=sys.stderr, flush=True)
+            print(report.live_line(second), file=sys.stderr, flush=True)
 
     # Each worker writes its part of the trace to this folder. The coordinator joins the parts at the end.
     with tempfile.TemporaryDirectory(prefix="elderlock-load-", ignore_cleanup_errors=True) as folder:
-        coordinator = Coordinator(read, lines, print_second, on_start, key_of(read), Path(folder))
+        coordinator = Coordinator(read, lines, print_second, on_start, renaming_key(read), Path(folder))
         loop = asyncio.get_running_loop()
         for number in (signal.SIGINT, signal.SIGTERM):
             loop.add_signal_handler(number, coordinator.interrupt)
@@ -230,9 +232,9 @@
 
 def _page(result: Report) -> bytes:
     """Return the report as an HTML page."""
-    from elderlock.load.page import page
+    from elderlock.load.html_report import render_page
 
-    return page(result).encode()
+    return render_page(result).encode()
 
 
 def _write(path: Path, data: bytes) -> None:
@@ -271,12 +273,12 @@
     try:
         if not addresses and group is not None:
             addresses = await _limiter_addresses(group)
-        lines = local_lines(read.workers)
+        lines = local_worker_links(read.workers)
         if agents:
-            from elderlock.load.remote import RemoteLine
+            from elderlock.load.remote_worker import RemoteWorkerLink
 
             assert group is not None
-            lines += [RemoteLine(group, agent, read.workers + index) for index, agent in enumerate(agents)]
+            lines += [RemoteWorkerLink(group, agent, read.workers + index) for index, agent in enumerate(agents)]
         return await _send(options, _with_targets(read, addresses), lines)
     finally:
         if group is not None:
@@ -361,7 +363,9 @@
                 raise ScenarioError("sending over gRPC needs the extra elderlock[grpc]")
             addresses = world.doors if kind == "grpc" else world.listens
             print(f"{world.limiters} limiters and {len(world.boxes)} boxes are running", file=sys.stderr, flush=True)
-            return await _send(options, _with_targets(read, addresses, kind), local_lines(read.workers), troubles.run)
+            return await _send(
+                options, _with_targets(read, addresses, kind), local_worker_links(read.workers), troubles.run
+            )
     except (UpError, TroubleError) as error:
         raise LoadError(str(error)) from None
 
@@ -384,7 +388,7 @@
 def show(options: argparse.Namespace) -> int:
     """Print a stored report, and check it against the thresholds of `--fail-if`."""
     result = _report(options.report)
-    failed = report.judged(result, options.fail_if)
+    failed = report.failed_thresholds(result, options.fail_if)
     result.failed += failed
     if failed and result.exit == Exit.DONE:
         result.exit = Exit.FAILED
@@ -393,12 +397,12 @@
 
 def compare_reports(options: argparse.Namespace) -> int:
     """Print the differences of two stored reports."""
-    differences, warnings = compare.compared(_report(options.before), _report(options.after))
+    differences, warnings = compare.compare_reports(_report(options.before), _report(options.after))
     if options.json:
         rows = [{**msgspec.structs.asdict(difference), "verdict": difference.verdict} for difference in differences]
         print(json.dumps({"differences": rows, "careful": warnings}))
     else:
-        print("\n".join(compare.lines(differences, warnings)))
+        print("\n".join(compare.table_lines(differences, warnings)))
     return Exit.DONE
 
 
@@ -406,7 +410,9 @@
     """Check a scenario, or read a trace to its end and count its requests and errors."""
     if options.file.endswith(".toml") or len(Path(options.file).parts) == 1 and not Path(options.file).exists():
         read = scenario.read(options.file, options.set)
-        expected = [sum(piece.expected for piece in scenario.pieces(stream, read.for_s)) for stream in read.stream]
+        expected = [
+            sum(piece.expected for piece in scenario.rate_segments(stream, read.for_s)) for stream in read.stream
+        ]
         requests = f"a replay of {read.replay.path}" if read.replay else f"about {sum(expected):.0f} requests"
         print(f"{read.name}: the scenario is valid; {requests}, {len(read.trouble)} faults")
         return Exit.DONE
@@ -415,14 +421,14 @@
     accounts: set[str] = set()
     last_us = 0
     with trace.open_trace(Path(options.file)) as file:
-        for _, row in trace.rows(trace.lines(file)):
+        for _, row in trace.read_rows(trace.read_lines(file)):
             if isinstance(row, trace.TraceError):
                 counts[row.reason] += 1
                 first_errors.setdefault(row.reason, str(row))
             else:
                 counts["rows"] += 1
                 last_us = row.at
-                if len(accounts) < scenario.MOST_ACCOUNTS:
+                if len(accounts) < scenario.MAXIMUM_ACCOUNTS:
                     accounts.add(row.account)
     print(f"{counts.pop('rows', 0)} requests of {len(accounts)} accounts, until {last_us / 1e6:.3f} s")
     for reason, count in counts.items():
@@ -435,8 +441,8 @@
     renamer = Renamer(options.key.read_bytes())
     if options.out.resolve() == options.trace.resolve():
         raise ValueError(f"{options.out}: the new trace must be a different file")
-    with trace.open_trace(options.trace) as file, contextlib.closing(trace.Writer(options.out)) as writer:
-        for _, row in trace.rows(trace.lines(file)):
+    with trace.open_trace(options.trace) as file, contextlib.closing(trace.TraceWriter(options.out)) as writer:
+        for _, row in trace.read_rows(trace.read_lines(file)):
             if isinstance(row, trace.TraceError):
                 raise row
             row.account = renamer(row.account)
@@ -464,13 +470,13 @@
         asyncio.get_running_loop().add_signal_handler(number, stop.set)
     started_at = previous_poll_at = time.monotonic()
     missing_answers = 0
-    with contextlib.closing(trace.Writer(options.out)) as writer:
+    with contextlib.closing(trace.TraceWriter(options.out)) as writer:
         while True:
             observation = await observe_group(group, MAXIMUM_ACCOUNTS)
             now = time.monotonic()
             missing_answers += len(observation.missing)
             states = {state.limiter: state for state in observation.states()}
-            for row in recorder.look(states, previous_poll_at - started_at, now - started_at):
+            for row in recorder.poll(states, previous_poll_at - started_at, now - started_at):
                 writer.write(row)
             previous_poll_at = now
             if stop.is_set() or now - started_at >= options.lasts:
@@ -479,7 +485,7 @@
                 async with asyncio.timeout(min(options.every, max(0.0, started_at + options.lasts - now))):
                     await stop.wait()
     group.close()
-    print(f"{writer.rows} requests in {recorder.looks} polls")
+    print(f"{writer.rows} requests in {recorder.polls} polls")
     if recorder.uncounted or missing_answers:
         print(
             f"not in the trace: {recorder.uncounted} requests of unknown account or plan; "
@@ -490,6 +496,6 @@
 
 def scenarios(options: argparse.Namespace) -> int:
     """List the built-in scenarios."""
-    for name in scenario.ships():
+    for name in scenario.shipped_scenarios():
         print(f"{name}: {scenario.read(name).about}")
     return Exit.DONE
--- a/elderlock/sim/clients.py
+++ b/elderlock/sim/clients.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from elderlock.load.clientele import FINAL, Way, reason
+from elderlock.load.client_policy import FINAL, ClientPolicy, combined_outcome
 from elderlock.load.clock import now_us
-from elderlock.load.pinging import ping
+from elderlock.load.health_check import run_health_check
+from elderlock.load.resp_client import Connection, Pool, Request
 from elderlock.load.schedule import Arrival
-from elderlock.load.targets import Front
-from elderlock.load.wire import Connection, Pool, Request
+from elderlock.load.targets import TargetSelector
 from elderlock.sim.scenario import Scenario
 
 PING_INTERVAL_S, PING_TIMEOUT_S = 0.3, 2.0
@@ -25,14 +25,14 @@
 class HoardingPool(Pool):
     """The connections of many clients, some of which send one request and keep their connection open forever."""
 
-    def free(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Returns a connection to the pool, unless its client hoards it."""
         clients = self.engine
         assert isinstance(clients, Clients)
-        if clients.hoard and connection.usable() and clients.rng.random() < clients.hoard:
+        if clients.hoard and connection.is_usable() and clients.rng.random() < clients.hoard:
             clients.count("hoarded")
         else:
-            super().free(connection)
+            super().release(connection)
 
 
 class Clients:
@@ -70,10 +70,10 @@
         self._scenario, self._arrivals, self.rng, self._finished = scenario, arrivals, rng, finished
         traffic = scenario.traffic(0)
         behaviors = [traffic.clients_of(number) for number in range(max(1, len(scenario.stream)))]
-        self._ways = [Way(clients) for clients in behaviors]
+        self._ways = [ClientPolicy(clients) for clients in behaviors]
         self._marks_retries = [clients.marks_retries for clients in behaviors]
         self._addresses = addresses
-        self.front = Front(len(addresses), PING_TIMEOUT_S)
+        self.front = TargetSelector(len(addresses), PING_TIMEOUT_S)
         self._pools = [
             [
                 HoardingPool(self, self.loop, at, clients.connections == "keep", clients.most_connections, True)
@@ -95,7 +95,9 @@
         """Starts the schedule."""
         self._started_us = now_us()
         for target in range(len(self._addresses)):
-            self._create_task(ping(self.front, target, self._addresses[target], PING_INTERVAL_S, PING_TIMEOUT_S))
+            self._create_task(
+                run_health_check(self.front, target, self._addresses[target], PING_INTERVAL_S, PING_TIMEOUT_S)
+            )
         self._create_task(self._send())
 
     def _create_task(self, work: Any) -> None:
@@ -153,8 +155,8 @@
         for task in self._tasks:
             task.cancel()
         for request in list(self.open):
-            request.active = False
-            for timer in (request.timer, request.leave, request.again):
+            request.is_active = False
+            for timer in (request.timeout_timer, request.departure_timer, request.retry_timer):
                 if timer is not None:
                     timer.cancel()
         for pools in self._pools:
@@ -169,32 +171,36 @@
         request = Request(self._last_number, arrival, now_us(), arrival.stream)
         self.open[request] = None
         self.counts["offered"] += 1
-        if arrival.leaves:
-            request.leave = self.loop.call_later(arrival.leaves / 1e6, self._leave, request)
+        if arrival.leaves_after_us:
+            request.departure_timer = self.loop.call_later(arrival.leaves_after_us / 1e6, self._leave, request)
         self._try(request)
 
     def _try(self, request: Request) -> None:
-        request.again = None
-        if request.over:
+        request.retry_timer = None
+        if request.is_finished:
             return
         arrival, now = request.arrival, now_us()
-        request.tries += 1
-        request.wrote, request.resent, request.connection, request.active = 0, False, None, True
-        patience = self._ways[request.way].patience(arrival.deadline, (now - request.began) / 1000.0)
+        request.attempts += 1
+        request.written_at_us, request.was_resent, request.connection, request.is_active = 0, False, None, True
+        patience = self._ways[request.policy_index].attempt_timeout_ms(
+            arrival.deadline, (now - request.intended_start_us) / 1000.0
+        )
         target = self.front.choose(arrival.spread, arrival.first, self.rng)
         if target is None or patience <= 0.0:
-            return self.ended(request, "nowhere" if target is None else "timeout")
+            return self.on_attempt_ended(request, "nowhere" if target is None else "timeout")
         request.target = target
-        self.counts["retries"] += request.tries > 1
-        request.id = b"q%d-%d" % (request.number, request.tries)
-        request.timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
-        self._pools[request.way][target].send(request)
+        self.counts["retries"] += request.attempts > 1
+        request.id = b"q%d-%d" % (request.number, request.attempts)
+        request.timeout_timer = self.loop.call_later(patience / 1000.0, self._timed_out, request)
+        self._pools[request.policy_index][target].send(request)
 
-    def terms(self, request: Request) -> bytes:
+    def request_terms(self, request: Request) -> bytes:
         """Returns the parameters of the present attempt as the limiter's protocol encodes them."""
         arrival = request.arrival
-        time_left = self._ways[request.way].patience(arrival.deadline, (request.wrote - request.began) / 1000.0)
-        retry_mark = b",r=1" if request.tries > 1 and self._marks_retries[request.way] else b""
+        time_left = self._ways[request.policy_index].attempt_timeout_ms(
+            arrival.deadline, (request.written_at_us - request.intended_start_us) / 1000.0
+        )
+        retry_mark = b",r=1" if request.attempts > 1 and self._marks_retries[request.policy_index] else b""
         return b"c=%b,t=%b,units=%b,spread=%d,first=%d,d=%d%b" % (
             arrival.class_name.encode(),
             arrival.plan.encode(),
@@ -205,12 +211,12 @@
             retry_mark,
         )
 
-    def wrote(self, request: Request) -> None:
+    def on_request_written(self, request: Request) -> None:
         """Records that the present attempt was sent."""
-        request.sent = True
+        request.was_sent = True
         self.counts["tries"] += 1
 
-    def ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
+    def on_attempt_ended(self, request: Request, outcome: str, advice: float | None = None) -> None:
         """Handles the end of an attempt: retries the request, or ends it.
 
         Args:
@@ -218,54 +224,54 @@
             outcome: The outcome of the attempt.
             advice: The limiter's advice when to retry, in ms; None if it gave none.
         """
-        if not request.active:
+        if not request.is_active:
             return
-        request.active = False
-        if request.timer is not None:
-            request.timer.cancel()
-            request.timer = None
-        request.reason = reason(request.reason, outcome, request.sent, request.wrote > 0)
-        arrival, waited = request.arrival, (now_us() - request.began) / 1000.0
+        request.is_active = False
+        if request.timeout_timer is not None:
+            request.timeout_timer.cancel()
+            request.timeout_timer = None
+        request.outcome = combined_outcome(request.outcome, outcome, request.was_sent, request.written_at_us > 0)
+        arrival, waited = request.arrival, (now_us() - request.intended_start_us) / 1000.0
         retry = None
         if outcome not in FINAL:
-            retry = self._ways[request.way].after(
-                outcome, advice, request.tries, arrival.honours, waited, arrival.deadline, self.rng
+            retry = self._ways[request.policy_index].next_retry(
+                outcome, advice, request.attempts, arrival.honours_retry_after, waited, arrival.deadline, self.rng
             )
         if retry is None:
-            return self._finish(request, request.reason)
-        request.again = self.loop.call_later(retry.wait / 1000.0, self._try, request)
+            return self._finish(request, request.outcome)
+        request.retry_timer = self.loop.call_later(retry.wait_ms / 1000.0, self._try, request)
 
     def _timed_out(self, request: Request) -> None:
-        request.timer = None
+        request.timeout_timer = None
         if request.connection is not None:
-            request.connection.give_up(gone=False)
+            request.connection.give_up(client_left=False)
             request.connection = None
-        self.ended(request, "timeout")
+        self.on_attempt_ended(request, "timeout")
 
     def _leave(self, request: Request) -> None:
-        if not request.over:
+        if not request.is_finished:
             if request.connection is not None:
-                request.connection.give_up(gone=True)
+                request.connection.give_up(client_left=True)
                 request.connection = None
             self._finish(request, "left")
 
     def _finish(self, request: Request, outcome: str) -> None:
-        request.over, request.active = True, False
-        for timer in (request.timer, request.leave, request.again):
+        request.is_finished, request.is_active = True, False
+        for timer in (request.timeout_timer, request.departure_timer, request.retry_timer):
             if timer is not None:
                 timer.cancel()
         self.open.pop(request, None)
         self.counts[outcome] += 1
-        self._finished(request, outcome, (now_us() - request.began) / 1000.0)
+        self._finished(request, outcome, (now_us() - request.intended_start_us) / 1000.0)
 
     def count(self, name: str) -> None:
         """Increments a count."""
         self.counts[name] += 1
 
-    def dialled(self, took_us: int) -> None:
+    def on_connected(self, took_us: int) -> None:
         """Ignores that a connection was opened."""
         pass
 
-    def out_of_descriptors(self) -> None:
+    def on_out_of_descriptors(self) -> None:
         """Counts an attempt that found no free file descriptor."""
         self.counts["descriptors"] += 1
--- a/elderlock/sim/scenario.py
+++ b/elderlock/sim/scenario.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from elderlock.load import scenario as load
-from elderlock.load.accounts import Mix
-from elderlock.load.scenario import Clients, ScenarioError, Strict
+from elderlock.load.accounts import AccountMix
+from elderlock.load.scenario import Clients, ScenarioError, StrictStruct
 from elderlock.sim.models.link_conditions import LinkDelays
 from elderlock.standins.model import Shape
 
@@ -137,7 +137,7 @@
 )
 
 
-class Fault(Strict, frozen=True):
+class Fault(StrictStruct, frozen=True):
     """A fault that is injected during a run.
 
     Attributes:
@@ -208,7 +208,7 @@
 }
 
 
-class Plan(Strict, frozen=True):
+class Plan(StrictStruct, frozen=True):
     """A plan that accounts belong to.
 
     Attributes:
@@ -236,7 +236,7 @@
     open_limit: int = 0
 
 
-class Service(Strict, frozen=True):
+class Service(StrictStruct, frozen=True):
     """A class of requests.
 
     Attributes:
@@ -250,7 +250,7 @@
     effect: Literal["free", "guarded", "single_shot"] = "free"
 
 
-class ServerKind(Strict, frozen=True):
+class ServerKind(StrictStruct, frozen=True):
     """A kind of server; see `elderlock.standins.model`. Servers are assigned the kinds in turn.
 
     Attributes:
@@ -292,7 +292,7 @@
         )
 
 
-class Net(Strict, frozen=True):
+class Net(StrictStruct, frozen=True):
     """Delays in ms and loss rates as shares; see `elderlock.sim.models.link_conditions`.
 
     Attributes:
@@ -314,7 +314,7 @@
         return LinkDelays(self.same_ms, self.cross_ms, self.jitter, loss=self.loss, datagram_loss=self.datagram_loss)
 
 
-class Settings(Strict, frozen=True):
+class Settings(StrictStruct, frozen=True):
     """Settings that an operator may choose and an experiment may compare.
 
     Attributes:
@@ -354,7 +354,7 @@
         return int(self.budget * boxes + 1e-9)
 
 
-class Scenario(Strict, frozen=True):
+class Scenario(StrictStruct, frozen=True):
     """A scenario. Clients and discovery are in no zone, so that no partition between zones affects them.
 
     Attributes:
@@ -438,7 +438,7 @@
         accounts: The number of accounts.
         skew: The skew of the load over the accounts.
     """
-    mix = Mix(count=accounts, skew=skew)
+    mix = AccountMix(count=accounts, skew=skew)
     shape = (load.Steady(rate=share * scenario.capacity()),)
     stream = load.Stream(
         name="main",
@@ -504,7 +504,7 @@
         ScenarioError: A value is out of range, or a name is unknown.
     """
     s = scenario
-    load.bounds(
+    load.check_ranges(
         "the group",
         limiters=(s.limiters, 1, MAX_LIMITERS),
         boxes=(s.boxes, 1, MAX_SERVERS),
@@ -529,7 +529,7 @@
         if stream.class_name not in services:
             raise ScenarioError(f"stream {stream.name}: there is no service {stream.class_name!r}")
     for kind in s.kind:
-        load.bounds(
+        load.check_ranges(
             f"kind {kind.name}",
             cores=(kind.cores, 1, 1000),
             speed=(kind.speed, 0.001, 1000),
@@ -541,7 +541,7 @@
             noise=(kind.noise, 0, 1),
             report_every_ms=(kind.report_every_ms, 0, 60_000),
         )
-    load.bounds(
+    load.check_ranges(
         "settings",
         subset=(s.settings.subset, 0, MAX_SERVERS),
         max_attempts=(s.settings.max_attempts, 1, 10),
@@ -549,7 +549,7 @@
         sockets=(s.settings.sockets, 64, 1_000_000),
         keepalive_ms=(s.settings.keepalive_ms, 100, 600_000),
     )
-    load.bounds(
+    load.check_ranges(
         "net",
         same_ms=(s.net.same_ms, 0, 1000),
         cross_ms=(s.net.cross_ms, 0, 10_000),
@@ -584,7 +584,7 @@
             f"{where}: {fault.target} does not support the fault {fault.what!r}; "
             f"it supports {', '.join(sorted(supported))}"
         )
-    load.bounds(
+    load.check_ranges(
         where,
         at_s=(fault.at_s, 0, lasts),
         for_s=(fault.for_s, 0, MAX_DURATION_S),
--- a/elderlock/sim/seeds.py
+++ b/elderlock/sim/seeds.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from elderlock.load.scenario import ScenarioError, Strict
+from elderlock.load.scenario import ScenarioError, StrictStruct
 from elderlock.sim.scenario import FORMAT, Scenario, check, timeline
 
 MAX_FILE_BYTES = 32 << 20
@@ -27,7 +27,7 @@
     """The seed was made for another version of the models and may not show the same failure any more."""
 
 
-class Seed(Strict, frozen=True):
+class Seed(StrictStruct, frozen=True):
     """A kept seed.
 
     Attributes:
