--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -33,8 +33,8 @@
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground
-from elderlock.trial.standing import judged, standing
+from elderlock.trial.harness import Harness
+from elderlock.trial.running_harness import check_invariants, running_harness
 
 AGENTS, LIMITERS, BOXES, SHARE = 5, 10, 6, 0.4
 TERMS = RolloutPolicy(
@@ -81,11 +81,11 @@
     return None
 
 
-async def watch_out(ground: Ground, seen: list[Holding], stop: asyncio.Event) -> None:
+async def watch_out(ground: Harness, seen: list[Holding], stop: asyncio.Event) -> None:
     """Which limiters are drained, as each says of itself: out by our doing."""
     while not stop.is_set():
         at = ground.at()
-        for shown in (await ground.shown(0.5)).values():
+        for shown in (await ground.show_agents(0.5)).values():
             for limiter in shown.limiters:
                 here = next((n for n, held in enumerate(seen) if held.holder == limiter.name and held.ended > 1e17), -1)
                 down = limiter.state is not None and limiter.link == "answering" and limiter.state.is_drained
@@ -96,7 +96,7 @@
         await asyncio.sleep(0.05)
 
 
-async def befall(ground: Ground, rng: random.Random) -> None:
+async def befall(ground: Harness, rng: random.Random) -> None:
     """A fault of one agent, over a few seconds."""
     number = rng.randrange(AGENTS)
     name, what = f"agent-{number}", rng.choice(["kill", "stop", "cut"])
@@ -109,16 +109,16 @@
     else:
         others = [f"agent-{n}" for n in range(AGENTS) if n != number]
         pairs = [(name, other) for other in others] + [(other, name) for other in others][: rng.choice([0, 9])]
-        ground.relays.befall("cut", pairs)
+        ground.relays.inject("cut", pairs)
         await asyncio.sleep(rng.uniform(0.5, 3.0))
-        ground.relays.mend("cut", pairs)
+        ground.relays.clear("cut", pairs)
 
 
-async def served(ground: Ground, seconds: float) -> float:
+async def served(ground: Harness, seconds: float) -> float:
     """Share of what limiters took that they served, over so many seconds."""
 
     async def counts() -> tuple[int, int]:
-        states = [limiter.state for shown in (await ground.shown()).values() for limiter in shown.limiters]
+        states = [limiter.state for shown in (await ground.show_agents()).values() for limiter in shown.limiters]
         kept = [state.counts for state in states if state is not None]
         return sum(c.served for c in kept), sum(c.total() for c in kept)
 
@@ -131,22 +131,22 @@
 
 async def history(found: Real, kind: str, flaw: str, seed: int, faults: int) -> None:
     rng = random.Random(seed)
-    async with standing(
+    async with running_harness(
         agents=AGENTS, limiters=LIMITERS, boxes=BOXES, load=0.3, settings=Settings(budget=0.5)
     ) as ground:
         text = ground.group_path.read_text()
         assert "[budget.boxes]" in text
         group = Group.read(ground.group_path, ground.token_path("an"))
         tools = TrialFaults(ground)
-        ground.lay_version("v2", flaw)
-        ground.ask()
+        ground.install_limiter_version("v2", flaw)
+        ground.start_clients()
         await asyncio.sleep(1.0)
         if kind == "drains":
             await drains(found, group, tools, ground)
         else:
             found.calm.append(await served(ground, 3.0))
             await release(found, group, ground, kind, rng, faults)
-        verdict = judged(ground)
+        verdict = check_invariants(ground)
         words = [broken.rule for broken in verdict.broken]
         found.lost += sum("answer" in word or "lost" in word for word in words if "twice" not in word)
         found.twice += sum("twice" in word for word in words)
@@ -154,7 +154,7 @@
         group.close()
 
 
-async def release(found: Real, group: Group, ground: Ground, kind: str, rng: random.Random, faults: int) -> None:
+async def release(found: Real, group: Group, ground: Harness, kind: str, rng: random.Random, faults: int) -> None:
     seen: list[Holding] = []
     stop = asyncio.Event()
     watching = asyncio.ensure_future(watch_out(ground, seen, stop))
@@ -195,7 +195,7 @@
     found.over_budget += len(bounded(seen, {OUT: float(int(0.5 * LIMITERS))}))
 
 
-async def operate_halt(found: Real, group: Group, ground: Ground, id: str) -> None:
+async def operate_halt(found: Real, group: Group, ground: Harness, id: str) -> None:
     """From the word's reaching an agent until all agents say that it is in force; then it goes on."""
     await asyncio.sleep(1.5)
     began = time.monotonic()
@@ -224,17 +224,17 @@
     return False
 
 
-async def drains(found: Real, group: Group, tools: TrialFaults, ground: Ground) -> None:
+async def drains(found: Real, group: Group, tools: TrialFaults, ground: Harness) -> None:
     """From the tool's start until a limiter has the drain, which takes a permit first."""
     for turn in range(20):
         box = f"s-{turn % BOXES:02d}"
         began = time.time() * 1000.0
-        code = await tools.told("an", "drain", "box", box, within=10.0)
-        shown = await ground.shown()
+        code = await tools.run_command("an", "drain", "box", box, within=10.0)
+        shown = await ground.show_agents()
         at = [r.created_at_unix_ms for each in shown.values() for r in each.records if r.target == box and r.is_drained]
         if code == 0 and at:
             found.drain_ms.append(min(at) - began)
-        await tools.told("an", "undrain", "box", box, within=10.0)
+        await tools.run_command("an", "undrain", "box", box, within=10.0)
         while (await operate.list_plans(group, 1.0)).newest.permits:  # type: ignore[union-attr]
             await asyncio.sleep(0.05)
 
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -32,7 +32,7 @@
 from elderlock.sim.scenario import BoxKind, Net, Plan, Scenario, Service, Settings, of_load
 from elderlock.sim.seeds import Floor
 from elderlock.standins.boxes import OLD, STD
-from elderlock.trial.processes import swept
+from elderlock.trial.processes import run_guarded
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent
@@ -207,7 +207,7 @@
             found["p99"] = report.by["outcome"]["served"].latency["p99"]
             return 0
 
-    swept(PREFIX, life)
+    run_guarded(PREFIX, life)
     kinds = tuple(
         BoxKind(
             kind.name,
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -33,12 +33,12 @@
 from elderlock.spawning import spawn
 from elderlock.standins.world import ROOT, own_host
 from elderlock.trial import disk
-from elderlock.trial.bites import BITES
+from elderlock.trial.control_block import Block
 from elderlock.trial.guard import MARK
+from elderlock.trial.link_conditions import Place, Ways
+from elderlock.trial.mutant_cases import BITES
 from elderlock.trial.relay import Relay, Relays
-from elderlock.trial.seam import Block
-from elderlock.trial.standing import PREFIX, standing
-from elderlock.trial.weather import Place, Ways
+from elderlock.trial.running_harness import PREFIX, running_harness
 
 RATE, SECONDS = 1000.0, 6  # requests a second through a relay, and as many without
 AT_ONCE = 4  # trials side by side
@@ -232,7 +232,7 @@
 from elderlock.control.records import Record
 from elderlock.fleet.messages import AuditLine
 from elderlock.trial.disk import TrialHost
-from elderlock.trial.seam import Block
+from elderlock.trial.control_block import Block
 home, seam = Path(sys.argv[1]), Path(sys.argv[2])
 block = Block(seam)
 block.begins(os.getpid())
@@ -268,7 +268,7 @@
 
 async def start_of_five() -> float:
     began = time.perf_counter()
-    async with standing():
+    async with running_harness():
         return time.perf_counter() - began
 
 
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -265,10 +265,10 @@
 
 def up(options: argparse.Namespace) -> int:
     from elderlock.cli.running import PREFIX
-    from elderlock.trial.processes import swept
+    from elderlock.trial.processes import run_guarded
 
     read = _scenario(options)
-    return swept(PREFIX, lambda folder, mark: _up(options, read, folder, mark))
+    return run_guarded(PREFIX, lambda folder, mark: _up(options, read, folder, mark))
 
 
 async def _up(options: argparse.Namespace, read: Scenario, folder: Path, mark: str) -> int:
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -18,8 +18,8 @@
 from elderlock.sim.experiment import scenario_of, ships
 from elderlock.sim.scenario import Scenario, timeline, unplayable
 from elderlock.sim.seeds import SeedError
-from elderlock.trial.ground import TrialError
-from elderlock.trial.processes import short_temp, swept
+from elderlock.trial.harness import TrialError
+from elderlock.trial.processes import run_guarded, short_temp_folder
 from elderlock.trial.run import Outcome, play
 
 PREFIX = "elderlock-trial-"
@@ -95,10 +95,10 @@
         scenario, seed = scenario_of(options.scenario, Path.cwd(), tuple(options.set)), options.seed
     _fits(scenario)
     if options.flaw:
-        from elderlock.trial.flaws import FLAWS
+        from elderlock.trial.mutants import MUTANTS
 
-        if options.flaw not in FLAWS:
-            raise ScenarioError(f"there is no flaw {options.flaw!r}; there are {', '.join(FLAWS)}")
+        if options.flaw not in MUTANTS:
+            raise ScenarioError(f"there is no flaw {options.flaw!r}; there are {', '.join(MUTANTS)}")
     if options.keep is not None:
         options.keep.mkdir(parents=True, exist_ok=True)
     for line in unplayable(scenario, "trial"):
@@ -117,7 +117,7 @@
             return 130
         return DONE
 
-    code = swept(PREFIX, work, STOP_WITHIN, short_temp())
+    code = run_guarded(PREFIX, work, STOP_WITHIN, short_temp_folder())
     if not outcome:
         return code
     made = outcome[0]
@@ -127,7 +127,7 @@
                 {
                     "verdict": made.verdict(),
                     "result": made.result,
-                    "late": made.late,
+                    "late": made.stall_summary,
                     "late_rules": made.late_rules,
                     "links": made.links,
                     "processes": made.processes,
@@ -147,25 +147,28 @@
 
 
 def _write(made: Outcome, keep: Path) -> None:
-    from elderlock.trial.page import page, timeline
+    from elderlock.trial.report import html_report, timeline
 
     logs = {path.stem: path.read_text(errors="replace") for path in sorted(keep.glob("*.log"))}
-    lines = timeline(made.events, made.stalls, made.result.broken, logs, made.epoch)
+    lines = timeline(made.events, made.stalls, made.result.broken, logs, made.epoch_ms)
     (keep / "timeline.txt").write_text("\n".join(line.shown() for line in lines) + "\n", encoding="utf-8")
-    (keep / "page.html").write_text(page(made, lines), encoding="utf-8")
+    (keep / "page.html").write_text(html_report(made, lines), encoding="utf-8")
     print(f"kept in {keep}: page.html, timeline.txt, history.jsonl and the logs", file=sys.stderr)
 
 
 def _against(scenario: Scenario, seed: int, made: Outcome) -> None:
-    from elderlock.trial.parting import first, lanes
-    from elderlock.trial.simulated import simulated
+    from elderlock.trial.divergence import event_sequences, first_differences
+    from elderlock.trial.simulation import simulate
 
     try:
-        result, events, zero = simulated(scenario, seed)
+        result, events, zero = simulate(scenario, seed)
     except ValueError as error:
         print(f"the simulation is not compared: {error}", file=sys.stderr)
         return
-    partings = first(lanes(made.events, made.result.broken, made.zero), lanes(events, result.broken, zero))
+    partings = first_differences(
+        event_sequences(made.events, made.result.broken, made.schedule_start_ms),
+        event_sequences(events, result.broken, zero),
+    )
     rules = f"broken there: {', '.join(result.rules()) or 'nothing'}"
     print(f"the simulation of it: {result.figures.served_in_time:.3f} served in time, {rules}")
     for each in partings[:5]:
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -19,7 +19,7 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.standins.front import Front
 from elderlock.standins.world import OPERATORS, World
-from elderlock.trial.processes import AGENT, Child, python, swept
+from elderlock.trial.processes import AGENT_COMMAND, Child, python, run_guarded
 
 READY_WITHIN = 30.0  # s
 AGENT_AGAIN = 0.5  # s before an agent that died is started again
@@ -33,14 +33,14 @@
     if not (1 <= options.limiters <= 40 and 1 <= options.boxes <= 200 and 0 <= options.traffic <= 5000):
         print("elderlock: up takes 1 to 40 limiters, 1 to 200 boxes, 0 to 5000 requests a second", file=sys.stderr)
         return 2
-    return swept(PREFIX, lambda folder, mark: _up(options, folder, mark))
+    return run_guarded(PREFIX, lambda folder, mark: _up(options, folder, mark))
 
 
 class _Agent:
     """The agent's process, started again when it dies: its limiters run on meanwhile."""
 
     def __init__(self, path: Path, mark: str, log: Path) -> None:
-        self._child = Child("agent", python(*AGENT, str(path)), mark, log, ended=self._over)
+        self._child = Child("agent", python(*AGENT_COMMAND, str(path)), mark, log, ended=self._over)
         self._ended = asyncio.Event()
         self._code = 0
         self.unusable = asyncio.Event()
--- a/elderlock/trial/child.py
+++ b/elderlock/trial/child.py
@@ -12,7 +12,7 @@
 import time
 from pathlib import Path
 
-from elderlock.trial.seam import Block
+from elderlock.trial.control_block import Block
 
 SEAM, FLAW = "ELDERLOCK_TRIAL_SEAM", "ELDERLOCK_TRIAL_FLAW"
 OWN = ".own"  # what a limiter's control socket is called behind its relay
@@ -94,9 +94,9 @@
     block.begins(os.getpid())
     move_clock(block)
     if flaw := os.environ.get(FLAW):
-        from elderlock.trial.flaws import FLAWS, Patch
+        from elderlock.trial.mutants import MUTANTS, Patch
 
-        FLAWS[flaw](Patch())
+        MUTANTS[flaw](Patch())
     code = limiter() if role == "limiter" else agent(Path(sys.argv[3]), block)
     block.ends(code)
     return code
--- a/elderlock/trial/disk.py
+++ b/elderlock/trial/disk.py
@@ -21,7 +21,7 @@
 
 from elderlock.fleet.agent_store import Store
 from elderlock.fleet.host import Host
-from elderlock.trial.seam import Block, Disk, Step
+from elderlock.trial.control_block import Block, Disk, Step
 
 WRITES = ("INSERT", "UPDATE", "DELETE", "CREATE")
 STORE_FILES = ("", "-wal")  # of a database; its -shm is made anew
--- a/elderlock/trial/parting.py
+++ b/elderlock/trial/divergence.py
@@ -40,7 +40,9 @@
         return f"{self.lane}, step {self.number}: {both}"
 
 
-def lanes(events: Iterable[Event], broken: Iterable[tuple[str, float, str]], zero: float) -> dict[str, list[Step]]:
+def event_sequences(
+    events: Iterable[Event], broken: Iterable[tuple[str, float, str]], zero: float
+) -> dict[str, list[Step]]:
     """By lane, in order; times count from the schedule's start."""
     made: dict[str, list[Step]] = defaultdict(list)
     states: dict[tuple[str, str], str] = {}
@@ -66,7 +68,7 @@
     return dict(made)
 
 
-def first(real: dict[str, list[Step]], simulated: dict[str, list[Step]]) -> list[Parting]:
+def first_differences(real: dict[str, list[Step]], simulated: dict[str, list[Step]]) -> list[Parting]:
     """One for each lane that differs, the earliest first. A list that a restarted limiter heard anew is one step, so a
     limiter that began once more often than the other shows as a longer lane."""
     found = []
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -14,9 +14,9 @@
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
 from elderlock.sim.stage_faults import StageFaults
 from elderlock.standins.world import OPERATORS
-from elderlock.trial.ground import Ground
+from elderlock.trial.control_block import Block, Disk, Step
+from elderlock.trial.harness import Harness
 from elderlock.trial.processes import Child, python
-from elderlock.trial.seam import Block, Disk, Step
 
 COMMAND_WITHIN = 15.0  # s that an operator's command may take
 DARK = 0.5  # s that a lost power stays away, where the fault does not say
@@ -27,15 +27,15 @@
 class TrialFaults(StageFaults):
     """Each begins at its time, whatever became of the one before."""
 
-    world: Ground
+    world: Harness
 
-    def __init__(self, world: Ground) -> None:
+    def __init__(self, world: Harness) -> None:
         super().__init__(world)
         self._undrains: dict[str, int] = {}
         self.commands: list[tuple[str, int]] = []  # an operator's, with its exit code
         self.agreed = Agreed(world.rules, most_out(world.scenario))
 
-    async def settled(self) -> None:
+    async def wait_until_done(self) -> None:
         """Until all that was begun is done."""
         while self._kept:
             await asyncio.wait(list(self._kept))
@@ -74,16 +74,16 @@
     # Ways
 
     def _befall(self, fault: Fault, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
-        self.world.relays.befall(kind, pairs, by)
+        self.world.relays.inject(kind, pairs, by)
         self._for(fault, lambda: self._mended(kind, pairs, by))
 
     def _mended(self, kind: str, pairs: list[tuple[str, str]], by: float) -> None:
         self.world.note("mended", kind, *(f"{source}>{target}" for source, target in pairs))
-        self.world.relays.mend(kind, pairs, by)
+        self.world.relays.clear(kind, pairs, by)
 
     def silence(self, uid: str) -> Callable[[], object]:
         pairs = [(uid, "*"), ("*", uid)]
-        self.world.relays.befall("cut", pairs)
+        self.world.relays.inject("cut", pairs)
         return lambda: self._mended("cut", pairs, 1.0)
 
     def _name(self, end: str) -> str:
@@ -171,7 +171,7 @@
 
     async def _limiter_fault(self, fault: Fault, number: int) -> None:
         world, name = self.world, f"n{number}"
-        if self._process_fault(fault, name, world.members[number].block):
+        if self._process_fault(fault, name, world.limiter_processes[number].block):
             return
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
@@ -214,9 +214,9 @@
         verb = "drain" if drained else "undrain"
         # where permits are asked for, nobody goes without
         forced = ["--force"] if drained and not self.world.scenario.settings.budget else []
-        await self.told(operator, verb, kind, target, *forced, within=fault.by or COMMAND_WITHIN)
+        await self.run_command(operator, verb, kind, target, *forced, within=fault.by or COMMAND_WITHIN)
 
-    async def told(
+    async def run_command(
         self, operator: str, verb: str, kind: str, target: str, *more: str, within: float = COMMAND_WITHIN
     ) -> int:
         """A tool's whole life, as a process of its own; returns its exit code. What it told of limiters that send a box
@@ -228,8 +228,8 @@
             world.bench.undrained(world.at(), target)
             self.agreed.brings_back(target, world.at())
         undrains = self._undrains.get(target, 0)
-        world.tools += 1
-        name = f"tool-{world.tools}"
+        world.tools_started += 1
+        name = f"tool-{world.tools_started}"
         words = [
             verb,
             kind,
@@ -266,7 +266,7 @@
                     continue
                 self.agreed.took_out(kind, target, world.at())
                 if kind == "box":
-                    life = world.members[int(row["limiter"][1:])].life
+                    life = world.limiter_processes[int(row["limiter"][1:])].incarnation
                     since = world.since(row["at"] - (life.clock_ms if life is not None else 0.0))
                     world.bench.claimed(world.at(), operator, target, row["limiter"], since)
         return code
--- a/elderlock/trial/guard.py
+++ b/elderlock/trial/guard.py
@@ -18,7 +18,7 @@
 ORDERLY = 5.0  # s between SIGTERM and SIGKILL
 
 
-def marked(value: str) -> list[int]:
+def marked_pids(value: str) -> list[int]:
     """The pids of live processes with that mark, but our own."""
     wanted, found = f"{MARK}={value}".encode(), []
     for entry in Path("/proc").iterdir():
@@ -34,19 +34,19 @@
 
 
 def signal_all(value: str, number: signal.Signals) -> None:
-    for pid in marked(value):
+    for pid in marked_pids(value):
         try:
             os.kill(pid, number)
         except ProcessLookupError:
             continue
 
 
-def sweep(value: str, folder: Path, orderly: float = ORDERLY, sleep: Callable[[float], None] = time.sleep) -> None:
+def sweep(value: str, folder: Path, grace_s: float = ORDERLY, sleep: Callable[[float], None] = time.sleep) -> None:
     signal_all(value, signal.SIGTERM)
-    ends = time.monotonic() + orderly
-    while marked(value) and time.monotonic() < ends:
+    ends = time.monotonic() + grace_s
+    while marked_pids(value) and time.monotonic() < ends:
         sleep(0.05)
-    while marked(value):  # an agent may have started one more in the meantime
+    while marked_pids(value):  # an agent may have started one more in the meantime
         signal_all(value, signal.SIGKILL)
         sleep(0.02)
     shutil.rmtree(folder, ignore_errors=True)
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/harness.py
@@ -36,14 +36,14 @@
 from elderlock.standins.world import World, own_host
 from elderlock.trial import child as children
 from elderlock.trial import disk
-from elderlock.trial.guard import marked
+from elderlock.trial.control_block import RUNS, Block
+from elderlock.trial.guard import marked_pids
 from elderlock.trial.history import DRAIN, GRACE, INSTANT, Recorder
-from elderlock.trial.lateness import Watch
+from elderlock.trial.link_conditions import Place, Ways
+from elderlock.trial.observers import ClientEyes, ListEyes, SendEyes
 from elderlock.trial.processes import Child, Stranger, python
 from elderlock.trial.relay import Datagrams, Relay, Relays, listening_tcp
-from elderlock.trial.seam import RUNS, Block
-from elderlock.trial.taps import ClientEyes, ListEyes, SendEyes
-from elderlock.trial.weather import Place, Ways
+from elderlock.trial.stalls import Watch
 
 LOOK = 0.01  # s between looks at the seams
 AGENT_AGAIN = 0.4  # s after which an agent that ended is started again, as in the simulation
@@ -67,7 +67,7 @@
 
 
 @dataclass(eq=False)
-class Life:
+class Incarnation:
     """One process of a limiter, from its start to its end."""
 
     name: str
@@ -80,11 +80,11 @@
 class Limiter:
     number: int
     block: Block
-    life: Life | None = None
+    incarnation: Incarnation | None = None
     begun: int = 0
     unseen: set[int] = field(default_factory=set)  # pids that were killed before they were seen to begin
     own: Child | None = None  # where no agent starts it
-    lives: list[Life] = field(default_factory=list)
+    incarnations: list[Incarnation] = field(default_factory=list)
 
 
 @dataclass(eq=False)
@@ -95,14 +95,14 @@
     doomed: str = ""
     lied: bool = False  # its disk said of a sync that it was done, and it was not
     armed: bool = False  # to be killed at a step of its disk, in this life or a later one
-    held_down: bool = False  # started again by whoever holds it down
+    is_held_down: bool = False  # started again by whoever holds it down
     dark: int = 0  # losses of power that it has not come back from: one may begin before the last is over
     states: int = 0  # how often what it had kept was taken away by us
 
 
-class Ground(World):
-    """`mark` is on all that it starts, see `guard`. `flaw` names one of `flaws.FLAWS` that its processes have.
-    `based`: a base starts each agent."""
+class Harness(World):
+    """`mark` is on all that it starts, see `guard`. `flaw` names one of `flaws.MUTANTS` that its processes have.
+    `with_launchers`: a base starts each agent."""
 
     def __init__(
         self,
@@ -112,10 +112,10 @@
         seed: int = 1,
         flaw: str = "",
         rules: j.Rules | None = None,
-        based: bool = False,
+        with_launchers: bool = False,
     ) -> None:
         self.scenario, self.seed, self.mark = scenario, seed, mark
-        self.flaw, self.based = flaw, based
+        self.flaw, self.with_launchers = flaw, with_launchers
         s, kind = scenario, scenario.kind[0]
         self.rules = rules or j.Rules(
             grace=GRACE, drain=DRAIN, instant=INSTANT, cold_share=kind.cold_share, cold_ms=kind.cold_ms
@@ -132,14 +132,14 @@
         self.network = self.datagrams
         self.bench = Recorder()
         self.account = Account(s.warm_s * 1000.0, s.service[0].aim_ms)
-        self.members: list[Limiter] = []
+        self.limiter_processes: list[Limiter] = []
         self.agent_processes: list[AgentProcess] = []
         self.broke_streams = False
         self.clients: Clients | None = None
-        self.zero = 0.0  # ms of the run at which the schedule began
+        self.schedule_start_ms = 0.0  # ms of the run at which the schedule began
         self.failed: list[str] = []  # of the ground itself: a stand-in or a relay that raised
         self._began = time.monotonic()
-        self.epoch = unix_ms()
+        self.epoch_ms = unix_ms()
         self._lists: list[Relay] = []
         self._counts: list[Relay] = []
         self._fronts: list[Relay] = []
@@ -149,7 +149,7 @@
         self.watch = Watch(self.at, self._pids)
         self._timers: list[asyncio.TimerHandle] = []
         self._closed = False
-        self.tools = 0
+        self.tools_started = 0
 
     # Time
 
@@ -158,7 +158,7 @@
         return (time.monotonic() - self._began) * 1000.0
 
     def since(self, unix: float) -> float:
-        return unix - self.epoch
+        return unix - self.epoch_ms
 
     # The world as its processes find it
 
@@ -203,7 +203,7 @@
         return self.folder / self.agent_names[agent]
 
     @property
-    def direct_path(self) -> Path:
+    def direct_group_path(self) -> Path:
         """The group's file for whoever looks on: no relay lies between."""
         return self.folder / "direct.toml"
 
@@ -253,7 +253,7 @@
                     listens=False,
                 )
             )
-            self.members.append(Limiter(number, Block(self.seam_path(f"n{number}"), make=True)))
+            self.limiter_processes.append(Limiter(number, Block(self.seam_path(f"n{number}"), make=True)))
         kinds = [Kind(kind.name, kind.shape()) for kind in s.kind]
         for number in range(s.boxes):
             await self.add_trial_box(kinds[number % len(kinds)], floor_name(number % s.floors))
@@ -283,11 +283,11 @@
         path.write_text(text + '[versions]\nfolder = "versions"\n')
         return path
 
-    def lay_version(self, name: str, flaw: str = "", **environ: str) -> None:
+    def install_limiter_version(self, name: str, flaw: str = "", **environ: str) -> None:
         """A version of limiters on every agent's disk: the program as it is, with that flaw."""
         self._lay_version(name, "command", "limiter", flaw, environ)
 
-    def lay_agent_version(self, name: str, flaw: str = "", **environ: str) -> None:
+    def install_agent_version(self, name: str, flaw: str = "", **environ: str) -> None:
         """The same of agents."""
         self._lay_version(name, "agent", "agent", flaw, environ)
 
@@ -313,7 +313,7 @@
             )
         block = Block(self.seam_path(name), make=True)
         seam, file = str(self.seam_path(name)), str(self.agent_path(agent))
-        command = python("-m", "elderlock.trial.child", "base" if self.based else "agent", seam, file)
+        command = python("-m", "elderlock.trial.child", "base" if self.with_launchers else "agent", seam, file)
         environ = {children.FLAW: self.flaw} if self.flaw else {}
         made = Child(name, command, self.mark, self.folder / f"{name}.log", environ)
         process = AgentProcess(agent, block, made)
@@ -328,7 +328,7 @@
         lines = ['[group]\ntoken = "token-viewer"\n']
         for name, listen in zip(self.agent_names, self.agent_listens, strict=True):
             lines.append(f'[[agent]]\nname = "{name}"\naddress = "{listen}"\n')
-        self.direct_path.write_text("\n".join(lines))
+        self.direct_group_path.write_text("\n".join(lines))
 
     async def add_trial_box(self, kind: Kind, floor: str, started: float = 0.0) -> TrialBox:
         uid = f"s-{self._uids:02d}"
@@ -359,16 +359,16 @@
             for agent in self.agent_processes:
                 await self._start_agent(agent)
         else:
-            for member in self.members:
+            for member in self.limiter_processes:
                 await self._start_limiter(member)
-        await self.up(within)
+        await self.wait_until_up(within)
         await self._met(within)
 
     async def _met(self, within: float) -> None:
         """Until each agent has met its limiters, and these have a list: before that a tool is told of no box."""
         ends = time.monotonic() + within
         while self.agents:
-            shown = await self.shown()
+            shown = await self.show_agents()
             limiters = [each for agent in shown.values() for each in agent.limiters if each.link == "answering"]
             met = {each.name for each in limiters if each.state is not None and each.state.list_age_ms >= 0}
             away = [name for name in self.limiter_names if name not in met]
@@ -378,7 +378,7 @@
                 raise TrialError(f"no agent met {', '.join(away)} within {within:g} s; {self._last_words()}")
             await asyncio.sleep(LOOK)
 
-    async def up(self, within: float = UP_WITHIN) -> None:
+    async def wait_until_up(self, within: float = UP_WITHIN) -> None:
         """Until all limiters take clients. Raises `TrialError`."""
         ends = time.monotonic() + within
         while True:
@@ -415,7 +415,7 @@
     async def _start_agent(self, agent: AgentProcess) -> None:
         if self._closed or agent.child.alive:
             return
-        agent.doomed, agent.held_down = "", False
+        agent.doomed, agent.is_held_down = "", False
         await agent.child.start()
         self.note("process", agent.child.name, "begins", agent.child.pid)
 
@@ -428,12 +428,12 @@
         elif not agent.doomed and code != 0:
             said = self._last_line(agent.child.log)
             self.bench.failure(self.at(), agent.child.name, f"it ended with {code}, and nobody had ended it{said}")
-        if not agent.held_down:
+        if not agent.is_held_down:
             self._timers.append(self.loop.call_later(AGENT_AGAIN, self._again_agent, agent))
 
     def _again_agent(self, agent: AgentProcess) -> None:
         # power that was lost since holds it down: started in the dark it was killed by us with nobody to say so
-        if not agent.held_down:
+        if not agent.is_held_down:
             self._again(self._start_agent, agent)
 
     def _again(self, start: Callable[[Any], Any], which: Any) -> None:
@@ -467,7 +467,7 @@
             return
         self._timers = [timer for timer in self._timers if not timer.cancelled() and timer.when() > self.loop.time()]
         self._timers.append(self.loop.call_later(LOOK, self._look))
-        for member in self.members:
+        for member in self.limiter_processes:
             if member.block.begun == member.begun:
                 continue
             member.begun = member.block.begun
@@ -477,13 +477,13 @@
             except ProcessLookupError:  # it began and ended between two looks
                 self._judge_end(member, member.block.pid in member.unseen)
                 continue
-            member.life = Life(name, process, member.block.clock_ms)
-            member.lives.append(member.life)
+            member.incarnation = Incarnation(name, process, member.block.clock_ms)
+            member.incarnations.append(member.incarnation)
             self.bench.limiter_began(self.at(), name)
             self.note("process", name, "begins", process.pid)
 
     def _limiter_ended(self, member: Limiter) -> None:
-        life, member.life = member.life, None
+        life, member.incarnation = member.incarnation, None
         self._judge_end(member, life is None or bool(life.doomed) or life.process.pid in member.unseen)
 
     def _judge_end(self, member: Limiter, doomed: bool) -> None:
@@ -495,14 +495,16 @@
             self.bench.failure(self.at(), name, f"it ended {how}, and nobody had ended it{said}")
 
     def _pids(self) -> dict[str, int]:
-        return {life.name: life.process.pid for member in self.members if (life := member.life) is not None}
+        return {
+            life.name: life.process.pid for member in self.limiter_processes if (life := member.incarnation) is not None
+        }
 
     def signal(self, name: str, number: int, why: str) -> None:
         """To a limiter or an agent, by its name."""
         self.note("signal", name, signal.Signals(number).name)
         ends = number in (signal.SIGKILL, signal.SIGTERM)
         if name.startswith("n"):
-            life = self.members[int(name[1:])].life
+            life = self.limiter_processes[int(name[1:])].incarnation
             if life is not None:
                 life.doomed = why if ends else life.doomed
                 life.process.signal(number)
@@ -519,10 +521,10 @@
     def began_fault(self, number: int, fault: Fault) -> None:
         self.note("fault", number, fault.target, fault.what, fault.for_s, fault.by)
 
-    def incarnation(self, limiter: int) -> Life | None:
-        return self.members[limiter].life
+    def incarnation(self, limiter: int) -> Incarnation | None:
+        return self.limiter_processes[limiter].incarnation
 
-    def lives(self, incarnation: Life | None) -> bool:
+    def lives(self, incarnation: Incarnation | None) -> bool:
         return incarnation is not None and not incarnation.doomed and incarnation.process.alive
 
     def _later(self, do: Callable[[], None]) -> None:
@@ -541,7 +543,7 @@
                     self.bench.ceiling(at, account, plan.ceiling_rate, plan.ceiling_burst, slack)
         self.bench.spent(at, account, units)
         plan = next(plan for plan in self.scenario.plan if plan.name == self._known_plans[account])
-        self.account.let_go(at - self.zero, account, units, plan.rate, plan.burst)
+        self.account.let_go(at - self.schedule_start_ms, account, units, plan.rate, plan.burst)
 
     def reached(self, box: str, request: str) -> None:
         self.bench.ran(self.at(), box, request)
@@ -562,24 +564,26 @@
         arrival = request.arrival
         if outcome == "refused":
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
-            self.account.refused(self.at() - self.zero, arrival.account, arrival.units, plan.rate, plan.burst)
-        began = request.began / 1000.0 - self._began * 1000.0 - self.zero
+            self.account.refused(
+                self.at() - self.schedule_start_ms, arrival.account, arrival.units, plan.rate, plan.burst
+            )
+        began = request.began / 1000.0 - self._began * 1000.0 - self.schedule_start_ms
         self.account.finished(began, outcome, took, arrival.account)
 
-    def ask(self) -> Clients:
+    def start_clients(self) -> Clients:
         """Clients begin with the scenario's schedule, now."""
         asked = arrivals(self.scenario, self.seed)
         addresses = [_address(relay.endpoint) for relay in self._fronts]
         self.clients = Clients(self.scenario, addresses, asked, random.Random(f"clients/{self.seed}"), self.finished)
-        self.zero = self.at()
+        self.schedule_start_ms = self.at()
         self.clients.start()
         return self.clients
 
-    async def shown(self, within: float = 1.0) -> dict[str, f.Shown]:
+    async def show_agents(self, within: float = 1.0) -> dict[str, f.Shown]:
         """What each agent that answers shows, by no relay."""
         if not self.agents:
             return {}
-        group = Group.read(self.direct_path)
+        group = Group.read(self.direct_group_path)
         try:
             found = await group.ask_all(lambda id: f.Show(id, 0, 200.0), f.Shown, within)
         finally:
@@ -591,10 +595,10 @@
 
     def sample(self) -> None:
         """What could grow, as the kernel has it."""
-        for member in self.members:
-            if member.life is None:
+        for member in self.limiter_processes:
+            if member.incarnation is None:
                 continue
-            pid, name = member.life.process.pid, f"n{member.number}, life {len(member.lives)}"
+            pid, name = member.incarnation.process.pid, f"n{member.number}, life {len(member.incarnations)}"
             with contextlib.suppress(OSError, IndexError, ValueError):
                 descriptors = len(os.listdir(f"/proc/{pid}/fd"))
                 pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
@@ -611,9 +615,9 @@
         back after `dark` s."""
         names = [f"n{n}" for n in limiters] + [self.agent_names[a] for a in agents] + boxes
         pairs = [(name, "*") for name in names] + [("*", name) for name in names]
-        self.relays.befall("cut", pairs)
+        self.relays.inject("cut", pairs)
         for agent in agents:
-            self.agent_processes[agent].held_down = True
+            self.agent_processes[agent].is_held_down = True
             self.agent_processes[agent].dark += 1
         for name in names[len(limiters) : len(limiters) + len(agents)] + names[: len(limiters)]:
             self.signal(name, signal.SIGKILL, "its power was lost")
@@ -631,7 +635,7 @@
                 await box.restart()
                 self.bench.started(self.since(box.boot_ms), uid, box.kind.shape.bears())
         await asyncio.sleep(dark)
-        self.relays.mend("cut", pairs)
+        self.relays.clear("cut", pairs)
         for uid in boxes:
             if (box := self.registry.boxes.get(uid)) is not None:
                 self.registry.changed(box)
@@ -644,12 +648,12 @@
     async def _kill_unseen(self, limiters: list[int], agents: list[int]) -> None:
         """An agent may have started one a moment ago, which no look at its seam has seen yet, or which is between its
         fork and its exec and still goes by the agent's name: until two looks in a row find none."""
-        seams = {str(self.seam_path(f"n{n}")): self.members[n] for n in limiters}
+        seams = {str(self.seam_path(f"n{n}")): self.limiter_processes[n] for n in limiters}
         dead = {str(self.seam_path(self.agent_names[a])) for a in agents}
         clean = 0
         while clean < 2:
             clean += 1
-            for pid in marked(self.mark):
+            for pid in marked_pids(self.mark):
                 with contextlib.suppress(OSError):
                     words = set(Path(f"/proc/{pid}/cmdline").read_text().split("\0"))
                     member = next((member for seam, member in seams.items() if seam in words), None)
@@ -663,7 +667,7 @@
     async def restart_agent(self, agent: int, state: Path | None) -> None:
         """From another state of its folder: an old one, or none."""
         process = self.agent_processes[agent]
-        process.held_down = True
+        process.is_held_down = True
         self.signal(process.child.name, signal.SIGKILL, "its state was replaced")
         await process.child.end()
         disk.put_home(self.home(agent), state)
@@ -683,15 +687,17 @@
             self.clients.close()
         for agent in self.agent_processes:
             await agent.child.end()
-        for member in self.members:
-            if member.life is not None:
-                member.life.process.signal(signal.SIGKILL)
-                member.life.process.forget()
+        for member in self.limiter_processes:
+            if member.incarnation is not None:
+                member.incarnation.process.signal(signal.SIGKILL)
+                member.incarnation.process.forget()
             if member.own is not None:
                 await member.own.end()
         self.relays.close()
         await super().close()
-        for block in [member.block for member in self.members] + [agent.block for agent in self.agent_processes]:
+        for block in [member.block for member in self.limiter_processes] + [
+            agent.block for agent in self.agent_processes
+        ]:
             block.close()
 
 
--- a/elderlock/trial/history.py
+++ b/elderlock/trial/history.py
@@ -15,9 +15,9 @@
 from typing import Any, NamedTuple
 
 from elderlock.sim import judges as j
-from elderlock.trial.lateness import Stall
+from elderlock.trial.stalls import Stall
 
-HEARD = (
+EVENT_NAMES = (
     "asked",
     "answered",
     "excused",
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        for name in HEARD:
+        for name in EVENT_NAMES:
             setattr(self, name, self._hears(name))
 
     def _hears(self, name: str) -> Callable[..., None]:
@@ -217,7 +217,7 @@
     return broken.at
 
 
-def judged(
+def check_history(
     events: Sequence[Event], stalls: Sequence[Stall], rules: j.Rules, ends: float, more: Iterable[j.Judge] = ()
 ) -> Verdict:
     """`events` in their order."""
--- a/elderlock/trial/weather.py
+++ b/elderlock/trial/link_conditions.py
@@ -48,11 +48,11 @@
 
     _befalls: dict[tuple[str, str], Counter[tuple[str, float]]] = field(default_factory=dict)
 
-    def befall(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
+    def inject(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
         for pair in pairs:
             self._befalls.setdefault(pair, Counter())[kind, by] += 1
 
-    def mend(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
+    def clear(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
         """Ends what `befall` with the same words began."""
         for pair in pairs:
             here = self._befalls.get(pair)
--- a/elderlock/trial/bites.py
+++ b/elderlock/trial/mutant_cases.py
@@ -8,7 +8,7 @@
 from elderlock.sim import judges as j
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.scenario import Fault, Plan, Scenario, Settings, of_load
-from elderlock.trial import flaws
+from elderlock.trial import mutants
 
 
 def scenario(load: float = 0.25, accounts: int = 100, **changes: Any) -> Scenario:
@@ -19,19 +19,19 @@
 PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
 CEILED = scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False))
 DRAINED = scenario(agents=1, fault=(Fault(1.0, "op-drain", "box:0"),))
-BITES: list[tuple[str, Scenario, flaws.Flaw]] = [
-    (j.Lost.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
-    (j.Drains.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Cold.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), flaws.knows_no_cold),
-    (j.Ceilings.name, CEILED, flaws.knows_no_ceiling),
-    (j.Reports.name, DRAINED, flaws.lies_of_drains),
-    (j.Failures.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Rest.name, scenario(agents=1), flaws.keeps_what_is_over),
-    (j.Growth.name, scenario(lasts_s=7.0), flaws.leaks_descriptors),
+BITES: list[tuple[str, Scenario, mutants.Mutant]] = [
+    (j.Lost.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), mutants.loses),
+    (j.Drains.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), mutants.keeps_sending),
+    (j.Cold.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), mutants.knows_no_cold),
+    (j.Ceilings.name, CEILED, mutants.knows_no_ceiling),
+    (j.Reports.name, DRAINED, mutants.lies_of_drains),
+    (j.Failures.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (j.Rest.name, scenario(agents=1), mutants.keeps_what_is_over),
+    (j.Growth.name, scenario(lasts_s=7.0), mutants.leaks_descriptors),
     (
         j.Agreement.name,
         scenario(agents=2, fault=(Fault(0.5, "cut", "way:tool>agent:1"), Fault(1.0, "op-drain", "box:0", by=1.5))),
-        flaws.learns_nothing,
+        mutants.learns_nothing,
     ),
     (
         Agreed.name,
@@ -41,11 +41,11 @@
             settings=Settings(budget=0.17),
             fault=(Fault(0.5, "op-drain", "box:0", by=12.0), Fault(0.5, "op-drain", "box:1", by=12.0)),
         ),
-        flaws.knows_no_budget,
+        mutants.knows_no_budget,
     ),
     (
         Agreed.name,
         scenario(agents=1, fault=(Fault(0.5, "op-drain", "box:0"), Fault(2.5, "power", "house"))),
-        flaws.keeps_nothing,
+        mutants.keeps_nothing,
     ),
 ]
--- a/elderlock/trial/flaws.py
+++ b/elderlock/trial/mutants.py
@@ -39,7 +39,7 @@
         setattr(target, name, value)
 
 
-Flaw = Callable[[Patching], None]
+Mutant = Callable[[Patching], None]
 
 
 def loses(patch: Patching) -> None:
@@ -286,7 +286,7 @@
     patch.setattr(f, "VERSION", 99)
 
 
-FLAWS: dict[str, Flaw] = {
+MUTANTS: dict[str, Mutant] = {
     flaw.__name__: flaw
     for flaw in (
         loses,
--- a/elderlock/trial/processes.py
+++ b/elderlock/trial/processes.py
@@ -23,7 +23,7 @@
 from elderlock.standins.world import ROOT
 from elderlock.trial.guard import MARK
 
-AGENT = ("-m", "elderlock.cli.main", "agent")
+AGENT_COMMAND = ("-m", "elderlock.cli.main", "agent")
 
 
 def python(*words: str) -> list[str]:
@@ -31,12 +31,12 @@
 
 
 @contextmanager
-def guarded(prefix: str, orderly: float | None = None, base: str | None = None) -> Iterator[tuple[Path, str]]:
+def guarded_folder(prefix: str, grace_s: float | None = None, base: str | None = None) -> Iterator[tuple[Path, str]]:
     """A folder of its own (in `base`) and a mark for what is started; both are swept up however this process ends, by
-    another one that waits for its end. `orderly` s between SIGTERM and SIGKILL, in place of the guard's own."""
+    another one that waits for its end. `grace_s` s between SIGTERM and SIGKILL, in place of the guard's own."""
     folder = Path(tempfile.mkdtemp(prefix=prefix, dir=base))
     mark = secrets.token_hex(8)
-    words = [str(folder), *([] if orderly is None else [str(orderly)])]
+    words = [str(folder), *([] if grace_s is None else [str(grace_s)])]
     guard = subprocess.Popen(
         python("-m", "elderlock.trial.guard", *words),
         stdin=subprocess.PIPE,
@@ -58,21 +58,21 @@
             signal.signal(number, handler)
 
 
-def swept(
+def run_guarded(
     prefix: str,
     work: Callable[[Path, str], Coroutine[Any, Any, int]],
-    orderly: float | None = None,
+    grace_s: float | None = None,
     base: str | None = None,
 ) -> int:
-    """Runs it in a loop of its own under `guarded`; 130 where it was interrupted."""
+    """Runs it in a loop of its own under `guarded_folder`; 130 where it was interrupted."""
     try:
-        with guarded(prefix, orderly, base) as (folder, mark):
+        with guarded_folder(prefix, grace_s, base) as (folder, mark):
             return uvloop.run(work(folder, mark))
     except KeyboardInterrupt:
         return 130
 
 
-def short_temp() -> str:
+def short_temp_folder() -> str:
     """A Unix socket's name has 108 bytes, whatever TMPDIR says."""
     found = tempfile.gettempdir()
     return found if len(found) < 40 else "/tmp"
--- a/elderlock/trial/relay.py
+++ b/elderlock/trial/relay.py
@@ -18,7 +18,7 @@
 from typing import Protocol, cast
 
 from elderlock.standins.network import Network
-from elderlock.trial.weather import Place, Stream, Ways, Weather, datagram
+from elderlock.trial.link_conditions import Place, Stream, Ways, Weather, datagram
 
 BACKLOG = 1024
 MOST_HELD = 1 << 20  # bytes of one direction, beyond which its sender is read no more
@@ -436,12 +436,12 @@
                 with contextlib.suppress(OSError):
                     relay.open()
 
-    def befall(self, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
-        self.ways.befall(kind, pairs, by)
+    def inject(self, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
+        self.ways.inject(kind, pairs, by)
         self._changed()
 
-    def mend(self, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
-        self.ways.mend(kind, pairs, by)
+    def clear(self, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
+        self.ways.clear(kind, pairs, by)
         self._changed()
 
     def _changed(self) -> None:
--- a/elderlock/trial/page.py
+++ b/elderlock/trial/report.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from elderlock.trial.history import Event
-from elderlock.trial.lateness import Stall
 from elderlock.trial.run import Outcome
+from elderlock.trial.stalls import Stall
 
 QUIET = frozenset({"asked", "answered", "sent", "ran", "spent", "counted", "excused", "ceiling"})
 WIDTH, LANE, LEFT = 1200, 26, 110
@@ -170,7 +170,7 @@
     return "".join([*parts, "</svg>"])
 
 
-def page(outcome: Outcome, lines: Sequence[Line]) -> str:
+def html_report(outcome: Outcome, lines: Sequence[Line]) -> str:
     """HTML that needs nothing else."""
     result = outcome.result
     verdict = outcome.verdict()
--- a/elderlock/trial/run.py
+++ b/elderlock/trial/run.py
@@ -15,11 +15,12 @@
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Scenario, unplayable
-from elderlock.trial import disk, history, lateness
+from elderlock.trial import disk, history
+from elderlock.trial import stalls as stall_summaries
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground, TrialError
+from elderlock.trial.harness import Harness, TrialError
 from elderlock.trial.history import Event
-from elderlock.trial.lateness import Late, Stall
+from elderlock.trial.stalls import Late, Stall
 
 FLOOR = "trial"
 SAMPLE_EVERY = 0.5  # s between looks at what could grow
@@ -32,7 +33,7 @@
     """`result` as the simulation's; `late` says whether the machine had time for the run. `events` in their order."""
 
     result: Result
-    late: Late
+    stall_summary: Late
     events: list[Event]
     stalls: list[Stall]
     late_rules: list[j.Broken]
@@ -40,30 +41,30 @@
     processes: int
     start_s: float
     commands: list[tuple[str, int]]
-    zero: float  # ms of the run at which its schedule began
-    epoch: float  # Unix ms at which the run did
+    schedule_start_ms: float  # ms of the run at which its schedule began
+    epoch_ms: float  # Unix ms at which the run did
     unplayed: list[str] = field(default_factory=list)
 
     def verdict(self) -> str:
         """good, broken, or late where the machine had no time and nothing but times was broken."""
         if not self.result.good():
             return "broken"
-        return "late" if self.late.text or self.late_rules else "good"
+        return "late" if self.stall_summary.text or self.late_rules else "good"
 
     def text(self) -> str:
         lines = [self.result.text()]
         lines += [f"  LATE {each.line()}" for each in self.late_rules[:10]]
-        if self.late.text:
-            lines.append(f"  the run counts as late: {self.late.text}")
+        if self.stall_summary.text:
+            lines.append(f"  the run counts as late: {self.stall_summary.text}")
         lines += [f"  not played here: {each}" for each in self.unplayed]
         lines.append(
             f"  {self.processes} processes, {self.links} links, up in {self.start_s:.2f} s; "
-            f"worst stand-still of the relays {self.late.worst:.0f} ms"
+            f"worst stand-still of the relays {self.stall_summary.worst:.0f} ms"
         )
         return "\n".join(lines)
 
 
-def failures_in_logs(ground: Ground) -> None:
+def failures_in_logs(ground: Harness) -> None:
     """What processes logged as having failed, as the simulation hears it: exceptions that nobody handled."""
     for path in ground.logs():
         who = path.parent.name if path.name == "log" else path.stem
@@ -93,12 +94,12 @@
     return f"{error!r}{where}"
 
 
-async def _rest(ground: Ground) -> dict[str, int]:
+async def _rest(ground: Harness) -> dict[str, int]:
     """Waits until nothing is open and all records agree, for so long; returns what is left then."""
     ends = time.monotonic() + REST_WITHIN
     while True:
         left = {"requests open at their clients": len(ground.clients.open) if ground.clients is not None else 0}
-        shown = await ground.shown()
+        shown = await ground.show_agents()
         for each in shown.values():
             for limiter in each.limiters:
                 if limiter.state is not None and limiter.link == "answering":
@@ -114,12 +115,12 @@
     """What agents show of their records again and again: what one has shown it shows for good, or a newer one in its
     place, also after a crash and after a loss of power. One whose state we took away begins anew."""
 
-    def __init__(self, ground: Ground, agreed: Agreed) -> None:
+    def __init__(self, ground: Harness, agreed: Agreed) -> None:
         self._ground, self._agreed = ground, agreed
         self._known: dict[str, set[str]] = {}
 
     async def look(self) -> None:
-        for name, each in (await self._ground.shown()).items():
+        for name, each in (await self._ground.show_agents()).items():
             at, agent = self._ground.at(), self._ground.agent_processes[int(name[6:])]
             who = f"{name}, state {agent.states}"
             held = {f"{record.kind} {record.target}": record.generation for record in each.records}
@@ -128,7 +129,7 @@
             self._agreed.seen += [(at, who, what, held.get(what, 0)) for what in known]
 
 
-async def _sampled(ground: Ground, looks: Looks) -> None:
+async def _sampled(ground: Harness, looks: Looks) -> None:
     while True:
         await asyncio.sleep(SAMPLE_EVERY)
         if ground.clients is not None and not ground.clients.dry:
@@ -136,11 +137,11 @@
         await looks.look()
 
 
-async def _schedule(ground: Ground, faults: TrialFaults, looks: Looks) -> None:
+async def _schedule(ground: Harness, faults: TrialFaults, looks: Looks) -> None:
     s = ground.scenario
     for agent in range(s.agents):  # for restarts from an old state
         disk.copy_home(ground.home(agent), ground.folder / "old" / ground.agent_names[agent])
-    clients = ground.ask()
+    clients = ground.start_clients()
     timers = [ground.loop.call_later(fault.at_s, faults.begin, number, fault) for number, fault in enumerate(s.fault)]
     sampling = ground.loop.create_task(_sampled(ground, looks))
     try:
@@ -148,8 +149,8 @@
         clients.dry = True
         await asyncio.sleep(s.longest_deadline() / 1000.0 + s.rest_s)
         async with asyncio.timeout(SETTLE_WITHIN):
-            await faults.settled()
-        await ground.up()
+            await faults.wait_until_done()
+        await ground.wait_until_up()
     except TimeoutError:
         raise TrialError(f"faults under way at the end were not done within {SETTLE_WITHIN:g} s") from None
     finally:
@@ -164,7 +165,7 @@
     """`folder` is empty and the run's own; with `keep` what shows what happened is copied there. Raises `TrialError`,
     with who waited for what."""
     wall = time.monotonic()
-    ground = Ground(scenario, folder, mark, seed, flaw)
+    ground = Harness(scenario, folder, mark, seed, flaw)
     ended, why = "finished", ""
     ground.loop.set_exception_handler(lambda loop, context: ground.failed.append(_said(context)))
     faults = TrialFaults(ground)
@@ -178,13 +179,13 @@
         await _schedule(ground, faults, looks)
         left = await _rest(ground)
         await looks.look()
-        digests = ground.digests(await ground.shown())
+        digests = ground.digests(await ground.show_agents())
         failures_in_logs(ground)
         ends = ground.at()
         if ground.failed:  # a stand-in, a relay or a judge, not the code under test
             ended, why = "failed", "; ".join(ground.failed[:3])
         links = sum(relay.taken for relay in ground.relays.all)
-        processes = len(ground.members) + len(ground.agent_processes) + ground.tools
+        processes = len(ground.limiter_processes) + len(ground.agent_processes) + ground.tools_started
         states = sorted({event.args[1] for event in ground.bench.events if event.what == "process"})
     finally:
         await ground.close()
@@ -198,7 +199,7 @@
     stalls = ground.watch.stalls
     rest = j.Rest(ground.rules, lambda: left)
     agreement = j.Agreement(ground.rules, lambda: digests)
-    verdict = history.judged(events, stalls, ground.rules, ends, (rest, agreement, agreed))
+    verdict = history.check_history(events, stalls, ground.rules, ends, (rest, agreement, agreed))
     broken = [(each.rule, each.at, each.text) for each in verdict.broken]
     result = Result(
         scenario.name,
@@ -217,7 +218,7 @@
     )
     return Outcome(
         result,
-        lateness.judged(stalls, ends),
+        stall_summaries.summarize(stalls, ends),
         events,
         stalls,
         verdict.late,
@@ -225,7 +226,7 @@
         processes,
         start_s,
         faults.commands,
-        ground.zero,
-        ground.epoch,
+        ground.schedule_start_ms,
+        ground.epoch_ms,
         unplayable(scenario, FLOOR),
     )
--- a/elderlock/trial/simulated.py
+++ b/elderlock/trial/simulation.py
@@ -7,7 +7,7 @@
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import ONLY_TRIAL, Scenario
 from elderlock.sim.shells import ShellWorld
-from elderlock.trial.history import HEARD, Event
+from elderlock.trial.history import EVENT_NAMES, Event
 
 
 class Kept(ShellWorld):
@@ -16,7 +16,7 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         super().__init__(scenario, seed)
         self.events: list[Event] = []
-        for name in HEARD:
+        for name in EVENT_NAMES:
             hear = getattr(self.bench, name, None)
             if hear is not None:
                 setattr(self.bench, name, self._kept(name, hear))
@@ -33,7 +33,7 @@
         self.events.append(Event(self.at(), "fault", (number, fault.target, fault.what, fault.for_s, fault.by)))
 
 
-def simulated(scenario: Scenario, seed: int) -> tuple[Result, list[Event], float]:
+def simulate(scenario: Scenario, seed: int) -> tuple[Result, list[Event], float]:
     """The result, the history, and when (ms) its schedule began. Raises `ValueError` for a schedule that the floor
     cannot play whole: a comparison of half of it would say nothing."""
     alone = [f"{fault.target} {fault.what}" for fault in scenario.fault if fault.what in ONLY_TRIAL]
--- a/elderlock/trial/lateness.py
+++ b/elderlock/trial/stalls.py
@@ -34,7 +34,7 @@
     text: str
 
 
-def judged(stalls: list[Stall], lasted: float) -> Late:
+def summarize(stalls: list[Stall], lasted: float) -> Late:
     """`lasted` ms. Of the runner's own alone: a process that waited is excused by itself."""
     own = [stall.lasts for stall in stalls if not stall.who]
     worst, share = max(own, default=0.0), sum(own) / max(lasted, 1.0)
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -321,7 +321,7 @@
         finally:
             agent.terminate()
             await agent.wait()
-            guard.sweep("test-authz-agent", tmp_path / "none", orderly=0.0)
+            guard.sweep("test-authz-agent", tmp_path / "none", grace_s=0.0)
             await world.close()
 
     run(test(), within=60.0)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -164,8 +164,8 @@
 
     def leaves_nothing(self, mark: str) -> None:
         ends = time.monotonic() + 30.0  # reached by a hang alone
-        while guard.marked(mark) or any(self.tmp.iterdir()):
-            assert time.monotonic() < ends, guard.marked(mark)
+        while guard.marked_pids(mark) or any(self.tmp.iterdir()):
+            assert time.monotonic() < ends, guard.marked_pids(mark)
             time.sleep(0.02)
 
 
@@ -210,7 +210,7 @@
     mark = up.mark()
 
     def pid_of(word: bytes) -> int:
-        return next(p for p in guard.marked(mark) if word in Path(f"/proc/{p}/cmdline").read_bytes().split(b"\0"))
+        return next(p for p in guard.marked_pids(mark) if word in Path(f"/proc/{p}/cmdline").read_bytes().split(b"\0"))
 
     if part == "up":
         up.process.kill()
@@ -232,7 +232,7 @@
         mine = subprocess.Popen(["sleep", "60"], env={**os.environ, guard.MARK: "test-mine"})
         other = subprocess.Popen(["sleep", "60"], env={**os.environ, guard.MARK: "test-mine-too"})
         try:
-            guard.sweep("test-mine", here, orderly=0.0)
+            guard.sweep("test-mine", here, grace_s=0.0)
             assert mine.wait(10) in (-signal.SIGTERM, -signal.SIGKILL)
             assert other.poll() is None and not here.exists()
         finally:
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -260,7 +260,7 @@
 
 
 def test_the_event_names_of_a_trial_history_are_unchanged() -> None:
-    assert history.HEARD == (
+    assert history.EVENT_NAMES == (
         "asked", "answered", "excused", "sent", "ran", "told", "started", "spent", "limiter_began", "claimed", "failure",
         "undrained", "ceiling", "counted",
     )  # fmt: skip
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -25,19 +25,19 @@
 from elderlock.standins.limiters import box, state
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground
-from elderlock.trial.standing import judged, standing
+from elderlock.trial.harness import Harness
+from elderlock.trial.running_harness import check_invariants, running_harness
 
 LIMITERS, BOX, FOREVER = 6, "s-00", 600.0
 SILENT = Fault(0.0, "silent", "box:0", FOREVER)
 
 
 def harness_of_six(**changes: Any) -> Any:
-    return standing(0.7, limiters=LIMITERS, agents=2, settings=Settings(shared=True), **changes)
+    return running_harness(0.7, limiters=LIMITERS, agents=2, settings=Settings(shared=True), **changes)
 
 
-def group_of(ground: Ground) -> Group:
-    return Group.read(ground.direct_path)
+def group_of(ground: Harness) -> Group:
+    return Group.read(ground.direct_group_path)
 
 
 async def wait_for(group: Group, condition: Callable[[GroupObservation], bool]) -> GroupObservation:
@@ -60,14 +60,14 @@
     ]
 
 
-async def run_command(ground: Ground, *arguments: str) -> tuple[int, Any, str]:
+async def run_command(ground: Harness, *arguments: str) -> tuple[int, Any, str]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "elderlock.cli.main",
         *arguments,
         "--group",
-        str(ground.direct_path),
+        str(ground.direct_group_path),
         "--token-file",
         str(ground.token_path("an")),
         stdout=asyncio.subprocess.PIPE,
@@ -82,7 +82,7 @@
     async def test() -> None:
         async with harness_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
-            ground.ask()
+            ground.start_clients()
             faults.begin(0, SILENT)
             await wait_for(
                 group,
@@ -184,7 +184,7 @@
     async def test() -> None:
         async with harness_of_six() as ground:
             faults, group = TrialFaults(ground), group_of(ground)
-            ground.ask()
+            ground.start_clients()
             for number, fault in enumerate(link_faults):
                 faults.begin(number, fault)
             end_silence = faults.silence(ground.listing.boxes[BOX].uid)
@@ -204,7 +204,7 @@
                 lambda observed: [word.is_used for word in explain_server(observed).statements] == [True] * LIMITERS,
             )
             assert ejecting_limiters(reinstated) == []
-            assert judged(ground).broken == []
+            assert check_invariants(ground).broken == []
             group.close()
 
     run(test(), within=120.0)
--- a/tests/rollout/test_agent_releases.py
+++ b/tests/rollout/test_agent_releases.py
@@ -28,8 +28,8 @@
 from elderlock.rollout.plans import Plan, RolloutPolicy, new_release_plan
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
-from elderlock.trial.ground import Ground
-from elderlock.trial.standing import judged, standing
+from elderlock.trial.harness import Harness
+from elderlock.trial.running_harness import check_invariants, running_harness
 
 POLICY = RolloutPolicy(
     start_timeout_s=6.0, settle_time_s=0.2, bake_time_s=1.5, wave_pause_s=0.1, patience_s=20.0, automatic_rollback=True
@@ -216,7 +216,7 @@
 
 
 class RunningGroup:
-    def __init__(self, ground: Ground) -> None:
+    def __init__(self, ground: Harness) -> None:
         self.ground, self.group = ground, Group.read(ground.group_path, ground.token_path("an"))
 
     async def begin(self, version: str) -> Plan:
@@ -245,12 +245,16 @@
             await asyncio.sleep(0.1)
 
     def limiter_pids(self) -> set[int]:
-        return {member.life.process.pid for member in self.ground.members if member.life is not None}
+        return {
+            member.incarnation.process.pid for member in self.ground.limiter_processes if member.incarnation is not None
+        }
 
 
 @asynccontextmanager
 async def three_agents(with_launchers: bool = True) -> AsyncIterator[RunningGroup]:
-    async with standing(agents=3, limiters=3, load=0.1, settings=Settings(budget=0.5), based=with_launchers) as ground:
+    async with running_harness(
+        agents=3, limiters=3, load=0.1, settings=Settings(budget=0.5), with_launchers=with_launchers
+    ) as ground:
         running = RunningGroup(ground)
         try:
             yield running
@@ -261,8 +265,8 @@
 def test_a_good_version_is_released_agent_by_agent_while_limiters_keep_running() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_agent_version("v2")
-            running.ground.ask()
+            running.ground.install_agent_version("v2")
+            running.ground.start_clients()
             pids_before = running.limiter_pids()
             plan = await running.begin("v2")
             assert [unit.wave for unit in plan.units] == [0, 1, 1]
@@ -279,7 +283,7 @@
             ).exit == 0
             await running.until("taken back")
             await running.until_all_run("")
-            assert judged(running.ground).broken == []
+            assert check_invariants(running.ground).broken == []
 
     run(test(), within=120.0)
 
@@ -288,15 +292,15 @@
 def test_a_bad_version_of_agents_reaches_only_the_first_agent_and_is_rolled_back(flaw: str) -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_agent_version("v2", flaw)
-            running.ground.ask()
+            running.ground.install_agent_version("v2", flaw)
+            running.ground.start_clients()
             pids_before = running.limiter_pids()
             await running.begin("v2")
             plan = await running.until("taken back")
             assert [unit.target for unit in plan.units if unit.generation] == ["agent-0"]
             await running.until_all_run("")
             assert running.limiter_pids() == pids_before
-            assert judged(running.ground).broken == []
+            assert check_invariants(running.ground).broken == []
 
     run(test(), within=120.0)
 
@@ -304,7 +308,7 @@
 def test_a_release_ends_in_one_version_after_a_launcher_was_killed_in_the_trial() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_agent_version("v2")
+            running.ground.install_agent_version("v2")
             await running.begin("v2")
             while (plan := await running.plan()) is None or plan.units[0].stage == "waiting":
                 await asyncio.sleep(0.02)
@@ -329,7 +333,7 @@
 def test_agents_without_a_launcher_are_not_released() -> None:
     async def test() -> None:
         async with three_agents(with_launchers=False) as running:
-            running.ground.lay_agent_version("v2")
+            running.ground.install_agent_version("v2")
             make_message = plan_commands.begin("r" * 32, "agents", "v2", (), (), POLICY, "")
             while True:
                 answer = await plan_commands.ask_any(running.group, make_message, messages.BeginAnswer, None)
--- a/tests/rollout/test_processes.py
+++ b/tests/rollout/test_processes.py
@@ -18,8 +18,8 @@
 from elderlock.standins.waiting import run, until
 from elderlock.trial import disk
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground
-from elderlock.trial.standing import judged, standing
+from elderlock.trial.harness import Harness
+from elderlock.trial.running_harness import check_invariants, running_harness
 
 SERVER_IDS = [f"s-{number:02d}" for number in range(6)]
 VOTERS = ("agent-0", "agent-1", "agent-2")
@@ -33,7 +33,7 @@
 class RunningGroup:
     """Three agents with one limiter each, and six servers, of which three may be out of service."""
 
-    def __init__(self, ground: Ground) -> None:
+    def __init__(self, ground: Harness) -> None:
         self.ground, self.faults = ground, TrialFaults(ground)
         self.group = Group.read(ground.group_path, ground.token_path("an"))
 
@@ -77,12 +77,12 @@
         return answer
 
     async def records(self) -> dict[str, list[Record]]:
-        return {name: list(agent_status.records) for name, agent_status in (await self.ground.shown()).items()}
+        return {name: list(agent_status.records) for name, agent_status in (await self.ground.show_agents()).items()}
 
 
 @asynccontextmanager
 async def three_agents(**changes: object) -> AsyncIterator[RunningGroup]:
-    async with standing(agents=3, settings=Settings(budget=0.5), **changes) as ground:  # type: ignore[arg-type]
+    async with running_harness(agents=3, settings=Settings(budget=0.5), **changes) as ground:  # type: ignore[arg-type]
         running = RunningGroup(ground)
         await running.wait_until_voting(*VOTERS)
         try:
@@ -99,9 +99,9 @@
 def test_six_commands_at_once_take_out_only_three_servers() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.ask()
+            running.ground.start_clients()
             commands = [
-                running.faults.told(("an", "binh")[number % 2], "drain", "box", server, within=8.0)
+                running.faults.run_command(("an", "binh")[number % 2], "drain", "box", server, within=8.0)
                 for number, server in enumerate(SERVER_IDS)
             ]
             exit_codes = await asyncio.gather(*commands)
@@ -111,7 +111,7 @@
                 len([record for record in records if record.is_drained]) == 3 for records in records_by_agent.values()
             )
             running.faults.agreed.ended(running.ground.at())
-            assert running.faults.agreed.broken == [] and judged(running.ground).broken == []
+            assert running.faults.agreed.broken == [] and check_invariants(running.ground).broken == []
 
     run(test(), within=90.0)
 
@@ -150,7 +150,7 @@
             assert (
                 await running.request_permits("agent-0", *SERVER_IDS[1:4])
             ).outcome == "refused"  # it refuses what it knows enough about
-            running.ground.lay_version("v2")
+            running.ground.install_limiter_version("v2")
             running.ground.signal("agent-2", signal.SIGSTOP, "it was stopped")
             make_message = begin("release", "release", "v2", (), (), RolloutPolicy(), "")
             begin_answer = await running.group.ask("agent-1", make_message, messages.BeginAnswer, 6.0)
@@ -165,11 +165,11 @@
     async def test() -> None:
         async with three_agents() as running:
             cut = links_of("agent-0")
-            running.ground.relays.befall("cut", cut)
+            running.ground.relays.inject("cut", cut)
             answer = await running.request_permits("agent-0", "s-00")
             assert answer.outcome == "away" and "2 of agent-0, agent-1, agent-2 have to agree" in answer.reasons[0]
             assert (await running.request_permits("agent-1", *SERVER_IDS[1:4])).outcome == "granted"
-            running.ground.relays.mend("cut", cut)
+            running.ground.relays.clear("cut", cut)
             while (answer := await running.request_permits("agent-0", "s-00", origin="later")).outcome == "away":
                 await asyncio.sleep(0.05)
             assert answer.outcome == "refused"  # it has learned what the others agreed on meanwhile
@@ -187,13 +187,13 @@
         async with three_agents() as running:
             granted = await running.request_permits("agent-0", "s-00")
             cut = [("agent-0", "agent-1"), ("agent-0", "agent-2")]
-            running.ground.relays.befall("cut", cut)
+            running.ground.relays.inject("cut", cut)
             assert [decision.outcome for decision in (await running.submit_intent("agent-0", granted)).decisions] == [
                 "made"
             ]
             assert (await running.request_permits("agent-1", *SERVER_IDS[1:4])).outcome == "refused"
             assert (await running.request_permits("agent-1", *SERVER_IDS[1:3])).outcome == "granted"
-            running.ground.relays.mend("cut", cut)
+            running.ground.relays.clear("cut", cut)
             while not all(
                 any(record.target == "s-00" and record.is_drained for record in records)
                 for records in (await running.records()).values()
@@ -215,7 +215,7 @@
             )
             assert isinstance(answer, messages.IntentsAnswer)
             assert answer.decisions[0].outcome == "refused" and "no permit" in answer.decisions[0].text
-            assert await running.faults.told("an", "drain", "box", "s-05", "--force", within=8.0) == 0
+            assert await running.faults.run_command("an", "drain", "box", "s-05", "--force", within=8.0) == 0
             audit_answer = await running.group.ask(
                 "agent-1", lambda request_id: messages.Audit(request_id, 50), messages.Audited, 2.0
             )
@@ -266,7 +266,7 @@
             await ground.restart_agent(0, old_home)
             await running.wait_until_voting(*VOTERS)
             ground.signal("agent-2", signal.SIGKILL, "it was killed")
-            ground.agent_processes[2].held_down = True
+            ground.agent_processes[2].is_held_down = True
             # a majority now needs the restored agent, which must have recovered what it had agreed to
             refusal = await running.request_permits("agent-0", "s-05", origin="x")
             assert refusal.outcome == "refused", refusal
@@ -283,7 +283,7 @@
             assert granted.outcome == "granted"
             await running.ground.lose_power([0, 1, 2], [0, 1, 2], SERVER_IDS, 0.3, torn=True)
             await until(lambda: all(agent.child.alive for agent in running.ground.agent_processes))
-            await running.ground.up()
+            await running.ground.wait_until_up()
             await running.wait_until_voting(*VOTERS)
             repetition = await running.request_permits("agent-0", *SERVER_IDS[:3], origin=granted.permits[0].origin)
             assert [permit.generation for permit in repetition.permits] == [
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -20,9 +20,9 @@
 from elderlock.sim.scenario import Fault, Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground
+from elderlock.trial.harness import Harness
 from elderlock.trial.processes import Child, python
-from elderlock.trial.standing import judged, standing
+from elderlock.trial.running_harness import check_invariants, running_harness
 
 POLICY = RolloutPolicy(
     drain_timeout_s=2.0,
@@ -37,7 +37,7 @@
 
 
 class RunningGroup:
-    def __init__(self, ground: Ground) -> None:
+    def __init__(self, ground: Harness) -> None:
         self.ground, self.group = ground, Group.read(ground.group_path, ground.token_path("an"))
 
     async def known(self) -> plan_commands.PlanAnswers:
@@ -73,8 +73,8 @@
 
     async def run_command(self, *arguments: str) -> Child:
         ground = self.ground
-        ground.tools += 1
-        name = f"tool-{ground.tools}"
+        ground.tools_started += 1
+        name = f"tool-{ground.tools_started}"
         command = [*arguments, "--group", str(ground.group_path), "--token-file", str(ground.token_path("an"))]
         process = Child(name, python("-m", "elderlock.cli.main", *command), ground.mark, ground.folder / f"{name}.log")
         await process.start()
@@ -84,7 +84,7 @@
 @asynccontextmanager
 async def three_agents(**changes: object) -> AsyncIterator[RunningGroup]:
     arguments = {"agents": 3, "limiters": 3, "load": 0.1, "settings": Settings(budget=0.5), **changes}
-    async with standing(**arguments) as ground:  # type: ignore[arg-type]
+    async with running_harness(**arguments) as ground:  # type: ignore[arg-type]
         running = RunningGroup(ground)
         try:
             yield running
@@ -96,7 +96,7 @@
 def test_a_version_that_does_not_start_is_rolled_back_in_its_first_wave(flaw: str) -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_version("v2", flaw)
+            running.ground.install_limiter_version("v2", flaw)
             begin_answer = await running.begin("v2")
             assert begin_answer.outcome == "begun", begin_answer.reasons
             plan = await running.until("taken back")
@@ -109,14 +109,14 @@
 def test_a_good_version_is_released_although_its_command_and_its_leader_are_killed() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_version("v2")
-            running.ground.ask()
+            running.ground.install_limiter_version("v2")
+            running.ground.start_clients()
             await running.begin("v2", plan_id="x" * 32, policy=POLICY)  # begun here and found by the command
             plan = (await running.known()).plan("x" * 32)
             assert plan is not None
             command = await running.run_command("release", "status", "--watch")
             running.ground.signal(plan.leader, signal.SIGKILL, "it leads")
-            running.ground.agent_processes[int(plan.leader[6:])].held_down = True
+            running.ground.agent_processes[int(plan.leader[6:])].is_held_down = True
             await command.end()
             while (current := (await running.known()).plan("x" * 32)) is None or current.term == plan.term:
                 if current is not None and current.state == "halted":  # a halted plan needs no leader
@@ -124,7 +124,7 @@
                     await plan_commands.ask_any(running.group, resume, messages.SteerAnswer, 5.0)
                 await asyncio.sleep(0.1)
             assert current.leader != plan.leader
-            running.ground.agent_processes[int(plan.leader[6:])].held_down = False
+            running.ground.agent_processes[int(plan.leader[6:])].is_held_down = False
             await running.ground._start_agent(running.ground.agent_processes[int(plan.leader[6:])])
             while (current := (await running.known()).plan("x" * 32)) is None or current.state != "over":
                 if current is not None and current.state == "halted":
@@ -135,7 +135,7 @@
             expected_version = "v2" if current.direction == "to" else ""
             while set((await running.running_versions()).values()) != {expected_version}:
                 await asyncio.sleep(0.1)
-            assert judged(running.ground).broken == []
+            assert check_invariants(running.ground).broken == []
 
     run(test(), within=120.0)
 
@@ -143,8 +143,8 @@
 def test_two_operators_begin_at_once_and_a_halt_crosses_a_resume() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_version("v2")
-            running.ground.lay_version("v3")
+            running.ground.install_limiter_version("v2")
+            running.ground.install_limiter_version("v3")
             await running.begin("none", agent="agent-0")  # answers once all agents have heard of each other
             answers = await asyncio.gather(
                 running.begin("v2", "a" * 32, "agent-0"), running.begin("v3", "b" * 32, "agent-1")
@@ -179,11 +179,11 @@
 def test_a_halt_in_a_minority_partition_is_in_force_there_and_everywhere_after_the_partition() -> None:
     async def test() -> None:
         async with three_agents() as running:
-            running.ground.lay_version("v2")
+            running.ground.install_limiter_version("v2")
             begin_answer = await running.begin("v2", agent="agent-1")
             assert begin_answer.plan is not None, begin_answer.reasons
             cut = [pair for other in ("agent-1", "agent-2") for pair in (("agent-0", other), (other, "agent-0"))]
-            running.ground.relays.befall("cut", cut)
+            running.ground.relays.inject("cut", cut)
             answer = await running.group.ask(
                 "agent-0",
                 lambda request_id: messages.SteerPlan(request_id, "r" * 32, "halt", 0),
@@ -193,7 +193,7 @@
             assert isinstance(answer, messages.SteerAnswer) and answer.outcome == "away"
             status = (await running.known()).answers["agent-0"]
             assert [halt[:2] for halt in status.halts] == [("r" * 32, 0)]
-            running.ground.relays.mend("cut", cut)
+            running.ground.relays.clear("cut", cut)
             plan = await running.until("halted")
             assert plan.state_reason == "halted by an"
 
@@ -210,7 +210,7 @@
     async def test() -> None:
         async with three_agents(load=0.4) as running:
             ground, faults = running.ground, TrialFaults(running.ground)
-            ground.ask()
+            ground.start_clients()
             policy = msgspec.structs.replace(POLICY, wave_pause_s=3.0)
             make_message = plan_commands.begin(
                 "d" * 32, "drain", "", (), [SERVER_IDS[:1], SERVER_IDS[1:2], SERVER_IDS[2:3]], policy, ""
@@ -240,7 +240,7 @@
                 else:
                     server.model.errs = 0.0
             await running.until("done", "d" * 32)
-            assert judged(ground).broken == []
+            assert check_invariants(ground).broken == []
 
     run(test(), within=90.0)
 
@@ -255,7 +255,7 @@
             await command.end()
             running.ground.signal(plan.leader, signal.SIGKILL, "it leads")
             await running.until("done", plan.id)
-            for agent_status in (await running.ground.shown()).values():
+            for agent_status in (await running.ground.show_agents()).values():
                 assert {record.target for record in agent_status.records if record.is_drained} == set(SERVER_IDS[:2])
             status = await running.run_command("plan", "status", "--json")
             while status.alive:
@@ -271,7 +271,7 @@
                 )
             ).exit == 0
             await running.until("taken back", plan.id)
-            for agent_status in (await running.ground.shown()).values():
+            for agent_status in (await running.ground.show_agents()).values():
                 assert not [record.target for record in agent_status.records if record.is_drained]
 
     run(test(), within=90.0)
--- a/tests/sim/test_judges.py
+++ b/tests/sim/test_judges.py
@@ -11,7 +11,7 @@
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Fault, Plan, Scenario, Service, Settings, of_load
-from elderlock.trial import flaws
+from elderlock.trial import mutants
 
 RULES = j.Rules()
 
@@ -22,45 +22,45 @@
 
 
 PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
-BITES: list[tuple[str, str, Scenario, flaws.Flaw]] = [
-    (j.Lost.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
+BITES: list[tuple[str, str, Scenario, mutants.Mutant]] = [
+    (j.Lost.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)), mutants.loses),
     (
         j.Twice.name,
         "decisions",
         scenario(service=(Service(effect="single_shot"),), fault=(Fault(2.0, "errs", "box:*", 1.0, 0.5),)),
-        flaws.tries_all_again,
+        mutants.tries_all_again,
     ),
-    (j.Drains.name, "decisions", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Drains.name, "shells", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (j.Cold.name, "shells", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
-    (j.Cold.name, "decisions", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
+    (j.Drains.name, "decisions", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), mutants.keeps_sending),
+    (j.Drains.name, "shells", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), mutants.keeps_sending),
+    (j.Cold.name, "shells", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), mutants.knows_no_cold),
+    (j.Cold.name, "decisions", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), mutants.knows_no_cold),
     (
         j.Ceilings.name,
         "decisions",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
-        flaws.knows_no_ceiling,
+        mutants.knows_no_ceiling,
     ),
     (
         j.Ceilings.name,
         "shells",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
-        flaws.knows_no_ceiling,
+        mutants.knows_no_ceiling,
     ),
-    (j.Reports.name, "shells", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.lies_of_drains),
-    (j.Reports.name, "decisions", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.lies_of_drains),
-    (j.Failures.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Failures.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (j.Rest.name, "shells", scenario(), flaws.never_lets_go),
-    (j.Rest.name, "decisions", scenario(), flaws.never_lets_go),
-    (j.Growth.name, "decisions", scenario(lasts_s=12.0), flaws.forgets_no_timer),
-    (j.Growth.name, "shells", scenario(lasts_s=12.0), flaws.forgets_no_timer),
+    (j.Reports.name, "shells", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), mutants.lies_of_drains),
+    (j.Reports.name, "decisions", scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)), mutants.lies_of_drains),
+    (j.Failures.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (j.Failures.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (j.Rest.name, "shells", scenario(), mutants.never_lets_go),
+    (j.Rest.name, "decisions", scenario(), mutants.never_lets_go),
+    (j.Growth.name, "decisions", scenario(lasts_s=12.0), mutants.forgets_no_timer),
+    (j.Growth.name, "shells", scenario(lasts_s=12.0), mutants.forgets_no_timer),
     (
         Agreed.name,
         "shells",
         scenario(
             agents=3, settings=Settings(budget=0.34), fault=tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
         ),
-        flaws.grants_alone,
+        mutants.grants_alone,
     ),
     (
         Agreed.name,
@@ -70,9 +70,9 @@
             settings=Settings(budget=0.34),
             fault=tuple(Fault(2.0, "op-drain", f"limiter:{n}") for n in range(3)),
         ),
-        flaws.knows_no_budget,
+        mutants.knows_no_budget,
     ),
-    (j.Agreement.name, "shells", scenario(agents=3, fault=(Fault(2.0, "op-drain", "box:0"),)), flaws.hears_no_other),
+    (j.Agreement.name, "shells", scenario(agents=3, fault=(Fault(2.0, "op-drain", "box:0"),)), mutants.hears_no_other),
 ]
 
 
@@ -84,7 +84,7 @@
     "rule, floor, given, mutate", BITES, ids=[f"{n}-{b[0]}-{b[1]}".replace(" ", "_") for n, b in enumerate(BITES)]
 )
 def test_a_judge_bites(
-    rule: str, floor: str, given: Scenario, mutate: flaws.Flaw, monkeypatch: pytest.MonkeyPatch
+    rule: str, floor: str, given: Scenario, mutate: mutants.Mutant, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     good = play(floor, given)
     assert good.good(), good.text()
--- a/tests/trial/test_decisions.py
+++ b/tests/trial/test_decisions.py
@@ -12,12 +12,13 @@
 
 from elderlock.sim import judges as j
 from elderlock.sim.agreed import Act, Agreed, Clash, Holding, bounded, exclusive, fenced, never_back
-from elderlock.trial import history, lateness
-from elderlock.trial.history import Even, Event, judged
-from elderlock.trial.lateness import Stall
-from elderlock.trial.page import of_log, timeline
-from elderlock.trial.parting import first, lanes
-from elderlock.trial.weather import CLEAR, Place, Stream, Ways, Weather, datagram
+from elderlock.trial import history
+from elderlock.trial import stalls as stall_summaries
+from elderlock.trial.divergence import event_sequences, first_differences
+from elderlock.trial.history import Even, Event, check_history
+from elderlock.trial.link_conditions import CLEAR, Place, Stream, Ways, Weather, datagram
+from elderlock.trial.report import of_log, timeline
+from elderlock.trial.stalls import Stall
 
 NAMES = ("n0", "n1", "floor-2", "*")
 RULES = j.Rules()
@@ -37,14 +38,14 @@
         by=st.sampled_from([0.25, 0.5]),
     )
     def befall(self, kind: str, pair: tuple[str, str], by: float) -> None:
-        self.ways.befall(kind, [pair], by)
+        self.ways.inject(kind, [pair], by)
         self.live.append((kind, pair, by))
 
     @rule(number=st.integers(0, 50))
     def mend(self, number: int) -> None:
         if self.live:
             kind, pair, by = self.live.pop(number % len(self.live))
-            self.ways.mend(kind, [pair], by)
+            self.ways.clear(kind, [pair], by)
 
     @invariant()
     def as_the_sum(self) -> None:
@@ -180,32 +181,32 @@
 
 def test_what_the_machine_held_up_is_not_held_against_the_program_and_nothing_else_is_excused() -> None:
     events = [asked(0.0, "a"), asked(0.0, "b"), Event(1400.0, "answered", ("a", "served"))]
-    late = judged(events, [], RULES, 5000.0)
+    late = check_history(events, [], RULES, 5000.0)
     assert {each.text.split()[0] for each in late.broken} == {"a", "b"}
     stood = [Stall(500.0, 380.0, "")]
-    excused = judged(events, stood, RULES, 5000.0)
+    excused = check_history(events, stood, RULES, 5000.0)
     assert [each.text for each in excused.broken] == ["b was never answered by n0"]
-    other = judged(events, [Stall(500.0, 380.0, "n1")], RULES, 5000.0)  # another's stand-still excuses nobody
+    other = check_history(events, [Stall(500.0, 380.0, "n1")], RULES, 5000.0)  # another's stand-still excuses nobody
     assert len(other.broken) == 2
     for stall in ([Stall(10.0, 300.0, "n0")], []):
         drain = [Event(0.0, "told", ("n0", "s", "draining", 0.0)), Event(400.0, "sent", ("n0", "s", "r"))]
-        assert bool(judged(drain, stall, RULES, 900.0).broken) == (not stall)
+        assert bool(check_history(drain, stall, RULES, 900.0).broken) == (not stall)
 
 
 def test_a_heap_behind_a_stand_still_is_late_and_not_broken() -> None:
     ceiling = [Event(0.0, "ceiling", ("c", 10.0, 5.0, 1.0))]
     spent = [Event(100.0 + n, "spent", ("c", 1.0)) for n in range(9)]
-    verdict = judged([*ceiling, *spent], [], RULES, 900.0)
+    verdict = check_history([*ceiling, *spent], [], RULES, 900.0)
     assert verdict.rules() == [j.Ceilings.name] and not verdict.late
-    verdict = judged([*ceiling, *spent], [Stall(20.0, 70.0, "")], RULES, 900.0)
+    verdict = check_history([*ceiling, *spent], [Stall(20.0, 70.0, "")], RULES, 900.0)
     assert not verdict.broken and verdict.late
 
 
 def test_a_run_whose_relays_stood_still_says_so() -> None:
-    assert lateness.judged([Stall(0.0, 399.0, "")], 10_000.0).text == ""
-    assert "stood still for 500 ms" in lateness.judged([Stall(0.0, 500.0, "")], 10_000.0).text
-    assert "of the time" in lateness.judged([Stall(n * 100.0, 50.0, "") for n in range(40)], 10_000.0).text
-    assert lateness.judged([Stall(0.0, 5000.0, "n0", "it was stopped")], 10_000.0).text == ""
+    assert stall_summaries.summarize([Stall(0.0, 399.0, "")], 10_000.0).text == ""
+    assert "stood still for 500 ms" in stall_summaries.summarize([Stall(0.0, 500.0, "")], 10_000.0).text
+    assert "of the time" in stall_summaries.summarize([Stall(n * 100.0, 50.0, "") for n in range(40)], 10_000.0).text
+    assert stall_summaries.summarize([Stall(0.0, 5000.0, "n0", "it was stopped")], 10_000.0).text == ""
 
 
 def test_a_history_is_written_and_read_as_it_was(tmp_path: Path) -> None:
@@ -220,8 +221,12 @@
 
     real = [told(1.0, "n0", "s-0", "running"), told(1.0, "n1", "s-0", "running"), told(700.0, "n0", "s-0", "draining")]
     other = [*real[:2], told(650.0, "n0", "s-0", "gone"), told(900.0, "n1", "s-0", "draining")]
-    assert first(lanes(real, [], 0.0), lanes(real, [], 500.0)) == []  # no time is compared
-    partings = first(lanes(real, [], 0.0), lanes(other, [("no request lost", 800.0, "q")], 0.0))
+    assert (
+        first_differences(event_sequences(real, [], 0.0), event_sequences(real, [], 500.0)) == []
+    )  # no time is compared
+    partings = first_differences(
+        event_sequences(real, [], 0.0), event_sequences(other, [("no request lost", 800.0, "q")], 0.0)
+    )
     assert [parting.lane for parting in partings] == ["lists n0 s-0", "rules", "lists n1 s-0"]
     assert "'draining' at 0.700 s in the real run, 'gone' at 0.650 s in the simulation" in partings[0].text()
 
--- a/tests/trial/test_disk.py
+++ b/tests/trial/test_disk.py
@@ -15,7 +15,7 @@
 from elderlock.fleet.messages import AuditLine
 from elderlock.standins.world import ROOT
 from elderlock.trial import disk
-from elderlock.trial.seam import RUNS, Block, Disk, Step
+from elderlock.trial.control_block import RUNS, Block, Disk, Step
 
 LINE = AuditLine(0.0, "an", "operator", "drain", 1, "")
 
@@ -25,7 +25,7 @@
 from elderlock.control.records import Record
 from elderlock.fleet.messages import AuditLine
 from elderlock.trial.disk import TrialHost
-from elderlock.trial.seam import Block
+from elderlock.trial.control_block import Block
 
 home, seam = Path(sys.argv[1]), Path(sys.argv[2])
 block = Block(seam)
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -23,10 +23,10 @@
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 from elderlock.trial.faults import TrialFaults
-from elderlock.trial.ground import Ground, TrialError
 from elderlock.trial.guard import MARK
-from elderlock.trial.processes import guarded, short_temp
-from elderlock.trial.standing import PREFIX, judged, standing
+from elderlock.trial.harness import Harness, TrialError
+from elderlock.trial.processes import guarded_folder, short_temp_folder
+from elderlock.trial.running_harness import PREFIX, check_invariants, running_harness
 
 QUOTED = (Plan("plain", rate=20.0, burst=30.0),)
 
@@ -36,7 +36,7 @@
     return of_load(0.2, given, 50)
 
 
-async def answered(ground: Ground, more: int = 20) -> None:
+async def answered(ground: Harness, more: int = 20) -> None:
     """So many requests more have got an answer."""
     assert ground.clients is not None
     counts = ground.clients.counts
@@ -44,10 +44,10 @@
     await until(lambda: counts["served"] >= goal)
 
 
-async def records_of(ground: Ground, count: int) -> dict[str, f.Shown]:
+async def records_of(ground: Harness, count: int) -> dict[str, f.Shown]:
     """Once so many agents answer and hold the same records."""
     while True:
-        shown = await ground.shown()
+        shown = await ground.show_agents()
         if len(shown) == count and len(set(ground.digests(shown).values())) == 1:
             return shown
         await asyncio.sleep(0.05)
@@ -55,12 +55,14 @@
 
 def test_a_ground_stands_and_is_judged_and_gone(tmp_path: Path) -> None:
     async def test() -> str:
-        async with standing() as ground:
-            ground.ask()
+        async with running_harness() as ground:
+            ground.start_clients()
             await answered(ground)
-            assert len(await ground.shown()) == 2
-            assert judged(ground).broken == []
-            assert {life.process.pid for m in ground.members for life in m.lives} == set(ground._pids().values())
+            assert len(await ground.show_agents()) == 2
+            assert check_invariants(ground).broken == []
+            assert {life.process.pid for m in ground.limiter_processes for life in m.incarnations} == set(
+                ground._pids().values()
+            )
             return ground.mark
 
     mark = run(test(), within=60.0)
@@ -68,21 +70,21 @@
 
 
 def _marked(mark: str) -> list[int]:
-    from elderlock.trial.guard import marked
+    from elderlock.trial.guard import marked_pids
 
-    return marked(mark)
+    return marked_pids(mark)
 
 
 def test_datagrams_are_cut_one_way_while_streams_live() -> None:
     """n0's questions do not come to n1 any more; n1's come to n0, and clients are served by both."""
 
     async def test() -> None:
-        async with standing(plan=QUOTED, accounts=6) as ground:
+        async with running_harness(plan=QUOTED, accounts=6) as ground:
             seen: list[tuple[int, int]] = []
             ground.datagrams.seen = lambda owner, receiver, data: seen.append((owner, receiver))
-            ground.ask()
+            ground.start_clients()
             await until(lambda: {(0, 1), (1, 0)} <= set(seen))
-            ground.relays.befall("cut", [("n0", "n1")])
+            ground.relays.inject("cut", [("n0", "n1")])
             await asyncio.sleep(0)  # what was under way has its 0.5 ms
             dropped = ground.datagrams.dropped
             await until(lambda: ground.datagrams.dropped > dropped)
@@ -90,7 +92,7 @@
             await until(lambda: seen.count((1, 0)) >= 3)
             assert (0, 1) not in seen
             await answered(ground)
-            assert judged(ground).broken == []
+            assert check_invariants(ground).broken == []
 
     run(test(), within=60.0)
 
@@ -100,14 +102,14 @@
     with its sockets open and with what it believed, and must not bring the old record to life."""
 
     async def test() -> None:
-        async with standing() as ground:
-            ground.ask()
+        async with running_harness() as ground:
+            ground.start_clients()
             faults = TrialFaults(ground)
-            assert await faults.told("an", "drain", "box", "s-00", within=10.0) == 0
+            assert await faults.run_command("an", "drain", "box", "s-00", within=10.0) == 0
             ground.signal("agent-0", signal.SIGSTOP, "")
             stopped = time.monotonic()
-            await faults.told("binh", "undrain", "box", "s-00", within=1.0)
-            shown = await ground.shown()
+            await faults.run_command("binh", "undrain", "box", "s-00", within=1.0)
+            shown = await ground.show_agents()
             (record,) = (r for r in shown["agent-1"].records if r.target == "s-00")
             assert not record.is_drained
             await until(lambda: time.monotonic() - stopped > 6.0)
@@ -207,8 +209,8 @@
 
 def test_a_port_that_is_taken_is_said_with_the_limiter_and_its_last_words() -> None:
     async def test() -> None:
-        with guarded(PREFIX, 0.0, short_temp()) as (folder, mark):
-            ground = Ground(scenario(agents=0, limiters=2), folder, mark)
+        with guarded_folder(PREFIX, 0.0, short_temp_folder()) as (folder, mark):
+            ground = Harness(scenario(agents=0, limiters=2), folder, mark)
             try:
                 await ground.open()
                 host, _, port = ground.listens[1].rpartition(":")
--- a/tests/trial/test_relays.py
+++ b/tests/trial/test_relays.py
@@ -14,10 +14,10 @@
 
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import own_host
-from elderlock.trial.lateness import Watch
-from elderlock.trial.lateness import judged as lateness
+from elderlock.trial.link_conditions import Place, Ways
 from elderlock.trial.relay import Datagrams, Relay, Relays
-from elderlock.trial.weather import Place, Ways
+from elderlock.trial.stalls import Watch
+from elderlock.trial.stalls import summarize as summarize_stalls
 
 HERE, THERE = Place.of("here", "floor-2"), Place.of("there", "floor-3")
 CUT_TO, CUT_FROM = [("here", "there")], [("there", "here")]
@@ -92,16 +92,16 @@
         reader, writer = await b.connect(relay)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
-        b.relays.befall("cut", CUT_FROM)
+        b.relays.inject("cut", CUT_FROM)
         writer.write(b"two")
         await until(lambda: b.heard == b"onetwo")  # it came; its answer does not
-        b.relays.befall("cut", CUT_TO)
-        b.relays.mend("cut", CUT_FROM)
+        b.relays.inject("cut", CUT_TO)
+        b.relays.clear("cut", CUT_FROM)
         assert await reader.readexactly(3) == b"two"
         writer.write(b"six")
         b.echo.open[0].write(b"!")
         assert await reader.readexactly(1) == b"!" and b.heard == b"onetwo"
-        b.relays.mend("cut", CUT_TO)
+        b.relays.clear("cut", CUT_TO)
         assert await reader.readexactly(3) == b"six"
 
     bench(test)
@@ -114,9 +114,9 @@
 
         async def flap() -> None:
             while True:
-                b.relays.befall("cut", CUT_TO)
+                b.relays.inject("cut", CUT_TO)
                 await asyncio.sleep(0.03)
-                b.relays.mend("cut", CUT_TO)
+                b.relays.clear("cut", CUT_TO)
                 await asyncio.sleep(0.05)
 
         flapping = asyncio.ensure_future(flap())
@@ -132,7 +132,7 @@
 def test_no_connection_comes_up_while_it_is_cut_and_those_that_wait_do_afterwards() -> None:
     async def test(b: Bench, relay: Relay) -> None:
         reader, writer = await b.connect(relay)
-        b.relays.befall("cut", CUT_TO)
+        b.relays.inject("cut", CUT_TO)
         host, _, port = relay.endpoint.rpartition(":")
         waiting = [socket.socket() for _ in range(3)]
         for sock in waiting:
@@ -145,7 +145,7 @@
             with pytest.raises(OSError):
                 sock.getpeername()
         assert relay.taken == 1 and b.heard == b""
-        b.relays.mend("cut", CUT_TO)
+        b.relays.clear("cut", CUT_TO)
         assert await reader.readexactly(1) == b"x"
 
         def up(sock: socket.socket) -> bool:
@@ -192,13 +192,13 @@
         reader, writer = await b.connect(relay)
         writer.write(b"a")
         await reader.readexactly(1)
-        b.relays.befall("cut", [*CUT_TO, *CUT_FROM])
+        b.relays.inject("cut", [*CUT_TO, *CUT_FROM])
         b.echo.open[0].abort()
         writer.write(b"b")
         for _ in range(20):
             await asyncio.sleep(0.005)
         assert not reader.at_eof() and relay.links
-        b.relays.mend("cut", [*CUT_TO, *CUT_FROM])
+        b.relays.clear("cut", [*CUT_TO, *CUT_FROM])
         assert await reader.read(1) == b""
 
     bench(test)
@@ -206,16 +206,16 @@
 
 def test_a_trickle_and_a_delay_keep_the_order_and_hold_back_a_fast_sender() -> None:
     async def test(b: Bench, relay: Relay) -> None:
-        b.relays.befall("late", CUT_TO, 20.0)
-        b.relays.befall("trickle", CUT_TO, 400_000.0)
+        b.relays.inject("late", CUT_TO, 20.0)
+        b.relays.inject("trickle", CUT_TO, 400_000.0)
         reader, writer = await b.connect(relay)
         sent = random.Random(1).randbytes(100_000)
         began = time.monotonic()
         writer.write(sent)
         assert await reader.readexactly(len(sent)) == sent
         assert time.monotonic() - began > 0.2  # 400 kB a second: not a bound on the machine, but on the relay
-        b.relays.mend("trickle", CUT_TO, 400_000.0)
-        b.relays.befall("cut", CUT_TO)
+        b.relays.clear("trickle", CUT_TO, 400_000.0)
+        b.relays.inject("cut", CUT_TO)
         flood = b"x" * (8 << 20)
         writer.write(flood)
         await until(lambda: next(iter(relay.links)).target.out.size > 1 << 20)
@@ -258,12 +258,12 @@
         server = await asyncio.get_running_loop().create_unix_server(echo, str(own))
         await until(lambda: relay.listening)
         reader, writer = await asyncio.open_unix_connection(str(shown))
-        relays.befall("cut", CUT_TO)
+        relays.inject("cut", CUT_TO)
         writer.write(b"x")
         for _ in range(10):
             await asyncio.sleep(0.005)
         assert echo.got == []
-        relays.mend("cut", CUT_TO)
+        relays.clear("cut", CUT_TO)
         assert await reader.readexactly(1) == b"x"
         server.close()
         relays.close()
@@ -291,7 +291,7 @@
             host, _, port = to.rpartition(":")
             socks[owner].sendto(data, (host, int(port)))
 
-        ways.befall("cut", [("n0", "n1")])
+        ways.inject("cut", [("n0", "n1")])
         send(0, net.peers(0)[1], b"lost")
         send(1, net.peers(1)[0], b"heard")
         send(0, net.everyone(0), b"all")
@@ -300,8 +300,8 @@
         socks[0].setblocking(False)
         data, came = socks[0].recvfrom(64)
         assert data == b"heard" and "%s:%d" % came == net.peers(0)[1]  # from where it knows n1
-        ways.mend("cut", [("n0", "n1")])
-        ways.befall("duplicate", [("n0", "n1")])
+        ways.clear("cut", [("n0", "n1")])
+        ways.inject("duplicate", [("n0", "n1")])
         send(0, net.peers(0)[1], b"twice")
         await until(lambda: seen.count((0, 1, b"twice")) == 2)
         net.close()
@@ -320,7 +320,7 @@
         time.sleep(0.5)  # the failure itself: the loop, and all relays with it, stand still
         # a busy machine may add others after it
         await until(lambda: any(stall.lasts > 400.0 for stall in watch.stalls))
-        assert "stood still" in lateness(watch.stalls, 1000.0).text
+        assert "stood still" in summarize_stalls(watch.stalls, 1000.0).text
         watch.stop()
 
     run(test())
--- a/tests/trial_runs.py
+++ b/tests/trial_runs.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from elderlock.sim.scenario import Scenario
-from elderlock.trial.processes import short_temp, swept
+from elderlock.trial.processes import run_guarded, short_temp_folder
 from elderlock.trial.run import Outcome, play
-from elderlock.trial.standing import PREFIX
+from elderlock.trial.running_harness import PREFIX
 
 
 def run_trial(scenario: Scenario, seed: int = 3, flaw: str = "") -> Outcome:
@@ -17,5 +17,5 @@
         outcomes.append(await play(scenario, folder, mark, seed, flaw))
         return 0
 
-    swept(PREFIX, run_and_record, 0.0, short_temp())
+    run_guarded(PREFIX, run_and_record, 0.0, short_temp_folder())
     return outcomes[0]
