--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -32,7 +32,7 @@
 from elderlock.sim.scenario import Net, Plan, Scenario, ServerKind, Service, Settings, with_load
 from elderlock.sim.seeds import Level
 from elderlock.standins.boxes import OLD, STD
-from elderlock.trial.processes import swept
+from elderlock.trial.processes import run_guarded
 
 HERE = Path(__file__).parent
 ROOT = HERE.parent
@@ -74,13 +74,7 @@
 def pace(limiters: int, floor: str, lasts: float) -> float:
     """Simulated seconds in one of life, 100 requests a second in all."""
     given = Scenario(
-        "pace",
-        lasts_s=lasts,
-        warm_s=0.5,
-        rest_s=0.5,
-        limiters=limiters,
-        boxes=12,
-        settings=Settings(subset=8),
+        "pace", lasts_s=lasts, warm_s=0.5, rest_s=0.5, limiters=limiters, boxes=12, settings=Settings(subset=8)
     )
     result = search.play(with_load(100.0 / given.capacity(), given), 1, floor)
     assert result.good(), result.text()
@@ -217,7 +211,7 @@
             found["p99"] = report.by["outcome"]["served"].latency["p99"]
             return 0
 
-    swept(GROUP_FOLDER_PREFIX, life)
+    run_guarded(GROUP_FOLDER_PREFIX, life)
     kinds = tuple(
         ServerKind(
             kind.name,
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -312,10 +312,10 @@
 def up(options: argparse.Namespace) -> int:
     """Start a group, and send a scenario's load to it while its faults are injected."""
     from elderlock.cli.running_groups import GROUP_FOLDER_PREFIX
-    from elderlock.trial.processes import swept
+    from elderlock.trial.processes import run_guarded
 
     read = _scenario(options)
-    return swept(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, read, folder, mark))
+    return run_guarded(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, read, folder, mark))
 
 
 async def _up(options: argparse.Namespace, read: Scenario, folder: Path, mark: str) -> int:
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -18,8 +18,8 @@
 from elderlock.sim.experiment import scenario_of, ships
 from elderlock.sim.scenario import Scenario, timeline, unsupported_faults
 from elderlock.sim.seeds import SeedError
-from elderlock.trial.ground import TrialError
-from elderlock.trial.processes import short_temp, swept
+from elderlock.trial.harness import TrialError
+from elderlock.trial.processes import run_guarded, short_temp_folder
 from elderlock.trial.run import Outcome, play
 
 PREFIX = "elderlock-trial-"
@@ -114,10 +114,10 @@
         scenario, seed = scenario_of(options.scenario, Path.cwd(), tuple(options.set)), options.seed
     _check_size(scenario)
     if options.flaw:
-        from elderlock.trial.flaws import FLAWS
+        from elderlock.trial.mutants import MUTANTS
 
-        if options.flaw not in FLAWS:
-            raise ScenarioError(f"there is no flaw {options.flaw!r}; there are {', '.join(FLAWS)}")
+        if options.flaw not in MUTANTS:
+            raise ScenarioError(f"there is no flaw {options.flaw!r}; there are {', '.join(MUTANTS)}")
     if options.keep is not None:
         options.keep.mkdir(parents=True, exist_ok=True)
     for line in unsupported_faults(scenario, "trial"):
@@ -136,7 +136,7 @@
             return 130
         return DONE
 
-    code = swept(PREFIX, run_trial, STOP_TIMEOUT_S, short_temp())
+    code = run_guarded(PREFIX, run_trial, STOP_TIMEOUT_S, short_temp_folder())
     if not outcomes:
         return code
     outcome = outcomes[0]
@@ -146,7 +146,7 @@
                 {
                     "verdict": outcome.verdict(),
                     "result": outcome.result,
-                    "late": outcome.late,
+                    "late": outcome.stall_summary,
                     "late_rules": outcome.late_rules,
                     "links": outcome.links,
                     "processes": outcome.processes,
@@ -167,27 +167,28 @@
 
 def _write_files(outcome: Outcome, folder: Path) -> None:
     """Write the timeline and the HTML page of a run to the folder of its logs."""
-    from elderlock.trial.page import page, timeline
+    from elderlock.trial.report import html_report, timeline
 
     logs = {path.stem: path.read_text(errors="replace") for path in sorted(folder.glob("*.log"))}
-    lines = timeline(outcome.events, outcome.stalls, outcome.result.broken, logs, outcome.epoch)
+    lines = timeline(outcome.events, outcome.stalls, outcome.result.broken, logs, outcome.epoch_ms)
     (folder / "timeline.txt").write_text("\n".join(line.shown() for line in lines) + "\n", encoding="utf-8")
-    (folder / "page.html").write_text(page(outcome, lines), encoding="utf-8")
+    (folder / "page.html").write_text(html_report(outcome, lines), encoding="utf-8")
     print(f"written to {folder}: page.html, timeline.txt, history.jsonl and the logs", file=sys.stderr)
 
 
 def _compare_with_simulation(scenario: Scenario, seed: int, outcome: Outcome) -> None:
     """Simulate the same scenario, and print the first differences of lists, faults and violated invariants."""
-    from elderlock.trial.parting import first, lanes
-    from elderlock.trial.simulated import simulated
+    from elderlock.trial.divergence import event_sequences, first_differences
+    from elderlock.trial.simulation import simulate
 
     try:
-        result, events, start_ms = simulated(scenario, seed)
+        result, events, start_ms = simulate(scenario, seed)
     except ValueError as error:
         print(f"the simulation is not compared: {error}", file=sys.stderr)
         return
-    differences = first(
-        lanes(outcome.events, outcome.result.broken, outcome.zero), lanes(events, result.broken, start_ms)
+    differences = first_differences(
+        event_sequences(outcome.events, outcome.result.broken, outcome.schedule_start_ms),
+        event_sequences(events, result.broken, start_ms),
     )
     violated = f"violated invariants: {', '.join(result.rules()) or 'none'}"
     print(f"simulation: {result.figures.served_in_time:.3f} served in time, {violated}")
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -19,7 +19,7 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.standins.front import Front
 from elderlock.standins.world import OPERATORS, World
-from elderlock.trial.processes import AGENT, Child, python, swept
+from elderlock.trial.processes import AGENT_COMMAND, Child, python, run_guarded
 
 READY_TIMEOUT_S = 30.0
 AGENT_RESTART_DELAY_S = 0.5
@@ -34,7 +34,7 @@
     if not (1 <= options.limiters <= 40 and 1 <= options.boxes <= 200 and 0 <= options.traffic <= 5000):
         print("elderlock: up takes 1 to 40 limiters, 1 to 200 boxes, 0 to 5000 requests per second", file=sys.stderr)
         return 2
-    return swept(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, folder, mark))
+    return run_guarded(GROUP_FOLDER_PREFIX, lambda folder, mark: _up(options, folder, mark))
 
 
 class _Agent:
@@ -52,7 +52,7 @@
             mark: The value that marks the processes of this run in their environment.
             log: The file for the agent's output.
         """
-        self._child = Child("agent", python(*AGENT, str(path)), mark, log, ended=self._on_exit)
+        self._child = Child("agent", python(*AGENT_COMMAND, str(path)), mark, log, ended=self._on_exit)
         self._exited = asyncio.Event()
         self._exit_code = 0
         self.unusable = asyncio.Event()
--- a/elderlock/trial/history.py
+++ b/elderlock/trial/history.py
@@ -15,9 +15,9 @@
 from typing import Any, NamedTuple
 
 from elderlock.sim import invariant_checkers as j
-from elderlock.trial.lateness import Stall
+from elderlock.trial.stalls import Stall
 
-HEARD = (
+EVENT_NAMES = (
     "asked",
     "answered",
     "excused",
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        for name in HEARD:
+        for name in EVENT_NAMES:
             setattr(self, name, self._hears(name))
 
     def _hears(self, name: str) -> Callable[..., None]:
@@ -152,16 +152,7 @@
             j.UnboundedGrowth(rules),
         )
         self.bench = j.CheckerSet(
-            [
-                self.lost,
-                self.twice,
-                self.drains,
-                self.cold,
-                self.ceilings,
-                self.reports,
-                self.failures,
-                self.growth,
-            ]
+            [self.lost, self.twice, self.drains, self.cold, self.ceilings, self.reports, self.failures, self.growth]
         )
         self._limiters: dict[str, str] = {}  # of each request, the one that took it
 
@@ -225,7 +216,7 @@
     return broken.at
 
 
-def judged(
+def check_history(
     events: Sequence[Event],
     stalls: Sequence[Stall],
     rules: j.CheckerLimits,
--- a/tests/authz/test_routing_server.py
+++ b/tests/authz/test_routing_server.py
@@ -349,7 +349,7 @@
         finally:
             agent.terminate()
             await agent.wait()
-            guard.sweep("test-authz-agent", tmp_path / "none", orderly=0.0)
+            guard.sweep("test-authz-agent", tmp_path / "none", grace_s=0.0)
             await world.close()
 
     run(test(), within=60.0)
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -167,8 +167,8 @@
     def wait_until_removed(self, mark: str) -> None:
         """Wait until no process and no file of the group is left."""
         deadline = time.monotonic() + 30.0  # reached only if something hangs
-        while guard.marked(mark) or any(self.tmp.iterdir()):
-            assert time.monotonic() < deadline, guard.marked(mark)
+        while guard.marked_pids(mark) or any(self.tmp.iterdir()):
+            assert time.monotonic() < deadline, guard.marked_pids(mark)
             time.sleep(0.02)
 
 
@@ -213,7 +213,7 @@
     mark = up.mark()
 
     def pid_of(word: bytes) -> int:
-        return next(p for p in guard.marked(mark) if word in Path(f"/proc/{p}/cmdline").read_bytes().split(b"\0"))
+        return next(p for p in guard.marked_pids(mark) if word in Path(f"/proc/{p}/cmdline").read_bytes().split(b"\0"))
 
     if part == "up":
         up.process.kill()
@@ -235,7 +235,7 @@
         marked = subprocess.Popen(["sleep", "60"], env={**os.environ, guard.MARK: "test-mine"})
         unrelated = subprocess.Popen(["sleep", "60"], env={**os.environ, guard.MARK: "test-mine-too"})
         try:
-            guard.sweep("test-mine", group_folder, orderly=0.0)
+            guard.sweep("test-mine", group_folder, grace_s=0.0)
             assert marked.wait(10) in (-signal.SIGTERM, -signal.SIGKILL)
             assert unrelated.poll() is None and not group_folder.exists()
         finally:
--- a/tests/sim/test_invariant_checkers.py
+++ b/tests/sim/test_invariant_checkers.py
@@ -11,7 +11,7 @@
 from elderlock.sim.exclusive_holdings import ExclusiveHoldings
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Fault, Plan, Scenario, Service, Settings, with_load
-from elderlock.trial import flaws
+from elderlock.trial import mutants
 
 LIMITS = checkers.CheckerLimits()
 
@@ -23,65 +23,80 @@
 
 PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
 # Each checker's name, the level, the scenario and the flaw
-FLAW_CASES: list[tuple[str, str, Scenario, flaws.Flaw]] = [
-    (checkers.UnansweredRequests.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)), flaws.loses),
+FLAW_CASES: list[tuple[str, str, Scenario, mutants.Mutant]] = [
+    (
+        checkers.UnansweredRequests.name,
+        "shells",
+        scenario(fault=(Fault(2.0, "errs", "box:*", 2.0, 0.9),)),
+        mutants.loses,
+    ),
     (
         checkers.RepeatedEffects.name,
         "decisions",
         scenario(service=(Service(effect="single_shot"),), fault=(Fault(2.0, "errs", "box:*", 1.0, 0.5),)),
-        flaws.tries_all_again,
+        mutants.tries_all_again,
     ),
     (
         checkers.DrainedServers.name,
         "decisions",
         scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)),
-        flaws.keeps_sending,
+        mutants.keeps_sending,
+    ),
+    (
+        checkers.DrainedServers.name,
+        "shells",
+        scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)),
+        mutants.keeps_sending,
+    ),
+    (
+        checkers.ColdServers.name,
+        "shells",
+        scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)),
+        mutants.knows_no_cold,
     ),
-    (checkers.DrainedServers.name, "shells", scenario(fault=(Fault(2.0, "drain", "box:0", 2.0),)), flaws.keeps_sending),
-    (checkers.ColdServers.name, "shells", scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)), flaws.knows_no_cold),
     (
         checkers.ColdServers.name,
         "decisions",
         scenario(1.0, fault=(Fault(2.0, "restart", "box:*"),)),
-        flaws.knows_no_cold,
+        mutants.knows_no_cold,
     ),
     (
         checkers.HardCeilings.name,
         "decisions",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
-        flaws.knows_no_ceiling,
+        mutants.knows_no_ceiling,
     ),
     (
         checkers.HardCeilings.name,
         "shells",
         scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False)),
-        flaws.knows_no_ceiling,
+        mutants.knows_no_ceiling,
     ),
     (
         checkers.DrainReports.name,
         "shells",
         scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)),
-        flaws.lies_of_drains,
+        mutants.lies_of_drains,
     ),
     (
         checkers.DrainReports.name,
         "decisions",
         scenario(agents=1, fault=(Fault(2.0, "op-drain", "box:0"),)),
-        flaws.lies_of_drains,
+        mutants.lies_of_drains,
     ),
-    (checkers.UnhandledErrors.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (checkers.UnhandledErrors.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), flaws.raises),
-    (checkers.Quiescence.name, "shells", scenario(), flaws.never_lets_go),
-    (checkers.Quiescence.name, "decisions", scenario(), flaws.never_lets_go),
-    (checkers.UnboundedGrowth.name, "decisions", scenario(lasts_s=12.0), flaws.forgets_no_timer),
-    (checkers.UnboundedGrowth.name, "shells", scenario(lasts_s=12.0), flaws.forgets_no_timer),
+    (checkers.UnhandledErrors.name, "shells", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (checkers.UnhandledErrors.name, "decisions", scenario(fault=(Fault(2.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (checkers.Quiescence.name, "shells", scenario(), mutants.never_lets_go),
+    (checkers.Quiescence.name, "decisions", scenario(), mutants.never_lets_go),
+    (checkers.UnboundedGrowth.name, "decisions", scenario(lasts_s=12.0), mutants.forgets_no_timer),
+    (checkers.UnboundedGrowth.name, "shells", scenario(lasts_s=12.0), mutants.forgets_no_timer),
     (
         ExclusiveHoldings.name,
         "shells",
         scenario(
             agents=3, settings=Settings(budget=0.34), fault=tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
         ),
-        flaws.grants_alone,
+        mutants.grants_alone,
     ),
     (
         ExclusiveHoldings.name,
@@ -91,13 +106,13 @@
             settings=Settings(budget=0.34),
             fault=tuple(Fault(2.0, "op-drain", f"limiter:{n}") for n in range(3)),
         ),
-        flaws.knows_no_budget,
+        mutants.knows_no_budget,
     ),
     (
         checkers.RecordAgreement.name,
         "shells",
         scenario(agents=3, fault=(Fault(2.0, "op-drain", "box:0"),)),
-        flaws.hears_no_other,
+        mutants.hears_no_other,
     ),
 ]
 
@@ -112,7 +127,7 @@
     ids=[f"{number}-{case[0]}-{case[1]}".replace(" ", "_") for number, case in enumerate(FLAW_CASES)],
 )
 def test_checker_detects_flaw(
-    checker_name: str, level: str, tested: Scenario, inject_flaw: flaws.Flaw, monkeypatch: pytest.MonkeyPatch
+    checker_name: str, level: str, tested: Scenario, inject_flaw: mutants.Mutant, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     result = play(level, tested)
     assert result.good(), result.text()
