--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -1,8 +1,8 @@
-"""Quotas through a counter that is lost in a fixed series of ways: what is let in over the bucket and the stated error.
+"""Measures how far quotas are exceeded when the shared counter fails, and compares it with the stated bound.
 
-Three ways beside each other: by lease, by the even split alone, and by one call a request. The series is played in
-simulated time with the code that ships, at 3, 50 and 500 limiters; then a real limiter meets a stand-in counter. The
-last line is one JSON object.
+Three methods are compared: leases, an even split between the limiters, and one call to the counter for each request.
+A fixed series of failures is played in simulated time with the product's code, for 3, 50 and 500 limiters. Afterwards
+real limiters run against a fake counter. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
 QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
-BUSY = (12.0, 9.0, 15.0)
+RATES_PER_S = (12.0, 9.0, 15.0)
 QUOTA_METHODS: dict[str, CounterParameters] = {
     "lease": CounterParameters(),
     "even split": CounterParameters(),
@@ -41,17 +41,19 @@
 }
 
 
-def calm(group: Group) -> None:
+def play_calm(group: Group) -> None:
+    """Play without a failure."""
     group.play(20_000.0)
 
 
-def uneven(group: Group) -> None:
-    """Nearly all comes through one limiter."""
+def play_uneven(group: Group) -> None:
+    """Send nearly all requests to one limiter."""
     group.rates = [sum(group.rates), *[0.3] * (len(group.rates) - 1)]
     group.play(20_000.0)
 
 
-def silence(group: Group) -> None:
+def play_silence(group: Group) -> None:
+    """The counter does not answer for 15 s."""
     group.play(7_000.0)
     group.set_down(True)
     group.play(15_000.0)
@@ -59,7 +61,8 @@
     group.play(6_000.0)
 
 
-def silence_empty(group: Group) -> None:
+def play_silence_and_loss(group: Group) -> None:
+    """The counter does not answer for 15 s and returns without its data."""
     group.play(7_000.0)
     group.set_down(True)
     group.play(15_000.0)
@@ -68,7 +71,8 @@
     group.play(6_000.0)
 
 
-def empty_twice(group: Group) -> None:
+def play_two_losses(group: Group) -> None:
+    """The counter returns without its data twice."""
     for _ in range(2):
         group.play(5_000.0)
         group.set_down(True)
@@ -78,27 +82,31 @@
     group.play(5_000.0)
 
 
-def swapped(group: Group) -> None:
+def play_replacement(group: Group) -> None:
+    """The counter is replaced by an empty one."""
     group.play(8_003.0)
     group.lose()
     group.play(10_000.0)
 
 
-def unseen(group: Group) -> None:
+def play_unnoticed_loss(group: Group) -> None:
+    """The counter loses its data, and nothing shows it."""
     group.play(9_000.0)
     group.lose(told=False)
     group.play(10_000.0)
 
 
-def snapshot(group: Group) -> None:
+def play_old_snapshot(group: Group) -> None:
+    """The counter is restored from a snapshot that is 8 s old."""
     group.play(5_000.0)
-    saved = group.snapshot()
+    snapshot = group.snapshot()
     group.play(8_000.0)
-    group.restore(saved)
+    group.restore(snapshot)
     group.play(8_000.0)
 
 
-def cut(group: Group) -> None:
+def play_cut(group: Group) -> None:
+    """One limiter is cut off from the counter for 10 s."""
     group.play(6_000.0)
     group.cut([len(group.rates) - 1])
     group.play(10_000.0)
@@ -106,7 +114,8 @@
     group.play(6_000.0)
 
 
-def cut_busiest(group: Group) -> None:
+def play_cut_with_load(group: Group) -> None:
+    """The limiter that gets nearly all requests is cut off from the counter for 10 s."""
     group.play(6_000.0)
     group.cut([0])
     group.rates = [sum(group.rates), *[0.5] * (len(group.rates) - 1)]
@@ -115,66 +124,71 @@
     group.play(6_000.0)
 
 
-def restarts(group: Group) -> None:
-    for turn in range(6):
+def play_restarts(group: Group) -> None:
+    """The limiters are restarted in turn."""
+    for number in range(6):
         group.play(3_000.0)
-        group.restart(turn % len(group.rates))
+        group.restart(number % len(group.rates))
     group.play(3_000.0)
 
 
 SERIES: dict[str, Callable[[Group], None]] = {
-    "calm": calm,
-    "uneven": uneven,
-    "silence": silence,
-    "silence, empty": silence_empty,
-    "empty twice": empty_twice,
-    "swapped": swapped,
-    "unseen loss": unseen,
-    "old snapshot": snapshot,
-    "cut": cut,
-    "cut, busiest there": cut_busiest,
-    "restarts": restarts,
+    "calm": play_calm,
+    "uneven": play_uneven,
+    "silence": play_silence,
+    "silence, empty": play_silence_and_loss,
+    "empty twice": play_two_losses,
+    "swapped": play_replacement,
+    "unseen loss": play_unnoticed_loss,
+    "old snapshot": play_old_snapshot,
+    "cut": play_cut,
+    "cut, busiest there": play_cut_with_load,
+    "restarts": play_restarts,
 }
 
 
-class Even(LeaseBook):
-    """Never asks the counter: the split that stands in until there is a reading."""
+class EvenSplit(LeaseBook):
+    """Never calls the counter: it uses only the even split that limiters use until the counter has answered."""
 
-    def admit(self, request: str, key: str, store: SharedBucket, units: float, now: float) -> bool | None:
-        return self.ledger_for(key, store, now)[1].spend_local(units, now)
+    def admit(self, request: str, key: str, bucket: SharedBucket, units: float, now: float) -> bool | None:
+        return self.ledger_for(key, bucket, now)[1].spend_local(units, now)
 
     def due_calls(self, now: float) -> list[Any]:
         return []
 
 
 def play(case: tuple[str, str, bool, int, int]) -> dict[str, Any]:
-    """One of the series, by one of the ways, for a hard store or not, at a number of limiters."""
-    way, series, hard, limiters, seed = case
-    terms, store = QUOTA_METHODS[way], CEILING if hard else QUOTA
+    """Play a series of failures; return its figures.
+
+    Args:
+        case: The method, the series, whether the bucket is a hard ceiling, the number of limiters, and the seed.
+    """
+    method, series, hard, limiters, seed = case
+    parameters, bucket = QUOTA_METHODS[method], CEILING if hard else QUOTA
     if limiters != 3:
-        grown = limiters / 3
-        store = replace(
-            store,
+        factor = limiters / 3
+        bucket = replace(
+            bucket,
             limiter_count=limiters,
-            rate_per_s=store.rate_per_s * grown,
-            burst_units=store.burst_units * grown,
-            slack_units=store.slack_units * grown,
+            rate_per_s=bucket.rate_per_s * factor,
+            burst_units=bucket.burst_units * factor,
+            slack_units=bucket.slack_units * factor,
         )
-    rates = [BUSY[n % 3] for n in range(limiters)]
-    group = Group(store, terms, seed, rates, per_s=max(500.0, 170.0 * limiters))
-    if way == "even split":
-        group.books = [Even(terms, group.rng, group.clock(n)) for n in range(limiters)]
-    begun = group.now
+    rates = [RATES_PER_S[n % 3] for n in range(limiters)]
+    group = Group(bucket, parameters, seed, rates, per_s=max(500.0, 170.0 * limiters))
+    if method == "even split":
+        group.books = [EvenSplit(parameters, group.rng, group.clock(n)) for n in range(limiters)]
+    began_at = group.now
     SERIES[series](group)
-    allowed = store.burst_units + store.refill_units(group.now - begun)
+    allowed = bucket.burst_units + bucket.refill_units(group.now - began_at)
     granted, requested = sum(group.granted.values()), sum(group.asked.values())
     return {
-        "way": way,
+        "way": method,
         "series": series,
         "hard": hard,
         "limiters": limiters,
         "worst": round(group.excess.worst_units, 2),
-        "bound": round(stated_error_units(store, terms, group.known_failures()), 2),
+        "bound": round(stated_error_units(bucket, parameters, group.known_failures()), 2),
         "excess_share": round(max(0.0, granted - allowed) / allowed, 4),
         "unused_share": round(max(0.0, min(requested, allowed) - granted) / allowed, 4),
         "calls_per_request": round(sum(book.calls_made for book in group.books) / max(1, requested), 3),
@@ -182,36 +196,37 @@
     }
 
 
-def recovery(seed: int) -> list[float]:
-    """ms from the counter's return until each limiter draws again."""
-    group = Group(CEILING, CounterParameters(), seed, BUSY).play(3_000.0)
+def recovery_times_ms(seed: int) -> list[float]:
+    """Return the times in ms from the counter's return until each limiter draws from it again."""
+    group = Group(CEILING, CounterParameters(), seed, RATES_PER_S).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
-    begun, found = group.now, dict[int, float]()
-    while len(found) < 3 and group.now - begun < 10_000.0:
+    began_at, recovered_ms = group.now, dict[int, float]()
+    while len(recovered_ms) < 3 and group.now - began_at < 10_000.0:
         group.play(10.0)
         for number, book in enumerate(group.books):
             if book.mode is CounterMode.SHARED:
-                found.setdefault(number, group.now - begun)
-    return list(found.values())
+                recovered_ms.setdefault(number, group.now - began_at)
+    return list(recovered_ms.values())
 
 
-def light(store: SharedBucket, rate: float) -> float:
-    """Calls a request, but the sentinels', for customers far from their quota."""
-    group = Group(store, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
-    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return max(0.0, made) / sum(group.asked.values())
+def calls_far_from_quota(bucket: SharedBucket, rate: float) -> float:
+    """Return the counter calls of a request, without heartbeats, for an account far below its quota."""
+    group = Group(bucket, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
+    calls = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
+    return max(0.0, calls) / sum(group.asked.values())
 
 
-def near() -> float:
+def calls_near_quota() -> float:
+    """Return the counter calls of a request, without heartbeats, for an account near its quota."""
     group = Group(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
-    made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return made / sum(group.asked.values())
+    calls = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
+    return calls / sum(group.asked.values())
 
 
-def decision_cost() -> float:
-    """CPU of a request with the counter over that with keepers of one's own, the decision module alone."""
+def counter_cpu_ratio() -> float:
+    """Return the CPU time of a request with the counter over that with quota owners; only decisions are measured."""
     from decisions import Driven, settings
 
     from elderlock import interface as api
@@ -219,40 +234,40 @@
     from elderlock.decisions.quota_coordinator import QuotaCoordinator
     from elderlock.quota.counted_quotas import CountedCoordinator
 
-    def cost(source: type[QuotaCoordinator]) -> float:
+    def cpu_us(coordinator: type[QuotaCoordinator]) -> float:
         driven = Driven(8)
-        driven.limiter = Limiter(settings(3, api.Routing()), 1, 0.0, source)
+        driven.limiter = Limiter(settings(3, api.Routing()), 1, 0.0, coordinator)
         driven.token = driven._token(driven.limiter.start(0.0))
         from decisions import entries
 
         driven.limiter.handle(api.ServerList(1, api.ListKind.COMPLETE, entries(8)), 0.0)
-        handle, totals, coming = driven.limiter.handle, dict[str, float](), list[tuple[int, float]]()
-        begun = 0
+        handle, totals, pending_answers = driven.limiter.handle, dict[str, float](), list[tuple[int, float]]()
+        began_ns = 0
         for n in range(6000):
-            if n == 1000:
-                begun = time.process_time_ns()
+            if n == 1000:  # the first requests are not measured
+                began_ns = time.process_time_ns()
             now = driven.now = driven.now + 1.0
-            made = list(handle(api.RequestArrived(f"r{n}", 0, 0, f"{n % 200:016x}", 1.0, now + 900.0, 3, 0), now))
-            for token, total in coming:
-                made += handle(api.CounterAnswered(token, api.Outcome.OK, total, 1.0), now)
-            coming.clear()
+            actions = list(handle(api.RequestArrived(f"r{n}", 0, 0, f"{n % 200:016x}", 1.0, now + 900.0, 3, 0), now))
+            for token, total in pending_answers:
+                actions += handle(api.CounterAnswered(token, api.Outcome.OK, total, 1.0), now)
+            pending_answers.clear()
             if n % 5 == 0:
-                made += handle(api.TimerFired(driven.token), now)
-            for action in made:
+                actions += handle(api.TimerFired(driven.token), now)
+            for action in actions:
                 if type(action) is api.SendAttempt:
                     handle(api.AttemptEnded(action.request_id, 0, action.server_id, api.Outcome.OK, 30.0, True), now)
                 elif type(action) is api.SetTimer:
                     driven.token = action.token
                 elif type(action) is api.AddToCounter:
                     totals[action.counter_name] = totals.get(action.counter_name, 0.0) + action.amount
-                    coming.append((action.token, totals[action.counter_name]))
-        return (time.process_time_ns() - begun) / 5000 / 1000.0
+                    pending_answers.append((action.token, totals[action.counter_name]))
+        return (time.process_time_ns() - began_ns) / 5000 / 1000.0
 
-    ratios = [cost(CountedCoordinator) / cost(QuotaCoordinator) for _ in range(5)]
+    ratios = [cpu_us(CountedCoordinator) / cpu_us(QuotaCoordinator) for _ in range(5)]
     return statistics.median(ratios)
 
 
-CUSTOMER = {
+PLAN = {
     "name": "enterprise",
     "price": 1.8,
     "quota-rate": 30.0,
@@ -263,30 +278,33 @@
 }
 
 
-async def real() -> dict[str, Any]:
-    """Three real limiters, most of the requests at one, through calm, a silence, an empty return and a counter that
-    refuses and is started anew."""
-    store, begun = SharedBucket(30.0, 60.0, 3), time.monotonic()
-    served: list[float] = []
+async def run_real() -> dict[str, Any]:
+    """Run three real limiters, one of which gets most requests, while the counter fails; return the figures.
+
+    The counter does not answer for 4 s and returns without its data, then refuses connections for 2 s and returns
+    without its data again.
+    """
+    bucket, began_s = SharedBucket(30.0, 60.0, 3), time.monotonic()
+    served_at: list[float] = []
     requested = 0
 
-    async def asks(program: Program, every: float, name: str) -> None:
+    async def send_requests(program: Program, interval_s: float, name: str) -> None:
         nonlocal requested
         client, n = await program.client(), 0
         while True:
             n += 1
             requested += 1
             if isinstance(await client.ask(f"{name}-{n}", t="enterprise", spread=3), bytes):
-                served.append((time.monotonic() - begun) * 1000.0)
-            await asyncio.sleep(every)
+                served_at.append((time.monotonic() - began_s) * 1000.0)
+            await asyncio.sleep(interval_s)
 
     with tempfile.TemporaryDirectory() as name:
-        async with programs(Path(name), 3, boxes=6, plans=[CUSTOMER], operators="[quota]\n") as made:
-            counter = made[0].world.counter
-            waits = (0.05, 0.4, 0.6)
+        async with programs(Path(name), 3, boxes=6, plans=[PLAN], operators="[quota]\n") as limiters:
+            counter = limiters[0].world.counter
+            intervals_s = (0.05, 0.4, 0.6)
             tasks = [
-                asyncio.create_task(asks(program, waits[number], f"c{number}-{n}"))
-                for number, program in enumerate(made)
+                asyncio.create_task(send_requests(program, intervals_s[number], f"c{number}-{n}"))
+                for number, program in enumerate(limiters)
                 for n in range(5)
             ]
             await asyncio.sleep(5.0)
@@ -304,26 +322,27 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
             calls = counter.calls
-    excess = ExcessMeter(store)
-    for at in sorted(served):
+    excess = ExcessMeter(bucket)
+    for at in sorted(served_at):
         excess.record(1.0, at)
     return {
-        "real_served": len(served),
+        "real_served": len(served_at),
         "real_asked": requested,
         "real_calls": calls,
-        "real_quota_units": round(store.burst_units + store.refill_units((time.monotonic() - begun) * 1000.0), 1),
+        "real_quota_units": round(bucket.burst_units + bucket.refill_units((time.monotonic() - began_s) * 1000.0), 1),
         "real_worst_units": round(excess.worst_units, 2),
-        "real_bound_units": round(stated_error_units(store, CounterParameters(), FailureHistory(return_count=2)), 2),
+        "real_bound_units": round(stated_error_units(bucket, CounterParameters(), FailureHistory(return_count=2)), 2),
     }
 
 
 def main() -> None:
+    """Play all cases and print the figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     options = parser.parse_args()
     cases = [
-        (way, series, hard, 3, seed)
-        for way in QUOTA_METHODS
+        (method, series, hard, 3, seed)
+        for method in QUOTA_METHODS
         for series in SERIES
         for hard in (True, False)
         for seed in range(options.seeds)
@@ -336,33 +355,37 @@
         if limiters == 50 or series in ("silence, empty", "cut")
     ]
     with ProcessPoolExecutor(6) as pool:
-        made = list(pool.map(play, cases + large))
-        waits = sorted(wait for found in pool.map(recovery, range(12)) for wait in found)
-    for one in made:
-        print(json.dumps(one))
-    lease = [one for one in made if one["way"] == "lease" and one["limiters"] == 3]
-    worst = max(lease, key=lambda one: one["worst"] / one["bound"])
-
-    def shares(way: str, name: str) -> dict[str, float]:
+        results = list(pool.map(play, cases + large))
+        recovery_ms = sorted(time_ms for times_ms in pool.map(recovery_times_ms, range(12)) for time_ms in times_ms)
+    for result in results:
+        print(json.dumps(result))
+    lease_results = [result for result in results if result["way"] == "lease" and result["limiters"] == 3]
+    worst = max(lease_results, key=lambda result: result["worst"] / result["bound"])
+
+    def shares(method: str, name: str) -> dict[str, float]:
         return {
-            series: max(one[name] for one in made if (one["way"], one["series"], one["limiters"]) == (way, series, 3))
+            series: max(
+                result[name]
+                for result in results
+                if (result["way"], result["series"], result["limiters"]) == (method, series, 3)
+            )
             for series in SERIES
         }
 
-    met = uvloop.run(real())
+    real_figures = uvloop.run(run_real())
     print(
         json.dumps(
             {
-                **met,
-                "real_bound_broken": int(met["real_worst_units"] > met["real_bound_units"]),
+                **real_figures,
+                "real_bound_broken": int(real_figures["real_worst_units"] > real_figures["real_bound_units"]),
                 "scenarios": len(SERIES) * 2,
-                "worst_over_ceiling_units": max(one["worst"] for one in lease if one["hard"]),
+                "worst_over_ceiling_units": max(result["worst"] for result in lease_results if result["hard"]),
                 "worst_over_ceiling_units_uncut": max(
-                    one["worst"] for one in lease if one["hard"] and "cut" not in one["series"]
+                    result["worst"] for result in lease_results if result["hard"] and "cut" not in result["series"]
                 ),
                 "stated_bound_units": worst["bound"],
                 "worst_over_bound": round(worst["worst"] / worst["bound"], 3),
-                "bound_broken": sum(one["worst"] > one["bound"] for one in lease),
+                "bound_broken": sum(result["worst"] > result["bound"] for result in lease_results),
                 "quota_excess_share": shares("lease", "excess_share"),
                 "quota_unused_share": shares("lease", "unused_share"),
                 "even_split_unused_share": shares("even split", "unused_share"),
@@ -370,21 +393,25 @@
                 "call_each_unused_share": shares("one call a request", "unused_share"),
                 "call_each_excess_share": shares("one call a request", "excess_share"),
                 "calls_per_request": {
-                    "far, burst 12": round(light(QUOTA, 0.5), 3),
-                    "far, burst 400": round(light(SharedBucket(200.0, 400.0, 3), 12.0), 3),
-                    "near": round(near(), 3),
-                    "far beyond": max(one["calls_per_request"] for one in lease if one["series"] == "calm"),
+                    "far, burst 12": round(calls_far_from_quota(QUOTA, 0.5), 3),
+                    "far, burst 400": round(calls_far_from_quota(SharedBucket(200.0, 400.0, 3), 12.0), 3),
+                    "near": round(calls_near_quota(), 3),
+                    "far beyond": max(
+                        result["calls_per_request"] for result in lease_results if result["series"] == "calm"
+                    ),
                     "far beyond, one call each": max(
-                        one["calls_per_request"]
-                        for one in made
-                        if (one["way"], one["series"]) == ("one call a request", "calm")
+                        result["calls_per_request"]
+                        for result in results
+                        if (result["way"], result["series"]) == ("one call a request", "calm")
                     ),
                 },
-                "slowest_decision_ms": max(one["slowest_ms"] for one in lease),
-                "recover_ms_p99": round(waits[int(0.99 * (len(waits) - 1))], 1),
+                "slowest_decision_ms": max(result["slowest_ms"] for result in lease_results),
+                "recover_ms_p99": round(recovery_ms[int(0.99 * (len(recovery_ms) - 1))], 1),
                 "simulated_limiters": 500,
-                "simulated_bound_broken": sum(one["worst"] > one["bound"] for one in made if one["limiters"] > 3),
-                "cpu_ratio_counter_on_off": round(decision_cost(), 3),
+                "simulated_bound_broken": sum(
+                    result["worst"] > result["bound"] for result in results if result["limiters"] > 3
+                ),
+                "cpu_ratio_counter_on_off": round(counter_cpu_ratio(), 3),
             }
         )
     )
--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -1,8 +1,8 @@
-"""What a request costs: CPU of the real limiter over that of a bare proxy, in one run, by rate, accounts and boxes.
+"""Measures the CPU time of a request in the limiter over that in a bare proxy, by rate, accounts and servers.
 
-Both stand behind the same load, in front of the same boxes, one after the other in each round; the figure is the ratio
-of their CPU a request in the same round, so a slower machine changes both. The last line is one JSON object.
-`--profile` prints where the limiter's time goes.
+In each round both get the same load in front of the same servers, one after the other. The figure is the ratio of
+their CPU times of a request in the same round, so a slower machine changes both. The last line is one JSON object.
+`--profile` prints in which functions the limiter spends its time.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from elderlock.standins.settings import raw_config
 from elderlock.standins.world import ROOT, free_address
 
-TICKS = os.sysconf("SC_CLK_TCK")
-WARM_S = 1.5  # of each measurement, not counted: connections, and what the module learns first
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+WARM_S = 1.5  # at the start of each measurement, for connections and the first estimates; not measured
 SCENARIO = """
 name = "cost"
 for_s = {lasts}
@@ -47,12 +47,13 @@
 
 
 def cpu_s(pid: int) -> float:
+    """Return the CPU time of a process in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 class Subject:
-    """A process under load."""
+    """A process that is measured under load."""
 
     def __init__(self, command: Sequence[str], listen: str, environ: dict[str, str]) -> None:
         self._command, self.listen, self._environ = command, listen, environ
@@ -76,7 +77,7 @@
                 continue
             writer.close()
             return self
-        raise SystemExit(f"{self._command} does not come up")
+        raise SystemExit(f"{self._command} does not listen at {self.listen} within 10 s")
 
     async def __aexit__(self, *_: object) -> None:
         assert self.process is not None
@@ -85,39 +86,52 @@
         await self.process.wait()
 
 
-async def load(subject: Subject, rate: float, accounts: int, lasts: float, seed: int) -> tuple[float, Report]:
-    """µs of CPU a request, of those after the warm-up."""
+async def load(subject: Subject, rate: float, accounts: int, duration_s: float, seed: int) -> tuple[float, Report]:
+    """Return the CPU time of a request in µs after the warm-up, and the load report."""
     assert subject.process is not None
     workers = 1 if rate <= 1500 else 2
-    text = SCENARIO.format(lasts=lasts, seed=seed, workers=workers, rate=rate, accounts=accounts)
-    read = parse(text, "cost", [f'targets.addresses=["{subject.listen}"]'])
-    marks: list[tuple[float, int]] = []
-    ended = 0
-
-    def live(second: Any) -> None:
-        nonlocal ended
-        ended += sum(second.outcomes.values())
+    text = SCENARIO.format(lasts=duration_s, seed=seed, workers=workers, rate=rate, accounts=accounts)
+    scenario = parse(text, "cost", [f'targets.addresses=["{subject.listen}"]'])
+    cpu_marks: list[tuple[float, int]] = []
+    ended_count = 0
+
+    def on_second(second: Any) -> None:
+        nonlocal ended_count
+        ended_count += sum(second.outcomes.values())
         if second.at in (0, 1):
-            marks.append((cpu_s(subject.process.pid), ended))  # type: ignore[union-attr]
+            cpu_marks.append((cpu_s(subject.process.pid), ended_count))  # type: ignore[union-attr]
 
-    made = await Coordinator(read, local_lines(workers), live).run()
-    total = cpu_s(subject.process.pid)
-    begun, before = marks[-1]
-    return (total - begun) / max(1, ended - before) * 1e6, made
+    report = await Coordinator(scenario, local_lines(workers), on_second).run()
+    cpu_s_after = cpu_s(subject.process.pid)
+    cpu_s_before, ended_before = cpu_marks[-1]
+    return (cpu_s_after - cpu_s_before) / max(1, ended_count - ended_before) * 1e6, report
 
 
 def config(folder: Path, listen: str, discovery: Discovery) -> Path:
-    made = raw_config(listen=listen, discovery=discovery.doors[0].endpoint)
-    made["settings"]["plans"][0].update({"quota-rate": 1e6, "burst": 1e6})
+    """Write the configuration of a limiter; return its path."""
+    content = raw_config(listen=listen, discovery=discovery.doors[0].endpoint)
+    content["settings"]["plans"][0].update({"quota-rate": 1e6, "burst": 1e6})
     path = folder / "limiter.json"
-    path.write_text(json.dumps(made))
+    path.write_text(json.dumps(content))
     return path
 
 
-async def case(rate: float, accounts: int, count: int, rounds: int, lasts: float, profile: bool) -> dict[str, Any]:
-    ratios, limiter_us, floor_us, served = [], [], [], []
+async def measure_case(
+    rate: float, accounts: int, server_count: int, rounds: int, duration_s: float, profile: bool
+) -> dict[str, Any]:
+    """Return the CPU times of a request in the limiter and in the bare proxy: the medians over the rounds.
+
+    Args:
+        rate: Requests a second.
+        accounts: How many accounts they are from.
+        server_count: How many servers there are.
+        rounds: How many rounds are measured.
+        duration_s: The duration of the load in each round.
+        profile: Whether the limiter runs under the profiler.
+    """
+    ratios, limiter_us, bare_proxy_us, served = [], [], [], []
     with tempfile.TemporaryDirectory() as name:
-        async with apart(kind="none", box=True, ports=count) as endpoints:
+        async with apart(kind="none", box=True, ports=server_count) as endpoints:
             rows = [
                 {
                     "uid": f"s-{n:03d}",
@@ -133,29 +147,29 @@
             ]
             discovery = await Discovery(rows=lambda door: rows).start()
             try:
-                for number in range(rounds):
-                    listens = free_address(), free_address()
-                    path = config(Path(name), listens[0], discovery)
+                for round_number in range(rounds):
+                    addresses = free_address(), free_address()
+                    path = config(Path(name), addresses[0], discovery)
                     command = ["-m", "elderlock"]
                     if profile:
                         command = ["-c", PROFILED]
-                    async with Subject(command, listens[0], {"PROXY_CONFIG": str(path)}) as subject:
-                        us, made = await load(subject, rate, accounts, lasts, number + 1)
-                    floor = ["-m", "elderlock.standins.floor", listens[1], *endpoints]
-                    async with Subject(floor, listens[1], {}) as subject:
-                        bare, _ = await load(subject, rate, accounts, lasts, number + 1)
-                    limiter_us.append(us)
-                    floor_us.append(bare)
-                    ratios.append(us / bare)
-                    served.append(made.outcomes.get("served", 0) / made.ledger["scheduled"])
+                    async with Subject(command, addresses[0], {"PROXY_CONFIG": str(path)}) as subject:
+                        limiter_us_of_round, report = await load(subject, rate, accounts, duration_s, round_number + 1)
+                    bare_proxy = ["-m", "elderlock.standins.floor", addresses[1], *endpoints]
+                    async with Subject(bare_proxy, addresses[1], {}) as subject:
+                        bare_us, _ = await load(subject, rate, accounts, duration_s, round_number + 1)
+                    limiter_us.append(limiter_us_of_round)
+                    bare_proxy_us.append(bare_us)
+                    ratios.append(limiter_us_of_round / bare_us)
+                    served.append(report.outcomes.get("served", 0) / report.ledger["scheduled"])
             finally:
                 await discovery.close()
     return {
         "rate": rate,
         "accounts": accounts,
-        "boxes": count,
+        "boxes": server_count,
         "limiter_us": round(statistics.median(limiter_us), 1),
-        "floor_us": round(statistics.median(floor_us), 1),
+        "floor_us": round(statistics.median(bare_proxy_us), 1),
         "ratio": round(statistics.median(ratios), 2),
         "ratios": [round(ratio, 2) for ratio in ratios],
         "served": round(min(served), 4),
@@ -174,20 +188,21 @@
 
 
 async def run(options: argparse.Namespace) -> dict[str, Any]:
-    rounds, lasts = options.rounds, options.seconds
-    small = await case(900, 1000, 8, rounds, lasts, options.profile)
+    """Measure all cases; return the figures."""
+    rounds, duration_s = options.rounds, options.seconds
+    small = await measure_case(900, 1000, 8, rounds, duration_s, options.profile)
     print(json.dumps(small), flush=True)
     if options.profile or options.small:
         return {"small": small}
     cases = [
-        await case(300, 1000, 8, rounds, lasts, False),
-        await case(1800, 1000, 8, rounds, lasts, False),
-        await case(900, 100_000, 8, rounds, lasts, False),
-        await case(900, 1000, 50, rounds, lasts, False),
-        await case(900, 1000, 200, rounds, lasts, False),
+        await measure_case(300, 1000, 8, rounds, duration_s, False),
+        await measure_case(1800, 1000, 8, rounds, duration_s, False),
+        await measure_case(900, 100_000, 8, rounds, duration_s, False),
+        await measure_case(900, 1000, 50, rounds, duration_s, False),
+        await measure_case(900, 1000, 200, rounds, duration_s, False),
     ]
-    for each in cases:
-        print(json.dumps(each), flush=True)
+    for measured in cases:
+        print(json.dumps(measured), flush=True)
     return {
         "cost_ratio_limiter_over_floor": small["ratio"],
         "cost_ratio_100k_accounts": round(cases[2]["limiter_us"] / small["limiter_us"], 2),
@@ -201,11 +216,12 @@
 
 
 def main() -> None:
+    """Print the figures as JSON."""
     options = argparse.ArgumentParser(description=__doc__)
     options.add_argument("--rounds", type=int, default=3)
     options.add_argument("--seconds", type=float, default=6.0)
-    options.add_argument("--small", action="store_true", help="the small case alone")
-    options.add_argument("--profile", action="store_true", help="where the limiter's time goes, in the small case")
+    options.add_argument("--small", action="store_true", help="measure the small case only")
+    options.add_argument("--profile", action="store_true", help="profile the limiter in the small case")
     print(json.dumps(uvloop.run(run(options.parse_args()))))
 
 
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -1,6 +1,8 @@
-"""Whether the load generator tells the truth: known delays found again, a stall seen whole, lateness admitted.
+"""Measures the accuracy of the load generator.
 
-The last line is one JSON object. `--quick` takes a minute and leaves out the cost of the limiter and the long run.
+It checks that known delays are measured as they are, that a stall of the target is part of the latencies, and that a
+run in which the generator itself fell behind says so. The last line is one JSON object. `--quick` takes a minute and
+leaves out the cost of the limiter and the long run.
 """
 
 from __future__ import annotations
@@ -27,8 +29,8 @@
 from elderlock.spawning import spawn
 from elderlock.standins.delays import apart, quantile_of
 
-SHARES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p99.9": 0.999}
-ROUNDS = 3  # of each kind, of which the median counts: a machine's hiccup is not the generator's error
+QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p99.9": 0.999}
+ROUNDS = 3  # of each kind; the median is reported, because a short stall of the machine is no error of the generator
 SCENARIO = """
 name = "truth"
 for_s = {lasts}
@@ -46,23 +48,37 @@
 shape = [{{ kind = "steady", rate = {rate} }}]
 accounts = {{ count = 100 }}
 """
-Meddle = Callable[[list[LocalLine]], Awaitable[None]]
+Disturbance = Callable[[list[LocalLine]], Awaitable[None]]
 
 
 async def run(
     targets: list[str],
     rate: float,
-    lasts: float,
+    duration_s: float,
     workers: int = 1,
     arrivals: str = "poisson",
     seed: int = 1,
     connections: int = 2000,
     deadline: float = 20_000.0,
-    meddle: Meddle | None = None,
+    disturb: Disturbance | None = None,
     changes: tuple[str, ...] = (),
 ) -> Report:
+    """Generate load; return the report.
+
+    Args:
+        targets: The addresses of the targets.
+        rate: Requests a second.
+        duration_s: The duration of the load.
+        workers: How many worker processes generate it.
+        arrivals: The distribution of the arrivals.
+        seed: The seed of all random choices.
+        connections: The maximum number of connections.
+        deadline: The deadline of a request in ms.
+        disturb: Disturbs the workers once the load has started.
+        changes: Fields of the scenario with other values, as `name=value`.
+    """
     text = SCENARIO.format(
-        lasts=lasts,
+        lasts=duration_s,
         seed=seed,
         workers=workers,
         rate=rate,
@@ -70,189 +86,222 @@
         connections=connections,
         deadline=deadline,
     )
-    read = parse(text, "truth", [f"targets.addresses={json.dumps(targets)}", *changes])
+    scenario = parse(text, "truth", [f"targets.addresses={json.dumps(targets)}", *changes])
     lines = [LocalLine(number) for number in range(workers)]
 
-    async def began(at: float) -> list[tuple[float, str]]:
-        if meddle is not None:
-            await meddle(lines)
+    async def on_start(at: float) -> list[tuple[float, str]]:
+        if disturb is not None:
+            await disturb(lines)
         return []
 
-    return await Coordinator(read, lines, began=began).run()
+    return await Coordinator(scenario, lines, began=on_start).run()
 
 
-def found(made: Report, share: float, service: bool = False) -> float:
-    lines = made.by["all"]["all"]
-    histogram = decoded(lines.service_hdr if service else lines.latency_hdr).hdr()
+def latency_ms(report: Report, share: float, of_service_time: bool = False) -> float:
+    """Return a quantile of the latencies, or of the service times, in ms."""
+    lines = report.by["all"]["all"]
+    histogram = decoded(lines.service_hdr if of_service_time else lines.latency_hdr).hdr()
     return float(histogram.get_value_at_percentile(100 * share)) / 1000.0
 
 
-async def percentiles(lasts: float) -> dict[str, Any]:
+async def measure_percentiles(duration_s: float) -> dict[str, Any]:
+    """Compare measured quantiles with the targets' delays, as they were and as they were asked for."""
     kinds: list[dict[str, Any]] = [
         {"kind": "constant", "ms": 50},
         {"kind": "exponential", "ms": 50},
         {"kind": "bimodal", "ms": 20, "slow_ms": 200, "slow_share": 0.1},
     ]
-    rounds: dict[str, list[float]] = {}
-    nominal: dict[str, list[float]] = {}
+    errors: dict[str, list[float]] = {}
+    nominal_errors: dict[str, list[float]] = {}
     rate_error, behind, runs = 0.0, 0, 0
     for number in range(ROUNDS):
         for spec in kinds:
-            truth: dict[float, float] = {}
-            async with apart(truth, **spec) as targets:
-                made = await run(targets, 500.0, lasts, arrivals="even", seed=number + 1)
-            rate_error = max(rate_error, made.rate_error, abs(made.ledger["sent"] / (500.0 * lasts) - 1.0))
-            runs, behind = runs + 1, behind + bool(made.behind)
-            for name, share in SHARES.items():
+            actual_ms: dict[float, float] = {}
+            async with apart(actual_ms, **spec) as targets:
+                report = await run(targets, 500.0, duration_s, arrivals="even", seed=number + 1)
+            rate_error = max(rate_error, report.rate_error, abs(report.ledger["sent"] / (500.0 * duration_s) - 1.0))
+            runs, behind = runs + 1, behind + bool(report.behind)
+            for name, share in QUANTILES.items():
                 key = f"{spec['kind']} {name}"
-                rounds.setdefault(key, []).append(abs(found(made, share) / truth[share] - 1.0))
-                nominal.setdefault(key, []).append(abs(found(made, share) / quantile_of(spec, share) - 1.0))
+                errors.setdefault(key, []).append(abs(latency_ms(report, share) / actual_ms[share] - 1.0))
+                nominal_errors.setdefault(key, []).append(
+                    abs(latency_ms(report, share) / quantile_of(spec, share) - 1.0)
+                )
     return {
-        "percentile_errors": {key: statistics.median(errors) for key, errors in rounds.items()},
-        "percentile_errors_nominal": {key: statistics.median(errors) for key, errors in nominal.items()},
+        "percentile_errors": {key: statistics.median(values) for key, values in errors.items()},
+        "percentile_errors_nominal": {key: statistics.median(values) for key, values in nominal_errors.items()},
         "rate_error": rate_error,
         "runs": runs,
         "behind": behind,
     }
 
 
-def stalled(rate: float, lasts: float, connections: int, delay: float, at: float, stall: float) -> list[float]:
-    """What a patient client sees (ms): requests in line for so many connections, first come first served, in
-    front of a target that takes `delay` s each and gives no answer between `at` and `at + stall` s after the
-    first one came."""
-    free = [0.0] * connections
-    first = 0.5 / rate
-    seen = []
-    for number in range(round(rate * lasts)):
-        arrives = (number + 0.5) / rate
-        begins = max(arrives, heapq.heappop(free))
-        ends = begins + delay
-        if first + at <= ends < first + at + stall:
-            ends = first + at + stall
-        heapq.heappush(free, ends)
-        seen.append((ends - arrives) * 1000.0)
-    return sorted(seen)
-
-
-async def stall(lasts: float) -> dict[str, Any]:
+def expected_stalled_latencies(
+    rate: float, duration_s: float, connections: int, delay_s: float, stall_at_s: float, stall_s: float
+) -> list[float]:
+    """Return the sorted latencies in ms of requests to a target that stalls once.
+
+    The requests queue for the connections, first come first served.
+
+    Args:
+        rate: Requests a second, evenly spaced.
+        duration_s: The duration of the load.
+        connections: The number of connections.
+        delay_s: The target's delay of each request.
+        stall_at_s: When the target stops to answer, after the first arrival.
+        stall_s: How long it does not answer.
+    """
+    free_at_s = [0.0] * connections
+    first_arrival_s = 0.5 / rate
+    latencies_ms = []
+    for number in range(round(rate * duration_s)):
+        arrives_s = (number + 0.5) / rate
+        begins_s = max(arrives_s, heapq.heappop(free_at_s))
+        ends_s = begins_s + delay_s
+        if first_arrival_s + stall_at_s <= ends_s < first_arrival_s + stall_at_s + stall_s:
+            ends_s = first_arrival_s + stall_at_s + stall_s
+        heapq.heappush(free_at_s, ends_s)
+        latencies_ms.append((ends_s - arrives_s) * 1000.0)
+    return sorted(latencies_ms)
+
+
+async def measure_stall(duration_s: float) -> dict[str, Any]:
+    """Compare the measured latencies of a target that stalls for 2 s with the expected ones."""
     rate, connections = 100.0, 4
-    async with apart(kind="constant", ms=20, stall_at=lasts / 3, stall_s=2.0) as targets:
-        made = await run(targets, rate, lasts, arrivals="even", connections=connections)
-    known = stalled(rate, lasts, connections, 0.020, lasts / 3, 2.0)
+    async with apart(kind="constant", ms=20, stall_at=duration_s / 3, stall_s=2.0) as targets:
+        report = await run(targets, rate, duration_s, arrivals="even", connections=connections)
+    known_ms = expected_stalled_latencies(rate, duration_s, connections, 0.020, duration_s / 3, 2.0)
     errors: dict[str, float] = {}
-    for name, share in SHARES.items():
-        expected = known[max(0, -int(-share * len(known) // 1) - 1)]
-        errors[name] = abs(found(made, share) / expected - 1.0)
+    for name, share in QUANTILES.items():
+        expected = known_ms[max(0, -int(-share * len(known_ms) // 1) - 1)]
+        errors[name] = abs(latency_ms(report, share) / expected - 1.0)
     return {
         "stall_percentile_errors": errors,
-        "stall_latency_p99": found(made, 0.99),
-        "stall_service_p99": found(made, 0.99, True),
+        "stall_latency_p99": latency_ms(report, 0.99),
+        "stall_service_p99": latency_ms(report, 0.99, True),
     }
 
 
-async def most(rates: list[float], lasts: float) -> dict[str, Any]:
-    """The highest rate that is kept to against two targets that answer at once."""
+async def measure_max_rate(rates: list[float], duration_s: float) -> dict[str, Any]:
+    """Return the highest rate that the generator keeps, against two targets that answer at once."""
     best: dict[str, Any] = {"max_rate": 0, "lateness_ms_p99": 0.0}
-    tried = {}
-    async with apart(kind="none") as one, apart(kind="none") as two:
+    rates_tried = {}
+    async with apart(kind="none") as first_targets, apart(kind="none") as second_targets:
         for rate in rates:
-            made = await run([*one, *two], rate, lasts, workers=1 if rate < 3000 else 3 if rate <= 10_000 else 5)
-            kept = not made.behind and made.rate_error < 0.01
-            tried[f"{rate:g}"] = {"late_p99": made.late["p99"], "late_max": made.late["max"], "kept": kept}
-            if kept:
-                best = {"max_rate": rate, "lateness_ms_p99": made.late["p99"]}
+            report = await run(
+                [*first_targets, *second_targets],
+                rate,
+                duration_s,
+                workers=1 if rate < 3000 else 3 if rate <= 10_000 else 5,
+            )
+            is_kept = not report.behind and report.rate_error < 0.01
+            rates_tried[f"{rate:g}"] = {"late_p99": report.late["p99"], "late_max": report.late["max"], "kept": is_kept}
+            if is_kept:
+                best = {"max_rate": rate, "lateness_ms_p99": report.late["p99"]}
             elif rate > 2 * max(best["max_rate"], 1):
                 break
-    return {**best, "rates": tried}
+    return {**best, "rates": rates_tried}
 
 
-async def growth(lasts: float) -> dict[str, Any]:
+async def measure_growth(duration_s: float) -> dict[str, Any]:
+    """Return by how much the workers' memory grows, in MB."""
     async with apart(kind="constant", ms=10) as targets:
-        made = await run(targets, 1000.0, lasts)
-    # the first seconds hold what any run needs once
-    grown = (made.rss_kb["last"] - made.rss_kb["first"]) / 1024.0
-    return {"rss_growth_mb": grown, "rss_growth_mb_10min_equivalent": grown * 600.0 / lasts}
+        report = await run(targets, 1000.0, duration_s)
+    # `first` is read after the first seconds, which include the memory that any run needs once
+    growth_mb = (report.rss_kb["last"] - report.rss_kb["first"]) / 1024.0
+    return {"rss_growth_mb": growth_mb, "rss_growth_mb_10min_equivalent": growth_mb * 600.0 / duration_s}
 
 
-async def busy(core: int, count: int, stop: asyncio.Event) -> None:
-    code = f"import os\nos.sched_setaffinity(0, {{{core}}})\nwhile True: pass"
-    busy = [await spawn(sys.executable, "-c", code) for _ in range(count)]
+async def keep_core_busy(core: int, count: int, stop: asyncio.Event) -> None:
+    """Run busy loops on a core until `stop` is set."""
+    source = f"import os\nos.sched_setaffinity(0, {{{core}}})\nwhile True: pass"
+    processes = [await spawn(sys.executable, "-c", source) for _ in range(count)]
     try:
         await stop.wait()
     finally:
-        for process in busy:
+        for process in processes:
             process.kill()
             await process.wait()
 
 
-async def late_runs() -> dict[str, Any]:
-    """Runs that are made late on purpose, each of which has to be told, with its cause."""
+async def measure_late_runs() -> dict[str, Any]:
+    """Delay the generator on purpose in several ways; each run has to report that it was late, and the cause."""
 
-    def pid(lines: list[LocalLine]) -> int:
+    def worker_pid(lines: list[LocalLine]) -> int:
         process = lines[0].process
         assert process is not None
         return process.pid
 
-    async def stopped(lines: list[LocalLine]) -> None:
+    async def stop_worker(lines: list[LocalLine]) -> None:
         await asyncio.sleep(1.5)
-        os.kill(pid(lines), signal.SIGSTOP)
+        os.kill(worker_pid(lines), signal.SIGSTOP)
         await asyncio.sleep(1.0)
-        os.kill(pid(lines), signal.SIGCONT)
+        os.kill(worker_pid(lines), signal.SIGCONT)
 
-    def beside(count: int) -> Meddle:
-        async def meddle(lines: list[LocalLine]) -> None:
+    def busy_core(count: int) -> Disturbance:
+        async def disturb(lines: list[LocalLine]) -> None:
             core = max(os.sched_getaffinity(0))
-            os.sched_setaffinity(pid(lines), {core})
+            os.sched_setaffinity(worker_pid(lines), {core})
             stop = asyncio.Event()
             asyncio.get_running_loop().call_later(4.0, stop.set)
-            await busy(core, count, stop)
+            await keep_core_busy(core, count, stop)
 
-        return meddle
+        return disturb
 
-    async def few_descriptors(lines: list[LocalLine]) -> None:
+    async def limit_descriptors(lines: list[LocalLine]) -> None:
         import resource
 
-        resource.prlimit(pid(lines), resource.RLIMIT_NOFILE, (24, 24))
+        resource.prlimit(worker_pid(lines), resource.RLIMIT_NOFILE, (24, 24))
 
-    told: dict[str, str] = {}
-    late = {}
+    results: dict[str, str] = {}
+    late_max_ms = {}
     async with apart(kind="constant", ms=50) as targets:
-        for name, rate, meddle, wanted in (
-            ("stopped", 300.0, stopped, {"stopped"}),
-            ("busy core", 5000.0, beside(8), {"core", "cpu"}),
-            ("descriptors", 600.0, few_descriptors, {"descriptors"}),
+        for name, rate, disturb, expected_causes in (
+            ("stopped", 300.0, stop_worker, {"stopped"}),
+            ("busy core", 5000.0, busy_core(8), {"core", "cpu"}),
+            ("descriptors", 600.0, limit_descriptors, {"descriptors"}),
             ("too fast", 30_000.0, None, {"cpu", "core"}),
         ):
-            made = await run(targets, rate, 5.0, meddle=meddle, seed=9)
-            late[name] = made.late.get("max", 0.0)
-            causes = {span.why for span in made.behind}
-            told[name] = "told" if causes & wanted else f"told as {sorted(causes)}" if causes else "not told"
-    detected = sum(word.startswith("told") for word in told.values()) / len(told)
-    return {"late_runs": told, "late_max_ms": late, "detected": detected}
+            report = await run(targets, rate, 5.0, disturb=disturb, seed=9)
+            late_max_ms[name] = report.late.get("max", 0.0)
+            causes = {span.why for span in report.behind}
+            results[name] = (
+                "told" if causes & expected_causes else f"told as {sorted(causes)}" if causes else "not told"
+            )
+    detected = sum(result.startswith("told") for result in results.values()) / len(results)
+    return {"late_runs": results, "late_max_ms": late_max_ms, "detected": detected}
 
 
 async def main(quick: bool) -> dict[str, Any]:
-    told = await percentiles(4.0 if quick else 12.0)
-    stall_told = await stall(12.0)
+    """Run all measurements; return the figures."""
+    percentile_figures = await measure_percentiles(4.0 if quick else 12.0)
+    stall_figures = await measure_stall(12.0)
     rates = [5000.0, 20_000.0] if quick else [5000.0, 10_000.0, 15_000.0, 20_000.0, 25_000.0, 30_000.0]
-    max_told = await most(rates, 5.0)
-    late_told = await late_runs()
-    grown = await growth(15.0 if quick else 60.0)
+    rate_figures = await measure_max_rate(rates, 5.0)
+    late_figures = await measure_late_runs()
+    growth_figures = await measure_growth(15.0 if quick else 60.0)
     cost: dict[str, Any] = {}
     if not quick:
         cost = await limiter_cost.run(argparse.Namespace(rounds=3, seconds=6.0, profile=False, small=False))
     return {
-        "percentile_error_max": max(told["percentile_errors"].values()),
-        "percentile_error_nominal_max": max(told["percentile_errors_nominal"].values()),
-        "stall_percentile_error_max": max(stall_told["stall_percentile_errors"].values()),
-        "rate_error": told["rate_error"],
-        "max_rate": max_told["max_rate"],
-        "lateness_ms_p99": max_told["lateness_ms_p99"],
-        "rss_growth_mb_10min_equivalent": grown["rss_growth_mb_10min_equivalent"],
-        "behind_detected": late_told["detected"],
-        "behind_false": told["behind"],
+        "percentile_error_max": max(percentile_figures["percentile_errors"].values()),
+        "percentile_error_nominal_max": max(percentile_figures["percentile_errors_nominal"].values()),
+        "stall_percentile_error_max": max(stall_figures["stall_percentile_errors"].values()),
+        "rate_error": percentile_figures["rate_error"],
+        "max_rate": rate_figures["max_rate"],
+        "lateness_ms_p99": rate_figures["lateness_ms_p99"],
+        "rss_growth_mb_10min_equivalent": growth_figures["rss_growth_mb_10min_equivalent"],
+        "behind_detected": late_figures["detected"],
+        "behind_false": percentile_figures["behind"],
         **{key: cost[key] for key in cost if key.startswith("cost_")},
-        "details": {**told, **stall_told, **max_told, **late_told, **grown, "cost": cost},
+        "details": {
+            **percentile_figures,
+            **stall_figures,
+            **rate_figures,
+            **late_figures,
+            **growth_figures,
+            "cost": cost,
+        },
     }
 
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,11 +1,11 @@
-"""Releases and drains that a group agrees on, on real processes and in simulated time.
+"""Plays releases and drains by a group of agents, on real processes and in simulated time.
 
     python benchmarks/rollout.py            # within 5 minutes
     python benchmarks/rollout.py --long     # more histories, and 300 limiters under 30 agents
 
-Real: five agents and ten limiters with a relay on every link; versions that are good, that crash at once, refuse all or
-do not speak to their agent; agents killed, stopped and cut off meanwhile. Simulated: see `elderlock.sim.rollouts`. The
-last line is one JSON object; ratios are within this run.
+On real processes, five agents and ten limiters have a relay on every link. The released versions are good, crash at
+their start, refuse every request, or do not speak their agent's protocol; meanwhile agents are killed, stopped and cut
+off. For the simulation see `elderlock.sim.rollouts`. The last line is one JSON object; ratios are within this run.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from elderlock.fleet import messages as f
-from elderlock.fleet.client import plan_commands as operate
+from elderlock.fleet import messages
+from elderlock.fleet.client import plan_commands
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim import renewals
@@ -36,8 +36,8 @@
 from elderlock.trial.harness import Harness
 from elderlock.trial.running_harness import check_invariants, running_harness
 
-AGENTS, LIMITERS, BOXES, SHARE = 5, 10, 6, 0.4
-TERMS = RolloutPolicy(
+AGENT_COUNT, LIMITER_COUNT, SERVER_COUNT, SHARE = 5, 10, 6, 0.4
+POLICY = RolloutPolicy(
     drain_timeout_s=2.0,
     start_timeout_s=8.0,
     settle_time_s=1.0,
@@ -46,13 +46,31 @@
     wave_pause_s=0.1,
     patience_s=20.0,
 )
-OUT = "limiters out by our doing"
-REAL = [("good", ""), ("bad", "crashes_at_start"), ("bad", "refuses_all"), ("bad", "refuses_its_agent")]
+DRAINED_LIMITERS = "limiters that operators or releases drained"
+REAL_CASES = [("good", ""), ("bad", "crashes_at_start"), ("bad", "refuses_all"), ("bad", "refuses_its_agent")]
 
 
 @dataclass
-class Real:
-    """Of the histories on real processes."""
+class RealFigures:
+    """The figures of the histories on real processes.
+
+    Attributes:
+        histories: How many histories were played.
+        over_budget: How often more limiters were drained than the budget allows.
+        stuck: How many plans did not end.
+        bad: The releases of mutants.
+        bad_stopped: Those of them that were rolled back before the second wave.
+        good: The releases of good versions.
+        good_halted: Those of them that halted although no fault was injected.
+        back_tried: The rollbacks that were tried.
+        back_complete: Those of them after which all limiters ran the old version.
+        halt_ms: The times from a halt command until all agents had it in force.
+        lost: The violations of "no request lost".
+        twice: The violations of "no effect twice".
+        served_share: The share of the requests that were served during each release.
+        calm: The same share before each release.
+        drain_ms: The times from the start of a drain command until a limiter had the drain.
+    """
 
     histories: int = 0
     over_budget: int = 0
@@ -66,61 +84,64 @@
     halt_ms: list[float] = field(default_factory=list)
     lost: int = 0
     twice: int = 0
-    served: list[float] = field(default_factory=list)
+    served_share: list[float] = field(default_factory=list)
     calm: list[float] = field(default_factory=list)
     drain_ms: list[float] = field(default_factory=list)
 
 
 async def until_outcome(group: Group, id: str, wanted: set[str], within: float) -> Plan | None:
-    ends = time.monotonic() + within
-    while time.monotonic() < ends:
-        plan = (await operate.list_plans(group, 1.0)).plan(id)
+    """Wait until a plan has one of these outcomes; return None after `within` seconds."""
+    ends_s = time.monotonic() + within
+    while time.monotonic() < ends_s:
+        plan = (await plan_commands.list_plans(group, 1.0)).plan(id)
         if plan is not None and plan.outcome() in wanted:
             return plan
         await asyncio.sleep(0.1)
     return None
 
 
-async def watch_out(ground: Harness, seen: list[Holding], stop: asyncio.Event) -> None:
-    """Which limiters are drained, as each says of itself: out by our doing."""
+async def record_drained_limiters(harness: Harness, holdings: list[Holding], stop: asyncio.Event) -> None:
+    """Record from when to when each limiter reports that it is drained."""
     while not stop.is_set():
-        at = ground.at()
-        for shown in (await ground.show_agents(0.5)).values():
-            for limiter in shown.limiters:
-                here = next((n for n, held in enumerate(seen) if held.holder == limiter.name and held.ended > 1e17), -1)
-                down = limiter.state is not None and limiter.link == "answering" and limiter.state.is_drained
-                if down and here < 0:
-                    seen.append(Holding(OUT, limiter.name, at, at, 1e18))
-                elif not down and here >= 0 and limiter.link == "answering":
-                    seen[here] = seen[here]._replace(ended=max(at, seen[here].granted))
+        at = harness.at()
+        for status in (await harness.show_agents(0.5)).values():
+            for limiter in status.limiters:
+                current = next(
+                    (n for n, held in enumerate(holdings) if held.holder == limiter.name and held.ended > 1e17), -1
+                )
+                is_drained = limiter.state is not None and limiter.link == "answering" and limiter.state.is_drained
+                if is_drained and current < 0:
+                    holdings.append(Holding(DRAINED_LIMITERS, limiter.name, at, at, 1e18))
+                elif not is_drained and current >= 0 and limiter.link == "answering":
+                    holdings[current] = holdings[current]._replace(ended=max(at, holdings[current].granted))
         await asyncio.sleep(0.05)
 
 
-async def befall(ground: Harness, rng: random.Random) -> None:
-    """A fault of one agent, over a few seconds."""
-    number = rng.randrange(AGENTS)
-    name, what = f"agent-{number}", rng.choice(["kill", "stop", "cut"])
-    if what == "kill":
-        ground.signal(name, signal.SIGKILL, "a fault")
-    elif what == "stop":
-        ground.signal(name, signal.SIGSTOP, "a fault")
+async def inject_agent_fault(harness: Harness, rng: random.Random) -> None:
+    """Kill one agent, or stop it or cut it off for up to three seconds."""
+    number = rng.randrange(AGENT_COUNT)
+    name, kind = f"agent-{number}", rng.choice(["kill", "stop", "cut"])
+    if kind == "kill":
+        harness.signal(name, signal.SIGKILL, "a fault")
+    elif kind == "stop":
+        harness.signal(name, signal.SIGSTOP, "a fault")
         await asyncio.sleep(rng.uniform(0.5, 3.0))
-        ground.signal(name, signal.SIGCONT, "a fault")
+        harness.signal(name, signal.SIGCONT, "a fault")
     else:
-        others = [f"agent-{n}" for n in range(AGENTS) if n != number]
+        others = [f"agent-{n}" for n in range(AGENT_COUNT) if n != number]
         pairs = [(name, other) for other in others] + [(other, name) for other in others][: rng.choice([0, 9])]
-        ground.relays.inject("cut", pairs)
+        harness.relays.inject("cut", pairs)
         await asyncio.sleep(rng.uniform(0.5, 3.0))
-        ground.relays.clear("cut", pairs)
+        harness.relays.clear("cut", pairs)
 
 
-async def served(ground: Harness, seconds: float) -> float:
-    """Share of what limiters took that they served, over so many seconds."""
+async def served_share(harness: Harness, seconds: float) -> float:
+    """Return the share of the requests that the limiters served, over this many seconds."""
 
     async def counts() -> tuple[int, int]:
-        states = [limiter.state for shown in (await ground.show_agents()).values() for limiter in shown.limiters]
-        kept = [state.counts for state in states if state is not None]
-        return sum(c.served for c in kept), sum(c.total() for c in kept)
+        states = [limiter.state for status in (await harness.show_agents()).values() for limiter in status.limiters]
+        request_counts = [state.counts for state in states if state is not None]
+        return sum(count.served for count in request_counts), sum(count.total() for count in request_counts)
 
     before = await counts()
     await asyncio.sleep(seconds)
@@ -129,121 +150,144 @@
     return (after[0] - before[0]) / total if total > 0 else 1.0
 
 
-async def history(found: Real, kind: str, flaw: str, seed: int, faults: int) -> None:
+async def run_history(figures: RealFigures, kind: str, mutant: str, seed: int, faults: int) -> None:
+    """Play one history and add to the figures.
+
+    Args:
+        figures: The figures.
+        kind: `good` or `bad` for a release, or `drains`.
+        mutant: The mutant that is released; empty for a good version.
+        seed: The seed of all random choices.
+        faults: How many faults of agents are injected.
+    """
     rng = random.Random(seed)
     async with running_harness(
-        agents=AGENTS, limiters=LIMITERS, boxes=BOXES, load=0.3, settings=Settings(budget=0.5)
-    ) as ground:
-        text = ground.group_path.read_text()
+        agents=AGENT_COUNT, limiters=LIMITER_COUNT, boxes=SERVER_COUNT, load=0.3, settings=Settings(budget=0.5)
+    ) as harness:
+        text = harness.group_path.read_text()
         assert "[budget.boxes]" in text
-        group = Group.read(ground.group_path, ground.token_path("an"))
-        tools = TrialFaults(ground)
-        ground.install_limiter_version("v2", flaw)
-        ground.start_clients()
+        group = Group.read(harness.group_path, harness.token_path("an"))
+        commands = TrialFaults(harness)
+        harness.install_limiter_version("v2", mutant)
+        harness.start_clients()
         await asyncio.sleep(1.0)
         if kind == "drains":
-            await drains(found, group, tools, ground)
+            await drains(figures, group, commands, harness)
         else:
-            found.calm.append(await served(ground, 3.0))
-            await release(found, group, ground, kind, rng, faults)
-        verdict = check_invariants(ground)
-        words = [broken.rule for broken in verdict.broken]
-        found.lost += sum("answer" in word or "lost" in word for word in words if "twice" not in word)
-        found.twice += sum("twice" in word for word in words)
-        found.histories += 1
+            figures.calm.append(await served_share(harness, 3.0))
+            await release(figures, group, harness, kind, rng, faults)
+        verdict = check_invariants(harness)
+        rules = [violation.rule for violation in verdict.broken]
+        figures.lost += sum("answer" in rule or "lost" in rule for rule in rules if "twice" not in rule)
+        figures.twice += sum("twice" in rule for rule in rules)
+        figures.histories += 1
         group.close()
 
 
-async def release(found: Real, group: Group, ground: Harness, kind: str, rng: random.Random, faults: int) -> None:
-    seen: list[Holding] = []
+async def release(
+    figures: RealFigures, group: Group, harness: Harness, kind: str, rng: random.Random, faults: int
+) -> None:
+    """Play a release in four waves; see `run_history` for the arguments."""
+    holdings: list[Holding] = []
     stop = asyncio.Event()
-    watching = asyncio.ensure_future(watch_out(ground, seen, stop))
+    recording = asyncio.ensure_future(record_drained_limiters(harness, holdings, stop))
     id = f"{rng.randrange(1 << 60):032x}"
-    terms = replace_terms(TERMS, auto_back=kind == "bad")
+    policy = replace_policy_fields(POLICY, auto_back=kind == "bad")
     waves = [["n0"], ["n3", "n6"], ["n1", "n4", "n7", "n9"], ["n2", "n5", "n8"]]
-    begin = operate.begin(id, "release", "v2", (), waves, terms, "")
-    begun = await operate.ask_any(group, begin, f.BeginAnswer, 20.0)
-    while begun.plan is None:
+    begin = plan_commands.begin(id, "release", "v2", (), waves, policy, "")
+    answer = await plan_commands.ask_any(group, begin, messages.BeginAnswer, 20.0)
+    while answer.plan is None:
         await asyncio.sleep(0.2)
-        begun = await operate.ask_any(group, begin, f.BeginAnswer, 20.0)
-    troubles = [asyncio.ensure_future(befall(ground, rng)) for _ in range(faults)]
+        answer = await plan_commands.ask_any(group, begin, messages.BeginAnswer, 20.0)
+    faults_under_way = [asyncio.ensure_future(inject_agent_fault(harness, rng)) for _ in range(faults)]
     if kind == "good" and not faults:
-        await operate_halt(found, group, ground, id)
-    during = asyncio.ensure_future(served(ground, 6.0))
+        await halt_and_continue(figures, group, harness, id)
+    share_during_release = asyncio.ensure_future(served_share(harness, 6.0))
     plan = await until_outcome(group, id, {"done", "taken back", "halted"}, 120.0)
-    await asyncio.gather(*troubles)
-    found.served.append(await during)
+    await asyncio.gather(*faults_under_way)
+    figures.served_share.append(await share_during_release)
     if plan is None:
-        found.stuck += 1
+        figures.stuck += 1
     elif kind == "bad":
-        found.bad += 1
-        found.back_tried += 1
-        first = {unit.target for unit in plan.units if unit.generation}
-        found.bad_stopped += plan.outcome() == "taken back" and first <= {"n0"}
-        found.back_complete += plan.outcome() == "taken back" and await all_run(group, "")
+        figures.bad += 1
+        figures.back_tried += 1
+        changed = {unit.target for unit in plan.units if unit.generation}
+        figures.bad_stopped += plan.outcome() == "taken back" and changed <= {"n0"}
+        figures.back_complete += plan.outcome() == "taken back" and await wait_until_all_run(group, "")
     else:
-        found.good += 1
-        found.good_halted += plan.outcome() != "done" and not faults
+        figures.good += 1
+        figures.good_halted += plan.outcome() != "done" and not faults
         if plan.outcome() == "halted" or faults == 0:
-            found.back_tried += 1
-            await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "back"), f.SteerAnswer, 20.0)
-            back = await until_outcome(group, id, {"taken back"}, 60.0)
-            found.stuck += back is None
-            found.back_complete += back is not None and await all_run(group, "")
+            figures.back_tried += 1
+            await plan_commands.ask_any(group, lambda n: messages.SteerPlan(n, id, "back"), messages.SteerAnswer, 20.0)
+            rolled_back = await until_outcome(group, id, {"taken back"}, 60.0)
+            figures.stuck += rolled_back is None
+            figures.back_complete += rolled_back is not None and await wait_until_all_run(group, "")
     stop.set()
-    await watching
-    found.over_budget += len(bounded(seen, {OUT: float(int(0.5 * LIMITERS))}))
+    await recording
+    figures.over_budget += len(bounded(holdings, {DRAINED_LIMITERS: float(int(0.5 * LIMITER_COUNT))}))
 
 
-async def operate_halt(found: Real, group: Group, ground: Harness, id: str) -> None:
-    """From the word's reaching an agent until all agents say that it is in force; then it goes on."""
+async def halt_and_continue(figures: RealFigures, group: Group, harness: Harness, id: str) -> None:
+    """Halt a release, measure the time until all agents have the halt in force, and continue the release."""
     await asyncio.sleep(1.5)
-    began = time.monotonic()
-    await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "halt"), f.SteerAnswer, 5.0)
+    began_s = time.monotonic()
+    await plan_commands.ask_any(group, lambda n: messages.SteerPlan(n, id, "halt"), messages.SteerAnswer, 5.0)
     while True:
-        known = await operate.list_plans(group, 1.0)
-        told = [next(plan for plan in answer.plans if plan.id == id) for answer in known.answers.values()]
-        halts = [any(h[0] == id for h in answer.halts) for answer in known.answers.values()]
-        if all(plan.state == "halted" or soft for plan, soft in zip(told, halts, strict=True)):
+        known = await plan_commands.list_plans(group, 1.0)
+        plans = [next(plan for plan in answer.plans if plan.id == id) for answer in known.answers.values()]
+        halts = [any(halt[0] == id for halt in answer.halts) for answer in known.answers.values()]
+        if all(plan.state == "halted" or has_halt for plan, has_halt in zip(plans, halts, strict=True)):
             break
-    found.halt_ms.append((time.monotonic() - began) * 1000.0)
-    # in force by word alone it has no turn yet; a go-on of an older one would be refused, as it should be
-    while (plan := (await operate.list_plans(group, 1.0)).plan(id)) is None or plan.state != "halted":
+    figures.halt_ms.append((time.monotonic() - began_s) * 1000.0)
+    # Agents hold the release as soon as they know the halt, before the plan records it in a new revision. A `go-on` for
+    # an older revision is refused, as it has to be.
+    while (plan := (await plan_commands.list_plans(group, 1.0)).plan(id)) is None or plan.state != "halted":
         await asyncio.sleep(0.02)
-    turn = plan.revision
-    await operate.ask_any(group, lambda n: f.SteerPlan(n, id, "go-on", turn), f.SteerAnswer, 5.0)
+    revision = plan.revision
+    await plan_commands.ask_any(
+        group, lambda n: messages.SteerPlan(n, id, "go-on", revision), messages.SteerAnswer, 5.0
+    )
 
 
-async def all_run(group: Group, version: str) -> bool:
+async def wait_until_all_run(group: Group, version: str) -> bool:
+    """Return whether all limiters run this version within about 10 s."""
     for _ in range(100):
-        known = await operate.list_plans(group, 1.0)
-        runs = [run.version for answer in known.answers.values() for run in answer.running_versions]
-        if len(runs) == LIMITERS and set(runs) == {version}:
+        known = await plan_commands.list_plans(group, 1.0)
+        versions = [running.version for answer in known.answers.values() for running in answer.running_versions]
+        if len(versions) == LIMITER_COUNT and set(versions) == {version}:
             return True
         await asyncio.sleep(0.1)
     return False
 
 
-async def drains(found: Real, group: Group, tools: TrialFaults, ground: Harness) -> None:
-    """From the tool's start until a limiter has the drain, which takes a permit first."""
-    for turn in range(20):
-        box = f"s-{turn % BOXES:02d}"
-        began = time.time() * 1000.0
-        code = await tools.run_command("an", "drain", "box", box, within=10.0)
-        shown = await ground.show_agents()
-        at = [r.created_at_unix_ms for each in shown.values() for r in each.records if r.target == box and r.is_drained]
-        if code == 0 and at:
-            found.drain_ms.append(min(at) - began)
-        await tools.run_command("an", "undrain", "box", box, within=10.0)
-        while (await operate.list_plans(group, 1.0)).newest.permits:  # type: ignore[union-attr]
+async def drains(figures: RealFigures, group: Group, commands: TrialFaults, harness: Harness) -> None:
+    """Measure the time from a drain command's start until a limiter has the drain, which needs a permit first."""
+    for number in range(20):
+        server = f"s-{number % SERVER_COUNT:02d}"
+        began_unix_ms = time.time() * 1000.0
+        code = await commands.run_command("an", "drain", "box", server, within=10.0)
+        agent_status = await harness.show_agents()
+        created_at_unix_ms = [
+            record.created_at_unix_ms
+            for status in agent_status.values()
+            for record in status.records
+            if record.target == server and record.is_drained
+        ]
+        if code == 0 and created_at_unix_ms:
+            figures.drain_ms.append(min(created_at_unix_ms) - began_unix_ms)
+        await commands.run_command("an", "undrain", "box", server, within=10.0)
+        while (await plan_commands.list_plans(group, 1.0)).newest.permits:  # type: ignore[union-attr]
             await asyncio.sleep(0.05)
 
 
-def replace_terms(terms: RolloutPolicy, **changes: Any) -> RolloutPolicy:
-    return RolloutPolicy(**{**{name: getattr(terms, name) for name in terms.__struct_fields__}, **changes})
+def replace_policy_fields(policy: RolloutPolicy, **changes: Any) -> RolloutPolicy:
+    """Return a copy of a policy with other values of some fields."""
+    return RolloutPolicy(**{**{name: getattr(policy, name) for name in policy.__struct_fields__}, **changes})
 
 
 def cases(long: bool) -> list[tuple[Case, int]]:
+    """Return the simulated releases of limiters, with their seeds."""
     small, count = Case(), 4 if long else 1
     found = [(replace(small, build=name), seed) for name in BUILDS for seed in range(3 * count)]
     found += [(replace(small, rush=25.0 + 5.0 * seed), 100 + seed) for seed in range(5 * count)]
@@ -251,8 +295,8 @@
         (replace(small, faults=10, words=seed % 4, two_operators=bool(seed % 2), auto_back=bool(seed % 3)), 200 + seed)
         for seed in range(12 * count)
     ]
-    lost = replace(small, auto_back=False)
-    found += [(replace(lost, lone_floor_at=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
+    without_rollback = replace(small, auto_back=False)
+    found += [(replace(without_rollback, lone_floor_at=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
     found += [(replace(small, leader_gone=15.0), 400), (replace(small, sleeper=True), 401)]
     found += [(replace(small, words=3), 402 + seed) for seed in range(2 * count)]
     return found
@@ -264,19 +308,22 @@
     faults=20,
     share=0.2,
     auto_back=False,
-    terms=replace_terms(TERMS, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
+    terms=replace_policy_fields(POLICY, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
 )
 
 
-def one(given: tuple[Case, int]) -> tuple[Case, Played]:
-    return given[0], play(*given)
+def play_one(case: tuple[Case, int]) -> tuple[Case, Played]:
+    """Play a release of limiters; return it with its result."""
+    return case[0], play(*case)
 
 
-def one_renewal(given: tuple[renewals.Renewals, int]) -> tuple[renewals.Renewals, Played]:
-    return given[0], renewals.play(*given)
+def play_one_agent_release(case: tuple[renewals.Renewals, int]) -> tuple[renewals.Renewals, Played]:
+    """Play a release of agents; return it with its result."""
+    return case[0], renewals.play(*case)
 
 
 def releases_of_agents(long: bool) -> list[tuple[renewals.Renewals, int]]:
+    """Return the simulated releases of agents, with their seeds."""
     count = 30 if long else 5
     return [
         (renewals.Renewals(agents=size, limiters=size, build=build, faults=faults), seed)
@@ -287,15 +334,16 @@
     ]
 
 
-def simulated(long: bool) -> dict[str, Any]:
-    todo = cases(long)
+def run_simulated(long: bool) -> dict[str, Any]:
+    """Play all simulated releases; return their figures."""
+    tasks = cases(long)
     with ProcessPoolExecutor(7, mp_context=multiprocessing.get_context("spawn")) as pool:
-        large = pool.submit(one, (LARGE, 1)) if long else None
-        played = list(pool.map(one, todo))
-        renewed = list(pool.map(one_renewal, releases_of_agents(long)))
+        large = pool.submit(play_one, (LARGE, 1)) if long else None
+        played = list(pool.map(play_one, tasks))
+        agent_releases = list(pool.map(play_one_agent_release, releases_of_agents(long)))
         played += [large.result()] if large is not None else []
-    bad = [p for case, p in played if not BUILDS[case.build].good]
-    calm = [
+    bad_releases = [p for case, p in played if not BUILDS[case.build].good]
+    good_releases = [
         p
         for case, p in played
         if BUILDS[case.build].good
@@ -303,74 +351,77 @@
         and case.lone_floor_at is None
         and case.leader_gone is None
     ]
-    for given, p in [*played, *renewed]:
+    for case, p in [*played, *agent_releases]:
         if not p.good():
-            print("broken:", given, p.broken[:3], flush=True)
-    # with faults the first of the agents may pass its trial before the fault of its version shows
-    bad += [p for given, p in renewed if given.build != "good" and not given.faults]
-    calm += [p for given, p in renewed if given.build == "good" and not given.faults]
-    every = [p for _, p in played] + [p for _, p in renewed]
+            print("broken:", case, p.broken[:3], flush=True)
+    # With injected faults, the first agent may pass its trial before the fault of its version shows.
+    bad_releases += [p for case, p in agent_releases if case.build != "good" and not case.faults]
+    good_releases += [p for case, p in agent_releases if case.build == "good" and not case.faults]
+    all_played = [p for _, p in played] + [p for _, p in agent_releases]
     return {
-        "simulated_histories": len(every),
-        "agent_releases": len(renewed),
-        "over_budget": sum(p.over_budget for p in every),
-        "permits_doubled": sum(p.doubled for p in every),
-        "acted_after_fence": sum(p.after_fence for p in every),
-        "plans_stuck": sum(p.stuck for p in every),
-        "bad_releases": len(bad),
-        "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad),
-        "good": len(calm),
-        "good_halted": sum(bool(p.halted_why) for p in calm),
-        "back_tried": sum(p.back_tried for p in every),
-        "back_complete": sum(p.back_complete for p in every),
+        "simulated_histories": len(all_played),
+        "agent_releases": len(agent_releases),
+        "over_budget": sum(p.over_budget for p in all_played),
+        "permits_doubled": sum(p.doubled for p in all_played),
+        "acted_after_fence": sum(p.after_fence for p in all_played),
+        "plans_stuck": sum(p.stuck for p in all_played),
+        "bad_releases": len(bad_releases),
+        "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad_releases),
+        "good": len(good_releases),
+        "good_halted": sum(bool(p.halted_why) for p in good_releases),
+        "back_tried": sum(p.back_tried for p in all_played),
+        "back_complete": sum(p.back_complete for p in all_played),
         "halt_ms": [ms for _, p in played for ms in p.halt_ms],
         "limiters_simulated": max(case.limiters for case, _ in played),
     }
 
 
-async def real(long: bool) -> Real:
-    found = Real()
-    todo = [(kind, flaw, n, 0) for n, (kind, flaw) in enumerate(REAL)]
-    todo += [("good", "", 10 + n, 3) for n in range(8 if long else 1)] + [("drains", "", 99, 0)]
-    for kind, flaw, seed, faults in todo:
-        began = time.monotonic()
-        await history(found, kind, flaw, seed, faults)
-        print(f"real: {kind} {flaw} {faults} faults, {time.monotonic() - began:.0f} s", flush=True)
-    return found
+async def run_real(long: bool) -> RealFigures:
+    """Play all histories on real processes; return their figures."""
+    figures = RealFigures()
+    tasks = [(kind, mutant, n, 0) for n, (kind, mutant) in enumerate(REAL_CASES)]
+    tasks += [("good", "", 10 + n, 3) for n in range(8 if long else 1)] + [("drains", "", 99, 0)]
+    for kind, mutant, seed, faults in tasks:
+        began_s = time.monotonic()
+        await run_history(figures, kind, mutant, seed, faults)
+        print(f"real: {kind} {mutant} {faults} faults, {time.monotonic() - began_s:.0f} s", flush=True)
+    return figures
 
 
 def main() -> None:
+    """Play all histories and print the figures as JSON."""
     options = argparse.ArgumentParser(description=__doc__.split("\n", 1)[0])
     options.add_argument("--long", action="store_true", help="more histories of each kind")
     long = options.parse_args().long
-    r = run(real(long), within=3000.0 if long else 270.0)
-    s = simulated(long)
-    starts = sorted(r.drain_ms) or [-1.0]
-    halts = [*r.halt_ms, *s["halt_ms"]]
-    good, halted = r.good + s["good"], r.good_halted + s["good_halted"]
+    real = run(run_real(long), within=3000.0 if long else 270.0)
+    simulated = run_simulated(long)
+    drain_ms = sorted(real.drain_ms) or [-1.0]
+    halt_ms = [*real.halt_ms, *simulated["halt_ms"]]
+    good, halted = real.good + simulated["good"], real.good_halted + simulated["good_halted"]
     print(
         json.dumps(
             {
-                "histories": r.histories,
-                "simulated_histories": s["simulated_histories"],
-                "simulated_agent_releases": s["agent_releases"],
-                "over_budget": r.over_budget + s["over_budget"],
-                "permits_doubled": s["permits_doubled"],
-                "acted_after_fence": s["acted_after_fence"],
-                "plans_stuck": r.stuck + s["plans_stuck"],
-                "halt_ms_max": round(max(halts, default=-1.0), 1),
-                "bad_releases": r.bad + s["bad_releases"],
-                "bad_releases_stopped_in_first_wave": r.bad_stopped + s["bad_releases_stopped_in_first_wave"],
+                "histories": real.histories,
+                "simulated_histories": simulated["simulated_histories"],
+                "simulated_agent_releases": simulated["agent_releases"],
+                "over_budget": real.over_budget + simulated["over_budget"],
+                "permits_doubled": simulated["permits_doubled"],
+                "acted_after_fence": simulated["acted_after_fence"],
+                "plans_stuck": real.stuck + simulated["plans_stuck"],
+                "halt_ms_max": round(max(halt_ms, default=-1.0), 1),
+                "bad_releases": real.bad + simulated["bad_releases"],
+                "bad_releases_stopped_in_first_wave": real.bad_stopped
+                + simulated["bad_releases_stopped_in_first_wave"],
                 "good_releases": good,
                 "good_releases_halted_share": round(halted / good, 4) if good else -1.0,
-                "back_tried": r.back_tried + s["back_tried"],
-                "back_complete": r.back_complete + s["back_complete"],
-                "lost_requests": r.lost,
-                "answered_twice": r.twice,
-                "drain_start_ms_p99": round(starts[math.ceil(0.99 * len(starts)) - 1], 1),
-                "drain_start_ms_p50": round(statistics.median(starts), 1),
-                "release_served_ratio": round(statistics.mean(r.served) / statistics.mean(r.calm), 4),
-                "limiters_simulated": s["limiters_simulated"],
+                "back_tried": real.back_tried + simulated["back_tried"],
+                "back_complete": real.back_complete + simulated["back_complete"],
+                "lost_requests": real.lost,
+                "answered_twice": real.twice,
+                "drain_start_ms_p99": round(drain_ms[math.ceil(0.99 * len(drain_ms)) - 1], 1),
+                "drain_start_ms_p50": round(statistics.median(drain_ms), 1),
+                "release_served_ratio": round(statistics.mean(real.served_share) / statistics.mean(real.calm), 4),
+                "limiters_simulated": simulated["limiters_simulated"],
             }
         )
     )
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -1,8 +1,9 @@
-"""What the simulation holds, and how fast: the largest group, both floors at 3 limiters and more, determinism, judges,
-failed steps of input and output, a search, a sweep that is killed, and real processes beside the same run simulated.
+"""Measures the size and the speed of the simulation, and how close it is to real processes.
 
-`--quick` leaves out the largest group's size (50 limiters for 500) and makes the others shorter. The last line is one
-JSON object.
+It simulates the largest group, both environments with 3 limiters and more, and a whole day. It checks determinism, the
+invariant checkers, failures of each step of input and output, a search for violations, and that a sweep that was killed
+loses no recorded run. `--quick` simulates 50 instead of 500 limiters as the largest group and makes the other runs
+shorter. The last line is one JSON object.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 HERE = Path(__file__).parent
 ROOT = HERE.parent
 COMMAND = [sys.executable, "-B", "-m", "elderlock.cli.main"]
-LARGEST = """
+LARGEST_PROGRAM = """
 import json, resource, sys, msgspec
 from elderlock.sim import decisions
 from elderlock.sim.scenario import Scenario
@@ -49,11 +50,11 @@
 """
 
 
-def largest(quick: bool) -> dict[str, Any]:
-    """In a process of its own, for its memory."""
+def measure_largest(quick: bool) -> dict[str, Any]:
+    """Simulate the largest group in a separate process, whose memory is measured."""
     limiters, boxes, accounts = (50, 1000, 10_000) if quick else (500, 10_000, 100_000)
     kinds = (BoxKind(work_ms=2000.0, room=8, cold_ms=20_000.0),)
-    given = Scenario(
+    scenario = Scenario(
         "largest",
         lasts_s=5.0,
         warm_s=1.0,
@@ -65,29 +66,31 @@
         service=(Service(aim_ms=20_000.0),),
         settings=Settings(subset=100),
     )
-    raw = msgspec.json.encode(of_load(0.3, given, accounts=accounts))
-    done = subprocess.run([sys.executable, "-B", "-c", LARGEST], input=raw, capture_output=True, check=True, cwd=ROOT)
-    found: dict[str, Any] = json.loads(done.stdout)
-    return {"limiters": limiters, "boxes": boxes, "accounts": accounts, **found}
+    raw = msgspec.json.encode(of_load(0.3, scenario, accounts=accounts))
+    done = subprocess.run(
+        [sys.executable, "-B", "-c", LARGEST_PROGRAM], input=raw, capture_output=True, check=True, cwd=ROOT
+    )
+    figures: dict[str, Any] = json.loads(done.stdout)
+    return {"limiters": limiters, "boxes": boxes, "accounts": accounts, **figures}
 
 
-def pace(limiters: int, floor: str, lasts: float) -> float:
-    """Simulated seconds in one of life, 100 requests a second in all."""
-    given = Scenario(
+def measure_pace(limiters: int, floor: str, duration_s: float) -> float:
+    """Return how many seconds are simulated in a real second, at 100 requests a second in all."""
+    scenario = Scenario(
         "pace",
-        lasts_s=lasts,
+        lasts_s=duration_s,
         warm_s=0.5,
         rest_s=0.5,
         limiters=limiters,
         boxes=12,
         settings=Settings(subset=8),
     )
-    result = search.play(of_load(100.0 / given.capacity(), given), 1, floor)
+    result = search.play(of_load(100.0 / scenario.capacity(), scenario), 1, floor)
     assert result.good(), result.text()
     return result.sim_s / result.wall_s
 
 
-ONCE = """
+DIGEST_PROGRAM = """
 import sys, msgspec
 from elderlock.sim import search
 from elderlock.sim.scenario import Scenario
@@ -95,43 +98,43 @@
 """
 
 
-def deterministic(runs: int) -> int:
-    """Of so many pairs of runs, each with another order of sets, how many were alike."""
-    alike = 0
+def count_deterministic(runs: int) -> int:
+    """Return how many of this many pairs of runs, with different hash seeds, have the same digest."""
+    equal_count = 0
     for number in range(runs):
-        floor = search_floors[number % 2]
-        given = msgspec.structs.replace(scenario_of("partition", HERE), lasts_s=10.0 + number)
+        floor = ENVIRONMENTS[number % 2]
+        scenario = msgspec.structs.replace(scenario_of("partition", HERE), lasts_s=10.0 + number)
         digests = set()
-        for hashes in ("1", "2"):
-            env = {**os.environ, "PYTHONHASHSEED": hashes}
-            command = [sys.executable, "-B", "-c", ONCE, floor]
+        for hash_seed in ("1", "2"):
+            env = {**os.environ, "PYTHONHASHSEED": hash_seed}
+            command = [sys.executable, "-B", "-c", DIGEST_PROGRAM, floor]
             done = subprocess.run(
-                command, input=msgspec.json.encode(given), capture_output=True, cwd=ROOT, env=env, check=True
+                command, input=msgspec.json.encode(scenario), capture_output=True, cwd=ROOT, env=env, check=True
             )
             digests.add(done.stdout)
-        alike += len(digests) == 1
-    return alike
+        equal_count += len(digests) == 1
+    return equal_count
 
 
-search_floors: tuple[Floor, ...] = ("shells", "decisions")
+ENVIRONMENTS: tuple[Floor, ...] = ("shells", "decisions")
 
 
-def bites() -> tuple[int, int]:
-    """Judges of both floors, and those of which the tests show that they bite."""
-    given = of_load(0.2, Scenario("judges"))
+def count_checkers() -> tuple[int, int]:
+    """Return the number of invariant checkers, and of those that the tests show to detect a violation."""
+    scenario = of_load(0.2, Scenario("judges"))
     names = {
-        judge.name
-        for world in (shells.ShellWorld(given, 1), decisions.DecisionWorld(given, 1))
-        for judge in world.bench.judges
+        checker.name
+        for world in (shells.ShellWorld(scenario, 1), decisions.DecisionWorld(scenario, 1))
+        for checker in world.bench.judges
     }
     command = [sys.executable, "-m", "pytest", "-vv", "-n", "4", "tests/sim/test_judges.py", "-k", "test_a_judge_bites"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
-    shown = {name for name in names if f"[{name.replace(' ', '_')}-" in done.stdout and "failed" not in done.stdout}
-    return len(names), len(shown)
+    detected = {name for name in names if f"[{name.replace(' ', '_')}-" in done.stdout and "failed" not in done.stdout}
+    return len(names), len(detected)
 
 
-def resume() -> int:
-    """Recorded runs that were lost when a sweep was killed twice; the same call ends it."""
+def count_lost_runs() -> int:
+    """Interrupt a sweep twice and complete it; return how many recorded runs were lost."""
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "e.toml"
         path.write_text(
@@ -141,20 +144,21 @@
         command = [*COMMAND, "experiment", "run", str(path), "--workers", "2", "--json"]
         lost = 0
         for number in (signal.SIGKILL, signal.SIGINT):
-            before = recorded(path.with_suffix(".db"))
+            runs_at_start = recorded_runs(path.with_suffix(".db"))
             sweep = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
-            while recorded(path.with_suffix(".db")) < before + 4 and sweep.poll() is None:
+            while recorded_runs(path.with_suffix(".db")) < runs_at_start + 4 and sweep.poll() is None:
                 time.sleep(0.05)
-            seen = recorded(path.with_suffix(".db"))
+            runs_before_kill = recorded_runs(path.with_suffix(".db"))
             sweep.send_signal(number)
             sweep.wait()
-            lost += max(0, seen - recorded(path.with_suffix(".db")))
+            lost += max(0, runs_before_kill - recorded_runs(path.with_suffix(".db")))
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
         assert json.loads(done.stdout)["runs"] == 20, done.stderr
         return lost
 
 
-def recorded(path: Path) -> int:
+def recorded_runs(path: Path) -> int:
+    """Return how many runs a sweep has recorded."""
     import sqlite3
 
     try:
@@ -164,26 +168,34 @@
         return 0
 
 
-def day(quick: bool) -> tuple[float, float]:
-    """MB that a day of 24 h (two hours with `--quick`) of three limiters adds after its first twelfth, and how fast it
-    is played."""
-    lasts = 7200.0 if quick else 86_400.0
-    given = of_load(0.003, Scenario("day", lasts_s=lasts, boxes=6, rest_s=1.0))
-    world = decisions.DecisionWorld(given, 1)
-    held: list[float] = []
+def measure_day(quick: bool) -> tuple[float, float]:
+    """Simulate a day of three limiters, or two hours if `quick`.
+
+    Returns:
+        The MB of memory that it adds after its first twelfth, and how many seconds are simulated in a real second.
+    """
+    duration_s = 7200.0 if quick else 86_400.0
+    scenario = of_load(0.003, Scenario("day", lasts_s=duration_s, boxes=6, rest_s=1.0))
+    world = decisions.DecisionWorld(scenario, 1)
+    rss_mb_samples: list[float] = []
     for part in (1.0, 12.0):
-        world.schedule.after(lasts * 1000.0 * part / 12.0, lambda: held.append(rss_mb()))
+        world.schedule.after(duration_s * 1000.0 * part / 12.0, lambda: rss_mb_samples.append(rss_mb()))
     result = world.play()
     assert result.good(), result.text()
-    return held[1] - held[0], result.sim_s / result.wall_s
+    return rss_mb_samples[1] - rss_mb_samples[0], result.sim_s / result.wall_s
 
 
 def rss_mb() -> float:
+    """Return the resident memory of this process in MB."""
     return int(Path("/proc/self/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1048576.0
 
 
-def beside_life(lasts: float, rate: float) -> tuple[float, float, dict[str, float]]:
-    """The same group, traffic and accounts on real processes and simulated: errors of served share and of p99."""
+def compare_with_real(duration_s: float, rate: float) -> tuple[float, float, dict[str, float]]:
+    """Run the same group, load and accounts on real processes and in the simulation.
+
+    Returns:
+        The error of the simulated share of served requests, the relative error of the p99, and all four figures.
+    """
     shape = (load.Steady(rate=rate),)
     stream = load.Stream(
         name="main",
@@ -194,20 +206,20 @@
         clients=load.Clients(),
         class_name="lookup",
     )
-    real = load.Scenario(name="beside", for_s=lasts, stream=(stream,), group=load.Group(3, 9))
-    found: dict[str, float] = {}
+    real = load.Scenario(name="beside", for_s=duration_s, stream=(stream,), group=load.Group(3, 9))
+    measured: dict[str, float] = {}
 
-    async def life(folder: Path, mark: str) -> int:
+    async def run_real(folder: Path, mark: str) -> int:
         stop = asyncio.Event()
         async with running(folder, mark, 3, 9, 1, stop) as (world, _):
-            at = msgspec.structs.replace(real, targets=load.Targets(addresses=tuple(world.listens)))
-            coordinator = Coordinator(at, local_lines(1))
+            load_scenario = msgspec.structs.replace(real, targets=load.Targets(addresses=tuple(world.listens)))
+            coordinator = Coordinator(load_scenario, local_lines(1))
             report = await coordinator.run()
-            found["served"] = report.outcomes.get("served", 0) / max(1, sum(report.outcomes.values()))
-            found["p99"] = report.by["outcome"]["served"].latency["p99"]
+            measured["served"] = report.outcomes.get("served", 0) / max(1, sum(report.outcomes.values()))
+            measured["p99"] = report.by["outcome"]["served"].latency["p99"]
             return 0
 
-    run_guarded(PREFIX, life)
+    run_guarded(PREFIX, run_real)
     kinds = tuple(
         BoxKind(
             kind.name,
@@ -220,9 +232,9 @@
         )
         for kind in (STD, OLD)
     )
-    given = Scenario(
+    scenario = Scenario(
         "beside",
-        lasts_s=lasts,
+        lasts_s=duration_s,
         warm_s=0.0,
         boxes=9,
         agents=1,
@@ -232,37 +244,38 @@
         service=(Service(aim_ms=1200.0),),
         net=Net(same_ms=0.1, cross_ms=0.1, datagram_loss=0.0),
     )
-    runs = [shells.play(given, seed).figures for seed in (1, 2, 3)]
+    runs = [shells.play(scenario, seed).figures for seed in (1, 2, 3)]
     served = statistics.mean(run.value("share.served") for run in runs)
     p99 = statistics.mean(run.p99_ms for run in runs)
-    figures = {"real_served": found["served"], "sim_served": served, "real_p99": found["p99"], "sim_p99": p99}
-    return abs(served - found["served"]), abs(p99 - found["p99"]) / found["p99"], figures
+    figures = {"real_served": measured["served"], "sim_served": served, "real_p99": measured["p99"], "sim_p99": p99}
+    return abs(served - measured["served"]), abs(p99 - measured["p99"]) / measured["p99"], figures
 
 
 def main() -> None:
+    """Run all measurements and print the figures as JSON."""
     options = argparse.ArgumentParser()
     options.add_argument("--quick", action="store_true")
     options.add_argument("--workers", type=int, default=max(1, (os.cpu_count() or 2) - 2))
-    options.add_argument("--without-life", action="store_true", help="without real processes")
-    given = options.parse_args()
-    quick = given.quick
-    told: dict[str, Any] = {}
-
-    def tell(**more: Any) -> None:
-        told.update(more)
-        print(json.dumps(more), flush=True)
-
-    if not given.without_life:
-        served, p99, figures = beside_life(15.0 if quick else 40.0, 60.0)
-        tell(
+    options.add_argument("--without-life", action="store_true", help="leave out the runs on real processes")
+    arguments = options.parse_args()
+    quick = arguments.quick
+    figures: dict[str, Any] = {}
+
+    def report_figures(**new_figures: Any) -> None:
+        figures.update(new_figures)
+        print(json.dumps(new_figures), flush=True)
+
+    if not arguments.without_life:
+        served, p99, comparison = compare_with_real(15.0 if quick else 40.0, 60.0)
+        report_figures(
             real_vs_sim_served_share_error=round(served, 4),
             real_vs_sim_p99_error=round(p99, 4),
-            **{name: round(value, 4) for name, value in figures.items()},
+            **{name: round(value, 4) for name, value in comparison.items()},
         )
-    tell(
+    report_figures(
         sim_seconds_per_second={
-            f"{limiters}-{floor}": round(pace(limiters, floor, lasts), 2)
-            for limiters, floor, lasts in (
+            f"{limiters}-{floor}": round(measure_pace(limiters, floor, duration_s), 2)
+            for limiters, floor, duration_s in (
                 (3, "shells", 20.0),
                 (3, "decisions", 20.0),
                 (30, "shells", 5.0),
@@ -272,26 +285,34 @@
         }
     )
     runs = 2 if quick else 6
-    tell(deterministic_runs=deterministic(runs), runs=runs)
-    judges, shown = bites()
-    tell(judges=judges, judges_shown_to_bite=shown)
-    steps = search.systematic(scenario_of("drain-and-restart", HERE), 1, given.workers, each=4 if quick else 60)
-    tell(io_steps=steps.steps, io_failures_tried=steps.failed, io_broken=len(steps.broken))
+    report_figures(deterministic_runs=count_deterministic(runs), runs=runs)
+    checkers, detected = count_checkers()
+    report_figures(judges=checkers, judges_shown_to_bite=detected)
+    systematic_report = search.systematic(
+        scenario_of("drain-and-restart", HERE), 1, arguments.workers, each=4 if quick else 60
+    )
+    report_figures(
+        io_steps=systematic_report.steps,
+        io_failures_tried=systematic_report.failed,
+        io_broken=len(systematic_report.broken),
+    )
     found: list[search.Found] = []
     tried = 0
-    for floor in search_floors:
+    for floor in ENVIRONMENTS:
         base = of_load(0.5, Scenario("search", lasts_s=12.0, agents=2, boxes=6, rest_s=8.0))
-        report = search.Search(base, floor, 7).run(12 if quick else 150, 1e6, given.workers)
+        report = search.Search(base, floor, 7).run(12 if quick else 150, 1e6, arguments.workers)
         tried, found = tried + report.tried, found + report.found
-    lengths = [each.after for each in found]
-    tell(seeds_tried=tried, bugs_found=len(found), shrunk_events_median=statistics.median(lengths) if lengths else 0)
-    for each in found:
-        print(each.seed.text(), flush=True)
-    tell(resume_lost_runs=resume())
-    grown, speed = day(quick)
-    tell(day_growth_mb=round(grown, 2), day_sim_seconds_per_second=round(speed))
-    large = largest(quick)
-    tell(
+    lengths = [shrunk.after for shrunk in found]
+    report_figures(
+        seeds_tried=tried, bugs_found=len(found), shrunk_events_median=statistics.median(lengths) if lengths else 0
+    )
+    for shrunk in found:
+        print(shrunk.seed.text(), flush=True)
+    report_figures(resume_lost_runs=count_lost_runs())
+    growth_mb, speed = measure_day(quick)
+    report_figures(day_growth_mb=round(growth_mb, 2), day_sim_seconds_per_second=round(speed))
+    large = measure_largest(quick)
+    report_figures(
         limiters=large["limiters"],
         boxes=large["boxes"],
         accounts=large["accounts"],
@@ -299,7 +320,7 @@
         rss_mb_largest=round(large["rss_mb"]),
         largest_wall_s=round(large["wall_s"], 1),
     )
-    print(json.dumps(told))
+    print(json.dumps(figures))
 
 
 if __name__ == "__main__":
--- a/elderlock/trial/__init__.py
+++ b/elderlock/trial/__init__.py
@@ -1,1 +1,1 @@
-"""The proving ground: several real processes, faults between them, histories from outside, the simulation's judges."""
+"""Test harness that runs a group of real processes, injects faults between them and checks the recorded history."""
--- a/elderlock/trial/child.py
+++ b/elderlock/trial/child.py
@@ -1,8 +1,10 @@
-"""Starts a limiter or an agent as it ships, under a seam: `python -m elderlock.trial.child limiter SEAM`, `agent SEAM
-FILE`, or `base SEAM FILE`.
+"""Starts an unmodified limiter, agent or launcher under the control of the test runner.
 
-The code that runs is the program's own (`elderlock.__main__.main`, the agent's `serve`); the wall clock, the disk and,
-where a test asks for it, one known fault of the build are put under it before it is loaded.
+Usage: `python -m elderlock.trial.child limiter BLOCK`, `agent BLOCK FILE` or `base BLOCK FILE`, where BLOCK is the file
+of the control block and FILE the agent's configuration. `base` starts the launcher, which starts the agent.
+
+The program's own entry points run (`elderlock.__main__.main`, the agent's `serve`). Before they are loaded, the wall
+clock, the disk and, if a test asks for one, a mutant are put in place.
 """
 
 from __future__ import annotations
@@ -12,41 +14,51 @@
 import time
 from pathlib import Path
 
-from elderlock.trial.control_block import Block
+from elderlock.trial.control_block import ControlBlock
+
+BLOCK_VARIABLE, MUTANT_VARIABLE = "ELDERLOCK_TRIAL_SEAM", "ELDERLOCK_TRIAL_FLAW"
+LIMITER_SOCKET_SUFFIX = ".own"  # of a limiter's own control socket; the relay in front of it has the name without it
 
-SEAM, FLAW = "ELDERLOCK_TRIAL_SEAM", "ELDERLOCK_TRIAL_FLAW"
-OWN = ".own"  # what a limiter's control socket is called behind its relay
 
+def offset_wall_clock(block: ControlBlock) -> None:
+    """Add the control block's offset to this process' wall clock; the monotonic clocks stay unchanged."""
+    real_time, real_time_ns = time.time, time.time_ns
+    time.time = lambda: real_time() + block.clock_offset_ms / 1000.0
+    time.time_ns = lambda: real_time_ns() + int(block.clock_offset_ms * 1e6)
 
-def move_clock(block: Block) -> None:
-    """The wall clock of this process is the machine's and what the seam says; the even clocks stay."""
-    real, real_ns = time.time, time.time_ns
-    time.time = lambda: real() + block.clock_ms / 1000.0
-    time.time_ns = lambda: real_ns() + int(block.clock_ms * 1e6)
 
+def move_socket_behind_relay(operators_path: Path) -> Path:
+    """Copy the operators' file that the agent wrote, with another control socket; return the path of the copy.
 
-def behind_relay(operators: Path) -> Path:
-    """The operators' file that the agent wrote, with a control socket of another name: its own is the relay's."""
+    The agent connects to the original socket path, at which the relay listens.
+    """
     lines = []
-    for line in operators.read_text(encoding="utf-8").splitlines():
+    for line in operators_path.read_text(encoding="utf-8").splitlines():
         if line.startswith("socket = "):
-            line = line.rstrip()[:-1] + OWN + '"'
+            line = line.rstrip()[:-1] + LIMITER_SOCKET_SUFFIX + '"'
         lines.append(line)
-    beside = operators.with_name("operators-own.toml")
-    beside.write_text("\n".join(lines) + "\n", encoding="utf-8")
-    return beside
+    copy_path = operators_path.with_name("operators-own.toml")
+    copy_path.write_text("\n".join(lines) + "\n", encoding="utf-8")
+    return copy_path
 
 
-def limiter() -> int:
-    operators = os.environ.get("ELDERLOCK_OPERATORS")
-    if operators:
-        os.environ["ELDERLOCK_OPERATORS"] = str(behind_relay(Path(operators)))
+def run_limiter() -> int:
+    """Run a limiter; return its exit code."""
+    operators_path = os.environ.get("ELDERLOCK_OPERATORS")
+    if operators_path:
+        os.environ["ELDERLOCK_OPERATORS"] = str(move_socket_behind_relay(Path(operators_path)))
     from elderlock.__main__ import main
 
     return main()
 
 
-def agent(path: Path, block: Block) -> int:
+def run_agent(path: Path, block: ControlBlock) -> int:
+    """Run an agent on a disk with faults; return its exit code.
+
+    Args:
+        path: The agent's configuration.
+        block: The agent's control block.
+    """
     import uvloop
 
     from elderlock import logs
@@ -56,17 +68,23 @@
     from elderlock.trial.disk import TrialHost
 
     logs.configure("json")
-    home = path.resolve().parent / read_agent(path).agent.state
-    seam = Path(os.environ[SEAM])
+    state_folder = path.resolve().parent / read_agent(path).agent.state
+    block_path = Path(os.environ[BLOCK_VARIABLE])
     try:
-        uvloop.run(serve(path, host=TrialHost(block, home, seam.with_suffix(".durable"))))
+        uvloop.run(serve(path, host=TrialHost(block, state_folder, block_path.with_suffix(".durable"))))
     except (OSError, FileError, StoreError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
     return 0
 
 
-def base(path: Path, seam: Path) -> int:
+def run_launcher(path: Path, block_path: Path) -> int:
+    """Run a launcher that starts its agent by this module; return its exit code.
+
+    Args:
+        path: The agent's configuration.
+        block_path: The file of the agent's control block.
+    """
     import uvloop
 
     from elderlock import logs
@@ -74,9 +92,9 @@
     from elderlock.fleet.launcher.launcher import serve
 
     logs.configure("json")
-    own = (sys.executable, "-B", "-m", "elderlock.trial.child", "agent", str(seam))
+    agent_command = (sys.executable, "-B", "-m", "elderlock.trial.child", "agent", str(block_path))
     try:
-        uvloop.run(serve(path, own))
+        uvloop.run(serve(path, agent_command))
     except (OSError, FileError) as error:
         print(f"elderlock: {error}", file=sys.stderr)
         return 2
@@ -84,21 +102,22 @@
 
 
 def main() -> int:
-    # an agent's limiters inherit its environment; each finds its own seam beside the agent's, by its own name
+    """Run the role that the command line names; return the exit code."""
+    # The limiters that an agent starts inherit its environment, and their command lines name their own control blocks.
     role = sys.argv[1]
-    seam = Path(sys.argv[2])
-    os.environ[SEAM] = str(seam)
-    if role == "base":  # the seam is its agent's
-        return base(Path(sys.argv[3]), seam)
-    block = Block(seam)
-    block.begins(os.getpid())
-    move_clock(block)
-    if flaw := os.environ.get(FLAW):
-        from elderlock.trial.mutants import MUTANTS, Patch
-
-        MUTANTS[flaw](Patch())
-    code = limiter() if role == "limiter" else agent(Path(sys.argv[3]), block)
-    block.ends(code)
+    block_path = Path(sys.argv[2])
+    os.environ[BLOCK_VARIABLE] = str(block_path)
+    if role == "base":  # the control block belongs to the launcher's agent
+        return run_launcher(Path(sys.argv[3]), block_path)
+    block = ControlBlock(block_path)
+    block.record_start(os.getpid())
+    offset_wall_clock(block)
+    if mutant := os.environ.get(MUTANT_VARIABLE):
+        from elderlock.trial.mutants import MUTANTS, ProcessPatch
+
+        MUTANTS[mutant](ProcessPatch())
+    code = run_limiter() if role == "limiter" else run_agent(Path(sys.argv[3]), block)
+    block.record_exit(code)
     return code
 
 
--- a/elderlock/trial/divergence.py
+++ b/elderlock/trial/divergence.py
@@ -1,9 +1,9 @@
-"""Where a real run and the simulation of the same schedule part: what happened in each, lane by lane, told in words
-that do not hang on time, and the first event at which two lanes differ. No I/O.
+"""Compares a run of real processes with the simulation of the same schedule. No I/O.
 
-A lane is one concern: what a limiter heard of a box, the faults as they began, the rules broken. A real machine and a
-simulated one never send the same bytes at the same microsecond; that lists, faults and verdicts come in the same order,
-lane by lane, is what can be held against each other.
+Each run is reduced to sequences of entries that do not depend on exact times, and the first difference between two
+sequences is reported. A sequence has one subject: the states of a server in a limiter's lists, the faults as they
+began, or the violated rules. A real machine and a simulated one never send the same bytes at the same microsecond, but
+within each sequence lists, faults and violations have to come in the same order.
 """
 
 from __future__ import annotations
@@ -15,70 +15,99 @@
 from elderlock.trial.history import Event
 
 
-class Step(NamedTuple):
+class Entry(NamedTuple):
+    """An entry of a sequence.
+
+    Attributes:
+        at: When it happened, in ms of the schedule.
+        text: What is compared.
+    """
+
     at: float
-    what: str
+    text: str
+
 
+class Divergence(NamedTuple):
+    """The first difference between two sequences with the same subject.
 
-class Parting(NamedTuple):
-    """The first difference, by the time of whichever run has it; a step is None where its run's lane had ended."""
+    Attributes:
+        subject: Their subject.
+        number: The number of the entry, from 1.
+        real: The entry of the real run; None if its sequence is shorter.
+        simulated: The entry of the simulation; None if its sequence is shorter.
+    """
 
-    lane: str
+    subject: str
     number: int
-    real: Step | None
-    simulated: Step | None
+    real: Entry | None
+    simulated: Entry | None
 
     @property
     def at(self) -> float:
-        return min(step.at for step in (self.real, self.simulated) if step is not None)
+        """When the runs differ: the time of the earlier of both entries."""
+        return min(entry.at for entry in (self.real, self.simulated) if entry is not None)
 
     def text(self) -> str:
-        def said(step: Step | None) -> str:
-            return f"{step.what!r} at {step.at / 1000.0:.3f} s" if step is not None else "nothing more"
+        """Return the difference as text."""
 
-        both = f"{said(self.real)} in the real run, {said(self.simulated)} in the simulation"
-        return f"{self.lane}, step {self.number}: {both}"
+        def describe(entry: Entry | None) -> str:
+            return f"{entry.text!r} at {entry.at / 1000.0:.3f} s" if entry is not None else "nothing more"
+
+        both = f"{describe(self.real)} in the real run, {describe(self.simulated)} in the simulation"
+        return f"{self.subject}, step {self.number}: {both}"
 
 
 def event_sequences(
-    events: Iterable[Event], broken: Iterable[tuple[str, float, str]], zero: float
-) -> dict[str, list[Step]]:
-    """By lane, in order; times count from the schedule's start."""
-    made: dict[str, list[Step]] = defaultdict(list)
+    events: Iterable[Event], broken: Iterable[tuple[str, float, str]], schedule_start_ms: float
+) -> dict[str, list[Entry]]:
+    """Reduce a run to sequences.
+
+    Args:
+        events: The events of the run, sorted by time.
+        broken: The rule, time in ms of the run and text of each violation.
+        schedule_start_ms: When the schedule began, in ms of the run.
+
+    Returns:
+        The sequences by subject; the times of their entries count from the start of the schedule.
+    """
+    sequences: dict[str, list[Entry]] = defaultdict(list)
     states: dict[tuple[str, str], str] = {}
     for event in events:
-        at, args = event.at - zero, event.args
-        if event.what == "told":
-            limiter, box, state = str(args[0]), str(args[1]), str(args[2])
-            if states.get((limiter, box)) != state and not (state == "gone" and (limiter, box) not in states):
-                states[limiter, box] = state
-                made[f"lists {limiter} {box}"].append(Step(at, state))
-        elif event.what == "limiter_began":
+        at, args = event.at - schedule_start_ms, event.args
+        if event.name == "told":
+            limiter, server, state = str(args[0]), str(args[1]), str(args[2])
+            if states.get((limiter, server)) != state and not (state == "gone" and (limiter, server) not in states):
+                states[limiter, server] = state
+                sequences[f"lists {limiter} {server}"].append(Entry(at, state))
+        elif event.name == "limiter_began":
             for key in [key for key in states if key[0] == args[0]]:
                 del states[key]
-        elif event.what == "fault":
-            made["faults"].append(Step(at, f"{args[1]} {args[2]}"))
-    seen = set()
+        elif event.name == "fault":
+            sequences["faults"].append(Entry(at, f"{args[1]} {args[2]}"))
+    rules_seen = set()
     for rule, at, _ in broken:
-        if rule not in seen:
-            seen.add(rule)
-            made["rules"].append(Step(at - zero, rule))
-    for lane in ("faults", "rules"):
-        made[lane].sort(key=lambda step: (step.at, step.what) if lane == "rules" else (step.at, ""))
-    return dict(made)
+        if rule not in rules_seen:
+            rules_seen.add(rule)
+            sequences["rules"].append(Entry(at - schedule_start_ms, rule))
+    for subject in ("faults", "rules"):
+        sequences[subject].sort(key=lambda entry: (entry.at, entry.text) if subject == "rules" else (entry.at, ""))
+    return dict(sequences)
+
 
+def first_differences(real: dict[str, list[Entry]], simulated: dict[str, list[Entry]]) -> list[Divergence]:
+    """Return the first difference of each subject on which two runs differ, the earliest first.
 
-def first_differences(real: dict[str, list[Step]], simulated: dict[str, list[Step]]) -> list[Parting]:
-    """One for each lane that differs, the earliest first. A list that a restarted limiter heard anew is one step, so a
-    limiter that began once more often than the other shows as a longer lane."""
+    The list that a restarted limiter receives again adds an entry, so a limiter that started once more often than in
+    the other run has a longer sequence.
+    """
     found = []
-    for lane in sorted(set(real) | set(simulated)):
-        one: Sequence[Step] = real.get(lane, ())
-        other: Sequence[Step] = simulated.get(lane, ())
-        for number in range(max(len(one), len(other))):
-            here = one[number] if number < len(one) else None
-            there = other[number] if number < len(other) else None
-            if here is None or there is None or here.what != there.what:
-                found.append(Parting(lane, number + 1, here, there))
+    for subject in sorted(set(real) | set(simulated)):
+        real_entries: Sequence[Entry] = real.get(subject, ())
+        simulated_entries: Sequence[Entry] = simulated.get(subject, ())
+        for index in range(max(len(real_entries), len(simulated_entries))):
+            real_entry = real_entries[index] if index < len(real_entries) else None
+            simulated_entry = simulated_entries[index] if index < len(simulated_entries) else None
+            if real_entry is None or simulated_entry is None or real_entry.text != simulated_entry.text:
+                found.append(Divergence(subject, index + 1, real_entry, simulated_entry))
                 break
-    return sorted(found, key=lambda parting: parting.at)
+    return sorted(found, key=lambda divergence: divergence.at)
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -1,4 +1,4 @@
-"""Carries out a scenario's faults on real processes: the same words as on the simulated floors."""
+"""Injects the faults of a scenario into a group of real processes; the simulation has faults of the same names."""
 
 from __future__ import annotations
 
@@ -14,29 +14,44 @@
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
 from elderlock.sim.stage_faults import StageFaults
 from elderlock.standins.world import OPERATORS
-from elderlock.trial.control_block import Block, Disk, Step
+from elderlock.trial.control_block import ControlBlock, DiskFault, WriteStep
 from elderlock.trial.harness import Harness
 from elderlock.trial.processes import Child, python
 
-COMMAND_WITHIN = 15.0  # s that an operator's command may take
-DARK = 0.5  # s that a lost power stays away, where the fault does not say
-DISKS = {"disk-full": Disk.FULL, "disk-error": Disk.ERROR, "disk-slow": Disk.SLOW, "disk-lies": Disk.LIES}
-STEPS = {"kill-write": Step.WRITTEN, "kill-sync": Step.SYNCED, "kill-rename": Step.RENAMED}
+COMMAND_TIMEOUT_S = 15.0  # of an operator's command, if the fault does not say
+DEFAULT_OUTAGE_S = 0.5  # of a power loss, if the fault does not say
+DISK_FAULTS = {
+    "disk-full": DiskFault.FULL,
+    "disk-error": DiskFault.ERROR,
+    "disk-slow": DiskFault.SLOW,
+    "disk-lies": DiskFault.LIES,
+}
+KILL_STEPS = {
+    "kill-write": WriteStep.WRITTEN,
+    "kill-sync": WriteStep.SYNCED,
+    "kill-rename": WriteStep.RENAMED,
+}
 
 
 class TrialFaults(StageFaults):
-    """Each begins at its time, whatever became of the one before."""
+    """Injects faults; each begins at its time, whatever the one before it did.
+
+    Attributes:
+        world: The harness.
+        commands: The operators' commands so far, with their exit codes.
+        agreed: Checks that the agents' records never go back, and that no more is drained than the budget allows.
+    """
 
     world: Harness
 
     def __init__(self, world: Harness) -> None:
         super().__init__(world)
-        self._undrains: dict[str, int] = {}
-        self.commands: list[tuple[str, int]] = []  # an operator's, with its exit code
+        self._undrain_counts: dict[str, int] = {}
+        self.commands: list[tuple[str, int]] = []
         self.agreed = Agreed(world.rules, most_out(world.scenario))
 
     async def wait_until_done(self) -> None:
-        """Until all that was begun is done."""
+        """Wait until all faults that have begun, and all commands, are done."""
         while self._kept:
             await asyncio.wait(list(self._kept))
 
@@ -55,7 +70,7 @@
                     await self._agent_fault(fault, number)
             case "floor":
                 for number in fault.numbers(s.floors):
-                    await self._floor_fault(fault, floor_name(number))
+                    await self._zone_fault(fault, floor_name(number))
             case "counter":
                 await self.counter_fault(fault)
             case "discovery":
@@ -65,28 +80,30 @@
             case "clients":
                 await self.clients_fault(fault)
             case "way":
-                self._way_fault(fault)
+                self._link_fault(fault)
             case "house":
                 world.counter.lose()
-                boxes = list(world.listing.boxes)
-                await self._power(fault, list(range(s.limiters)), list(range(s.agents)), boxes)
+                uids = list(world.listing.boxes)
+                await self._lose_power(fault, list(range(s.limiters)), list(range(s.agents)), uids)
 
-    # Ways
+    # Links
 
-    def _befall(self, fault: Fault, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
+    def _inject(self, fault: Fault, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
         self.world.relays.inject(kind, pairs, by)
-        self._for(fault, lambda: self._mended(kind, pairs, by))
+        self._for(fault, lambda: self._clear(kind, pairs, by))
 
-    def _mended(self, kind: str, pairs: list[tuple[str, str]], by: float) -> None:
+    def _clear(self, kind: str, pairs: list[tuple[str, str]], by: float) -> None:
         self.world.note("mended", kind, *(f"{source}>{target}" for source, target in pairs))
         self.world.relays.clear(kind, pairs, by)
 
     def silence(self, uid: str) -> Callable[[], object]:
+        """Cut all links of a server; return the function that restores them."""
         pairs = [(uid, "*"), ("*", uid)]
         self.world.relays.inject("cut", pairs)
-        return lambda: self._mended("cut", pairs, 1.0)
+        return lambda: self._clear("cut", pairs, 1.0)
 
-    def _name(self, end: str) -> str:
+    def _location_name(self, end: str) -> str:
+        """Return the location name of a link's end, such as `limiter:0`; a number that is too high is the last one."""
         kind, _, number = end.partition(":")
         match kind:
             case "limiter":
@@ -98,8 +115,8 @@
                 return uids[min(int(number), len(uids) - 1)]
         return end
 
-    def _way_fault(self, fault: Fault) -> None:
-        source, target = (self._name(end) for end in fault.ends())
+    def _link_fault(self, fault: Fault) -> None:
+        source, target = (self._location_name(end) for end in fault.ends())
         match fault.what:
             case "reset":
                 for relay, _ in self.world.relays.between([(source, target)]):
@@ -108,63 +125,63 @@
                 for relay, towards_target in self.world.relays.between([(source, target)]):
                     relay.half_close(towards_target)
             case "cut":
-                self._befall(fault, "cut", [(source, target)])
-            case what:
-                self._befall(fault, what, [(source, target)], by_of(fault))
+                self._inject(fault, "cut", [(source, target)])
+            case kind:
+                self._inject(fault, kind, [(source, target)], by_of(fault))
 
-    def _from_floors(self, fault: Fault, name: str) -> list[tuple[str, str]]:
+    def _pairs_with_zones(self, fault: Fault, name: str) -> list[tuple[str, str]]:
         return cut_pairs(fault, name, self.world.scenario.floor_names())
 
-    async def _floor_fault(self, fault: Fault, floor: str) -> None:
+    async def _zone_fault(self, fault: Fault, zone: str) -> None:
         world, s = self.world, self.world.scenario
-        boxes = [uid for uid, box in world.listing.boxes.items() if box.floor == floor]
+        uids = [uid for uid, server in world.listing.boxes.items() if server.floor == zone]
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
-                self._befall(fault, "cut", self._from_floors(fault, floor))
+                self._inject(fault, "cut", self._pairs_with_zones(fault, zone))
             case "late":
-                floors = s.floor_names()
-                pairs = [(floor, other) for other in floors] + [(other, floor) for other in floors if other != floor]
-                self._befall(fault, "late", pairs, by_of(fault))
+                zones = s.floor_names()
+                pairs = [(zone, other) for other in zones] + [(other, zone) for other in zones if other != zone]
+                self._inject(fault, "late", pairs, by_of(fault))
             case "restart" | "silent":
-                for uid in boxes:
+                for uid in uids:
                     await self.box_fault(fault, world.listing.boxes.get(uid))
             case "power":
-                limiters = [n for n in range(s.limiters) if floor in world.limiter_places[n].names]
-                agents = [a for a in range(s.agents) if floor in world.agent_places[a].names]
-                await self._power(fault, limiters, agents, boxes)
+                limiters = [n for n in range(s.limiters) if zone in world.limiter_locations[n].names]
+                agents = [a for a in range(s.agents) if zone in world.agent_locations[a].names]
+                await self._lose_power(fault, limiters, agents, uids)
 
     def _peers_fault(self, fault: Fault) -> None:
-        """Datagrams between limiters alone."""
+        """Inject a fault into the datagram links between limiters."""
         names = self.world.limiter_names
         pairs = [(one, other) for one in names for other in names if one != other]
         match fault.what:
             case "silent":
-                self._befall(fault, "loss", pairs, 1.0)
-            case what:
-                self._befall(fault, what, pairs, by_of(fault))
+                self._inject(fault, "loss", pairs, 1.0)
+            case kind:
+                self._inject(fault, kind, pairs, by_of(fault))
 
     # Processes
 
-    async def _power(self, fault: Fault, limiters: list[int], agents: list[int], boxes: list[str]) -> None:
-        await self.world.lose_power(limiters, agents, boxes, fault.for_s or DARK, torn=True)
+    async def _lose_power(self, fault: Fault, limiters: list[int], agents: list[int], uids: list[str]) -> None:
+        await self.world.lose_power(limiters, agents, uids, fault.for_s or DEFAULT_OUTAGE_S, torn=True)
 
-    def _paused(self, name: str, lasts: float) -> None:
+    def _pause(self, name: str, duration_s: float) -> None:
         world = self.world
-        world.watch.excuse(name, lasts * 1000.0, "it was stopped")
+        world.stall_monitor.excuse(name, duration_s * 1000.0, "it was stopped")
         world.signal(name, signal.SIGSTOP, "")
-        world.loop.call_later(lasts, world.signal, name, signal.SIGCONT, "")
+        world.loop.call_later(duration_s, world.signal, name, signal.SIGCONT, "")
 
-    def _process_fault(self, fault: Fault, name: str, block: Block) -> bool:
-        """What befalls limiters and agents alike; False for what does not."""
+    def _process_fault(self, fault: Fault, name: str, block: ControlBlock) -> bool:
+        """Inject a fault that limiters and agents have in common; return False if it is not one of those."""
         match fault.what:
             case "kill":
                 self.world.signal(name, signal.SIGKILL, "it was killed")
             case "term":
                 self.world.signal(name, signal.SIGTERM, "it was asked to end")
             case "pause":
-                self._paused(name, fault.for_s or by_of(fault) / 1000.0)
+                self._pause(name, fault.for_s or by_of(fault) / 1000.0)
             case "clock":
-                block.clock_ms += by_of(fault)
+                block.clock_offset_ms += by_of(fault)
             case _:
                 return False
         return True
@@ -176,9 +193,9 @@
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
                 others = [*world.scenario.floor_names(), "discovery"]
-                self._befall(fault, "cut", cut_pairs(fault, f"m{number}", others))
+                self._inject(fault, "cut", cut_pairs(fault, f"m{number}", others))
             case "power":
-                await self._power(fault, [number], [], [])
+                await self._lose_power(fault, [number], [], [])
             case "op-drain" | "op-undrain":
                 await self.command(fault, "limiter", name)
 
@@ -189,90 +206,111 @@
             return
         match fault.what:
             case "cut":
-                self._befall(fault, "cut", self._from_floors(fault, name))
+                self._inject(fault, "cut", self._pairs_with_zones(fault, name))
             case "power":
-                await self._power(fault, [], [number], [])
+                await self._lose_power(fault, [], [number], [])
             case "old-state" | "no-state":
-                old = world.folder / "old" / name if fault.what == "old-state" else None
-                await world.restart_agent(number, old)
+                old_home = world.folder / "old" / name if fault.what == "old-state" else None
+                await world.restart_agent(number, old_home)
             case "kill-write" | "kill-sync" | "kill-rename":
-                agent.armed = True
-                agent.block.kill_at(STEPS[fault.what])
-            case what:
-                agent.lied = agent.lied or what == "disk-lies"
-                agent.block.slow_ms = by_of(fault)
-                agent.block.disk = DISKS[what]
-                self._for(fault, lambda: setattr(agent.block, "disk", Disk.GOOD))
+                agent.is_kill_armed = True
+                agent.block.kill_at(KILL_STEPS[fault.what])
+            case kind:
+                agent.has_disk_lied = agent.has_disk_lied or kind == "disk-lies"
+                agent.block.sync_delay_ms = by_of(fault)
+                agent.block.disk_fault = DISK_FAULTS[kind]
+                self._for(fault, lambda: setattr(agent.block, "disk_fault", DiskFault.NONE))
 
     # Operators
 
     async def command(self, fault: Fault, kind: Any, target: str) -> None:
+        """Run the operator's command of a fault, by one of the operators.
+
+        Args:
+            fault: A fault `op-drain` or `op-undrain`.
+            kind: The kind of the target: `box` or `limiter`.
+            target: The target's name.
+        """
         if not self.world.scenario.agents:
             return
-        drained = fault.what == "op-drain"
+        is_drain = fault.what == "op-drain"
         operator = self.world.rng.choice(OPERATORS)
-        verb = "drain" if drained else "undrain"
-        # where permits are asked for, nobody goes without
-        forced = ["--force"] if drained and not self.world.scenario.settings.budget else []
-        await self.run_command(operator, verb, kind, target, *forced, within=fault.by or COMMAND_WITHIN)
+        verb = "drain" if is_drain else "undrain"
+        # with a budget, no command goes around the permits
+        force = ["--force"] if is_drain and not self.world.scenario.settings.budget else []
+        await self.run_command(operator, verb, kind, target, *force, within=fault.by or COMMAND_TIMEOUT_S)
 
     async def run_command(
-        self, operator: str, verb: str, kind: str, target: str, *more: str, within: float = COMMAND_WITHIN
+        self, operator: str, verb: str, kind: str, target: str, *options: str, within: float = COMMAND_TIMEOUT_S
     ) -> int:
-        """A tool's whole life, as a process of its own; returns its exit code. What it told of limiters that send a box
-        nothing any more is held against them."""
+        """Run `elderlock drain` or `elderlock undrain` as a process of its own.
+
+        The limiters that it reports to have stopped sending to a server are checked for doing so.
+
+        Args:
+            operator: The operator's name.
+            verb: `drain` or `undrain`.
+            kind: The kind of the target: `box` or `limiter`.
+            target: The target's name.
+            *options: Further arguments.
+            within: The seconds after which the command gives up.
+
+        Returns:
+            The exit code.
+        """
         world = self.world
-        drained = verb == "drain"
-        if not drained:
-            self._undrains[target] = self._undrains.get(target, 0) + 1
+        is_drain = verb == "drain"
+        if not is_drain:
+            self._undrain_counts[target] = self._undrain_counts.get(target, 0) + 1
             world.bench.undrained(world.at(), target)
             self.agreed.brings_back(target, world.at())
-        undrains = self._undrains.get(target, 0)
+        undrain_count = self._undrain_counts.get(target, 0)
         world.tools_started += 1
         name = f"tool-{world.tools_started}"
-        words = [
+        arguments = [
             verb,
             kind,
             target,
             "--json",
             "--give-up-after",
             f"{within:g}",
-            *more,
+            *options,
             "--group",
             str(world.group_path),
             "--token-file",
             str(world.token_path(operator)),
         ]
-        done: asyncio.Future[int] = world.loop.create_future()
+        ended: asyncio.Future[int] = world.loop.create_future()
         log = world.folder / f"{name}.log"
         tool = Child(
             name,
-            python("-m", "elderlock.cli.main", *words),
+            python("-m", "elderlock.cli.main", *arguments),
             world.mark,
             log,
-            ended=lambda code: None if done.done() else done.set_result(code),
+            ended=lambda code: None if ended.done() else ended.set_result(code),
         )
         world.note("command", name, f"{operator}: {verb} {kind} {target}")
         await tool.start()
         try:
-            code = await done
+            code = await ended
         finally:
             await tool.end()
         world.note("command", name, f"{verb} {target}: exit {code}")
         self.commands.append((f"{verb} {target}", code))
-        if drained and self._undrains.get(target, 0) == undrains:
-            for row in _rows(log):
+        if is_drain and self._undrain_counts.get(target, 0) == undrain_count:
+            for row in _printed_rows(log):
                 if row["state"] != "reached" or not row["limiter"]:
                     continue
                 self.agreed.took_out(kind, target, world.at())
                 if kind == "box":
-                    life = world.limiter_processes[int(row["limiter"][1:])].incarnation
-                    since = world.since(row["at"] - (life.clock_ms if life is not None else 0.0))
+                    incarnation = world.limiter_processes[int(row["limiter"][1:])].incarnation
+                    since = world.since(row["at"] - (incarnation.clock_offset_ms if incarnation is not None else 0.0))
                     world.bench.claimed(world.at(), operator, target, row["limiter"], since)
         return code
 
 
-def _rows(log: Path) -> list[dict[str, Any]]:
+def _printed_rows(log: Path) -> list[dict[str, Any]]:
+    """Return the rows of the JSON that a command printed."""
     for line in reversed(log.read_text(errors="replace").splitlines()):
         if line.startswith('{"exit"'):
             rows: list[dict[str, Any]] = json.loads(line)["rows"]
