--- a/elderlock/trial/harness.py
+++ b/elderlock/trial/harness.py
@@ -1,7 +1,8 @@
-"""A whole group of real processes with a relay on every link: the program as it ships, on loopback, over stand-ins.
+"""Test harness: a group of real limiter and agent processes on loopback, with a relay on every link.
 
-The ground looks on from outside: at the relays, at what a box got, at what a tool told, at seams. It reads no state of
-the code under test, but for what the code shows of itself to an operator (`Show`), where the simulation has the like.
+The processes run the program as it ships, against fake servers, discovery and counter. The harness observes them from
+outside: at the relays, at the fake servers, in the output of tools and in the control blocks. It reads no internal
+state of the code under test except what the program shows to an operator (`Show`), which the simulation reads as well.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 from typing import Any
 
 from elderlock.control.records import Records
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.fleet.client.group_client import Group
 from elderlock.load.wire import Request
-from elderlock.sim import judges as j
+from elderlock.sim import judges
 from elderlock.sim.clients import Clients
 from elderlock.sim.facts import budget_of, operators_of, settings_of, talks
 from elderlock.sim.figures import Account
@@ -34,75 +35,142 @@
 from elderlock.standins.discovery import Registry
 from elderlock.standins.waiting import unix_ms
 from elderlock.standins.world import World, own_host
-from elderlock.trial import child as children
-from elderlock.trial import disk
-from elderlock.trial.control_block import RUNS, Block
+from elderlock.trial import child, disk
+from elderlock.trial.control_block import STILL_RUNNING, ControlBlock
 from elderlock.trial.guard import marked_pids
-from elderlock.trial.history import DRAIN, GRACE, INSTANT, Recorder
-from elderlock.trial.link_conditions import Place, Ways
-from elderlock.trial.observers import ClientEyes, ListEyes, SendEyes
-from elderlock.trial.processes import Child, Stranger, python
-from elderlock.trial.relay import Datagrams, Relay, Relays, listening_tcp
-from elderlock.trial.stalls import Watch
-
-LOOK = 0.01  # s between looks at the seams
-AGENT_AGAIN = 0.4  # s after which an agent that ended is started again, as in the simulation
-UP_WITHIN = 30.0  # s that the group may take to come up; reached by a hang alone
-CLOSED_LATER = 0.1  # s after which a closed connection's limiter is known to have died with it
-STATES = {"up": "running", "draining": "draining", "removed": "gone"}
-QUICK = "first_backoff = 0.2\nmost_backoff = 1.0\ncrashes = 1000\n"  # of supervision: faults are no crash loop
+from elderlock.trial.history import DRAIN_GRACE_MS, REQUEST_GRACE_MS, WRITE_DELAY_MS, Recorder
+from elderlock.trial.link_conditions import LinkFaults, Location
+from elderlock.trial.observers import ClientObserver, ListObserver, SendObserver
+from elderlock.trial.processes import Child, ObservedProcess, python
+from elderlock.trial.relay import DatagramRelay, Relay, Relays, listening_tcp_addresses
+from elderlock.trial.stalls import StallMonitor
+
+POLL_INTERVAL_S = 0.01  # between two readings of the control blocks
+AGENT_RESTART_DELAY_S = 0.4  # after which a process that ended is started again, as in the simulation
+STARTUP_TIMEOUT_S = 30.0  # for the group to come up; only a hang takes that long
+CLOSE_REPORT_DELAY_S = 0.1  # after which a limiter whose connection closed is known to have ended, if it has
+LIST_STATES = {"up": "running", "draining": "draining", "removed": "gone"}  # discovery's state -> the checkers' state
+# Of supervision. Injected faults must not count as a crash loop, so many crashes are allowed.
+SUPERVISION_SETTINGS = "first_backoff = 0.2\nmost_backoff = 1.0\ncrashes = 1000\n"
 
 
 class TrialError(Exception):
-    """The run could not begin or go on; the text says who waited for what."""
+    """The run could not begin or continue; the text says which process was waited for and for what."""
+
 
+class TrialServer(ShellBox):
+    """A fake server that discovery lists at the addresses of its relays, one for each limiter.
 
-class TrialBox(ShellBox):
-    """Discovery lists it at its relays, one for each limiter."""
+    Attributes:
+        relays: The relay in front of the server, by limiter number.
+    """
 
-    ways_in: dict[int, Relay]
+    relays: dict[int, Relay]
 
     def target(self, door: int) -> dict[str, Any]:
-        return {**super().target(door), "endpoint": self.ways_in[door].endpoint}
+        """Return discovery's entry of this server for one limiter."""
+        return {**super().target(door), "endpoint": self.relays[door].endpoint}
 
 
 @dataclass(eq=False)
 class Incarnation:
-    """One process of a limiter, from its start to its end."""
+    """One process of a limiter, from its start to its end.
+
+    Attributes:
+        name: The limiter's name.
+        process: The process.
+        clock_offset_ms: How far its wall clock was ahead when it started; a limiter reads the wall clock only then.
+        expected_end: Why the harness ended it; empty if it did not.
+    """
 
     name: str
-    process: Stranger
-    clock_ms: float = 0.0  # by which its wall clock was ahead as it began: a limiter reads it then alone
-    doomed: str = ""  # why its end is no fault of its own
+    process: ObservedProcess
+    clock_offset_ms: float = 0.0
+    expected_end: str = ""
 
 
 @dataclass(eq=False)
-class Limiter:
+class LimiterProcess:
+    """A limiter and its processes, one after the other.
+
+    Attributes:
+        number: The limiter's number.
+        block: Its control block.
+        incarnation: The process that runs now, if any.
+        starts_seen: How many of its starts the harness has noticed.
+        killed_unseen: The pids that the harness killed before it noticed their start.
+        child: The child process, if the harness starts the limiter because there are no agents.
+        incarnations: All its processes.
+    """
+
     number: int
-    block: Block
+    block: ControlBlock
     incarnation: Incarnation | None = None
-    begun: int = 0
-    unseen: set[int] = field(default_factory=set)  # pids that were killed before they were seen to begin
-    own: Child | None = None  # where no agent starts it
+    starts_seen: int = 0
+    killed_unseen: set[int] = field(default_factory=set)
+    child: Child | None = None
     incarnations: list[Incarnation] = field(default_factory=list)
 
 
 @dataclass(eq=False)
 class AgentProcess:
+    """An agent and its process.
+
+    Attributes:
+        number: The agent's number.
+        block: Its control block.
+        child: The child process: the agent, or the launcher that starts it.
+        expected_end: Why the harness ended the process; empty if it did not.
+        has_disk_lied: Whether its disk has had the fault `DiskFault.LIES`.
+        is_kill_armed: Whether it is to be killed at a write step, in this incarnation or a later one.
+        is_held_down: Whether its restart is left to whoever set this.
+        power_outages: How many power losses it has not recovered from; a second one may begin during the first.
+        state_replacements: How often the harness removed or replaced its stored state.
+    """
+
     number: int
-    block: Block
+    block: ControlBlock
     child: Child
-    doomed: str = ""
-    lied: bool = False  # its disk said of a sync that it was done, and it was not
-    armed: bool = False  # to be killed at a step of its disk, in this life or a later one
-    is_held_down: bool = False  # started again by whoever holds it down
-    dark: int = 0  # losses of power that it has not come back from: one may begin before the last is over
-    states: int = 0  # how often what it had kept was taken away by us
+    expected_end: str = ""
+    has_disk_lied: bool = False
+    is_kill_armed: bool = False
+    is_held_down: bool = False
+    power_outages: int = 0
+    state_replacements: int = 0
 
 
 class Harness(World):
-    """`mark` is on all that it starts, see `guard`. `flaw` names one of `flaws.MUTANTS` that its processes have.
-    `with_launchers`: a base starts each agent."""
+    """A group of real processes under test.
+
+    Attributes:
+        scenario: What is run.
+        seed: The seed of all random choices.
+        mark: The mark of all processes that the harness starts; see `guard`.
+        mutant: The name of the mutant that the processes run, of `mutants.MUTANTS`; empty for none.
+        with_launchers: Whether a launcher starts each agent.
+        rules: The tolerances of the invariant checkers.
+        link_faults: The faults of all links.
+        relays: All relays.
+        limiter_locations: The limiters' locations, by number.
+        agent_locations: The agents' locations, by number.
+        clients_location: The location of the clients.
+        tool_location: The location of operators' tools.
+        discovery_location: The location of discovery.
+        counter_location: The location of the counter.
+        datagrams: The datagram links between limiters.
+        bench: The recorder of all events.
+        account: The figures of the run.
+        limiter_processes: The limiters, by number.
+        agent_processes: The agents, by number.
+        broke_streams: Whether connections break without their limiter's doing; a relay reports each such break
+            itself, so it is always false here.
+        clients: The clients, once they have started.
+        schedule_start_ms: When the scenario's schedule began, in ms of the run.
+        harness_errors: The exceptions of the harness itself: of a fake or a relay.
+        epoch_ms: When the run began, in Unix ms.
+        stall_monitor: Records the stalls of the runner and of the processes.
+        tools_started: How many operator commands were started.
+    """
 
     def __init__(
         self,
@@ -110,171 +178,226 @@
         folder: Path,
         mark: str,
         seed: int = 1,
-        flaw: str = "",
-        rules: j.Rules | None = None,
+        mutant: str = "",
+        rules: judges.Rules | None = None,
         with_launchers: bool = False,
     ) -> None:
+        """Prepare the group; nothing is opened or started.
+
+        Args:
+            scenario: What is run.
+            folder: An empty folder for all files of the run.
+            mark: The mark of all processes that the harness starts; see `guard`.
+            seed: The seed of all random choices.
+            mutant: The name of the mutant that the processes run; empty for none.
+            rules: The tolerances of the invariant checkers; None for those of real processes.
+            with_launchers: Whether a launcher starts each agent.
+        """
         self.scenario, self.seed, self.mark = scenario, seed, mark
-        self.flaw, self.with_launchers = flaw, with_launchers
+        self.mutant, self.with_launchers = mutant, with_launchers
         s, kind = scenario, scenario.kind[0]
-        self.rules = rules or j.Rules(
-            grace=GRACE, drain=DRAIN, instant=INSTANT, cold_share=kind.cold_share, cold_ms=kind.cold_ms
+        self.rules = rules or judges.Rules(
+            grace=REQUEST_GRACE_MS,
+            drain=DRAIN_GRACE_MS,
+            instant=WRITE_DELAY_MS,
+            cold_share=kind.cold_share,
+            cold_ms=kind.cold_ms,
         )
         super().__init__(folder, s.limiters, s.boxes, agents=s.agents, seed=seed)
         self.loop = asyncio.get_running_loop()
-        self.ways = Ways()
-        self.relays = Relays(self.ways)
-        self.limiter_places = [Place.of(f"n{n}", f"m{n}", floor_name(n % s.floors)) for n in range(s.limiters)]
-        self.agent_places = [Place.of(f"agent-{a}", *self._machine(a)) for a in range(s.agents)]
-        self.clients_place, self.tool_place = Place.of("clients"), Place.of("tool")
-        self.discovery_place, self.counter_place = Place.of("discovery"), Place.of("counter", floor_name(0))
-        self.datagrams = Datagrams(self.ways, self.limiter_places, random.Random(f"datagrams/{seed}"))
+        self.link_faults = LinkFaults()
+        self.relays = Relays(self.link_faults)
+        self.limiter_locations = [Location.of(f"n{n}", f"m{n}", floor_name(n % s.floors)) for n in range(s.limiters)]
+        self.agent_locations = [Location.of(f"agent-{a}", *self._machine_and_zone(a)) for a in range(s.agents)]
+        self.clients_location, self.tool_location = Location.of("clients"), Location.of("tool")
+        self.discovery_location, self.counter_location = (
+            Location.of("discovery"),
+            Location.of("counter", floor_name(0)),
+        )
+        self.datagrams = DatagramRelay(self.link_faults, self.limiter_locations, random.Random(f"datagrams/{seed}"))
         self.network = self.datagrams
         self.bench = Recorder()
         self.account = Account(s.warm_s * 1000.0, s.service[0].aim_ms)
-        self.limiter_processes: list[Limiter] = []
+        self.limiter_processes: list[LimiterProcess] = []
         self.agent_processes: list[AgentProcess] = []
         self.broke_streams = False
         self.clients: Clients | None = None
-        self.schedule_start_ms = 0.0  # ms of the run at which the schedule began
-        self.failed: list[str] = []  # of the ground itself: a stand-in or a relay that raised
-        self._began = time.monotonic()
+        self.schedule_start_ms = 0.0
+        self.harness_errors: list[str] = []
+        self._started_s = time.monotonic()
         self.epoch_ms = unix_ms()
-        self._lists: list[Relay] = []
-        self._counts: list[Relay] = []
-        self._fronts: list[Relay] = []
-        self._to_agents: dict[tuple[str, int], Relay] = {}
-        self._known_plans: dict[str, str] = {}
-        self._uids = 0
-        self.watch = Watch(self.at, self._pids)
+        self._discovery_relays: list[Relay] = []
+        self._counter_relays: list[Relay] = []
+        self._client_relays: list[Relay] = []
+        self._agent_relays: dict[tuple[str, int], Relay] = {}
+        self._plan_names: dict[str, str] = {}
+        self._servers_created = 0
+        self.stall_monitor = StallMonitor(self.at, self._pids)
         self._timers: list[asyncio.TimerHandle] = []
-        self._closed = False
+        self._is_closed = False
         self.tools_started = 0
 
     # Time
 
     def at(self) -> float:
-        """ms of the run."""
-        return (time.monotonic() - self._began) * 1000.0
+        """Return the time in ms of the run."""
+        return (time.monotonic() - self._started_s) * 1000.0
 
     def since(self, unix: float) -> float:
+        """Convert Unix ms to ms of the run."""
         return unix - self.epoch_ms
 
-    # The world as its processes find it
+    # The addresses and files that the processes are given
 
     @property
     def listing(self) -> Registry:
+        """The servers that discovery lists."""
         return self.registry
 
-    def _machine(self, agent: int) -> tuple[str, str]:
-        """An agent runs on the machine of the first of its limiters."""
-        first = self.share(agent)[0]
-        return f"m{first}", floor_name(first % self.scenario.floors)
+    def _machine_and_zone(self, agent: int) -> tuple[str, str]:
+        """Return the names of an agent's machine and zone: those of the first of its limiters."""
+        first_limiter = self.share(agent)[0]
+        return f"m{first_limiter}", floor_name(first_limiter % self.scenario.floors)
 
     def discovery_of(self, limiter: int) -> str:
-        return self._lists[limiter].endpoint
+        """Return the address at which a limiter reaches discovery."""
+        return self._discovery_relays[limiter].endpoint
 
     def counter_of(self, limiter: int) -> str:
-        return self._counts[limiter].endpoint
+        """Return the address at which a limiter reaches the counter."""
+        return self._counter_relays[limiter].endpoint
 
     def agent_at(self, asker: str, agent: int) -> str:
+        """Return the address at which an agent is reached.
+
+        Args:
+            asker: The name of the agent that connects; empty for a tool.
+            agent: The number of the agent that is reached.
+        """
         if asker == self.agent_names[agent]:
             return self.agent_listens[agent]
-        return self._to_agents[asker, agent].endpoint
+        return self._agent_relays[asker, agent].endpoint
 
     def settings_of(self, limiter: int) -> dict[str, Any]:
+        """Return the settings of a limiter."""
         return settings_of(self.scenario, limiter, self.rules)
 
     def command_of(self, limiter: int) -> list[str]:
-        return python("-m", "elderlock.trial.child", "limiter", str(self.seam_path(f"n{limiter}")))
+        """Return the command line of a limiter."""
+        return python("-m", "elderlock.trial.child", "limiter", str(self.control_block_path(f"n{limiter}")))
 
     def config(self, number: int) -> dict[str, Any]:
+        """Return the configuration of a limiter."""
         s = self.scenario.settings
-        made = {**super().config(number), "limits": {"cores": 1.0, "memory_mb": s.memory_mb, "sockets": s.sockets}}
+        config = {**super().config(number), "limits": {"cores": 1.0, "memory_mb": s.memory_mb, "sockets": s.sockets}}
         if not talks(self.scenario):
             for name in ("peer_listen", "peers", "peers_all"):
-                made.pop(name, None)
-        return made
+                config.pop(name, None)
+        return config
 
-    def seam_path(self, name: str) -> Path:
+    def control_block_path(self, name: str) -> Path:
+        """Return the file of the control block of a limiter or an agent, by its name."""
         return self.folder / "seams" / f"{name}.seam"
 
     def home(self, agent: int) -> Path:
+        """Return the state folder of an agent."""
         return self.folder / self.agent_names[agent]
 
     @property
     def direct_group_path(self) -> Path:
-        """The group's file for whoever looks on: no relay lies between."""
+        """The group file for observers, with which they reach the agents without a relay."""
         return self.folder / "direct.toml"
 
-    def _own(self) -> tuple[str, int]:
+    def _relay_address(self) -> tuple[str, int]:
         return own_host(self._hosts), 0
 
-    def _relay(
-        self, here: Place, there: Place, target: Any, look: Callable[[], Any] = lambda: None, listens: bool = True
+    def _add_relay(
+        self,
+        source: Location,
+        destination: Location,
+        target: Any,
+        observe: Callable[[], Any] = lambda: None,
+        listens: bool = True,
     ) -> Relay:
-        return self.relays.add(Relay(self.ways, here, there, target, look), self._own(), listens)
+        return self.relays.add(
+            Relay(self.link_faults, source, destination, target, observe), self._relay_address(), listens
+        )
+
+    def _reserve_descriptors(self) -> None:
+        """Raise the limit of open descriptors to what the relays and connections need.
 
-    def _room(self) -> None:
-        """Raises `TrialError` where the machine allows too few descriptors for all relays and connections."""
+        Raises:
+            TrialError: The machine does not allow as many.
+        """
         s = self.scenario
         needed = 150 + s.limiters * (4 * s.boxes + 3 * s.limiters + 20) + 4 * s.agents * s.agents
-        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        if soft < needed <= hard or hard == resource.RLIM_INFINITY:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft, needed), hard))
-        elif hard < needed:
-            raise TrialError(f"it needs some {needed} descriptors for its relays, and may have {hard} (ulimit -n)")
+        soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        if soft_limit < needed <= hard_limit or hard_limit == resource.RLIM_INFINITY:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (max(soft_limit, needed), hard_limit))
+        elif hard_limit < needed:
+            raise TrialError(
+                f"the trial needs about {needed} descriptors for its relays, and may have {hard_limit} (ulimit -n)"
+            )
 
     async def open(self) -> None:
-        """Stand-ins, relays, files; no process yet. Raises `TrialError`."""
+        """Open the fakes and the relays and write the files; no process is started.
+
+        Raises:
+            TrialError: The machine does not allow enough open descriptors.
+        """
         s = self.scenario
-        self._room()
+        self._reserve_descriptors()
         (self.folder / "seams").mkdir(mode=0o700)
         await self.registry.discovery.start(s.limiters)
         await self.counter.open(s.limiters)
         await self.datagrams.open()
-        for number, place in enumerate(self.limiter_places):
-            lists, counts = self.registry.discovery.doors[number], self.counter.doors[number]
-            self._lists.append(
-                self._relay(
-                    place,
-                    self.discovery_place,
-                    (lists.owner.host, lists.port),
-                    lambda number=number: ListEyes(lambda raw: self._heard(number, raw)),  # type: ignore[misc]
+        for number, location in enumerate(self.limiter_locations):
+            discovery_door, counter_door = self.registry.discovery.doors[number], self.counter.doors[number]
+            self._discovery_relays.append(
+                self._add_relay(
+                    location,
+                    self.discovery_location,
+                    (discovery_door.owner.host, discovery_door.port),
+                    lambda number=number: ListObserver(lambda raw: self._list_received(number, raw)),  # type: ignore[misc]
                 )
             )
-            self._counts.append(self._relay(place, self.counter_place, (counts.owner.host, counts.port)))
-            self._fronts.append(
-                self._relay(
-                    self.clients_place,
-                    place,
-                    _address(self.listens[number]),
-                    lambda number=number: ClientEyes(self, number, self._later),  # type: ignore[misc]
+            self._counter_relays.append(
+                self._add_relay(location, self.counter_location, (counter_door.owner.host, counter_door.port))
+            )
+            self._client_relays.append(
+                self._add_relay(
+                    self.clients_location,
+                    location,
+                    _parse_address(self.listens[number]),
+                    lambda number=number: ClientObserver(self, number, self._call_after_close),  # type: ignore[misc]
                     listens=False,
                 )
             )
-            self.limiter_processes.append(Limiter(number, Block(self.seam_path(f"n{number}"), make=True)))
+            self.limiter_processes.append(
+                LimiterProcess(number, ControlBlock(self.control_block_path(f"n{number}"), create=True))
+            )
         kinds = [Kind(kind.name, kind.shape()) for kind in s.kind]
         for number in range(s.boxes):
-            await self.add_trial_box(kinds[number % len(kinds)], floor_name(number % s.floors))
-        for agent, place in enumerate(self.agent_places):
-            at = _address(self.agent_listens[agent])
+            await self.add_trial_server(kinds[number % len(kinds)], floor_name(number % s.floors))
+        for agent, location in enumerate(self.agent_locations):
+            address = _parse_address(self.agent_listens[agent])
             for other in range(s.agents):
                 if other != agent:
-                    self._to_agents[self.agent_names[other], agent] = self._relay(
-                        self.agent_places[other], place, at, listens=False
+                    self._agent_relays[self.agent_names[other], agent] = self._add_relay(
+                        self.agent_locations[other], location, address, listens=False
                     )
-            self._to_agents["", agent] = self._relay(self.tool_place, place, at, listens=False)
+            self._agent_relays["", agent] = self._add_relay(self.tool_location, location, address, listens=False)
         for number in range(s.limiters):
             self.config_path(number).write_text(json.dumps(self.config(number)))
             (self.folder / f"more-n{number}.toml").write_text(operators_of(s))
         self.write_files()
         for agent in range(s.agents):
-            self._lay_agent(agent)
+            self._prepare_agent(agent)
         self.relays.watch()
 
     def write_agent(self, agent: int, command: Any = (), supervise: str = "") -> Path:
-        path = super().write_agent(agent, command, supervise or QUICK)
+        """Write the configuration of an agent; return its path."""
+        path = super().write_agent(agent, command, supervise or SUPERVISION_SETTINGS)
         text = path.read_text()
         for number in self.share(agent):
             text = text.replace(
@@ -283,44 +406,62 @@
         path.write_text(text + '[versions]\nfolder = "versions"\n')
         return path
 
-    def install_limiter_version(self, name: str, flaw: str = "", **environ: str) -> None:
-        """A version of limiters on every agent's disk: the program as it is, with that flaw."""
-        self._lay_version(name, "command", "limiter", flaw, environ)
-
-    def install_agent_version(self, name: str, flaw: str = "", **environ: str) -> None:
-        """The same of agents."""
-        self._lay_version(name, "agent", "agent", flaw, environ)
-
-    def _lay_version(self, name: str, key: str, role: str, flaw: str, environ: Mapping[str, str]) -> None:
-        words = [f"{k}={value}" for k, value in ({children.FLAW: flaw, **environ} if flaw else environ).items()]
-        seam = str(self.seam_path("{" + role + "}"))
-        command = ["env", *words, *python("-m", "elderlock.trial.child", role, seam)]
+    def install_limiter_version(self, name: str, mutant: str = "", **environ: str) -> None:
+        """Install a version of the limiter on every agent's disk: the present program.
+
+        Args:
+            name: The version's name.
+            mutant: The name of the mutant that it runs; empty for none.
+            **environ: Environment variables to start it with.
+        """
+        self._install_version(name, "command", "limiter", mutant, environ)
+
+    def install_agent_version(self, name: str, mutant: str = "", **environ: str) -> None:
+        """Install a version of the agent; see `install_limiter_version`."""
+        self._install_version(name, "agent", "agent", mutant, environ)
+
+    def _install_version(self, name: str, key: str, role: str, mutant: str, environ: Mapping[str, str]) -> None:
+        variables = [
+            f"{k}={value}" for k, value in ({child.MUTANT_VARIABLE: mutant, **environ} if mutant else environ).items()
+        ]
+        block_path = str(self.control_block_path("{" + role + "}"))
+        command = ["env", *variables, *python("-m", "elderlock.trial.child", role, block_path)]
         path = self.folder / "versions" / name / "version.toml"
         path.parent.mkdir(parents=True)
         path.write_text(f"{key} = {json.dumps(command)}\n")
 
     def floor_of(self, agent: int) -> str:
-        return self._machine(agent)[1]
+        """Return the zone of an agent."""
+        return self._machine_and_zone(agent)[1]
 
-    def _lay_agent(self, agent: int) -> None:
+    def _prepare_agent(self, agent: int) -> None:
+        """Add the relays to the agent's limiters, and prepare its process."""
         name = self.agent_names[agent]
         for number in self.share(agent):
             path = str(self.home(agent) / f"n{number}" / "control.sock")
             self.relays.add(
-                Relay(self.ways, self.agent_places[agent], self.limiter_places[number], path + children.OWN),
+                Relay(
+                    self.link_faults,
+                    self.agent_locations[agent],
+                    self.limiter_locations[number],
+                    path + child.LIMITER_SOCKET_SUFFIX,
+                ),
                 path,
                 listens=False,
             )
-        block = Block(self.seam_path(name), make=True)
-        seam, file = str(self.seam_path(name)), str(self.agent_path(agent))
-        command = python("-m", "elderlock.trial.child", "base" if self.with_launchers else "agent", seam, file)
-        environ = {children.FLAW: self.flaw} if self.flaw else {}
-        made = Child(name, command, self.mark, self.folder / f"{name}.log", environ)
-        process = AgentProcess(agent, block, made)
-        made._ended = lambda code: self._agent_ended(process, code)
+        block = ControlBlock(self.control_block_path(name), create=True)
+        block_path, config_path = str(self.control_block_path(name)), str(self.agent_path(agent))
+        command = python(
+            "-m", "elderlock.trial.child", "base" if self.with_launchers else "agent", block_path, config_path
+        )
+        environ = {child.MUTANT_VARIABLE: self.mutant} if self.mutant else {}
+        agent_child = Child(name, command, self.mark, self.folder / f"{name}.log", environ)
+        process = AgentProcess(agent, block, agent_child)
+        agent_child._ended = lambda code: self._agent_ended(process, code)
         self.agent_processes.append(process)
 
     def write_files(self) -> None:
+        """Write the files of the agents, the group and the tokens."""
         super().write_files()
         for asker in ("", *self.agent_names):
             path = self.group_file(asker)
@@ -330,377 +471,484 @@
             lines.append(f'[[agent]]\nname = "{name}"\naddress = "{listen}"\n')
         self.direct_group_path.write_text("\n".join(lines))
 
-    async def add_trial_box(self, kind: Kind, floor: str, started: float = 0.0) -> TrialBox:
-        uid = f"s-{self._uids:02d}"
-        self._uids += 1
-        box = TrialBox(uid, kind, floor, self.rng.randrange(1 << 30), started)
-        box.world = self
-        await box.open(self.limiters)
-        place = Place.of(uid, floor)
-        box.ways_in = {
-            number: self._relay(
-                here,
-                place,
-                (box.host, box.doors[number].port),
-                lambda number=number: SendEyes(self, f"n{number}", uid),  # type: ignore[misc]
+    async def add_trial_server(self, kind: Kind, floor: str, started: float = 0.0) -> TrialServer:
+        """Add a fake server with a relay for each limiter.
+
+        Args:
+            kind: Its kind.
+            floor: Its zone.
+            started: When it started, in Unix ms; 0 if discovery does not say.
+        """
+        uid = f"s-{self._servers_created:02d}"
+        self._servers_created += 1
+        server = TrialServer(uid, kind, floor, self.rng.randrange(1 << 30), started)
+        server.world = self
+        await server.open(self.limiters)
+        location = Location.of(uid, floor)
+        server.relays = {
+            number: self._add_relay(
+                limiter_location,
+                location,
+                (server.host, server.doors[number].port),
+                lambda number=number: SendObserver(self, f"n{number}", uid),  # type: ignore[misc]
             )
-            for number, here in enumerate(self.limiter_places)
+            for number, limiter_location in enumerate(self.limiter_locations)
         }
-        self.registry.boxes[uid] = box
-        return box
+        self.registry.boxes[uid] = server
+        return server
+
+    # Processes
+
+    async def start(self, within: float = STARTUP_TIMEOUT_S) -> None:
+        """Start all processes and wait until all limiters accept clients and the agents know them.
 
-    # Its processes
+        Args:
+            within: The timeout in seconds.
 
-    async def start(self, within: float = UP_WITHIN) -> None:
-        """Until all limiters take clients. Raises `TrialError` with who does not, and its log's last words."""
-        self.watch.start()
-        self._look()
+        Raises:
+            TrialError: A limiter is not up in time; the text has the last lines of the logs.
+        """
+        self.stall_monitor.start()
+        self._poll_control_blocks()
         if self.agents:
             for agent in self.agent_processes:
                 await self._start_agent(agent)
         else:
-            for member in self.limiter_processes:
-                await self._start_limiter(member)
+            for limiter in self.limiter_processes:
+                await self._start_limiter(limiter)
         await self.wait_until_up(within)
-        await self._met(within)
+        await self._wait_until_agents_connected(within)
 
-    async def _met(self, within: float) -> None:
-        """Until each agent has met its limiters, and these have a list: before that a tool is told of no box."""
-        ends = time.monotonic() + within
+    async def _wait_until_agents_connected(self, within: float) -> None:
+        """Wait until each limiter has a server list and its agent is connected to it.
+
+        Before that, agents show a tool no servers.
+        """
+        ends_s = time.monotonic() + within
         while self.agents:
-            shown = await self.show_agents()
-            limiters = [each for agent in shown.values() for each in agent.limiters if each.link == "answering"]
-            met = {each.name for each in limiters if each.state is not None and each.state.list_age_ms >= 0}
-            away = [name for name in self.limiter_names if name not in met]
-            if not away:
+            agent_status = await self.show_agents()
+            limiters = [
+                limiter
+                for status in agent_status.values()
+                for limiter in status.limiters
+                if limiter.link == "answering"
+            ]
+            connected = {
+                limiter.name for limiter in limiters if limiter.state is not None and limiter.state.list_age_ms >= 0
+            }
+            missing = [name for name in self.limiter_names if name not in connected]
+            if not missing:
                 return
-            if time.monotonic() > ends:
-                raise TrialError(f"no agent met {', '.join(away)} within {within:g} s; {self._last_words()}")
-            await asyncio.sleep(LOOK)
+            if time.monotonic() > ends_s:
+                raise TrialError(
+                    f"no agent was connected to {', '.join(missing)} within {within:g} s; {self._last_log_lines()}"
+                )
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def wait_until_up(self, within: float = STARTUP_TIMEOUT_S) -> None:
+        """Wait until all limiters accept clients.
+
+        Args:
+            within: The timeout in seconds.
 
-    async def wait_until_up(self, within: float = UP_WITHIN) -> None:
-        """Until all limiters take clients. Raises `TrialError`."""
-        ends = time.monotonic() + within
+        Raises:
+            TrialError: A limiter does not accept clients in time; the text has the last lines of the logs.
+        """
+        ends_s = time.monotonic() + within
         while True:
-            here = listening_tcp()
-            away = [n for n, listen in enumerate(self.listens) if _address(listen) not in here]
-            if not away and all(relay.listening for relay in self._fronts):
+            listening = listening_tcp_addresses()
+            missing = [n for n, listen in enumerate(self.listens) if _parse_address(listen) not in listening]
+            if not missing and all(relay.listening for relay in self._client_relays):
                 return
-            if time.monotonic() > ends:
-                who = ", ".join(f"n{n}" for n in away)
-                raise TrialError(f"{who} did not take clients within {within:g} s; {self._last_words()}")
-            await asyncio.sleep(LOOK)
+            if time.monotonic() > ends_s:
+                names = ", ".join(f"n{n}" for n in missing)
+                raise TrialError(f"{names} did not accept clients within {within:g} s; {self._last_log_lines()}")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _agent_of(self, limiter: int) -> int:
         return next(agent for agent in range(self.agents) if limiter in self.share(agent))
 
     @staticmethod
-    def _last_line(log: Path) -> str:
+    def _last_agent_log_line(log: Path) -> str:
         lines = log.read_text(errors="replace").splitlines() if log.exists() else []
-        return f"; the agent's last words: {lines[-1][:300]}" if lines else ""
+        return f"; the last line of the agent's log: {lines[-1][:300]}" if lines else ""
 
-    def _last_words(self) -> str:
+    def _last_log_lines(self) -> str:
         found = []
         for path in self.logs():
             lines = path.read_text(errors="replace").splitlines()
             if lines:
                 found.append(f"{path.stem or path.name}: {lines[-1][:200]}")
-        return "the last words of each: " + ("; ".join(found) or "none")
+        return "the last line of each log: " + ("; ".join(found) or "none")
 
     def logs(self) -> list[Path]:
+        """Return the log files of all processes that exist."""
         found = [self.folder / f"{name}.log" for name in (*self.agent_names, *self.limiter_names)]
         found += [self.home(agent) / f"n{n}" / "log" for agent in range(self.agents) for n in self.share(agent)]
         return [path for path in found if path.exists()]
 
     async def _start_agent(self, agent: AgentProcess) -> None:
-        if self._closed or agent.child.alive:
+        if self._is_closed or agent.child.alive:
             return
-        agent.doomed, agent.is_held_down = "", False
+        agent.expected_end, agent.is_held_down = "", False
         await agent.child.start()
         self.note("process", agent.child.name, "begins", agent.child.pid)
 
     def _agent_ended(self, agent: AgentProcess, code: int) -> None:
         self.note("process", agent.child.name, "ends", code)
-        if self._closed:
+        if self._is_closed:
             return
-        if agent.armed and code == -signal.SIGKILL and not agent.block.armed:
-            agent.armed = False
-        elif not agent.doomed and code != 0:
-            said = self._last_line(agent.child.log)
-            self.bench.failure(self.at(), agent.child.name, f"it ended with {code}, and nobody had ended it{said}")
+        if agent.is_kill_armed and code == -signal.SIGKILL and not agent.block.is_kill_armed:
+            agent.is_kill_armed = False
+        elif not agent.expected_end and code != 0:
+            last_line = self._last_agent_log_line(agent.child.log)
+            self.bench.failure(
+                self.at(), agent.child.name, f"it ended with {code}, and the harness had not ended it{last_line}"
+            )
         if not agent.is_held_down:
-            self._timers.append(self.loop.call_later(AGENT_AGAIN, self._again_agent, agent))
+            self._timers.append(self.loop.call_later(AGENT_RESTART_DELAY_S, self._restart_agent_unless_held, agent))
 
-    def _again_agent(self, agent: AgentProcess) -> None:
-        # power that was lost since holds it down: started in the dark it was killed by us with nobody to say so
+    def _restart_agent_unless_held(self, agent: AgentProcess) -> None:
+        # A power loss since its end holds the agent down: if it were started now, the power loss would kill it, and
+        # that end would not be recorded as expected.
         if not agent.is_held_down:
-            self._again(self._start_agent, agent)
+            self._restart(self._start_agent, agent)
 
-    def _again(self, start: Callable[[Any], Any], which: Any) -> None:
-        if not self._closed:
-            self.loop.create_task(start(which))
+    def _restart(self, start: Callable[[Any], Any], process: Any) -> None:
+        if not self._is_closed:
+            self.loop.create_task(start(process))
 
-    async def _start_limiter(self, member: Limiter) -> None:
-        """Where no agent does."""
-        if self._closed:
+    async def _start_limiter(self, limiter: LimiterProcess) -> None:
+        """Start a limiter that no agent starts."""
+        if self._is_closed:
             return
-        name = f"n{member.number}"
-        if member.own is None:
-            operators = self.folder / f"more-{name}.toml"
+        name = f"n{limiter.number}"
+        if limiter.child is None:
+            operators_path = self.folder / f"more-{name}.toml"
             environ = {
-                "PROXY_CONFIG": str(self.config_path(member.number)),
-                "ELDERLOCK_OPERATORS": str(operators),
-                **({children.FLAW: self.flaw} if self.flaw else {}),
+                "PROXY_CONFIG": str(self.config_path(limiter.number)),
+                "ELDERLOCK_OPERATORS": str(operators_path),
+                **({child.MUTANT_VARIABLE: self.mutant} if self.mutant else {}),
             }
-            command = self.command_of(member.number)
+            command = self.command_of(limiter.number)
             log = self.folder / f"{name}.log"
-            member.own = Child(name, command, self.mark, log, environ, lambda code: self._ended(member))
-        await member.own.start()
+            limiter.child = Child(
+                name, command, self.mark, log, environ, lambda code: self._limiter_child_ended(limiter)
+            )
+        await limiter.child.start()
 
-    def _ended(self, member: Limiter) -> None:
-        if not self._closed:
-            self._timers.append(self.loop.call_later(AGENT_AGAIN, self._again, self._start_limiter, member))
+    def _limiter_child_ended(self, limiter: LimiterProcess) -> None:
+        if not self._is_closed:
+            self._timers.append(
+                self.loop.call_later(AGENT_RESTART_DELAY_S, self._restart, self._start_limiter, limiter)
+            )
 
-    def _look(self) -> None:
-        """At the seams: which limiters began."""
-        if self._closed:
+    def _poll_control_blocks(self) -> None:
+        """Detect which limiters have started, and repeat this until the harness is closed."""
+        if self._is_closed:
             return
         self._timers = [timer for timer in self._timers if not timer.cancelled() and timer.when() > self.loop.time()]
-        self._timers.append(self.loop.call_later(LOOK, self._look))
-        for member in self.limiter_processes:
-            if member.block.begun == member.begun:
+        self._timers.append(self.loop.call_later(POLL_INTERVAL_S, self._poll_control_blocks))
+        for limiter in self.limiter_processes:
+            if limiter.block.start_count == limiter.starts_seen:
                 continue
-            member.begun = member.block.begun
-            name = f"n{member.number}"
+            limiter.starts_seen = limiter.block.start_count
+            name = f"n{limiter.number}"
             try:
-                process = Stranger(member.block.pid, lambda member=member: self._limiter_ended(member))  # type: ignore[misc]
-            except ProcessLookupError:  # it began and ended between two looks
-                self._judge_end(member, member.block.pid in member.unseen)
+                process = ObservedProcess(
+                    limiter.block.pid,
+                    lambda limiter=limiter: self._limiter_ended(limiter),  # type: ignore[misc]
+                )
+            except ProcessLookupError:  # it started and ended between two polls
+                self._record_limiter_end(limiter, limiter.block.pid in limiter.killed_unseen)
                 continue
-            member.incarnation = Incarnation(name, process, member.block.clock_ms)
-            member.incarnations.append(member.incarnation)
+            limiter.incarnation = Incarnation(name, process, limiter.block.clock_offset_ms)
+            limiter.incarnations.append(limiter.incarnation)
             self.bench.limiter_began(self.at(), name)
             self.note("process", name, "begins", process.pid)
 
-    def _limiter_ended(self, member: Limiter) -> None:
-        life, member.incarnation = member.incarnation, None
-        self._judge_end(member, life is None or bool(life.doomed) or life.process.pid in member.unseen)
+    def _limiter_ended(self, limiter: LimiterProcess) -> None:
+        incarnation, limiter.incarnation = limiter.incarnation, None
+        self._record_limiter_end(
+            limiter,
+            incarnation is None or bool(incarnation.expected_end) or incarnation.process.pid in limiter.killed_unseen,
+        )
 
-    def _judge_end(self, member: Limiter, doomed: bool) -> None:
-        code, name = member.block.exit, f"n{member.number}"
-        self.note("process", name, "ends", "killed" if code == RUNS else code)
-        if not doomed and code != 0 and not self._closed:
-            how = "without a word" if code == RUNS else f"with {code}"
-            said = self._last_line(self.home(self._agent_of(member.number)).with_suffix(".log")) if self.agents else ""
-            self.bench.failure(self.at(), name, f"it ended {how}, and nobody had ended it{said}")
+    def _record_limiter_end(self, limiter: LimiterProcess, is_expected: bool) -> None:
+        code, name = limiter.block.exit_code, f"n{limiter.number}"
+        self.note("process", name, "ends", "killed" if code == STILL_RUNNING else code)
+        if not is_expected and code != 0 and not self._is_closed:
+            how = "without an exit code" if code == STILL_RUNNING else f"with {code}"
+            last_line = (
+                self._last_agent_log_line(self.home(self._agent_of(limiter.number)).with_suffix(".log"))
+                if self.agents
+                else ""
+            )
+            self.bench.failure(self.at(), name, f"it ended {how}, and the harness had not ended it{last_line}")
 
     def _pids(self) -> dict[str, int]:
         return {
-            life.name: life.process.pid for member in self.limiter_processes if (life := member.incarnation) is not None
+            incarnation.name: incarnation.process.pid
+            for limiter in self.limiter_processes
+            if (incarnation := limiter.incarnation) is not None
         }
 
     def signal(self, name: str, number: int, why: str) -> None:
-        """To a limiter or an agent, by its name."""
+        """Send a signal to a limiter or an agent.
+
+        Args:
+            name: The name of the limiter or agent.
+            number: The signal.
+            why: Why the process is expected to end, for SIGKILL and SIGTERM.
+        """
         self.note("signal", name, signal.Signals(number).name)
-        ends = number in (signal.SIGKILL, signal.SIGTERM)
+        ends_process = number in (signal.SIGKILL, signal.SIGTERM)
         if name.startswith("n"):
-            life = self.limiter_processes[int(name[1:])].incarnation
-            if life is not None:
-                life.doomed = why if ends else life.doomed
-                life.process.signal(number)
+            incarnation = self.limiter_processes[int(name[1:])].incarnation
+            if incarnation is not None:
+                incarnation.expected_end = why if ends_process else incarnation.expected_end
+                incarnation.process.signal(number)
         else:
             agent = self.agent_processes[int(name[6:])]
-            agent.doomed = why if ends else agent.doomed
+            agent.expected_end = why if ends_process else agent.expected_end
             agent.child.signal(number)
 
-    # What is seen
+    # Observations
 
     def note(self, what: str, *args: Any) -> None:
+        """Record an event now that no checker handles."""
         self.bench.note(self.at(), what, *args)
 
     def began_fault(self, number: int, fault: Fault) -> None:
+        """Record that a fault of the scenario begins.
+
+        Args:
+            number: Its index in the scenario.
+            fault: The fault.
+        """
         self.note("fault", number, fault.target, fault.what, fault.for_s, fault.by)
 
     def incarnation(self, limiter: int) -> Incarnation | None:
+        """Return the process of a limiter that runs now, if any."""
         return self.limiter_processes[limiter].incarnation
 
     def lives(self, incarnation: Incarnation | None) -> bool:
-        return incarnation is not None and not incarnation.doomed and incarnation.process.alive
+        """Return whether a limiter's process runs and was not ended by the harness."""
+        return incarnation is not None and not incarnation.expected_end and incarnation.process.alive
 
-    def _later(self, do: Callable[[], None]) -> None:
-        self.loop.call_later(CLOSED_LATER, do)
+    def _call_after_close(self, callback: Callable[[], None]) -> None:
+        self.loop.call_later(CLOSE_REPORT_DELAY_S, callback)
 
     def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
+        """Record that a limiter sent a request to a server.
+
+        Args:
+            limiter: The limiter's name.
+            box: The server's id.
+            request: The request's id.
+            account: The account that the request is charged to.
+            terms: The request's parameters, as `key=value` pairs that are separated by commas.
+        """
         at = self.at()
         self.bench.sent(at, limiter, box, request)
         values = dict(pair.split(b"=", 1) for pair in terms.split(b","))
         units = float(values[b"units"])
-        if account not in self._known_plans:
-            self._known_plans[account] = values[b"t"].decode()
+        if account not in self._plan_names:
+            self._plan_names[account] = values[b"t"].decode()
             for plan in self.scenario.plan:
-                if plan.name == self._known_plans[account] and plan.ceiling_rate > 0:
-                    slack = plan.ceiling_slack + 0.15 * plan.ceiling_rate  # the platform's, on sockets
+                if plan.name == self._plan_names[account] and plan.ceiling_rate > 0:
+                    slack = plan.ceiling_slack + 0.15 * plan.ceiling_rate  # real sockets need the additional 15 %
                     self.bench.ceiling(at, account, plan.ceiling_rate, plan.ceiling_burst, slack)
         self.bench.spent(at, account, units)
-        plan = next(plan for plan in self.scenario.plan if plan.name == self._known_plans[account])
+        plan = next(plan for plan in self.scenario.plan if plan.name == self._plan_names[account])
         self.account.let_go(at - self.schedule_start_ms, account, units, plan.rate, plan.burst)
 
     def reached(self, box: str, request: str) -> None:
+        """Record that a server ran a request."""
         self.bench.ran(self.at(), box, request)
 
-    def _heard(self, limiter: int, raw: Mapping[str, Any]) -> None:
-        at, name, named = self.at(), f"n{limiter}", set()
+    def _list_received(self, limiter: int, raw: Mapping[str, Any]) -> None:
+        """Record a server list that a limiter received."""
+        at, name, listed_uids = self.at(), f"n{limiter}", set()
         for target in raw["targets"]:
-            named.add(target["uid"])
-            started = self.since(target["boot_ms"]) if target["boot_ms"] > 0 else -1e15
-            self.bench.told(at, name, target["uid"], STATES[target["state"]], started)
+            listed_uids.add(target["uid"])
+            started_at = self.since(target["boot_ms"]) if target["boot_ms"] > 0 else -1e15
+            self.bench.told(at, name, target["uid"], LIST_STATES[target["state"]], started_at)
         if raw["all"]:
             for uid in (*self.registry.boxes, *self.registry.dead):
-                if uid not in named:
+                if uid not in listed_uids:
                     self.bench.told(at, name, uid, "gone", 0.0)
 
-    def finished(self, request: Request, outcome: str, took: float) -> None:
-        """A client's request has come to its end."""
+    def _request_finished(self, request: Request, outcome: str, took_ms: float) -> None:
+        """Add a client's completed request to the figures."""
         arrival = request.arrival
         if outcome == "refused":
             plan = next(plan for plan in self.scenario.plan if plan.name == arrival.plan)
             self.account.refused(
                 self.at() - self.schedule_start_ms, arrival.account, arrival.units, plan.rate, plan.burst
             )
-        began = request.began / 1000.0 - self._began * 1000.0 - self.schedule_start_ms
-        self.account.finished(began, outcome, took, arrival.account)
+        began_ms = request.began / 1000.0 - self._started_s * 1000.0 - self.schedule_start_ms
+        self.account.finished(began_ms, outcome, took_ms, arrival.account)
 
     def start_clients(self) -> Clients:
-        """Clients begin with the scenario's schedule, now."""
-        asked = arrivals(self.scenario, self.seed)
-        addresses = [_address(relay.endpoint) for relay in self._fronts]
-        self.clients = Clients(self.scenario, addresses, asked, random.Random(f"clients/{self.seed}"), self.finished)
+        """Start the clients and the scenario's schedule."""
+        schedule = arrivals(self.scenario, self.seed)
+        addresses = [_parse_address(relay.endpoint) for relay in self._client_relays]
+        self.clients = Clients(
+            self.scenario, addresses, schedule, random.Random(f"clients/{self.seed}"), self._request_finished
+        )
         self.schedule_start_ms = self.at()
         self.clients.start()
         return self.clients
 
-    async def show_agents(self, within: float = 1.0) -> dict[str, f.Shown]:
-        """What each agent that answers shows, by no relay."""
+    async def show_agents(self, within: float = 1.0) -> dict[str, messages.Shown]:
+        """Return what each agent that answers shows to an operator, by agent name; no relay is in between.
+
+        Args:
+            within: The timeout in seconds.
+        """
         if not self.agents:
             return {}
         group = Group.read(self.direct_group_path)
         try:
-            found = await group.ask_all(lambda id: f.Show(id, 0, 200.0), f.Shown, within)
+            answers = await group.ask_all(lambda id: messages.Show(id, 0, 200.0), messages.Shown, within)
         finally:
             group.close()
-        return {name: answer for name, answer in found.items() if isinstance(answer, f.Shown)}
+        return {name: answer for name, answer in answers.items() if isinstance(answer, messages.Shown)}
 
-    def digests(self, shown: Mapping[str, f.Shown]) -> dict[str, str]:
-        return {name: Records(each.records).digest() for name, each in shown.items()}
+    def digests(self, agent_status: Mapping[str, messages.Shown]) -> dict[str, str]:
+        """Return the digest of each agent's records, by agent name."""
+        return {name: Records(status.records).digest() for name, status in agent_status.items()}
 
     def sample(self) -> None:
-        """What could grow, as the kernel has it."""
-        for member in self.limiter_processes:
-            if member.incarnation is None:
+        """Record the descriptors and the memory of each limiter, which must not grow without bound."""
+        for limiter in self.limiter_processes:
+            if limiter.incarnation is None:
                 continue
-            pid, name = member.incarnation.process.pid, f"n{member.number}, life {len(member.incarnations)}"
+            pid, name = limiter.incarnation.process.pid, f"n{limiter.number}, life {len(limiter.incarnations)}"
             with contextlib.suppress(OSError, IndexError, ValueError):
                 descriptors = len(os.listdir(f"/proc/{pid}/fd"))
                 pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
-                if pages:  # none are left of one that is just ending
+                if pages:  # a process that is ending has none left
                     self.bench.counted(self.at(), f"{name}: descriptors", descriptors)
                     self.bench.counted(self.at(), f"{name}: memory in 64 KiB", pages // 16)
 
     # Power
 
     async def lose_power(
-        self, limiters: list[int], agents: list[int], boxes: list[str], dark: float, torn: bool
+        self, limiters: list[int], agents: list[int], boxes: list[str], outage_s: float, torn: bool
     ) -> None:
-        """All of these are gone at once, with what they had not synced; connections to them stay silent till they are
-        back after `dark` s."""
+        """End processes at once, with the data that they had not synced, and restart them later.
+
+        Connections to them stay silent until they are back.
+
+        Args:
+            limiters: The numbers of the limiters.
+            agents: The numbers of the agents.
+            boxes: The ids of the servers.
+            outage_s: The seconds after which they are started again.
+            torn: Whether a part of the last write may survive.
+        """
         names = [f"n{n}" for n in limiters] + [self.agent_names[a] for a in agents] + boxes
         pairs = [(name, "*") for name in names] + [("*", name) for name in names]
         self.relays.inject("cut", pairs)
         for agent in agents:
             self.agent_processes[agent].is_held_down = True
-            self.agent_processes[agent].dark += 1
+            self.agent_processes[agent].power_outages += 1
         for name in names[len(limiters) : len(limiters) + len(agents)] + names[: len(limiters)]:
             self.signal(name, signal.SIGKILL, "its power was lost")
         for agent in agents:
             await self.agent_processes[agent].child.end()
         await self._kill_unseen(limiters, agents)
         for agent in agents:
-            durable = disk.load(self.seam_path(self.agent_names[agent]).with_suffix(".durable"))
-            if self.agent_processes[agent].lied:
-                self.agent_processes[agent].states += 1
+            durable = disk.load_durable(self.control_block_path(self.agent_names[agent]).with_suffix(".durable"))
+            if self.agent_processes[agent].has_disk_lied:
+                self.agent_processes[agent].state_replacements += 1
             lost = disk.lose_power(self.home(agent), durable, self.rng if torn else None)
-            self.note("power", self.agent_names[agent], f"lost of {', '.join(lost) or 'nothing'}")
+            self.note("power", self.agent_names[agent], f"lost data of {', '.join(lost) or 'no file'}")
         for uid in boxes:
-            if (box := self.registry.boxes.get(uid)) is not None:
-                await box.restart()
-                self.bench.started(self.since(box.boot_ms), uid, box.kind.shape.bears())
-        await asyncio.sleep(dark)
+            if (server := self.registry.boxes.get(uid)) is not None:
+                await server.restart()
+                self.bench.started(self.since(server.boot_ms), uid, server.kind.shape.bears())
+        await asyncio.sleep(outage_s)
         self.relays.clear("cut", pairs)
         for uid in boxes:
-            if (box := self.registry.boxes.get(uid)) is not None:
-                self.registry.changed(box)
+            if (server := self.registry.boxes.get(uid)) is not None:
+                self.registry.changed(server)
         for agent in agents:
             process = self.agent_processes[agent]
-            process.dark -= 1
-            if not process.dark:
+            process.power_outages -= 1
+            if not process.power_outages:
                 await self._start_agent(process)
 
     async def _kill_unseen(self, limiters: list[int], agents: list[int]) -> None:
-        """An agent may have started one a moment ago, which no look at its seam has seen yet, or which is between its
-        fork and its exec and still goes by the agent's name: until two looks in a row find none."""
-        seams = {str(self.seam_path(f"n{n}")): self.limiter_processes[n] for n in limiters}
-        dead = {str(self.seam_path(self.agent_names[a])) for a in agents}
-        clean = 0
-        while clean < 2:
-            clean += 1
+        """Kill the processes of these limiters and agents that the harness has not noticed yet.
+
+        An agent may have started a limiter a moment ago whose control block was not polled since, or that is between
+        its fork and its exec and still has the agent's command line. So this repeats until two scans in a row find
+        none.
+        """
+        limiter_blocks = {str(self.control_block_path(f"n{n}")): self.limiter_processes[n] for n in limiters}
+        agent_blocks = {str(self.control_block_path(self.agent_names[a])) for a in agents}
+        clean_scans = 0
+        while clean_scans < 2:
+            clean_scans += 1
             for pid in marked_pids(self.mark):
                 with contextlib.suppress(OSError):
-                    words = set(Path(f"/proc/{pid}/cmdline").read_text().split("\0"))
-                    member = next((member for seam, member in seams.items() if seam in words), None)
-                    if member is not None or words & dead:
-                        clean = 0
+                    arguments = set(Path(f"/proc/{pid}/cmdline").read_text().split("\0"))
+                    limiter = next(
+                        (limiter for block_path, limiter in limiter_blocks.items() if block_path in arguments), None
+                    )
+                    if limiter is not None or arguments & agent_blocks:
+                        clean_scans = 0
                         os.kill(pid, signal.SIGKILL)
-                        if member is not None:
-                            member.unseen.add(pid)
-            await asyncio.sleep(LOOK)
+                        if limiter is not None:
+                            limiter.killed_unseen.add(pid)
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def restart_agent(self, agent: int, old_home: Path | None) -> None:
+        """Kill an agent and restart it with another state.
 
-    async def restart_agent(self, agent: int, state: Path | None) -> None:
-        """From another state of its folder: an old one, or none."""
+        Args:
+            agent: Its number.
+            old_home: A copy of its state folder; None for an empty one.
+        """
         process = self.agent_processes[agent]
         process.is_held_down = True
         self.signal(process.child.name, signal.SIGKILL, "its state was replaced")
         await process.child.end()
-        disk.put_home(self.home(agent), state)
-        process.states += 1
-        self.seam_path(process.child.name).with_suffix(".durable").unlink(missing_ok=True)
-        await asyncio.sleep(AGENT_AGAIN)
+        disk.replace_home(self.home(agent), old_home)
+        process.state_replacements += 1
+        self.control_block_path(process.child.name).with_suffix(".durable").unlink(missing_ok=True)
+        await asyncio.sleep(AGENT_RESTART_DELAY_S)
         await self._start_agent(process)
 
     # The end
 
     async def close(self) -> None:
-        self._closed = True
-        self.watch.stop()
+        """End all processes, relays and fakes."""
+        self._is_closed = True
+        self.stall_monitor.stop()
         for timer in self._timers:
             timer.cancel()
         if self.clients is not None:
             self.clients.close()
         for agent in self.agent_processes:
             await agent.child.end()
-        for member in self.limiter_processes:
-            if member.incarnation is not None:
-                member.incarnation.process.signal(signal.SIGKILL)
-                member.incarnation.process.forget()
-            if member.own is not None:
-                await member.own.end()
+        for limiter in self.limiter_processes:
+            if limiter.incarnation is not None:
+                limiter.incarnation.process.signal(signal.SIGKILL)
+                limiter.incarnation.process.forget()
+            if limiter.child is not None:
+                await limiter.child.end()
         self.relays.close()
         await super().close()
-        for block in [member.block for member in self.limiter_processes] + [
+        for block in [limiter.block for limiter in self.limiter_processes] + [
             agent.block for agent in self.agent_processes
         ]:
             block.close()
 
 
-def _address(endpoint: str) -> tuple[str, int]:
+def _parse_address(endpoint: str) -> tuple[str, int]:
     host, _, port = endpoint.rpartition(":")
     return host, int(port)
--- a/elderlock/trial/history.py
+++ b/elderlock/trial/history.py
@@ -1,9 +1,12 @@
-"""What was seen from outside, event by event, on one clock: kept, written as lines, and given to the judges of
-`elderlock.sim.judges` when the run is over. No I/O but `write` and `read`.
+"""The history of a run: what was observed from outside, event by event, on one clock.
 
-The judges are the simulation's, unchanged. A real machine is shared, so what a judge hears of times is put right first:
-where the runner stood still, or a process had no core or was stopped by us, so much time counts as not gone by for it.
-A rule of rates (cold boxes, ceilings) that is broken close to such a stand-still is told as late, not as broken.
+It is recorded, written as lines, and passed to the invariant checkers of `elderlock.sim.judges` when the run is over.
+Only `write` and `read` do I/O.
+
+The checkers are the simulation's, unchanged. A real machine is shared, so the times that a checker gets are corrected
+first: while the runner was stalled, or a process waited for a core or was stopped by the harness, no time counts as
+passed for it. A violated rule about rates (cold servers, ceilings) shortly after such a stall is reported as late
+instead of broken.
 """
 
 from __future__ import annotations
@@ -14,7 +17,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from elderlock.sim import judges as j
+from elderlock.sim import judges
 from elderlock.trial.stalls import Stall
 
 EVENT_NAMES = (
@@ -33,46 +36,61 @@
     "ceiling",
     "counted",
 )
-NEAR = 1500.0  # ms after a stand-still in which what it held up may still come in a heap
-HEAP = 50.0  # ms of stand-still within that, from which on the heap may explain a broken rate; less is in the slack
-INSTANT = 30.0  # ms between a limiter's write and its being seen at the relay, on a machine with time
-GRACE = 150.0  # ms after a client's deadline: the rule's 50, the relays and the clients' own way
-DRAIN = 300.0  # ms: the rule's 250 and the relays
+BURST_WINDOW_MS = 1500.0  # after a stall, in which the events that it delayed may still arrive in a burst
+# The total of the stalls within that window from which on a burst may explain a violated rate. The slack of the rules
+# covers less.
+MIN_BURST_STALL_MS = 50.0
+WRITE_DELAY_MS = 30.0  # between a limiter's write and its observation at the relay, on a machine that is not overloaded
+REQUEST_GRACE_MS = 150.0  # after a client's deadline: the rule's 50, and the time in the relays and the clients
+DRAIN_GRACE_MS = 300.0  # the rule's 250, and the time in the relays
 
 
 class Event(NamedTuple):
-    """`at` ms of the run; `what` is a judge's word, or another that is for the time line alone."""
+    """One observed event.
+
+    Attributes:
+        at: When it was observed, in ms of the run.
+        name: One of `EVENT_NAMES`, or another name, which only the timeline shows.
+        args: Its arguments, as the method of that name of `judges.Judge` takes them.
+    """
 
     at: float
-    what: str
+    name: str
     args: tuple[Any, ...]
 
     def line(self) -> str:
-        return json.dumps([round(self.at, 3), self.what, *self.args])
+        """Return the event as JSON."""
+        return json.dumps([round(self.at, 3), self.name, *self.args])
 
     def text(self) -> str:
-        return f"{self.at / 1000.0:9.3f} s  {self.what:<14} {' '.join(str(each) for each in self.args)}"
+        """Return the event as text for people."""
+        return f"{self.at / 1000.0:9.3f} s  {self.name:<14} {' '.join(str(each) for each in self.args)}"
 
 
-class Recorder(j.Words):
-    """Hears what judges hear, in the same words, and keeps it."""
+class Recorder(judges.Words):
+    """Records events; it has the methods of the invariant checkers.
+
+    Attributes:
+        events: All events, in the order in which they were recorded.
+    """
 
     def __init__(self) -> None:
         self.events: list[Event] = []
         for name in EVENT_NAMES:
-            setattr(self, name, self._hears(name))
+            setattr(self, name, self._recording_method(name))
 
-    def _hears(self, name: str) -> Callable[..., None]:
-        def hear(at: float, *args: Any) -> None:
+    def _recording_method(self, name: str) -> Callable[..., None]:
+        def record(at: float, *args: Any) -> None:
             self.events.append(Event(at, name, args))
 
-        return hear
+        return record
 
-    def note(self, at: float, what: str, *args: Any) -> None:
-        """For the time line: faults, processes, commands."""
-        self.events.append(Event(at, what, args))
+    def note(self, at: float, name: str, *args: Any) -> None:
+        """Record an event that only the timeline shows: a fault, a process or a command."""
+        self.events.append(Event(at, name, args))
 
     def in_order(self) -> list[Event]:
+        """Return all events, sorted by time."""
         return sorted(self.events, key=lambda event: event.at)
 
     undrained: Callable[..., None]
@@ -81,69 +99,96 @@
 
 
 def write(events: Iterable[Event], path: Path) -> None:
+    """Write events to a file, one a line."""
     path.write_text("".join(event.line() + "\n" for event in events), encoding="utf-8")
 
 
 def read(path: Path) -> list[Event]:
-    """Raises `OSError` or `ValueError`."""
-    made = []
+    """Read events from a file.
+
+    Raises:
+        OSError: The file cannot be read.
+        ValueError: A line is not an event.
+    """
+    events = []
     for line in path.read_text(encoding="utf-8").splitlines():
-        at, what, *args = json.loads(line)
-        made.append(Event(float(at), str(what), tuple(args)))
-    return made
+        at, name, *args = json.loads(line)
+        events.append(Event(float(at), str(name), tuple(args)))
+    return events
 
 
-class Even:
-    """Time without stand-stills. Invariant: `even` never goes back, and is never ahead of the time given."""
+class StallFreeClock:
+    """A clock that stands still during stalls.
+
+    Invariant: its time never goes back and is never ahead of the time of the run.
+    """
 
     def __init__(self, stalls: Iterable[Stall]) -> None:
         spans: list[list[float]] = []
         for stall in sorted(stalls):
-            ends = stall.at + stall.lasts
+            ends_at = stall.at + stall.duration_ms
             if spans and stall.at <= spans[-1][1]:
-                spans[-1][1] = max(spans[-1][1], ends)  # those that overlap are one
+                spans[-1][1] = max(spans[-1][1], ends_at)  # merges overlapping stalls
             else:
-                spans.append([stall.at, ends])
+                spans.append([stall.at, ends_at])
         self._starts = [start for start, _ in spans]
         self._spans = spans
-        self._before = [0.0]
-        for start, ends in spans:
-            self._before.append(self._before[-1] + ends - start)
-
-    def even(self, at: float) -> float:
-        number = bisect_right(self._starts, at)
-        if not number:
+        self._stalled_before_ms = [0.0]
+        for start, ends_at in spans:
+            self._stalled_before_ms.append(self._stalled_before_ms[-1] + ends_at - start)
+
+    def convert(self, at: float) -> float:
+        """Convert ms of the run to ms of this clock."""
+        count = bisect_right(self._starts, at)
+        if not count:
             return at
-        start, ends = self._spans[number - 1]
-        return at - self._before[number - 1] - (min(at, ends) - start)
+        start, ends_at = self._spans[count - 1]
+        return at - self._stalled_before_ms[count - 1] - (min(at, ends_at) - start)
 
-    def stood(self, at: float, within: float) -> float:
-        """For how long (ms) it stood still in so long before."""
-        return within - (self.even(at) - self.even(at - within))
+    def stalled_ms(self, at: float, window_ms: float) -> float:
+        """Return for how many ms this clock stood still in the window that ends at `at`."""
+        return window_ms - (self.convert(at) - self.convert(at - window_ms))
 
 
 class Verdict(NamedTuple):
-    """`broken` counts against the program; `late` was broken as well, and where the machine had no time for it."""
-
-    broken: list[j.Broken]
-    late: list[j.Broken]
-
-    def rules(self) -> list[str]:
-        return sorted({each.rule for each in self.broken})
+    """The violations that the invariant checkers found.
 
+    Attributes:
+        broken: The violations that count against the program.
+        late: The violations that a stall of the machine may explain.
+    """
 
-class Court:
-    """All judges of a real run: those of times by time without stand-stills, those of rates by the clock."""
+    broken: list[judges.Broken]
+    late: list[judges.Broken]
 
-    def __init__(self, rules: j.Rules, stalls: Sequence[Stall]) -> None:
-        own = [stall for stall in stalls if not stall.who]
-        self._evens: dict[str, Even] = {"": Even(own)}
-        for who in {stall.who for stall in stalls if stall.who}:
-            self._evens[who] = Even([*own, *(stall for stall in stalls if stall.who == who)])
-        self.lost, self.drains, self.reports = j.Lost(rules), j.Drains(rules), j.Reports(rules)
-        self.cold, self.ceilings = j.Cold(rules), j.Ceilings(rules)
-        self.twice, self.failures, self.growth = j.Twice(rules), j.Failures(rules), j.Growth(rules)
-        self.bench = j.Bench(
+    def rules(self) -> list[str]:
+        """Return the names of the rules in `broken`, sorted."""
+        return sorted({violation.rule for violation in self.broken})
+
+
+class InvariantCheckers:
+    """The invariant checkers of a run of real processes.
+
+    Rules about times are checked on a clock without stalls, those about rates on the wall clock.
+    """
+
+    def __init__(self, rules: judges.Rules, stalls: Sequence[Stall]) -> None:
+        """Prepare the checkers.
+
+        Args:
+            rules: Their tolerances.
+            stalls: The stalls of the runner and of the processes.
+        """
+        runner_stalls = [stall for stall in stalls if not stall.process]
+        self._clocks: dict[str, StallFreeClock] = {"": StallFreeClock(runner_stalls)}
+        for process in {stall.process for stall in stalls if stall.process}:
+            self._clocks[process] = StallFreeClock(
+                [*runner_stalls, *(stall for stall in stalls if stall.process == process)]
+            )
+        self.lost, self.drains, self.reports = judges.Lost(rules), judges.Drains(rules), judges.Reports(rules)
+        self.cold, self.ceilings = judges.Cold(rules), judges.Ceilings(rules)
+        self.twice, self.failures, self.growth = judges.Twice(rules), judges.Failures(rules), judges.Growth(rules)
+        self.bench = judges.Bench(
             [
                 self.lost,
                 self.twice,
@@ -155,34 +200,35 @@
                 self.growth,
             ]
         )
-        self._limiters: dict[str, str] = {}  # of each request, the one that took it
+        self._limiter_of: dict[str, str] = {}  # the limiter that received each request
 
-    def _even(self, at: float, who: str) -> float:
-        return self._evens.get(who, self._evens[""]).even(at)
+    def _stall_free(self, at: float, process: str) -> float:
+        return self._clocks.get(process, self._clocks[""]).convert(at)
 
-    def hear(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
+        """Pass an event to the checkers."""
         at, args = event.at, event.args
-        match event.what:
+        match event.name:
             case "asked":
                 request, limiter, deadline = args[0], args[1], args[2]
-                self._limiters[request] = limiter
-                now = self._even(at, limiter)
+                self._limiter_of[request] = limiter
+                now = self._stall_free(at, limiter)
                 self.lost.asked(now, request, limiter, now + deadline - at, *args[3:])
                 self.twice.asked(at, *args)
             case "answered" | "excused":
-                getattr(self.lost, event.what)(self._even(at, self._limiters.get(args[0], "")), *args)
+                getattr(self.lost, event.name)(self._stall_free(at, self._limiter_of.get(args[0], "")), *args)
             case "told":
                 limiter = args[0]
-                self.drains.told(self._even(at, limiter), *args)
+                self.drains.told(self._stall_free(at, limiter), *args)
                 self.cold.told(at, *args)
             case "sent":
                 limiter = args[0]
-                self.drains.sent(self._even(at, limiter), *args)
-                self.reports.sent(self._even(at, limiter), *args)
+                self.drains.sent(self._stall_free(at, limiter), *args)
+                self.reports.sent(self._stall_free(at, limiter), *args)
                 self.cold.sent(at, *args)
             case "claimed":
                 operator, target, limiter, since = args
-                self.reports.claimed(at, operator, target, limiter, self._even(since, limiter))
+                self.reports.claimed(at, operator, target, limiter, self._stall_free(since, limiter))
             case "undrained":
                 self.reports.undrained(*args)
             case "ceiling":
@@ -190,38 +236,55 @@
             case "counted":
                 self.growth.counted(*args)
             case "started" | "spent" | "ran" | "limiter_began" | "failure":
-                getattr(self.bench, event.what)(at, *args)
-
-    def ended(self, at: float, more: Iterable[j.Judge] = ()) -> Verdict:
-        """`at`: when the run was over and had come to rest. `more`: judges that were told of it by themselves."""
-        for limiter in {was.limiter for was in self.lost.open.values()}:
-            for was in self.lost.open.values():
-                if was.limiter == limiter:  # what is open now is held against the run's end by the clock
-                    was.deadline += at - self._even(at, limiter)
-        for judge in (*self.bench.judges, *more):
-            judge.ended(at)
-        broken: list[j.Broken] = []
-        late: list[j.Broken] = []
-        for judge in (*self.bench.judges, *more):
-            rate = judge in (self.cold, self.ceilings)
-            for each in judge.broken:
-                held_up = rate and self._near(each.at)
-                (late if held_up else broken).append(each)
-        return Verdict(sorted(broken, key=_at), sorted(late, key=_at))
-
-    def _near(self, at: float) -> bool:
-        return any(even.stood(at, NEAR) >= HEAP for even in self._evens.values())
-
-
-def _at(broken: j.Broken) -> float:
-    return broken.at
+                getattr(self.bench, event.name)(at, *args)
+
+    def finish(self, at: float, additional: Iterable[judges.Judge] = ()) -> Verdict:
+        """End the run and return the violations.
+
+        Args:
+            at: When the run was over and the group idle, in ms of the run.
+            additional: Checkers that were given their observations elsewhere.
+        """
+        for limiter in {request.limiter for request in self.lost.open.values()}:
+            for request in self.lost.open.values():
+                if request.limiter == limiter:  # at the end, open requests are checked on the wall clock
+                    request.deadline += at - self._stall_free(at, limiter)
+        for checker in (*self.bench.judges, *additional):
+            checker.ended(at)
+        broken: list[judges.Broken] = []
+        late: list[judges.Broken] = []
+        for checker in (*self.bench.judges, *additional):
+            checks_rate = checker in (self.cold, self.ceilings)
+            for violation in checker.broken:
+                is_late = checks_rate and self._follows_stall(violation.at)
+                (late if is_late else broken).append(violation)
+        return Verdict(sorted(broken, key=_violated_at), sorted(late, key=_violated_at))
+
+    def _follows_stall(self, at: float) -> bool:
+        return any(clock.stalled_ms(at, BURST_WINDOW_MS) >= MIN_BURST_STALL_MS for clock in self._clocks.values())
+
+
+def _violated_at(violation: judges.Broken) -> float:
+    return violation.at
 
 
 def check_history(
-    events: Sequence[Event], stalls: Sequence[Stall], rules: j.Rules, ends: float, more: Iterable[j.Judge] = ()
+    events: Sequence[Event],
+    stalls: Sequence[Stall],
+    rules: judges.Rules,
+    ends_at: float,
+    additional: Iterable[judges.Judge] = (),
 ) -> Verdict:
-    """`events` in their order."""
-    court = Court(rules, stalls)
+    """Check a whole history.
+
+    Args:
+        events: All events, sorted by time.
+        stalls: The stalls of the runner and of the processes.
+        rules: The tolerances of the checkers.
+        ends_at: When the run was over, in ms of the run.
+        additional: Checkers that were given their observations elsewhere.
+    """
+    checkers = InvariantCheckers(rules, stalls)
     for event in events:
-        court.hear(event)
-    return court.ended(ends, more)
+        checkers.handle(event)
+    return checkers.finish(ends_at, additional)
--- a/elderlock/trial/link_conditions.py
+++ b/elderlock/trial/link_conditions.py
@@ -1,7 +1,8 @@
-"""What befalls the ways between processes: cuts, delay, loss, repeats, disorder, a trickle. No I/O.
+"""Conditions of the links between processes: cuts, delay, loss, duplication, reordering and limited bandwidth. No I/O.
 
-A place is known by all of its names: its process, its machine, its floor. What befalls a pair of names befalls every
-way from a place of the first name to one of the second; `*` is any. Directions are apart: a cut is one-way.
+A process is addressed by each of its names: its own, its machine's and its zone's. A fault on a pair of names applies
+to every link from a process with the first name to one with the second; `*` matches any process. Each direction has
+its own conditions, so a cut is one-way.
 """
 
 from __future__ import annotations
@@ -12,140 +13,177 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-PIECE = 0.01  # s between the pieces of a trickle
+THROTTLE_INTERVAL_S = 0.01  # between the pieces of a stream with limited bandwidth
 
 
-class Place(NamedTuple):
-    """`names`: of its process first, then of what it is a part of."""
+class Location(NamedTuple):
+    """The names that a process is addressed by.
+
+    Attributes:
+        name: The name of the process.
+        names: That name, and the names of the machine and the zone that the process is in.
+    """
 
     name: str
     names: frozenset[str]
 
     @classmethod
-    def of(cls, name: str, *more: str) -> Place:
-        return cls(name, frozenset((name, *more)))
+    def of(cls, name: str, *enclosing_names: str) -> Location:
+        """Return the location of a process by its name and the names of its machine and its zone."""
+        return cls(name, frozenset((name, *enclosing_names)))
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
-    """Of one way. `late` and `reorder` in ms, `loss` and `duplicate` shares of the datagrams, `trickle` in bytes a
-    second, 0 for no bound."""
+class LinkConditions:
+    """The conditions of one direction of a link.
+
+    Attributes:
+        is_cut: Whether nothing passes.
+        delay_ms: The delay of what passes, in ms.
+        loss_share: The share of the datagrams that are lost.
+        duplicate_share: The share of the datagrams that arrive twice.
+        reorder_ms: The longest additional random delay of a datagram, in ms.
+        bytes_per_s: The bandwidth of a stream in bytes a second; 0 for no limit.
+    """
 
-    cut: bool = False
-    late: float = 0.0
-    loss: float = 0.0
-    duplicate: float = 0.0
-    reorder: float = 0.0
-    trickle: float = 0.0
+    is_cut: bool = False
+    delay_ms: float = 0.0
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    reorder_ms: float = 0.0
+    bytes_per_s: float = 0.0
 
 
-CLEAR = Weather()
+NORMAL = LinkConditions()
 
 
 @dataclass(slots=True)
-class Ways:
-    """Invariant: a fault that ended leaves nothing behind, whatever overlapped with it."""
+class LinkFaults:
+    """The faults that are active on pairs of names.
+
+    Invariant: a fault that was cleared leaves nothing behind, whichever other faults overlapped with it.
+    """
 
-    _befalls: dict[tuple[str, str], Counter[tuple[str, float]]] = field(default_factory=dict)
+    _active: dict[tuple[str, str], Counter[tuple[str, float]]] = field(default_factory=dict)
 
     def inject(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
+        """Begin a fault.
+
+        Args:
+            kind: `cut`, `late`, `loss`, `duplicate`, `reorder` or `trickle`.
+            pairs: The sources and targets, by name.
+            by: Its size in the unit of the matching attribute of `LinkConditions`.
+        """
         for pair in pairs:
-            self._befalls.setdefault(pair, Counter())[kind, by] += 1
+            self._active.setdefault(pair, Counter())[kind, by] += 1
 
     def clear(self, kind: str, pairs: Iterable[tuple[str, str]], by: float = 1.0) -> None:
-        """Ends what `befall` with the same words began."""
+        """End a fault that `inject` began with the same arguments."""
         for pair in pairs:
-            here = self._befalls.get(pair)
-            if here is None:
+            faults = self._active.get(pair)
+            if faults is None:
                 continue
-            here[kind, by] -= 1
-            if here[kind, by] <= 0:
-                del here[kind, by]
-            if not here:
-                del self._befalls[pair]
-
-    def weather(self, here: Place, there: Place) -> Weather:
-        """All that befalls the way: delays and shares add up, of two trickles the lesser counts."""
-        if not self._befalls:
-            return CLEAR
-        found: dict[str, float] = {}
-        for (source, target), here_now in self._befalls.items():
-            if (source == "*" or source in here.names) and (target == "*" or target in there.names):
-                for (kind, by), count in here_now.items():
+            faults[kind, by] -= 1
+            if faults[kind, by] <= 0:
+                del faults[kind, by]
+            if not faults:
+                del self._active[pair]
+
+    def conditions(self, source: Location, target: Location) -> LinkConditions:
+        """Return the conditions of a link under all its faults.
+
+        Delays and shares add up; of several bandwidths the lowest counts.
+        """
+        if not self._active:
+            return NORMAL
+        totals: dict[str, float] = {}
+        for (source_name, target_name), faults in self._active.items():
+            if (source_name == "*" or source_name in source.names) and (
+                target_name == "*" or target_name in target.names
+            ):
+                for (kind, by), count in faults.items():
                     if kind == "trickle":
-                        found[kind] = min(found.get(kind, by), by)
+                        totals[kind] = min(totals.get(kind, by), by)
                     else:
-                        found[kind] = found.get(kind, 0.0) + by * count
-        if not found:
-            return CLEAR
-        return Weather(
-            found.get("cut", 0.0) > 0,
-            found.get("late", 0.0),
-            min(1.0, found.get("loss", 0.0)),
-            min(1.0, found.get("duplicate", 0.0)),
-            found.get("reorder", 0.0),
-            found.get("trickle", 0.0),
+                        totals[kind] = totals.get(kind, 0.0) + by * count
+        if not totals:
+            return NORMAL
+        return LinkConditions(
+            totals.get("cut", 0.0) > 0,
+            totals.get("late", 0.0),
+            min(1.0, totals.get("loss", 0.0)),
+            min(1.0, totals.get("duplicate", 0.0)),
+            totals.get("reorder", 0.0),
+            totals.get("trickle", 0.0),
         )
 
 
-def datagram(weather: Weather, rng: random.Random) -> list[float]:
-    """When (s from now) copies of a datagram arrive: none where it is lost."""
-    if weather.cut or rng.random() < weather.loss:
+def datagram_delays(conditions: LinkConditions, rng: random.Random) -> list[float]:
+    """Return the delays in seconds after which the copies of a datagram arrive; none if it is lost."""
+    if conditions.is_cut or rng.random() < conditions.loss_share:
         return []
-    waits = [weather.late / 1000.0]
-    if rng.random() < weather.duplicate:
-        waits.append(waits[0] + rng.random() * max(weather.reorder, 1.0) / 1000.0)
-    if weather.reorder:
-        waits[0] += rng.random() * weather.reorder / 1000.0
-    return waits
+    delays_s = [conditions.delay_ms / 1000.0]
+    if rng.random() < conditions.duplicate_share:
+        delays_s.append(delays_s[0] + rng.random() * max(conditions.reorder_ms, 1.0) / 1000.0)
+    if conditions.reorder_ms:
+        delays_s[0] += rng.random() * conditions.reorder_ms / 1000.0
+    return delays_s
 
 
 class Stream:
-    """One direction of a connection: bytes go in with the time (s) and come out in their order when they are due.
-    Invariant: what came in comes out once, whole and in order, and nothing while the way is cut; the end of the stream
-    comes after all of it."""
+    """One direction of a connection, whose bytes are held back until they are due. All times are in seconds.
+
+    Invariant: all bytes that are put in come out once and in order, and none while the link is cut; the end of the
+    stream comes after all of them.
+
+    Attributes:
+        is_ended: Whether the sender has ended the stream.
+        size: How many bytes are held back.
+    """
 
     def __init__(self) -> None:
-        self._held: list[tuple[float, bytes]] = []
-        self._last = 0.0
-        self.ended = False
+        self._pending: list[tuple[float, bytes]] = []
+        self._last_due_at = 0.0
+        self.is_ended = False
         self.size = 0
 
-    def put(self, data: bytes, now: float, weather: Weather) -> None:
-        self._last = max(self._last, now + weather.late / 1000.0)
-        self._held.append((self._last, data))
+    def put(self, data: bytes, now: float, conditions: LinkConditions) -> None:
+        """Add bytes that arrive now."""
+        self._last_due_at = max(self._last_due_at, now + conditions.delay_ms / 1000.0)
+        self._pending.append((self._last_due_at, data))
         self.size += len(data)
 
     def end(self) -> None:
-        self.ended = True
+        """End the stream; no bytes follow."""
+        self.is_ended = True
 
-    def due(self, now: float, weather: Weather) -> bytes:
-        """What may pass now."""
-        if weather.cut or not self._held:
+    def take_due(self, now: float, conditions: LinkConditions) -> bytes:
+        """Remove and return the bytes that may pass now."""
+        if conditions.is_cut or not self._pending:
             return b""
-        ready = []
+        due_pieces = []
         count = 0
-        for at, data in self._held:
-            if at > now:
+        for due_at, data in self._pending:
+            if due_at > now:
                 break
-            ready.append(data)
+            due_pieces.append(data)
             count += 1
-        if not ready:
+        if not due_pieces:
             return b""
-        del self._held[:count]
-        out = b"".join(ready)
-        if weather.trickle:
-            most = max(1, int(weather.trickle * PIECE))
-            if len(out) > most:
-                out, rest = out[:most], out[most:]
-                self._held.insert(0, (now + PIECE, rest))
-        self.size -= len(out)
-        return out
-
-    def next(self) -> float | None:
-        """When (s) something is due, cut or not; None of nothing."""
-        return self._held[0][0] if self._held else None
-
-    def over(self) -> bool:
-        """It has ended and all of it has come out."""
-        return self.ended and not self._held
+        del self._pending[:count]
+        passed = b"".join(due_pieces)
+        if conditions.bytes_per_s:
+            size_limit = max(1, int(conditions.bytes_per_s * THROTTLE_INTERVAL_S))
+            if len(passed) > size_limit:
+                passed, rest = passed[:size_limit], passed[size_limit:]
+                self._pending.insert(0, (now + THROTTLE_INTERVAL_S, rest))
+        self.size -= len(passed)
+        return passed
+
+    def next_due(self) -> float | None:
+        """Return when the next bytes are due, also if the link is cut; None if none are held back."""
+        return self._pending[0][0] if self._pending else None
+
+    def is_finished(self) -> bool:
+        """Return whether the stream has ended and all its bytes have come out."""
+        return self.is_ended and not self._pending
--- a/elderlock/trial/mutant_cases.py
+++ b/elderlock/trial/mutant_cases.py
@@ -1,41 +1,51 @@
-"""What shows that each judge bites on real processes: a schedule, and a build with one known fault that its judge
-has to see in it."""
+"""Cases that show that each invariant checker detects violations by real processes.
+
+Each case is a rule, a scenario, and a mutant that violates the rule in it.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
-from elderlock.sim import judges as j
+from elderlock.sim import judges
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.scenario import Fault, Plan, Scenario, Settings, of_load
 from elderlock.trial import mutants
 
 
 def scenario(load: float = 0.25, accounts: int = 100, **changes: Any) -> Scenario:
-    given = Scenario("bite", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 0.5, "boxes": 6, **changes})
-    return of_load(load, given, accounts)
-
-
-PLAN = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
-CEILED = scenario(accounts=2, plan=(PLAN,), settings=Settings(peers=False))
-DRAINED = scenario(agents=1, fault=(Fault(1.0, "op-drain", "box:0"),))
-BITES: list[tuple[str, Scenario, mutants.Mutant]] = [
-    (j.Lost.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), mutants.loses),
-    (j.Drains.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), mutants.keeps_sending),
-    (j.Cold.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), mutants.knows_no_cold),
-    (j.Ceilings.name, CEILED, mutants.knows_no_ceiling),
-    (j.Reports.name, DRAINED, mutants.lies_of_drains),
-    (j.Failures.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), mutants.raises),
-    (j.Rest.name, scenario(agents=1), mutants.keeps_what_is_over),
-    (j.Growth.name, scenario(lasts_s=7.0), mutants.leaks_descriptors),
+    """Return a short scenario.
+
+    Args:
+        load: The load as a share of the servers' capacity.
+        accounts: How many accounts the clients use.
+        **changes: Fields of the scenario with other values.
+    """
+    defaults = Scenario("bite", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 0.5, "boxes": 6, **changes})
+    return of_load(load, defaults, accounts)
+
+
+PLAN_WITH_CEILING = Plan("plain", ceiling_rate=40.0, ceiling_burst=40.0, ceiling_slack=10.0)
+WITH_CEILING = scenario(accounts=2, plan=(PLAN_WITH_CEILING,), settings=Settings(peers=False))
+WITH_DRAIN = scenario(agents=1, fault=(Fault(1.0, "op-drain", "box:0"),))
+MUTANT_CASES: list[tuple[str, Scenario, mutants.Mutant]] = [
+    (judges.Lost.name, scenario(fault=(Fault(1.0, "errs", "box:*", 2.0, 0.9),)), mutants.loses),
+    (judges.Drains.name, scenario(fault=(Fault(1.0, "drain", "box:0", 2.0),)), mutants.keeps_sending),
+    (judges.Cold.name, scenario(1.0, fault=(Fault(1.0, "restart", "box:*"),)), mutants.knows_no_cold),
+    (judges.Ceilings.name, WITH_CEILING, mutants.knows_no_ceiling),
+    (judges.Reports.name, WITH_DRAIN, mutants.lies_of_drains),
+    (judges.Failures.name, scenario(fault=(Fault(1.0, "errs", "box:0", 1.0),)), mutants.raises),
+    (judges.Rest.name, scenario(agents=1), mutants.keeps_what_is_over),
+    (judges.Growth.name, scenario(lasts_s=7.0), mutants.leaks_descriptors),
     (
-        j.Agreement.name,
+        judges.Agreement.name,
         scenario(agents=2, fault=(Fault(0.5, "cut", "way:tool>agent:1"), Fault(1.0, "op-drain", "box:0", by=1.5))),
         mutants.learns_nothing,
     ),
     (
         Agreed.name,
-        # one may be out: the tool's own plan lets two of six go, also where one tool comes after the other
+        # The budget allows one drained server. Without it, the command's own check allows two of the six, also if one
+        # command runs after the other.
         scenario(
             agents=3,
             settings=Settings(budget=0.17),
--- a/elderlock/trial/mutants.py
+++ b/elderlock/trial/mutants.py
@@ -1,5 +1,8 @@
-"""Builds with one known fault each: what a judge has to see. The simulation puts one under its own process, the proving
-ground under a child (`ELDERLOCK_TRIAL_FLAW`); no code that ships loads this."""
+"""Mutants: builds of the program with one known fault each, which an invariant checker has to detect.
+
+The simulation applies a mutant to its own process, the test harness to a child process (`ELDERLOCK_TRIAL_FLAW`). No
+code of the product loads this module. The name of a function is the name of its mutant on the command line (`--flaw`).
+"""
 
 from __future__ import annotations
 
@@ -24,271 +27,296 @@
 from elderlock.state import OpenRequest
 
 
-class Patching(Protocol):
-    """As pytest's monkeypatch has it."""
+class Patcher(Protocol):
+    """Replaces attributes, as pytest's `monkeypatch` does."""
 
-    def setattr(self, target: Any, name: str, value: Any) -> None: ...
+    def setattr(self, target: Any, name: str, value: Any) -> None:
+        """Replace an attribute."""
 
 
-class Patch:
-    """For the rest of the process."""
+class ProcessPatch:
+    """Replaces attributes for the rest of the process."""
 
     def setattr(self, target: Any, name: str, value: Any) -> None:
+        """Replace an attribute.
+
+        Raises:
+            AttributeError: The attribute does not exist, so the mutant would change nothing.
+        """
         if not hasattr(target, name):
-            raise AttributeError(f"{target} has no {name}: the mutant would change nothing")
+            raise AttributeError(f"{target} has no attribute {name!r}: the mutant would change nothing")
         setattr(target, name, value)
 
 
-Mutant = Callable[[Patching], None]
+Mutant = Callable[[Patcher], None]
 
 
-def loses(patch: Patching) -> None:
-    """A failure is not answered, and nobody watches over patience."""
-    kept = Gateway._answer
+def loses(patch: Patcher) -> None:
+    """Never answer failed requests, and ignore deadlines."""
+    original = Gateway._answer
 
-    def answer(self: Gateway, name: str, text: bytes) -> None:
+    def answer_busy_only(self: Gateway, name: str, text: bytes) -> None:
         if text.startswith(b"-BUSY"):
-            kept(self, name, text)
+            original(self, name, text)
 
-    patch.setattr(Gateway, "_answer", answer)
+    patch.setattr(Gateway, "_answer", answer_busy_only)
     patch.setattr(Gateway, "_deadline_passed", lambda self, request: None)
 
 
-def tries_all_again(patch: Patching) -> None:
-    """An attempt that may have run is made again whatever the class."""
-    kept = ServerSelector.choose
+def tries_all_again(patch: Patcher) -> None:
+    """Retry attempts that may have run, also for requests that are not idempotent."""
+    original = ServerSelector.choose
 
-    def choose(self: ServerSelector, request: OpenRequest) -> Any:
-        safe = replace(request.request_class, idempotency=api.Idempotency.IDEMPOTENT)
-        request.request_class, own = safe, request.request_class
+    def choose_as_if_idempotent(self: ServerSelector, request: OpenRequest) -> Any:
+        idempotent = replace(request.request_class, idempotency=api.Idempotency.IDEMPOTENT)
+        request.request_class, actual = idempotent, request.request_class
         try:
-            return kept(self, request)
+            return original(self, request)
         finally:
-            request.request_class = own
+            request.request_class = actual
 
-    patch.setattr(ServerSelector, "choose", choose)
+    patch.setattr(ServerSelector, "choose", choose_as_if_idempotent)
 
 
-def keeps_sending(patch: Patching) -> None:
-    """Lists that say that a box drains are not read."""
-    kept = Endpoints.apply_server_list
+def keeps_sending(patch: Patcher) -> None:
+    """Treat servers that discovery lists as draining as running."""
+    original_apply = Endpoints.apply_server_list
 
-    def listed(self: Endpoints, event: api.ServerList) -> None:
+    def apply_as_running(self: Endpoints, event: api.ServerList) -> None:
         entries = tuple(
-            e
-            if e.state is not api.ServerState.DRAINING
+            entry
+            if entry.state is not api.ServerState.DRAINING
             else api.ServerEntry(
-                e.server_id, e.zone, e.kind, e.cell, api.ServerState.RUNNING, e.weight, e.started_at_ms
+                entry.server_id,
+                entry.zone,
+                entry.kind,
+                entry.cell,
+                api.ServerState.RUNNING,
+                entry.weight,
+                entry.started_at_ms,
             )
-            for e in event.entries
+            for entry in event.entries
         )
-        kept(self, api.ServerList(event.version, event.kind, entries))
-
-    def told(self: Gateway, listed: EndpointList, kind: api.ListKind) -> None:
-        targets = tuple(
-            t
-            if t.entry.state is not api.ServerState.DRAINING
-            else replace(t, entry=replace(t.entry, state=api.ServerState.RUNNING))
-            for t in listed.servers
+        original_apply(self, api.ServerList(event.version, event.kind, entries))
+
+    def apply_list_as_running(self: Gateway, endpoint_list: EndpointList, kind: api.ListKind) -> None:
+        servers = tuple(
+            server
+            if server.entry.state is not api.ServerState.DRAINING
+            else replace(server, entry=replace(server.entry, state=api.ServerState.RUNNING))
+            for server in endpoint_list.servers
         )
-        kept_list(self, replace(listed, servers=targets), kind)
+        original_apply_list(self, replace(endpoint_list, servers=servers), kind)
 
-    kept_list = Gateway._apply_list
-    patch.setattr(Endpoints, "apply_server_list", listed)
-    patch.setattr(Gateway, "_apply_list", told)
+    original_apply_list = Gateway._apply_list
+    patch.setattr(Endpoints, "apply_server_list", apply_as_running)
+    patch.setattr(Gateway, "_apply_list", apply_list_as_running)
 
 
-def knows_no_cold(patch: Patching) -> None:
+def knows_no_cold(patch: Patcher) -> None:
+    """Send to servers that have just started as if they were warm, and never throttle."""
     patch.setattr(SlowStart, "capacity_fraction", lambda self, server: 1.0)
     patch.setattr(SlowStart, "check_budget", lambda self, server: UNLIMITED)
     patch.setattr(Throttle, "admits", lambda self, inside, value, now: True)
     patch.setattr(LoadEstimator, "queue_pressure", lambda self: 0.0)
 
 
-def knows_no_ceiling(patch: Patching) -> None:
+def knows_no_ceiling(patch: Patcher) -> None:
+    """Never enforce a hard ceiling."""
     patch.setattr(Quotas, "exceeds_hard_ceiling", lambda self, account, units: False)
 
 
-def lies_of_drains(patch: Patching) -> None:
-    """A limiter says that it holds a drain and goes on."""
+def lies_of_drains(patch: Patcher) -> None:
+    """Confirm an operator's drain, but keep sending."""
     patch.setattr(DrainOverlay, "_with_drain", lambda self, target: target)
 
 
-def raises(patch: Patching) -> None:
-    kept = Attempts.handle_attempt_end
+def raises(patch: Patcher) -> None:
+    """Raise an exception when an attempt ends with an error."""
+    original = Attempts.handle_attempt_end
 
-    def ended(self: Attempts, event: api.AttemptEnded) -> None:
+    def raise_on_error(self: Attempts, event: api.AttemptEnded) -> None:
         if event.outcome is api.Outcome.ERROR:
-            raise KeyError("an outcome that nobody thought of")
-        kept(self, event)
+            raise KeyError("unhandled outcome")
+        original(self, event)
 
-    patch.setattr(Attempts, "handle_attempt_end", ended)
+    patch.setattr(Attempts, "handle_attempt_end", raise_on_error)
 
 
-def never_lets_go(patch: Patching) -> None:
+def never_lets_go(patch: Patcher) -> None:
+    """Keep completed requests among the open ones."""
     patch.setattr(Attempts, "_forget_if_complete", lambda self, request: None)
 
 
-def forgets_no_timer(patch: Patching) -> None:
-    """Each request leaves something that nobody takes away."""
-    kept = RetryPolicy.record_first_send
+def forgets_no_timer(patch: Patcher) -> None:
+    """Leak three timers with each request."""
+    original = RetryPolicy.record_first_send
 
-    def first_sent(self: RetryPolicy) -> None:
-        kept(self)
+    def leak_timers(self: RetryPolicy) -> None:
+        original(self)
         for _ in range(3):
             self.context.timers.schedule(self.context.now_ms + 1e9, -7)
 
-    patch.setattr(RetryPolicy, "record_first_send", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", leak_timers)
 
 
-def hears_no_other(patch: Patching) -> None:
-    """The tool tells one agent, and agents take nothing from one another."""
+def hears_no_other(patch: Patcher) -> None:
+    """Have commands ask one agent only, and agents ignore each other's records."""
     from elderlock.fleet.client.group_client import Group
 
-    kept = Group.ask_all
+    original = Group.ask_all
 
-    async def ask_all(self: Group, make: Any, answer: Any, within: float, agents: Any = None) -> Any:
-        return await kept(self, make, answer, within, ["agent-0"])
+    async def ask_first_agent(self: Group, make: Any, answer: Any, within: float, agents: Any = None) -> Any:
+        return await original(self, make, answer, within, ["agent-0"])
 
-    patch.setattr(Group, "ask_all", ask_all)
+    patch.setattr(Group, "ask_all", ask_first_agent)
     learns_nothing(patch)
 
 
-def learns_nothing(patch: Patching) -> None:
-    """Agents take nothing from one another."""
+def learns_nothing(patch: Patcher) -> None:
+    """Have agents ignore each other's records."""
     from elderlock.fleet.agent.agent import Agent
 
     patch.setattr(Agent, "merge_records", lambda self, records, via: None)
 
 
-def leaks_descriptors(patch: Patching) -> None:
-    """Each request leaves some open for good."""
-    kept = RetryPolicy.record_first_send
+def leaks_descriptors(patch: Patcher) -> None:
+    """Leak three open descriptors with each request."""
+    original = RetryPolicy.record_first_send
 
-    def first_sent(self: RetryPolicy) -> None:
-        kept(self)
+    def leak_descriptors(self: RetryPolicy) -> None:
+        original(self)
         for _ in range(3):
             os.open(os.devnull, os.O_RDONLY)
 
-    patch.setattr(RetryPolicy, "record_first_send", first_sent)
+    patch.setattr(RetryPolicy, "record_first_send", leak_descriptors)
 
 
-def keeps_what_is_over(patch: Patching) -> None:
-    """A request that is answered stays among those that are open."""
+def keeps_what_is_over(patch: Patcher) -> None:
+    """Keep the ids of answered requests among the open ones."""
 
-    def over(self: Gateway, request: Any, answer: Any) -> None:
+    def finish_and_keep(self: Gateway, request: Any, answer: Any) -> None:
         name = request.command.client_request_id
-        kept(self, request, answer)
+        original(self, request, answer)
         self.requests.client_ids.add(name)
 
-    kept = Gateway._finish
-    patch.setattr(Gateway, "_finish", over)
+    original = Gateway._finish
+    patch.setattr(Gateway, "_finish", finish_and_keep)
 
 
-def keeps_nothing(patch: Patching) -> None:
-    """A record counts before it is durable: the store's transactions are never ended."""
+def keeps_nothing(patch: Patcher) -> None:
+    """Use records before they are durable: the agent's store never commits its transactions."""
     from elderlock.fleet.agent_store import Store
 
-    def write(self: Store, *statements: Any) -> None:
+    def write_without_commit(self: Store, *statements: Any) -> None:
         if not self._db.in_transaction:
             self._db.execute("BEGIN IMMEDIATE")
         for text, values in statements:
             self._db.execute(text, values)
 
-    patch.setattr(Store, "_write", write)
+    patch.setattr(Store, "_write", write_without_commit)
 
 
-def grants_alone(patch: Patching) -> None:
-    """An agent takes its own vote for a majority."""
+def grants_alone(patch: Patcher) -> None:
+    """Have an agent take its own vote for a majority."""
     from elderlock.fleet.consensus.member import ConsensusMember
 
     patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
 
 
-def knows_no_budget(patch: Patching) -> None:
-    from elderlock.rollout import permit_ledger as ledger
+def knows_no_budget(patch: Patcher) -> None:
+    """Never refuse a permit because of the drain budget."""
+    from elderlock.rollout import permit_ledger
 
-    patch.setattr(ledger, "refusal_reasons", lambda budget, inventory, held, going: [])
+    patch.setattr(permit_ledger, "refusal_reasons", lambda budget, inventory, held, going: [])
 
 
-# Versions of limiters that a release has to stop
+# Versions of limiters at which a release has to stop
 
 
-def crashes_at_start(patch: Patching) -> None:
+def crashes_at_start(patch: Patcher) -> None:
+    """Exit when the limiter starts."""
     patch.setattr(Gateway, "start", lambda self: os._exit(4))
 
 
-def crashes_later(patch: Patching) -> None:
-    """After so many seconds as ELDERLOCK_TRIAL_AFTER says."""
-    kept = Gateway.start
+def crashes_later(patch: Patcher) -> None:
+    """Exit the number of seconds after the start that ELDERLOCK_TRIAL_AFTER gives."""
+    original = Gateway.start
 
-    def start(self: Gateway) -> None:
-        kept(self)
+    def start_and_exit_later(self: Gateway) -> None:
+        original(self)
         self._loop.call_later(float(os.environ.get("ELDERLOCK_TRIAL_AFTER", "10")), os._exit, 3)
 
-    patch.setattr(Gateway, "start", start)
+    patch.setattr(Gateway, "start", start_and_exit_later)
+
 
+def refuses_all(patch: Patcher) -> None:
+    """Refuse each request as if the limiter were overloaded."""
 
-def refuses_all(patch: Patching) -> None:
-    def take(self: Gateway, command: Any, reply: Any, asked: Any) -> None:
+    def refuse(self: Gateway, command: Any, reply: Any, asked: Any) -> None:
         if self._observer is not None:
             self._observer.on_answer(command, 0.2, BUSY_ANSWER)
         reply(BUSY_ANSWER)
 
-    patch.setattr(Gateway, "_accept", take)
+    patch.setattr(Gateway, "_accept", refuse)
 
 
-def slower_by_a_fifth(patch: Patching) -> None:
-    kept = Gateway._attempt_ended
+def slower_by_a_fifth(patch: Patcher) -> None:
+    """Delay the end of each attempt by a fifth of its duration."""
+    original = Gateway._attempt_ended
 
-    def ended(self: Gateway, attempt: Any, outcome: Any, value: Any) -> None:
-        took = self.now_ms() - attempt.started_at_ms
-        self._loop.call_later(0.2 * took / 1000.0, kept, self, attempt, outcome, value)
+    def end_later(self: Gateway, attempt: Any, outcome: Any, value: Any) -> None:
+        took_ms = self.now_ms() - attempt.started_at_ms
+        self._loop.call_later(0.2 * took_ms / 1000.0, original, self, attempt, outcome, value)
 
-    patch.setattr(Gateway, "_attempt_ended", ended)
+    patch.setattr(Gateway, "_attempt_ended", end_later)
 
 
-def refuses_its_agent(patch: Patching) -> None:
-    """It speaks another version of the control protocol."""
-    from elderlock.control import messages as m
+def refuses_its_agent(patch: Patcher) -> None:
+    """Speak another version of the control protocol than the agent."""
+    from elderlock.control import messages
     from elderlock.control.command_authority import CommandAuthority
 
     patch.setattr(
-        CommandAuthority, "_hello", lambda self, visitor, hello, now: m.Refused("version", "it speaks version 99 alone")
+        CommandAuthority,
+        "_hello",
+        lambda self, visitor, hello, now: messages.Refused("version", "this limiter speaks only version 99"),
     )
 
 
-# Versions of agents that a release has to stop
+# Versions of agents at which a release has to stop
 
 
-def agent_crashes_at_start(patch: Patching) -> None:
+def agent_crashes_at_start(patch: Patcher) -> None:
+    """Exit when the agent starts."""
     from elderlock.fleet.agent.agent import Agent
 
     patch.setattr(Agent, "start", lambda self: os._exit(4))
 
 
-def agent_crashes_later(patch: Patching) -> None:
-    """Once it has told its base that its group hears it."""
+def agent_crashes_later(patch: Patcher) -> None:
+    """Exit after the agent has told its launcher that a majority of the agents answers it."""
     from elderlock.fleet.plans.agent_release import AgentRelease
 
-    kept = AgentRelease.on_majority_answer
+    original = AgentRelease.on_majority_answer
 
-    def on_majority_answer(self: AgentRelease) -> None:
-        kept(self)
+    def report_and_exit_later(self: AgentRelease) -> None:
+        original(self)
         asyncio.get_running_loop().call_later(float(os.environ.get("ELDERLOCK_TRIAL_AFTER", "1")), os._exit, 3)
 
-    patch.setattr(AgentRelease, "on_majority_answer", on_majority_answer)
+    patch.setattr(AgentRelease, "on_majority_answer", report_and_exit_later)
 
 
-def agent_is_of_another_protocol(patch: Patching) -> None:
-    from elderlock.fleet import messages as f
+def agent_is_of_another_protocol(patch: Patcher) -> None:
+    """Speak another version of the protocol between agents."""
+    from elderlock.fleet import messages
 
-    patch.setattr(f, "VERSION", 99)
+    patch.setattr(messages, "VERSION", 99)
 
 
 MUTANTS: dict[str, Mutant] = {
-    flaw.__name__: flaw
-    for flaw in (
+    mutant.__name__: mutant
+    for mutant in (
         loses,
         tries_all_again,
         keeps_sending,
--- a/elderlock/trial/observers.py
+++ b/elderlock/trial/observers.py
@@ -1,5 +1,8 @@
-"""Looks on at relays and tells the recorder: what clients asked and were answered, what limiters let go to boxes, what
-discovery has told them. The taps are the simulation's; a relay sees more, and says when."""
+"""Observers of relayed connections, which pass what they see to the recorder.
+
+They see the clients' requests and answers, the requests that limiters send to servers, and the server lists that
+discovery sends to limiters. The parsers are the simulation's; a relay additionally sees when bytes pass.
+"""
 
 from __future__ import annotations
 
@@ -9,74 +12,103 @@
 
 from elderlock.sim.taps import ClientTap, Scene, SendTap
 
-LONGEST_LIST = 64 << 20  # bytes
-BEGINS = b'{"rev"'
+MAX_LIST_BYTES = 64 << 20
+LIST_START = b'{"rev"'
+
 
+class _NullObserver:
+    """Ignores everything; see `relay.ConnectionObserver`."""
 
-class _Eyes:
-    def sent(self, data: bytes) -> None:
+    def opener_sent(self, data: bytes) -> None:
         pass
 
-    def delivered(self, data: bytes) -> None:
+    def target_received(self, data: bytes) -> None:
         pass
 
-    def read(self, data: bytes) -> None:
+    def target_sent(self, data: bytes) -> None:
         pass
 
-    def handed(self, data: bytes) -> None:
+    def opener_received(self, data: bytes) -> None:
         pass
 
     def closed(self, by_opener: bool, broken: bool) -> None:
         pass
 
 
-class ClientEyes(_Eyes):
-    """A request counts as taken once its last byte has left for the limiter, as answered when the answer's came."""
+class ClientObserver(_NullObserver):
+    """Observes a client's connection to a limiter.
+
+    A request counts as received once its last byte has left the relay for the limiter, and as answered once the last
+    byte of the answer has reached the relay.
+    """
 
-    def __init__(self, scene: Scene, limiter: int, later: Callable[[Callable[[], None]], None]) -> None:
-        self._tap, self._later = ClientTap(scene, limiter), later
+    def __init__(self, scene: Scene, limiter: int, call_later: Callable[[Callable[[], None]], None]) -> None:
+        """Begin to observe a connection.
 
-    def delivered(self, data: bytes) -> None:
+        Args:
+            scene: The harness.
+            limiter: The limiter's number.
+            call_later: Calls a function after a short delay.
+        """
+        self._tap, self._call_later = ClientTap(scene, limiter), call_later
+
+    def target_received(self, data: bytes) -> None:
+        """Parse requests."""
         self._tap.wrote(data)
 
-    def read(self, data: bytes) -> None:
+    def target_sent(self, data: bytes) -> None:
+        """Parse answers."""
         self._tap.read(data)
 
     def closed(self, by_opener: bool, broken: bool) -> None:
+        """Report the end of the connection."""
         if by_opener or broken:
             self._tap.closed(True)
-        else:  # a process that is killed closes its connections a moment before it is seen to be gone
-            self._later(lambda: self._tap.closed(False))
+        else:  # the connections of a killed process close a moment before its end is noticed
+            self._call_later(lambda: self._tap.closed(False))
+
 
+class SendObserver(_NullObserver):
+    """Observes a limiter's connection to a server; a request counts as sent when the limiter has written it."""
 
-class SendEyes(_Eyes):
-    """Work counts as let go when the limiter has written it."""
+    def __init__(self, scene: Scene, limiter: str, server: str) -> None:
+        """Begin to observe a connection.
 
-    def __init__(self, scene: Scene, limiter: str, box: str) -> None:
-        self._tap = SendTap(scene, limiter, box)
+        Args:
+            scene: The harness.
+            limiter: The limiter's name.
+            server: The server's id.
+        """
+        self._tap = SendTap(scene, limiter, server)
 
-    def sent(self, data: bytes) -> None:
+    def opener_sent(self, data: bytes) -> None:
+        """Parse requests."""
         self._tap.wrote(data)
 
 
-class ListEyes(_Eyes):
-    """Lists as discovery writes them, one JSON object in each chunk or body; `heard` gets each whole one, as it comes
-    to the limiter."""
+class ListObserver(_NullObserver):
+    """Observes discovery's server lists; each is one JSON object in a chunk or a body of an HTTP response."""
+
+    def __init__(self, on_list: Callable[[dict[str, Any]], None]) -> None:
+        """Begin to observe a connection.
 
-    def __init__(self, heard: Callable[[dict[str, Any]], None]) -> None:
-        self._heard = heard
-        self._held = b""
+        Args:
+            on_list: Is called with each complete list when it leaves the relay for the limiter.
+        """
+        self._on_list = on_list
+        self._buffer = b""
         self._decoder = json.JSONDecoder()
 
-    def handed(self, data: bytes) -> None:
-        self._held += data
-        while (at := self._held.find(BEGINS)) >= 0:
+    def opener_received(self, data: bytes) -> None:
+        """Parse lists."""
+        self._buffer += data
+        while (start := self._buffer.find(LIST_START)) >= 0:
             try:
-                text = self._held[at:].decode()
-                made, length = self._decoder.raw_decode(text)
-            except ValueError:  # half of it has come
-                self._held = self._held[at:][:LONGEST_LIST]
+                text = self._buffer[start:].decode()
+                server_list, length = self._decoder.raw_decode(text)
+            except ValueError:  # the list is not complete yet
+                self._buffer = self._buffer[start:][:MAX_LIST_BYTES]
                 return
-            self._held = self._held[at + len(text[:length].encode()) :]
-            self._heard(made)
-        self._held = self._held[-len(BEGINS) :]
+            self._buffer = self._buffer[start + len(text[:length].encode()) :]
+            self._on_list(server_list)
+        self._buffer = self._buffer[-len(LIST_START) :]
--- a/elderlock/trial/report.py
+++ b/elderlock/trial/report.py
@@ -1,5 +1,7 @@
-"""What happened in a trial, for people: one time line over all processes, and a page that stands alone, with a lane for
-each process, the faults drawn over them and what the judges object to. No I/O."""
+"""Reports of a trial for people: a timeline over all processes, and a self-contained HTML page. No I/O.
+
+The page has a picture with a row for each process, in which faults and violations are drawn over all rows.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +17,10 @@
 from elderlock.trial.run import Outcome
 from elderlock.trial.stalls import Stall
 
-QUIET = frozenset({"asked", "answered", "sent", "ran", "spent", "counted", "excused", "ceiling"})
-WIDTH, LANE, LEFT = 1200, 26, 110
-BINS = 120
-PLAIN = re.compile(r"(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d),(\d{3}) (.*)")
+REQUEST_EVENTS = frozenset({"asked", "answered", "sent", "ran", "spent", "counted", "excused", "ceiling"})
+WIDTH, ROW_HEIGHT, LABEL_WIDTH = 1200, 26, 110  # of the picture
+BINS = 120  # of the bar chart of answers
+PLAIN_LOG_LINE = re.compile(r"(\d{4}-\d\d-\d\d \d\d:\d\d:\d\d),(\d{3}) (.*)")
 STYLE = (
     "body{font:14px sans-serif;margin:2em;max-width:1400px}pre{overflow:auto;background:#f6f6f6;padding:1em}"
     ".bad{color:#b00020}.late{color:#a06000}svg text{font:11px sans-serif}"
@@ -26,37 +28,52 @@
 
 
 class Line(NamedTuple):
-    """`at` ms of the run."""
+    """One line of the timeline.
+
+    Attributes:
+        at: Its time in ms of the run.
+        source: The process that logged it, or the kind of the event.
+        text: Its text.
+    """
 
     at: float
-    who: str
+    source: str
     text: str
 
     def shown(self) -> str:
-        return f"{self.at / 1000.0:9.3f} s  {self.who:<12} {self.text}"
+        """Return the line as it is printed."""
+        return f"{self.at / 1000.0:9.3f} s  {self.source:<12} {self.text}"
+
 
+def parse_log(process: str, text: str, epoch_ms: float) -> list[Line]:
+    """Parse the log of a process, whose lines are plain text or JSON.
 
-def of_log(who: str, text: str, epoch: float) -> list[Line]:
-    """The lines of a process' log with the time that stands in them, plain or JSON; those without go with the one
-    before. `epoch`: Unix ms of the run's start. A process whose clock was moved tells its own time."""
-    found: list[Line] = []
+    A line without a time gets that of the line before it. The times are those of the process' own clock, even if the
+    harness has moved it.
+
+    Args:
+        process: The name of the process.
+        text: Its log.
+        epoch_ms: When the run began, in Unix ms.
+    """
+    lines: list[Line] = []
     for raw in text.splitlines():
-        at = found[-1].at if found else 0.0
-        said = raw
+        at = lines[-1].at if lines else 0.0
+        message = raw
         if raw.startswith("{"):
             try:
-                made = json.loads(raw)
-                stamp = datetime.fromisoformat(str(made.pop("timestamp")).replace("Z", "+00:00"))
-                at = stamp.timestamp() * 1000.0 - epoch
-                event = made.pop("event", "")
-                said = f"{event} " + " ".join(f"{key}={value}" for key, value in made.items())
+                fields = json.loads(raw)
+                timestamp = datetime.fromisoformat(str(fields.pop("timestamp")).replace("Z", "+00:00"))
+                at = timestamp.timestamp() * 1000.0 - epoch_ms
+                event = fields.pop("event", "")
+                message = f"{event} " + " ".join(f"{key}={value}" for key, value in fields.items())
             except (ValueError, KeyError):
                 pass
-        elif (match := PLAIN.match(raw)) is not None:
-            at = datetime.fromisoformat(match[1]).timestamp() * 1000.0 + int(match[2]) - epoch
-            said = match[3]
-        found.append(Line(at, who, said[:400]))
-    return found
+        elif (match := PLAIN_LOG_LINE.match(raw)) is not None:
+            at = datetime.fromisoformat(match[1]).timestamp() * 1000.0 + int(match[2]) - epoch_ms
+            message = match[3]
+        lines.append(Line(at, process, message[:400]))
+    return lines
 
 
 def timeline(
@@ -64,123 +81,151 @@
     stalls: Iterable[Stall],
     broken: Iterable[tuple[str, float, str]],
     logs: Mapping[str, str],
-    epoch: float,
+    epoch_ms: float,
 ) -> list[Line]:
-    """Faults, processes, lists, commands, stand-stills, objections and log lines in one order; of single requests only
-    those that something was wrong with."""
+    """Merge events, stalls, violations and logs into one timeline.
+
+    Events of single requests are left out, except those of requests that a violation names.
+
+    Args:
+        events: The history.
+        stalls: The stalls of the runner and of the processes.
+        broken: The rule, time in ms of the run and text of each violation.
+        logs: The log of each process, by its name.
+        epoch_ms: When the run began, in Unix ms.
+    """
     lines = [Line(at, "JUDGE", f"{rule}: {text}") for rule, at, text in broken]
-    named = set(re.findall(r"\bq\d+-\d+\b", " ".join(text for _, _, text in broken)))
+    violating_requests = set(re.findall(r"\bq\d+-\d+\b", " ".join(text for _, _, text in broken)))
     for event in events:
-        about = [str(arg) for arg in event.args]
-        if event.what not in QUIET or named & set(about):
-            lines.append(Line(event.at, event.what, " ".join(about)))
+        args = [str(arg) for arg in event.args]
+        if event.name not in REQUEST_EVENTS or violating_requests & set(args):
+            lines.append(Line(event.at, event.name, " ".join(args)))
     lines += [
-        Line(each.at, "stall", f"{each.who or 'the runner'} had no time for {each.lasts:.0f} ms {each.why}".rstrip())
-        for each in stalls
+        Line(
+            stall.at,
+            "stall",
+            f"{stall.process or 'the runner'} did not run for {stall.duration_ms:.0f} ms {stall.reason}".rstrip(),
+        )
+        for stall in stalls
     ]
-    for who, text in logs.items():
-        lines += of_log(who, text, epoch)
+    for process, text in logs.items():
+        lines += parse_log(process, text, epoch_ms)
     return sorted(lines, key=lambda line: line.at)
 
 
-def _lives(events: Sequence[Event], ends: float) -> dict[str, list[tuple[float, float]]]:
-    """When each process lived."""
-    made: dict[str, list[tuple[float, float]]] = {}
-    begun: dict[str, float] = {}
+def _lifetimes(events: Sequence[Event], ends_at: float) -> dict[str, list[tuple[float, float]]]:
+    """Return the start and the end of each incarnation, by process name."""
+    lifetimes: dict[str, list[tuple[float, float]]] = {}
+    started_at: dict[str, float] = {}
     for event in events:
-        if event.what != "process":
+        if event.name != "process":
             continue
-        name, what = str(event.args[0]), event.args[1]
-        if what == "begins":
-            begun[name] = event.at
-            made.setdefault(name, [])
-        elif name in begun:
-            made[name].append((begun.pop(name), event.at))
-    for name, at in begun.items():
-        made[name].append((at, ends))
-    return made
-
-
-def _bars(x: Sequence[float], y: float, title: str, fill: str, height: float = LANE - 8) -> str:
+        name, change = str(event.args[0]), event.args[1]
+        if change == "begins":
+            started_at[name] = event.at
+            lifetimes.setdefault(name, [])
+        elif name in started_at:
+            lifetimes[name].append((started_at.pop(name), event.at))
+    for name, at in started_at.items():
+        lifetimes[name].append((at, ends_at))
+    return lifetimes
+
+
+def _rectangle(x: Sequence[float], y: float, title: str, fill: str, height: float = ROW_HEIGHT - 8) -> str:
     width = max(1.5, x[1] - x[0])
-    said = html.escape(title)
+    escaped_title = html.escape(title)
     return (
         f'<rect x="{x[0]:.1f}" y="{y:.1f}" width="{width:.1f}" height="{height:.1f}" fill="{fill}">'
-        f"<title>{said}</title></rect>"
+        f"<title>{escaped_title}</title></rect>"
     )
 
 
-def lanes(
-    events: Sequence[Event], stalls: Sequence[Stall], broken: Sequence[tuple[str, float, str]], ends: float
+def picture(
+    events: Sequence[Event], stalls: Sequence[Stall], broken: Sequence[tuple[str, float, str]], ends_at: float
 ) -> str:
-    """A picture: a lane for each process, its life, its stand-stills; faults across all lanes; answers a lane of their
-    own; objections as lines."""
-    scale = (WIDTH - LEFT) / max(ends, 1.0)
+    """Draw the run as SVG.
+
+    The first two rows show the faults and a bar chart of the answers. Each process has a row with its incarnations and
+    stalls. Faults extend over all rows, and violations are vertical lines.
+
+    Args:
+        events: The history.
+        stalls: The stalls of the runner and of the processes.
+        broken: The rule, time in ms of the run and text of each violation.
+        ends_at: When the run was over, in ms of the run.
+    """
+    scale = (WIDTH - LABEL_WIDTH) / max(ends_at, 1.0)
 
-    def at(ms: float) -> float:
-        return LEFT + min(max(ms, 0.0), ends) * scale
+    def x_of(at: float) -> float:
+        return LABEL_WIDTH + min(max(at, 0.0), ends_at) * scale
 
-    lives = _lives(events, ends)
-    names = sorted(lives)
+    lifetimes = _lifetimes(events, ends_at)
+    names = sorted(lifetimes)
     rows = {name: number + 2 for number, name in enumerate(names)}
-    height = (len(names) + 3) * LANE + 20
+    height = (len(names) + 3) * ROW_HEIGHT + 20
     parts = [f'<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH} {height}" width="100%">']
     for event in events:
-        if event.what == "fault":
-            number, target, what, lasts, by = event.args
-            span = (at(event.at), at(event.at + float(lasts) * 1000.0))
-            title = f"{event.at / 1000.0:.3f} s: {target} {what}, for {lasts} s, by {by}"
-            parts.append(_bars(span, 0.0, title, "#e8b0b088", float(height - 20)))
-            parts.append(_bars((span[0], span[0] + 3), 2.0, title, "#b00020"))
+        if event.name == "fault":
+            number, target, kind, duration_s, by = event.args
+            span = (x_of(event.at), x_of(event.at + float(duration_s) * 1000.0))
+            title = f"{event.at / 1000.0:.3f} s: {target} {kind}, for {duration_s} s, by {by}"
+            parts.append(_rectangle(span, 0.0, title, "#e8b0b088", float(height - 20)))
+            parts.append(_rectangle((span[0], span[0] + 3), 2.0, title, "#b00020"))
     answers: Counter[tuple[int, bool]] = Counter()
     for event in events:
-        if event.what == "answered":
-            answers[int(event.at / max(ends, 1.0) * BINS), event.args[1] == "served"] += 1
-    most = max((answers[n, True] + answers[n, False] for n in range(BINS + 1)), default=1) or 1
+        if event.name == "answered":
+            answers[int(event.at / max(ends_at, 1.0) * BINS), event.args[1] == "served"] += 1
+    max_answers = max((answers[n, True] + answers[n, False] for n in range(BINS + 1)), default=1) or 1
     for number in range(BINS + 1):
-        low = 2 * LANE - 4.0
-        for good, fill in ((True, "#5a9e6f"), (False, "#c98b1b")):
-            count = answers[number, good]
+        y = 2 * ROW_HEIGHT - 4.0
+        for is_served, fill in ((True, "#5a9e6f"), (False, "#c98b1b")):
+            count = answers[number, is_served]
             if count:
-                tall = (LANE - 4.0) * count / most
-                low -= tall
-                span = (at(number * ends / BINS), at((number + 0.9) * ends / BINS))
-                words = "served" if good else "refused or failed"
-                parts.append(_bars(span, low, f"{count} {words}", fill, tall))
-    parts.append(f'<text x="2" y="{2 * LANE - 10}">answers</text><text x="2" y="{LANE - 10}">faults</text>')
+                bar_height = (ROW_HEIGHT - 4.0) * count / max_answers
+                y -= bar_height
+                span = (x_of(number * ends_at / BINS), x_of((number + 0.9) * ends_at / BINS))
+                label = "served" if is_served else "refused or failed"
+                parts.append(_rectangle(span, y, f"{count} {label}", fill, bar_height))
+    parts.append(f'<text x="2" y="{2 * ROW_HEIGHT - 10}">answers</text><text x="2" y="{ROW_HEIGHT - 10}">faults</text>')
     for name in names:
-        y = rows[name] * LANE
+        y = rows[name] * ROW_HEIGHT
         parts.append(f'<text x="2" y="{y + 13}">{html.escape(name)}</text>')
-        for began, ended in lives[name]:
-            words = f"{name}: {began / 1000:.3f} to {ended / 1000:.3f} s"
-            parts.append(_bars((at(began), at(ended)), y, words, "#8aa8c8"))
+        for began_at, ended_at in lifetimes[name]:
+            title = f"{name}: {began_at / 1000:.3f} to {ended_at / 1000:.3f} s"
+            parts.append(_rectangle((x_of(began_at), x_of(ended_at)), y, title, "#8aa8c8"))
         parts += [
-            _bars((at(s.at), at(s.at + s.lasts)), y, f"{name}: no time for {s.lasts:.0f} ms {s.why}", "#444444")
-            for s in stalls
-            if s.who == name
+            _rectangle(
+                (x_of(stall.at), x_of(stall.at + stall.duration_ms)),
+                y,
+                f"{name}: did not run for {stall.duration_ms:.0f} ms {stall.reason}",
+                "#444444",
+            )
+            for stall in stalls
+            if stall.process == name
         ]
-    for rule, ms, text in broken:
+    for rule, at, text in broken:
         parts.append(
-            f'<line x1="{at(ms):.1f}" x2="{at(ms):.1f}" y1="0" y2="{height - 20}" stroke="#b00020" stroke-width="2">'
-            f"<title>{html.escape(f'{rule}: {text}')}</title></line>"
+            f'<line x1="{x_of(at):.1f}" x2="{x_of(at):.1f}" y1="0" y2="{height - 20}" stroke="#b00020" '
+            f'stroke-width="2"><title>{html.escape(f"{rule}: {text}")}</title></line>'
         )
     parts += [
-        f'<text x="{at(ends * n / 10):.0f}" y="{height - 4}">{ends * n / 10000.0:.1f} s</text>' for n in range(10)
+        f'<text x="{x_of(ends_at * n / 10):.0f}" y="{height - 4}">{ends_at * n / 10000.0:.1f} s</text>'
+        for n in range(10)
     ]
     return "".join([*parts, "</svg>"])
 
 
 def html_report(outcome: Outcome, lines: Sequence[Line]) -> str:
-    """HTML that needs nothing else."""
+    """Return a self-contained HTML page: the result, the picture and the timeline."""
     result = outcome.result
     verdict = outcome.verdict()
-    colour = {"good": "", "late": "late", "broken": "bad"}[verdict]
-    picture = lanes(outcome.events, outcome.stalls, result.broken, result.sim_s * 1000.0)
-    said = html.escape(outcome.text())
-    shown = html.escape("\n".join(line.shown() for line in lines))
+    css_class = {"good": "", "late": "late", "broken": "bad"}[verdict]
+    svg = picture(outcome.events, outcome.stalls, result.broken, result.sim_s * 1000.0)
+    summary = html.escape(outcome.text())
+    timeline_text = html.escape("\n".join(line.shown() for line in lines))
     return (
         f'<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{html.escape(result.name)}</title>'
         f"<style>{STYLE}</style></head><body><h1>{html.escape(result.name)}, seed {result.seed}: "
-        f'<span class="{colour}">{verdict}</span></h1><pre>{said}</pre>{picture}'
-        f"<h2>What happened</h2><pre>{shown}</pre></body></html>\n"
+        f'<span class="{css_class}">{verdict}</span></h1><pre>{summary}</pre>{svg}'
+        f"<h2>Timeline</h2><pre>{timeline_text}</pre></body></html>\n"
     )
--- a/tests/benchmarks/test_programs.py
+++ b/tests/benchmarks/test_programs.py
@@ -85,9 +85,9 @@
 
 def test_shared_state_builds_its_scenarios(load: Any) -> None:
     program = load("shared_state")
-    for what in ("", "silent", "errs"):
+    for fault in ("", "silent", "errs"):
         for shared in (False, True):
-            assert program.scenario(3, what, shared).limiters == 3
+            assert program.scenario(3, fault, shared).limiters == 3
 
 
 def test_decisions_drives_a_limiter_and_lists_constants(load: Any) -> None:
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -1,4 +1,4 @@
-"""Several limiters and agents as real processes, and faults between them: the hard cases of the proving ground."""
+"""Several limiters and agents as real processes, with faults between them; and the command `elderlock trial`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 import pytest
 from trial_runs import run_trial
 
-from elderlock.fleet import messages as f
+from elderlock.fleet import messages
 from elderlock.sim.scenario import Fault, Plan, Scenario, What, of_load
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
@@ -28,99 +28,102 @@
 from elderlock.trial.processes import guarded_folder, short_temp_folder
 from elderlock.trial.running_harness import PREFIX, check_invariants, running_harness
 
-QUOTED = (Plan("plain", rate=20.0, burst=30.0),)
+WITH_QUOTA = (Plan("plain", rate=20.0, burst=30.0),)
 
 
 def scenario(**changes: Any) -> Scenario:
-    given = Scenario("trial", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 1.0, "boxes": 6, "agents": 2, **changes})
-    return of_load(0.2, given, 50)
+    defaults = Scenario("trial", **{"lasts_s": 4.0, "warm_s": 0.5, "rest_s": 1.0, "boxes": 6, "agents": 2, **changes})
+    return of_load(0.2, defaults, 50)
 
 
-async def answered(ground: Harness, more: int = 20) -> None:
-    """So many requests more have got an answer."""
-    assert ground.clients is not None
-    counts = ground.clients.counts
-    goal = counts["served"] + more
+async def wait_for_answers(harness: Harness, count: int = 20) -> None:
+    """Wait until this many more requests were served."""
+    assert harness.clients is not None
+    counts = harness.clients.counts
+    goal = counts["served"] + count
     await until(lambda: counts["served"] >= goal)
 
 
-async def records_of(ground: Harness, count: int) -> dict[str, f.Shown]:
-    """Once so many agents answer and hold the same records."""
+async def records_of(harness: Harness, count: int) -> dict[str, messages.Shown]:
+    """Wait until this many agents answer and have the same records; return what they show."""
     while True:
-        shown = await ground.show_agents()
-        if len(shown) == count and len(set(ground.digests(shown).values())) == 1:
-            return shown
+        agent_status = await harness.show_agents()
+        if len(agent_status) == count and len(set(harness.digests(agent_status).values())) == 1:
+            return agent_status
         await asyncio.sleep(0.05)
 
 
-def test_a_ground_stands_and_is_judged_and_gone(tmp_path: Path) -> None:
+def test_a_harness_starts_is_checked_and_leaves_no_process(tmp_path: Path) -> None:
     async def test() -> str:
-        async with running_harness() as ground:
-            ground.start_clients()
-            await answered(ground)
-            assert len(await ground.show_agents()) == 2
-            assert check_invariants(ground).broken == []
-            assert {life.process.pid for m in ground.limiter_processes for life in m.incarnations} == set(
-                ground._pids().values()
-            )
-            return ground.mark
+        async with running_harness() as harness:
+            harness.start_clients()
+            await wait_for_answers(harness)
+            assert len(await harness.show_agents()) == 2
+            assert check_invariants(harness).broken == []
+            assert {
+                incarnation.process.pid for limiter in harness.limiter_processes for incarnation in limiter.incarnations
+            } == set(harness._pids().values())
+            return harness.mark
 
     mark = run(test(), within=60.0)
-    assert _marked(mark) == []
+    assert marked(mark) == []
 
 
-def _marked(mark: str) -> list[int]:
+def marked(mark: str) -> list[int]:
     from elderlock.trial.guard import marked_pids
 
     return marked_pids(mark)
 
 
-def test_datagrams_are_cut_one_way_while_streams_live() -> None:
-    """n0's questions do not come to n1 any more; n1's come to n0, and clients are served by both."""
+def test_datagrams_are_cut_in_one_direction_while_connections_work() -> None:
+    """Datagrams of n0 do not reach n1, while those of n1 reach n0 and both limiters serve clients."""
 
     async def test() -> None:
-        async with running_harness(plan=QUOTED, accounts=6) as ground:
+        async with running_harness(plan=WITH_QUOTA, accounts=6) as harness:
             seen: list[tuple[int, int]] = []
-            ground.datagrams.seen = lambda owner, receiver, data: seen.append((owner, receiver))
-            ground.start_clients()
+            harness.datagrams.seen = lambda owner, receiver, data: seen.append((owner, receiver))
+            harness.start_clients()
             await until(lambda: {(0, 1), (1, 0)} <= set(seen))
-            ground.relays.inject("cut", [("n0", "n1")])
-            await asyncio.sleep(0)  # what was under way has its 0.5 ms
-            dropped = ground.datagrams.dropped
-            await until(lambda: ground.datagrams.dropped > dropped)
+            harness.relays.inject("cut", [("n0", "n1")])
+            await asyncio.sleep(0)  # datagrams that are under way arrive within 0.5 ms
+            dropped = harness.datagrams.dropped
+            await until(lambda: harness.datagrams.dropped > dropped)
             seen.clear()
             await until(lambda: seen.count((1, 0)) >= 3)
             assert (0, 1) not in seen
-            await answered(ground)
-            assert check_invariants(ground).broken == []
+            await wait_for_answers(harness)
+            assert check_invariants(harness).broken == []
 
     run(test(), within=60.0)
 
 
-def test_one_that_is_stopped_for_longer_than_its_claims_finds_out_before_it_acts() -> None:
-    """agent-0 is stopped for longer than the 5 s of its claim, while a drain is made and taken back at the other; it wakes
-    with its sockets open and with what it believed, and must not bring the old record to life."""
+def test_an_agent_stopped_for_longer_than_its_lease_does_not_restore_an_old_record() -> None:
+    """Guards against a drain that comes back after its undrain.
+
+    agent-0 is stopped for longer than the 5 s of its lease, and a drain that it knows is undone at agent-1 meanwhile. It
+    continues with open sockets and the old record, which must not replace the newer one.
+    """
 
     async def test() -> None:
-        async with running_harness() as ground:
-            ground.start_clients()
-            faults = TrialFaults(ground)
+        async with running_harness() as harness:
+            harness.start_clients()
+            faults = TrialFaults(harness)
             assert await faults.run_command("an", "drain", "box", "s-00", within=10.0) == 0
-            ground.signal("agent-0", signal.SIGSTOP, "")
-            stopped = time.monotonic()
+            harness.signal("agent-0", signal.SIGSTOP, "")
+            stopped_at_s = time.monotonic()
             await faults.run_command("binh", "undrain", "box", "s-00", within=1.0)
-            shown = await ground.show_agents()
-            (record,) = (r for r in shown["agent-1"].records if r.target == "s-00")
+            agent_status = await harness.show_agents()
+            (record,) = (record for record in agent_status["agent-1"].records if record.target == "s-00")
             assert not record.is_drained
-            await until(lambda: time.monotonic() - stopped > 6.0)
-            ground.signal("agent-0", signal.SIGCONT, "")
-            for each in (await records_of(ground, 2)).values():
-                assert [(r.is_drained, r.generation) for r in each.records] == [(False, record.generation)]
-            woke = ground.at()
+            await until(lambda: time.monotonic() - stopped_at_s > 6.0)
+            harness.signal("agent-0", signal.SIGCONT, "")
+            for status in (await records_of(harness, 2)).values():
+                assert [(r.is_drained, r.generation) for r in status.records] == [(False, record.generation)]
+            continued_at = harness.at()
             await until(
                 lambda: any(
-                    event.what == "ran" and event.args[0] == "s-00" and event.at > woke
-                    for event in ground.bench.events[-50:]
+                    event.name == "ran" and event.args[0] == "s-00" and event.at > continued_at
+                    for event in harness.bench.events[-50:]
                 )
             )
 
@@ -128,8 +131,8 @@
 
 
 @pytest.mark.parametrize("what", ["kill-write", "kill-sync", "kill-rename"])
-def test_an_agent_killed_between_two_steps_of_a_write_and_then_all_without_power(what: What) -> None:
-    """A drain that a tool told as done is in force again after the loss; agents agree, and no request is lost."""
+def test_a_confirmed_drain_survives_a_kill_during_a_write_and_a_power_loss_of_all(what: What) -> None:
+    """A drain that the command confirmed is in force again afterwards, agents agree, and no request is lost."""
     faults = (
         Fault(0.5, what, "agent:0"),
         Fault(0.6, "op-drain", "box:2", by=8.0),
@@ -137,24 +140,24 @@
     )
     outcome = run_trial(scenario(fault=faults))
     assert outcome.verdict() != "broken", outcome.text()
-    told = dict(outcome.commands)
-    ends = [event for event in outcome.events if event.what == "process" and event.args[1:] == ("ends", -9)]
+    exit_codes = dict(outcome.commands)
+    ends = [event for event in outcome.events if event.name == "process" and event.args[1:] == ("ends", -9)]
     assert len({event.args[0] for event in ends if event.args[0].startswith("agent")}) == 2
-    if told["drain s-02"] == 0:
-        heard = [event for event in outcome.events if event.what == "sent" and event.args[1] == "s-02"]
-        last = max(event.at for event in outcome.events if event.what == "power")
-        assert not [event for event in heard if event.at > last + 1.0]
+    if exit_codes["drain s-02"] == 0:
+        sent = [event for event in outcome.events if event.name == "sent" and event.args[1] == "s-02"]
+        last_power_loss = max(event.at for event in outcome.events if event.name == "power")
+        assert not [event for event in sent if event.at > last_power_loss + 1.0]
 
 
-def test_power_lost_three_times_in_a_row_with_a_torn_write_each_time() -> None:
+def test_three_power_losses_in_a_row_with_torn_writes_break_no_rule() -> None:
     faults = tuple(Fault(at, "power", "house", 0.3) for at in (1.0, 2.2, 3.4))
     drain = Fault(0.95, "op-drain", "box:1", by=8.0)
     outcome = run_trial(scenario(fault=(drain, *faults)))
     assert outcome.verdict() != "broken", outcome.text()
-    assert sum(event.what == "power" for event in outcome.events) == 6
+    assert sum(event.name == "power" for event in outcome.events) == 6
 
 
-def test_an_agent_back_from_an_old_state_and_one_from_none_learn_what_holds() -> None:
+def test_agents_restarted_from_an_old_state_and_from_none_get_the_present_records() -> None:
     faults = (
         Fault(0.5, "op-drain", "box:3", by=8.0),
         Fault(2.0, "old-state", "agent:0"),
@@ -162,12 +165,12 @@
     )
     outcome = run_trial(scenario(fault=faults))
     assert outcome.verdict() != "broken", outcome.text()
-    digests = [event.args[0] for event in outcome.events if event.what == "digests"][-1]
+    digests = [event.args[0] for event in outcome.events if event.name == "digests"][-1]
     assert dict(outcome.commands)["drain s-03"] == 0 and len(set(json.loads(digests).values())) == 1
 
 
-def test_wires_that_are_late_trickle_reset_and_half_closed_break_no_rule() -> None:
-    ways = (
+def test_slow_reset_and_half_closed_links_break_no_rule() -> None:
+    links = (
         "limiter:0>box:1",
         "box:2>limiter:1",
         "clients>limiter:0",
@@ -175,7 +178,7 @@
         "agent:0>agent:1",
         "agent:1>limiter:2",
     )
-    whats: list[tuple[What, float]] = [
+    kinds: list[tuple[What, float]] = [
         ("late", 60.0),
         ("trickle", 3000.0),
         ("reset", 0.0),
@@ -183,19 +186,19 @@
         ("cut", 0.0),
     ]
     faults = []
-    for number, way in enumerate(ways):
-        for other, (what, by) in enumerate(whats):
-            if not (way.startswith("clients") and what in ("late", "trickle", "cut")):
-                at = 0.3 + 0.11 * ((number * len(whats) + other * 7) % 30)
+    for number, link in enumerate(links):
+        for kind_number, (kind, by) in enumerate(kinds):
+            if not (link.startswith("clients") and kind in ("late", "trickle", "cut")):
+                at = 0.3 + 0.11 * ((number * len(kinds) + kind_number * 7) % 30)
                 faults.append(
-                    Fault(round(at, 3), what, f"way:{way}", 0.0 if what in ("reset", "half-close") else 0.5, by)
+                    Fault(round(at, 3), kind, f"way:{link}", 0.0 if kind in ("reset", "half-close") else 0.5, by)
                 )
-    outcome = run_trial(scenario(fault=tuple(faults), plan=QUOTED, lasts_s=4.5))
+    outcome = run_trial(scenario(fault=tuple(faults), plan=WITH_QUOTA, lasts_s=4.5))
     assert outcome.verdict() != "broken", outcome.text()
     assert not outcome.unplayed
 
 
-def test_a_clock_a_day_off_and_one_in_1970_break_no_rule() -> None:
+def test_a_clock_a_day_ahead_and_one_in_1970_break_no_rule() -> None:
     faults = (
         Fault(0.5, "clock", "limiter:0", by=86_400_000.0),
         Fault(0.6, "clock", "agent:0", by=-1.7e12),
@@ -207,27 +210,27 @@
     assert outcome.verdict() != "broken", outcome.text()
 
 
-def test_a_port_that_is_taken_is_said_with_the_limiter_and_its_last_words() -> None:
+def test_the_error_for_a_port_in_use_names_the_limiter_and_its_last_log_line() -> None:
     async def test() -> None:
         with guarded_folder(PREFIX, 0.0, short_temp_folder()) as (folder, mark):
-            ground = Harness(scenario(agents=0, limiters=2), folder, mark)
+            harness = Harness(scenario(agents=0, limiters=2), folder, mark)
             try:
-                await ground.open()
-                host, _, port = ground.listens[1].rpartition(":")
+                await harness.open()
+                host, _, port = harness.listens[1].rpartition(":")
                 with socket.socket() as taken:
                     taken.bind((host, int(port)))
-                    with pytest.raises(TrialError, match=r"n1 did not take clients .* n1: elderlock: .*in use"):
-                        await ground.start(within=3.0)
+                    with pytest.raises(TrialError, match=r"n1 did not accept clients .* n1: elderlock: .*in use"):
+                        await harness.start(within=3.0)
             finally:
-                await ground.close()
+                await harness.close()
 
     run(test(), within=60.0)
 
 
-# The command, as a process of its own
+# The command, as a separate process
 
 
-SHORT = [
+SHORT_RUN = [
     "--set",
     "lasts_s=2",
     "--set",
@@ -241,26 +244,26 @@
 ]
 
 
-def command(*words: str, **more: Any) -> subprocess.Popen[str]:
+def start_trial(*arguments: str, **options: Any) -> subprocess.Popen[str]:
     return subprocess.Popen(
-        [sys.executable, "-B", "-m", "elderlock.cli.main", "trial", *words],
+        [sys.executable, "-B", "-m", "elderlock.cli.main", "trial", *arguments],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
-        **more,
+        **options,
     )
 
 
-def eventually(true: Callable[[], object], within: float = 40.0) -> None:
-    ends = time.monotonic() + within  # reached by a hang alone
-    while not true():
-        assert time.monotonic() < ends
+def eventually(condition: Callable[[], object], within: float = 40.0) -> None:
+    ends_s = time.monotonic() + within  # only a hang takes that long
+    while not condition():
+        assert time.monotonic() < ends_s
         time.sleep(0.02)
 
 
 def children_of(pid: int) -> dict[int, list[str]]:
-    """Processes whose mark is that of a process started by `pid`, with their command."""
+    """Return the command lines of the processes that have the same mark as a child of `pid`, by pid."""
     found: dict[int, list[str]] = {}
     marks = set()
     for entry in Path("/proc").iterdir():
@@ -280,33 +283,33 @@
 
 
 STAGES: dict[str, Callable[[Iterable[list[str]]], bool]] = {
-    "just begun": lambda words: any("elderlock.trial.guard" in word for each in words for word in each),
-    "agents start": lambda words: any("agent" in each for each in words),
-    "limiters run": lambda words: sum("limiter" in each for each in words) == 3,
+    "guard runs": lambda commands: any("elderlock.trial.guard" in word for command in commands for word in command),
+    "agents start": lambda commands: any("agent" in command for command in commands),
+    "limiters run": lambda commands: sum("limiter" in command for command in commands) == 3,
 }
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL], ids=["Ctrl-C", "killed"])
 @pytest.mark.parametrize("stage", list(STAGES))
 def test_a_runner_that_ends_at_any_stage_leaves_nothing_behind(stage: str, number: signal.Signals) -> None:
-    runner = command("run", "calm", *SHORT, "--set", "lasts_s=600", "--set", "agents=1")
+    runner = start_trial("run", "calm", *SHORT_RUN, "--set", "lasts_s=600", "--set", "agents=1")
     eventually(lambda: STAGES[stage](children_of(runner.pid).values()))
-    (guard,) = (pid for pid, words in children_of(runner.pid).items() if "elderlock.trial.guard" in words)
+    (guard,) = (pid for pid, command in children_of(runner.pid).items() if "elderlock.trial.guard" in command)
     environ = Path(f"/proc/{guard}/environ").read_bytes().split(b"\0")
     mark = next(word for word in environ if word.startswith(MARK.encode())).decode().partition("=")[2]
     folder = Path(Path(f"/proc/{guard}/cmdline").read_text().split("\0")[4])
     assert folder.name.startswith(PREFIX) and folder.is_dir()
     runner.send_signal(number)
     out, err = runner.communicate(timeout=60.0)
-    eventually(lambda: not folder.exists() and not _marked(mark) and not Path(f"/proc/{guard}").exists())
+    eventually(lambda: not folder.exists() and not marked(mark) and not Path(f"/proc/{guard}").exists())
     if number is signal.SIGINT:
         assert runner.returncode == 130, err
 
 
-def test_few_descriptors_are_said_and_nothing_is_left() -> None:
-    short = ["bash", "-c", 'ulimit -n 40; exec "$0" "$@"', sys.executable, "-B", "-m", "elderlock.cli.main", "trial"]
+def test_too_few_descriptors_are_reported_and_nothing_is_left_behind() -> None:
+    limited = ["bash", "-c", 'ulimit -n 40; exec "$0" "$@"', sys.executable, "-B", "-m", "elderlock.cli.main", "trial"]
     done = subprocess.run(
-        [*short, "run", "calm", *SHORT], cwd=ROOT, capture_output=True, text=True, check=False, timeout=60
+        [*limited, "run", "calm", *SHORT_RUN], cwd=ROOT, capture_output=True, text=True, check=False, timeout=60
     )
     assert (
         done.returncode == 2
@@ -315,26 +318,26 @@
     ), done.stderr
 
 
-def test_two_trials_at_once_do_not_meet(tmp_path: Path) -> None:
-    runs = [command("run", "calm", *SHORT, "--keep", str(tmp_path / str(n)), "--json") for n in range(2)]
-    for n, each in enumerate(runs):
-        out, err = each.communicate(timeout=90.0)
-        assert each.returncode in (0, 8), err
+def test_two_concurrent_trials_do_not_interfere(tmp_path: Path) -> None:
+    runs = [start_trial("run", "calm", *SHORT_RUN, "--keep", str(tmp_path / str(n)), "--json") for n in range(2)]
+    for n, runner in enumerate(runs):
+        out, err = runner.communicate(timeout=90.0)
+        assert runner.returncode in (0, 8), err
         page = (tmp_path / str(n) / "page.html").read_text()
         assert "<svg" in page and "http" not in page.replace("http://www.w3.org/2000/svg", "")
         assert (tmp_path / str(n) / "history.jsonl").stat().st_size > 1000
 
 
-def test_ten_processes_start_at_once_on_one_busy_core_and_no_verdict_is_false() -> None:
+def test_ten_processes_on_one_busy_core_get_no_false_verdict() -> None:
     core = {min(os.sched_getaffinity(0))}
     busy = subprocess.Popen(
         [sys.executable, "-c", "while True: pass"], preexec_fn=lambda: os.sched_setaffinity(0, core)
     )
     try:
-        runner = command(
+        runner = start_trial(
             "run",
             "calm",
-            *SHORT,
+            *SHORT_RUN,
             "--set",
             "limiters=8",
             "--set",
@@ -350,18 +353,18 @@
         busy.wait()
 
 
-def test_the_command_says_what_it_cannot_do() -> None:
-    for words, said in (
+def test_the_command_reports_invalid_arguments() -> None:
+    for arguments, message in (
         (["run", "calm", "--set", "limiters=31"], "real processes on one machine are 30 at the most"),
         (["run", "calm", "--flaw", "none"], "there is no flaw 'none'"),
         (["check", "calm", "--set", "boxes=0"], "boxes"),
         (["replay", "/nowhere.toml"], "/nowhere.toml"),
     ):
         done = subprocess.run(
-            [sys.executable, "-B", "-m", "elderlock.cli.main", "trial", *words],
+            [sys.executable, "-B", "-m", "elderlock.cli.main", "trial", *arguments],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=False,
         )
-        assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr, done.stderr
+        assert done.returncode == 2 and message in done.stderr and "Traceback" not in done.stderr, done.stderr
