--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -241,7 +241,7 @@
 
 
 def play_zone_loss(seed: int) -> dict[str, Any]:
-    """A third of the servers stops to answer, without notice; later they are back, cold."""
+    """A third of the servers stops answering, without notice; later they are back, cold."""
     tier = Tier(Size(limiters=6, boxes=240, load=0.5), seed).play(3000.0)
     tier.count_anew()
     tier.play(3000.0)
@@ -288,7 +288,7 @@
 
 
 class ReportedQueue(ServerSelector):
-    """Adds the queue length that servers report, weighted by `part`; reports are as old as in production."""
+    """Adds the queue length that servers report, weighted by `part`, if the report is recent."""
 
     tier: Tier
     part, with_latency = 1.0, False
@@ -397,7 +397,7 @@
 
 
 def _with_faults(size: Size, seed: int) -> Tier:
-    """A third of the servers stops to answer and one becomes slower; the third comes back, cold."""
+    """A third of the servers stops answering and one becomes slower; the third comes back, cold."""
     tier = Tier(size, seed).play(2500.0)
     servers = list(tier.boxes.values())
     for server in servers[::3]:
@@ -419,7 +419,7 @@
 
 
 def _with_errors(seed: int) -> Tier:
-    """A third of the servers fails, and their queues are short."""
+    """A third of the servers fails 60 % of its requests, and the queues of all servers are short."""
     tier = Tier(Size(3, 12, load=0.7, room=3, plans=(SHOP, FIRM), customers=400), seed)
     for server in list(tier.boxes.values())[::3]:
         server.errs = 0.6
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -148,7 +148,7 @@
         duration_s: The duration of the load.
         connections: The number of connections.
         delay_s: The target's delay of each request.
-        stall_at_s: When the target stops to answer, after the first arrival.
+        stall_at_s: When the target stops answering, after the first arrival.
         stall_s: How long it does not answer.
     """
     free_at_s = [0.0] * connections
@@ -207,7 +207,7 @@
     """Return by how much the workers' memory grows, in MB."""
     async with apart(kind="constant", ms=10) as targets:
         report = await run(targets, 1000.0, duration_s)
-    # `first` is read after the first seconds, which include the memory that any run needs once
+    # `first` is read after one second, so it includes the memory that any run needs once
     growth_mb = (report.rss_kb["last"] - report.rss_kb["first"]) / 1024.0
     return {"rss_growth_mb": growth_mb, "rss_growth_mb_10min_equivalent": growth_mb * 600.0 / duration_s}
 
--- a/benchmarks/shared_state.py
+++ b/benchmarks/shared_state.py
@@ -3,7 +3,7 @@
     python benchmarks/shared_state.py           # 3, 30 and 200 limiters
     python benchmarks/shared_state.py --long    # 500 as well
 
-Groups of any size get 800 requests a second for 80 servers. Ten of the servers stop to answer, or fail half of the
+Groups of any size get 800 requests a second for 80 servers. Ten of the servers stop answering, or fail half of the
 requests, for 8 s. The last line is one JSON object. `found` is the time from a server's fault until a limiter ejects
 it, the median over limiters and servers; it is 8000 for a limiter that did not. Ratios are of runs with the same seed.
 """
