--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -4,8 +4,8 @@
     python benchmarks/rollout.py --long     # more histories, and 300 limiters under 30 agents
 
 Real: five agents and ten limiters with a relay on every link; versions that are good, that crash at once, refuse all or
-do not speak to their agent; agents killed, stopped and cut off meanwhile. Simulated: see `elderlock.sim.rollouts`. The
-last line is one JSON object; ratios are within this run.
+do not speak to their agent; agents killed, stopped and cut off meanwhile. Simulated: see
+`elderlock.sim.limiter_releases`. The last line is one JSON object; ratios are within this run.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from elderlock.fleet.client import plan_commands as operate
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
-from elderlock.sim import renewals
+from elderlock.sim import agent_releases
 from elderlock.sim.agreed import Holding, bounded
-from elderlock.sim.rollouts import BUILDS, Case, Played, play
+from elderlock.sim.limiter_releases import BUILDS, ReleaseCase, ReleaseOutcome, play
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
@@ -243,45 +243,56 @@
     return RolloutPolicy(**{**{name: getattr(terms, name) for name in terms.__struct_fields__}, **changes})
 
 
-def cases(long: bool) -> list[tuple[Case, int]]:
-    small, count = Case(), 4 if long else 1
+def cases(long: bool) -> list[tuple[ReleaseCase, int]]:
+    small, count = ReleaseCase(), 4 if long else 1
     found = [(replace(small, build=name), seed) for name in BUILDS for seed in range(3 * count)]
-    found += [(replace(small, rush=25.0 + 5.0 * seed), 100 + seed) for seed in range(5 * count)]
+    found += [(replace(small, load_spike_at_s=25.0 + 5.0 * seed), 100 + seed) for seed in range(5 * count)]
     found += [
-        (replace(small, faults=10, words=seed % 4, two_operators=bool(seed % 2), auto_back=bool(seed % 3)), 200 + seed)
+        (
+            replace(
+                small,
+                faults=10,
+                operator_commands=seed % 4,
+                two_operators=bool(seed % 2),
+                automatic_rollback=bool(seed % 3),
+            ),
+            200 + seed,
+        )
         for seed in range(12 * count)
     ]
-    lost = replace(small, auto_back=False)
-    found += [(replace(lost, lone_floor_at=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
-    found += [(replace(small, leader_gone=15.0), 400), (replace(small, sleeper=True), 401)]
-    found += [(replace(small, words=3), 402 + seed) for seed in range(2 * count)]
+    lost = replace(small, automatic_rollback=False)
+    found += [(replace(lost, zone_loss_at_s=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
+    found += [(replace(small, leader_loss_at_s=15.0), 400), (replace(small, suspends_agent=True), 401)]
+    found += [(replace(small, operator_commands=3), 402 + seed) for seed in range(2 * count)]
     return found
 
 
-LARGE = Case(
+LARGE = ReleaseCase(
     agents=30,
     limiters=300,
     faults=20,
     share=0.2,
-    auto_back=False,
-    terms=replace_terms(TERMS, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
+    automatic_rollback=False,
+    policy=replace_terms(TERMS, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
 )
 
 
-def one(given: tuple[Case, int]) -> tuple[Case, Played]:
+def one(given: tuple[ReleaseCase, int]) -> tuple[ReleaseCase, ReleaseOutcome]:
     return given[0], play(*given)
 
 
-def one_renewal(given: tuple[renewals.Renewals, int]) -> tuple[renewals.Renewals, Played]:
-    return given[0], renewals.play(*given)
+def one_renewal(
+    given: tuple[agent_releases.AgentReleaseCase, int],
+) -> tuple[agent_releases.AgentReleaseCase, ReleaseOutcome]:
+    return given[0], agent_releases.play(*given)
 
 
-def releases_of_agents(long: bool) -> list[tuple[renewals.Renewals, int]]:
+def releases_of_agents(long: bool) -> list[tuple[agent_releases.AgentReleaseCase, int]]:
     count = 30 if long else 5
     return [
-        (renewals.Renewals(agents=size, limiters=size, build=build, faults=faults), seed)
+        (agent_releases.AgentReleaseCase(agents=size, limiters=size, build=build, faults=faults), seed)
         for size in (3, 5)
-        for build in renewals.BUILDS
+        for build in agent_releases.BUILDS
         for faults in (0, 10)
         for seed in range(count if faults else 1)
     ]
@@ -299,13 +310,13 @@
         p
         for case, p in played
         if BUILDS[case.build].good
-        and not (case.faults or case.words or case.sleeper)
-        and case.lone_floor_at is None
-        and case.leader_gone is None
+        and not (case.faults or case.operator_commands or case.suspends_agent)
+        and case.zone_loss_at_s is None
+        and case.leader_loss_at_s is None
     ]
     for given, p in [*played, *renewed]:
         if not p.good():
-            print("broken:", given, p.broken[:3], flush=True)
+            print("broken:", given, p.violations[:3], flush=True)
     # with faults the first of the agents may pass its trial before the fault of its version shows
     bad += [p for given, p in renewed if given.build != "good" and not given.faults]
     calm += [p for given, p in renewed if given.build == "good" and not given.faults]
@@ -314,15 +325,15 @@
         "simulated_histories": len(every),
         "agent_releases": len(renewed),
         "over_budget": sum(p.over_budget for p in every),
-        "permits_doubled": sum(p.doubled for p in every),
-        "acted_after_fence": sum(p.after_fence for p in every),
-        "plans_stuck": sum(p.stuck for p in every),
+        "permits_doubled": sum(p.conflicting_ledgers for p in every),
+        "acted_after_fence": sum(p.stale_actions for p in every),
+        "plans_stuck": sum(p.stuck_plans for p in every),
         "bad_releases": len(bad),
-        "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad),
+        "bad_releases_stopped_in_first_wave": sum(p.upgraded <= p.first_wave for p in bad),
         "good": len(calm),
-        "good_halted": sum(bool(p.halted_why) for p in calm),
-        "back_tried": sum(p.back_tried for p in every),
-        "back_complete": sum(p.back_complete for p in every),
+        "good_halted": sum(bool(p.halt_reason) for p in calm),
+        "back_tried": sum(p.rollbacks_tried for p in every),
+        "back_complete": sum(p.rollbacks_completed for p in every),
         "halt_ms": [ms for _, p in played for ms in p.halt_ms],
         "limiters_simulated": max(case.limiters for case, _ in played),
     }
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -28,7 +28,7 @@
 from elderlock.load.accounts import Mix
 from elderlock.load.coordinator import Coordinator, local_lines
 from elderlock.sim import decisions, search, shells
-from elderlock.sim.experiment import scenario_of
+from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import BoxKind, Net, Plan, Scenario, Service, Settings, of_load
 from elderlock.sim.seeds import Floor
 from elderlock.standins.boxes import OLD, STD
@@ -100,7 +100,7 @@
     alike = 0
     for number in range(runs):
         floor = search_floors[number % 2]
-        given = msgspec.structs.replace(scenario_of("partition", HERE), lasts_s=10.0 + number)
+        given = msgspec.structs.replace(load_scenario("partition", HERE), lasts_s=10.0 + number)
         digests = set()
         for hashes in ("1", "2"):
             env = {**os.environ, "PYTHONHASHSEED": hashes}
@@ -275,15 +275,15 @@
     tell(deterministic_runs=deterministic(runs), runs=runs)
     judges, shown = bites()
     tell(judges=judges, judges_shown_to_bite=shown)
-    steps = search.systematic(scenario_of("drain-and-restart", HERE), 1, given.workers, each=4 if quick else 60)
+    steps = search.systematic(load_scenario("drain-and-restart", HERE), 1, given.workers, each=4 if quick else 60)
     tell(io_steps=steps.steps, io_failures_tried=steps.failed, io_broken=len(steps.broken))
-    found: list[search.Found] = []
+    found: list[search.ShrunkFailure] = []
     tried = 0
     for floor in search_floors:
         base = of_load(0.5, Scenario("search", lasts_s=12.0, agents=2, boxes=6, rest_s=8.0))
         report = search.Search(base, floor, 7).run(12 if quick else 150, 1e6, given.workers)
         tried, found = tried + report.tried, found + report.found
-    lengths = [each.after for each in found]
+    lengths = [each.faults_after for each in found]
     tell(seeds_tried=tried, bugs_found=len(found), shrunk_events_median=statistics.median(lengths) if lengths else 0)
     for each in found:
         print(each.seed.text(), flush=True)
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -28,7 +28,7 @@
 
 from elderlock.fleet.agent_store import Store
 from elderlock.sim import seeds
-from elderlock.sim.experiment import scenario_of
+from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import ABLE, Fault, Scenario, unplayable
 from elderlock.spawning import spawn
 from elderlock.standins.world import ROOT, own_host
@@ -329,7 +329,7 @@
         "floor": "floor:0",
         "way": "way:limiter:0>box:0",
     }.get(kind[0], kind[0])
-    scenario = scenario_of("calm", ROOT)
+    scenario = load_scenario("calm", ROOT)
     fault = msgspec.convert({"at_s": 1.0, "what": kind[1], "target": target}, Fault)
     return bool(unplayable(msgspec.structs.replace(scenario, fault=(fault,)), "trial"))
 
--- a/elderlock/cli/sim.py
+++ b/elderlock/cli/sim.py
@@ -16,10 +16,10 @@
 
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import seeds
-from elderlock.sim.experiment import read_experiment, scenario_of, ships
+from elderlock.sim.experiment import load_scenario, read_experiment, shipped_scenarios
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Scenario, timeline
-from elderlock.sim.search import Found, Report, Search, Systematic, cut_down, play, systematic
+from elderlock.sim.search import Report, Search, ShrunkFailure, SystematicReport, play, shrink_failure, systematic
 from elderlock.sim.seeds import Seed, SeedError
 
 FLOORS = ("shells", "decisions")
@@ -128,7 +128,7 @@
 
 
 def _scenario(options: argparse.Namespace) -> Scenario:
-    return scenario_of(str(options.scenario), Path.cwd(), tuple(options.set))
+    return load_scenario(str(options.scenario), Path.cwd(), tuple(options.set))
 
 
 def _shown(result: Result, as_json: bool) -> int:
@@ -145,9 +145,12 @@
             more = {"out": lambda line: out.write(line + "\n")}
         result = play(made, options.seed, options.floor, **more)
     if options.shrink and not result.good():
-        found = cut_down(made, options.seed, options.floor, result)
+        found = shrink_failure(made, options.seed, options.floor, result)
         made, result = found.seed.scenario, found.result
-        print(f"cut down from {found.before} to {found.after} faults in {found.asked} runs", file=sys.stderr)
+        print(
+            f"cut down from {found.faults_before} to {found.faults_after} faults in {found.run_count} runs",
+            file=sys.stderr,
+        )
         print(found.seed.text(), file=sys.stderr)
     if options.keep is not None:
         seeds.write(Seed(made, options.seed, options.floor, tuple(result.rules()), digest=result.digest), options.keep)
@@ -169,7 +172,7 @@
         yield lambda done, text: progress.update(task, completed=done, description=text)
 
 
-def _kept(found: Found, folder: Path | None, number: int) -> str:
+def _kept(found: ShrunkFailure, folder: Path | None, number: int) -> str:
     if folder is None:
         return ""
     folder.mkdir(parents=True, exist_ok=True)
@@ -192,7 +195,7 @@
         f"{report.failures} runs with something broken, {len(report.found)} kinds"
     )
     for number, found in enumerate(report.found, 1):
-        print(f"\n{', '.join(found.seed.broke)}: {found.before} faults cut down to {found.after}")
+        print(f"\n{', '.join(found.seed.broke)}: {found.faults_before} faults cut down to {found.faults_after}")
         print(found.seed.text())
         print("\n".join(f"  {each}" for each in found.result.text().splitlines()))
         if kept := _kept(found, options.keep, number):
@@ -203,7 +206,7 @@
 def step_by_step(options: argparse.Namespace) -> int:
     with _progress("systematic", 0, options.quiet) as moved:
 
-        def told(so_far: Systematic) -> None:
+        def told(so_far: SystematicReport) -> None:
             moved(so_far.tried, f"steps failed, {len(so_far.broken)} with something broken")
 
         made = systematic(_scenario(options), options.seed, options.workers, options.each, options.lasts, told)
@@ -254,8 +257,8 @@
 
 
 def scenarios(options: argparse.Namespace) -> int:
-    for name in ships():
-        made = scenario_of(name, Path.cwd())
+    for name in shipped_scenarios():
+        made = load_scenario(name, Path.cwd())
         print(f"{name:<20} {made.about}")
     return DONE
 
@@ -279,18 +282,18 @@
 
 
 def run_experiment(options: argparse.Namespace) -> int:
-    from elderlock.sim.experiment import bound
-    from elderlock.sim.sweep import Records, Sweep
+    from elderlock.sim.experiment import parse_bound
+    from elderlock.sim.sweep import ResultStore, Sweep
 
     made = read_experiment(options.experiment)
     for text in options.fail_if:
-        bound(text, made.file)
-    records = Records(_out(options))
+        parse_bound(text, made.file)
+    records = ResultStore(_out(options))
     try:
         if options.fresh:
             records.clear()
         sweep = Sweep(made, records, options.workers)
-        total, left = sum(1 for _ in made.cells()), len(sweep.missing())
+        total, left = sum(1 for _ in made.cells()), len(sweep.missing_cells())
         if 0 < left < total:
             print(f"{total - left} of {total} runs are recorded; goes on with the others", file=sys.stderr)
         done = total - left
@@ -304,7 +307,7 @@
             try:
                 sweep.run(told)
             except KeyboardInterrupt:
-                left = len(sweep.missing())
+                left = len(sweep.missing_cells())
                 print(f"stopped: {total - left} of {total} runs are recorded; the same call goes on", file=sys.stderr)
                 return 130
         return _concluded(options, made, records)
@@ -313,12 +316,12 @@
 
 
 def show_experiment(options: argparse.Namespace) -> int:
-    from elderlock.sim.sweep import Records
+    from elderlock.sim.sweep import ResultStore
 
     made = read_experiment(options.experiment)
     if not _out(options).exists():
         raise ScenarioError(f"{_out(options)}: nothing is recorded yet; elderlock experiment run {options.experiment}")
-    records = Records(_out(options))
+    records = ResultStore(_out(options))
     try:
         return _concluded(options, made, records)
     finally:
@@ -326,13 +329,13 @@
 
 
 def _concluded(options: argparse.Namespace, made: Any, records: Any) -> int:
-    from elderlock.sim.compare import compared, failures, kept, summary
-    from elderlock.sim.experiment import bound
+    from elderlock.sim.compare import compare_settings, failures, find_broken_bounds, summary
+    from elderlock.sim.experiment import parse_bound
 
-    results = records.done(made)
-    lines = compared(made, results)
-    bounds = [*made.bounds, *(bound(text, made.file) for text in options.fail_if)]
-    broken = kept(bounds, lines, made.baseline)
+    results = records.load_results(made)
+    lines = compare_settings(made, results)
+    bounds = [*made.bounds, *(parse_bound(text, made.file) for text in options.fail_if)]
+    broken = find_broken_bounds(bounds, lines, made.baseline)
     failed = failures(results)
     if options.html is not None:
         from elderlock.sim.page import page
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -15,7 +15,7 @@
 
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import seeds
-from elderlock.sim.experiment import scenario_of, ships
+from elderlock.sim.experiment import load_scenario, shipped_scenarios
 from elderlock.sim.scenario import Scenario, timeline, unplayable
 from elderlock.sim.seeds import SeedError
 from elderlock.trial.ground import TrialError
@@ -92,7 +92,7 @@
         scenario, seed = kept.scenario, kept.seed
         print(kept.text(), end="", file=sys.stderr)
     else:
-        scenario, seed = scenario_of(options.scenario, Path.cwd(), tuple(options.set)), options.seed
+        scenario, seed = load_scenario(options.scenario, Path.cwd(), tuple(options.set)), options.seed
     _fits(scenario)
     if options.flaw:
         from elderlock.trial.flaws import FLAWS
@@ -175,7 +175,7 @@
 
 
 def check(options: argparse.Namespace) -> int:
-    scenario = scenario_of(options.scenario, Path.cwd(), tuple(options.set))
+    scenario = load_scenario(options.scenario, Path.cwd(), tuple(options.set))
     _fits(scenario)
     print(timeline(scenario, options.seed), end="")
     for line in unplayable(scenario, "trial"):
@@ -185,8 +185,8 @@
 
 def scenarios(options: argparse.Namespace) -> int:
     with contextlib.suppress(BrokenPipeError):
-        for name in ships():
-            made = scenario_of(name, Path.cwd())
+        for name in shipped_scenarios():
+            made = load_scenario(name, Path.cwd())
             if made.limiters <= MOST_LIMITERS and made.boxes <= MOST_BOXES:
                 print(f"{name:<20} {made.about}")
             else:
--- a/elderlock/sim/renewals.py
+++ b/elderlock/sim/agent_releases.py
@@ -19,7 +19,7 @@
 from elderlock.rollout.agent_launcher import AgentLauncher, LauncherAction, LauncherState
 from elderlock.rollout.plans import Plan, RolloutPolicy
 from elderlock.sim.agreed import Holding, bounded
-from elderlock.sim.rollouts import SLACK, VERSION, Case, Played, ReleaseWorld
+from elderlock.sim.limiter_releases import SLACK, VERSION, ReleaseCase, ReleaseOutcome, ReleaseWorld
 from elderlock.sim.virtual.host import SimHost
 from elderlock.sim.virtual.processes import Process, context_of, start
 
@@ -35,15 +35,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Renewals:
-    """`faults`: how many befall agents and bases in the first `faulty_s`."""
+class AgentReleaseCase:
+    """`faults`: how many befall agents and bases in the first `fault_window_s`."""
 
     agents: int = 5
     limiters: int = 10
     build: str = "good"
     faults: int = 0
-    faulty_s: float = 60.0
-    terms: RolloutPolicy = TERMS
+    fault_window_s: float = 60.0
+    policy: RolloutPolicy = TERMS
 
 
 class _Pipe:
@@ -57,10 +57,14 @@
         return len(data)
 
 
-class RenewalWorld(ReleaseWorld):
-    def __init__(self, renewals: Renewals, seed: int, log: bool = False) -> None:
-        self.renewals = renewals
-        super().__init__(Case(agents=renewals.agents, limiters=renewals.limiters, terms=renewals.terms), seed, log)
+class AgentReleaseWorld(ReleaseWorld):
+    def __init__(self, agent_releases: AgentReleaseCase, seed: int, log: bool = False) -> None:
+        self.agent_releases = agent_releases
+        super().__init__(
+            ReleaseCase(agents=agent_releases.agents, limiters=agent_releases.limiters, policy=agent_releases.policy),
+            seed,
+            log,
+        )
         self._bases: dict[int, AgentLauncher] = {}
         self._kept: dict[int, LauncherState] = {}  # on each machine's disk
         self._timers: dict[int, asyncio.TimerHandle] = {}
@@ -120,14 +124,14 @@
 
     def _run(self, number: int, base: AgentLauncher) -> None:
         held, name, machine = base.state, f"agent-{number}", self.agent_machine(number)
-        version, build = held.current.version, self.renewals.build if held.current.version else "good"
+        version, build = held.current.version, self.agent_releases.build if held.current.version else "good"
         host = SimHost(machine, self.io, self._spawned, self.processes, self.signal)
         process = self.agent_processes[number] = self.process(name, machine, {})
         pipe: Any = _Pipe(lambda data: self._said(number, process, data))
         basis = LauncherLink(Started(held, base.start_count), pipe)
         self.say(f"{name} begins on {version or 'the version of its base'}{', on trial' if held.is_on_trial else ''}")
         if version:
-            self.made.ran.add(name)
+            self.made.upgraded.add(name)
             if held.generation in self._unsettled.get(number, ()):
                 self._broken(f"{name} was started on {version} again, which had ended in its trial")
         pairs = [(machine.name, "*"), ("*", machine.name)] if build == "mute" else []
@@ -167,8 +171,8 @@
     # What is seen
 
     def _broken(self, text: str) -> None:
-        self.made.after_fence += 1
-        self.made.broken.append(f"{self.at():.0f} ms: {text}")
+        self.made.stale_actions += 1
+        self.made.violations.append(f"{self.at():.0f} ms: {text}")
 
     def _went(self, name: str, held: LauncherState) -> None:
         """Its base was told to go: it is out by our doing until it is up again."""
@@ -196,7 +200,7 @@
     # The story
 
     async def _main(self) -> None:
-        given, rng = self.renewals, random.Random(f"story/{self.seed}")
+        given, rng = self.agent_releases, random.Random(f"story/{self.seed}")
         await self._open()
         (self.folder / "versions" / VERSION / "version.toml").write_text('agent = ["agent", "{agent}"]\n')
         await self._until(lambda: self._voting() and len(self.modelled) == given.limiters, 60.0, "the group to be up")
@@ -204,12 +208,12 @@
         begun: operate.Answer | None = None
         while begun is None or begun.plan is None:
             begun = await self._asks(
-                "an", operate.begin("p" * 32, "agents", VERSION, (), (), given.terms, ""), f.BeginAnswer
+                "an", operate.begin("p" * 32, "agents", VERSION, (), (), given.policy, ""), f.BeginAnswer
             )
             await asyncio.sleep(0.5)
-        healed = self.at() + 1000.0 * (given.faulty_s + 35.0 if given.faults else 0.0)
+        healed = self.at() + 1000.0 * (given.fault_window_s + 35.0 if given.faults else 0.0)
         for _ in range(given.faults):
-            self.loop.call_later(rng.uniform(0.0, given.faulty_s), self._befall_base, rng.randrange(1 << 30))
+            self.loop.call_later(rng.uniform(0.0, given.fault_window_s), self._befall_base, rng.randrange(1 << 30))
         plan = await self._ends(begun.plan.id, healed)
         if plan is None:
             return
@@ -224,14 +228,14 @@
             await asyncio.sleep(1.0)
             wrong = await self._until_all_run(want)
         if plan.direction == "back":
-            self.made.back_tried += 1
-            self.made.back_complete += not wrong
+            self.made.rollbacks_tried += 1
+            self.made.rollbacks_completed += not wrong
         if wrong:
-            self.made.stuck += 1
-            self.made.broken.append(f"{self.at():.0f} ms: {plan.outcome()}, but not {', '.join(wrong)}")
+            self.made.stuck_plans += 1
+            self.made.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not {', '.join(wrong)}")
         for clash in bounded(self._holdings, {OUT: 1.0}):
             self.made.over_budget += 1
-            self.made.broken.append(f"{clash.at:.0f} ms: {clash.text}")
+            self.made.violations.append(f"{clash.at:.0f} ms: {clash.text}")
         self.made.seconds = self.at() / 1000.0
 
     async def _until_all_run(self, want: str) -> list[str]:
@@ -250,7 +254,9 @@
 
     async def _ends(self, id: str, healed: float) -> Plan | None:
         """The plan once it is over. An operator takes back what stays halted after all is healed."""
-        waves = self.renewals.agents * (5.0 + self.renewals.terms.settle_time_s + self.renewals.terms.bake_time_s)
+        waves = self.agent_releases.agents * (
+            5.0 + self.agent_releases.policy.settle_time_s + self.agent_releases.policy.bake_time_s
+        )
         while self.at() < max(healed, 1000.0) + 1000.0 * (SETTLED_WITHIN + 3.0 * waves):
             plan = self._newest()
             self._note(plan)
@@ -259,13 +265,15 @@
             if plan is not None and plan.state == "halted" and self.at() > healed:
                 await self._asks("an", lambda n: f.SteerPlan(n, id, "back"), f.SteerAnswer)
             await asyncio.sleep(0.25)
-        self.made.stuck += 1
-        self.made.broken.append(f"{self.at():.0f} ms: the plan is not over: {plan.state if plan else 'there is none'}")
+        self.made.stuck_plans += 1
+        self.made.violations.append(
+            f"{self.at():.0f} ms: the plan is not over: {plan.state if plan else 'there is none'}"
+        )
         return None
 
     def _befall_base(self, seed: int) -> None:
         rng = random.Random(seed)
-        number = rng.randrange(self.renewals.agents)
+        number = rng.randrange(self.agent_releases.agents)
         if rng.random() < 0.6:
             self._befall(seed)
         elif number not in self._dark:
@@ -279,5 +287,5 @@
             self.loop.call_later(BASE_AWAY, self._start_agent, number)
 
 
-def play(renewals: Renewals, seed: int, log: bool = False) -> Played:
-    return RenewalWorld(renewals, seed, log).played()
+def play(agent_releases: AgentReleaseCase, seed: int, log: bool = False) -> ReleaseOutcome:
+    return AgentReleaseWorld(agent_releases, seed, log).played()
--- a/elderlock/sim/compare.py
+++ b/elderlock/sim/compare.py
@@ -33,7 +33,7 @@
     high: float | None
     pairs: int
 
-    def seen(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether a difference was."""
         return self.low is not None and self.high is not None and (self.low > 0.0 or self.high < 0.0)
 
@@ -42,7 +42,7 @@
             return "baseline"
         if self.low is None or self.high is None:
             return f"too few pairs ({self.pairs}) to say"
-        if not self.seen():
+        if not self.is_significant():
             return "no difference seen"
         return f"{self.difference:+.4g} ({self.low:+.4g} to {self.high:+.4g})"
 
@@ -70,7 +70,7 @@
     return None
 
 
-def compared(experiment: Experiment, results: Mapping[Cell, Result]) -> list[Line]:
+def compare_settings(experiment: Experiment, results: Mapping[Cell, Result]) -> list[Line]:
     """Scenario by scenario, figure by figure. Runs that failed take part in no mean; they are told by `failures`."""
     good = {cell: result for cell, result in results.items() if result.ended == "finished"}
     lines = []
@@ -115,7 +115,7 @@
     return lines
 
 
-def kept(bounds: list[Bound], lines: list[Line], baseline: str) -> list[str]:
+def find_broken_bounds(bounds: list[Bound], lines: list[Line], baseline: str) -> list[str]:
     """The bounds that were not kept, each with its figure."""
     broken = []
     for bound in bounds:
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -292,7 +292,7 @@
                 self.schedule.after(way, self._peer, number, node.number, data)
 
     def _peer(self, receiver: int, sender: int, data: bytes) -> None:
-        self.nodes[receiver].happened(api.PeerMessage(sender, data))
+        self.nodes[receiver].handle_event(api.PeerMessage(sender, data))
 
     # Clients
 
--- a/elderlock/sim/experiment.py
+++ b/elderlock/sim/experiment.py
@@ -99,7 +99,7 @@
     def __init__(self, file: ExperimentFile, made: dict[tuple[str, str], Scenario]) -> None:
         self.file, self.made = file, made
         self.baseline = file.baseline or file.setting[0].name
-        self.bounds = [bound(text, file) for text in file.fail_if]
+        self.bounds = [parse_bound(text, file) for text in file.fail_if]
 
     def cells(self) -> Iterator[Cell]:
         """Seed by seed, so that a sweep that is stopped has whole pairs."""
@@ -118,7 +118,7 @@
     return name in NUMBERS or name.startswith(("share.", "more."))
 
 
-def bound(text: str, file: ExperimentFile) -> Bound:
+def parse_bound(text: str, file: ExperimentFile) -> Bound:
     """Raises `ScenarioError`."""
     found = BOUND.fullmatch(text.replace(" ", ""))
     if found is None:
@@ -137,16 +137,18 @@
     return Bound(text, bool(diff), figure, setting or "", scenario or "", sign == "<", number)
 
 
-def ships() -> list[str]:
+def shipped_scenarios() -> list[str]:
     return sorted(entry.name.removesuffix(".toml") for entry in SHIPPED.iterdir() if entry.name.endswith(".toml"))
 
 
-def scenario_of(name: str, folder: Path, changes: tuple[str, ...] = ()) -> Scenario:
+def load_scenario(name: str, folder: Path, changes: tuple[str, ...] = ()) -> Scenario:
     """A file's, or one that ships, by its name. Raises `ScenarioError`."""
     if not name.endswith(".toml"):
         shipped = SHIPPED / f"{name}.toml"
         if not shipped.is_file():
-            raise ScenarioError(f"no scenario {name!r} ships; there are {', '.join(ships())}, or name a .toml file")
+            raise ScenarioError(
+                f"no scenario {name!r} ships; there are {', '.join(shipped_scenarios())}, or name a .toml file"
+            )
         return parse(shipped.read_text(encoding="utf-8"), name, changes)
     return read(folder / name, changes)
 
@@ -177,7 +179,7 @@
         if not figure_known(figure):
             raise ScenarioError(f"figures: there is no {figure!r}; there are {', '.join(NUMBERS)} and share.OUTCOME")
     return {
-        (scenario.name, setting.name): scenario_of(scenario.file, folder, (*scenario.set, *setting.set))
+        (scenario.name, setting.name): load_scenario(scenario.file, folder, (*scenario.set, *setting.set))
         for scenario in file.scenario
         for setting in file.setting
     }
--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/limiter_releases.py
@@ -83,56 +83,75 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
-    """What is played. `rate` of requests a second at each limiter; `rush`: from when on, for 40 s, all of them are
-    asked for three times as much, answer slower and refuse some. `faults`: how many befall agents and limiters in the
-    first `faulty_s`. `words`: how many an operator says besides. `lone_floor_at`: a whole floor's agents and limiters
-    die. `leader_gone`: s after which the agent that leads dies and does
-    not come back for a long time. `sleeper`: the first agent that is to take something out is stopped at that moment
-    and wakes 40 s later, when the plan has been taken back, and hears nothing for some time more. `one_wave`: all are
-    to go at once, as far as the budget lets."""
+class ReleaseCase:
+    """A simulated release and its faults.
+
+    Attributes:
+        agents: Number of agents.
+        limiters: Number of limiters.
+        floors: Number of zones.
+        build: Name in `BUILDS` of the version that is released.
+        rate: Requests per second at each limiter.
+        load_spike_at_s: Start of a 40 s spike in which every limiter gets three times the requests, answers them more
+            slowly and refuses some of them; None for no spike.
+        faults: Number of faults of agents and limiters within `fault_window_s`.
+        fault_window_s: Length of the period in which faults and operator commands occur, in s.
+        operator_commands: Number of further commands that operators give during the release.
+        two_operators: Whether two operators request a release at the same time.
+        automatic_rollback: Whether the plan rolls back by itself when it is halted.
+        share: Share of the limiters that may be out of service at once.
+        policy: Timing of the release.
+        zone_loss_at_s: Time at which all agents and limiters of the first zone die; None for never.
+        leader_loss_at_s: Time at which the agent that leads the plan is killed and held down for `GONE_FOR`; None for
+            never.
+        single_wave: Whether all limiters are in one wave, so that only the budget bounds how many are out at once.
+        suspends_agent: Whether the first agent about to take a limiter out is suspended at that moment. It resumes 40 s
+            later, after the plan was rolled back, and stays cut off from the other agents for some time more.
+    """
 
     agents: int = 5
     limiters: int = 10
     floors: int = 3
     build: str = "good"
     rate: float = 40.0
-    rush: float | None = None
+    load_spike_at_s: float | None = None
     faults: int = 0
-    faulty_s: float = 90.0
-    words: int = 0
+    fault_window_s: float = 90.0
+    operator_commands: int = 0
     two_operators: bool = False
-    auto_back: bool = True
+    automatic_rollback: bool = True
     share: float = 0.34
-    terms: RolloutPolicy = TERMS
-    lone_floor_at: float | None = None
-    leader_gone: float | None = None
-    one_wave: bool = False
-    sleeper: bool = False
+    policy: RolloutPolicy = TERMS
+    zone_loss_at_s: float | None = None
+    leader_loss_at_s: float | None = None
+    single_wave: bool = False
+    suspends_agent: bool = False
 
 
 @dataclass
-class Played:
+class ReleaseOutcome:
     """`broken` in words; the counts are moments. `plan` as it ended, `ran` which limiters ever ran the new version."""
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     over_budget: int = 0
-    doubled: int = 0
-    after_fence: int = 0
-    stuck: int = 0
+    conflicting_ledgers: int = 0
+    stale_actions: int = 0
+    stuck_plans: int = 0
     plan: Plan | None = None
-    ran: set[str] = field(default_factory=set)
+    upgraded: set[str] = field(default_factory=set)
     first_wave: set[str] = field(default_factory=set)
-    halted_why: str = ""
+    halt_reason: str = ""
     halt_ms: list[float] = field(default_factory=list)
-    back_tried: int = 0
-    back_complete: int = 0
-    took_over: int = 0
+    rollbacks_tried: int = 0
+    rollbacks_completed: int = 0
+    leader_changes: int = 0
     seconds: float = 0.0
     log: list[str] = field(default_factory=list)
 
     def good(self) -> bool:
-        return not (self.broken or self.over_budget or self.doubled or self.after_fence or self.stuck)
+        return not (
+            self.violations or self.over_budget or self.conflicting_ledgers or self.stale_actions or self.stuck_plans
+        )
 
 
 class Modelled:
@@ -172,7 +191,10 @@
     def _count(self) -> None:
         """What it answered since it was looked at last, drawn in one go."""
         now, rng, case = self.world.loop.time(), self._rng, self.world.case
-        rush = case.rush is not None and case.rush <= self.world.at() / 1000.0 < case.rush + 40.0
+        rush = (
+            case.load_spike_at_s is not None
+            and case.load_spike_at_s <= self.world.at() / 1000.0 < case.load_spike_at_s + 40.0
+        )
         mean = (now - self._counted) * case.rate * (3.0 if rush else 1.0) * (0.0 if self.down else 1.0)
         self._counted = now
         count = max(0, round(rng.gauss(mean, math.sqrt(mean)))) if mean > 0 else 0
@@ -208,7 +230,7 @@
 class ReleaseWorld(ShellWorld):
     """One history. Judges look at desks and processes of limiters, and at which ledgers agents hold to be chosen."""
 
-    def __init__(self, case: Case, seed: int, log: bool = False) -> None:
+    def __init__(self, case: ReleaseCase, seed: int, log: bool = False) -> None:
         scenario = Scenario(
             "releases",
             limiters=case.limiters,
@@ -219,7 +241,7 @@
             lasts_s=3600.0,
         )
         super().__init__(scenario, seed)
-        self.case, self.made, self._log_on = case, Played(), log
+        self.case, self.made, self._log_on = case, ReleaseOutcome(), log
         self.most = int(case.share * case.limiters)
         draw = random.Random(f"bias/{seed}")
         self.bias = {name: draw.gauss(0.0, BIAS_SD) for name in self._names()}
@@ -232,7 +254,7 @@
         self._shown: list[tuple[float, str, str, int]] = []
         self._ledgers: dict[int, object] = {}
         self._turned_at = 0.0  # when the plan was seen to be halted or turned
-        self._slept = not case.sleeper
+        self._slept = not case.suspends_agent
         self._gone: set[int] = set()  # agents that are held down
 
     def say(self, text: str) -> None:
@@ -263,8 +285,8 @@
         version = environ["ELDERLOCK_VERSION"]
         build = BUILDS[self.case.build] if version else BUILDS["good"]
         process = self.limiters[int(name[1:])] = self.process(name, self.machines[int(name[1:])], environ)
-        if version and name not in self.made.ran:
-            self.made.ran.add(name)
+        if version and name not in self.made.upgraded:
+            self.made.upgraded.add(name)
             self._first_start(name)
         self.say(f"{name} begins on {version or 'the version of the files'}")
 
@@ -301,9 +323,9 @@
         if plan is not None and (plan.state != "running" or plan.direction == "back"):
             late = self.at() - self._turned_at
             if late > SLACK:
-                self.made.after_fence += 1
+                self.made.stale_actions += 1
                 what = f"{name} was taken to {VERSION} {late:.0f} ms after the plan was {plan.state}, {plan.direction}"
-                self.made.broken.append(f"{self.at():.0f} ms: {what}")
+                self.made.violations.append(f"{self.at():.0f} ms: {what}")
 
     def _crash(self, process: Process) -> None:
         if process.alive:
@@ -342,8 +364,8 @@
         if ours:
             if limiter is not None and not limiter.down and not limiter.make.mute:
                 # whoever ended it acted on what does not stand: a plan drains first
-                self.made.after_fence += 1
-                self.made.broken.append(f"{self.at():.0f} ms: {name} was ended while it served")
+                self.made.stale_actions += 1
+                self.made.violations.append(f"{self.at():.0f} ms: {name} was ended while it served")
             self._mark(name, "ended")
         else:
             self._mark(name, "")  # against our will
@@ -360,9 +382,9 @@
                 def learnt(ledger: Any) -> None:
                     held = world._ledgers.setdefault(ledger.version, ledger)
                     if held != ledger:
-                        world.made.doubled += 1
+                        world.made.conflicting_ledgers += 1
                         text = f"two ledgers of version {ledger.version}, the second at {name}"
-                        world.made.broken.append(f"{world.at():.0f} ms: {text}")
+                        world.made.violations.append(f"{world.at():.0f} ms: {text}")
                     learn(ledger)
                     if not world._slept and ledger.plans:
                         # outside of the agent, as what it schedules sleeps with it
@@ -380,49 +402,51 @@
         await self._until(lambda: self._voting() and len(self.modelled) == case.limiters, 60.0, "the group to be up")
         await asyncio.sleep(25.0)  # figures from before
         began = self.at()
-        terms = case.terms
+        terms = case.policy
         ids = [f"{self.seed:08x}{n}" for n in range(2)]
-        waves = [self._names()] if case.one_wave else []
-        make = operate.begin(ids[0], "release", VERSION, (), waves, _with_back(terms, case.auto_back), "")
+        waves = [self._names()] if case.single_wave else []
+        make = operate.begin(ids[0], "release", VERSION, (), waves, _with_back(terms, case.automatic_rollback), "")
         asks: list[Awaitable[Any]] = [self._asks("an", make, f.BeginAnswer)]
         if case.two_operators:
-            other = operate.begin(ids[1], "release", VERSION, (), (), _with_back(terms, case.auto_back), "")
+            other = operate.begin(ids[1], "release", VERSION, (), (), _with_back(terms, case.automatic_rollback), "")
             asks.append(self._asks("binh", other, f.BeginAnswer))
         for _ in range(case.faults):
-            self.loop.call_later(rng.uniform(0.0, case.faulty_s), self._befall, rng.randrange(1 << 30))
-        if case.leader_gone is not None:
-            self.loop.call_later(case.leader_gone, self._leader_goes)
-        if case.lone_floor_at is not None:
-            self.loop.call_later(case.lone_floor_at, self._lose_floor)
+            self.loop.call_later(rng.uniform(0.0, case.fault_window_s), self._befall, rng.randrange(1 << 30))
+        if case.leader_loss_at_s is not None:
+            self.loop.call_later(case.leader_loss_at_s, self._leader_goes)
+        if case.zone_loss_at_s is not None:
+            self.loop.call_later(case.zone_loss_at_s, self._lose_floor)
         await asyncio.gather(*asks)
-        for _ in range(case.words):
-            self.loop.call_later(rng.uniform(1.0, case.faulty_s), self._word, rng.randrange(1 << 30))
+        for _ in range(case.operator_commands):
+            self.loop.call_later(rng.uniform(1.0, case.fault_window_s), self._word, rng.randrange(1 << 30))
         plan = await self._settled(began)
         if plan is None:
             return
         if plan.state == "halted":
-            self.made.halted_why = plan.state_reason
-            self.made.back_tried += 1
+            self.made.halt_reason = plan.state_reason
+            self.made.rollbacks_tried += 1
             halted = plan.id
             await self._asks("an", lambda id: f.SteerPlan(id, halted, "back"), f.SteerAnswer)
             plan = await self._settled(self.at())
         elif plan.direction == "back":
-            self.made.back_tried += 1
-            self.made.halted_why = plan.state_reason
+            self.made.rollbacks_tried += 1
+            self.made.halt_reason = plan.state_reason
         if plan is None:
             return
         if plan.state != "over":
-            self.made.stuck += 1
-            self.made.broken.append(f"{self.at():.0f} ms: it is {plan.state} after all was healed: {plan.state_reason}")
+            self.made.stuck_plans += 1
+            self.made.violations.append(
+                f"{self.at():.0f} ms: it is {plan.state} after all was healed: {plan.state_reason}"
+            )
         want = VERSION if plan.direction == "to" else ""
         await asyncio.sleep(15.0)
         runs = {name: each.version for name, each in self.modelled.items()}
         wrong = [n for n in self._names() if runs.get(n) != want or self.modelled[n].down]
         if plan.state == "over" and plan.direction == "back":
-            self.made.back_complete += not wrong
+            self.made.rollbacks_completed += not wrong
         if plan.state == "over" and wrong:
-            self.made.stuck += 1
-            self.made.broken.append(f"{self.at():.0f} ms: {plan.outcome()}, but not {', '.join(wrong)}")
+            self.made.stuck_plans += 1
+            self.made.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not {', '.join(wrong)}")
         self._judge()
 
     def _judge(self) -> None:
@@ -431,15 +455,15 @@
         over = bounded(self._holdings, {OUT: float(self.most)})
         made.over_budget += len(over)
         back = [*fenced(self._acts), *never_back(self._shown)]
-        made.after_fence += len(back)
-        made.broken += [f"{clash.at:.0f} ms: {clash.text}" for clash in (*over, *back)]
+        made.stale_actions += len(back)
+        made.violations += [f"{clash.at:.0f} ms: {clash.text}" for clash in (*over, *back)]
 
     async def _until(self, done: Callable[[], bool], within: float, what: str) -> bool:
         ends = self.loop.time() + within
         while not done():
             if self.loop.time() > ends:
-                self.made.stuck += 1
-                self.made.broken.append(f"{self.at():.0f} ms: {within:g} s waited for {what}")
+                self.made.stuck_plans += 1
+                self.made.violations.append(f"{self.at():.0f} ms: {within:g} s waited for {what}")
                 return False
             await asyncio.sleep(0.1)
         return True
@@ -461,10 +485,10 @@
     async def _settled(self, began: float) -> Plan | None:
         """The plan once it is over, or halted after all is healed."""
         case = self.case
-        heals = began / 1000.0 + (case.faulty_s if case.faults or case.words else 0.0) + 35.0
-        if case.leader_gone is not None:
-            heals += case.leader_gone + GONE_FOR
-        if case.sleeper:
+        heals = began / 1000.0 + (case.fault_window_s if case.faults or case.operator_commands else 0.0) + 35.0
+        if case.leader_loss_at_s is not None:
+            heals += case.leader_loss_at_s + GONE_FOR
+        if case.suspends_agent:
             heals += ASLEEP + AND_CUT
         waves = 1 + self.case.limiters // max(1, self.most // 2)
         ends = heals + SETTLED_WITHIN + 70.0 * waves
@@ -474,11 +498,11 @@
             if plan is not None and (plan.state == "over" or (plan.state == "halted" and self.at() / 1000.0 > heals)):
                 return plan
             if self.at() / 1000.0 > ends:
-                self.made.stuck += 1
+                self.made.stuck_plans += 1
                 said = (
                     f"{plan.state} in wave {plan.current_wave() + 1}, {plan.state_reason}" if plan else "there is none"
                 )
-                self.made.broken.append(f"{self.at():.0f} ms: the plan is not over: {said}")
+                self.made.violations.append(f"{self.at():.0f} ms: the plan is not over: {said}")
                 return None
             await asyncio.sleep(0.25)
 
@@ -491,7 +515,7 @@
         if before_it is None or (before_it.state, before_it.direction) != (plan.state, plan.direction):
             self._turned_at = self.at()
         if self.made.plan is None or self.made.plan.term != plan.term:
-            self.made.took_over = max(0, plan.term - 1)
+            self.made.leader_changes = max(0, plan.term - 1)
         if self.made.plan != plan:
             before = self.made.plan.state_reason if self.made.plan else ""
             self.say(
@@ -500,10 +524,10 @@
             )
         if (
             plan.state_reason
-            and not self.made.halted_why
+            and not self.made.halt_reason
             and (plan.state == "halted" or "by itself" in plan.state_reason)
         ):
-            self.made.halted_why = plan.state_reason
+            self.made.halt_reason = plan.state_reason
         self.made.plan = plan
 
     async def _asks(self, who: str, make: Callable[[int], f.Message], answer: Any) -> Any:
@@ -622,8 +646,8 @@
     def _taken_over(self, before: Plan) -> None:
         plan = self._newest()
         if plan is not None and plan.state == "running" and plan.term == before.term:
-            self.made.stuck += 1
-            self.made.broken.append(f"{self.at():.0f} ms: nobody leads in place of {before.leader}")
+            self.made.stuck_plans += 1
+            self.made.violations.append(f"{self.at():.0f} ms: nobody leads in place of {before.leader}")
 
     def _comes_back(self, number: int) -> None:
         self._gone.discard(number)
@@ -648,18 +672,18 @@
                 self._doomed.add(limiter.pid)
                 self.signal(limiter, signal.SIGKILL)
 
-    def played(self) -> Played:
+    def played(self) -> ReleaseOutcome:
         """Plays it. What the code under test raised stands in `broken`."""
         result = self.play()
-        self.made.broken += [text for rule, _, text in result.broken]
+        self.made.violations += [text for rule, _, text in result.broken]
         if result.ended != "finished":
-            self.made.broken.append(f"{result.ended}: {result.why}")
+            self.made.violations.append(f"{result.ended}: {result.why}")
         return self.made
 
 
-def _with_back(terms: RolloutPolicy, auto_back: bool) -> RolloutPolicy:
-    return msgspec.structs.replace(terms, automatic_rollback=auto_back)
+def _with_back(terms: RolloutPolicy, automatic_rollback: bool) -> RolloutPolicy:
+    return msgspec.structs.replace(terms, automatic_rollback=automatic_rollback)
 
 
-def play(case: Case, seed: int, log: bool = False) -> Played:
+def play(case: ReleaseCase, seed: int, log: bool = False) -> ReleaseOutcome:
     return ReleaseWorld(case, seed, log).played()
--- a/elderlock/sim/models/counters.py
+++ b/elderlock/sim/models/counters.py
@@ -30,7 +30,7 @@
 
     machine: Any
 
-    def happened(self, event: api.Event) -> None: ...
+    def handle_event(self, event: api.Event) -> None: ...
 
 
 class CounterModel:
@@ -59,7 +59,7 @@
     def _unanswered(self, caller: Caller, token: int, state: list[bool]) -> None:
         if not state[0]:
             state[0] = True
-            caller.happened(api.CounterAnswered(token, Outcome.RESET, 0.0, ANSWER_WITHIN))
+            caller.handle_event(api.CounterAnswered(token, Outcome.RESET, 0.0, ANSWER_WITHIN))
 
     def _come(
         self, caller: Caller, token: int, name: str, amount: float, life: float, state: list[bool], generation: int
@@ -86,4 +86,4 @@
     def _answered(self, caller: Caller, token: int, outcome: Outcome, total: float, state: list[bool]) -> None:
         if not state[0]:
             state[0] = True
-            caller.happened(api.CounterAnswered(token, outcome, total, 0.0))
+            caller.handle_event(api.CounterAnswered(token, outcome, total, 0.0))
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -98,7 +98,7 @@
 
 class Node:
     """One limiter's process, or the next one under its name. Invariant: a request has one answer; events reach the
-    module one at a time, in the order in which they happened."""
+    module one at a time, in the order in which they occur."""
 
     def __init__(self, world: DecisionWorld, number: int, machine: Machine, seed: int) -> None:
         self.world, self.number, self.machine = world, number, machine
@@ -145,7 +145,7 @@
 
     # Events
 
-    def happened(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         if not self.alive:
             return
         if self.paused:
@@ -171,7 +171,7 @@
         self.paused = False
         held, self._held = self._held, []
         for event in held:
-            self.happened(event)
+            self.handle_event(event)
 
     def listed(self, kind: ListKind, entries: tuple[api.ServerEntry, ...]) -> None:
         if not self.alive:
@@ -182,7 +182,7 @@
             over = self.overlay.apply_to(EndpointList(self.version, kind is ListKind.COMPLETE, targets))
             entries = tuple(target.entry for target in over.servers)
         self.world.heard(self, kind, entries)
-        self.happened(api.ServerList(self.version, kind, entries))
+        self.handle_event(api.ServerList(self.version, kind, entries))
 
     def apply(self, records: list[Record]) -> None:
         """What its agent brings it."""
@@ -196,7 +196,7 @@
         if changes.servers:
             entries = tuple(target.entry for target in changes.servers)
             self.world.heard(self, ListKind.CHANGES, entries)
-            self.happened(api.ServerList(self.version, ListKind.CHANGES, entries))
+            self.handle_event(api.ServerList(self.version, ListKind.CHANGES, entries))
 
     def arrived(self, ask: Ask, tag: str, left: float) -> None:
         """A client's command has come; its patience ends in `left` ms."""
@@ -212,7 +212,7 @@
         world.bench.asked(
             world.at(), tag, self.name, world.at() + left, arrival.account, world.scenario.service[service].effect
         )
-        self.happened(
+        self.handle_event(
             api.RequestArrived(
                 name, service, plan, arrival.account, arrival.units, self.now() + wait, arrival.spread, arrival.first
             )
@@ -224,7 +224,7 @@
                 self.world.schedule.after(10.0, self._overdue, held)
                 return
             self._answer(held, "failed")
-            self.happened(api.ClientDisconnected(held.name))
+            self.handle_event(api.ClientDisconnected(held.name))
 
     def gone(self, held: Open) -> None:
         """Its client has gone away."""
@@ -232,7 +232,7 @@
             held.answered = True
             self.world.bench.excused(self.world.at(), held.tag, "its client went away")
             self._forget(held)
-            self.happened(api.ClientDisconnected(held.name))
+            self.handle_event(api.ClientDisconnected(held.name))
 
     # Actions
 
@@ -240,7 +240,7 @@
         for action in actions:
             match action:
                 case api.SetTimer(wait, token):
-                    self.world.schedule.after(wait, self.happened, api.TimerFired(token))
+                    self.world.schedule.after(wait, self.handle_event, api.TimerFired(token))
                 case api.SendAttempt(name, server, timeout):
                     self._send(self.requests.get(name), server, timeout)
                 case api.Reject(name, advice):
@@ -349,5 +349,5 @@
         if outcome is Outcome.OK and not held.answered:
             self._answer(held, "served")
         took = world.schedule.time - each.sent_at
-        self.happened(api.AttemptEnded(held.name, each.number, uid, outcome, took, held.answered))
+        self.handle_event(api.AttemptEnded(held.name, each.number, uid, outcome, took, held.answered))
         self._forget(held)
--- a/elderlock/sim/surroundings.py
+++ b/elderlock/sim/observed_server.py
@@ -7,16 +7,16 @@
 from elderlock.standins.boxes import Box, Sent
 
 
-class Reached(Protocol):
+class ExecutionObserver(Protocol):
     """Who hears that work has come to a box."""
 
-    def reached(self, box: str, request: str) -> None: ...
+    def record_execution(self, box: str, request: str) -> None: ...
 
 
-class ShellBox(Box):
+class ObservedServer(Box):
     """Tells the world what came."""
 
-    world: Reached
+    world: ExecutionObserver
 
     def took(self, sent: Sent, command: list[bytes]) -> None:
-        self.world.reached(self.uid, command[2].decode())
+        self.world.record_execution(self.uid, command[2].decode())
--- a/elderlock/sim/search.py
+++ b/elderlock/sim/search.py
@@ -51,21 +51,21 @@
 
 
 @dataclass
-class Found:
+class ShrunkFailure:
     """A failure, cut down. `before` and `after`: faults of the schedule that failed first, and of the shortest."""
 
     seed: Seed
     result: Result
-    before: int
-    after: int
-    asked: int
+    faults_before: int
+    faults_after: int
+    run_count: int
 
 
 @dataclass
 class Report:
     tried: int = 0
     features: set[str] = field(default_factory=set)
-    found: list[Found] = field(default_factory=list)
+    found: list[ShrunkFailure] = field(default_factory=list)
     failures: int = 0  # runs in which something was broken, the same way or not
     unjudged: int = 0  # runs that a model or a judge, not the code under test, ended
     wall_s: float = 0.0
@@ -127,10 +127,10 @@
         if rules in self._rules:
             return
         self._rules.add(rules)
-        report.found.append(cut_down(scenario, seed, self.floor, result, shrink_most))
+        report.found.append(shrink_failure(scenario, seed, self.floor, result, shrink_most))
 
 
-def cut_down(scenario: Scenario, seed: int, floor: Floor, result: Result, most: int = 200) -> Found:
+def shrink_failure(scenario: Scenario, seed: int, floor: Floor, result: Result, most: int = 200) -> ShrunkFailure:
     """The shortest schedule that still breaks one of the rules that this one broke."""
     rules = set(result.rules())
 
@@ -142,7 +142,7 @@
     short = msgspec.structs.replace(scenario, fault=faults)
     again = play(short, seed, floor)
     kept = Seed(scenario=short, seed=seed, floor=floor, broke=tuple(again.rules()))
-    return Found(kept, again, len(scenario.fault), len(faults), asked)
+    return ShrunkFailure(kept, again, len(scenario.fault), len(faults), asked)
 
 
 class Counting:
@@ -173,7 +173,7 @@
 
 
 @dataclass
-class Systematic:
+class SystematicReport:
     steps: int = 0  # that a run has
     tried: int = 0
     failed: int = 0  # steps that were reached and failed
@@ -193,12 +193,12 @@
     workers: int,
     each: int = 1 << 30,
     lasts: float = float("inf"),
-    told: Callable[[Systematic], None] = lambda so_far: None,
-) -> Systematic:
+    told: Callable[[SystematicReport], None] = lambda so_far: None,
+) -> SystematicReport:
     """Plays the scenario once for each step and way, on the shells' floor."""
     counting = Counting()
     play(scenario, seed, "shells", io=counting)
-    so_far = Systematic(steps=counting.counts.total())
+    so_far = SystematicReport(steps=counting.counts.total())
     raw, began = msgspec.msgpack.encode(scenario), time.monotonic()
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         left = steps(counting.counts, each)
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -11,7 +11,7 @@
 from elderlock.fleet.client.drain_commands import Order, carry_out
 from elderlock.fleet.client.group_client import Group
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
-from elderlock.sim.stage_faults import StageFaults
+from elderlock.sim.standin_faults import StandinFaults
 from elderlock.sim.virtual.loop import EPOCH
 from elderlock.sim.virtual.network import Stream
 from elderlock.sim.virtual.processes import start
@@ -22,7 +22,7 @@
 COMMAND_WITHIN = 15.0  # s that an operator's command may take
 
 
-class ShellFaults(StageFaults):
+class ShellFaults(StandinFaults):
     """Each begins at its time, whatever became of the one before."""
 
     world: ShellWorld
@@ -36,12 +36,12 @@
         self.world.ways.separate(pairs)
         return lambda: self.world.ways.join(pairs)
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply(self, fault: Fault) -> None:
         match fault.kind():
             case "box":
                 uids = list(self.world.listing.boxes)
                 for number in fault.numbers(len(uids)):
-                    await self.box_fault(fault, self.world.listing.boxes.get(uids[number]))
+                    await self.server_fault(fault, self.world.listing.boxes.get(uids[number]))
             case "limiter":
                 for number in fault.numbers(self.world.scenario.limiters):
                     await self._limiter_fault(fault, number)
@@ -71,7 +71,7 @@
                 self.world.signal(process, signal.SIGKILL)
         restart = Fault(0.0, "restart", "box:0")
         for uid in boxes:
-            await self.box_fault(restart, self.world.listing.boxes.get(uid))
+            await self.server_fault(restart, self.world.listing.boxes.get(uid))
 
     def _machine_of(self, end: str) -> str:
         """The machine at that end of a way; all that runs on it shares what befalls the way."""
@@ -97,16 +97,16 @@
         match fault.what:
             case "cut":
                 ways.separate([pair])
-                self._for(fault, lambda: ways.join([pair]))
+                self._end_after(fault, lambda: ways.join([pair]))
             case "late":
                 ways.slower[pair] = by
-                self._for(fault, lambda: ways.slower.pop(pair, None))
+                self._end_after(fault, lambda: ways.slower.pop(pair, None))
             case "loss":
                 ways.lossy[pair] = by
-                self._for(fault, lambda: ways.lossy.pop(pair, None))
+                self._end_after(fault, lambda: ways.lossy.pop(pair, None))
             case "reset":
                 if "clients" in fault.ends():
-                    self.world.broke_streams = True
+                    self.world.has_broken_connections = True
                 for process in list(self.world.processes.values()):
                     for held in list(process.holds) if process.alive else ():
                         if isinstance(held, Stream) and {held.machine.name, held.peer.machine.name} == {source, target}:
@@ -176,7 +176,7 @@
     def _cut(self, fault: Fault, name: str, others: list[str]) -> None:
         pairs = cut_pairs(fault, name, others)
         self.world.ways.separate(pairs)
-        self._for(fault, lambda: self.world.ways.join(pairs))
+        self._end_after(fault, lambda: self.world.ways.join(pairs))
 
     async def _agent_fault(self, fault: Fault, number: int) -> None:
         process = self.world.agent_processes[number]
@@ -196,7 +196,7 @@
                 self._cut(fault, machine.name, self.world.scenario.floor_names())
             case "disk-full" | "disk-error":
                 machine.disk_fails = fault.what
-                self._for(fault, lambda: setattr(machine, "disk_fails", ""))
+                self._end_after(fault, lambda: setattr(machine, "disk_fails", ""))
 
     async def _floor_fault(self, fault: Fault, floor: str) -> None:
         match fault.what:
@@ -204,27 +204,27 @@
                 self._cut(fault, floor, self.world.scenario.floor_names())
             case "loss":
                 was, self.world.ways.loss = self.world.ways.loss, by_of(fault)
-                self._for(fault, lambda: setattr(self.world.ways, "loss", was))
+                self._end_after(fault, lambda: setattr(self.world.ways, "loss", was))
             case "late":
                 self.world.ways.slow[floor] = self.world.ways.slow.get(floor, 0.0) + by_of(fault)
-                self._for(fault, lambda: self.world.ways.slow.pop(floor, None))
+                self._end_after(fault, lambda: self.world.ways.slow.pop(floor, None))
             case "power":
                 machines = [machine.name for machine in self.world.machines if machine.floor == floor]
                 boxes = [uid for uid, box in self.world.listing.boxes.items() if box.floor == floor]
                 await self._power(machines, boxes)
             case "restart" | "silent":
                 for box in [box for box in self.world.listing.boxes.values() if box.floor == floor]:
-                    await self.box_fault(fault, box)
+                    await self.server_fault(fault, box)
 
     async def _peers_fault(self, fault: Fault) -> None:
         ways = self.world.ways
         if fault.what == "late":
             for machine in self.world.machines:
                 ways.slow[machine.name] = by_of(fault)
-            self._for(fault, lambda: [ways.slow.pop(machine.name, None) for machine in self.world.machines])
+            self._end_after(fault, lambda: [ways.slow.pop(machine.name, None) for machine in self.world.machines])
             return
         was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
-        self._for(fault, lambda: setattr(ways, "datagram_loss", was))
+        self._end_after(fault, lambda: setattr(ways, "datagram_loss", was))
 
 
 def _settle(done: asyncio.Future[None]) -> None:
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -35,9 +35,9 @@
 from elderlock.sim.facts import budget_of, most_out, operators_of, settings_of, talks
 from elderlock.sim.figures import Account, Result
 from elderlock.sim.models.ways import Ways
+from elderlock.sim.observed_server import ObservedServer
 from elderlock.sim.scenario import Fault, Scenario, floor_name
 from elderlock.sim.shell_faults import ShellFaults
-from elderlock.sim.surroundings import ShellBox
 from elderlock.sim.taps import ClientTap, SendTap
 from elderlock.sim.trace import Trace
 from elderlock.sim.traffic import arrivals
@@ -121,7 +121,7 @@
         self.gateways: dict[str, Gateway] = {}
         self.agents: dict[str, agents.Agent] = {}
         self.features: set[str] = set()
-        self.broke_streams = io is not None
+        self.has_broken_connections = io is not None
         self._told: dict[str, str] = {}
         self._next_pid = 1000
         self._limiter_at: dict[Any, int] = {}  # where clients find each
@@ -143,7 +143,7 @@
     def since(self, unix: float) -> float:
         return unix - EPOCH * 1000.0
 
-    def began_fault(self, number: int, fault: Fault) -> None:
+    def record_fault(self, number: int, fault: Fault) -> None:
         self.trace.event(self.at(), "fault", f"{number} {fault.target} {fault.what}")
 
     # A run
@@ -283,11 +283,11 @@
             for number in range(s.limiters):
                 self._start_limiter(number)
 
-    async def _add_box(self, kind: Kind, floor: int, started: float = 0.0) -> ShellBox:
+    async def _add_box(self, kind: Kind, floor: int, started: float = 0.0) -> ObservedServer:
         uid = f"s-{self._uid:02d}"
         machine = self._machine(uid, self._uid, 2, floor_name(floor))
         self._uid += 1
-        box = ShellBox(uid, kind, machine.floor, self.rng.randrange(1 << 30), started)
+        box = ObservedServer(uid, kind, machine.floor, self.rng.randrange(1 << 30), started)
         box.world, box.host = self, machine.host
         await box.open(self.scenario.limiters)
         self.listing.boxes[uid] = box
@@ -320,7 +320,7 @@
     def incarnation(self, limiter: int) -> Process | None:
         return self.limiters[limiter]
 
-    def lives(self, incarnation: Process | None) -> bool:
+    def is_alive(self, incarnation: Process | None) -> bool:
         return incarnation is not None and incarnation.alive
 
     def _start_limiter(self, number: int) -> None:
@@ -435,7 +435,7 @@
         if what == "datagram" and self.account.counts(self.at() - self.zero):
             self.account.questions += 1
 
-    def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
+    def record_attempt(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
         at = self.at()
         self.bench.sent(at, limiter, box, request)
         values = dict(pair.split(b"=", 1) for pair in terms.split(b","))
@@ -452,7 +452,7 @@
                 if plan.name == plan_name and plan.ceiling_rate > 0:
                     self.ceilings.ceiling(account, plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_slack)
 
-    def reached(self, box: str, request: str) -> None:
+    def record_execution(self, box: str, request: str) -> None:
         self.bench.ran(self.at(), box, request)
 
     def _finished(self, request: Request, outcome: str, took: float) -> None:
--- a/elderlock/sim/stage_faults.py
+++ b/elderlock/sim/standin_faults.py
@@ -20,7 +20,7 @@
     started: Any
 
 
-class Stage(Protocol):
+class StandinWorld(Protocol):
     """A world with stand-ins, simulated or of real processes."""
 
     loop: asyncio.AbstractEventLoop
@@ -35,26 +35,26 @@
     def since(self, unix: float) -> float:
         """ms of the run, of a time in Unix ms."""
 
-    def began_fault(self, number: int, fault: Fault) -> None: ...
+    def record_fault(self, number: int, fault: Fault) -> None: ...
 
 
-class StageFaults:
+class StandinFaults:
     """Each begins at its time, whatever became of the one before."""
 
-    def __init__(self, world: Stage) -> None:
+    def __init__(self, world: StandinWorld) -> None:
         self.world: Any = world
-        self._kept: dict[asyncio.Task[None], None] = {}  # a task that nothing holds may be collected
+        self._tasks: dict[asyncio.Task[None], None] = {}  # a task that nothing holds may be collected
 
     def begin(self, number: int, fault: Fault) -> None:
-        self.world.began_fault(number, fault)
-        self._keep(self._fault(fault))
+        self.world.record_fault(number, fault)
+        self._keep(self._apply(fault))
 
     def _keep(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.world.loop.create_task(work)
-        self._kept[task] = None
-        task.add_done_callback(self._kept.pop)
+        self._tasks[task] = None
+        task.add_done_callback(self._tasks.pop)
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply(self, fault: Fault) -> None:
         raise NotImplementedError
 
     def silence(self, uid: str) -> Callable[[], object]:
@@ -65,27 +65,27 @@
         """An operator's."""
         raise NotImplementedError
 
-    def _for(self, fault: Fault, end: Callable[[], Any]) -> None:
+    def _end_after(self, fault: Fault, end: Callable[[], Any]) -> None:
         if fault.for_s > 0:
             self.world.loop.call_later(fault.for_s, end)
 
-    async def box_fault(self, fault: Fault, box: Box | None) -> None:
+    async def server_fault(self, fault: Fault, box: Box | None) -> None:
         if box is None:
             return
         model, by = box.model, by_of(fault)
         match fault.what:
             case "slow":
                 model.slow = by
-                self._for(fault, lambda: setattr(model, "slow", 1.0))
+                self._end_after(fault, lambda: setattr(model, "slow", 1.0))
             case "errs":
                 model.errs = by
-                self._for(fault, lambda: setattr(model, "errs", 0.0))
+                self._end_after(fault, lambda: setattr(model, "errs", 0.0))
             case "lies":
                 model.lies = True
             case "pause":
                 model.pause(by)
             case "silent":
-                self._for(fault, self.silence(box.uid))
+                self._end_after(fault, self.silence(box.uid))
             case "refusing":
                 await box.fail(Breaks.REFUSING)
                 if fault.for_s > 0:
@@ -98,7 +98,7 @@
             case "drain":
                 box.state = "draining"
                 self.world.listing.changed(box)
-                self._for(fault, lambda: self._undrain(box))
+                self._end_after(fault, lambda: self._undrain(box))
             case "remove":
                 self.world.listing.boxes.pop(box.uid, None)
                 box.state = "removed"
@@ -118,13 +118,13 @@
         match fault.what:
             case "silent":
                 await counter.fail(Breaks.SILENT)
-                self._for(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
             case "refusing":
                 await counter.fail(Breaks.REFUSING)
-                self._for(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
             case "late":
                 await counter.fail(Breaks.SLOW, delay=by_of(fault) / 1000.0)
-                self._for(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
             case "empty":
                 counter.lose()
                 counter.reset()
@@ -133,20 +133,20 @@
                 self.world.loop.call_later(fault.for_s or 5.0, counter.restore, snapshot)
             case "busy":
                 counter.busy = True
-                self._for(fault, lambda: setattr(counter, "busy", False))
+                self._end_after(fault, lambda: setattr(counter, "busy", False))
 
     async def discovery_fault(self, fault: Fault) -> None:
         listing, discovery = self.world.listing, self.world.listing.discovery
         match fault.what:
             case "silent" | "refusing":
                 await discovery.fail(Breaks.SILENT if fault.what == "silent" else Breaks.REFUSING)
-                self._for(fault, lambda: self._keep(self._discovery_back()))
+                self._end_after(fault, lambda: self._keep(self._discovery_back()))
             case "stale":
                 listing.stale = listing.rows(0)
-                self._for(fault, self._fresh)
+                self._end_after(fault, self._fresh)
             case "late":
                 listing.late = by_of(fault) / 1000.0
-                self._for(fault, lambda: setattr(listing, "late", 0.0))
+                self._end_after(fault, lambda: setattr(listing, "late", 0.0))
             case "flap":
                 ends = self.world.loop.time() + (fault.for_s or 2.0)
                 boxes = list(listing.boxes.values())
@@ -162,7 +162,7 @@
                     box = listing.boxes.pop(uid)
                     listing.dead[uid] = box
                     await box.close()
-                self._for(fault, self._bury)
+                self._end_after(fault, self._bury)
 
     async def _discovery_back(self) -> None:
         await self.world.listing.discovery.fail(Breaks.NONE)
@@ -182,7 +182,7 @@
         if fault.what == "hoard":
             clients = self.world.clients
             clients.hoard = by_of(fault)
-            self._for(fault, lambda: setattr(clients, "hoard", 0.0))
+            self._end_after(fault, lambda: setattr(clients, "hoard", 0.0))
         elif fault.what == "rush":
             await self.world.clients.rush(by_of(fault), lasts)
         else:
--- a/elderlock/sim/sweep.py
+++ b/elderlock/sim/sweep.py
@@ -31,7 +31,7 @@
     """The sweep cannot go on; what was recorded is kept."""
 
 
-class Records:
+class ResultStore:
     """Results by cell, each in a transaction of its own. `factory` makes the connection, for tests to fail writes."""
 
     def __init__(self, path: Path, factory: type[sqlite3.Connection] = sqlite3.Connection) -> None:
@@ -48,7 +48,7 @@
         except sqlite3.Error as error:
             raise SweepError(f"{path}: {error}") from None
 
-    def done(self, experiment: Experiment) -> dict[Cell, Result]:
+    def load_results(self, experiment: Experiment) -> dict[Cell, Result]:
         """Raises `SweepError` where a cell was recorded for another scenario or setting of that name."""
         found = {}
         for scenario, setting, seed, digest, raw in self._rows():
@@ -96,23 +96,23 @@
 class Sweep:
     """`told` hears of each cell as it is done. `work` runs one in a worker."""
 
-    def __init__(self, experiment: Experiment, records: Records, workers: int, work: Work = _run) -> None:
+    def __init__(self, experiment: Experiment, records: ResultStore, workers: int, work: Work = _run) -> None:
         self.experiment, self.records, self._workers, self._work = experiment, records, workers, work
         self._deaths: dict[Cell, int] = {}
         self.stopped = False
 
-    def missing(self) -> list[Cell]:
-        done = self.records.done(self.experiment)
+    def missing_cells(self) -> list[Cell]:
+        done = self.records.load_results(self.experiment)
         return [cell for cell in self.experiment.cells() if cell not in done]
 
     def run(self, told: Callable[[Cell, Result], None] = lambda cell, result: None) -> int:
         """Until all is done, or `stopped`. Returns how many cells are left. Raises `SweepError`; `KeyboardInterrupt`
         goes through, after what had ended was kept."""
-        left = self.missing()
+        left = self.missing_cells()
         while left and not self.stopped:
             with contextlib.suppress(BrokenProcessPool):
                 self._round(left, told)
-            left = self.missing()
+            left = self.missing_cells()
         return len(left)
 
     def _round(self, cells: Iterable[Cell], told: Callable[[Cell, Result], None]) -> None:
--- a/elderlock/sim/taps.py
+++ b/elderlock/sim/taps.py
@@ -19,13 +19,13 @@
     failure: Any
 
 
-class Scene(Protocol):
+class ObservedWorld(Protocol):
     """The world round the wire, simulated or of real processes."""
 
     @property
     def bench(self) -> Hears: ...
     @property
-    def broke_streams(self) -> bool:
+    def has_broken_connections(self) -> bool:
         """Connections break from outside, without their limiter's doing."""
 
     def at(self) -> float:
@@ -34,14 +34,14 @@
     def incarnation(self, limiter: int) -> Any:
         """Its process of this moment; None while it has none."""
 
-    def lives(self, incarnation: Any) -> bool: ...
-    def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None: ...
+    def is_alive(self, incarnation: Any) -> bool: ...
+    def record_attempt(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None: ...
 
 
 class ClientTap:
     """A client's end of a connection to a limiter: requests out, answers in, in their order."""
 
-    def __init__(self, world: Scene, limiter: int) -> None:
+    def __init__(self, world: ObservedWorld, limiter: int) -> None:
         self._world, self._limiter = world, limiter
         self.process = world.incarnation(limiter)
         self._out = hiredis.Reader(notEnoughData=MISSING)
@@ -75,7 +75,7 @@
     def closed(self, by_us: bool) -> None:
         if by_us:
             why = "its client went away"
-        elif not self._world.lives(self.process) or self._world.broke_streams:
+        elif not self._world.is_alive(self.process) or self._world.has_broken_connections:
             why = "its limiter was killed, or its connection broken from outside"
         else:
             return  # a request that crossed the end of its connection is sent once more, by the client
@@ -95,7 +95,7 @@
 class SendTap:
     """A limiter's end of a connection to a box: what it lets go, as it writes it."""
 
-    def __init__(self, world: Scene, limiter: str, box: str) -> None:
+    def __init__(self, world: ObservedWorld, limiter: str, box: str) -> None:
         self._world, self._limiter, self._box = world, limiter, box
         self._out = hiredis.Reader(notEnoughData=MISSING)
 
@@ -103,7 +103,9 @@
         self._out.feed(data)
         while (command := self._out.gets()) is not MISSING:
             if command[0] == b"API.READ":
-                self._world.let_go(self._limiter, self._box, command[2].decode(), command[1].decode(), command[3])
+                self._world.record_attempt(
+                    self._limiter, self._box, command[2].decode(), command[1].decode(), command[3]
+                )
 
     def read(self, data: bytes) -> None:
         pass
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -12,7 +12,7 @@
 from elderlock.sim.agreed import Agreed
 from elderlock.sim.facts import most_out
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
-from elderlock.sim.stage_faults import StageFaults
+from elderlock.sim.standin_faults import StandinFaults
 from elderlock.standins.world import OPERATORS
 from elderlock.trial.ground import Ground
 from elderlock.trial.processes import Child, python
@@ -24,7 +24,7 @@
 STEPS = {"kill-write": Step.WRITTEN, "kill-sync": Step.SYNCED, "kill-rename": Step.RENAMED}
 
 
-class TrialFaults(StageFaults):
+class TrialFaults(StandinFaults):
     """Each begins at its time, whatever became of the one before."""
 
     world: Ground
@@ -37,16 +37,16 @@
 
     async def settled(self) -> None:
         """Until all that was begun is done."""
-        while self._kept:
-            await asyncio.wait(list(self._kept))
+        while self._tasks:
+            await asyncio.wait(list(self._tasks))
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply(self, fault: Fault) -> None:
         world, s = self.world, self.world.scenario
         match fault.kind():
             case "box":
                 uids = list(world.listing.boxes)
                 for number in fault.numbers(len(uids)):
-                    await self.box_fault(fault, world.listing.boxes.get(uids[number]))
+                    await self.server_fault(fault, world.listing.boxes.get(uids[number]))
             case "limiter":
                 for number in fault.numbers(s.limiters):
                     await self._limiter_fault(fault, number)
@@ -75,7 +75,7 @@
 
     def _befall(self, fault: Fault, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
         self.world.relays.befall(kind, pairs, by)
-        self._for(fault, lambda: self._mended(kind, pairs, by))
+        self._end_after(fault, lambda: self._mended(kind, pairs, by))
 
     def _mended(self, kind: str, pairs: list[tuple[str, str]], by: float) -> None:
         self.world.note("mended", kind, *(f"{source}>{target}" for source, target in pairs))
@@ -127,7 +127,7 @@
                 self._befall(fault, "late", pairs, by_of(fault))
             case "restart" | "silent":
                 for uid in boxes:
-                    await self.box_fault(fault, world.listing.boxes.get(uid))
+                    await self.server_fault(fault, world.listing.boxes.get(uid))
             case "power":
                 limiters = [n for n in range(s.limiters) if floor in world.limiter_places[n].names]
                 agents = [a for a in range(s.agents) if floor in world.agent_places[a].names]
@@ -202,7 +202,7 @@
                 agent.lied = agent.lied or what == "disk-lies"
                 agent.block.slow_ms = by_of(fault)
                 agent.block.disk = DISKS[what]
-                self._for(fault, lambda: setattr(agent.block, "disk", Disk.GOOD))
+                self._end_after(fault, lambda: setattr(agent.block, "disk", Disk.GOOD))
 
     # Operators
 
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -27,8 +27,8 @@
 from elderlock.sim.clients import Clients
 from elderlock.sim.facts import budget_of, operators_of, settings_of, talks
 from elderlock.sim.figures import Account
+from elderlock.sim.observed_server import ObservedServer
 from elderlock.sim.scenario import Fault, Scenario, floor_name
-from elderlock.sim.surroundings import ShellBox
 from elderlock.sim.traffic import arrivals
 from elderlock.standins.boxes import Kind
 from elderlock.standins.discovery import Registry
@@ -57,7 +57,7 @@
     """The run could not begin or go on; the text says who waited for what."""
 
 
-class TrialBox(ShellBox):
+class TrialBox(ObservedServer):
     """Discovery lists it at its relays, one for each limiter."""
 
     ways_in: dict[int, Relay]
@@ -134,7 +134,7 @@
         self.account = Account(s.warm_s * 1000.0, s.service[0].aim_ms)
         self.members: list[Limiter] = []
         self.agent_processes: list[AgentProcess] = []
-        self.broke_streams = False
+        self.has_broken_connections = False
         self.clients: Clients | None = None
         self.zero = 0.0  # ms of the run at which the schedule began
         self.failed: list[str] = []  # of the ground itself: a stand-in or a relay that raised
@@ -516,19 +516,19 @@
     def note(self, what: str, *args: Any) -> None:
         self.bench.note(self.at(), what, *args)
 
-    def began_fault(self, number: int, fault: Fault) -> None:
+    def record_fault(self, number: int, fault: Fault) -> None:
         self.note("fault", number, fault.target, fault.what, fault.for_s, fault.by)
 
     def incarnation(self, limiter: int) -> Life | None:
         return self.members[limiter].life
 
-    def lives(self, incarnation: Life | None) -> bool:
+    def is_alive(self, incarnation: Life | None) -> bool:
         return incarnation is not None and not incarnation.doomed and incarnation.process.alive
 
     def _later(self, do: Callable[[], None]) -> None:
         self.loop.call_later(CLOSED_LATER, do)
 
-    def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
+    def record_attempt(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
         at = self.at()
         self.bench.sent(at, limiter, box, request)
         values = dict(pair.split(b"=", 1) for pair in terms.split(b","))
@@ -543,7 +543,7 @@
         plan = next(plan for plan in self.scenario.plan if plan.name == self._known_plans[account])
         self.account.let_go(at - self.zero, account, units, plan.rate, plan.burst)
 
-    def reached(self, box: str, request: str) -> None:
+    def record_execution(self, box: str, request: str) -> None:
         self.bench.ran(self.at(), box, request)
 
     def _heard(self, limiter: int, raw: Mapping[str, Any]) -> None:
--- a/elderlock/trial/simulated.py
+++ b/elderlock/trial/simulated.py
@@ -28,8 +28,8 @@
 
         return keep
 
-    def began_fault(self, number: int, fault: Any) -> None:
-        super().began_fault(number, fault)
+    def record_fault(self, number: int, fault: Any) -> None:
+        super().record_fault(number, fault)
         self.events.append(Event(self.at(), "fault", (number, fault.target, fault.what, fault.for_s, fault.by)))
 
 
--- a/elderlock/trial/taps.py
+++ b/elderlock/trial/taps.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from elderlock.sim.taps import ClientTap, Scene, SendTap
+from elderlock.sim.taps import ClientTap, ObservedWorld, SendTap
 
 LONGEST_LIST = 64 << 20  # bytes
 BEGINS = b'{"rev"'
@@ -33,7 +33,7 @@
 class ClientEyes(_Eyes):
     """A request counts as taken once its last byte has left for the limiter, as answered when the answer's came."""
 
-    def __init__(self, scene: Scene, limiter: int, later: Callable[[Callable[[], None]], None]) -> None:
+    def __init__(self, scene: ObservedWorld, limiter: int, later: Callable[[Callable[[], None]], None]) -> None:
         self._tap, self._later = ClientTap(scene, limiter), later
 
     def delivered(self, data: bytes) -> None:
@@ -52,7 +52,7 @@
 class SendEyes(_Eyes):
     """Work counts as let go when the limiter has written it."""
 
-    def __init__(self, scene: Scene, limiter: str, box: str) -> None:
+    def __init__(self, scene: ObservedWorld, limiter: str, box: str) -> None:
         self._tap = SendTap(scene, limiter, box)
 
     def sent(self, data: bytes) -> None:
--- a/tests/compatibility/test_printed_json.py
+++ b/tests/compatibility/test_printed_json.py
@@ -28,7 +28,7 @@
 from elderlock.fleet.client.observation import GroupObservation
 from elderlock.fleet.client.report import CommandReport, Exit
 from elderlock.sim.experiment import read_experiment
-from elderlock.sim.sweep import Records as SweepResults
+from elderlock.sim.sweep import ResultStore as SweepResults
 
 DATA = Path(__file__).parent / "data"
 MESSAGES: dict[str, dict[str, str]] = json.loads((DATA / "encoded_messages.json").read_text(encoding="utf-8"))
--- a/tests/compatibility/test_stored_data.py
+++ b/tests/compatibility/test_stored_data.py
@@ -180,7 +180,7 @@
 
     If a field were encoded under another name, the digests would differ and the sweep would refuse its own results."""
     experiment = read_experiment(DATA / "experiment.toml")
-    done = sweep.Records(database("sweep_results.sql", tmp_path)).done(experiment)
+    done = sweep.ResultStore(database("sweep_results.sql", tmp_path)).load_results(experiment)
     assert list(done) == [Cell("kept", "a", 3), Cell("kept", "b", 3)]
     assert done[Cell("kept", "b", 3)] == Result(
         "kept", "decisions", 3,
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -200,7 +200,7 @@
                 assert any("yet" in line or "does not" in line or "few" in line for line in said.lines), said.lines
                 await asyncio.sleep(0.1)
             for uid in BOXES[4:]:
-                await faults.box_fault(Fault(0.0, what, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
+                await faults.server_fault(Fault(0.0, what, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
 
             def waits(known: operate.PlanAnswers) -> bool:
                 return any(
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -16,47 +16,49 @@
 from elderlock.fleet.plans.coordinator import PlanCoordinator
 from elderlock.rollout import permit_ledger
 from elderlock.rollout.plan_executor import LimiterPlanExecutor
-from elderlock.sim import rollouts
-from elderlock.sim.rollouts import BUILDS, Case, Played, play
+from elderlock.sim import limiter_releases
+from elderlock.sim.limiter_releases import BUILDS, ReleaseCase, ReleaseOutcome, play
 
-SMALL = Case(agents=3, limiters=6)
+SMALL = ReleaseCase(agents=3, limiters=6)
 
 
 @pytest.mark.parametrize("build", [name for name, build in BUILDS.items() if not build.good])
 def test_a_bad_version_is_halted_in_the_first_wave_and_rolled_back(build: str) -> None:
     played = play(replace(SMALL, build=build), 1)
-    assert played.good(), played.broken
-    assert played.ran <= played.first_wave and played.back_complete == played.back_tried == 1
+    assert played.good(), played.violations
+    assert played.upgraded <= played.first_wave and played.rollbacks_completed == played.rollbacks_tried == 1
 
 
 def test_a_good_version_goes_out_during_a_load_spike() -> None:
-    played = play(replace(SMALL, rush=40.0), 2)
+    played = play(replace(SMALL, load_spike_at_s=40.0), 2)
     assert played.good() and played.plan is not None and played.plan.outcome() == "done", (
-        played.broken,
-        played.halted_why,
+        played.violations,
+        played.halt_reason,
     )
 
 
 @pytest.mark.parametrize("seed", [3, 5])
 def test_faults_of_agents_disks_and_links_and_two_operators_break_no_invariant(seed: int) -> None:
-    played = play(replace(SMALL, faults=12, words=seed - 3, two_operators=True, auto_back=False), seed)
-    assert played.good(), played.broken
+    played = play(
+        replace(SMALL, faults=12, operator_commands=seed - 3, two_operators=True, automatic_rollback=False), seed
+    )
+    assert played.good(), played.violations
 
 
 def test_a_lost_leader_is_replaced_and_a_lost_zone_breaks_no_invariant() -> None:
-    gone = play(replace(SMALL, agents=5, limiters=5, leader_gone=20.0), 1)
-    assert gone.good() and gone.took_over >= 1, gone.broken
-    lost = play(replace(SMALL, lone_floor_at=12.0, auto_back=False), 2)
-    assert lost.good(), lost.broken
+    gone = play(replace(SMALL, agents=5, limiters=5, leader_loss_at_s=20.0), 1)
+    assert gone.good() and gone.leader_changes >= 1, gone.violations
+    lost = play(replace(SMALL, zone_loss_at_s=12.0, automatic_rollback=False), 2)
+    assert lost.good(), lost.violations
 
 
 def test_an_agent_suspended_during_a_roll_back_releases_nothing_when_it_resumes() -> None:
-    played = play(replace(SMALL, sleeper=True), 1)
-    assert played.good() and not played.ran, played.broken
+    played = play(replace(SMALL, suspends_agent=True), 1)
+    assert played.good() and not played.upgraded, played.violations
 
 
 def test_a_halt_is_in_force_at_all_agents_within_a_second() -> None:
-    heard = [ms for seed in range(3) for ms in play(replace(SMALL, words=3), seed).halt_ms]
+    heard = [ms for seed in range(3) for ms in play(replace(SMALL, operator_commands=3), seed).halt_ms]
     assert heard and max(heard) <= 1000.0
 
 
@@ -66,7 +68,7 @@
 
 def _one_vote_is_a_quorum(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(ConsensusMember, "quorum", property(lambda self: 1))
-    patch.setattr(rollouts, "SETTLED_WITHIN", -400.0)  # the consequences of two ledgers are not waited for
+    patch.setattr(limiter_releases, "SETTLED_WITHIN", -400.0)  # the consequences of two ledgers are not waited for
 
 
 def _stops_without_drain(patch: pytest.MonkeyPatch) -> None:
@@ -82,27 +84,27 @@
     patch.setattr(LimiterPlanExecutor, "next_action", next_action)
 
 
-MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Case, Callable[[Played], int]]] = {
+MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], ReleaseCase, Callable[[ReleaseOutcome], int]]] = {
     "permits exceed the budget": (
         lambda patch: patch.setattr(permit_ledger, "refusal_reasons", lambda *given: []),
-        replace(SMALL, one_wave=True),
+        replace(SMALL, single_wave=True),
         lambda played: played.over_budget,
     ),
     "one vote is a majority": (
         _one_vote_is_a_quorum,
         replace(SMALL, agents=5, limiters=10, two_operators=True),
-        lambda played: played.doubled,
+        lambda played: played.conflicting_ledgers,
     ),
     "nothing is confirmed by a majority": (
         lambda patch: patch.setattr(PlanCoordinator, "_confirmed", _always),
-        replace(SMALL, sleeper=True),
-        lambda played: played.after_fence,
+        replace(SMALL, suspends_agent=True),
+        lambda played: played.stale_actions,
     ),
-    "a limiter is stopped without a drain": (_stops_without_drain, SMALL, lambda played: played.after_fence),
+    "a limiter is stopped without a drain": (_stops_without_drain, SMALL, lambda played: played.stale_actions),
     "no agent takes over the lead": (
         lambda patch: patch.setattr(coordinator, "TAKE_OVER_AFTER", 1e9),
-        replace(SMALL, agents=5, limiters=5, leader_gone=20.0),
-        lambda played: played.stuck,
+        replace(SMALL, agents=5, limiters=5, leader_loss_at_s=20.0),
+        lambda played: played.stuck_plans,
     ),
 }
 
--- a/tests/rollout/test_renewals.py
+++ b/tests/rollout/test_renewals.py
@@ -11,31 +11,34 @@
 from elderlock.fleet.plans.coordinator import PlanCoordinator
 from elderlock.rollout import plan_transitions
 from elderlock.rollout.agent_launcher import AgentLauncher
-from elderlock.sim import renewals
-from elderlock.sim.renewals import BUILDS, Renewals, play
-from elderlock.sim.rollouts import Played
+from elderlock.sim import agent_releases
+from elderlock.sim.agent_releases import BUILDS, AgentReleaseCase, play
+from elderlock.sim.limiter_releases import ReleaseOutcome
 
-SMALL = Renewals(agents=3, limiters=3)
+SMALL = AgentReleaseCase(agents=3, limiters=3)
 
 
 @pytest.mark.parametrize("build", [build for build in BUILDS if build != "good"])
 def test_a_bad_version_of_agents_runs_at_the_first_agent_alone_and_is_rolled_back(build: str) -> None:
     played = play(replace(SMALL, build=build), 1)
-    assert played.good() and played.ran == {"agent-0"} and played.back_complete == 1, (played.broken, played.ran)
+    assert played.good() and played.upgraded == {"agent-0"} and played.rollbacks_completed == 1, (
+        played.violations,
+        played.upgraded,
+    )
 
 
 def test_a_good_version_goes_out_to_all_agents() -> None:
-    played = play(Renewals(), 1)
+    played = play(AgentReleaseCase(), 1)
     assert (
-        played.good() and len(played.ran) == 5 and played.plan is not None and played.plan.outcome() == "done"
-    ), played.broken
+        played.good() and len(played.upgraded) == 5 and played.plan is not None and played.plan.outcome() == "done"
+    ), played.violations
 
 
 @pytest.mark.parametrize("seed", range(1, 5))
 @pytest.mark.parametrize("build", ["good", "crashes in its trial"])
 def test_faults_of_agents_launchers_disks_and_links_break_no_invariant(build: str, seed: int) -> None:
     played = play(replace(SMALL, faults=8, build=build), seed)
-    assert played.good(), played.broken
+    assert played.good(), played.violations
 
 
 @pytest.mark.parametrize(
@@ -47,8 +50,8 @@
     ],
 )
 def test_regressions_found_by_searching_fault_histories(agents: int, seed: int, faults: int, what: str) -> None:
-    played = play(Renewals(agents=agents, limiters=agents, faults=faults), seed)
-    assert played.good(), (what, played.broken)
+    played = play(AgentReleaseCase(agents=agents, limiters=agents, faults=faults), seed)
+    assert played.good(), (what, played.violations)
 
 
 def _never_falls_back(patch: pytest.MonkeyPatch) -> None:
@@ -63,14 +66,14 @@
         return decision
 
     patch.setattr(AgentLauncher, "on_exit", on_exit)
-    patch.setattr(renewals, "SETTLED_WITHIN", 60.0)
+    patch.setattr(agent_releases, "SETTLED_WITHIN", 60.0)
 
 
 async def _always(self: PlanCoordinator, plan: object, unit: object) -> bool:
     return True
 
 
-MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], Renewals, Callable[[Played], int]]] = {
+MUTANTS: dict[str, tuple[Callable[[pytest.MonkeyPatch], object], AgentReleaseCase, Callable[[ReleaseOutcome], int]]] = {
     "all voters are taken out at once": (
         lambda patch: patch.setattr(plan_transitions, "agent_removal_refusal", lambda *given: ""),
         replace(SMALL, agents=5, limiters=5),
@@ -79,12 +82,12 @@
     "a launcher never falls back": (
         _never_falls_back,
         replace(SMALL, build="crashes in its trial"),
-        lambda played: played.after_fence,
+        lambda played: played.stale_actions,
     ),
     "a launcher ignores requests": (
         lambda patch: patch.setattr(AgentLauncher, "state_after_switch", lambda self, request: None),
         SMALL,
-        lambda played: played.stuck,
+        lambda played: played.stuck_plans,
     ),
 }
 
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -125,9 +125,9 @@
     scenario = msgspec.structs.replace(BASE, fault=faults)
     result = search.play(scenario, 4, "decisions")
     assert j.Rest.name in result.rules(), result.text()
-    found = search.cut_down(scenario, 4, "decisions", result)
+    found = search.shrink_failure(scenario, 4, "decisions", result)
     assert [fault.what for fault in found.seed.scenario.fault] == ["restart"]
-    assert (found.before, found.after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
+    assert (found.faults_before, found.faults_after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
 
 
 def test_a_search_sees_new_states_and_counts_its_runs() -> None:
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -14,7 +14,7 @@
 
 from elderlock.net import client_listener
 from elderlock.sim import shells
-from elderlock.sim.experiment import scenario_of
+from elderlock.sim.experiment import load_scenario
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Fault, Scenario, Settings, of_load
 from elderlock.sim.trace import first_difference
@@ -158,7 +158,7 @@
 def test_clients_that_keep_their_connections_keep_no_other_client_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """The recorded incident r41e6ed, in our own rig: with its cause put back, nearly all are left without a
     connection."""
-    given = scenario_of("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
+    given = load_scenario("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
     mended = shells.play(given, 1)
     assert mended.good() and mended.figures.served_in_time > 0.98, mended.text()
     monkeypatch.setattr(client_listener, "IDLE_DESCRIPTOR_FRACTION", 1.0)
@@ -180,7 +180,7 @@
 from elderlock.load.scenario import Clients
 from elderlock.net import client_listener
 from elderlock.sim import shells
-from elderlock.sim.experiment import scenario_of
+from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import Scenario
 scenario = msgspec.json.decode(sys.stdin.read(), type=Scenario)
 lines = []
--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -18,10 +18,10 @@
 from elderlock.cli.main import main
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import compare
-from elderlock.sim.experiment import Cell, Experiment, experiment_of, read_experiment, ships
+from elderlock.sim.experiment import Cell, Experiment, experiment_of, read_experiment, shipped_scenarios
 from elderlock.sim.figures import Account, Figures, Result, jain
 from elderlock.sim.page import page
-from elderlock.sim.sweep import Records, Sweep, SweepError
+from elderlock.sim.sweep import ResultStore, Sweep, SweepError
 
 ROOT = Path(__file__).parent.parent.parent
 SHORT = ["lasts_s=1.0", "warm_s=0.2", "rest_s=0.5", "agents=0", "boxes=3", "stream.0.shape.0.rate=40"]
@@ -82,26 +82,26 @@
 
 def test_a_worker_that_is_killed_costs_no_recorded_run(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("MARK", str(tmp_path / "died"))
-    experiment, records = made(), Records(tmp_path / "r.db")
+    experiment, records = made(), ResultStore(tmp_path / "r.db")
     told: list[Cell] = []
     assert Sweep(experiment, records, 2, dies_at_two).run(lambda cell, result: told.append(cell)) == 0
     assert (tmp_path / "died").exists()
-    assert len(told) == len(set(told)) == len(records.done(experiment)) == 8
+    assert len(told) == len(set(told)) == len(records.load_results(experiment)) == 8
 
 
 def test_a_cell_that_kills_its_worker_each_time_ends_as_failed(tmp_path: Path) -> None:
-    experiment, records = made(seeds=2), Records(tmp_path / "r.db")
+    experiment, records = made(seeds=2), ResultStore(tmp_path / "r.db")
     assert Sweep(experiment, records, 1, always_dies_at_two).run() == 0
-    results = records.done(experiment)
+    results = records.load_results(experiment)
     assert {c.seed for c, r in results.items() if r.ended == "failed"} == {2}
     assert "worker died" in results[Cell("calm", "three", 2)].why
     assert all(r.good() for c, r in results.items() if c.seed == 1)
 
 
 def test_a_run_that_raises_is_recorded_as_failed(tmp_path: Path) -> None:
-    experiment, records = made(), Records(tmp_path / "r.db")
+    experiment, records = made(), ResultStore(tmp_path / "r.db")
     assert Sweep(experiment, records, 2, fails_at_two).run() == 0
-    failed = compare.failures(records.done(experiment))
+    failed = compare.failures(records.load_results(experiment))
     assert len(failed) == 2 and all("in the world" in line for line in failed)
 
 
@@ -109,9 +109,9 @@
     FullDisk.left = 2
     experiment, path = made(), tmp_path / "r.db"
     with pytest.raises(SweepError, match="disk is full"):
-        Sweep(experiment, Records(path, FullDisk), 2, answer).run()
-    again = Records(path)
-    before = again.done(experiment)
+        Sweep(experiment, ResultStore(path, FullDisk), 2, answer).run()
+    again = ResultStore(path)
+    before = again.load_results(experiment)
     assert len(before) == 2
     told: list[Cell] = []
     assert Sweep(experiment, again, 2, answer).run(lambda cell, result: told.append(cell)) == 0
@@ -119,12 +119,12 @@
 
 
 def test_a_record_of_another_content_is_refused(tmp_path: Path) -> None:
-    records = Records(tmp_path / "r.db")
+    records = ResultStore(tmp_path / "r.db")
     Sweep(made(), records, 1, answer).run()
     other = raw()
     other["setting"][1]["set"] = ["limiters=2"]
     with pytest.raises(SweepError, match="another content"):
-        records.done(experiment_of(other, "here.toml", Path(".")))
+        records.load_results(experiment_of(other, "here.toml", Path(".")))
 
 
 def test_ctrl_c_stops_a_sweep_that_the_same_call_ends(tmp_path: Path) -> None:
@@ -171,22 +171,24 @@
 def test_a_small_difference_is_seen_through_the_noise_that_seeds_share() -> None:
     experiment, found = results(shift=-0.02, noise=0.01)
     line = next(
-        line for line in compare.compared(experiment, found) if (line.setting, line.figure) == ("one", "served_in_time")
+        line
+        for line in compare.compare_settings(experiment, found)
+        if (line.setting, line.figure) == ("one", "served_in_time")
     )
-    assert line.seen() and line.low is not None and line.high is not None
+    assert line.is_significant() and line.low is not None and line.high is not None
     assert line.low < -0.02 < line.high < 0 and line.pairs == 12
 
 
 def test_no_difference_is_said_to_be_none() -> None:
     experiment, found = results(shift=0.0, noise=0.05)
-    lines = compare.compared(experiment, found)
+    lines = compare.compare_settings(experiment, found)
     assert {line.verdict("three") for line in lines if line.setting == "one"} == {"no difference seen"}
     assert "no difference seen" in compare.summary(experiment, lines)
 
 
 def test_few_pairs_say_nothing() -> None:
     experiment, found = results(shift=0.5, noise=0.0, seeds=4)
-    lines = compare.compared(experiment, found)
+    lines = compare.compare_settings(experiment, found)
     assert all(line.verdict("three") == "too few pairs (4) to say" for line in lines if line.setting == "one")
 
 
@@ -194,7 +196,7 @@
     experiment, found = results(shift=0.0, noise=0.01)
     cell = Cell("calm", "one", 3)
     found[cell] = Result("calm", "decisions", 3, Figures(), ended="livelock", why="time stands")
-    lines = compare.compared(experiment, found)
+    lines = compare.compare_settings(experiment, found)
     assert {line.pairs for line in lines if line.setting == "one"} == {11}
     assert compare.failures(found) == ["calm, one, seed 3: livelock: time stands"]
 
@@ -203,13 +205,13 @@
     experiment, found = results(shift=-0.05, noise=0.0)
     texts = ["served_in_time<0.1", "diff.served_in_time@one<-0.04", "p99_ms[calm]>99", "diff.p99_ms>1"]
     made_bounds = made(fail_if=texts).bounds
-    broken = compare.kept(made_bounds, compare.compared(experiment, found), "three")
+    broken = compare.find_broken_bounds(made_bounds, compare.compare_settings(experiment, found), "three")
     assert [text.split(":")[0] for text in broken] == [texts[1], texts[2], texts[2]]
 
 
 def test_a_page_stands_alone() -> None:
     experiment, found = results(shift=-0.05, noise=0.01)
-    text = page(experiment, found, compare.compared(experiment, found), ["<b>a bound</b>"])
+    text = page(experiment, found, compare.compare_settings(experiment, found), ["<b>a bound</b>"])
     assert text.count("<svg") >= 3 and "<script" not in text and "&lt;b&gt;" in text
     assert "limiters" in text  # the settings differ in their number, so there is a chart by it
     links = (
@@ -271,7 +273,7 @@
     assert main(["sim", "check", "partition"]) == 0
     assert "op-drain" in capsys.readouterr().out
     assert main(["sim", "scenarios"]) == 0
-    assert all(name in capsys.readouterr().out for name in ships()[:1])
+    assert all(name in capsys.readouterr().out for name in shipped_scenarios()[:1])
     assert main(["sim", "search", "calm", *sets, "--floor", "decisions", "--tries", "2", "--workers", "1"]) == 0
     assert "2 schedules" in capsys.readouterr().out
 
