--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -5,7 +5,8 @@
 
 On real processes, five agents and ten limiters have a relay on every link. The released versions are good, crash at
 their start, refuse every request, or do not speak their agent's protocol; meanwhile agents are killed, stopped and cut
-off. For the simulation see `elderlock.sim.rollouts`. The last line is one JSON object; ratios are within this run.
+off. For the simulation see
+`elderlock.sim.limiter_releases`. The last line is one JSON object; ratios are within this run.
 """
 
 from __future__ import annotations
@@ -27,9 +28,9 @@
 from elderlock.fleet.client import plan_commands
 from elderlock.fleet.client.group_client import Group
 from elderlock.rollout.plans import Plan, RolloutPolicy
-from elderlock.sim import renewals
+from elderlock.sim import agent_releases
 from elderlock.sim.exclusive_holdings import Holding, bound_conflicts
-from elderlock.sim.rollouts import BUILDS, Case, Played, play
+from elderlock.sim.limiter_releases import BUILDS, ReleaseCase, ReleaseOutcome, play
 from elderlock.sim.scenario import Settings
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
@@ -286,49 +287,60 @@
     return RolloutPolicy(**{**{name: getattr(policy, name) for name in policy.__struct_fields__}, **changes})
 
 
-def cases(long: bool) -> list[tuple[Case, int]]:
+def cases(long: bool) -> list[tuple[ReleaseCase, int]]:
     """Return the simulated releases of limiters, with their seeds."""
-    small, count = Case(), 4 if long else 1
+    small, count = ReleaseCase(), 4 if long else 1
     found = [(replace(small, build=name), seed) for name in BUILDS for seed in range(3 * count)]
-    found += [(replace(small, rush=25.0 + 5.0 * seed), 100 + seed) for seed in range(5 * count)]
+    found += [(replace(small, load_spike_at_s=25.0 + 5.0 * seed), 100 + seed) for seed in range(5 * count)]
     found += [
-        (replace(small, faults=10, words=seed % 4, two_operators=bool(seed % 2), auto_back=bool(seed % 3)), 200 + seed)
+        (
+            replace(
+                small,
+                faults=10,
+                operator_commands=seed % 4,
+                two_operators=bool(seed % 2),
+                automatic_rollback=bool(seed % 3),
+            ),
+            200 + seed,
+        )
         for seed in range(12 * count)
     ]
-    without_rollback = replace(small, auto_back=False)
-    found += [(replace(without_rollback, lone_floor_at=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
-    found += [(replace(small, leader_gone=15.0), 400), (replace(small, sleeper=True), 401)]
-    found += [(replace(small, words=3), 402 + seed) for seed in range(2 * count)]
+    without_rollback = replace(small, automatic_rollback=False)
+    found += [(replace(without_rollback, zone_loss_at_s=5.0 + 9.0 * seed), 300 + seed) for seed in range(2 * count)]
+    found += [(replace(small, leader_loss_at_s=15.0), 400), (replace(small, suspends_agent=True), 401)]
+    found += [(replace(small, operator_commands=3), 402 + seed) for seed in range(2 * count)]
     return found
 
 
-LARGE = Case(
+LARGE = ReleaseCase(
     agents=30,
     limiters=300,
     faults=20,
     share=0.2,
-    auto_back=False,
-    terms=replace_policy_fields(POLICY, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
+    automatic_rollback=False,
+    policy=replace_policy_fields(POLICY, settle_time_s=4.0, bake_time_s=4.0, maximum_bake_time_s=12.0),
 )
 
 
-def play_one(case: tuple[Case, int]) -> tuple[Case, Played]:
+def play_one(case: tuple[ReleaseCase, int]) -> tuple[ReleaseCase, ReleaseOutcome]:
     """Play a release of limiters; return it with its result."""
     return case[0], play(*case)
 
 
-def play_one_agent_release(case: tuple[renewals.Renewals, int]) -> tuple[renewals.Renewals, Played]:
+def play_one_agent_release(
+    case: tuple[agent_releases.AgentReleaseCase, int],
+) -> tuple[agent_releases.AgentReleaseCase, ReleaseOutcome]:
     """Play a release of agents; return it with its result."""
-    return case[0], renewals.play(*case)
+    return case[0], agent_releases.play(*case)
 
 
-def releases_of_agents(long: bool) -> list[tuple[renewals.Renewals, int]]:
+def releases_of_agents(long: bool) -> list[tuple[agent_releases.AgentReleaseCase, int]]:
     """Return the simulated releases of agents, with their seeds."""
     count = 30 if long else 5
     return [
-        (renewals.Renewals(agents=size, limiters=size, build=build, faults=faults), seed)
+        (agent_releases.AgentReleaseCase(agents=size, limiters=size, build=build, faults=faults), seed)
         for size in (3, 5)
-        for build in renewals.BUILDS
+        for build in agent_releases.BUILDS
         for faults in (0, 10)
         for seed in range(count if faults else 1)
     ]
@@ -347,13 +359,13 @@
         p
         for case, p in played
         if BUILDS[case.build].good
-        and not (case.faults or case.words or case.sleeper)
-        and case.lone_floor_at is None
-        and case.leader_gone is None
+        and not (case.faults or case.operator_commands or case.suspends_agent)
+        and case.zone_loss_at_s is None
+        and case.leader_loss_at_s is None
     ]
     for case, p in [*played, *agent_releases]:
         if not p.good():
-            print("broken:", case, p.broken[:3], flush=True)
+            print("broken:", case, p.violations[:3], flush=True)
     # With injected faults, the first agent may pass its trial before the fault of its version shows.
     bad_releases += [p for case, p in agent_releases if case.build != "good" and not case.faults]
     good_releases += [p for case, p in agent_releases if case.build == "good" and not case.faults]
@@ -362,15 +374,15 @@
         "simulated_histories": len(all_played),
         "agent_releases": len(agent_releases),
         "over_budget": sum(p.over_budget for p in all_played),
-        "permits_doubled": sum(p.doubled for p in all_played),
-        "acted_after_fence": sum(p.after_fence for p in all_played),
-        "plans_stuck": sum(p.stuck for p in all_played),
+        "permits_doubled": sum(p.conflicting_ledgers for p in all_played),
+        "acted_after_fence": sum(p.stale_actions for p in all_played),
+        "plans_stuck": sum(p.stuck_plans for p in all_played),
         "bad_releases": len(bad_releases),
-        "bad_releases_stopped_in_first_wave": sum(p.ran <= p.first_wave for p in bad_releases),
+        "bad_releases_stopped_in_first_wave": sum(p.upgraded <= p.first_wave for p in bad_releases),
         "good": len(good_releases),
-        "good_halted": sum(bool(p.halted_why) for p in good_releases),
-        "back_tried": sum(p.back_tried for p in all_played),
-        "back_complete": sum(p.back_complete for p in all_played),
+        "good_halted": sum(bool(p.halt_reason) for p in good_releases),
+        "back_tried": sum(p.rollbacks_tried for p in all_played),
+        "back_complete": sum(p.rollbacks_completed for p in all_played),
         "halt_ms": [ms for _, p in played for ms in p.halt_ms],
         "limiters_simulated": max(case.limiters for case, _ in played),
     }
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -29,7 +29,7 @@
 from elderlock.load.accounts import AccountMix
 from elderlock.load.coordinator import Coordinator, local_worker_links
 from elderlock.sim import decisions, search, shells
-from elderlock.sim.experiment import scenario_of
+from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import Net, Plan, Scenario, ServerKind, Service, Settings, with_load
 from elderlock.sim.seeds import Level
 from elderlock.standins.boxes import OLD, STD
@@ -97,7 +97,7 @@
     equal_count = 0
     for number in range(runs):
         floor = ENVIRONMENTS[number % 2]
-        scenario = msgspec.structs.replace(scenario_of("partition", HERE), lasts_s=10.0 + number)
+        scenario = msgspec.structs.replace(load_scenario("partition", HERE), lasts_s=10.0 + number)
         digests = set()
         for hash_seed in ("1", "2"):
             env = {**os.environ, "PYTHONHASHSEED": hash_seed}
@@ -293,20 +293,20 @@
     checkers, detected = count_checkers()
     report_figures(judges=checkers, judges_shown_to_bite=detected)
     systematic_report = search.systematic(
-        scenario_of("drain-and-restart", HERE), 1, arguments.workers, each=4 if quick else 60
+        load_scenario("drain-and-restart", HERE), 1, arguments.workers, each=4 if quick else 60
     )
     report_figures(
         io_steps=systematic_report.steps,
         io_failures_tried=systematic_report.failed,
         io_broken=len(systematic_report.broken),
     )
-    found: list[search.Found] = []
+    found: list[search.ShrunkFailure] = []
     tried = 0
     for floor in ENVIRONMENTS:
         base = with_load(0.5, Scenario("search", lasts_s=12.0, agents=2, boxes=6, rest_s=8.0))
         report = search.Search(base, floor, 7).run(12 if quick else 150, 1e6, arguments.workers)
         tried, found = tried + report.tried, found + report.found
-    lengths = [shrunk.after for shrunk in found]
+    lengths = [shrunk.faults_after for shrunk in found]
     report_figures(
         seeds_tried=tried, bugs_found=len(found), shrunk_events_median=statistics.median(lengths) if lengths else 0
     )
--- a/elderlock/cli/sim.py
+++ b/elderlock/cli/sim.py
@@ -19,10 +19,10 @@
 
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import seeds
-from elderlock.sim.experiment import read_experiment, scenario_of, ships
+from elderlock.sim.experiment import load_scenario, read_experiment, shipped_scenarios
 from elderlock.sim.figures import Result
 from elderlock.sim.scenario import Scenario, timeline
-from elderlock.sim.search import Found, Report, Search, Systematic, cut_down, play, systematic
+from elderlock.sim.search import Report, Search, ShrunkFailure, SystematicReport, play, shrink_failure, systematic
 from elderlock.sim.seeds import Seed, SeedError
 
 FLOORS = ("shells", "decisions")  # with the limiters' I/O, or only their decisions
@@ -158,7 +158,7 @@
 
 
 def _scenario(options: argparse.Namespace) -> Scenario:
-    return scenario_of(str(options.scenario), Path.cwd(), tuple(options.set))
+    return load_scenario(str(options.scenario), Path.cwd(), tuple(options.set))
 
 
 def _print_result(result: Result, as_json: bool) -> int:
@@ -177,9 +177,12 @@
             trace_options = {"out": lambda line: trace_file.write(line + "\n")}
         result = play(scenario, options.seed, options.floor, **trace_options)
     if options.shrink and not result.good():
-        minimal = cut_down(scenario, options.seed, options.floor, result)
+        minimal = shrink_failure(scenario, options.seed, options.floor, result)
         scenario, result = minimal.seed.scenario, minimal.result
-        print(f"reduced from {minimal.before} to {minimal.after} faults in {minimal.asked} runs", file=sys.stderr)
+        print(
+            f"reduced from {minimal.faults_before} to {minimal.faults_after} faults in {minimal.run_count} runs",
+            file=sys.stderr,
+        )
         print(minimal.seed.text(), file=sys.stderr)
     if options.keep is not None:
         violated = tuple(result.rules())
@@ -206,7 +209,7 @@
         yield lambda done, text: progress.update(task, completed=done, description=text)
 
 
-def _store_failure(failure: Found, folder: Path | None, number: int) -> str:
+def _store_failure(failure: ShrunkFailure, folder: Path | None, number: int) -> str:
     """Store a failing run as a seed, and return a line that says how to replay it; empty without a folder."""
     if folder is None:
         return ""
@@ -231,7 +234,9 @@
         f"{report.failures} failing runs, {len(report.found)} kinds of failure"
     )
     for number, failure in enumerate(report.found, 1):
-        print(f"\n{', '.join(failure.seed.broke)}: reduced from {failure.before} to {failure.after} faults")
+        print(
+            f"\n{', '.join(failure.seed.broke)}: reduced from {failure.faults_before} to {failure.faults_after} faults"
+        )
         print(failure.seed.text())
         print("\n".join(f"  {line}" for line in failure.result.text().splitlines()))
         if replay_hint := _store_failure(failure, options.keep, number):
@@ -243,7 +248,7 @@
     """Run the scenario once for each I/O operation and failure, and print the runs that violate an invariant."""
     with _progress("systematic", 0, options.quiet) as update_progress:
 
-        def show_progress(report: Systematic) -> None:
+        def show_progress(report: SystematicReport) -> None:
             update_progress(report.tried, f"failures injected, {len(report.broken)} failing runs")
 
         report = systematic(
@@ -296,8 +301,8 @@
 
 def scenarios(options: argparse.Namespace) -> int:
     """List the built-in scenarios."""
-    for name in ships():
-        print(f"{name:<20} {scenario_of(name, Path.cwd()).about}")
+    for name in shipped_scenarios():
+        print(f"{name:<20} {load_scenario(name, Path.cwd()).about}")
     return DONE
 
 
@@ -323,18 +328,18 @@
 
 def run_experiment(options: argparse.Namespace) -> int:
     """Run what is not recorded yet, and report all results. An interrupted experiment can be continued."""
-    from elderlock.sim.experiment import bound
-    from elderlock.sim.sweep import Records, Sweep
+    from elderlock.sim.experiment import parse_bound
+    from elderlock.sim.sweep import ResultStore, Sweep
 
     experiment = read_experiment(options.experiment)
     for text in options.fail_if:
-        bound(text, experiment.file)
-    records = Records(_database_path(options))
+        parse_bound(text, experiment.file)
+    records = ResultStore(_database_path(options))
     try:
         if options.fresh:
             records.clear()
         sweep = Sweep(experiment, records, options.workers)
-        total, remaining = sum(1 for _ in experiment.cells()), len(sweep.missing())
+        total, remaining = sum(1 for _ in experiment.cells()), len(sweep.missing_cells())
         if 0 < remaining < total:
             print(f"{total - remaining} of {total} runs are recorded; running the others", file=sys.stderr)
         finished = total - remaining
@@ -348,7 +353,7 @@
             try:
                 sweep.run(show_progress)
             except KeyboardInterrupt:
-                recorded = total - len(sweep.missing())
+                recorded = total - len(sweep.missing_cells())
                 print(f"stopped: {recorded} of {total} runs are recorded; the same call goes on", file=sys.stderr)
                 return 130
         return _report_results(options, experiment, records)
@@ -358,13 +363,13 @@
 
 def show_experiment(options: argparse.Namespace) -> int:
     """Report the recorded results of an experiment."""
-    from elderlock.sim.sweep import Records
+    from elderlock.sim.sweep import ResultStore
 
     experiment = read_experiment(options.experiment)
     path = _database_path(options)
     if not path.exists():
         raise ScenarioError(f"{path}: no results yet; start with: elderlock experiment run {options.experiment}")
-    records = Records(_database_path(options))
+    records = ResultStore(_database_path(options))
     try:
         return _report_results(options, experiment, records)
     finally:
@@ -373,13 +378,13 @@
 
 def _report_results(options: argparse.Namespace, experiment: Any, records: Any) -> int:
     """Print the recorded results, with failing runs and thresholds that are not met, and return the exit code."""
-    from elderlock.sim.compare import compared, failures, kept, summary
-    from elderlock.sim.experiment import bound
+    from elderlock.sim.compare import compare_settings, failures, find_broken_bounds, summary
+    from elderlock.sim.experiment import parse_bound
 
-    results = records.done(experiment)
-    lines = compared(experiment, results)
-    bounds = [*experiment.bounds, *(bound(text, experiment.file) for text in options.fail_if)]
-    unmet_bounds = kept(bounds, lines, experiment.baseline)
+    results = records.load_results(experiment)
+    lines = compare_settings(experiment, results)
+    bounds = [*experiment.bounds, *(parse_bound(text, experiment.file) for text in options.fail_if)]
+    unmet_bounds = find_broken_bounds(bounds, lines, experiment.baseline)
     failed_runs = failures(results)
     if options.html is not None:
         from elderlock.sim.page import page
--- a/elderlock/cli/trial.py
+++ b/elderlock/cli/trial.py
@@ -15,7 +15,7 @@
 
 from elderlock.load.scenario import ScenarioError
 from elderlock.sim import seeds
-from elderlock.sim.experiment import scenario_of, ships
+from elderlock.sim.experiment import load_scenario, shipped_scenarios
 from elderlock.sim.scenario import Scenario, timeline, unsupported_faults
 from elderlock.sim.seeds import SeedError
 from elderlock.trial.harness import TrialError
@@ -111,7 +111,7 @@
         scenario, seed = stored.scenario, stored.seed
         print(stored.text(), end="", file=sys.stderr)
     else:
-        scenario, seed = scenario_of(options.scenario, Path.cwd(), tuple(options.set)), options.seed
+        scenario, seed = load_scenario(options.scenario, Path.cwd(), tuple(options.set)), options.seed
     _check_size(scenario)
     if options.flaw:
         from elderlock.trial.mutants import MUTANTS
@@ -200,7 +200,7 @@
 
 def check(options: argparse.Namespace) -> int:
     """Check a scenario, and print its timeline and the faults that cannot be injected on real processes."""
-    scenario = scenario_of(options.scenario, Path.cwd(), tuple(options.set))
+    scenario = load_scenario(options.scenario, Path.cwd(), tuple(options.set))
     _check_size(scenario)
     print(timeline(scenario, options.seed), end="")
     for line in unsupported_faults(scenario, "trial"):
@@ -211,8 +211,8 @@
 def scenarios(options: argparse.Namespace) -> int:
     """List the built-in scenarios, with those that are too large for one machine."""
     with contextlib.suppress(BrokenPipeError):
-        for name in ships():
-            scenario = scenario_of(name, Path.cwd())
+        for name in shipped_scenarios():
+            scenario = load_scenario(name, Path.cwd())
             if scenario.limiters <= MAXIMUM_LIMITERS and scenario.boxes <= MAXIMUM_SERVERS:
                 print(f"{name:<20} {scenario.about}")
             else:
--- a/elderlock/sim/models/counters.py
+++ b/elderlock/sim/models/counters.py
@@ -41,7 +41,7 @@
 
     machine: Any
 
-    def happened(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         """Handles the answer or the time-out of a call."""
 
 
@@ -93,7 +93,7 @@
     def _time_out(self, caller: Caller, token: int, is_answered: list[bool]) -> None:
         if not is_answered[0]:
             is_answered[0] = True
-            caller.happened(api.CounterAnswered(token, Outcome.RESET, 0.0, ANSWER_TIMEOUT_MS))
+            caller.handle_event(api.CounterAnswered(token, Outcome.RESET, 0.0, ANSWER_TIMEOUT_MS))
 
     def _receive(
         self,
@@ -132,4 +132,4 @@
     ) -> None:
         if not is_answered[0]:
             is_answered[0] = True
-            caller.happened(api.CounterAnswered(token, outcome, total, 0.0))
+            caller.handle_event(api.CounterAnswered(token, outcome, total, 0.0))
--- a/elderlock/trial/faults.py
+++ b/elderlock/trial/faults.py
@@ -12,7 +12,7 @@
 from elderlock.sim.exclusive_holdings import ExclusiveHoldings
 from elderlock.sim.limiter_settings import max_drained
 from elderlock.sim.scenario import Fault, cut_pairs, effective_amount, floor_name
-from elderlock.sim.stage_faults import StageFaults
+from elderlock.sim.standin_faults import StandinFaults
 from elderlock.standins.world import OPERATORS
 from elderlock.trial.control_block import ControlBlock, DiskFault, WriteStep
 from elderlock.trial.harness import Harness
@@ -29,7 +29,7 @@
 KILL_STEPS = {"kill-write": WriteStep.WRITTEN, "kill-sync": WriteStep.SYNCED, "kill-rename": WriteStep.RENAMED}
 
 
-class TrialFaults(StageFaults):
+class TrialFaults(StandinFaults):
     """Injects faults; each begins at its time, whatever the one before it did.
 
     Attributes:
@@ -48,16 +48,16 @@
 
     async def wait_until_done(self) -> None:
         """Wait until all faults that have begun, and all commands, are done."""
-        while self._kept:
-            await asyncio.wait(list(self._kept))
+        while self._tasks:
+            await asyncio.wait(list(self._tasks))
 
-    async def _fault(self, fault: Fault) -> None:
+    async def _apply(self, fault: Fault) -> None:
         world, s = self.world, self.world.scenario
         match fault.target_kind():
             case "box":
                 uids = list(world.listing.boxes)
                 for number in fault.target_numbers(len(uids)):
-                    await self.box_fault(fault, world.listing.boxes.get(uids[number]))
+                    await self.server_fault(fault, world.listing.boxes.get(uids[number]))
             case "limiter":
                 for number in fault.target_numbers(s.limiters):
                     await self._limiter_fault(fault, number)
@@ -86,7 +86,7 @@
 
     def _inject(self, fault: Fault, kind: str, pairs: list[tuple[str, str]], by: float = 1.0) -> None:
         self.world.relays.inject(kind, pairs, by)
-        self._for(fault, lambda: self._clear(kind, pairs, by))
+        self._end_after(fault, lambda: self._clear(kind, pairs, by))
 
     def _clear(self, kind: str, pairs: list[tuple[str, str]], by: float) -> None:
         self.world.note("mended", kind, *(f"{source}>{target}" for source, target in pairs))
@@ -140,7 +140,7 @@
                 self._inject(fault, "late", pairs, effective_amount(fault))
             case "restart" | "silent":
                 for uid in uids:
-                    await self.box_fault(fault, world.listing.boxes.get(uid))
+                    await self.server_fault(fault, world.listing.boxes.get(uid))
             case "power":
                 limiters = [n for n in range(s.limiters) if zone in world.limiter_locations[n].names]
                 agents = [a for a in range(s.agents) if zone in world.agent_locations[a].names]
@@ -215,7 +215,7 @@
                 agent.has_disk_lied = agent.has_disk_lied or kind == "disk-lies"
                 agent.block.sync_delay_ms = effective_amount(fault)
                 agent.block.disk_fault = DISK_FAULTS[kind]
-                self._for(fault, lambda: setattr(agent.block, "disk_fault", DiskFault.NONE))
+                self._end_after(fault, lambda: setattr(agent.block, "disk_fault", DiskFault.NONE))
 
     # Operators
 
--- a/elderlock/trial/harness.py
+++ b/elderlock/trial/harness.py
@@ -28,8 +28,8 @@
 from elderlock.sim.clients import Clients
 from elderlock.sim.figures import FigureCollector
 from elderlock.sim.limiter_settings import budget_toml, operators_toml, settings_for_limiter, uses_peer_messages
+from elderlock.sim.observed_server import ObservedServer
 from elderlock.sim.scenario import Fault, Scenario, floor_name
-from elderlock.sim.surroundings import ShellBox
 from elderlock.sim.traffic import arrivals
 from elderlock.standins.boxes import Kind
 from elderlock.standins.discovery import Registry
@@ -58,7 +58,7 @@
     """The run could not begin or continue; the text says which process was waited for and for what."""
 
 
-class TrialServer(ShellBox):
+class TrialServer(ObservedServer):
     """A fake server that discovery lists at the addresses of its relays, one for each limiter.
 
     Attributes:
@@ -162,7 +162,7 @@
         account: The figures of the run.
         limiter_processes: The limiters, by number.
         agent_processes: The agents, by number.
-        broke_streams: Whether connections break without their limiter's doing; a relay reports each such break
+        has_broken_connections: Whether connections break without their limiter's doing; a relay reports each such break
             itself, so it is always false here.
         clients: The clients, once they have started.
         schedule_start_ms: When the scenario's schedule began, in ms of the run.
@@ -220,7 +220,7 @@
         self.account = FigureCollector(s.warm_s * 1000.0, s.service[0].aim_ms)
         self.limiter_processes: list[LimiterProcess] = []
         self.agent_processes: list[AgentProcess] = []
-        self.broke_streams = False
+        self.has_broken_connections = False
         self.clients: Clients | None = None
         self.schedule_start_ms = 0.0
         self.harness_errors: list[str] = []
@@ -719,7 +719,7 @@
         """Record an event now that no checker handles."""
         self.bench.note(self.at(), what, *args)
 
-    def began_fault(self, number: int, fault: Fault) -> None:
+    def record_fault(self, number: int, fault: Fault) -> None:
         """Record that a fault of the scenario begins.
 
         Args:
@@ -732,14 +732,14 @@
         """Return the process of a limiter that runs now, if any."""
         return self.limiter_processes[limiter].incarnation
 
-    def lives(self, incarnation: Incarnation | None) -> bool:
+    def is_alive(self, incarnation: Incarnation | None) -> bool:
         """Return whether a limiter's process runs and was not ended by the harness."""
         return incarnation is not None and not incarnation.expected_end and incarnation.process.alive
 
     def _call_after_close(self, callback: Callable[[], None]) -> None:
         self.loop.call_later(CLOSE_REPORT_DELAY_S, callback)
 
-    def let_go(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
+    def record_attempt(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None:
         """Record that a limiter sent a request to a server.
 
         Args:
@@ -763,7 +763,7 @@
         plan = next(plan for plan in self.scenario.plan if plan.name == self._plan_names[account])
         self.account.record_send(at - self.schedule_start_ms, account, units, plan.rate, plan.burst)
 
-    def reached(self, box: str, request: str) -> None:
+    def record_execution(self, box: str, request: str) -> None:
         """Record that a server ran a request."""
         self.bench.ran(self.at(), box, request)
 
--- a/elderlock/trial/history.py
+++ b/elderlock/trial/history.py
@@ -1,7 +1,7 @@
 """The history of a run: what was observed from outside, event by event, on one clock.
 
-It is recorded, written as lines, and passed to the invariant checkers of `elderlock.sim.invariant_checkers` when the run
-is over. Only `write` and `read` do I/O.
+It is recorded, written as lines, and passed to the invariant checkers of `elderlock.sim.invariant_checkers` when the
+run is over. Only `write` and `read` do I/O.
 
 The checkers are the simulation's, unchanged. A real machine is shared, so the times that a checker gets are corrected
 first: while the runner was stalled, or a process waited for a core or was stopped by the harness, no time counts as
--- a/elderlock/trial/observers.py
+++ b/elderlock/trial/observers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from elderlock.sim.taps import ClientTap, Scene, SendTap
+from elderlock.sim.taps import ClientTap, ObservedWorld, SendTap
 
 MAX_LIST_BYTES = 64 << 20
 LIST_START = b'{"rev"'
@@ -42,7 +42,7 @@
     byte of the answer has reached the relay.
     """
 
-    def __init__(self, scene: Scene, limiter: int, call_later: Callable[[Callable[[], None]], None]) -> None:
+    def __init__(self, scene: ObservedWorld, limiter: int, call_later: Callable[[Callable[[], None]], None]) -> None:
         """Begin to observe a connection.
 
         Args:
@@ -71,7 +71,7 @@
 class SendObserver(_NullObserver):
     """Observes a limiter's connection to a server; a request counts as sent when the limiter has written it."""
 
-    def __init__(self, scene: Scene, limiter: str, server: str) -> None:
+    def __init__(self, scene: ObservedWorld, limiter: str, server: str) -> None:
         """Begin to observe a connection.
 
         Args:
--- a/elderlock/trial/simulation.py
+++ b/elderlock/trial/simulation.py
@@ -32,14 +32,14 @@
 
         return record_and_check
 
-    def began_fault(self, number: int, fault: Any) -> None:
+    def record_fault(self, number: int, fault: Any) -> None:
         """Record that a fault of the scenario begins.
 
         Args:
             number: Its index in the scenario.
             fault: The fault.
         """
-        super().began_fault(number, fault)
+        super().record_fault(number, fault)
         self.events.append(Event(self.at(), "fault", (number, fault.target, fault.what, fault.for_s, fault.by)))
 
 
--- a/tests/rollout/test_release_processes.py
+++ b/tests/rollout/test_release_processes.py
@@ -221,7 +221,7 @@
                 assert any("yet" in line or "does not" in line or "few" in line for line in answer.lines), answer.lines
                 await asyncio.sleep(0.1)
             for uid in SERVER_IDS[4:]:
-                await faults.box_fault(Fault(0.0, fault_kind, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
+                await faults.server_fault(Fault(0.0, fault_kind, f"box:{uid[3:]}", by=1.0), ground.listing.boxes[uid])
 
             def waits_for_budget(known: plan_commands.PlanAnswers) -> bool:
                 return any(
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -125,9 +125,9 @@
     scenario = msgspec.structs.replace(BASE, fault=faults)
     result = search.play(scenario, 4, "decisions")
     assert j.Quiescence.name in result.rules(), result.text()
-    found = search.cut_down(scenario, 4, "decisions", result)
+    found = search.shrink_failure(scenario, 4, "decisions", result)
     assert [fault.what for fault in found.seed.scenario.fault] == ["restart"]
-    assert (found.before, found.after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
+    assert (found.faults_before, found.faults_after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
 
 
 def test_a_search_sees_new_states_and_counts_its_runs() -> None:
@@ -303,10 +303,7 @@
 def test_the_time_line_is_in_order() -> None:
     faults = (Fault(3.0, "kill", "limiter:1"), Fault(1.0, "slow", "box:0-2", 1.5, 7.0))
     text = timeline(msgspec.structs.replace(BASE, fault=faults), 5)
-    assert text.splitlines()[1:] == [
-        "   1.000 s  box:0-2      slow by 7, for 1.500 s",
-        "   3.000 s  limiter:1    kill",
-    ]
+    assert text.splitlines()[1:] == ["   1.000 s  box:0-2      slow by 7, for 1.500 s", "   3.000 s  limiter:1    kill"]
 
 
 def test_a_recorded_trace_is_played_on_both_floors(tmp_path: Path) -> None:
