--- a/elderlock/sim/decision_faults.py
+++ b/elderlock/sim/decision_faults.py
@@ -1,4 +1,4 @@
-"""Carries out a scenario's faults on the decisions' floor."""
+"""Fault injection of the decision-level simulator."""
 
 from __future__ import annotations
 
@@ -7,259 +7,267 @@
 
 from elderlock.interface import ServerState
 from elderlock.quota.counted_quotas import CountedCoordinator
+from elderlock.sim.control_plane import OperatorCommand
 from elderlock.sim.scenario import Fault, by_of, cut_pairs, floor_name
-from elderlock.sim.tellers import Operator
 
 if TYPE_CHECKING:
     from elderlock.sim.decisions import DecisionWorld
-    from elderlock.sim.nodes import SimBox
+    from elderlock.sim.nodes import SimServer
 
 
 class DecisionFaults:
-    """Each begins at its time, whatever became of the one before. A fault of the shells alone is passed over, and
-    told in the trace."""
+    """Injects a scenario's faults, each at its time and independently of the others.
+
+    Faults that only exist at the shell level have no effect and appear in the trace.
+    """
 
     def __init__(self, world: DecisionWorld) -> None:
         self.world = world
 
     def begin(self, number: int, fault: Fault) -> None:
+        """Starts a fault.
+
+        Args:
+            number: Index of the fault in the scenario.
+            fault: The fault.
+        """
         world = self.world
         world.trace.event(world.at(), "fault", f"{number} {fault.target} {fault.what}")
         match fault.kind():
             case "box":
-                uids = list(world.boxes)
-                for each in fault.numbers(len(uids)):
-                    self._box(fault, world.boxes[uids[each]])
+                uids = list(world.servers)
+                for index in fault.numbers(len(uids)):
+                    self._server_fault(fault, world.servers[uids[index]])
             case "limiter":
-                for each in fault.numbers(world.scenario.limiters):
-                    self._limiter(fault, each)
+                for index in fault.numbers(world.scenario.limiters):
+                    self._limiter_fault(fault, index)
             case "agent":
-                for each in fault.numbers(world.scenario.agents):
-                    self._agent(fault, each)
+                for index in fault.numbers(world.scenario.agents):
+                    self._agent_fault(fault, index)
             case "floor":
-                for each in fault.numbers(world.scenario.floors):
-                    self._floor(fault, floor_name(each))
+                for index in fault.numbers(world.scenario.floors):
+                    self._zone_fault(fault, floor_name(index))
             case "counter":
-                self._counter(fault)
+                self._counter_fault(fault)
             case "discovery":
-                self._discovery(fault)
+                self._discovery_fault(fault)
             case "peers":
-                self._peers(fault)
+                self._peers_fault(fault)
             case "clients":
-                self._clients(fault)
+                self._clients_fault(fault)
             case "house":
-                for each in range(world.scenario.floors):
-                    self._power(floor_name(each))
+                for index in range(world.scenario.floors):
+                    self._power_loss(floor_name(index))
 
-    def _power(self, floor: str) -> None:
-        """All that runs on that floor is gone at once; boxes come back cold."""
+    def _power_loss(self, zone: str) -> None:
+        """Ends everything that runs in the zone at once; its servers restart cold."""
         world = self.world
         for number, machine in enumerate(world.machines):
-            if machine.floor == floor:
+            if machine.floor == zone:
                 world.kill(number)
-        lost = Fault(0.0, "power", "agent:0")
+        power_loss = Fault(0.0, "power", "agent:0")
         for number, agent in enumerate(world.agents):
-            if agent.machine.floor == floor:
-                self._agent(lost, number)
-        for box in [box for box in world.boxes.values() if box.machine.floor == floor]:
-            self._box(Fault(0.0, "restart", "box:0"), box)
+            if agent.machine.floor == zone:
+                self._agent_fault(power_loss, number)
+        for server in [server for server in world.servers.values() if server.machine.floor == zone]:
+            self._server_fault(Fault(0.0, "restart", "box:0"), server)
 
-    def _for(self, fault: Fault, end: Callable[..., Any], *args: Any) -> None:
+    def _end_after(self, fault: Fault, end: Callable[..., Any], *args: Any) -> None:
         if fault.for_s > 0:
             self.world.schedule.after(fault.for_s * 1000.0, end, *args)
 
-    def _box(self, fault: Fault, box: SimBox) -> None:
-        world, model, by = self.world, box.model, by_of(fault)
+    def _server_fault(self, fault: Fault, server: SimServer) -> None:
+        world, model, amount = self.world, server.model, by_of(fault)
         match fault.what:
             case "slow":
-                model.slow = by
-                self._for(fault, setattr, model, "slow", 1.0)
+                model.slow = amount
+                self._end_after(fault, setattr, model, "slow", 1.0)
             case "errs":
-                model.errs = by
-                self._for(fault, setattr, model, "errs", 0.0)
+                model.errs = amount
+                self._end_after(fault, setattr, model, "errs", 0.0)
             case "lies":
                 model.lies = True
             case "pause":
-                model.pause(by)
+                model.pause(amount)
             case "silent":
                 model.silent = True
-                pairs = [(box.uid, "*"), ("*", box.uid)]
+                pairs = [(server.uid, "*"), ("*", server.uid)]
                 world.ways.separate(pairs)
-                self._for(fault, self._speak, box, pairs)
+                self._end_after(fault, self._end_silence, server, pairs)
             case "refusing":
-                world.refusing[box.uid] = None
-                world.end_box(box)
-                self._for(fault, world.refusing.pop, box.uid, None)
+                world.refusing_servers[server.uid] = None
+                world.end_server(server)
+                self._end_after(fault, world.refusing_servers.pop, server.uid, None)
             case "restart":
-                world.end_box(box)
+                world.end_server(server)
                 model.restart()
-                world.bench.started(world.at(), box.uid, model.shape.bears())
-                world.teller.changed(box)
+                world.bench.started(world.at(), server.uid, model.shape.bears())
+                world.discovery.send_changes(server)
             case "drain":
-                box.state = ServerState.DRAINING
-                world.teller.changed(box)
-                self._for(fault, self._undrain, box)
+                server.state = ServerState.DRAINING
+                world.discovery.send_changes(server)
+                self._end_after(fault, self._undrain, server)
             case "remove":
-                box.state = ServerState.REMOVED
-                world.boxes.pop(box.uid, None)
-                world.teller.changed(box)
-                world.schedule.after(500.0, self._end, box)
+                server.state = ServerState.REMOVED
+                world.servers.pop(server.uid, None)
+                world.discovery.send_changes(server)
+                world.schedule.after(500.0, self._end_server, server)
             case "op-drain" | "op-undrain":
-                self._command(fault, "box", box.uid)
+                self._operator_command(fault, "box", server.uid)
 
-    def _speak(self, box: SimBox, pairs: list[tuple[str, str]]) -> None:
-        box.model.silent = False
+    def _end_silence(self, server: SimServer, pairs: list[tuple[str, str]]) -> None:
+        server.model.silent = False
         self.world.ways.join(pairs)
 
-    def _undrain(self, box: SimBox) -> None:
-        if box.uid in self.world.boxes:
-            box.state = ServerState.RUNNING
-            self.world.teller.changed(box)
+    def _undrain(self, server: SimServer) -> None:
+        if server.uid in self.world.servers:
+            server.state = ServerState.RUNNING
+            self.world.discovery.send_changes(server)
 
-    def _end(self, box: SimBox) -> None:
-        box.gone = True
-        self.world.end_box(box)
+    def _end_server(self, server: SimServer) -> None:
+        server.has_ended = True
+        self.world.end_server(server)
 
-    def _command(self, fault: Fault, kind: str, target: str) -> None:
+    def _operator_command(self, fault: Fault, kind: str, target: str) -> None:
         world = self.world
         if world.agents:
-            drained = fault.what == "op-drain"
-            if not drained:
+            is_drained = fault.what == "op-drain"
+            if not is_drained:
                 world.reports.undrained(target)
-            Operator(world, world.rng.choice(("an", "binh")), kind, target, drained, world.rng).step()
+            OperatorCommand(world, world.rng.choice(("an", "binh")), kind, target, is_drained, world.rng).step()
 
-    def _limiter(self, fault: Fault, number: int) -> None:
-        world, by = self.world, by_of(fault)
+    def _limiter_fault(self, fault: Fault, number: int) -> None:
+        world, amount = self.world, by_of(fault)
         machine = world.machines[number]
         match fault.what:
             case "kill" | "term" | "power":
                 world.kill(number)
             case "pause":
-                world.pause(number, fault.for_s * 1000.0 or by)
+                world.pause(number, fault.for_s * 1000.0 or amount)
             case "clock":
-                pass  # the gateway reads the wall clock at its start alone; the shells' floor shows that
+                pass  # the gateway reads the wall clock only at its start; the shell-level simulator covers that
             case "cut" | "cut-to" | "cut-from":
                 self._cut(fault, machine.name, self.world.scenario.floor_names())
             case "op-drain" | "op-undrain":
-                self._command(fault, "limiter", f"n{number}")
+                self._operator_command(fault, "limiter", f"n{number}")
 
     def _cut(self, fault: Fault, name: str, others: list[str]) -> None:
         pairs = cut_pairs(fault, name, others)
         self.world.ways.separate(pairs)
-        self._for(fault, self.world.ways.join, pairs)
+        self._end_after(fault, self.world.ways.join, pairs)
 
-    def _agent(self, fault: Fault, number: int) -> None:
+    def _agent_fault(self, fault: Fault, number: int) -> None:
         agent = self.world.agents[number]
         match fault.what:
             case "kill" | "term" | "power":
-                agent.alive = False
-                self.world.schedule.after(700.0, setattr, agent, "alive", True)
+                agent.is_alive = False
+                self.world.schedule.after(700.0, setattr, agent, "is_alive", True)
             case "pause":
-                agent.paused = True
-                lasts = fault.for_s * 1000.0 or by_of(fault)
-                self.world.schedule.after(lasts, setattr, agent, "paused", False)
+                agent.is_paused = True
+                duration_ms = fault.for_s * 1000.0 or by_of(fault)
+                self.world.schedule.after(duration_ms, setattr, agent, "is_paused", False)
             case "cut":
                 self._cut(fault, agent.machine.name, self.world.scenario.floor_names())
             case "disk-full" | "disk-error":
-                agent.disk_fails = True
-                self._for(fault, setattr, agent, "disk_fails", False)
+                agent.has_disk_failure = True
+                self._end_after(fault, setattr, agent, "has_disk_failure", False)
 
-    def _floor(self, fault: Fault, floor: str) -> None:
+    def _zone_fault(self, fault: Fault, zone: str) -> None:
         ways = self.world.ways
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
-                self._cut(fault, floor, self.world.scenario.floor_names())
+                self._cut(fault, zone, self.world.scenario.floor_names())
             case "loss":
-                was, ways.loss = ways.loss, by_of(fault)
-                self._for(fault, setattr, ways, "loss", was)
+                previous, ways.loss = ways.loss, by_of(fault)
+                self._end_after(fault, setattr, ways, "loss", previous)
             case "late":
-                ways.slow[floor] = ways.slow.get(floor, 0.0) + by_of(fault)
-                self._for(fault, ways.slow.pop, floor, None)
+                ways.slow[zone] = ways.slow.get(zone, 0.0) + by_of(fault)
+                self._end_after(fault, ways.slow.pop, zone, None)
             case "power":
-                self._power(floor)
+                self._power_loss(zone)
             case "restart" | "silent":
-                for box in [box for box in self.world.boxes.values() if box.machine.floor == floor]:
-                    self._box(fault, box)
+                for server in [server for server in self.world.servers.values() if server.machine.floor == zone]:
+                    self._server_fault(fault, server)
 
-    def _counter(self, fault: Fault) -> None:
+    def _counter_fault(self, fault: Fault) -> None:
         counter = self.world.counter
         match fault.what:
             case "silent" | "refusing":
                 counter.silent = True
-                self._for(fault, setattr, counter, "silent", False)
+                self._end_after(fault, setattr, counter, "silent", False)
             case "late":
                 counter.late = by_of(fault)
-                self._for(fault, setattr, counter, "late", 0.0)
+                self._end_after(fault, setattr, counter, "late", 0.0)
             case "busy":
                 counter.busy = True
-                self._for(fault, setattr, counter, "busy", False)
+                self._end_after(fault, setattr, counter, "busy", False)
             case "empty":
                 counter.lose()
-                self._tell_off()
+                self._close_counter_connections()
             case "restored":
-                kept = dict(counter.totals)
-                self.world.schedule.after(fault.for_s * 1000.0 or 5000.0, self._restore, kept)
+                totals = dict(counter.totals)
+                self.world.schedule.after(fault.for_s * 1000.0 or 5000.0, self._restore, totals)
 
-    def _restore(self, kept: dict[str, tuple[float, float]]) -> None:
+    def _restore(self, totals: dict[str, tuple[float, float]]) -> None:
         self.world.counter.lose()
-        self.world.counter.totals = kept
-        self._tell_off()
+        self.world.counter.totals = totals
+        self._close_counter_connections()
 
-    def _tell_off(self) -> None:
-        """Its process ended, and each limiter's connections with it."""
+    def _close_counter_connections(self) -> None:
+        """Closes each limiter's connection to the counter, whose process ended."""
         for node in self.world.nodes:
             quotas = node.limiter.quota_coordinator
-            if node.alive and isinstance(quotas, CountedCoordinator):
+            if node.is_alive and isinstance(quotas, CountedCoordinator):
                 quotas.book.connection_lost(node.now())
 
-    def _discovery(self, fault: Fault) -> None:
-        world, teller = self.world, self.world.teller
+    def _discovery_fault(self, fault: Fault) -> None:
+        world, discovery = self.world, self.world.discovery
         match fault.what:
             case "silent" | "refusing":
-                teller.silent = True
-                self._for(fault, teller.back)
+                discovery.is_silent = True
+                self._end_after(fault, discovery.recover)
             case "stale":
-                teller.stale = True
-                self._for(fault, teller.back)
+                discovery.is_stale = True
+                self._end_after(fault, discovery.recover)
             case "late":
-                teller.late = by_of(fault)
-                self._for(fault, setattr, teller, "late", 0.0)
+                discovery.extra_delay_ms = by_of(fault)
+                self._end_after(fault, setattr, discovery, "extra_delay_ms", 0.0)
             case "flap":
-                teller.flap(world.schedule.time + (fault.for_s or 2.0) * 1000.0)
+                discovery.flap(world.schedule.time + (fault.for_s or 2.0) * 1000.0)
             case "dead":
-                for uid in list(world.boxes)[:1]:
-                    box = world.boxes.pop(uid)
-                    teller.dead[uid] = box
-                    self._end(box)
-                self._for(fault, self._bury)
+                for uid in list(world.servers)[:1]:
+                    server = world.servers.pop(uid)
+                    discovery.dead_servers[uid] = server
+                    self._end_server(server)
+                self._end_after(fault, self._forget_dead_servers)
 
-    def _bury(self) -> None:
-        self.world.teller.dead.clear()
-        self.world.teller.back()
+    def _forget_dead_servers(self) -> None:
+        self.world.discovery.dead_servers.clear()
+        self.world.discovery.recover()
 
-    def _peers(self, fault: Fault) -> None:
+    def _peers_fault(self, fault: Fault) -> None:
         ways = self.world.ways
         if fault.what == "late":
             for machine in self.world.machines:
                 ways.slow[machine.name] = by_of(fault)
-            self._for(fault, self._prompt)
+            self._end_after(fault, self._end_peer_delay)
             return
-        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
-        self._for(fault, setattr, ways, "datagram_loss", was)
+        previous, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
+        self._end_after(fault, setattr, ways, "datagram_loss", previous)
 
-    def _prompt(self) -> None:
+    def _end_peer_delay(self) -> None:
         for machine in self.world.machines:
             self.world.ways.slow.pop(machine.name, None)
 
-    def _clients(self, fault: Fault) -> None:
+    def _clients_fault(self, fault: Fault) -> None:
         if fault.what == "rush":
             world = self.world
-            self._rush(by_of(fault), world.schedule.time + (fault.for_s or 2.0) * 1000.0)
+            self._load_spike(by_of(fault), world.schedule.time + (fault.for_s or 2.0) * 1000.0)
 
-    def _rush(self, rate: float, ends: float) -> None:
+    def _load_spike(self, rate: float, end_ms: float) -> None:
         world = self.world
-        if world.schedule.time >= ends or world.dry:
+        if world.schedule.time >= end_ms or world.is_traffic_over:
             return
-        if world.last is not None:
-            world.launch(world.last)
-        world.schedule.after(world.rng.expovariate(rate) * 1000.0, self._rush, rate, ends)
+        if world.last_arrival is not None:
+            world.launch(world.last_arrival)
+        world.schedule.after(world.rng.expovariate(rate) * 1000.0, self._load_spike, rate, end_ms)
--- a/elderlock/sim/experiment.py
+++ b/elderlock/sim/experiment.py
@@ -1,7 +1,7 @@
-"""An experiment: scenarios x settings x seeds. Read from TOML, checked whole before anything runs. No I/O but reading.
+"""Experiments: scenarios x settings x seeds, read from TOML and checked completely before anything runs.
 
-The same seed gives every setting the same arrivals, accounts, boxes' draws and faults (common random numbers), so that
-settings are compared seed by seed.
+Every setting gets the same arrivals, accounts, random numbers of servers and faults for a seed (common random numbers),
+so that settings are compared seed by seed. The module does no I/O except reading files.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from elderlock.sim.scenario import Scenario, parse, read
 
 SHIPPED = resources.files("elderlock.sim") / "scenarios"
-MOST_RUNS = 200_000
+MAX_RUNS = 200_000
 FIGURES = (
     "served_in_time",
     "p50_ms",
@@ -38,7 +38,13 @@
 
 
 class ScenarioPart(Strict, frozen=True):
-    """`file`: relative to the experiment's, or the name of one that ships. `set`: as for a setting."""
+    """A scenario of an experiment.
+
+    Attributes:
+        name: Name in reports.
+        file: Path relative to the experiment's file, or the name of a shipped scenario.
+        set: Changes of the scenario, as for a setting.
+    """
 
     name: str
     file: str
@@ -46,16 +52,33 @@
 
 
 class SettingPart(Strict, frozen=True):
-    """`set`: `settings.subset=40`, `net.loss=0.01`, whatever the scenario's file can hold."""
+    """A setting of an experiment.
+
+    Attributes:
+        name: Name in reports.
+        set: Changes of the scenario's file, such as `settings.subset=40` or `net.loss=0.01`.
+    """
 
     name: str
     set: tuple[str, ...] = ()
 
 
 class ExperimentFile(Strict, frozen=True):
-    """`seeds`: so many, counted from `first_seed`. `baseline`: the setting that the others are compared with; the first
-    if it is empty. `fail_if`: `served_in_time@SETTING[SCENARIO]<0.95`, `diff.p99_ms@SETTING>20`; without a setting or
-    scenario it holds for each."""
+    """Content of an experiment's file.
+
+    Attributes:
+        name: Name of the experiment.
+        scenario: The scenarios.
+        setting: The settings.
+        floor: Simulator that runs it.
+        seeds: Number of seeds.
+        first_seed: The first seed; the others follow it.
+        baseline: Setting that the others are compared with; the first one if empty.
+        figures: Figures to compare.
+        fail_if: Bounds such as `served_in_time@SETTING[SCENARIO]<0.95` and `diff.p99_ms@SETTING>20` whose truth is a
+            failure. Without a setting or scenario a bound applies to each.
+        about: Description.
+    """
 
     name: str
     scenario: tuple[ScenarioPart, ...]
@@ -70,7 +93,7 @@
 
 
 class Cell(NamedTuple):
-    """One run to be made."""
+    """One run of an experiment."""
 
     scenario: str
     setting: str
@@ -78,7 +101,17 @@
 
 
 class Bound(NamedTuple):
-    """What must not be: `difference` is of the mean from the baseline's."""
+    """A condition that fails the experiment if it is true.
+
+    Attributes:
+        text: The bound as written.
+        difference: Whether it is about the difference of the mean from the baseline.
+        figure: Name of the figure.
+        setting: Name of the setting; all settings if empty.
+        scenario: Name of the scenario; all scenarios if empty.
+        below: Whether values below `value` violate it, otherwise values above.
+        value: The limit.
+    """
 
     text: str
     difference: bool
@@ -88,61 +121,85 @@
     below: bool
     value: float
 
-    def holds(self, value: float) -> bool:
-        """Whether the value is what must not be."""
+    def is_violated(self, value: float) -> bool:
+        """Returns whether the value violates the bound."""
         return value < self.value if self.below else value > self.value
 
 
 class Experiment:
-    """Invariant: each cell's scenario is checked, so that no run fails for its file."""
+    """An experiment with its scenarios.
+
+    Invariant: the scenario of each cell is valid, so that no run fails because of its file.
 
-    def __init__(self, file: ExperimentFile, made: dict[tuple[str, str], Scenario]) -> None:
-        self.file, self.made = file, made
+    Attributes:
+        file: Content of the experiment's file.
+        scenarios: Scenarios by the names of scenario and setting.
+        baseline: Name of the baseline setting.
+        bounds: Parsed bounds.
+    """
+
+    def __init__(self, file: ExperimentFile, scenarios: dict[tuple[str, str], Scenario]) -> None:
+        self.file, self.scenarios = file, scenarios
         self.baseline = file.baseline or file.setting[0].name
         self.bounds = [parse_bound(text, file) for text in file.fail_if]
 
     def cells(self) -> Iterator[Cell]:
-        """Seed by seed, so that a sweep that is stopped has whole pairs."""
+        """Yields the cells seed by seed, so that an interrupted sweep has complete pairs."""
         for seed in range(self.file.first_seed, self.file.first_seed + self.file.seeds):
             for scenario in self.file.scenario:
                 for setting in self.file.setting:
                     yield Cell(scenario.name, setting.name, seed)
 
     def digest(self, cell: Cell) -> str:
-        """Of all that a cell's run depends on but the code."""
-        raw = msgspec.msgpack.encode((self.made[cell.scenario, cell.setting], self.file.floor, cell.seed))
+        """Returns a digest of everything that a cell's run depends on except the code."""
+        raw = msgspec.msgpack.encode((self.scenarios[cell.scenario, cell.setting], self.file.floor, cell.seed))
         return hashlib.sha256(raw).hexdigest()[:16]
 
 
-def figure_known(name: str) -> bool:
+def is_known_figure(name: str) -> bool:
+    """Returns whether a figure of that name may exist."""
     return name in NUMBERS or name.startswith(("share.", "more."))
 
 
 def parse_bound(text: str, file: ExperimentFile) -> Bound:
-    """Raises `ScenarioError`."""
-    found = BOUND.fullmatch(text.replace(" ", ""))
-    if found is None:
+    """Parses a bound of an experiment.
+
+    Raises:
+        ScenarioError: The text is not a bound, or it names something that the experiment does not have.
+    """
+    match = BOUND.fullmatch(text.replace(" ", ""))
+    if match is None:
         raise ScenarioError(f"fail_if: {text!r} is not like served_in_time@SETTING[SCENARIO]<0.95 or diff.p99_ms>20")
-    diff, figure, setting, scenario, sign, value = found.groups()
-    if not figure_known(figure):
+    prefix, figure, setting, scenario, sign, value = match.groups()
+    if not is_known_figure(figure):
         raise ScenarioError(f"fail_if: there is no figure {figure!r}; there are {', '.join(NUMBERS)} and share.OUTCOME")
-    if setting and setting not in {s.name for s in file.setting}:
+    if setting and setting not in {part.name for part in file.setting}:
         raise ScenarioError(f"fail_if: there is no setting {setting!r}")
-    if scenario and scenario not in {s.name for s in file.scenario}:
+    if scenario and scenario not in {part.name for part in file.scenario}:
         raise ScenarioError(f"fail_if: there is no scenario {scenario!r}")
     try:
         number = float(value)
     except ValueError:
-        raise ScenarioError(f"fail_if: {value!r} is no number") from None
-    return Bound(text, bool(diff), figure, setting or "", scenario or "", sign == "<", number)
+        raise ScenarioError(f"fail_if: {value!r} is not a number") from None
+    return Bound(text, bool(prefix), figure, setting or "", scenario or "", sign == "<", number)
 
 
 def shipped_scenarios() -> list[str]:
+    """Returns the names of the scenarios that ship."""
     return sorted(entry.name.removesuffix(".toml") for entry in SHIPPED.iterdir() if entry.name.endswith(".toml"))
 
 
 def load_scenario(name: str, folder: Path, changes: tuple[str, ...] = ()) -> Scenario:
-    """A file's, or one that ships, by its name. Raises `ScenarioError`."""
+    """Loads a scenario from a file, or a shipped one by its name.
+
+    Args:
+        name: Path of a .toml file, or name of a shipped scenario.
+        folder: Folder that a path is relative to.
+        changes: Changes of the file's values.
+
+    Raises:
+        ScenarioError: The scenario does not exist or is invalid.
+    """
     if not name.endswith(".toml"):
         shipped = SHIPPED / f"{name}.toml"
         if not shipped.is_file():
@@ -153,30 +210,42 @@
     return read(folder / name, changes)
 
 
-def experiment_of(raw: Any, where: str, folder: Path) -> Experiment:
-    """Raises `ScenarioError`."""
+def parse_experiment(raw: Any, source: str, folder: Path) -> Experiment:
+    """Parses an experiment and loads its scenarios.
+
+    Args:
+        raw: Decoded content of the file.
+        source: Name of the file in error messages.
+        folder: Folder that paths of scenarios are relative to.
+
+    Raises:
+        ScenarioError: The experiment is invalid.
+    """
     try:
         file = msgspec.convert(raw, ExperimentFile)
-        return Experiment(file, _made(file, folder))
+        return Experiment(file, _load_scenarios(file, folder))
     except (msgspec.ValidationError, ScenarioError) as error:
-        raise ScenarioError(f"{where}: {error}") from None
+        raise ScenarioError(f"{source}: {error}") from None
 
 
-def _made(file: ExperimentFile, folder: Path) -> dict[tuple[str, str], Scenario]:
+def _load_scenarios(file: ExperimentFile, folder: Path) -> dict[tuple[str, str], Scenario]:
     if not file.scenario or not file.setting:
-        raise ScenarioError("it needs one [[scenario]] and one [[setting]] at least")
-    for what, names in (("scenario", [s.name for s in file.scenario]), ("setting", [s.name for s in file.setting])):
+        raise ScenarioError("it needs at least one [[scenario]] and one [[setting]]")
+    for kind, names in (
+        ("scenario", [part.name for part in file.scenario]),
+        ("setting", [part.name for part in file.setting]),
+    ):
         for name in names:
             if not NAME.fullmatch(name):
-                raise ScenarioError(f"{name!r} is no name for a {what}: letters, digits, '.', '_', '-'")
+                raise ScenarioError(f"{name!r} is no name for a {kind}; use letters, digits, '.', '_' and '-'")
         if len(set(names)) != len(names):
-            raise ScenarioError(f"two {what}s have the same name")
-    if file.baseline and file.baseline not in {s.name for s in file.setting}:
+            raise ScenarioError(f"two {kind}s have the same name")
+    if file.baseline and file.baseline not in {part.name for part in file.setting}:
         raise ScenarioError(f"baseline: there is no setting {file.baseline!r}")
-    if not 1 <= file.seeds * len(file.scenario) * len(file.setting) <= MOST_RUNS:
-        raise ScenarioError(f"it must have between 1 and {MOST_RUNS} runs")
+    if not 1 <= file.seeds * len(file.scenario) * len(file.setting) <= MAX_RUNS:
+        raise ScenarioError(f"it must have between 1 and {MAX_RUNS} runs")
     for figure in file.figures:
-        if not figure_known(figure):
+        if not is_known_figure(figure):
             raise ScenarioError(f"figures: there is no {figure!r}; there are {', '.join(NUMBERS)} and share.OUTCOME")
     return {
         (scenario.name, setting.name): load_scenario(scenario.file, folder, (*scenario.set, *setting.set))
@@ -186,9 +255,13 @@
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Raises `ScenarioError`."""
+    """Reads an experiment's file.
+
+    Raises:
+        ScenarioError: The file cannot be read or is invalid.
+    """
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise ScenarioError(f"{path}: {error}") from None
-    return experiment_of(raw, str(path), path.resolve().parent)
+    return parse_experiment(raw, str(path), path.resolve().parent)
--- a/elderlock/sim/observed_server.py
+++ b/elderlock/sim/observed_server.py
@@ -1,4 +1,4 @@
-"""What stands round the limiters on the shells' floor: the stand-ins' boxes, seen by the world."""
+"""Servers of the stand-ins whose work a world observes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 
 
 class ExecutionObserver(Protocol):
-    """Who hears that work has come to a box."""
+    """Receives the requests that reach servers."""
 
-    def record_execution(self, box: str, request: str) -> None: ...
+    def record_execution(self, server: str, request: str) -> None:
+        """Records that a server received a request."""
 
 
 class ObservedServer(Box):
-    """Tells the world what came."""
+    """A stand-in server that reports each received request to its world."""
 
     world: ExecutionObserver
 
     def took(self, sent: Sent, command: list[bytes]) -> None:
+        """Reports a received request."""
         self.world.record_execution(self.uid, command[2].decode())
--- a/elderlock/sim/page.py
+++ b/elderlock/sim/page.py
@@ -1,4 +1,4 @@
-"""An experiment as one HTML page that stands alone: its charts are drawings within it, and it asks no network."""
+"""Renders an experiment as one self-contained HTML page with embedded charts and no network access."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from elderlock.sim.experiment import Cell, Experiment
 from elderlock.sim.figures import Result
 
-# pygal puts a finder of the old form into the import system: whoever asks the finders in turn fails on it
+# pygal installs an obsolete import finder without `find_spec`, on which later users of `sys.meta_path` fail.
 sys.meta_path[:] = [finder for finder in sys.meta_path if hasattr(finder, "find_spec")]
 
 TITLES = {
@@ -32,7 +32,7 @@
 }
 
 
-def _drawn(chart: Any) -> str:
+def _render(chart: Any) -> str:
     tree: Any = chart.render_tree()
     for parent in list(tree.iter()):
         for child in [each for each in parent if str(each.tag).endswith("script") or each.tag is ElementTree.Comment]:
@@ -40,8 +40,8 @@
     return f"<figure>{ElementTree.tostring(tree, encoding='unicode')}</figure>"
 
 
-def _boxes(figure: str, experiment: Experiment, results: Mapping[Cell, Result]) -> str:
-    """One box for each scenario and setting, over its seeds."""
+def _box_plot(figure: str, experiment: Experiment, results: Mapping[Cell, Result]) -> str:
+    """Draws one box for each scenario and setting, over its seeds."""
     chart = pygal.Box(
         title=TITLES.get(figure, figure),
         style=CleanStyle,
@@ -63,11 +63,11 @@
                     except KeyError:
                         continue
             chart.add(f"{scenario.name}, {setting.name}", values)
-    return _drawn(chart)
+    return _render(chart)
 
 
-def _by_scale(figure: str, experiment: Experiment, lines: list[Line]) -> str:
-    """Over the number of limiters, where the scenarios differ in it."""
+def _scale_chart(figure: str, experiment: Experiment, lines: list[Line]) -> str:
+    """Draws the figure over the number of limiters, for scenarios that differ in it."""
     chart = pygal.XY(
         title=f"{TITLES.get(figure, figure)}, by limiters",
         x_title="limiters",
@@ -81,34 +81,42 @@
     )
     for setting in experiment.file.setting:
         points = [
-            (float(experiment.made[line.scenario, setting.name].limiters), line.mean)
+            (float(experiment.scenarios[line.scenario, setting.name].limiters), line.mean)
             for line in lines
             if line.setting == setting.name and line.figure == figure
         ]
         chart.add(setting.name, sorted(points))
-    return _drawn(chart)
+    return _render(chart)
 
 
 def page(experiment: Experiment, results: Mapping[Cell, Result], lines: list[Line], broken: list[str]) -> str:
-    scales = {scenario.limiters for scenario in experiment.made.values()}
-    charts = [_boxes(figure, experiment, results) for figure in experiment.file.figures]
+    """Returns the HTML page.
+
+    Args:
+        experiment: The experiment.
+        results: Results of its runs.
+        lines: Comparison of its settings.
+        broken: Bounds that were not met.
+    """
+    scales = {scenario.limiters for scenario in experiment.scenarios.values()}
+    charts = [_box_plot(figure, experiment, results) for figure in experiment.file.figures]
     if len(scales) > 1:
-        charts += [_by_scale(figure, experiment, lines) for figure in experiment.file.figures]
+        charts += [_scale_chart(figure, experiment, lines) for figure in experiment.file.figures]
     rows = "".join(
         f"<tr><td>{html.escape(line.scenario)}</td><td>{html.escape(line.setting)}</td>"
         f"<td>{html.escape(line.figure)}</td><td>{line.mean:.4g}</td>"
         f"<td>{html.escape(line.verdict(experiment.baseline))}</td></tr>"
         for line in lines
     )
-    wrong = [*broken, *failures(results)]
-    said = "".join(f"<li>{html.escape(text)}</li>" for text in wrong[:200])
-    verdict = f'<div class="bad"><ul>{said}</ul></div>' if wrong else '<div class="good">nothing was broken</div>'
+    failed = [*broken, *failures(results)]
+    items = "".join(f"<li>{html.escape(text)}</li>" for text in failed[:200])
+    verdict = f'<div class="bad"><ul>{items}</ul></div>' if failed else '<div class="good">nothing was broken</div>'
     name = html.escape(experiment.file.name)
     return (
         f'<!doctype html><html lang="en"><head><meta charset="utf-8"><title>{name}</title><style>{STYLE}\n'
         "td,th{padding:.2rem .8rem;text-align:left}</style></head><body>"
         f"<h1>{name}</h1><p>{html.escape(experiment.file.about)}</p>"
-        f"<p>{len(results)} runs on the {experiment.file.floor}' floor; each setting is compared with "
+        f"<p>{len(results)} runs at the {experiment.file.floor} level; each setting is compared with "
         f"{html.escape(experiment.baseline)} seed by seed.</p>{verdict}{''.join(charts)}"
         "<h2>Means, and differences with their 95 % intervals</h2><table><tr><th>scenario</th><th>setting</th>"
         f"<th>figure</th><th>mean</th><th>against the baseline</th></tr>{rows}</table></body></html>"
--- a/elderlock/sim/shell_faults.py
+++ b/elderlock/sim/shell_faults.py
@@ -1,4 +1,4 @@
-"""Carries out a scenario's faults on the shells' floor."""
+"""Fault injection of the shell-level simulator."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 if TYPE_CHECKING:
     from elderlock.sim.shells import ShellWorld
 
-COMMAND_WITHIN = 15.0  # s that an operator's command may take
+COMMAND_TIMEOUT_S = 15.0  # of an operator's command
 
 
 class ShellFaults(StandinFaults):
-    """Each begins at its time, whatever became of the one before."""
+    """Injects a scenario's faults, each at its time and independently of the others."""
 
     world: ShellWorld
 
     def __init__(self, world: ShellWorld) -> None:
         super().__init__(world)
-        self._undrains: dict[str, int] = {}
+        self._undrain_counts: dict[str, int] = {}
 
     def silence(self, uid: str) -> Callable[[], object]:
+        """Cuts the server off in both directions and returns a function that ends this."""
         pairs = [(uid, "*"), ("*", uid)]
         self.world.ways.separate(pairs)
         return lambda: self.world.ways.join(pairs)
@@ -50,7 +51,7 @@
                     await self._agent_fault(fault, number)
             case "floor":
                 for number in fault.numbers(self.world.scenario.floors):
-                    await self._floor_fault(fault, floor_name(number))
+                    await self._zone_fault(fault, floor_name(number))
             case "counter":
                 await self.counter_fault(fault)
             case "discovery":
@@ -60,21 +61,23 @@
             case "clients":
                 await self.clients_fault(fault)
             case "house":
-                await self._power([machine.name for machine in self.world.machines], list(self.world.listing.boxes))
+                await self._power_loss(
+                    [machine.name for machine in self.world.machines], list(self.world.listing.boxes)
+                )
             case "way":
-                self._way_fault(fault)
+                self._link_fault(fault)
 
-    async def _power(self, machines: Sequence[str], boxes: Sequence[str]) -> None:
-        """All that runs there is gone at once. What was written stays: this floor's disks take each write at once."""
+    async def _power_loss(self, machines: Sequence[str], servers: Sequence[str]) -> None:
+        """Kills everything that runs there at once; written data survives, as simulated disks store writes at once."""
         for process in list(self.world.processes.values()):
             if process.alive and process.machine.name in machines:
                 self.world.signal(process, signal.SIGKILL)
         restart = Fault(0.0, "restart", "box:0")
-        for uid in boxes:
+        for uid in servers:
             await self.server_fault(restart, self.world.listing.boxes.get(uid))
 
-    def _machine_of(self, end: str) -> str:
-        """The machine at that end of a way; all that runs on it shares what befalls the way."""
+    def _machine_at(self, end: str) -> str:
+        """Returns the machine at an end of a link; everything on that machine shares the link's faults."""
         kind, _, number = end.partition(":")
         match kind:
             case "limiter":
@@ -90,70 +93,73 @@
                 return self.world.network.world.name
         return end
 
-    def _way_fault(self, fault: Fault) -> None:
-        ways, by = self.world.ways, by_of(fault)
-        source, target = (self._machine_of(end) for end in fault.ends())
-        pair = (source, target)
+    def _link_fault(self, fault: Fault) -> None:
+        ways, amount = self.world.ways, by_of(fault)
+        source, target = (self._machine_at(end) for end in fault.ends())
+        link = (source, target)
         match fault.what:
             case "cut":
-                ways.separate([pair])
-                self._end_after(fault, lambda: ways.join([pair]))
+                ways.separate([link])
+                self._end_after(fault, lambda: ways.join([link]))
             case "late":
-                ways.slower[pair] = by
-                self._end_after(fault, lambda: ways.slower.pop(pair, None))
+                ways.slower[link] = amount
+                self._end_after(fault, lambda: ways.slower.pop(link, None))
             case "loss":
-                ways.lossy[pair] = by
-                self._end_after(fault, lambda: ways.lossy.pop(pair, None))
+                ways.lossy[link] = amount
+                self._end_after(fault, lambda: ways.lossy.pop(link, None))
             case "reset":
                 if "clients" in fault.ends():
                     self.world.has_broken_connections = True
                 for process in list(self.world.processes.values()):
-                    for held in list(process.holds) if process.alive else ():
-                        if isinstance(held, Stream) and {held.machine.name, held.peer.machine.name} == {source, target}:
-                            held._break(ConnectionResetError(errno.ECONNRESET, "reset"))
+                    for resource in list(process.holds) if process.alive else ():
+                        if isinstance(resource, Stream) and {resource.machine.name, resource.peer.machine.name} == {
+                            source,
+                            target,
+                        }:
+                            resource._break(ConnectionResetError(errno.ECONNRESET, "reset"))
 
     async def command(self, fault: Fault, kind: Any, target: str) -> None:
-        """An operator's command, in a process of its own on the first floor."""
+        """Runs an operator's command in a process of its own on the first agent's machine."""
         if not self.world.scenario.agents:
             return
-        drained = fault.what == "op-drain"
+        is_drain = fault.what == "op-drain"
         operator = self.world.rng.choice(("an", "binh"))
-        if not drained:
-            self._undrains[target] = self._undrains.get(target, 0) + 1
+        if not is_drain:
+            self._undrain_counts[target] = self._undrain_counts.get(target, 0) + 1
             self.world.reports.undrained(target)
             self.world.agreed.brings_back(target, self.world.at())
-        undrains = self._undrains.get(target, 0)
+        undrain_count = self._undrain_counts.get(target, 0)
         process = self.world.process(f"operator-{operator}", self.world.agent_machine(0), {})
         done: asyncio.Future[None] = self.world.loop.create_future()
 
         async def main() -> int:
             group = Group.read(self.world.folder / "group.toml", self.world.folder / f"token-{operator}")
-            forced = not self.world.scenario.settings.budget  # where permits are asked for, nobody goes without
-            order = Order(kind, (target,), drained, force=forced, give_up_after=COMMAND_WITHIN)
-            result = await carry_out(group, order, lambda *told: None)
-            for account in result.reports:
-                for row in account.rows():
-                    # one that ends only once another operator has undrained it claims nothing any more
-                    holds = drained and self._undrains.get(target, 0) == undrains
-                    if not (holds and row.state == "reached" and row.limiter):
+            force = not self.world.scenario.settings.budget  # with a budget, operators need permits
+            order = Order(kind, (target,), is_drain, force=force, give_up_after=COMMAND_TIMEOUT_S)
+            result = await carry_out(group, order, lambda *args: None)
+            for report in result.reports:
+                for row in report.rows():
+                    # A drain that ends after another operator's undrain no longer claims anything.
+                    is_in_force = is_drain and self._undrain_counts.get(target, 0) == undrain_count
+                    if not (is_in_force and row.state == "reached" and row.limiter):
                         continue
                     self.world.agreed.took_out(kind, target, self.world.at())
                     if kind == "box":
-                        # by the limiter's own clock, which is read at its start
-                        since = row.at - EPOCH * 1000.0 - self.world.offsets.get(row.limiter, 0.0)
-                        self.world.bench.claimed(self.world.at(), operator, target, row.limiter, since)
+                        # The time is of the limiter's clock, whose offset is read at its start.
+                        since_ms = row.at - EPOCH * 1000.0 - self.world.offsets.get(row.limiter, 0.0)
+                        self.world.bench.claimed(self.world.at(), operator, target, row.limiter, since_ms)
             group.close()
             self.world.trace.event(self.world.at(), process.name, f"{fault.what} {target}: {result.exit.name}")
             self.world.commands.append((f"{fault.what} {target}", int(result.exit)))
             return int(result.exit)
 
-        process.on_exit.append(lambda: _settle(done))
+        process.on_exit.append(lambda: _resolve(done))
         start(self.world.loop, process, main)
         await done
 
     async def _limiter_fault(self, fault: Fault, number: int) -> None:
         process = self.world.limiters[number]
-        machine, by = self.world.machines[number], by_of(fault)
+        machine, amount = self.world.machines[number], by_of(fault)
         match fault.what:
             case "kill" if process is not None:
                 self.world.signal(process, signal.SIGKILL)
@@ -161,11 +167,11 @@
                 self.world.signal(process, signal.SIGTERM)
             case "pause" if process is not None:
                 self.world.signal(process, signal.SIGSTOP)
-                lasts = fault.for_s or by / 1000.0
-                self.world.lost.stalled(self.world.at(), f"n{number}", lasts * 1000.0)
-                self.world.loop.call_later(lasts, self.world.signal, process, signal.SIGCONT)
+                duration_s = fault.for_s or amount / 1000.0
+                self.world.lost.stalled(self.world.at(), f"n{number}", duration_s * 1000.0)
+                self.world.loop.call_later(duration_s, self.world.signal, process, signal.SIGCONT)
             case "clock":
-                machine.offset += by
+                machine.offset += amount
             case "cut" | "cut-to" | "cut-from":
                 self._cut(fault, machine.name, [*self.world.scenario.floor_names(), "discovery"])
             case "power" if process is not None:
@@ -188,8 +194,8 @@
                 self.world.signal(process, signal.SIGTERM)
             case "pause":
                 self.world.signal(process, signal.SIGSTOP)
-                lasts = fault.for_s or by_of(fault) / 1000.0
-                self.world.loop.call_later(lasts, self.world.signal, process, signal.SIGCONT)
+                duration_s = fault.for_s or by_of(fault) / 1000.0
+                self.world.loop.call_later(duration_s, self.world.signal, process, signal.SIGCONT)
             case "clock":
                 machine.offset += by_of(fault)
             case "cut":
@@ -198,23 +204,23 @@
                 machine.disk_fails = fault.what
                 self._end_after(fault, lambda: setattr(machine, "disk_fails", ""))
 
-    async def _floor_fault(self, fault: Fault, floor: str) -> None:
+    async def _zone_fault(self, fault: Fault, zone: str) -> None:
         match fault.what:
             case "cut" | "cut-to" | "cut-from":
-                self._cut(fault, floor, self.world.scenario.floor_names())
+                self._cut(fault, zone, self.world.scenario.floor_names())
             case "loss":
-                was, self.world.ways.loss = self.world.ways.loss, by_of(fault)
-                self._end_after(fault, lambda: setattr(self.world.ways, "loss", was))
+                previous, self.world.ways.loss = self.world.ways.loss, by_of(fault)
+                self._end_after(fault, lambda: setattr(self.world.ways, "loss", previous))
             case "late":
-                self.world.ways.slow[floor] = self.world.ways.slow.get(floor, 0.0) + by_of(fault)
-                self._end_after(fault, lambda: self.world.ways.slow.pop(floor, None))
+                self.world.ways.slow[zone] = self.world.ways.slow.get(zone, 0.0) + by_of(fault)
+                self._end_after(fault, lambda: self.world.ways.slow.pop(zone, None))
             case "power":
-                machines = [machine.name for machine in self.world.machines if machine.floor == floor]
-                boxes = [uid for uid, box in self.world.listing.boxes.items() if box.floor == floor]
-                await self._power(machines, boxes)
+                machines = [machine.name for machine in self.world.machines if machine.floor == zone]
+                servers = [uid for uid, server in self.world.listing.boxes.items() if server.floor == zone]
+                await self._power_loss(machines, servers)
             case "restart" | "silent":
-                for box in [box for box in self.world.listing.boxes.values() if box.floor == floor]:
-                    await self.server_fault(fault, box)
+                for server in [server for server in self.world.listing.boxes.values() if server.floor == zone]:
+                    await self.server_fault(fault, server)
 
     async def _peers_fault(self, fault: Fault) -> None:
         ways = self.world.ways
@@ -223,10 +229,10 @@
                 ways.slow[machine.name] = by_of(fault)
             self._end_after(fault, lambda: [ways.slow.pop(machine.name, None) for machine in self.world.machines])
             return
-        was, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
-        self._end_after(fault, lambda: setattr(ways, "datagram_loss", was))
+        previous, ways.datagram_loss = ways.datagram_loss, 1.0 if fault.what == "silent" else by_of(fault)
+        self._end_after(fault, lambda: setattr(ways, "datagram_loss", previous))
 
 
-def _settle(done: asyncio.Future[None]) -> None:
+def _resolve(done: asyncio.Future[None]) -> None:
     if not done.done():
         done.set_result(None)
--- a/elderlock/sim/standin_faults.py
+++ b/elderlock/sim/standin_faults.py
@@ -1,5 +1,7 @@
-"""Faults of what stands round the limiters (boxes, the counter, discovery, clients), on the stand-ins alone: the same
-in simulated processes and in real ones."""
+"""Faults of what surrounds the limiters: servers, the counter, discovery and clients.
+
+They only act on the stand-ins and are the same for simulated and for real processes.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +15,17 @@
 from elderlock.standins.boxes import Box
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
-from elderlock.standins.listener import Fault as Breaks
+from elderlock.standins.listener import Fault as StandinFault
+
 
+class StartObserver(Protocol):
+    """Receives the starts of servers."""
 
-class Hears(Protocol):
     started: Any
 
 
 class StandinWorld(Protocol):
-    """A world with stand-ins, simulated or of real processes."""
+    """A world with stand-ins, of simulated or of real processes."""
 
     loop: asyncio.AbstractEventLoop
     rng: random.Random
@@ -29,28 +33,39 @@
     clients: Clients | None
 
     @property
-    def listing(self) -> Registry: ...
+    def listing(self) -> Registry:
+        """The servers that discovery lists."""
+
     @property
-    def bench(self) -> Hears: ...
+    def bench(self) -> StartObserver:
+        """The invariant checkers."""
+
     def since(self, unix: float) -> float:
-        """ms of the run, of a time in Unix ms."""
+        """Converts a Unix time in ms to ms since the start of the run."""
 
-    def record_fault(self, number: int, fault: Fault) -> None: ...
+    def record_fault(self, number: int, fault: Fault) -> None:
+        """Records the start of a fault."""
 
 
 class StandinFaults:
-    """Each begins at its time, whatever became of the one before."""
+    """Injects a scenario's faults, each at its time and independently of the others."""
 
     def __init__(self, world: StandinWorld) -> None:
         self.world: Any = world
-        self._tasks: dict[asyncio.Task[None], None] = {}  # a task that nothing holds may be collected
+        self._tasks: dict[asyncio.Task[None], None] = {}  # the event loop holds only weak references to tasks
 
     def begin(self, number: int, fault: Fault) -> None:
+        """Starts a fault.
+
+        Args:
+            number: Index of the fault in the scenario.
+            fault: The fault.
+        """
         self.world.record_fault(number, fault)
-        self._keep(self._apply(fault))
+        self._start_task(self._apply(fault))
 
-    def _keep(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.world.loop.create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self.world.loop.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(self._tasks.pop)
 
@@ -58,73 +73,75 @@
         raise NotImplementedError
 
     def silence(self, uid: str) -> Callable[[], object]:
-        """Nothing comes to that box or from it, until what is returned is called."""
+        """Cuts the server off in both directions and returns a function that ends this."""
         raise NotImplementedError
 
     async def command(self, fault: Fault, kind: Any, target: str) -> None:
-        """An operator's."""
+        """Runs an operator's drain or undrain command for a target of that kind."""
         raise NotImplementedError
 
     def _end_after(self, fault: Fault, end: Callable[[], Any]) -> None:
         if fault.for_s > 0:
             self.world.loop.call_later(fault.for_s, end)
 
-    async def server_fault(self, fault: Fault, box: Box | None) -> None:
-        if box is None:
+    async def server_fault(self, fault: Fault, server: Box | None) -> None:
+        """Carries out a fault of one server; does nothing if it does not exist."""
+        if server is None:
             return
-        model, by = box.model, by_of(fault)
+        model, amount = server.model, by_of(fault)
         match fault.what:
             case "slow":
-                model.slow = by
+                model.slow = amount
                 self._end_after(fault, lambda: setattr(model, "slow", 1.0))
             case "errs":
-                model.errs = by
+                model.errs = amount
                 self._end_after(fault, lambda: setattr(model, "errs", 0.0))
             case "lies":
                 model.lies = True
             case "pause":
-                model.pause(by)
+                model.pause(amount)
             case "silent":
-                self._end_after(fault, self.silence(box.uid))
+                self._end_after(fault, self.silence(server.uid))
             case "refusing":
-                await box.fail(Breaks.REFUSING)
+                await server.fail(StandinFault.REFUSING)
                 if fault.for_s > 0:
                     await asyncio.sleep(fault.for_s)
-                    await box.fail(Breaks.NONE)
+                    await server.fail(StandinFault.NONE)
             case "restart":
-                await box.restart()
-                self.world.bench.started(self.world.since(box.boot_ms), box.uid, box.kind.shape.bears())
-                self.world.listing.changed(box)
+                await server.restart()
+                self.world.bench.started(self.world.since(server.boot_ms), server.uid, server.kind.shape.bears())
+                self.world.listing.changed(server)
             case "drain":
-                box.state = "draining"
-                self.world.listing.changed(box)
-                self._end_after(fault, lambda: self._undrain(box))
+                server.state = "draining"
+                self.world.listing.changed(server)
+                self._end_after(fault, lambda: self._undrain(server))
             case "remove":
-                self.world.listing.boxes.pop(box.uid, None)
-                box.state = "removed"
-                self.world.listing.changed(box)
+                self.world.listing.boxes.pop(server.uid, None)
+                server.state = "removed"
+                self.world.listing.changed(server)
                 await asyncio.sleep(0.5)
-                await box.close()
+                await server.close()
             case "op-drain" | "op-undrain":
-                await self.command(fault, "box", box.uid)
+                await self.command(fault, "box", server.uid)
 
-    def _undrain(self, box: Box) -> None:
-        if box.uid in self.world.listing.boxes:
-            box.state = "up"
-            self.world.listing.changed(box)
+    def _undrain(self, server: Box) -> None:
+        if server.uid in self.world.listing.boxes:
+            server.state = "up"
+            self.world.listing.changed(server)
 
     async def counter_fault(self, fault: Fault) -> None:
+        """Carries out a fault of the counter."""
         counter = self.world.counter
         match fault.what:
             case "silent":
-                await counter.fail(Breaks.SILENT)
-                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                await counter.fail(StandinFault.SILENT)
+                self._end_after(fault, lambda: self._start_task(counter.fail(StandinFault.NONE)))
             case "refusing":
-                await counter.fail(Breaks.REFUSING)
-                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                await counter.fail(StandinFault.REFUSING)
+                self._end_after(fault, lambda: self._start_task(counter.fail(StandinFault.NONE)))
             case "late":
-                await counter.fail(Breaks.SLOW, delay=by_of(fault) / 1000.0)
-                self._end_after(fault, lambda: self._keep(counter.fail(Breaks.NONE)))
+                await counter.fail(StandinFault.SLOW, delay=by_of(fault) / 1000.0)
+                self._end_after(fault, lambda: self._start_task(counter.fail(StandinFault.NONE)))
             case "empty":
                 counter.lose()
                 counter.reset()
@@ -136,54 +153,56 @@
                 self._end_after(fault, lambda: setattr(counter, "busy", False))
 
     async def discovery_fault(self, fault: Fault) -> None:
+        """Carries out a fault of discovery."""
         listing, discovery = self.world.listing, self.world.listing.discovery
         match fault.what:
             case "silent" | "refusing":
-                await discovery.fail(Breaks.SILENT if fault.what == "silent" else Breaks.REFUSING)
-                self._end_after(fault, lambda: self._keep(self._discovery_back()))
+                await discovery.fail(StandinFault.SILENT if fault.what == "silent" else StandinFault.REFUSING)
+                self._end_after(fault, lambda: self._start_task(self._recover_discovery()))
             case "stale":
                 listing.stale = listing.rows(0)
-                self._end_after(fault, self._fresh)
+                self._end_after(fault, self._end_staleness)
             case "late":
                 listing.late = by_of(fault) / 1000.0
                 self._end_after(fault, lambda: setattr(listing, "late", 0.0))
             case "flap":
-                ends = self.world.loop.time() + (fault.for_s or 2.0)
-                boxes = list(listing.boxes.values())
-                while self.world.loop.time() < ends and boxes:
-                    box = self.world.rng.choice(boxes)
-                    box.state = "draining" if box.state == "up" else "up"
-                    listing.changed(box)
+                end_s = self.world.loop.time() + (fault.for_s or 2.0)
+                servers = list(listing.boxes.values())
+                while self.world.loop.time() < end_s and servers:
+                    server = self.world.rng.choice(servers)
+                    server.state = "draining" if server.state == "up" else "up"
+                    listing.changed(server)
                     await asyncio.sleep(0.1)
-                for box in boxes:
-                    self._undrain(box)
+                for server in servers:
+                    self._undrain(server)
             case "dead":
                 for uid in list(listing.boxes)[:1]:
-                    box = listing.boxes.pop(uid)
-                    listing.dead[uid] = box
-                    await box.close()
-                self._end_after(fault, self._bury)
+                    server = listing.boxes.pop(uid)
+                    listing.dead[uid] = server
+                    await server.close()
+                self._end_after(fault, self._forget_dead_servers)
 
-    async def _discovery_back(self) -> None:
-        await self.world.listing.discovery.fail(Breaks.NONE)
-        self.world.listing.discovery.reset()  # watches that were silent are begun anew
+    async def _recover_discovery(self) -> None:
+        await self.world.listing.discovery.fail(StandinFault.NONE)
+        self.world.listing.discovery.reset()  # clients start their silent watches anew
 
-    def _fresh(self) -> None:
+    def _end_staleness(self) -> None:
         self.world.listing.stale = None
         self.world.listing.whole()
 
-    def _bury(self) -> None:
+    def _forget_dead_servers(self) -> None:
         self.world.listing.dead.clear()
         self.world.listing.whole()
 
     async def clients_fault(self, fault: Fault) -> None:
+        """Carries out a fault of the clients."""
         assert self.world.clients is not None
-        lasts = fault.for_s or 2.0
+        duration_s = fault.for_s or 2.0
         if fault.what == "hoard":
             clients = self.world.clients
             clients.hoard = by_of(fault)
             self._end_after(fault, lambda: setattr(clients, "hoard", 0.0))
         elif fault.what == "rush":
-            await self.world.clients.rush(by_of(fault), lasts)
+            await self.world.clients.rush(by_of(fault), duration_s)
         else:
-            await self.world.clients.silent_crowd(by_of(fault), lasts)
+            await self.world.clients.silent_crowd(by_of(fault), duration_s)
--- a/elderlock/sim/sweep.py
+++ b/elderlock/sim/sweep.py
@@ -1,4 +1,4 @@
-"""Runs an experiment's cells over all cores, each result kept at once, so that a sweep that was stopped goes on."""
+"""Runs the cells of an experiment on all cores and stores each result at once, so that a sweep can resume."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from elderlock.sim.search import play
 
 VERSION = 1
-MOST_DEATHS = 3  # of the worker under one cell; then it is kept as one that could not be run
+MAX_WORKER_DEATHS = 3  # during one cell, which is then recorded as failed
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS runs (
     scenario TEXT NOT NULL, setting TEXT NOT NULL, seed INTEGER NOT NULL, digest TEXT NOT NULL, result BLOB NOT NULL,
@@ -28,40 +28,52 @@
 
 
 class SweepError(Exception):
-    """The sweep cannot go on; what was recorded is kept."""
+    """The sweep cannot continue; recorded results stay."""
 
 
 class ResultStore:
-    """Results by cell, each in a transaction of its own. `factory` makes the connection, for tests to fail writes."""
+    """Stores results by cell, each in a transaction of its own."""
 
     def __init__(self, path: Path, factory: type[sqlite3.Connection] = sqlite3.Connection) -> None:
-        """Raises `SweepError`."""
+        """Opens or creates the database.
+
+        Args:
+            path: Path of the database.
+            factory: Class of the connection; tests use it to fail writes.
+
+        Raises:
+            SweepError: The database cannot be opened or has another schema version.
+        """
         self.path = path
         try:
             self._db = sqlite3.connect(path, isolation_level=None, factory=factory, timeout=5.0)
             self._db.execute("PRAGMA journal_mode=WAL")
             version = self._db.execute("PRAGMA user_version").fetchone()[0]
             if version not in (0, VERSION):
-                raise SweepError(f"{path}: it is of version {version}, this program's is {VERSION}")
+                raise SweepError(f"{path}: its schema has version {version}, this program needs {VERSION}")
             self._db.executescript(SCHEMA)
             self._db.execute(f"PRAGMA user_version={VERSION}")
         except sqlite3.Error as error:
             raise SweepError(f"{path}: {error}") from None
 
     def load_results(self, experiment: Experiment) -> dict[Cell, Result]:
-        """Raises `SweepError` where a cell was recorded for another scenario or setting of that name."""
-        found = {}
+        """Returns the recorded results of the experiment's cells.
+
+        Raises:
+            SweepError: A cell was recorded for another scenario or setting of the same name.
+        """
+        results = {}
         for scenario, setting, seed, digest, raw in self._rows():
             cell = Cell(scenario, setting, seed)
-            if (scenario, setting) not in experiment.made:
+            if (scenario, setting) not in experiment.scenarios:
                 continue
             if digest != experiment.digest(cell):
                 raise SweepError(
                     f"{self.path}: {scenario}, {setting}, seed {seed} was recorded for another content of these "
-                    "names; take another file, or --fresh to forget what is recorded"
+                    "names; choose another file, or use --fresh to discard the recorded results"
                 )
-            found[cell] = msgspec.msgpack.decode(raw, type=Result)
-        return found
+            results[cell] = msgspec.msgpack.decode(raw, type=Result)
+        return results
 
     def _rows(self) -> list[tuple[str, str, int, str, bytes]]:
         try:
@@ -69,23 +81,29 @@
         except sqlite3.Error as error:
             raise SweepError(f"{self.path}: {error}") from None
 
-    def keep(self, cell: Cell, digest: str, result: Result) -> None:
-        """Raises `SweepError`; then nothing of it is recorded, and what was before stays."""
+    def save(self, cell: Cell, digest: str, result: Result) -> None:
+        """Stores a result.
+
+        Raises:
+            SweepError: The result could not be stored; earlier results stay.
+        """
         row = (*cell, digest, msgspec.msgpack.encode(result))
         try:
             self._db.execute("INSERT OR REPLACE INTO runs VALUES (?, ?, ?, ?, ?)", row)
         except sqlite3.Error as error:
-            raise SweepError(f"{self.path}: a result could not be kept: {error}") from None
+            raise SweepError(f"{self.path}: a result could not be stored: {error}") from None
 
     def clear(self) -> None:
+        """Deletes all results."""
         self._db.execute("DELETE FROM runs")
 
     def close(self) -> None:
+        """Closes the database."""
         self._db.close()
 
 
 def _run(raw: bytes, seed: int, floor: str) -> bytes:
-    """In a worker's process."""
+    """Runs a cell in a worker process."""
     scenario = msgspec.msgpack.decode(raw, type=Scenario)
     return msgspec.msgpack.encode(play(scenario, seed, floor))
 
@@ -94,76 +112,99 @@
 
 
 class Sweep:
-    """`told` hears of each cell as it is done. `work` runs one in a worker."""
-
-    def __init__(self, experiment: Experiment, records: ResultStore, workers: int, work: Work = _run) -> None:
-        self.experiment, self.records, self._workers, self._work = experiment, records, workers, work
+    """Runs the missing cells of an experiment.
+
+    Attributes:
+        experiment: The experiment.
+        store: Where results are recorded.
+        stopped: Set to stop the sweep.
+    """
+
+    def __init__(self, experiment: Experiment, store: ResultStore, workers: int, work: Work = _run) -> None:
+        """Prepares a sweep.
+
+        Args:
+            experiment: The experiment.
+            store: Where results are recorded.
+            workers: Number of worker processes.
+            work: Runs one cell in a worker process.
+        """
+        self.experiment, self.store, self._workers, self._work = experiment, store, workers, work
         self._deaths: dict[Cell, int] = {}
         self.stopped = False
 
     def missing_cells(self) -> list[Cell]:
-        done = self.records.load_results(self.experiment)
+        """Returns the cells without a recorded result."""
+        done = self.store.load_results(self.experiment)
         return [cell for cell in self.experiment.cells() if cell not in done]
 
-    def run(self, told: Callable[[Cell, Result], None] = lambda cell, result: None) -> int:
-        """Until all is done, or `stopped`. Returns how many cells are left. Raises `SweepError`; `KeyboardInterrupt`
-        goes through, after what had ended was kept."""
+    def run(self, on_result: Callable[[Cell, Result], None] = lambda cell, result: None) -> int:
+        """Runs until all cells are recorded or `stopped` is set, and returns the number of missing cells.
+
+        A `KeyboardInterrupt` passes through after the results of finished runs were stored.
+
+        Args:
+            on_result: Called with each cell and its result.
+
+        Raises:
+            SweepError: A result cannot be read or stored.
+        """
         left = self.missing_cells()
         while left and not self.stopped:
             with contextlib.suppress(BrokenProcessPool):
-                self._round(left, told)
+                self._run_pool(left, on_result)
             left = self.missing_cells()
         return len(left)
 
-    def _round(self, cells: Iterable[Cell], told: Callable[[Cell, Result], None]) -> None:
-        """With one pool of workers; one that dies takes the pool with it, and what was out is run again."""
-        coming = iter(cells)
+    def _run_pool(self, cells: Iterable[Cell], on_result: Callable[[Cell, Result], None]) -> None:
+        """Runs cells with one pool of workers; a dead worker ends the pool, and its unfinished cells run again."""
+        remaining = iter(cells)
         pool = ProcessPoolExecutor(self._workers, mp_context=get_context("spawn"))
-        out: dict[Any, Cell] = {}
+        pending: dict[Any, Cell] = {}
         try:
             while not self.stopped:
-                while len(out) < 2 * self._workers and (cell := next(coming, None)) is not None:
-                    scenario = self.experiment.made[cell.scenario, cell.setting]
+                while len(pending) < 2 * self._workers and (cell := next(remaining, None)) is not None:
+                    scenario = self.experiment.scenarios[cell.scenario, cell.setting]
                     raw = msgspec.msgpack.encode(scenario)
-                    out[pool.submit(self._work, raw, cell.seed, self.experiment.file.floor)] = cell
-                if not out:
+                    pending[pool.submit(self._work, raw, cell.seed, self.experiment.file.floor)] = cell
+                if not pending:
                     return
-                done, _ = wait(out, return_when=FIRST_COMPLETED, timeout=0.5)
+                done, _ = wait(pending, return_when=FIRST_COMPLETED, timeout=0.5)
                 for future in done:
-                    cell = out.pop(future)
-                    self._ended(cell, future, told)
+                    cell = pending.pop(future)
+                    self._run_ended(cell, future, on_result)
         except BrokenProcessPool:
-            for future, cell in out.items():  # those that had ended before it are not lost
+            for future, cell in pending.items():  # results of finished runs are not lost
                 if future.done() and future.exception() is None:
-                    self._ended(cell, future, told)
+                    self._run_ended(cell, future, on_result)
                 elif future.running() or future.done():
-                    self._died(cell, told)
+                    self._worker_died(cell, on_result)
             raise
         finally:
             pool.shutdown(wait=False, cancel_futures=True)
             for process in list((pool._processes or {}).values()):
                 process.terminate()
 
-    def _ended(self, cell: Cell, future: Any, told: Callable[[Cell, Result], None]) -> None:
+    def _run_ended(self, cell: Cell, future: Any, on_result: Callable[[Cell, Result], None]) -> None:
         try:
             result = msgspec.msgpack.decode(future.result(), type=Result)
         except BrokenProcessPool:
-            self._died(cell, told)
+            self._worker_died(cell, on_result)
             raise
-        except Exception as error:  # of the simulation itself: told, and not tried for ever
-            result = _failed(cell, self.experiment.file.floor, repr(error))
-        self._keep(cell, result, told)
+        except Exception as error:  # the simulation failed: recorded, and not repeated forever
+            result = _failed_result(cell, self.experiment.file.floor, repr(error))
+        self._save(cell, result, on_result)
 
-    def _died(self, cell: Cell, told: Callable[[Cell, Result], None]) -> None:
+    def _worker_died(self, cell: Cell, on_result: Callable[[Cell, Result], None]) -> None:
         self._deaths[cell] = self._deaths.get(cell, 0) + 1
-        if self._deaths[cell] >= MOST_DEATHS:
-            text = f"its worker died {MOST_DEATHS} times"
-            self._keep(cell, _failed(cell, self.experiment.file.floor, text), told)
+        if self._deaths[cell] >= MAX_WORKER_DEATHS:
+            text = f"its worker died {MAX_WORKER_DEATHS} times"
+            self._save(cell, _failed_result(cell, self.experiment.file.floor, text), on_result)
 
-    def _keep(self, cell: Cell, result: Result, told: Callable[[Cell, Result], None]) -> None:
-        self.records.keep(cell, self.experiment.digest(cell), result)
-        told(cell, result)
+    def _save(self, cell: Cell, result: Result, on_result: Callable[[Cell, Result], None]) -> None:
+        self.store.save(cell, self.experiment.digest(cell), result)
+        on_result(cell, result)
 
 
-def _failed(cell: Cell, floor: str, why: str) -> Result:
-    return Result(cell.scenario, floor, cell.seed, Figures(), ended="failed", why=why)
+def _failed_result(cell: Cell, floor: str, reason: str) -> Result:
+    return Result(cell.scenario, floor, cell.seed, Figures(), ended="failed", why=reason)
--- a/elderlock/sim/taps.py
+++ b/elderlock/sim/taps.py
@@ -1,4 +1,7 @@
-"""Looks on at the wire between clients, limiters and boxes, and tells the judges; knows RESP2 and no code of ours."""
+"""Observes the connections between clients, limiters and servers and informs the invariant checkers.
+
+It parses RESP2 independently of the project's own protocol code.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
 from elderlock.standins.boxes import MISSING
 
 
-class Hears(Protocol):
-    """The judges, or a recorder that keeps what they shall hear."""
+class CheckerEvents(Protocol):
+    """The invariant checkers, or a recorder of their events."""
 
     asked: Any
     answered: Any
@@ -20,71 +23,83 @@
 
 
 class ObservedWorld(Protocol):
-    """The world round the wire, simulated or of real processes."""
+    """The world around the connections, of simulated or of real processes."""
 
     @property
-    def bench(self) -> Hears: ...
+    def bench(self) -> CheckerEvents:
+        """The receiver of the events."""
+
     @property
     def has_broken_connections(self) -> bool:
-        """Connections break from outside, without their limiter's doing."""
+        """Whether faults, not limiters, break connections."""
 
     def at(self) -> float:
-        """ms of the run."""
+        """Returns the time since the start of the run in ms."""
 
     def incarnation(self, limiter: int) -> Any:
-        """Its process of this moment; None while it has none."""
+        """Returns the limiter's current process, None while it has none."""
 
-    def is_alive(self, incarnation: Any) -> bool: ...
-    def record_attempt(self, limiter: str, box: str, request: str, account: str, terms: bytes) -> None: ...
+    def is_alive(self, incarnation: Any) -> bool:
+        """Returns whether this process of a limiter runs."""
+
+    def record_attempt(self, limiter: str, server: str, request: str, account: str, options: bytes) -> None:
+        """Records that a limiter sent an attempt to a server."""
 
 
 class ClientTap:
-    """A client's end of a connection to a limiter: requests out, answers in, in their order."""
+    """Observes a client's end of a connection to a limiter; answers come in the order of the requests."""
 
     def __init__(self, world: ObservedWorld, limiter: int) -> None:
         self._world, self._limiter = world, limiter
         self.process = world.incarnation(limiter)
-        self._out = hiredis.Reader(notEnoughData=MISSING)
-        self._in = hiredis.Reader(notEnoughData=MISSING)
-        self._owed: deque[str] = deque()
+        self._sent = hiredis.Reader(notEnoughData=MISSING)
+        self._received = hiredis.Reader(notEnoughData=MISSING)
+        self._unanswered: deque[str] = deque()
 
     def wrote(self, data: bytes) -> None:
-        self._out.feed(data)
-        while (command := self._out.gets()) is not MISSING:
+        """Observes bytes that the client wrote."""
+        self._sent.feed(data)
+        while (command := self._sent.gets()) is not MISSING:
             if command[0] != b"API.READ":
-                self._owed.append("")
+                self._unanswered.append("")
                 continue
             name = command[2].decode()
-            terms = dict(pair.split("=", 1) for pair in command[3].decode().split(","))
-            self._owed.append(name)
+            options = dict(pair.split("=", 1) for pair in command[3].decode().split(","))
+            self._unanswered.append(name)
             world = self._world
             world.bench.asked(
-                world.at(), name, f"n{self._limiter}", world.at() + float(terms["d"]), command[1].decode(), "free"
+                world.at(), name, f"n{self._limiter}", world.at() + float(options["d"]), command[1].decode(), "free"
             )
 
     def read(self, data: bytes) -> None:
-        self._in.feed(data)
+        """Observes bytes that the client read."""
+        self._received.feed(data)
         try:
-            while (answer := self._in.gets()) is not MISSING:
-                name = self._owed.popleft() if self._owed else ""
+            while (answer := self._received.gets()) is not MISSING:
+                name = self._unanswered.popleft() if self._unanswered else ""
                 if name:
-                    self._world.bench.answered(self._world.at(), name, _word(name, answer))
+                    self._world.bench.answered(self._world.at(), name, _outcome(name, answer))
         except hiredis.ProtocolError:
-            self._world.bench.failure(self._world.at(), f"n{self._limiter}", "an answer that cannot be read")
+            self._world.bench.failure(self._world.at(), f"n{self._limiter}", "malformed answer to a client")
 
     def closed(self, by_us: bool) -> None:
+        """Observes the end of the connection.
+
+        Args:
+            by_us: Whether the client closed it.
+        """
         if by_us:
-            why = "its client went away"
+            reason = "its client went away"
         elif not self._world.is_alive(self.process) or self._world.has_broken_connections:
-            why = "its limiter was killed, or its connection broken from outside"
+            reason = "its limiter was killed, or its connection broken from outside"
         else:
-            return  # a request that crossed the end of its connection is sent once more, by the client
-        for name in self._owed:
+            return  # the client repeats a request that was under way when the limiter closed its connection
+        for name in self._unanswered:
             if name:
-                self._world.bench.excused(self._world.at(), name, why)
+                self._world.bench.excused(self._world.at(), name, reason)
 
 
-def _word(name: str, answer: Any) -> str:
+def _outcome(name: str, answer: Any) -> str:
     if isinstance(answer, bytes):
         return "served" if b"request=" + name.encode() in answer else "wrong"
     if isinstance(answer, hiredis.ReplyError):
@@ -93,22 +108,25 @@
 
 
 class SendTap:
-    """A limiter's end of a connection to a box: what it lets go, as it writes it."""
+    """Observes a limiter's end of a connection to a server; an attempt counts as sent when it is written."""
 
-    def __init__(self, world: ObservedWorld, limiter: str, box: str) -> None:
-        self._world, self._limiter, self._box = world, limiter, box
-        self._out = hiredis.Reader(notEnoughData=MISSING)
+    def __init__(self, world: ObservedWorld, limiter: str, server: str) -> None:
+        self._world, self._limiter, self._server = world, limiter, server
+        self._sent = hiredis.Reader(notEnoughData=MISSING)
 
     def wrote(self, data: bytes) -> None:
-        self._out.feed(data)
-        while (command := self._out.gets()) is not MISSING:
+        """Observes bytes that the limiter wrote."""
+        self._sent.feed(data)
+        while (command := self._sent.gets()) is not MISSING:
             if command[0] == b"API.READ":
                 self._world.record_attempt(
-                    self._limiter, self._box, command[2].decode(), command[1].decode(), command[3]
+                    self._limiter, self._server, command[2].decode(), command[1].decode(), command[3]
                 )
 
     def read(self, data: bytes) -> None:
+        """Ignores the server's answers."""
         pass
 
     def closed(self, by_us: bool) -> None:
+        """Ignores the end of the connection."""
         pass
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -1,4 +1,4 @@
-"""Search, shrinking, the systematic mode, seeds that are kept, and how a run tells whose failure it was."""
+"""Search, shrinking, the systematic mode, regression seeds, and the attribution of failures to code or simulator."""
 
 from __future__ import annotations
 
@@ -18,9 +18,8 @@
 from elderlock.decisions.attempts import Attempts
 from elderlock.load.scenario import ScenarioError
 from elderlock.load.trace import Row, Writer
-from elderlock.sim import decisions, schedule, search, seeds, shells
-from elderlock.sim import judges as j
-from elderlock.sim.grammar import MOST_REMOVED, Grammar, shrink
+from elderlock.sim import decisions, judges, schedule, search, seeds, shells
+from elderlock.sim.grammar import MAX_REMOVED_SHARE, Grammar, shrink
 from elderlock.sim.scenario import (
     FORMAT,
     Fault,
@@ -37,21 +36,21 @@
 from elderlock.sim.trace import Trace, first_difference
 from elderlock.standins.model import BoxModel
 
-KEPT = Path(__file__).parent / "seeds"
+SEEDS_FOLDER = Path(__file__).parent / "seeds"
 BASE = of_load(0.4, Scenario("search", lasts_s=4.0, warm_s=0.5, rest_s=2.0, boxes=6, agents=1))
 
 
-@pytest.mark.parametrize("path", sorted(KEPT.glob("*.toml")), ids=lambda path: path.stem)
-def test_a_bug_that_was_found_stays_mended(path: Path) -> None:
+@pytest.mark.parametrize("path", sorted(SEEDS_FOLDER.glob("*.toml")), ids=lambda path: path.stem)
+def test_regression_seeds_break_no_invariant(path: Path) -> None:
     seed = seeds.read(path)
-    assert seed.broke, "a kept seed names what it broke"
+    assert seed.broke, "a regression seed must name the invariants that it broke"
     result = search.play(seed.scenario, seed.seed, seed.floor)
     assert result.good(), seed.text() + result.text()
 
 
 @pytest.mark.parametrize("what", ["silent", "refusing", "empty", "busy", "late", "restored"])
-def test_no_fault_of_the_counter_breaks_a_rule_at_the_decision_level(what: Any) -> None:
-    """A counter that loses its counts also closes each limiter's connection; a rename once broke that step."""
+def test_counter_faults_break_no_invariant_at_the_decision_level(what: Any) -> None:
+    """A counter that loses its counts also closes each limiter's connection; a rename once broke this."""
     fault = Fault(1.0, what, "counter", 1.0)
     scenario = msgspec.structs.replace(BASE, settings=Settings(counter=True), fault=(fault,))
     result = search.play(scenario, 1, "decisions")
@@ -59,7 +58,7 @@
 
 
 @pytest.mark.parametrize("place", ["format", "scenario.format"])
-def test_a_seed_of_another_format_says_that_it_no_longer_applies(place: str, tmp_path: Path) -> None:
+def test_reading_a_seed_of_another_format_fails(place: str, tmp_path: Path) -> None:
     path = tmp_path / "old.toml"
     seeds.write(Seed(BASE, 1, broke=("no request lost",)), path)
     head, found, tail = path.read_text().partition("[scenario]")
@@ -72,14 +71,14 @@
 
 
 @pytest.mark.parametrize("text", ["seed = 'x'", "= 1", f"format = {FORMAT}\nseed = 1\n[scenario]\nname = 'x'\n"])
-def test_a_file_that_is_no_seed_is_told(text: str, tmp_path: Path) -> None:
+def test_reading_an_invalid_seed_names_the_file(text: str, tmp_path: Path) -> None:
     path = tmp_path / "bad.toml"
     path.write_text(text)
     with pytest.raises(SeedError, match=str(path)):
         seeds.read(path)
 
 
-def test_a_seed_comes_back_as_it_was_written(tmp_path: Path) -> None:
+def test_a_written_seed_is_read_unchanged(tmp_path: Path) -> None:
     faults = Grammar(BASE, "shells").draw(random.Random(3))
     seed = Seed(msgspec.structs.replace(BASE, fault=faults), 99, "decisions", ("drains kept",), "why", "abc")
     seeds.write(seed, tmp_path / "s.toml")
@@ -89,7 +88,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 32), st.sampled_from(["shells", "decisions"]), st.booleans())
-def test_whatever_the_grammar_draws_can_be_played(seed: int, floor: str, counter: bool) -> None:
+def test_drawn_and_mutated_schedules_are_valid(seed: int, floor: str, counter: bool) -> None:
     scenario = msgspec.structs.replace(BASE, settings=Settings(counter=counter))
     grammar, rng = Grammar(scenario, floor), random.Random(seed)
     faults = grammar.draw(rng)
@@ -98,23 +97,23 @@
             check_fault("drawn", fault, scenario.lasts_s)
             assert fault.at_s + fault.for_s <= scenario.lasts_s + 1e-6
         removed = sum(len(f.numbers(6)) for f in faults if f.what == "remove")
-        assert removed <= MOST_REMOVED * scenario.boxes
-        faults = grammar.vary(faults, rng)
+        assert removed <= MAX_REMOVED_SHARE * scenario.boxes
+        faults = grammar.mutate(faults, rng)
 
 
-def lose_one_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The planted bug: an attempt that was reset is forgotten."""
-    kept = Attempts.handle_attempt_end
+def ignore_resets(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Plants a bug: attempts that end with a reset are ignored."""
+    original = Attempts.handle_attempt_end
 
-    def ended(self: Attempts, event: api.AttemptEnded) -> None:
+    def handle_all_but_resets(self: Attempts, event: api.AttemptEnded) -> None:
         if event.outcome is not api.Outcome.RESET:
-            kept(self, event)
+            original(self, event)
 
-    monkeypatch.setattr(Attempts, "handle_attempt_end", ended)
+    monkeypatch.setattr(Attempts, "handle_attempt_end", handle_all_but_resets)
 
 
-def test_a_planted_bug_is_found_and_cut_down_to_its_one_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    lose_one_failure(monkeypatch)
+def test_a_planted_bug_shrinks_to_its_one_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+    ignore_resets(monkeypatch)
     faults = (
         Fault(0.6, "slow", "box:1", 1.0),
         Fault(0.8, "late", "floor:1", 1.0, 20.0),
@@ -124,79 +123,79 @@
     )
     scenario = msgspec.structs.replace(BASE, fault=faults)
     result = search.play(scenario, 4, "decisions")
-    assert j.Rest.name in result.rules(), result.text()
+    assert judges.Rest.name in result.rules(), result.text()
     found = search.shrink_failure(scenario, 4, "decisions", result)
     assert [fault.what for fault in found.seed.scenario.fault] == ["restart"]
     assert (found.faults_before, found.faults_after) == (5, 1) and found.seed.broke == tuple(found.result.rules())
 
 
-def test_a_search_sees_new_states_and_counts_its_runs() -> None:
-    made = search.Search(BASE, "decisions", 1)
-    report = made.run(tries=6, lasts=1e6, workers=2)
-    assert report.tried == 6 and len(report.features) > 1 and report.failures == 0 == report.unjudged
+def test_a_search_reports_new_states_and_counts_its_runs() -> None:
+    fault_search = search.Search(BASE, "decisions", 1)
+    report = fault_search.run(run_count=6, duration_s=1e6, workers=2)
+    assert report.tried == 6 and len(report.features) > 1 and report.failures == 0 == report.harness_failures
 
 
 def test_a_schedule_of_100_000_faults_shrinks_in_bounded_time() -> None:
     rng = random.Random(1)
     faults = tuple(Fault(rng.random() * 1e4, "slow", f"box:{n}", 1.0) for n in range(100_000))
     culprits = {faults[123], faults[77_777]}
-    asked = 0
+    calls = 0
 
     def fails(tried: tuple[Fault, ...]) -> bool:
-        nonlocal asked
-        asked += 1
+        nonlocal calls
+        calls += 1
         return culprits <= set(tried)
 
-    short, counted = shrink(faults, fails, most=150)
-    assert culprits <= set(short) and len(short) < 100 and counted == asked <= 150
+    shrunk, run_count = shrink(faults, fails, max_runs=150)
+    assert culprits <= set(shrunk) and len(shrunk) < 100 and run_count == calls <= 150
 
 
-def test_each_step_is_failed_once_in_each_way() -> None:
+def test_each_step_fails_once_in_each_mode() -> None:
     counts = Counter({"connect": 2, "write": 30, "spawn": 1})
-    made = list(search.steps(counts, each=10))
-    assert len(made) == len(set(made)) == 2 * 3 + 10 * 4 + 1
-    assert [step for step in made if step[0] == "connect"] == [
-        ("connect", n, way) for n in (0, 1) for way in ("refused", "silent", "reset")
+    selected = list(search.select_steps(counts, max_per_kind=10))
+    assert len(selected) == len(set(selected)) == 2 * 3 + 10 * 4 + 1
+    assert [step for step in selected if step[0] == "connect"] == [
+        ("connect", n, mode) for n in (0, 1) for mode in ("refused", "silent", "reset")
     ]
 
 
-def test_single_failures_of_input_and_output_break_no_rule() -> None:
-    made = search.systematic(BASE, 1, workers=2, each=1)
-    assert made.tried == made.failed == sum(len(ways) for ways in search.WAYS.values())
-    assert not made.broken, made.broken[0]
+def test_single_io_failures_break_no_invariant() -> None:
+    report = search.systematic(BASE, 1, workers=2, each=1)
+    assert report.tried == report.failed == sum(len(modes) for modes in search.FAILURE_MODES.values())
+    assert not report.broken, report.broken[0]
 
 
-def test_a_failure_of_a_model_is_told_from_one_of_the_code(monkeypatch: pytest.MonkeyPatch) -> None:
-    def wrong(self: BoxModel, *given: Any) -> None:
+def test_an_exception_in_a_model_fails_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(self: BoxModel, *args: Any) -> None:
         raise ZeroDivisionError("in a model")
 
-    monkeypatch.setattr(BoxModel, "offer", wrong)
+    monkeypatch.setattr(BoxModel, "offer", raise_error)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
         assert result.ended == "failed" and "in a model" in result.why and not result.good()
 
 
-def test_a_failure_of_a_judge_is_told_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    def wrong(self: j.Judge, *given: Any) -> None:
+def test_an_exception_in_a_checker_fails_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(self: judges.Judge, *args: Any) -> None:
         raise ZeroDivisionError("in a judge")
 
-    monkeypatch.setattr(j.Ceilings, "spent", wrong)
+    monkeypatch.setattr(judges.Ceilings, "spent", raise_error)
     assert search.play(BASE, 1, "decisions").ended == "failed"
 
 
-def test_a_failure_of_the_code_under_test_is_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
-    def wrong(self: Attempts, event: api.AttemptEnded) -> None:
+def test_an_exception_in_the_code_under_test_breaks_an_invariant(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(self: Attempts, event: api.AttemptEnded) -> None:
         raise ZeroDivisionError("in the module")
 
-    monkeypatch.setattr(Attempts, "handle_attempt_end", wrong)
+    monkeypatch.setattr(Attempts, "handle_attempt_end", raise_error)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
-        assert result.ended == "finished" and j.Failures.name in result.rules()
+        assert result.ended == "finished" and judges.Failures.name in result.rules()
 
 
-def test_a_deadlock_on_each_floor_says_who_waits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_deadlock_in_each_simulator_names_what_waits(monkeypatch: pytest.MonkeyPatch) -> None:
     world = decisions.DecisionWorld(BASE, 1)
-    monkeypatch.setattr(world, "_begin", lambda: world.open.update({1: None}))  # type: ignore[dict-item]
+    monkeypatch.setattr(world, "_begin", lambda: world.open_requests.update({1: None}))  # type: ignore[dict-item]
     result = world.play()
     assert result.ended == "deadlock" and "1 requests are open" in result.why
 
@@ -208,7 +207,7 @@
     assert result.ended == "deadlock" and "stuck" in result.why
 
 
-def test_a_livelock_on_the_decisions_floor_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_livelock_in_the_decision_simulator_ends_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(schedule, "MOST_AT_ONCE", 1000)
     world = decisions.DecisionWorld(BASE, 1)
 
@@ -220,28 +219,28 @@
     assert result.ended == "livelock" and "spin" in result.why
 
 
-def test_a_long_run_leaves_memory_flat() -> None:
-    """Two hours of a limiter that is asked now and then; a day is measured by the benchmark."""
+def test_a_long_run_does_not_leak_memory() -> None:
+    """Simulates 90 minutes of a limiter with little traffic; the benchmark measures a day."""
     sizes: list[int] = []
 
-    class Weighed(decisions.DecisionWorld):
+    class MeasuredWorld(decisions.DecisionWorld):
         def _sample(self) -> None:
             super()._sample()
-            if self.at() % 1_080_000.0 < decisions.SAMPLE_EVERY:
+            if self.at() % 1_080_000.0 < decisions.SAMPLE_INTERVAL_MS:
                 gc.collect()
                 sizes.append(tracemalloc.get_traced_memory()[0])
 
-    given = of_load(0.005, Scenario("long", lasts_s=5400.0, limiters=1, boxes=1, rest_s=1.0))
+    scenario = of_load(0.005, Scenario("long", lasts_s=5400.0, limiters=1, boxes=1, rest_s=1.0))
     tracemalloc.start()
     try:
-        result = Weighed(given, 1).play()
+        result = MeasuredWorld(scenario, 1).play()
     finally:
         tracemalloc.stop()
     assert result.good() and len(sizes) >= 4, result.text()
-    assert sizes[-1] - sizes[1] < 200_000, sizes  # what was asked is forgotten
+    assert sizes[-1] - sizes[1] < 200_000, sizes  # finished requests are released
 
 
-def test_two_runs_on_the_decisions_floor_are_alike_and_differ_by_their_ties() -> None:
+def test_decision_simulations_are_reproducible_and_depend_on_the_tie_seed() -> None:
     runs: list[list[str]] = []
     for ties in (1, 1, 2):
         lines: list[str] = []
@@ -251,7 +250,7 @@
     assert first_difference(runs[0], runs[2]) is not None
 
 
-def test_the_first_event_that_differs_is_named() -> None:
+def test_first_difference_names_the_first_different_event() -> None:
     first, second = Trace(), Trace()
     for trace, third in ((first, "c"), (second, "d")):
         for what in ("a", "b", third):
@@ -261,7 +260,7 @@
     assert "event 3: '1.0000 n0 c'" in found.text() and first_difference("ab", "ab") is None
 
 
-def test_a_day_of_events_leaves_a_trace_of_flat_size() -> None:
+def test_a_trace_of_many_events_stays_small() -> None:
     trace = Trace(kept=10)
     for number in range(9_000_000 // 100):
         trace.event(float(number), "n0", "x")
@@ -287,7 +286,7 @@
         ("kind=[{cores=0}]", "cores is 0"),
     ],
 )
-def test_a_wrong_scenario_is_told_with_its_place(change: str, message: str, tmp_path: Path) -> None:
+def test_an_invalid_scenario_error_names_the_file_and_the_field(change: str, message: str, tmp_path: Path) -> None:
     seeds.write(Seed(BASE, 1), tmp_path / "s.toml")
     text = (
         (tmp_path / "s.toml")
@@ -300,7 +299,7 @@
         parse(text, "here.toml", [change])
 
 
-def test_the_time_line_is_in_order() -> None:
+def test_the_timeline_is_sorted_by_time() -> None:
     faults = (Fault(3.0, "kill", "limiter:1"), Fault(1.0, "slow", "box:0-2", 1.5, 7.0))
     text = timeline(msgspec.structs.replace(BASE, fault=faults), 5)
     assert text.splitlines()[1:] == [
@@ -309,7 +308,7 @@
     ]
 
 
-def test_a_recorded_trace_is_played_on_both_floors(tmp_path: Path) -> None:
+def test_a_recorded_trace_is_replayed_in_both_simulators(tmp_path: Path) -> None:
     writer = Writer(tmp_path / "t.jsonl")
     for number in range(200):
         writer.write(Row(at=5_000_000 + number * 10_000, account=f"{number % 7:016x}", plan="plain", deadline=900.0))
@@ -322,7 +321,7 @@
     for floor in ("shells", "decisions"):
         result = search.play(scenario, 1, floor)
         assert result.good() and set(result.figures.outcomes) == {"served"}, result.text()
-        assert result.figures.offered >= 199  # the very first may round to before the start
+        assert result.figures.offered >= 199  # the first arrival may be rounded to before the start
     other = msgspec.structs.replace(scenario, service=(Service("other"),))
     result = search.play(other, 1, "decisions")
     assert result.ended == "failed" and "no service 'lookup'" in result.why
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -1,4 +1,4 @@
-"""The program that ships, in simulated processes: what a run says, and that a seed says it again."""
+"""The shell-level simulator: invariants under faults, and reproducible runs."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
     return shells.play(scenario(load, **changes), seed)
 
 
-def test_a_calm_group_serves_all_in_time() -> None:
+def test_a_group_without_faults_serves_all_requests_in_time() -> None:
     result = play()
     assert result.good(), result.text()
     assert result.figures.served_in_time > 0.99 and result.figures.offered > 300
     assert result.figures.outcomes == {"served": result.figures.offered}
 
 
-def test_agents_start_their_limiters_and_a_drain_holds() -> None:
+def test_agents_start_their_limiters_and_apply_drains() -> None:
     faults = (Fault(2.0, "op-drain", "box:1"), Fault(4.5, "op-undrain", "box:1"))
     result = play(agents=3, fault=faults)
     assert result.good(), result.text()
     assert result.figures.served_in_time > 0.98
 
 
-def test_a_limiter_that_is_killed_comes_back_under_its_agent() -> None:
+def test_an_agent_restarts_a_killed_limiter() -> None:
     world = shells.ShellWorld(scenario(agents=1, fault=(Fault(2.0, "kill", "limiter:1"),)), 1)
     result = world.play()
     assert result.good(), result.text()
@@ -91,14 +91,14 @@
     ],
     ids=lambda fault: f"{fault.what}-{fault.target}",
 )
-def test_no_single_fault_breaks_a_rule(fault: Fault) -> None:
+def test_a_single_fault_breaks_no_invariant(fault: Fault) -> None:
     result = play(fault=(fault,), lasts_s=4.0, rest_s=2.5)
     assert result.good(), result.text()
     assert result.figures.outcomes["served"] > 0.5 * result.figures.offered
 
 
 @pytest.mark.parametrize("what", ["silent", "refusing", "empty", "busy", "late", "restored"])
-def test_no_fault_of_the_counter_breaks_a_ceiling(what: Any) -> None:
+def test_counter_faults_break_no_ceiling(what: Any) -> None:
     from elderlock.sim.scenario import Plan
 
     plan = Plan("plain", rate=30.0, burst=40.0, ceiling_rate=60.0, ceiling_burst=80.0, ceiling_slack=20.0)
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize(
     "target, what", [("agent:0", "kill"), ("agent:0", "pause"), ("agent:1", "disk-full"), ("agent:1", "cut")]
 )
-def test_agents_in_trouble_lose_no_drain(target: str, what: Any) -> None:
+def test_faults_of_agents_lose_no_drain(target: str, what: Any) -> None:
     faults = (
         Fault(1.5, what, target, 1.5 if what != "kill" else 0.0),
         Fault(2.0, "op-drain", "box:1"),
@@ -121,8 +121,8 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 11))
-def test_six_drains_begun_at_one_instant_take_out_what_the_budget_allows_and_no_more(seed: int) -> None:
-    """As an operator would ask, without force: all six came back as done before, and 0.05 to 0.21 were served."""
+def test_simultaneous_drains_do_not_exceed_the_budget(seed: int) -> None:
+    """Six drains without force once all succeeded, and only 0.05 to 0.21 of the requests were served."""
     faults = tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
     budget = Settings(budget=0.5)
     given = Scenario("six", lasts_s=5.0, warm_s=0.5, rest_s=3.0, boxes=6, agents=2, settings=budget, fault=faults)
@@ -133,7 +133,7 @@
     assert result.figures.served_in_time > 0.97
 
 
-def test_permits_hold_while_agents_die_are_stopped_and_are_cut_off() -> None:
+def test_permits_hold_while_agents_are_killed_suspended_and_cut_off() -> None:
     faults = (
         Fault(1.0, "cut", "way:agent:0>agent:1", 2.0),
         Fault(1.5, "op-drain", "box:0"),
@@ -155,18 +155,17 @@
         assert result.good(), result.text()
 
 
-def test_clients_that_keep_their_connections_keep_no_other_client_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The recorded incident r41e6ed, in our own rig: with its cause put back, nearly all are left without a
-    connection."""
+def test_idle_client_connections_do_not_block_other_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Reproduces the recorded incident r41e6ed: with its cause restored, most clients get no connection."""
     given = load_scenario("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
-    mended = shells.play(given, 1)
-    assert mended.good() and mended.figures.served_in_time > 0.98, mended.text()
+    fixed = shells.play(given, 1)
+    assert fixed.good() and fixed.figures.served_in_time > 0.98, fixed.text()
     monkeypatch.setattr(client_listener, "IDLE_DESCRIPTOR_FRACTION", 1.0)
-    before = shells.play(given, 1)
-    assert before.figures.served_in_time < 0.5, before.text()
+    broken = shells.play(given, 1)
+    assert broken.figures.served_in_time < 0.5, broken.text()
 
 
-HARD = (
+FAULTS = (
     Fault(1.5, "kill", "limiter:1"),
     Fault(2.0, "op-drain", "box:3"),
     Fault(2.5, "cut", "floor:1", 1.0),
@@ -174,9 +173,9 @@
     Fault(3.2, "restart", "floor:0"),
     Fault(4.0, "flap", "discovery", 1.0),
 )
-ONCE = """
+PROGRAM = """
 import os, sys, msgspec
-exec(os.environ.get("LEAK", ""))
+exec(os.environ.get("PATCH", ""))
 from elderlock.load.scenario import Clients
 from elderlock.net import client_listener
 from elderlock.sim import shells
@@ -189,50 +188,50 @@
 """
 
 
-LEAKS = {
-    "the order of a set": (
-        "from elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
-        "PeerTransport.send = lambda self, to, data: kept(self, to, data + next(iter({b'%d' % n for n in range(99)})))"
+NONDETERMINISM_SOURCES = {
+    "set order": (
+        "from elderlock.net.peers import PeerTransport; original = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: original(self, to, data + next(iter({b'%d' % n for n in range(99)})))"
     ),
-    "the machine's clock": (
-        "import time; clock = time.time\nfrom elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
-        "PeerTransport.send = lambda self, to, data: kept(self, to, data + b'%d' % int(clock() * 1e6))"
+    "wall clock": (
+        "import time; clock = time.time\nfrom elderlock.net.peers import PeerTransport; original = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: original(self, to, data + b'%d' % int(clock() * 1e6))"
     ),
-    "chance without a seed": (
-        "import _random; rng = _random.Random()\nfrom elderlock.net.peers import PeerTransport; kept = PeerTransport.send\n"
-        "PeerTransport.send = lambda self, to, data: kept(self, to, data + b'%d' % rng.getrandbits(30))"
+    "unseeded random numbers": (
+        "import _random; rng = _random.Random()\nfrom elderlock.net.peers import PeerTransport; original = PeerTransport.send\n"
+        "PeerTransport.send = lambda self, to, data: original(self, to, data + b'%d' % rng.getrandbits(30))"
     ),
 }
 
 
-def apart(given: Scenario, hashes: str, leak: str = "") -> list[Any]:
-    """In a process of its own, with another order of its sets."""
-    done = subprocess.run(
-        [sys.executable, "-B", "-c", ONCE],
+def run_in_subprocess(given: Scenario, hash_seed: str, patch: str = "") -> list[Any]:
+    """Runs the scenario in a new process with this hash seed, which determines the order of sets."""
+    completed = subprocess.run(
+        [sys.executable, "-B", "-c", PROGRAM],
         input=msgspec.json.encode(given),
         capture_output=True,
         cwd=ROOT,
-        env={**os.environ, "PYTHONHASHSEED": hashes, "LEAK": leak},
+        env={**os.environ, "PYTHONHASHSEED": hash_seed, "PATCH": patch},
         check=True,
     )
-    found: list[Any] = json.loads(done.stdout)
-    return found
+    output: list[Any] = json.loads(completed.stdout)
+    return output
 
 
-def test_two_runs_of_a_seed_are_alike_whatever_the_order_of_sets() -> None:
-    given = scenario(0.6, agents=2, fault=HARD)
-    first, second = apart(given, "1"), apart(given, "2")
+def test_runs_of_a_seed_do_not_depend_on_the_order_of_sets() -> None:
+    given = scenario(0.6, agents=2, fault=FAULTS)
+    first, second = run_in_subprocess(given, "1"), run_in_subprocess(given, "2")
     assert first_difference(first[2], second[2]) is None
     assert first[:2] == second[:2] and first[1] > 2000
 
 
-@pytest.mark.parametrize("leak", LEAKS.values(), ids=LEAKS.keys())
-def test_a_leak_is_found_and_named_by_the_first_event_that_differs(leak: str) -> None:
+@pytest.mark.parametrize("patch", NONDETERMINISM_SOURCES.values(), ids=NONDETERMINISM_SOURCES.keys())
+def test_nondeterminism_is_located_by_the_first_different_event(patch: str) -> None:
     given = scenario(0.4, lasts_s=2.0, rest_s=0.5)
-    first, second = apart(given, "0", leak), apart(given, "3", leak)
-    found = first_difference(first[2], second[2])
-    assert first[0] != second[0] and found is not None and "datagram" in found.text()
+    first, second = run_in_subprocess(given, "0", patch), run_in_subprocess(given, "3", patch)
+    difference = first_difference(first[2], second[2])
+    assert first[0] != second[0] and difference is not None and "datagram" in difference.text()
 
 
-def test_another_seed_is_another_run() -> None:
+def test_different_seeds_give_different_runs() -> None:
     assert play(seed=1).digest != play(seed=2).digest
