--- a/elderlock/sim/agent_releases.py
+++ b/elderlock/sim/agent_releases.py
@@ -244,20 +244,20 @@
             return
         await asyncio.sleep(max(0.0, healed_ms - self.at()) / 1000.0)  # agents cannot start while their disk fails
         expected_version = VERSION if plan.direction == "to" else ""
-        wrong = await self._wait_for_version(expected_version)
-        if not wrong:
+        mismatched = await self._wait_for_version(expected_version)
+        if not mismatched:
             # Each launcher must restart its agent on the version that the release left.
             await asyncio.sleep(2.0)
             for process in list(self.agent_processes.values()):
                 self.signal(process, signal.SIGKILL)
             await asyncio.sleep(1.0)
-            wrong = await self._wait_for_version(expected_version)
+            mismatched = await self._wait_for_version(expected_version)
         if plan.direction == "back":
             self.outcome.rollbacks_tried += 1
-            self.outcome.rollbacks_completed += not wrong
-        if wrong:
+            self.outcome.rollbacks_completed += not mismatched
+        if mismatched:
             self.outcome.stuck_plans += 1
-            self.outcome.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not at {', '.join(wrong)}")
+            self.outcome.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not at {', '.join(mismatched)}")
         for clash in bounded(self._holdings, {UNAVAILABLE: 1.0}):
             self.outcome.over_budget += 1
             self.outcome.violations.append(f"{clash.at:.0f} ms: {clash.text}")
@@ -266,9 +266,9 @@
     async def _wait_for_version(self, expected_version: str) -> list[str]:
         """Waits until all agents run this version and returns those that do not."""
         deadline_ms = self.at() + 40_000.0
-        while (wrong := self._agents_on_other_versions(expected_version)) and self.at() < deadline_ms:
+        while (mismatched := self._agents_on_other_versions(expected_version)) and self.at() < deadline_ms:
             await asyncio.sleep(0.5)
-        return wrong
+        return mismatched
 
     def _agents_on_other_versions(self, expected_version: str) -> list[str]:
         return [
--- a/elderlock/sim/control_plane.py
+++ b/elderlock/sim/control_plane.py
@@ -161,7 +161,7 @@
                 delay_ms = self.world.ways.delay(self.machine, node.machine)
                 self.world.schedule.after(delay_ms, node.apply_records, records)
 
-    def submit_intent(self, intent: DrainIntent, submission: SubmitIntents, by: str) -> str:
+    def submit_intent(self, intent: DrainIntent, submission: SubmitIntents, operator: str) -> str:
         """Decides on an operator's drain intent.
 
         Returns:
@@ -172,7 +172,7 @@
         if self.has_disk_failure:
             return "not-kept"
         self.records.merge(submission.known)
-        decision = decide_intent(self.records, intent, submission, by, self.world.at())
+        decision = decide_intent(self.records, intent, submission, operator, self.world.at())
         if decision.outcome == "made" and decision.record is not None:
             self.merge_records((decision.record,))
         return decision.outcome
--- a/elderlock/sim/limiter_releases.py
+++ b/elderlock/sim/limiter_releases.py
@@ -205,7 +205,7 @@
         self.is_drained = False
         self._rng = random.Random(f"{world.seed}/{name}/{self.pid}")
         self._counts, self._sums = control_messages.AnswerCounts(), (0.0, 0.0)
-        self._began = self._counted = world.loop.time()
+        self._started_at_s = self._counted_at_s = world.loop.time()
         self.authority: CommandAuthority | None = None
 
     def state(self, id: int, accounts: int) -> control_messages.LimiterState:
@@ -235,14 +235,14 @@
             case.load_spike_at_s is not None
             and case.load_spike_at_s <= self.world.at() / 1000.0 < case.load_spike_at_s + 40.0
         )
-        mean = (now - self._counted) * case.rate * (3.0 if is_spike else 1.0) * (0.0 if self.is_drained else 1.0)
-        self._counted = now
+        mean = (now - self._counted_at_s) * case.rate * (3.0 if is_spike else 1.0) * (0.0 if self.is_drained else 1.0)
+        self._counted_at_s = now
         count = max(0, round(rng.gauss(mean, math.sqrt(mean)))) if mean > 0 else 0
         share = min(1.0, self.behaviour.refuses + (0.15 if is_spike else 0.002))
         refused = min(count, max(0, round(rng.gauss(count * share, math.sqrt(count * share * (1 - share))))))
         served = count - refused
         # A limiter that has just started is up to 50 % slower, like real processes: it does not know its servers yet.
-        warm_up_excess = 0.5 * math.exp(-(now - self._began) / 7.0)
+        warm_up_excess = 0.5 * math.exp(-(now - self._started_at_s) / 7.0)
         mean_log = (
             math.log(25.0 * (1.0 + self.behaviour.slower) * (1.5 if is_spike else 1.0))
             + self.world.bias[self.name]
@@ -518,16 +518,16 @@
         expected_version = VERSION if plan.direction == "to" else ""
         await asyncio.sleep(15.0)
         versions = {name: limiter.version for name, limiter in self.limiter_models.items()}
-        wrong = [
+        mismatched = [
             name
             for name in self._names()
             if versions.get(name) != expected_version or self.limiter_models[name].is_drained
         ]
         if plan.state == "over" and plan.direction == "back":
-            self.outcome.rollbacks_completed += not wrong
-        if plan.state == "over" and wrong:
+            self.outcome.rollbacks_completed += not mismatched
+        if plan.state == "over" and mismatched:
             self.outcome.stuck_plans += 1
-            self.outcome.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not at {', '.join(wrong)}")
+            self.outcome.violations.append(f"{self.at():.0f} ms: {plan.outcome()}, but not at {', '.join(mismatched)}")
         self._check_history()
 
     def _check_history(self) -> None:
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -311,10 +311,10 @@
             match action:
                 case api.SetTimer(wait_ms, token):
                     self.world.schedule.after(wait_ms, self.handle_event, api.TimerFired(token))
-                case api.SendAttempt(name, server, timeout):
-                    self._send(self.requests.get(name), server, timeout)
-                case api.Reject(name, advice):
-                    self._final_answer(name, "refused", advice)
+                case api.SendAttempt(name, server, timeout_ms):
+                    self._send(self.requests.get(name), server, timeout_ms)
+                case api.Reject(name, advice_ms):
+                    self._final_answer(name, "refused", advice_ms)
                 case api.Fail(name):
                     self._final_answer(name, "failed", 0.0)
                 case api.CancelAttempt(name, number):
@@ -323,29 +323,29 @@
                         self._attempt_ended(request.attempts[number], Outcome.CANCELLED)
                 case api.SendPeerMessage(receiver, data):
                     self.world.tell_peer(self, receiver, data)
-                case api.AddToCounter(token, name, amount, life):
-                    self.world.counter.call(self, token, name, amount, life)
+                case api.AddToCounter(token, name, amount, lifetime_ms):
+                    self.world.counter.call(self, token, name, amount, lifetime_ms)
                 case _:
                     pass
 
-    def _final_answer(self, name: str, answer: str, advice: float) -> None:
+    def _final_answer(self, name: str, answer: str, advice_ms: float) -> None:
         request = self.requests.get(name)
         if request is not None:
             if request.is_answered:  # the gateway would drop this answer; the limiter must not produce it
                 text = f"second final answer for request {request.tag}"
                 return self.world.bench.failure(self.world.at(), self.name, text)
-            self._answer(request, answer, advice)
+            self._answer(request, answer, advice_ms)
 
-    def _answer(self, request: LimiterRequest, answer: str, advice: float = 0.0) -> None:
+    def _answer(self, request: LimiterRequest, answer: str, advice_ms: float = 0.0) -> None:
         request.is_answered = True
-        self.world.send_answer(self, request, answer, advice)
+        self.world.send_answer(self, request, answer, advice_ms)
         self._drop_if_finished(request)
 
     def _drop_if_finished(self, request: LimiterRequest) -> None:
         if request.is_answered and request.in_flight == 0:
             self.requests.pop(request.name, None)
 
-    def _send(self, request: LimiterRequest | None, uid: str, timeout: float) -> None:
+    def _send(self, request: LimiterRequest | None, uid: str, timeout_ms: float) -> None:
         world, schedule = self.world, self.world.schedule
         if request is None or request.is_answered:
             return
@@ -359,19 +359,19 @@
             return
         delay_ms = world.ways.delay(self.machine, server.machine)
         is_cut = world.ways.cut(self.machine, server.machine) or world.ways.cut(server.machine, self.machine)
-        if not self._connected(uid):
+        if not self._take_idle_connection(uid):
             connect_wait_ms = world.scenario.service[0].aim_ms * CONNECT_OBJECTIVE_FRACTION
             if is_cut or server.model.silent:
-                schedule.after(min(connect_wait_ms, timeout), self._attempt_ended, attempt, Outcome.CONNECT_FAILED)
+                schedule.after(min(connect_wait_ms, timeout_ms), self._attempt_ended, attempt, Outcome.CONNECT_FAILED)
                 return
             delay_ms += world.ways.delay(self.machine, server.machine) + world.ways.delay(server.machine, self.machine)
             self.connections += 1
-        schedule.after(timeout, self._attempt_ended, attempt, Outcome.TIMEOUT)
+        schedule.after(timeout_ms, self._attempt_ended, attempt, Outcome.TIMEOUT)
         if not is_cut:
             schedule.after(delay_ms, self._request_delivered, attempt, server)
 
-    def _connected(self, uid: str) -> bool:
-        """Returns whether a usable connection is idle, the last used one first, as in the server pools."""
+    def _take_idle_connection(self, uid: str) -> bool:
+        """Takes the idle connection that was used last, as the server pools do; returns whether one is usable."""
         idle_connections = self.idle_connections.get(uid)
         oldest_use_ms = self.world.schedule.time - IDLE_KEEPALIVE_FRACTION * self.world.scenario.settings.keepalive_ms
         while idle_connections:
--- a/elderlock/sim/sweep.py
+++ b/elderlock/sim/sweep.py
@@ -149,12 +149,12 @@
         Raises:
             SweepError: A result cannot be read or stored.
         """
-        left = self.missing_cells()
-        while left and not self.stopped:
+        missing = self.missing_cells()
+        while missing and not self.stopped:
             with contextlib.suppress(BrokenProcessPool):
-                self._run_pool(left, on_result)
-            left = self.missing_cells()
-        return len(left)
+                self._run_pool(missing, on_result)
+            missing = self.missing_cells()
+        return len(missing)
 
     def _run_pool(self, cells: Iterable[Cell], on_result: Callable[[Cell, Result], None]) -> None:
         """Runs cells with one pool of workers; a dead worker ends the pool, and its unfinished cells run again."""
--- a/tests/sim/test_shells.py
+++ b/tests/sim/test_shells.py
@@ -125,8 +125,10 @@
     """Six drains without force once all succeeded, and only 0.05 to 0.21 of the requests were served."""
     faults = tuple(Fault(2.0, "op-drain", f"box:{n}") for n in range(6))
     budget = Settings(budget=0.5)
-    given = Scenario("six", lasts_s=5.0, warm_s=0.5, rest_s=3.0, boxes=6, agents=2, settings=budget, fault=faults)
-    world = shells.ShellWorld(of_load(0.3, given), seed)
+    group_scenario = Scenario(
+        "six", lasts_s=5.0, warm_s=0.5, rest_s=3.0, boxes=6, agents=2, settings=budget, fault=faults
+    )
+    world = shells.ShellWorld(of_load(0.3, group_scenario), seed)
     result = world.play()
     assert result.good(), result.text()
     assert sorted(code for _, code in world.commands) == [0, 0, 0, 5, 5, 5]
@@ -148,20 +150,20 @@
         Fault(6.0, "op-drain", "box:5"),
     )
     for seed in (1, 2, 3):
-        given = Scenario(
+        group_scenario = Scenario(
             "held", lasts_s=8.0, warm_s=0.5, rest_s=6.0, boxes=6, agents=3, settings=Settings(budget=0.34), fault=faults
         )
-        result = shells.play(of_load(0.3, given), seed)
+        result = shells.play(of_load(0.3, group_scenario), seed)
         assert result.good(), result.text()
 
 
 def test_idle_client_connections_do_not_block_other_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     """Reproduces the recorded incident r41e6ed: with its cause restored, most clients get no connection."""
-    given = load_scenario("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
-    fixed = shells.play(given, 1)
+    group_scenario = load_scenario("hoarders", Path("."), ("lasts_s=8.0", "stream.0.shape.0.rate=120"))
+    fixed = shells.play(group_scenario, 1)
     assert fixed.good() and fixed.figures.served_in_time > 0.98, fixed.text()
     monkeypatch.setattr(client_listener, "IDLE_DESCRIPTOR_FRACTION", 1.0)
-    broken = shells.play(given, 1)
+    broken = shells.play(group_scenario, 1)
     assert broken.figures.served_in_time < 0.5, broken.text()
 
 
@@ -204,11 +206,11 @@
 }
 
 
-def run_in_subprocess(given: Scenario, hash_seed: str, patch: str = "") -> list[Any]:
+def run_in_subprocess(group_scenario: Scenario, hash_seed: str, patch: str = "") -> list[Any]:
     """Runs the scenario in a new process with this hash seed, which determines the order of sets."""
     completed = subprocess.run(
         [sys.executable, "-B", "-c", PROGRAM],
-        input=msgspec.json.encode(given),
+        input=msgspec.json.encode(group_scenario),
         capture_output=True,
         cwd=ROOT,
         env={**os.environ, "PYTHONHASHSEED": hash_seed, "PATCH": patch},
@@ -219,16 +221,16 @@
 
 
 def test_runs_of_a_seed_do_not_depend_on_the_order_of_sets() -> None:
-    given = scenario(0.6, agents=2, fault=FAULTS)
-    first, second = run_in_subprocess(given, "1"), run_in_subprocess(given, "2")
+    group_scenario = scenario(0.6, agents=2, fault=FAULTS)
+    first, second = run_in_subprocess(group_scenario, "1"), run_in_subprocess(group_scenario, "2")
     assert first_difference(first[2], second[2]) is None
     assert first[:2] == second[:2] and first[1] > 2000
 
 
 @pytest.mark.parametrize("patch", NONDETERMINISM_SOURCES.values(), ids=NONDETERMINISM_SOURCES.keys())
 def test_nondeterminism_is_located_by_the_first_different_event(patch: str) -> None:
-    given = scenario(0.4, lasts_s=2.0, rest_s=0.5)
-    first, second = run_in_subprocess(given, "0", patch), run_in_subprocess(given, "3", patch)
+    group_scenario = scenario(0.4, lasts_s=2.0, rest_s=0.5)
+    first, second = run_in_subprocess(group_scenario, "0", patch), run_in_subprocess(group_scenario, "3", patch)
     difference = first_difference(first[2], second[2])
     assert first[0] != second[0] and difference is not None and "datagram" in difference.text()
 
