--- a/elderlock/rollout/plan_steering.py
+++ b/elderlock/rollout/plan_steering.py
@@ -15,6 +15,8 @@
 from elderlock.rollout.plan_transitions import ALREADY_DONE, PLAN_OVER, TransitionResult
 from elderlock.rollout.plans import Plan, Unit, replace_unit
 
+AUTOMATIC_ROLLBACK_PREFIX = "rolled back automatically: "  # of the state's reason
+
 
 def halt_plan(
     ledger: Ledger, plan_id: str, reason: str, revision: int | None = None, roll_back: bool = False
@@ -35,7 +37,7 @@
         return [ALREADY_DONE]
     halted = msgspec.structs.replace(plan, state="halted", state_reason=reason, revision=plan.revision + 1)
     if roll_back and plan.direction == "to":
-        halted = _rolled_back(halted, f"rolled back automatically: {reason}")
+        halted = _rolled_back(halted, f"{AUTOMATIC_ROLLBACK_PREFIX}{reason}")
     return with_plan(ledger, halted)
 
 
