--- a/elderlock/trial/harness.py
+++ b/elderlock/trial/harness.py
@@ -278,7 +278,7 @@
             return self.agent_listens[agent]
         return self._agent_relays[asker, agent].endpoint
 
-    def settings_for_limiter(self, limiter: int) -> dict[str, Any]:
+    def settings_of(self, limiter: int) -> dict[str, Any]:
         """Return the settings of a limiter."""
         return settings_for_limiter(self.scenario, limiter, self.rules)
 
--- a/tests/rollout/test_releases.py
+++ b/tests/rollout/test_releases.py
@@ -27,6 +27,7 @@
     played = play(replace(SMALL, build=build), 1)
     assert played.good(), played.violations
     assert played.upgraded <= played.first_wave and played.rollbacks_completed == played.rollbacks_tried == 1
+    assert played.halt_reason  # read from the plan's state, whose reason begins with a constant of the rollout package
 
 
 def test_a_good_version_goes_out_during_a_load_spike() -> None:
