--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -30,7 +30,7 @@
 from elderlock.standins.agents import SimulatedAgents
 from elderlock.standins.front import Front
 from elderlock.standins.waiting import run, unix_ms
-from elderlock.standins.world import ROOT, World, private
+from elderlock.standins.world import ROOT, World, write_private_file
 
 GRACE = 250.0  # ms
 AFTER = 0.35  # s of load watched after each drain
@@ -201,7 +201,7 @@
     """The simulated agents serve from another process, so that the tool has its core to itself."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 8192), hard))
-    private(folder / "token", "0123456789abcdef")
+    write_private_file(folder / "token", "0123456789abcdef")
     server = await spawn(
         sys.executable,
         "-B",
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -31,7 +31,7 @@
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import BoxKind, Net, Plan, Scenario, Service, Settings, of_load
 from elderlock.sim.seeds import Floor
-from elderlock.standins.boxes import OLD, STD
+from elderlock.standins.servers import OLD, STD
 from elderlock.trial.processes import swept
 
 HERE = Path(__file__).parent
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -31,7 +31,7 @@
 from elderlock.sim.experiment import scenario_of
 from elderlock.sim.scenario import ABLE, Fault, Scenario, unplayable
 from elderlock.spawning import spawn
-from elderlock.standins.world import ROOT, own_host
+from elderlock.standins.world import ROOT, random_loopback_host
 from elderlock.trial import disk
 from elderlock.trial.bites import BITES
 from elderlock.trial.guard import MARK
@@ -110,13 +110,13 @@
 
 async def relay_added() -> tuple[float, float]:
     """p99 with a relay and without: the median over seconds, of each in turn."""
-    host = own_host(random.SystemRandom())
+    host = random_loopback_host(random.SystemRandom())
     echo = await spawn(sys.executable, "-c", ECHO, host, stdout=asyncio.subprocess.PIPE)
     assert echo.stdout is not None
     port = int(await echo.stdout.readline())
     relays = Relays(Ways())
     relay = Relay(relays.ways, Place.of("a"), Place.of("b"), (host, port))
-    relays.add(relay, (own_host(random.SystemRandom()), 0))
+    relays.add(relay, (random_loopback_host(random.SystemRandom()), 0))
     loop = asyncio.get_running_loop()
     via_host, _, via_port = relay.endpoint.rpartition(":")
     found: dict[bool, list[float]] = {True: [], False: []}
--- a/elderlock/sim/facts.py
+++ b/elderlock/sim/facts.py
@@ -8,7 +8,7 @@
 from elderlock.sim.agreed import OUT
 from elderlock.sim.judges import Rules
 from elderlock.sim.scenario import Scenario, floor_name
-from elderlock.standins.settings import facts
+from elderlock.standins.settings import default_settings
 
 DRAIN = 250.0  # ms, the rule's
 
@@ -21,7 +21,7 @@
 def settings_of(scenario: Scenario, number: int, rules: Rules) -> dict[str, Any]:
     """Of limiter `number`."""
     s, kind = scenario, scenario.kind[0]
-    own = facts(
+    own = default_settings(
         peers=talks(s),
         **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
         **{"dial-timeout": s.settings.dial_ms, "keepalive": s.settings.keepalive_ms},
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -46,9 +46,9 @@
 from elderlock.sim.virtual.network import Faults, Network, NoFaults, Stream
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, start
 from elderlock.sim.virtual.system import simulated
-from elderlock.standins.boxes import Kind
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
+from elderlock.standins.servers import Kind
 
 RESTART_AFTER = 0.4  # s after which the platform starts a limiter that has ended, where no agent does
 UP_WITHIN = 60_000.0  # ms that the whole group may take to start
--- a/elderlock/sim/stage_faults.py
+++ b/elderlock/sim/stage_faults.py
@@ -10,10 +10,10 @@
 
 from elderlock.sim.clients import Clients
 from elderlock.sim.scenario import Fault, by_of
-from elderlock.standins.boxes import Box
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
 from elderlock.standins.listener import Fault as Breaks
+from elderlock.standins.servers import SimulatedServer
 
 
 class Hears(Protocol):
@@ -69,7 +69,7 @@
         if fault.for_s > 0:
             self.world.loop.call_later(fault.for_s, end)
 
-    async def box_fault(self, fault: Fault, box: Box | None) -> None:
+    async def box_fault(self, fault: Fault, box: SimulatedServer | None) -> None:
         if box is None:
             return
         model, by = box.model, by_of(fault)
@@ -108,7 +108,7 @@
             case "op-drain" | "op-undrain":
                 await self.command(fault, "box", box.uid)
 
-    def _undrain(self, box: Box) -> None:
+    def _undrain(self, box: SimulatedServer) -> None:
         if box.uid in self.world.listing.boxes:
             box.state = "up"
             self.world.listing.changed(box)
--- a/elderlock/sim/surroundings.py
+++ b/elderlock/sim/surroundings.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from elderlock.standins.boxes import Box, Sent
+from elderlock.standins.servers import ReceivedCommand, SimulatedServer
 
 
 class Reached(Protocol):
@@ -13,10 +13,10 @@
     def reached(self, box: str, request: str) -> None: ...
 
 
-class ShellBox(Box):
+class ShellBox(SimulatedServer):
     """Tells the world what came."""
 
     world: Reached
 
-    def took(self, sent: Sent, command: list[bytes]) -> None:
+    def command_received(self, sent: ReceivedCommand, command: list[bytes]) -> None:
         self.world.reached(self.uid, command[2].decode())
--- a/elderlock/sim/taps.py
+++ b/elderlock/sim/taps.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
+from elderlock.standins.servers import MISSING
 
 
 class Hears(Protocol):
--- a/elderlock/standins/clients.py
+++ b/elderlock/standins/clients.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
+from elderlock.standins.servers import MISSING
 from elderlock.standins.settings import CUSTOMER, terms
 
 
--- a/elderlock/standins/counter.py
+++ b/elderlock/standins/counter.py
@@ -7,8 +7,8 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
 from elderlock.standins.listener import Door, Listener, reset
+from elderlock.standins.servers import MISSING
 from elderlock.standins.waiting import unix_ms
 
 LONGEST_LIFE = 60_000.0  # ms
--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -27,7 +27,7 @@
 
 from elderlock.load.clock import Ticker, now_us
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import MISSING, served
+from elderlock.standins.servers import MISSING, served
 
 STRATA = 2000
 TOLD = (0.5, 0.9, 0.99, 0.999)
--- a/elderlock/standins/discovery.py
+++ b/elderlock/standins/discovery.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from elderlock.standins.boxes import Box
 from elderlock.standins.listener import Door, Fault, Listener
+from elderlock.standins.servers import SimulatedServer
 
 HEARTBEAT = 2.0  # s between the empty lines of a watch
 
@@ -108,7 +108,7 @@
             return self.stale
         return [box.target(door) for box in (*self.boxes.values(), *self.dead.values())]
 
-    def add(self, box: Box) -> None:
+    def add(self, box: SimulatedServer) -> None:
         self.boxes[box.uid] = box
         self.changed(box)
 
@@ -118,7 +118,7 @@
         self.changed(box)
         return box
 
-    def changed(self, *boxes: Box) -> None:
+    def changed(self, *boxes: SimulatedServer) -> None:
         """Tells every watch of these boxes' present entries, unless its door is broken: what is written to a
         broken door is lost, and the list comes whole when the watch is renewed."""
         if self.stale is not None:
@@ -128,7 +128,7 @@
         else:
             self._tell(boxes)
 
-    def _tell(self, boxes: tuple[Box, ...]) -> None:
+    def _tell(self, boxes: tuple[SimulatedServer, ...]) -> None:
         self.discovery.rev += 1
         for writer, door in list(self.discovery.watching.items()):
             line = {"rev": self.discovery.rev, "all": False, "targets": [box.target(door.number) for box in boxes]}
--- a/elderlock/standins/floor.py
+++ b/elderlock/standins/floor.py
@@ -12,7 +12,7 @@
 import hiredis
 import uvloop
 
-from elderlock.standins.boxes import MISSING
+from elderlock.standins.servers import MISSING
 
 
 class _Box(asyncio.Protocol):
--- a/elderlock/standins/front.py
+++ b/elderlock/standins/front.py
@@ -16,7 +16,7 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
+from elderlock.standins.servers import MISSING
 from elderlock.standins.settings import terms
 from elderlock.standins.waiting import unix_ms
 
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -18,7 +18,7 @@
 from elderlock import interface as api
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.settings_reader import read_settings
-from elderlock.standins.settings import group_facts
+from elderlock.standins.settings import group_settings
 
 HEALTHS = ("good", "good", "slow", "errs", "full", "silent", "refuses", "resets")
 MOODS = ("calm", "busy", "rush")
@@ -128,7 +128,7 @@
 
 def settings(rng: random.Random, number: int, limiters: int) -> api.Settings:
     """Of one limiter; what is drawn must be alike for all of a group, so `rng` is seeded alike for each."""
-    raw: dict[str, Any] = group_facts(number, limiters)
+    raw: dict[str, Any] = group_settings(number, limiters)
     raw["services"] = [
         {"name": "lookup", "goal-time": 300.0, "effect": "free", "credit": 1.0},
         {
--- a/elderlock/standins/parts.py
+++ b/elderlock/standins/parts.py
@@ -10,8 +10,8 @@
 from elderlock.net.config import Config, parse_config
 from elderlock.net.endpoint_list import EndpointList, parse_endpoint_list
 from elderlock.net.gateway import Gateway
-from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import raw_config, target
 
 
--- a/elderlock/standins/programs.py
+++ b/elderlock/standins/programs.py
@@ -17,7 +17,7 @@
 from elderlock.standins.clients import Client
 from elderlock.standins.gateways import Asking
 from elderlock.standins.settings import PLANS
-from elderlock.standins.world import ROOT, World, free_address, own_host
+from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
 
 # tight enough that the load of a test asks for several times the ceiling
 ENTERPRISE: dict[str, Any] = {
@@ -35,7 +35,7 @@
 class Program:
     def __init__(self, world: World, number: int, tls: bool) -> None:
         self.world, self.number = world, number
-        self.address = free_address(own_host(random.SystemRandom()))
+        self.address = free_address(random_loopback_host(random.SystemRandom()))
         self.socket = world.folder / f"c{number}" / "c.sock"
         self.operators = world.folder / f"operators-{number}.toml"
         text = f'[control]\nsocket = "{self.socket}"\n[authz]\nlisten = "{self.address}"\n'
--- a/elderlock/standins/redis.py
+++ b/elderlock/standins/redis.py
@@ -13,8 +13,8 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
 from elderlock.standins.listener import Door, Listener
+from elderlock.standins.servers import MISSING
 from elderlock.standins.waiting import unix_ms
 
 SLOTS = 16384
--- a/elderlock/standins/boxes.py
+++ b/elderlock/standins/servers.py
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class ReceivedCommand:
     """One command as the box saw it: when its last byte came (Unix ms), by which door, the request's id."""
 
     at: float
@@ -105,7 +105,7 @@
         return asyncio.get_running_loop().call_later(wait / 1000.0, do, *args)
 
 
-class Box(Listener):
+class SimulatedServer(Listener):
     """A lookup box: `elderlock.standins.model` behind sockets.
 
     `sent` is the record of what reached it, which tests and benchmarks hold against what tools claim.
@@ -115,7 +115,7 @@
         super().__init__()
         self.uid, self.kind, self.floor = uid, kind, floor
         self.state = "up"
-        self.sent: list[Sent] = []
+        self.sent: list[ReceivedCommand] = []
         self.model = BoxModel(kind.shape, _LoopTime(), random.Random(seed), boot_ms)
 
     @property
@@ -169,7 +169,7 @@
             return door.write(writer, b"+OK\r\n")
         if verb != b"API.READ" or len(command) != 4:
             return door.write(writer, b"-ERR unknown command\r\n")
-        self.took(Sent(unix_ms(), door.number, command[2]), command)
+        self.command_received(ReceivedCommand(unix_ms(), door.number, command[2]), command)
         value = b"box=%b request=%b" % (self.uid.encode(), command[2])
 
         def done(word: Word, work: Work) -> None:
@@ -180,6 +180,6 @@
 
         self.model.offer(done)
 
-    def took(self, sent: Sent, command: list[bytes]) -> None:
+    def command_received(self, sent: ReceivedCommand, command: list[bytes]) -> None:
         """A command's last byte has come."""
         self.sent.append(sent)
--- a/elderlock/standins/settings.py
+++ b/elderlock/standins/settings.py
@@ -7,7 +7,7 @@
 CUSTOMER = "00000000b4d65521"
 
 
-def facts(**limits: Any) -> dict[str, Any]:
+def default_settings(**limits: Any) -> dict[str, Any]:
     """The settings object of a lone limiter; `limits` go into its `policy-limits`."""
     return {
         "ordinal": 0,
@@ -46,7 +46,7 @@
         "listen": listen,
         "discovery": discovery,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": facts(**limits),
+        "settings": default_settings(**limits),
     }
 
 
@@ -86,8 +86,8 @@
 )
 
 
-def group_facts(number: int, limiters: int) -> dict[str, Any]:
+def group_settings(number: int, limiters: int) -> dict[str, Any]:
     """The settings of limiter `number` of a group of `limiters` that tell one another of use."""
-    own = facts(peers=limiters > 1)
+    own = default_settings(peers=limiters > 1)
     place = {"ordinal": number, "peers-total": limiters, "zone": number % len(FLOORS)}
     return {**own, **place, "zones": list(FLOORS), "kinds": list(KINDS), "plans": [dict(p) for p in PLANS]}
--- a/elderlock/standins/troubles.py
+++ b/elderlock/standins/troubles.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Literal
 
-from elderlock.standins.boxes import Box
 from elderlock.standins.listener import Fault, Listener
+from elderlock.standins.servers import SimulatedServer
 from elderlock.standins.world import World
 
 What = Literal["slow", "silent", "refusing", "reset", "restart", "empty", "drain", "remove", "kill"]
@@ -64,7 +64,7 @@
         check(planned, world)
         self._planned, self._world, self._kill = sorted(planned, key=lambda p: p.at), world, kill
         self.told: list[tuple[float, str]] = []
-        self._removed: dict[str, list[Box]] = {}
+        self._removed: dict[str, list[SimulatedServer]] = {}
 
     async def run(self, began: float) -> list[tuple[float, str]]:
         """`began` by the monotonic clock (s). Returns what was done and when; cancelled, it mends all first."""
@@ -86,7 +86,7 @@
     def _tell(self, began: float, text: str) -> None:
         self.told.append((time.monotonic() - began, text))
 
-    def _boxes(self, target: str) -> list[Box]:
+    def _boxes(self, target: str) -> list[SimulatedServer]:
         return list(self._world.boxes.values()) if target == "*" else [self._world.boxes[target]]
 
     def _listeners(self, target: str) -> Sequence[Listener]:
@@ -112,7 +112,7 @@
                 await listener.fail(FAULTS[what], delay=trouble.by / 1000.0)
         return f"{target} {what}" + (f" by {trouble.by:g} ms" if what == "slow" else "")
 
-    async def _break_box(self, box: Box, trouble: Planned) -> None:
+    async def _break_box(self, box: SimulatedServer, trouble: Planned) -> None:
         registry = self._world.registry
         match trouble.what:
             case "slow":
--- a/elderlock/standins/world.py
+++ b/elderlock/standins/world.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 from typing import Any
 
-from elderlock.standins.boxes import OLD, STD, Box, Kind
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
 from elderlock.standins.network import Network
-from elderlock.standins.settings import FLOORS, PLANS, group_facts
+from elderlock.standins.servers import OLD, STD, Kind, SimulatedServer
+from elderlock.standins.settings import FLOORS, PLANS, group_settings
 
 ROOT = Path(__file__).parent.parent.parent
 OPERATORS = ("an", "binh")
 
 
-def own_host(rng: random.Random) -> str:
+def random_loopback_host(rng: random.Random) -> str:
     """A loopback address of its own for each listener that must come back at its port: outgoing
     connections leave from 127.0.0.1, so none takes that port while the listener is away."""
     return f"127.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}.{rng.randrange(1, 255)}"
@@ -35,7 +35,7 @@
         return f"{host}:{probe.getsockname()[1]}"
 
 
-def private(path: Path, text: str) -> Path:
+def write_private_file(path: Path, text: str) -> Path:
     path.parent.mkdir(mode=0o700, parents=True, exist_ok=True)
     with open(path, "w", opener=lambda name, flags: os.open(name, flags, 0o600)) as file:
         file.write(text)
@@ -64,10 +64,10 @@
         self.registry, self.counter = Registry(), Counter()
         self.network = Network(limiters, seed)
         self._boxes = boxes
-        self.listens = [free_address(own_host(self._hosts)) for _ in range(limiters)]
-        self.doors = [free_address(own_host(self._hosts)) for _ in range(limiters if grpc else 0)]
+        self.listens = [free_address(random_loopback_host(self._hosts)) for _ in range(limiters)]
+        self.doors = [free_address(random_loopback_host(self._hosts)) for _ in range(limiters if grpc else 0)]
         self.lend = lend  # workers of the load generator that each agent's machine lends
-        self.agent_listens = [free_address(own_host(self._hosts)) for _ in range(agents)]
+        self.agent_listens = [free_address(random_loopback_host(self._hosts)) for _ in range(agents)]
         self.tokens = {name: secrets.token_hex(16) for name in (*OPERATORS, "viewer", *self.agent_names)}
 
     @property
@@ -79,7 +79,7 @@
         return [f"n{n}" for n in range(self.limiters)]
 
     @property
-    def boxes(self) -> dict[str, Box]:
+    def boxes(self) -> dict[str, SimulatedServer]:
         return self.registry.boxes
 
     async def open(self) -> None:
@@ -93,8 +93,8 @@
         for number in range(self.limiters):
             self.config_path(number).write_text(json.dumps(self.config(number)))
 
-    async def add_box(self, uid: str, kind: Kind, floor: str, boot_ms: float = 0.0) -> Box:
-        box = Box(uid, kind, floor, self.rng.randrange(1 << 30), boot_ms)
+    async def add_box(self, uid: str, kind: Kind, floor: str, boot_ms: float = 0.0) -> SimulatedServer:
+        box = SimulatedServer(uid, kind, floor, self.rng.randrange(1 << 30), boot_ms)
         await box.open(self.limiters)
         self.registry.add(box)
         return box
@@ -137,7 +137,7 @@
         return ""
 
     def settings_of(self, limiter: int) -> dict[str, Any]:
-        return {**group_facts(limiter, self.limiters), "plans": self.plans}
+        return {**group_settings(limiter, self.limiters), "plans": self.plans}
 
     def command_of(self, limiter: int) -> list[str]:
         return [sys.executable, "-B", "-m", "elderlock"]
@@ -165,9 +165,9 @@
     def write_files(self) -> None:
         """The agents' files, the group's and the tokens."""
         roles = {**dict.fromkeys(OPERATORS, "operator"), "viewer": "viewer", **dict.fromkeys(self.agent_names, "agent")}
-        private(self.folder / "tokens", "".join(f"{roles[n]} {n} {t}\n" for n, t in self.tokens.items()))
+        write_private_file(self.folder / "tokens", "".join(f"{roles[n]} {n} {t}\n" for n, t in self.tokens.items()))
         for name, token in self.tokens.items():
-            private(self.token_path(name), token + "\n")
+            write_private_file(self.token_path(name), token + "\n")
         for asker in ("", *self.agent_names):
             lines = [f'[group]\ntoken = "token-{OPERATORS[0]}"\n']
             for number, name in enumerate(self.agent_names):
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -30,10 +30,10 @@
 from elderlock.sim.scenario import Fault, Scenario, floor_name
 from elderlock.sim.surroundings import ShellBox
 from elderlock.sim.traffic import arrivals
-from elderlock.standins.boxes import Kind
 from elderlock.standins.discovery import Registry
+from elderlock.standins.servers import Kind
 from elderlock.standins.waiting import unix_ms
-from elderlock.standins.world import World, own_host
+from elderlock.standins.world import World, random_loopback_host
 from elderlock.trial import child as children
 from elderlock.trial import disk
 from elderlock.trial.guard import marked
@@ -208,7 +208,7 @@
         return self.folder / "direct.toml"
 
     def _own(self) -> tuple[str, int]:
-        return own_host(self._hosts), 0
+        return random_loopback_host(self._hosts), 0
 
     def _relay(
         self, here: Place, there: Place, target: Any, look: Callable[[], Any] = lambda: None, listens: bool = True
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -22,9 +22,9 @@
 from elderlock.authz.config import Asker, AuthzFile, Bounds
 from elderlock.authz.door import BOX, CHECK, ENDPOINT, LIMIT, LOOKUPS, PERMISSION, Door
 from elderlock.authz.v1 import lookups_pb2
-from elderlock.standins.boxes import Server
 from elderlock.standins.gateways import OTHER, Asking, headers
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import CUSTOMER, target
 from elderlock.standins.waiting import run, until
 
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -29,7 +29,7 @@
 from elderlock.standins.gateways import Asking, headers, lookups_report
 from elderlock.standins.programs import ACCOUNT, Program, programs, terms_of
 from elderlock.standins.waiting import run
-from elderlock.standins.world import ROOT, World, free_address, own_host
+from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
 from elderlock.trial import guard
 
 NAMES = {f"n{n}": n for n in range(5)}
@@ -278,7 +278,7 @@
     async def test() -> None:
         world = World(tmp_path, limiters=2, boxes=3)
         await world.open()
-        doors = [free_address(own_host(random.SystemRandom())) for _ in range(3)]
+        doors = [free_address(random_loopback_host(random.SystemRandom())) for _ in range(3)]
         path = world.agent_path(0)
         text = path.read_text() + f'[authz]\nconfig = "n0.json"\n[authz.door]\nlisten = "{doors[2]}"\n'
         text += f'[[authz.door.askers]]\naccounts = ["{ACCOUNT}"]\n'
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -19,7 +19,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.agents import SimulatedAgents
 from elderlock.standins.waiting import run
-from elderlock.standins.world import ROOT, private
+from elderlock.standins.world import ROOT, write_private_file
 from elderlock.trial import guard
 
 COMMAND = [sys.executable, "-B", "-m", "elderlock.cli.main"]
@@ -79,7 +79,7 @@
     async def test() -> None:
         agents = SimulatedAgents(60)
         await agents.open()
-        private(tmp_path / "token", "0123456789abcdef")
+        write_private_file(tmp_path / "token", "0123456789abcdef")
         group = tmp_path / "group.toml"
         agents.write_group(group, "token")
         silent = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -32,8 +32,8 @@
 )
 from elderlock.quota import tally_client as tally
 from elderlock.quota.counter_call import CounterCall
-from elderlock.standins.boxes import Server
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import CUSTOMER, raw_config, target
 from elderlock.standins.waiting import run
 
--- a/tests/control/test_control_socket.py
+++ b/tests/control/test_control_socket.py
@@ -21,7 +21,7 @@
 from elderlock.control.transport import bind_unix_socket
 from elderlock.interface import Routing
 from elderlock.net.config import ConfigError
-from elderlock.standins.boxes import Server
+from elderlock.standins.servers import Server
 from elderlock.standins.waiting import run
 
 
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -11,7 +11,7 @@
 from elderlock.fleet.config import FileError, read_agent, read_group
 from elderlock.fleet.messages import AuditLine
 from elderlock.standins.stores import Failing
-from elderlock.standins.world import private
+from elderlock.standins.world import write_private_file
 
 AGENT = '[agent]\nname = "a"\nlisten = "127.0.0.1:0"\nstate = "a"\ntokens = "tokens"\n'
 LIMITER = '[[limiter]]\nname = "n0"\ncommand = ["x"]\nconfig = "c"\n'
@@ -71,7 +71,7 @@
 
 
 def test_a_token_file_that_others_can_read_is_refused(tmp_path: Path) -> None:
-    path = private(tmp_path / "tokens", f"operator an {SECRET}\n")
+    path = write_private_file(tmp_path / "tokens", f"operator an {SECRET}\n")
     path.chmod(0o640)
     for read in (Tokens.read, read_token):
         with pytest.raises(FileError, match=r"others can read it \(mode 0640\)"):
@@ -90,12 +90,12 @@
 )
 def test_an_error_in_a_token_file_is_reported_without_its_tokens(text: str, message: str, tmp_path: Path) -> None:
     with pytest.raises(FileError, match=message) as raised:
-        Tokens.read(private(tmp_path / "tokens", text))
+        Tokens.read(write_private_file(tmp_path / "tokens", text))
     assert SECRET not in str(raised.value) and "short" not in str(raised.value)
 
 
 def test_a_token_identifies_its_owner_and_is_not_shown(tmp_path: Path) -> None:
-    tokens = Tokens.read(private(tmp_path / "tokens", f"viewer lam {SECRET}\noperator an {SECRET}2\n"))
+    tokens = Tokens.read(write_private_file(tmp_path / "tokens", f"viewer lam {SECRET}\noperator an {SECRET}2\n"))
     lam, an = tokens.identify(SECRET), tokens.identify(SECRET + "2")
     assert lam is not None and an is not None
     assert [(identity.name, identity.role) for identity in (lam, an)] == [("lam", "viewer"), ("an", "operator")]
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -14,10 +14,10 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.fleet.config import read_agent
 from elderlock.fleet.supervision.limiter_process import process_start_ticks
-from elderlock.standins.boxes import STD
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
 from elderlock.standins.listener import Fault
+from elderlock.standins.servers import STD
 from elderlock.standins.settings import FLOORS
 from elderlock.standins.waiting import run, unix_ms, until
 from elderlock.standins.world import World
--- a/tests/gossip/test_sharing_processes.py
+++ b/tests/gossip/test_sharing_processes.py
@@ -16,7 +16,7 @@
 from elderlock.interface import PeerMessage
 from elderlock.settings_reader import read_settings
 from elderlock.spawning import spawn
-from elderlock.standins.settings import facts, raw_config
+from elderlock.standins.settings import default_settings, raw_config
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
 
@@ -138,7 +138,7 @@
 )
 def test_random_bytes_in_an_evidence_datagram_change_nothing(data: bytes) -> None:
     """The datagrams come from a peer's address; datagrams from other addresses are never accepted."""
-    settings = read_settings({**facts(peers=True), "peers-total": PROCESSES})
+    settings = read_settings({**default_settings(peers=True), "peers-total": PROCESSES})
     limiter = EvidenceLimiter(settings, 1, 0.0)
     limiter.start(0.0)
     for now_ms in range(1000):
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -15,11 +15,11 @@
 from elderlock.control.request_client import RequestClient
 from elderlock.interface import AttemptEnded, Event, Outcome
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import raw_config, target
-from elderlock.standins.world import ROOT, free_address, own_host
+from elderlock.standins.world import ROOT, free_address, random_loopback_host
 
 
 def free_port() -> int:
@@ -63,7 +63,7 @@
 
     def __init__(self, folder: Path, *servers: Server) -> None:
         self.folder, self.socket = folder, folder / "run" / "n0.sock"
-        self.address = free_address(own_host(random.SystemRandom()))
+        self.address = free_address(random_loopback_host(random.SystemRandom()))
         cached_list = {
             "rev": 1,
             "all": True,
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -21,9 +21,9 @@
 from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.options import QuotaOptions
-from elderlock.standins.boxes import Server
 from elderlock.standins.counter import Counter
 from elderlock.standins.listener import Fault
+from elderlock.standins.servers import Server
 from elderlock.standins.waiting import run, until
 from elderlock.state import Account
 
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -17,12 +17,12 @@
 from programs import connect_when_ready
 
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import MISSING, Server, served
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
 from elderlock.standins.listener import Door
-from elderlock.standins.settings import facts, raw_config, target
-from elderlock.standins.world import ROOT, free_address, own_host
+from elderlock.standins.servers import MISSING, Server, served
+from elderlock.standins.settings import default_settings, raw_config, target
+from elderlock.standins.world import ROOT, free_address, random_loopback_host
 
 PROCESSES, GOOD_SERVERS = 8, 3
 TIMEOUT_MS = 20_000.0
@@ -52,8 +52,8 @@
         """Create a fleet; `shared` is the content of the `[shared]` table of the operators' file."""
         rng = random.SystemRandom()
         self.folder, self.shared, self.count, self.plan = folder, shared, processes, plan
-        self.listens = [free_address(own_host(rng)) for _ in range(processes)]
-        self.addresses = [free_address(own_host(rng)) for _ in range(processes)]
+        self.listens = [free_address(random_loopback_host(rng)) for _ in range(processes)]
+        self.addresses = [free_address(random_loopback_host(rng)) for _ in range(processes)]
         self.release = asyncio.Event()
         self.good, self.bad = [Server(self._answer) for _ in range(GOOD_SERVERS)], ConnectionBreakingServer()
         self.processes: list[asyncio.subprocess.Process] = []
@@ -73,7 +73,7 @@
             raw = raw_config(self.listens[number], "%s:%d" % self.discovery.address)
             raw.update(seed=secrets.token_hex(8), peers=self.addresses, peer_listen=self.addresses[number])
             # long timeouts, so that requests that a test delays do not time out on a busy machine
-            settings = facts(peers=True, **{"dial-timeout": TIMEOUT_MS / 4.0})
+            settings = default_settings(peers=True, **{"dial-timeout": TIMEOUT_MS / 4.0})
             service = {"name": "lookup", "goal-time": TIMEOUT_MS, "deadline": TIMEOUT_MS, "effect": "free"}
             raw["settings"] = {**settings, "ordinal": number, "peers-total": self.count, "services": [service]}
             raw["settings"]["plans"] = [self.plan]
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -12,12 +12,12 @@
 from elderlock.net.discovery import Discovery as Watcher
 from elderlock.net.endpoint_list import EndpointList
 from elderlock.net.peers import PeerTransport
-from elderlock.standins import boxes
-from elderlock.standins.boxes import MISSING, OLD, STD, Box, Server
+from elderlock.standins import servers
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
 from elderlock.standins.listener import Fault
 from elderlock.standins.network import Network
+from elderlock.standins.servers import MISSING, OLD, STD, Server, SimulatedServer
 from elderlock.standins.settings import raw_config, terms
 from elderlock.standins.waiting import run, unix_ms, until
 
@@ -87,7 +87,7 @@
     run(test())
 
 
-class Held(boxes._LoopTime):
+class Held(servers._LoopTime):
     """Whose timers begin to run once it is let go, however long that takes."""
 
     def __init__(self) -> None:
@@ -107,7 +107,7 @@
 
 def test_a_box_queues_reports_turns_away_and_warms_up() -> None:
     async def test() -> None:
-        box = Box("s", STD, "floor-2", seed=1)
+        box = SimulatedServer("s", STD, "floor-2", seed=1)
         await box.open()
         box.model._time = held = Held()
         asks = [
@@ -153,7 +153,7 @@
     async def test() -> None:
         registry = Registry()
         await registry.discovery.start(2)
-        boxes = [Box(f"s-{n}", STD, "a", n) for n in range(2)]
+        boxes = [SimulatedServer(f"s-{n}", STD, "a", n) for n in range(2)]
         for box in boxes:
             await box.open(2)
         registry.add(boxes[0])
--- a/tests/test_client_commands.py
+++ b/tests/test_client_commands.py
@@ -5,8 +5,8 @@
 import hiredis
 import pytest
 
-from elderlock.standins.boxes import Server, answers, served
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Server, answers, served
 from elderlock.standins.settings import CUSTOMER, terms
 from elderlock.standins.waiting import run, until
 
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -5,8 +5,8 @@
 import pytest
 
 from elderlock.net import client_listener
-from elderlock.standins.boxes import Server, answers, served
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Server, answers, served
 from elderlock.standins.waiting import run, until
 
 LONG_TIME_S = 10000.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -23,10 +23,10 @@
 from elderlock.net.config import parse_config
 from elderlock.net.shutdown import drain_time_limit_s
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import Answer, Server, answers, served
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
 from elderlock.standins.parts import Limiter
+from elderlock.standins.servers import Answer, Server, answers, served
 from elderlock.standins.settings import CUSTOMER, raw_config, target, terms
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -16,12 +16,12 @@
 import pytest
 from programs import connect_when_ready, start_program
 
-from elderlock.standins.boxes import Server, served
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
-from elderlock.standins.settings import facts, raw_config, target
+from elderlock.standins.servers import Server, served
+from elderlock.standins.settings import default_settings, raw_config, target
 from elderlock.standins.waiting import run, unix_ms, until
-from elderlock.standins.world import free_address, own_host
+from elderlock.standins.world import free_address, random_loopback_host
 
 PROCESS_COUNT, WARM_SERVER_COUNT = 30, 4
 REQUEST_INTERVAL_S = 0.1  # for each client: 300 requests a second over all limiters
@@ -47,8 +47,8 @@
     def __init__(self, folder: Path, peers: bool) -> None:
         rng = random.SystemRandom()
         self.folder, self.peers = folder, peers
-        self.listen_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
-        self.peer_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.listen_addresses = [free_address(random_loopback_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.peer_addresses = [free_address(random_loopback_host(rng)) for _ in range(PROCESS_COUNT)]
         self.warm_servers, self.cold_server = [RecordingServer() for _ in range(WARM_SERVER_COUNT)], RecordingServer()
         self.cold_started_at_ms = 0.0  # Unix time; 0 until the cold server is listed
         self.warm_are_draining = False
@@ -85,7 +85,12 @@
         async def start_one(number: int) -> Client:
             raw = raw_config(self.listen_addresses[number], "%s:%d" % self.discovery.address)
             raw["seed"] = secrets.token_hex(8)
-            settings = {**facts(peers=self.peers), "ordinal": number, "peers-total": PROCESS_COUNT, "rules": RULES}
+            settings = {
+                **default_settings(peers=self.peers),
+                "ordinal": number,
+                "peers-total": PROCESS_COUNT,
+                "rules": RULES,
+            }
             settings["plans"] = [{"name": "team", "quota-rate": 1e5, "burst": 1e5}]
             if self.peers:
                 raw.update(peers=self.peer_addresses, peer_listen=self.peer_addresses[number])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -11,9 +11,9 @@
 from programs import connect_when_ready, free_port, start_program
 
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import Server
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT
--- a/tests/trial/test_relays.py
+++ b/tests/trial/test_relays.py
@@ -13,7 +13,7 @@
 import pytest
 
 from elderlock.standins.waiting import run, until
-from elderlock.standins.world import own_host
+from elderlock.standins.world import random_loopback_host
 from elderlock.trial.lateness import Watch
 from elderlock.trial.lateness import judged as lateness
 from elderlock.trial.relay import Datagrams, Relay, Relays
@@ -52,7 +52,7 @@
         self.relays = Relays(self.ways)
         self.echo: Any = type("Heard", (Echo,), {"got": [], "ends": [], "open": []})
         self.server: asyncio.Server | None = None
-        self.at = (own_host(random.SystemRandom()), 0)
+        self.at = (random_loopback_host(random.SystemRandom()), 0)
 
     async def listen(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(self.echo, *self.at)
@@ -60,7 +60,9 @@
 
     async def relay(self) -> Relay:
         await self.listen()
-        relay = self.relays.add(Relay(self.ways, HERE, THERE, self.at), (own_host(random.SystemRandom()), 0))
+        relay = self.relays.add(
+            Relay(self.ways, HERE, THERE, self.at), (random_loopback_host(random.SystemRandom()), 0)
+        )
         self.relays.watch()
         return relay
 
