--- a/elderlock/sim/stage_faults.py
+++ b/elderlock/sim/stage_faults.py
@@ -94,15 +94,15 @@
             case "restart":
                 await box.restart()
                 self.world.bench.started(self.world.since(box.boot_ms), box.uid, box.kind.shape.bears())
-                self.world.listing.changed(box)
+                self.world.listing.announce(box)
             case "drain":
                 box.state = "draining"
-                self.world.listing.changed(box)
+                self.world.listing.announce(box)
                 self._for(fault, lambda: self._undrain(box))
             case "remove":
                 self.world.listing.boxes.pop(box.uid, None)
                 box.state = "removed"
-                self.world.listing.changed(box)
+                self.world.listing.announce(box)
                 await asyncio.sleep(0.5)
                 await box.close()
             case "op-drain" | "op-undrain":
@@ -111,7 +111,7 @@
     def _undrain(self, box: SimulatedServer) -> None:
         if box.uid in self.world.listing.boxes:
             box.state = "up"
-            self.world.listing.changed(box)
+            self.world.listing.announce(box)
 
     async def counter_fault(self, fault: Fault) -> None:
         counter = self.world.counter
@@ -142,18 +142,18 @@
                 await discovery.fail(Breaks.SILENT if fault.what == "silent" else Breaks.REFUSING)
                 self._for(fault, lambda: self._keep(self._discovery_back()))
             case "stale":
-                listing.stale = listing.rows(0)
+                listing.frozen_list = listing.rows(0)
                 self._for(fault, self._fresh)
             case "late":
-                listing.late = by_of(fault) / 1000.0
-                self._for(fault, lambda: setattr(listing, "late", 0.0))
+                listing.delay_s = by_of(fault) / 1000.0
+                self._for(fault, lambda: setattr(listing, "delay_s", 0.0))
             case "flap":
                 ends = self.world.loop.time() + (fault.for_s or 2.0)
                 boxes = list(listing.boxes.values())
                 while self.world.loop.time() < ends and boxes:
                     box = self.world.rng.choice(boxes)
                     box.state = "draining" if box.state == "up" else "up"
-                    listing.changed(box)
+                    listing.announce(box)
                     await asyncio.sleep(0.1)
                 for box in boxes:
                     self._undrain(box)
@@ -169,12 +169,12 @@
         self.world.listing.discovery.reset()  # watches that were silent are begun anew
 
     def _fresh(self) -> None:
-        self.world.listing.stale = None
-        self.world.listing.whole()
+        self.world.listing.frozen_list = None
+        self.world.listing.announce_complete_list()
 
     def _bury(self) -> None:
         self.world.listing.dead.clear()
-        self.world.listing.whole()
+        self.world.listing.announce_complete_list()
 
     async def clients_fault(self, fault: Fault) -> None:
         assert self.world.clients is not None
--- a/elderlock/standins/troubles.py
+++ b/elderlock/standins/troubles.py
@@ -119,10 +119,10 @@
                 box.crowd = trouble.by
             case "restart":
                 await box.restart()
-                registry.changed(box)
+                registry.announce(box)
             case "drain":
                 box.state = "draining"
-                registry.changed(box)
+                registry.announce(box)
             case "remove":
                 registry.remove(box.uid)
                 self._removed.setdefault(trouble.target, []).append(box)
@@ -148,7 +148,7 @@
                     box.crowd = 0.0
                 elif what == "drain":
                     box.state = "up"
-                    world.registry.changed(box)
+                    world.registry.announce(box)
                 else:
                     await box.fail(Fault.NONE)
         return f"{target} mended"
--- a/elderlock/standins/world.py
+++ b/elderlock/standins/world.py
@@ -105,9 +105,9 @@
             "name": f"n{number}",
             "seed": f"{self.rng.randrange(1 << 63):016x}",
             "listen": self.listens[number],
-            "discovery": self.discovery_of(number),
+            "discovery": self.discovery_endpoint(number),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "counter": self.counter_of(number),
+            "counter": self.counter_endpoint(number),
             "settings": self.settings_of(number),
             **(
                 {
@@ -122,24 +122,24 @@
 
     # By which addresses each is known, and to whom: where something lies between, it says so here
 
-    def discovery_of(self, limiter: int) -> str:
+    def discovery_endpoint(self, limiter: int) -> str:
         return self.registry.discovery.doors[limiter].endpoint
 
-    def counter_of(self, limiter: int) -> str:
+    def counter_endpoint(self, limiter: int) -> str:
         return self.counter.doors[limiter].endpoint
 
-    def agent_at(self, asker: str, agent: int) -> str:
+    def agent_address(self, asker: str, agent: int) -> str:
         """To another agent, by its name, or to a tool, where that is empty."""
         return self.agent_listens[agent]
 
-    def floor_of(self, agent: int) -> str:
+    def agent_zone(self, agent: int) -> str:
         """On which its machine stands, where the group's file is to say so."""
         return ""
 
     def settings_of(self, limiter: int) -> dict[str, Any]:
         return {**group_settings(limiter, self.limiters), "plans": self.plans}
 
-    def command_of(self, limiter: int) -> list[str]:
+    def limiter_command(self, limiter: int) -> list[str]:
         return [sys.executable, "-B", "-m", "elderlock"]
 
     def config_path(self, number: int) -> Path:
@@ -171,8 +171,8 @@
         for asker in ("", *self.agent_names):
             lines = [f'[group]\ntoken = "token-{OPERATORS[0]}"\n']
             for number, name in enumerate(self.agent_names):
-                floor = f'floor = "{self.floor_of(number)}"\n' if self.floor_of(number) else ""
-                lines.append(f'[[agent]]\nname = "{name}"\naddress = "{self.agent_at(asker, number)}"\n{floor}')
+                floor = f'floor = "{self.agent_zone(number)}"\n' if self.agent_zone(number) else ""
+                lines.append(f'[[agent]]\nname = "{name}"\naddress = "{self.agent_address(asker, number)}"\n{floor}')
             self.group_file(asker).write_text("\n".join(lines))
         for number, door in enumerate(self.doors):
             text = f'[authz]\nlisten = "{door}"\n[[authz.askers]]\naccounts = ["*"]\n'
@@ -190,7 +190,7 @@
         ]
         for number in self.share(agent):
             lines.append(
-                f'[[limiter]]\nname = "n{number}"\ncommand = {json.dumps(list(command) or self.command_of(number))}\n'
+                f'[[limiter]]\nname = "n{number}"\ncommand = {json.dumps(list(command) or self.limiter_command(number))}\n'
                 f'config = "n{number}.json"\ndirectory = {json.dumps(str(ROOT))}\n'
                 + (f'authz = "authz-{number}.toml"\n' if self.doors else "")
             )
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -171,13 +171,13 @@
         first = self.share(agent)[0]
         return f"m{first}", floor_name(first % self.scenario.floors)
 
-    def discovery_of(self, limiter: int) -> str:
+    def discovery_endpoint(self, limiter: int) -> str:
         return self._lists[limiter].endpoint
 
-    def counter_of(self, limiter: int) -> str:
+    def counter_endpoint(self, limiter: int) -> str:
         return self._counts[limiter].endpoint
 
-    def agent_at(self, asker: str, agent: int) -> str:
+    def agent_address(self, asker: str, agent: int) -> str:
         if asker == self.agent_names[agent]:
             return self.agent_listens[agent]
         return self._to_agents[asker, agent].endpoint
@@ -185,7 +185,7 @@
     def settings_of(self, limiter: int) -> dict[str, Any]:
         return settings_of(self.scenario, limiter, self.rules)
 
-    def command_of(self, limiter: int) -> list[str]:
+    def limiter_command(self, limiter: int) -> list[str]:
         return python("-m", "elderlock.trial.child", "limiter", str(self.seam_path(f"n{limiter}")))
 
     def config(self, number: int) -> dict[str, Any]:
@@ -299,7 +299,7 @@
         path.parent.mkdir(parents=True)
         path.write_text(f"{key} = {json.dumps(command)}\n")
 
-    def floor_of(self, agent: int) -> str:
+    def agent_zone(self, agent: int) -> str:
         return self._machine(agent)[1]
 
     def _lay_agent(self, agent: int) -> None:
@@ -452,7 +452,7 @@
                 "ELDERLOCK_OPERATORS": str(operators),
                 **({children.FLAW: self.flaw} if self.flaw else {}),
             }
-            command = self.command_of(member.number)
+            command = self.limiter_command(member.number)
             log = self.folder / f"{name}.log"
             member.own = Child(name, command, self.mark, log, environ, lambda code: self._ended(member))
         await member.own.start()
@@ -634,7 +634,7 @@
         self.relays.mend("cut", pairs)
         for uid in boxes:
             if (box := self.registry.boxes.get(uid)) is not None:
-                self.registry.changed(box)
+                self.registry.announce(box)
         for agent in agents:
             process = self.agent_processes[agent]
             process.dark -= 1
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -121,7 +121,7 @@
             await group.wait_for_answers(10)
             for state in ("draining", "up"):
                 box.state = state
-                registry.changed(box)
+                registry.announce(box)
             registry.discovery.reset()  # the watches break, and the limiters get complete lists again
             await group.wait_for_answers()
             await registry.fail(Fault.SILENT)
@@ -167,7 +167,7 @@
                 await door.close()
                 door.port = old_door.port
                 await door.listen()
-            group.world.registry.changed(new)
+            group.world.registry.announce(new)
             await until(lambda: len(new.sent) > 3)
             await check_no_request_was_lost(group)
 
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -161,7 +161,7 @@
         watcher = Watcher(parse_config(raw_config()).socket_settings, told.append)
         watcher.follow(("127.0.0.1", registry.discovery.doors[1].port))
         await until(lambda: bool(told))
-        await until(lambda: bool(registry.discovery.watching))  # changes before it would come as a whole list
+        await until(lambda: bool(registry.discovery.watch_doors))  # changes before it would come as a whole list
         assert told[0].is_complete and told[0].servers[0].address[1] == boxes[0].doors[1].port
         registry.add(boxes[1])
         registry.remove("s-0")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,14 +25,14 @@
         bad = {"uid": "b", "endpoint": "no address", "state": "up"}
         good = target("c", "127.0.0.1:2", state="draining")
         line = json.dumps({"rev": 8, "all": False, "targets": [bad, good]}).encode()
-        agent.say(b"\n" + line[:20])
-        agent.say(line[20:] + b"\n")
+        agent.send_line(b"\n" + line[:20])
+        agent.send_line(line[20:] + b"\n")
         await until(lambda: len(received) == 2)
         assert [server.entry.server_id for server in received[1].servers] == ["c"]  # only the invalid entry is skipped
         agent.watches[-1].transport.abort()
         await until(lambda: len(agent.watches) == 2)
-        assert agent.asked[-1].endswith("watch=1&after=8")
-        agent.say(b"nonsense\n")  # after an unreadable change the complete list is fetched again
+        assert agent.requested_paths[-1].endswith("watch=1&after=8")
+        agent.send_line(b"nonsense\n")  # after an unreadable change the complete list is fetched again
         await until(lambda: len(received) == 3)
         assert received[2].version == 7
         follower.stop()
@@ -45,7 +45,7 @@
         old = await Discovery({"rev": 70, "all": True, "targets": []}).start()
         mute = await Discovery({"rev": 1, "all": True, "targets": []}).start()
         new = await Discovery({"rev": 3, "all": True, "targets": []}).start()
-        mute.muted = new.muted = True
+        mute.holds_answers = new.holds_answers = True
         received: list[int] = []
         follower = DiscoveryClient(
             parse_config(raw_config()).socket_settings, lambda listed: received.append(listed.version)
@@ -53,15 +53,15 @@
         follower.follow(old.address)
         await until(lambda: len(old.watches) == 1)
         follower.follow(mute.address)
-        await until(lambda: len(mute.asked) == 1)
+        await until(lambda: len(mute.requested_paths) == 1)
         follower.follow(new.address)  # before a list has arrived from `mute`
-        await until(lambda: len(new.asked) == 1 and mute.lost == 1)
-        old.say(b'{"rev":71,"all":false,"targets":[]}\n')
+        await until(lambda: len(new.requested_paths) == 1 and mute.lost == 1)
+        old.send_line(b'{"rev":71,"all":false,"targets":[]}\n')
         await until(lambda: received == [70, 71])  # a change from the old address is still applied
-        new.muted = False
-        new.answer()
+        new.holds_answers = False
+        new.release_answers()
         await until(lambda: len(new.watches) == 1 and old.lost == 2)
-        assert new.asked == ["/discovery/hosts", "/discovery/hosts?watch=1&after=3"]
+        assert new.requested_paths == ["/discovery/hosts", "/discovery/hosts?watch=1&after=3"]
         assert received == [70, 71, 3]
         follower.stop()
 
@@ -96,15 +96,15 @@
 def test_silent_watch_and_unanswered_call_do_not_delay_the_next_call() -> None:
     async def test() -> None:
         agent, follower, received = await follow_agent()
-        agent.hangs = True  # calls are accepted and not answered; the watch stays open and silent
-        await until(lambda: len(agent.asked) == 5)
+        agent.ignores_requests = True  # calls are accepted and not answered; the watch stays open and silent
+        await until(lambda: len(agent.requested_paths) == 5)
         # Only the call for the first list has ended: neither the watch nor a call was cancelled for the next call.
         assert agent.lost == 1
-        agent.hangs = False
+        agent.ignores_requests = False
         await until(lambda: len(agent.watches) == 2)
-        agent.say(b'{"rev":8,"all":false,"targets":[]}\n')
+        agent.send_line(b'{"rev":8,"all":false,"targets":[]}\n')
         await until(lambda: received == [7, 8])
-        await until(lambda: agent.lost == len(agent.asked) - 1)  # now all other calls are cancelled
+        await until(lambda: agent.lost == len(agent.requested_paths) - 1)  # now all other calls are cancelled
         follower.stop()
 
     run(test())
@@ -113,11 +113,11 @@
 def test_silent_watch_stays_active_if_it_receives_before_a_new_call_is_answered() -> None:
     async def test() -> None:
         agent, follower, received = await follow_agent()
-        agent.hangs = True
-        await until(lambda: len(agent.asked) == 3)
-        agent.say(b'{"rev":8,"all":false,"targets":[]}\n')
+        agent.ignores_requests = True
+        await until(lambda: len(agent.requested_paths) == 3)
+        agent.send_line(b'{"rev":8,"all":false,"targets":[]}\n')
         await until(lambda: received == [7, 8])
-        await until(lambda: agent.lost == len(agent.asked) - 1)
+        await until(lambda: agent.lost == len(agent.requested_paths) - 1)
         assert len(agent.watches) == 1
         follower.stop()
 
@@ -128,7 +128,7 @@
     async def test() -> None:
         agent, follower, received = await follow_agent()
         for version in (9, 8, 9, 10):
-            agent.say(b'{"rev":%d,"all":false,"targets":[]}\n' % version)
+            agent.send_line(b'{"rev":%d,"all":false,"targets":[]}\n' % version)
         await until(lambda: received[-1] == 10)
         assert received == [7, 9, 10]
         follower.stop()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -333,7 +333,7 @@
         server = await Server().start()
         complete_list = {"rev": 1, "all": True, "targets": [target("s", server.endpoint)]}
         agent = await Discovery(complete_list).start()
-        agent.muted = True  # accepts calls and does not answer them
+        agent.holds_answers = True  # accepts calls and does not answer them
         port, sockets = free_port(), 64
         raw = raw_config(f"127.0.0.1:{port}", "%s:%d" % agent.address)
         raw["limits"]["sockets"] = sockets
@@ -353,8 +353,8 @@
                 with contextlib.suppress(OSError):
                     idle.append(stack.enter_context(socket.create_connection(("127.0.0.1", port))))
                 await asyncio.sleep(0)
-            agent.muted = False
-            agent.answer()
+            agent.holds_answers = False
+            agent.release_answers()
             client = await connect_when_ready(port)
             assert await client.ask("x") == b"value"
             process.send_signal(signal.SIGTERM)
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -68,9 +68,9 @@
 
     def send_list(self) -> None:
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watching.items()):
+        for writer, door in list(self.discovery.watch_doors.items()):
             line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
-            self.discovery.line(door, writer, json.dumps(line).encode() + b"\n")
+            self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
 
     async def start_servers(self) -> None:
         for server in (*self.warm_servers, self.cold_server):
@@ -164,10 +164,10 @@
 
             assert fleet.cold_server.arrival_times_ms  # it gets requests
             await fleet.kill_limiters()
-            fleet.discovery.muted = fleet.discovery.hangs = True
-            call_count = len(fleet.discovery.asked)
+            fleet.discovery.holds_answers = fleet.discovery.ignores_requests = True
+            call_count = len(fleet.discovery.requested_paths)
             await fleet.start_limiters()  # they become ready although discovery does not answer
-            assert len(fleet.discovery.asked) > call_count
+            assert len(fleet.discovery.requested_paths) > call_count
             await fleet.send_requests(4, pause_s=0.0)
             excessive_windows = [
                 (count, allowed)
@@ -178,10 +178,10 @@
 
             # All limiters apply a list again: the warm servers are back.
             counts_before = [len(server.arrival_times_ms) for server in fleet.warm_servers]
-            fleet.warm_are_draining = fleet.discovery.muted = fleet.discovery.hangs = False
+            fleet.warm_are_draining = fleet.discovery.holds_answers = fleet.discovery.ignores_requests = False
             fleet.discovery.rev += 1
-            watch_count = len(fleet.discovery.watching)
-            await until(lambda: len(fleet.discovery.watching) >= watch_count + PROCESS_COUNT)
+            watch_count = len(fleet.discovery.watch_doors)
+            await until(lambda: len(fleet.discovery.watch_doors) >= watch_count + PROCESS_COUNT)
             await fleet.send_requests(1, pause_s=0.0)
             assert sum(len(server.arrival_times_ms) for server in fleet.warm_servers) > sum(counts_before)
         finally:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -100,12 +100,12 @@
             process.send_signal(signal.SIGHUP)
             while b"reload failed, the configuration is unchanged" not in await process.stderr.readline():
                 pass
-        assert not new.asked
+        assert not new.requested_paths
         path.write_text(json.dumps({**raw, "discovery": "%s:%d" % new.address}))
         process.send_signal(signal.SIGHUP)
         await until(lambda: len(new.watches) == 1)
-        await until(lambda: old.lost == len(old.asked))
-        assert new.asked[-1].endswith("after=2")
+        await until(lambda: old.lost == len(old.requested_paths))
+        assert new.requested_paths[-1].endswith("after=2")
         release.set()
         assert await client.answer() == b"answer"
         assert await client.ask("next") == b"answer"
