--- a/elderlock/standins/discovery.py
+++ b/elderlock/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list, and watches that carry changes, over HTTP/1.1 with chunked bodies."""
+"""A fake discovery service: complete endpoint lists and watches over HTTP/1.1 with chunked bodies."""
 
 from __future__ import annotations
 
@@ -10,54 +10,73 @@
 from elderlock.standins.listener import Door, Fault, Listener
 from elderlock.standins.servers import SimulatedServer
 
-HEARTBEAT = 2.0  # s between the empty lines of a watch
+HEARTBEAT_S = 2.0  # the interval of the empty lines that keep a watch alive
 
 
 class Discovery(Listener):
-    """The agent that a limiter asks. Scripted: `whole` is what it gives, and the test writes watch lines
-    with `say`. With `rows`, each door's list is made anew from what `rows(door)` gives."""
+    """The discovery service that limiters request endpoint lists from.
+
+    Without `rows` it is scripted: it answers each list request with `complete_list`, and the test writes the lines of a
+    watch with `send_line`. With `rows` it computes the list for each limiter from `rows(door)`, where `door` is the
+    number of the limiter's listening port, and sends heartbeats.
+
+    Attributes:
+        complete_list: The scripted list.
+        rows: Returns the entries of the list for a listening port.
+        rev: The version of the list.
+        requested_paths: The paths of all requests, in order.
+        watches: The connections of all watches since the start, in order.
+        waiting: The connections of list requests that have no answer yet.
+        holds_answers: Whether list requests are held back until `release_answers`.
+        ignores_requests: Whether requests that arrive now never get an answer.
+        watch_doors: The listening port of each open watch.
+    """
 
     def __init__(
-        self, whole: dict[str, Any] | None = None, rows: Callable[[int], list[dict[str, Any]]] | None = None
+        self, complete_list: dict[str, Any] | None = None, rows: Callable[[int], list[dict[str, Any]]] | None = None
     ) -> None:
         super().__init__()
-        self.whole = whole or {}
+        self.complete_list = complete_list or {}
         self.rows = rows
         self.rev = 1
         self.requested_paths: list[str] = []
         self.watches: list[asyncio.StreamWriter] = []
         self.waiting: list[tuple[Door, asyncio.StreamWriter]] = []
-        self.holds_answers = False  # takes what it is asked and says nothing
-        self.ignores_requests = False  # and what it is asked for now is never answered
+        self.holds_answers = False
+        self.ignores_requests = False
         self.watch_doors: dict[asyncio.StreamWriter, Door] = {}
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     @property
     def address(self) -> tuple[str, int]:
+        """The host and port of the first listening port."""
         return "127.0.0.1", self.doors[0].port
 
     async def start(self, doors: int = 1) -> Discovery:
+        """Opens the listening ports, one for each limiter, and returns the service itself."""
         await self.open(doors)
         if self.rows is not None:
             self._heartbeat()
         return self
 
     def _heartbeat(self) -> None:
-        self._beat = asyncio.get_running_loop().call_later(HEARTBEAT, self._heartbeat)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
         for writer, door in list(self.watch_doors.items()):
             self.write_line(door, writer, b"\n")
 
     async def close(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
+        """Closes all connections and listening ports and stops the heartbeats."""
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         await super().close()
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers list requests and registers watches until the client closes the connection."""
         try:
-            while line := await reader.readline():
+            while request_line := await reader.readline():
                 while (await reader.readline()).strip():
                     pass
-                path = line.split()[1].decode()
+                path = request_line.split()[1].decode()
                 self.requested_paths.append(path)
                 if self.ignores_requests:
                     continue
@@ -70,31 +89,41 @@
                 self.watches.append(writer)
                 self.watch_doors[writer] = door
                 if self.rows is not None and f"after={self.rev}" not in path:
-                    self.write_line(door, writer, self._list(door) + b"\n")
+                    self.write_line(door, writer, self._encode_list(door) + b"\n")
         finally:
             self.watch_doors.pop(writer, None)
 
-    def _list(self, door: Door) -> bytes:
+    def _encode_list(self, door: Door) -> bytes:
         if self.rows is None:
-            return json.dumps(self.whole).encode()
+            return json.dumps(self.complete_list).encode()
         return json.dumps({"rev": self.rev, "all": True, "targets": self.rows(door.number)}).encode()
 
     def release_answers(self) -> None:
+        """Answers all waiting list requests."""
         for door, writer in self.waiting:
-            body = self._list(door)
+            body = self._encode_list(door)
             door.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         self.waiting.clear()
 
     def send_line(self, line: bytes) -> None:
+        """Writes a chunk to the newest watch, whatever fault its listening port has."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(line), line))
 
     def write_line(self, door: Door, writer: asyncio.StreamWriter, line: bytes) -> None:
+        """Writes a chunk to a watch, subject to the fault of its listening port."""
         door.write(writer, b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class Registry:
-    """The boxes of a group as all its limiters' agents list them, each with its own endpoints: late (s), `stale` (as
-    the list was), listing the `dead`, where it is told to."""
+    """The servers of a group as discovery lists them, with a separate endpoint of each server for each limiter.
+
+    Attributes:
+        boxes: The listed servers by id.
+        dead: Servers that are down but still listed, by id.
+        frozen_list: The entries to list while discovery is stale; None while it is up to date.
+        delay_s: The delay in seconds before changes are sent to watches.
+        discovery: The service that sends the lists.
+    """
 
     def __init__(self) -> None:
         self.boxes: dict[str, Any] = {}
@@ -104,42 +133,50 @@
         self.discovery = Discovery(rows=self.rows)
 
     def rows(self, door: int) -> list[dict[str, Any]]:
+        """Returns the entries of the list for the limiter that uses listening port `door`."""
         if self.frozen_list is not None:
             return self.frozen_list
-        return [box.target(door) for box in (*self.boxes.values(), *self.dead.values())]
+        return [server.target(door) for server in (*self.boxes.values(), *self.dead.values())]
 
-    def add(self, box: SimulatedServer) -> None:
-        self.boxes[box.uid] = box
-        self.announce(box)
+    def add(self, server: SimulatedServer) -> None:
+        """Lists a server and announces it."""
+        self.boxes[server.uid] = server
+        self.announce(server)
 
     def remove(self, uid: str) -> Any:
-        box = self.boxes.pop(uid)
-        box.state = "removed"
-        self.announce(box)
-        return box
-
-    def announce(self, *boxes: SimulatedServer) -> None:
-        """Tells every watch of these boxes' present entries, unless its door is broken: what is written to a
-        broken door is lost, and the list comes whole when the watch is renewed."""
+        """Takes a server off the list, announces its removal and returns it."""
+        server = self.boxes.pop(uid)
+        server.state = "removed"
+        self.announce(server)
+        return server
+
+    def announce(self, *servers: SimulatedServer) -> None:
+        """Sends the current entries of these servers to every watch, after the delay if one is set.
+
+        A watch whose listening port has a fault loses the change. It gets a complete list when the limiter opens it
+        again. While the list is frozen nothing is sent.
+        """
         if self.frozen_list is not None:
             return
         if self.delay_s > 0:
-            asyncio.get_running_loop().call_later(self.delay_s, self._send_changes, boxes)
+            asyncio.get_running_loop().call_later(self.delay_s, self._send_changes, servers)
         else:
-            self._send_changes(boxes)
+            self._send_changes(servers)
 
-    def _send_changes(self, boxes: tuple[SimulatedServer, ...]) -> None:
+    def _send_changes(self, servers: tuple[SimulatedServer, ...]) -> None:
         self.discovery.rev += 1
         for writer, door in list(self.discovery.watch_doors.items()):
-            line = {"rev": self.discovery.rev, "all": False, "targets": [box.target(door.number) for box in boxes]}
+            targets = [server.target(door.number) for server in servers]
+            line = {"rev": self.discovery.rev, "all": False, "targets": targets}
             self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
 
     def announce_complete_list(self) -> None:
-        """Every watch hears the whole list."""
+        """Sends the complete list to every watch."""
         self.discovery.rev += 1
         for writer, door in list(self.discovery.watch_doors.items()):
             line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(door.number)}
             self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
 
     async def fail(self, fault: Fault, doors: list[int] | None = None) -> None:
+        """Sets the fault of the given listening ports of discovery, or of all."""
         await self.discovery.fail(fault, doors)
--- a/elderlock/standins/servers.py
+++ b/elderlock/standins/servers.py
@@ -1,4 +1,7 @@
-"""Lookup boxes: one that answers as it is told, and one with cores, a queue, a cold start and reports."""
+"""Lookup servers for tests and simulations.
+
+`Server` sends scripted answers. `SimulatedServer` models cores, a queue, a cold start and load reports.
+"""
 
 from __future__ import annotations
 
@@ -19,40 +22,54 @@
 
 
 def served(value: bytes, report: bytes = b"queue=2") -> bytes:
+    """Returns the RESP reply of a successful read: the value, a null and the load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(report), report)
 
 
-def answers(*given: Answer) -> Callable[[list[bytes]], Awaitable[Answer]]:
-    """Gives one after the other, the last one again and again."""
-    left = list(given)
+def answers(*replies: Answer) -> Callable[[list[bytes]], Awaitable[Answer]]:
+    """Returns a behaviour that gives the replies in order and repeats the last one forever."""
+    remaining = list(replies)
 
     async def behave(command: list[bytes]) -> Answer:
-        return left.pop(0) if len(left) > 1 else left[0]
+        return remaining.pop(0) if len(remaining) > 1 else remaining[0]
 
     return behave
 
 
 class Server(Listener):
-    """A server that answers each command as `behave` says: bytes, or nothing."""
+    """A server with scripted answers.
+
+    Attributes:
+        commands: All commands received, in order.
+    """
 
     def __init__(self, behave: Callable[[list[bytes]], Awaitable[Answer]] | None = None) -> None:
+        """Creates a server that is not listening yet.
+
+        Args:
+            behave: Returns the reply to a command, or None to send no reply. By default each command gets `value`.
+        """
         super().__init__()
         self._behave = behave
         self.commands: list[list[bytes]] = []
 
     @property
     def endpoint(self) -> str:
+        """The `host:port` of the first listening port."""
         return self.doors[0].endpoint
 
     @property
     def writers(self) -> list[asyncio.StreamWriter]:
+        """The open connections at the first listening port, the oldest first."""
         return list(self.doors[0].writers)
 
     async def start(self) -> Server:
+        """Opens one listening port and returns the server itself."""
         await self.open()
         return self
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Reads commands and writes the scripted answers until the client closes the connection."""
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
@@ -63,22 +80,29 @@
                     door.write(writer, answer)
 
 
-PLAIN = Shape()
+DEFAULT_SHAPE = Shape()
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """How a kind of box is built, and what it is called in lists."""
+    """A kind of server hardware.
+
+    Attributes:
+        name: The name of the kind in endpoint lists.
+        shape: The parameters of the performance model.
+    """
 
     name: str
-    shape: Shape = PLAIN
+    shape: Shape = DEFAULT_SHAPE
 
     @property
     def cores(self) -> int:
+        """The number of cores."""
         return self.shape.cores
 
     @property
     def speed(self) -> float:
+        """The speed of a core relative to the standard kind."""
         return self.shape.speed
 
 
@@ -88,7 +112,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCommand:
-    """One command as the box saw it: when its last byte came (Unix ms), by which door, the request's id."""
+    """A command that a server has received.
+
+    Attributes:
+        at: When the last byte of the command arrived, in Unix ms.
+        door: The number of the listening port, which is the number of the limiter that sent the command.
+        request: The id of the request.
+    """
 
     at: float
     door: int
@@ -96,19 +126,27 @@
 
 
 class _LoopTime:
-    """The model's time is the loop's."""
+    """Real time for the model: the system clock and the timers of the event loop."""
 
     def now(self) -> float:
+        """Returns the Unix time in ms."""
         return unix_ms()
 
     def after(self, wait: float, do: Callable[..., None], *args: Any) -> asyncio.TimerHandle:
+        """Calls `do` after `wait` ms."""
         return asyncio.get_running_loop().call_later(wait / 1000.0, do, *args)
 
 
 class SimulatedServer(Listener):
-    """A lookup box: `elderlock.standins.model` behind sockets.
-
-    `sent` is the record of what reached it, which tests and benchmarks hold against what tools claim.
+    """A lookup server on TCP that behaves as `elderlock.standins.model` describes.
+
+    Attributes:
+        uid: The server's id.
+        kind: The hardware kind.
+        floor: The zone.
+        state: The state in endpoint lists.
+        sent: All commands received. Tests and benchmarks compare it with the figures that tools report.
+        model: The performance model.
     """
 
     def __init__(self, uid: str, kind: Kind, floor: str, seed: int, boot_ms: float = 0.0) -> None:
@@ -120,11 +158,12 @@
 
     @property
     def boot_ms(self) -> float:
+        """The start time in Unix ms; 0 for a server that is warm from the beginning."""
         return self.model.started_at
 
     @property
     def crowd(self) -> float:
-        """ms added to each answer, for a box that falls behind."""
+        """A delay in ms that is added to each answer, which simulates an overloaded server."""
         return self.model.added
 
     @crowd.setter
@@ -133,10 +172,11 @@
 
     @property
     def running(self) -> int:
+        """The number of requests that a core is working on."""
         return len(self.model.running)
 
     def target(self, door: int) -> dict[str, Any]:
-        """As discovery lists it to the limiter of that door."""
+        """Returns the entry of the endpoint list for the limiter that uses listening port `door`."""
         return {
             "uid": self.uid,
             "endpoint": self.doors[door].endpoint,
@@ -149,21 +189,23 @@
         }
 
     def report(self) -> bytes:
+        """Returns the load report that is part of each answer."""
         return b"queue=%d" % self.model.queue()
 
     async def restart(self) -> None:
-        """The process dies and comes back cold, at the same address under the same id."""
+        """Simulates a crash: resets all connections and starts cold at the same address with the same id."""
         self.reset()
         self.model.restart()
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Passes each command to the model until the client closes the connection."""
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
             while (command := parser.gets()) is not MISSING:
-                self._command(door, writer, command)
+                self._handle_command(door, writer, command)
 
-    def _command(self, door: Door, writer: asyncio.StreamWriter, command: list[bytes]) -> None:
+    def _handle_command(self, door: Door, writer: asyncio.StreamWriter, command: list[bytes]) -> None:
         verb = command[0].upper()
         if verb in (b"CLIENT", b"SELECT"):
             return door.write(writer, b"+OK\r\n")
@@ -172,14 +214,14 @@
         self.command_received(ReceivedCommand(unix_ms(), door.number, command[2]), command)
         value = b"box=%b request=%b" % (self.uid.encode(), command[2])
 
-        def done(word: Word, work: Work) -> None:
-            if word is Word.OK:
+        def write_answer(result: Word, work: Work) -> None:
+            if result is Word.OK:
                 door.write(writer, served(value, self.report()))
             else:
-                door.write(writer, (b"-BUSY " if word is Word.BUSY else b"-ERR failed ") + self.report() + b"\r\n")
+                door.write(writer, (b"-BUSY " if result is Word.BUSY else b"-ERR failed ") + self.report() + b"\r\n")
 
-        self.model.offer(done)
+        self.model.offer(write_answer)
 
     def command_received(self, sent: ReceivedCommand, command: list[bytes]) -> None:
-        """A command's last byte has come."""
+        """Records a command whose last byte has arrived; subclasses extend it."""
         self.sent.append(sent)
--- a/elderlock/standins/settings.py
+++ b/elderlock/standins/settings.py
@@ -1,4 +1,4 @@
-"""Configurations for limiters on loopback: the settings object, targets of discovery, terms of a request."""
+"""Configurations for limiters on loopback: the settings object, entries of endpoint lists, terms of a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def default_settings(**limits: Any) -> dict[str, Any]:
-    """The settings object of a lone limiter; `limits` go into its `policy-limits`."""
+    """Returns the settings object of a single limiter; `limits` are added to its `policy-limits`."""
     return {
         "ordinal": 0,
         "peers-total": 1,
@@ -40,6 +40,13 @@
 
 
 def raw_config(listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:1", **limits: Any) -> dict[str, Any]:
+    """Returns the configuration of a single limiter as the configuration file holds it.
+
+    Args:
+        listen: The address for clients.
+        discovery: The address of discovery.
+        **limits: Entries of `policy-limits`.
+    """
     return {
         "name": "n0",
         "seed": "8c1f30d27a5be964",
@@ -50,8 +57,16 @@
     }
 
 
-def target(uid: str, endpoint: str, state: str = "up", boot_ms: float = 0.0, **more: Any) -> dict[str, Any]:
-    """One server as discovery lists it."""
+def target(uid: str, endpoint: str, state: str = "up", boot_ms: float = 0.0, **fields: Any) -> dict[str, Any]:
+    """Returns the entry of one server in an endpoint list.
+
+    Args:
+        uid: The server's id.
+        endpoint: The server's address.
+        state: The server's state.
+        boot_ms: The start time in Unix ms; 0 for a server that is warm.
+        **fields: Fields that differ from the defaults or are added.
+    """
     return {
         "uid": uid,
         "endpoint": endpoint,
@@ -61,11 +76,12 @@
         "state": state,
         "capacity_hint": 1.0,
         "boot_ms": boot_ms,
-        **more,
+        **fields,
     }
 
 
 def terms(**changes: Any) -> str:
+    """Returns the terms of a request as a client sends them; a change to None leaves a term out."""
     values = {"c": "lookup", "t": "team", "d": 3000, "units": 1, "spread": 1, "first": 0, **changes}
     return ",".join(f"{key}={value}" for key, value in values.items() if value is not None)
 
@@ -87,7 +103,13 @@
 
 
 def group_settings(number: int, limiters: int) -> dict[str, Any]:
-    """The settings of limiter `number` of a group of `limiters` that tell one another of use."""
-    own = default_settings(peers=limiters > 1)
-    place = {"ordinal": number, "peers-total": limiters, "zone": number % len(FLOORS)}
-    return {**own, **place, "zones": list(FLOORS), "kinds": list(KINDS), "plans": [dict(p) for p in PLANS]}
+    """Returns the settings of one limiter of a group whose members exchange usage reports.
+
+    Args:
+        number: The limiter's number.
+        limiters: The number of limiters in the group.
+    """
+    settings = default_settings(peers=limiters > 1)
+    position = {"ordinal": number, "peers-total": limiters, "zone": number % len(FLOORS)}
+    plans = [dict(plan) for plan in PLANS]
+    return {**settings, **position, "zones": list(FLOORS), "kinds": list(KINDS), "plans": plans}
