--- a/elderlock/standins/__init__.py
+++ b/elderlock/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Parts of the world round a limiter, on loopback: each speaks its page's protocol and breaks on command."""
+"""Fakes of the services around a limiter: each speaks the real protocol on loopback and supports fault injection."""
--- a/elderlock/standins/counter.py
+++ b/elderlock/standins/counter.py
@@ -1,4 +1,4 @@
-"""The counter: adds an amount to a named count over RESP2 and gives the total back."""
+"""A fake shared counter that adds an amount to a named count over RESP2 and returns the total."""
 
 from __future__ import annotations
 
@@ -11,54 +11,65 @@
 from elderlock.standins.servers import MISSING
 from elderlock.standins.waiting import unix_ms
 
-LONGEST_LIFE = 60_000.0  # ms
-MOST_CONNECTIONS = 32  # of one limiter
+MAX_LIFETIME_MS = 60_000.0
+MAX_CONNECTIONS = 32  # of one limiter
 
 
 class Spoil(Enum):
-    """What becomes of the next answer."""
+    """How the next answer is corrupted."""
 
     NOTHING = "nothing"
-    NOISE = "noise"  # in its place
-    TEXT = "text"  # a bulk string that is no number
-    DOUBLED = "doubled"  # it comes twice: the one behind it looks like the next call's
-    MERGED = "merged"  # one answer with the digits of two
-    CUT = "cut"  # half of it, and the connection ends
+    NOISE = "noise"  # bytes that are no RESP take its place
+    TEXT = "text"  # a bulk string that is not a number takes its place
+    DOUBLED = "doubled"  # it is sent twice, and the second copy looks like the answer to the next call
+    MERGED = "merged"  # one answer with the digits of two takes its place
+    CUT = "cut"  # half of it is sent, then the connection is closed
 
 
 class Counter(Listener):
-    """Keeps its counts until `lose`; `calls` counts what was added, `names` what was called."""
+    """The counter, which keeps its counts until `lose`.
+
+    Attributes:
+        totals: The total of each name and when it expires (Unix ms).
+        calls: The number of calls that added an amount.
+        refused: The number of connections refused because a limiter had too many.
+        busy: Whether all calls are refused.
+        spoil: How the next answer is corrupted.
+        names: The name of each call that added an amount, in order.
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self.totals: dict[bytes, tuple[float, float]] = {}  # total, and when its name ends (Unix ms)
+        self.totals: dict[bytes, tuple[float, float]] = {}
         self.calls = self.refused = 0
-        self.busy = False  # turns all calls away
+        self.busy = False
         self.spoil = Spoil.NOTHING
         self.names: list[bytes] = []
 
     def lose(self) -> None:
-        """Comes back empty."""
+        """Deletes all counts."""
         self.totals.clear()
 
     def snapshot(self) -> dict[bytes, tuple[float, float]]:
+        """Returns a copy of all counts."""
         return dict(self.totals)
 
-    def restore(self, kept: dict[bytes, tuple[float, float]]) -> None:
-        """What it held then, and nothing since."""
-        self.totals = dict(kept)
+    def restore(self, snapshot: dict[bytes, tuple[float, float]]) -> None:
+        """Replaces all counts by those of a snapshot."""
+        self.totals = dict(snapshot)
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers the calls of one connection until the client closes it."""
         parser = hiredis.Reader(notEnoughData=MISSING)
-        if len(door.writers) > MOST_CONNECTIONS:
+        if len(door.writers) > MAX_CONNECTIONS:
             self.refused += 1
             return reset(writer)
         while data := await reader.read(65536):
             parser.feed(data)
             while (command := parser.gets()) is not MISSING:
-                door.write(writer, self._spoilt(self._answer(command), writer))
+                door.write(writer, self._corrupted(self._answer(command), writer))
 
-    def _spoilt(self, answer: bytes, writer: asyncio.StreamWriter) -> bytes:
+    def _corrupted(self, answer: bytes, writer: asyncio.StreamWriter) -> bytes:
         spoil, self.spoil = self.spoil, Spoil.NOTHING
         match spoil:
             case Spoil.NOISE:
@@ -85,16 +96,16 @@
         if self.busy:
             return b"-BUSY\r\n"
         try:
-            amount, life = float(command[2]), min(float(command[3]), LONGEST_LIFE)
+            amount, lifetime_ms = float(command[2]), min(float(command[3]), MAX_LIFETIME_MS)
         except ValueError:
             return b"-ERR no such call\r\n"
-        if not abs(amount) <= 1e9 or not life >= 1.0:
+        if not abs(amount) <= 1e9 or not lifetime_ms >= 1.0:
             return b"-ERR no such call\r\n"
         now = unix_ms()
-        total, ends = self.totals.get(command[1], (0.0, 0.0))
-        if now >= ends:
-            total, ends = 0.0, now + life
-        self.totals[command[1]] = (total + amount, ends)
+        total, expires_at = self.totals.get(command[1], (0.0, 0.0))
+        if now >= expires_at:
+            total, expires_at = 0.0, now + lifetime_ms
+        self.totals[command[1]] = (total + amount, expires_at)
         self.calls += 1
         self.names.append(command[1])
         text = b"%.7g" % (total + amount)
--- a/elderlock/standins/listener.py
+++ b/elderlock/standins/listener.py
@@ -1,8 +1,8 @@
-"""What every stand-in on TCP shares: doors, one for each caller, that break on command.
+"""The common base of all fake TCP services: listening ports with fault injection, one for each caller.
 
-A stand-in listens on a port for each limiter, so it knows who asks and can fail for some alone. What a
-machine that is cut off does (a connection that never comes up) cannot be made on loopback without
-privileges; a cut door takes connections and says nothing, which a caller meets with the same time-outs.
+A service listens on a separate port for each limiter. So it knows the caller and can fail for some callers only. A
+host that is cut off would let connections time out while they are opened, which needs privileges on loopback. A
+silent port accepts connections and never answers instead, and callers handle both with the same timeouts.
 """
 
 from __future__ import annotations
@@ -15,17 +15,22 @@
 
 
 class Fault(Enum):
+    """How a listening port misbehaves."""
+
     NONE = "none"
-    SILENT = "silent"  # takes everything and says nothing; also for a caller that is cut off
+    SILENT = "silent"  # accepts everything and never answers; also simulates a caller that is cut off
     REFUSING = "refusing"  # nothing listens, open connections are reset
-    SLOW = "slow"  # answers come late
-    RESET = "reset"  # the connection is reset in place of an answer
-    EMPTY = "empty"  # the connection ends in place of an answer
-    HALF = "half"  # half an answer, then nothing
+    SLOW = "slow"  # answers are delayed
+    RESET = "reset"  # the connection is reset instead of an answer
+    EMPTY = "empty"  # the connection is closed instead of an answer
+    HALF = "half"  # half of an answer is sent, then nothing
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """An abort alone would end the connection in an orderly way: only a close that may not linger resets."""
+    """Resets a connection.
+
+    An abort alone closes the connection in an orderly way. Only a close with a linger time of 0 sends a reset.
+    """
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -33,20 +38,32 @@
 
 
 class Door:
-    """One listening port of a stand-in."""
+    """One listening port of a service.
+
+    Attributes:
+        owner: The service.
+        number: The port's number within the service, which is the number of the limiter that uses it.
+        fault: How the port misbehaves.
+        delay: The delay of answers in seconds while `fault` is `SLOW`.
+        port: The TCP port.
+        writers: The open connections, the oldest first.
+        server: The listening socket, or None while the port is closed.
+    """
 
     def __init__(self, owner: Listener, number: int) -> None:
         self.owner, self.number = owner, number
         self.fault, self.delay = Fault.NONE, 0.0
         self.port = 0
-        self.writers: dict[asyncio.StreamWriter, None] = {}  # the open ones, the oldest first
+        self.writers: dict[asyncio.StreamWriter, None] = {}
         self.server: asyncio.Server | None = None
 
     @property
     def endpoint(self) -> str:
+        """The `host:port` at which the service is reached."""
         return f"{self.owner.host}:{self.port}"
 
     async def listen(self) -> None:
+        """Starts listening, on the same port as before if there was one."""
         self.server = await asyncio.start_server(self._serve, self.owner.host, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -63,7 +80,7 @@
             writer.close()
 
     def write(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """An answer, as whole and as late as the door's fault leaves it."""
+        """Writes an answer as the fault of the port allows: whole, late, in part or not at all."""
         if writer.is_closing():
             return
         match self.fault:
@@ -76,19 +93,21 @@
             case Fault.HALF:
                 writer.write(data[: len(data) // 2])
             case Fault.SLOW:
-                asyncio.get_running_loop().call_later(self.delay, self._late, writer, data)
+                asyncio.get_running_loop().call_later(self.delay, self._write_if_open, writer, data)
             case Fault.NONE:
                 writer.write(data)
 
-    def _late(self, writer: asyncio.StreamWriter, data: bytes) -> None:
+    def _write_if_open(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         if not writer.is_closing():
             writer.write(data)
 
     def reset(self) -> None:
+        """Resets all connections."""
         for writer in list(self.writers):
             reset(writer)
 
     async def close(self) -> None:
+        """Stops listening and resets all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -96,7 +115,14 @@
 
 
 class Listener:
-    """A stand-in with doors; `serve` is one connection's whole life."""
+    """A service with any number of listening ports.
+
+    Attributes:
+        host: The host address of all ports.
+        doors: The listening ports.
+        accepted: The number of connections accepted so far.
+        lost: The number of connections that have ended.
+    """
 
     host = "127.0.0.1"
 
@@ -105,16 +131,24 @@
         self.accepted = self.lost = 0
 
     async def open(self, doors: int = 1) -> None:
+        """Opens the given number of listening ports."""
         for number in range(doors):
             door = Door(self, number)
             await door.listen()
             self.doors.append(door)
 
     async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Handles one connection from its start to its end."""
         raise NotImplementedError
 
     async def fail(self, fault: Fault, doors: Iterable[int] | None = None, delay: float = 0.0) -> None:
-        """Breaks the doors named, or all; `Fault.NONE` mends them. `delay` is in seconds, for `SLOW`."""
+        """Sets the fault of listening ports.
+
+        Args:
+            fault: The fault; `Fault.NONE` ends an earlier one.
+            doors: The numbers of the ports, or None for all.
+            delay: The delay of answers in seconds, for `Fault.SLOW`.
+        """
         for number in range(len(self.doors)) if doors is None else doors:
             door = self.doors[number]
             door.fault, door.delay = fault, delay
@@ -124,10 +158,11 @@
                 await door.listen()
 
     def reset(self) -> None:
-        """Breaks all connections, as a process that dies does."""
+        """Resets all connections, as the end of the process does."""
         for door in self.doors:
             door.reset()
 
     async def close(self) -> None:
+        """Closes all ports and connections."""
         for door in self.doors:
             await door.close()
--- a/elderlock/standins/network.py
+++ b/elderlock/standins/network.py
@@ -1,4 +1,4 @@
-"""The datagrams between limiters: relays that delay, lose and cut, each limiter seeing its own addresses."""
+"""Relays between limiters that delay or lose datagrams, with a separate relay address for each pair of limiters."""
 
 from __future__ import annotations
 
@@ -17,8 +17,21 @@
 
 
 class Network:
-    """Limiter `a` knows limiter `b` by the address `peers(a)[b]`. What it sends there leaves for `b` from
-    the address by which `b` knows `a`. `loss` is a share; `delay` is in seconds one way."""
+    """The relays of a group.
+
+    Limiter `a` reaches limiter `b` at the address `peers(a)[b]`. The relay forwards a datagram to `b` from the address
+    at which `b` reaches `a`, so that `b` recognises the sender.
+
+    Attributes:
+        limiters: The number of limiters.
+        delay: The one-way delay in seconds.
+        loss: The share of datagrams that are lost.
+        cut: The pairs of limiters between which nothing passes.
+        carried: The number of datagrams delivered.
+        dropped: The number of datagrams lost.
+        seen: Is called with the sender, the receiver and the data of each datagram delivered.
+        listens: The address at which each limiter listens.
+    """
 
     def __init__(self, limiters: int, seed: int, delay: float = 0.002, loss: float = 0.0) -> None:
         self.limiters, self.delay, self.loss = limiters, delay, loss
@@ -30,9 +43,10 @@
         self.listens: list[str] = []
 
     async def open(self) -> None:
+        """Chooses the address of each limiter and opens the relays."""
         loop, hosts = asyncio.get_running_loop(), random.SystemRandom()
         for owner in range(self.limiters):
-            # an address of its own, where no other socket is given the same port while it restarts
+            # a separate host address, so that no other socket gets the same port while the limiter restarts
             host = f"127.{hosts.randrange(1, 255)}.{hosts.randrange(1, 255)}.{hosts.randrange(1, 255)}"
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
                 probe.bind((host, 0))
@@ -45,23 +59,26 @@
                     )
                     self._relays[owner, peer] = transport
 
-    def _at(self, owner: int, peer: int) -> str:
+    def _relay_address(self, owner: int, peer: int) -> str:
         host, port = self._relays[owner, peer].get_extra_info("sockname")
         return f"{host}:{port}"
 
     def peers(self, owner: int) -> list[str]:
+        """Returns the addresses of all limiters as limiter `owner` uses them; its own entry is where it listens."""
         numbers = range(self.limiters)
-        return [self.listens[owner] if n == owner else self._at(owner, n) for n in numbers]
+        return [self.listens[owner] if peer == owner else self._relay_address(owner, peer) for peer in numbers]
 
     def everyone(self, owner: int) -> str:
-        return self._at(owner, -1)
+        """Returns the address at which limiter `owner` reaches all others at once."""
+        return self._relay_address(owner, -1)
 
     def waits(self, owner: int, receiver: int) -> list[float]:
-        """When (s) copies of a datagram on that way arrive: none where it is lost."""
-        lost = self._rng.random() < self.loss or frozenset((owner, receiver)) in self.cut
-        return [] if lost else [self.delay]
+        """Returns the delay in seconds of each copy of a datagram; empty if it is lost."""
+        is_lost = self._rng.random() < self.loss or frozenset((owner, receiver)) in self.cut
+        return [] if is_lost else [self.delay]
 
     def carry(self, owner: int, peer: int, data: bytes) -> None:
+        """Relays a datagram of limiter `owner` to limiter `peer`, or to all others if `peer` is negative."""
         for receiver in range(self.limiters) if peer < 0 else (peer,):
             if receiver == owner:
                 continue
@@ -79,9 +96,10 @@
             relay.sendto(data, (host, int(port)))
 
     def isolate(self, limiter: int) -> None:
-        """Cuts it off from all others; `cut.clear()` mends."""
+        """Cuts a limiter off from all others; `cut.clear()` ends it."""
         self.cut |= {frozenset((limiter, other)) for other in range(self.limiters) if other != limiter}
 
     def close(self) -> None:
+        """Closes all relays."""
         for relay in self._relays.values():
             relay.close()
--- a/elderlock/standins/stores.py
+++ b/elderlock/standins/stores.py
@@ -1,4 +1,4 @@
-"""A disk that fails: SQLite connections whose writes fail as told."""
+"""Fault injection for disks: an SQLite connection with a write that fails."""
 
 from __future__ import annotations
 
@@ -7,12 +7,18 @@
 
 
 class Failing(sqlite3.Connection):
-    """Fails the write that is `countdown` writes away, once."""
+    """A connection that fails one write with an I/O error.
+
+    Attributes:
+        countdown: Which of the coming writes fails, from 1 for the next one; negative for none.
+        writes: The number of writes so far.
+    """
 
     countdown = -1
     writes = 0
 
     def execute(self, sql: str, parameters: Any = ()) -> sqlite3.Cursor:
+        """Runs a statement, or raises `OperationalError` for the write that has to fail."""
         if not sql.lstrip().upper().startswith(("SELECT", "PRAGMA", "ROLLBACK")):
             Failing.writes += 1
             Failing.countdown -= 1
--- a/tests/quota/test_error_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -376,7 +376,7 @@
                 group.set_down(False)
             case "lose":
                 group.lose()
-            case "cut" if number not in group._cut_at:
+            case "cut" if number not in group._cut_since:
                 group.cut([number])
             case "heal":
                 group.heal()
