--- a/elderlock/standins/certificates.py
+++ b/elderlock/standins/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests: an authority, a server's for 127.0.0.1 and a client's."""
+"""Certificates for tests: a certificate authority, a server certificate for 127.0.0.1 and a client certificate."""
 
 from __future__ import annotations
 
@@ -13,19 +13,25 @@
 
 
 def write_certificates(folder: Path, expired: bool = False, hosts: Sequence[str] = ()) -> None:
-    """An authority, a server's certificate for 127.0.0.1 and a client's, which may be out of date."""
+    """Writes the keys and certificates of an authority, a server and a client.
+
+    Args:
+        folder: The directory of the files `ca`, `server` and `client`, each with the suffixes `.crt` and `.key`.
+        expired: Whether the client certificate has expired.
+        hosts: Addresses besides 127.0.0.1 for which the certificates are valid.
+    """
     now = datetime.datetime.now(datetime.UTC)
     day = datetime.timedelta(days=1)
 
-    def name(common: str) -> x509.Name:
-        return x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common)])
+    def name(common_name: str) -> x509.Name:
+        return x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, common_name)])
 
     def write(path: Path, key: ec.EllipticCurvePrivateKey, certificate: x509.Certificate) -> None:
         path.with_suffix(".crt").write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
-        text = key.private_bytes(
+        pem = key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
-        path.with_suffix(".key").write_bytes(text)
+        path.with_suffix(".key").write_bytes(pem)
         path.with_suffix(".key").chmod(0o600)
 
     authority = ec.generate_private_key(ec.SECP256R1())
@@ -43,17 +49,17 @@
         .sign(authority, hashes.SHA256())
     )
     write(folder / "ca", authority, root)
-    for number, common in enumerate(("server", "client"), 2):
+    for serial_number, common_name in enumerate(("server", "client"), 2):
         key = ec.generate_private_key(ec.SECP256R1())
-        ends = now - day if expired and common == "client" else now + 9 * day
+        valid_until = now - day if expired and common_name == "client" else now + 9 * day
         certificate = (
             x509.CertificateBuilder()
-            .subject_name(name(common))
+            .subject_name(name(common_name))
             .issuer_name(name("ca"))
             .public_key(key.public_key())
-            .serial_number(number)
+            .serial_number(serial_number)
             .not_valid_before(now - 5 * day)
-            .not_valid_after(ends)
+            .not_valid_after(valid_until)
             .add_extension(x509.BasicConstraints(False, None), True)
             .add_extension(x509.AuthorityKeyIdentifier.from_issuer_public_key(authority.public_key()), False)
             .add_extension(
@@ -64,4 +70,4 @@
             )
             .sign(authority, hashes.SHA256())
         )
-        write(folder / common, key, certificate)
+        write(folder / common_name, key, certificate)
--- a/elderlock/standins/limiters.py
+++ b/elderlock/standins/limiters.py
@@ -1,4 +1,4 @@
-"""Limiters as their agents meet them: the real desk behind a control socket that breaks on command."""
+"""Fake limiters for agents: the real command authority behind a control socket with fault injection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import Enum
 from pathlib import Path
 
-from elderlock.control import messages as m
+from elderlock.control import messages
 from elderlock.control.command_authority import CommandAuthority, Session
 from elderlock.control.records import Record
 from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
@@ -15,17 +15,19 @@
 
 
 class Trouble(Enum):
+    """How the control socket misbehaves."""
+
     NONE = "none"
-    STOPPED = "stopped"  # takes connections and messages, and acts on them once it goes on
-    LATE = "late"  # acts at once and answers late
-    DIES = "dies"  # acts, and its connection ends before the answer
-    EMPTY = "empty"  # its connection ends and nothing was done
-    HALF = "half"  # acts, and sends half its answer
-    NOISE = "noise"  # answers what is no message
+    STOPPED = "stopped"  # accepts connections and messages, and handles them after `mend`
+    LATE = "late"  # handles a message at once and delays the answer
+    DIES = "dies"  # handles a message, then closes the connection without an answer
+    EMPTY = "empty"  # closes the connection without handling the message
+    HALF = "half"  # handles a message and sends half of the answer
+    NOISE = "noise"  # handles a message and sends bytes that do not decode
 
 
-def box(uid: str, **changes: object) -> m.ServerStatus:
-    """A box in good health, as a limiter shows it."""
+def box(uid: str, **changes: object) -> messages.ServerStatus:
+    """Returns the status that a limiter reports of a healthy server; `changes` override fields."""
     values: dict[str, object] = {
         "uid": uid,
         "endpoint": "127.0.0.1:1",
@@ -44,11 +46,11 @@
         "generation": 0,
         **changes,
     }
-    return m.ServerStatus(**values)  # type: ignore[arg-type]
+    return messages.ServerStatus(**values)  # type: ignore[arg-type]
 
 
-def state(limiter: str, boxes: Iterable[m.ServerStatus] = (), **changes: object) -> m.LimiterState:
-    """What a limiter in good health says of itself."""
+def state(limiter: str, boxes: Iterable[messages.ServerStatus] = (), **changes: object) -> messages.LimiterState:
+    """Returns the state that a healthy limiter reports; `changes` override fields."""
     values: dict[str, object] = {
         "id": 0,
         "limiter": limiter,
@@ -65,14 +67,14 @@
         "is_drained": False,
         "open_requests": 0,
         "clients": 1,
-        "counts": m.AnswerCounts(served=100),
+        "counts": messages.AnswerCounts(served=100),
         "plans": {},
         "accounts": {},
         "accounts_known": 0,
         "answer_p50_ms": 20.0,
         "answer_p99_ms": 60.0,
         "servers": tuple(boxes),
-        "throttle": m.ThrottleStatus("not_overloaded", 0.0, 1.0, 1.0),
+        "throttle": messages.ThrottleStatus("not_overloaded", 0.0, 1.0, 1.0),
         "peers": (),
         "records": (),
         "records_digest": "",
@@ -80,28 +82,46 @@
         "owner_epoch": 0,
         **changes,
     }
-    return m.LimiterState(**values)  # type: ignore[arg-type]
+    return messages.LimiterState(**values)  # type: ignore[arg-type]
 
 
 class ScriptedLimiter:
-    """`in_force` are the boxes it keeps new work from, since when (Unix ms): what a tool's claims are held
-    against. `restart` is a new process, which begins with the records given."""
+    """A limiter whose control socket misbehaves as a test requires.
+
+    Attributes:
+        name: The limiter's name.
+        build: The build that it reports.
+        pid: The process id that it reports.
+        path: The path of the control socket.
+        trouble: How the control socket misbehaves.
+        delay: The delay of answers in seconds, for `Trouble.LATE`.
+        only: The one type of message that `trouble` affects, or None for all.
+        in_force: The drained servers and since when they get no new requests (Unix ms). Tests compare the reports of
+            tools with it.
+        left_in_work: The number of open requests at each server.
+        down: Whether the limiter itself is drained.
+        stops: The number of stop commands.
+        received: All messages received, in order.
+        started_at: When the process started, in Unix ms.
+        desk: The command authority.
+    """
 
     def __init__(self, name: str, path: Path, boxes: Sequence[str] = ("s-1", "s-2", "s-3", "s-4")) -> None:
         self.name, self.build, self.pid = name, "1", 0
         self.path, self._uids = path, boxes
         self.trouble, self.delay = Trouble.NONE, 0.0
-        self.only: type[m.Message] | None = None  # the one kind of message that meets the trouble
+        self.only: type[messages.Message] | None = None
         self.in_force: dict[str, float] = {}
         self.left_in_work: dict[str, int] = {}
-        self.down = False  # drained itself
+        self.down = False
         self.stops = 0
-        self.received: list[m.ToLimiter] = []
-        self._held: list[tuple[Connection[Session], m.ToLimiter]] = []
+        self.received: list[messages.ToLimiter] = []
+        self._held: list[tuple[Connection[Session], messages.ToLimiter]] = []
         self._server: FrameServer[Session] | None = None
         self.restart()
 
     def restart(self, records: Iterable[Record] = ()) -> None:
+        """Simulates a new process, which starts with the given records and closes all connections."""
         self.started_at = unix_ms()
         self.in_force, self.down = {}, False
         self._held.clear()
@@ -111,19 +131,21 @@
                 connection.abort()
 
     async def listen(self) -> ScriptedLimiter:
-        bounds = ConnectionLimits(m.MAXIMUM_MESSAGE_BYTES, m.MAXIMUM_HELLO_BYTES)
-        self._server = FrameServer(bounds, Session, self._handle, lambda text: b"")
+        """Opens the control socket and returns the limiter itself."""
+        limits = ConnectionLimits(messages.MAXIMUM_MESSAGE_BYTES, messages.MAXIMUM_HELLO_BYTES)
+        self._server = FrameServer(limits, Session, self._handle, lambda text: b"")
         await self._server.listen_unix(self.path)
         return self
 
     def vanish(self) -> None:
-        """The process is gone; its socket stays behind, as after a kill."""
+        """Simulates a kill: nothing listens any more, but the socket file remains."""
         if self._server is not None:
             self._server.close()
 
-    # The face
+    # Called by the command authority
 
-    def state(self, id: int, accounts: int) -> m.LimiterState:
+    def state(self, id: int, accounts: int) -> messages.LimiterState:
+        """Returns the state of the limiter as the answer to request `id`."""
         drained = self.desk.records.drained_targets("box")
         boxes = [
             box(
@@ -146,23 +168,27 @@
         )
 
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
+        """Drains the given servers, and the limiter itself if `limiter` is true; ends all other drains."""
         now = unix_ms()
         self.in_force = {uid: self.in_force.get(uid, now) for uid in boxes}
         self.down = limiter
 
     def open_requests_at(self, boxes: Iterable[str]) -> dict[str, int]:
+        """Returns the number of open requests at each of the given servers."""
         return {uid: self.left_in_work.get(uid, 0) for uid in boxes}
 
     def open_requests(self) -> int:
+        """Returns the number of open requests, which is always 0."""
         return 0
 
     def stop(self) -> None:
+        """Counts a stop command."""
         self.stops += 1
 
-    # The socket
+    # The control socket
 
     def _handle(self, connection: Connection[Session], body: bytes) -> None:
-        message = m.decode_request(body)
+        message = messages.decode_request(body)
         self.received.append(message)
         if self.only is not None and not isinstance(message, self.only):
             return self._answer(connection, message, Trouble.NONE)
@@ -173,11 +199,11 @@
         else:
             self._answer(connection, message, self.trouble)
 
-    def _answer(self, connection: Connection[Session], message: m.ToLimiter, trouble: Trouble) -> None:
+    def _answer(self, connection: Connection[Session], message: messages.ToLimiter, trouble: Trouble) -> None:
         answer = self.desk.handle(connection.session, message, unix_ms())
-        if isinstance(answer, m.Welcome):
+        if isinstance(answer, messages.Welcome):
             connection.on_identified()
-        body = m.encode_message(answer)
+        body = messages.encode_message(answer)
         match trouble:
             case Trouble.DIES:
                 connection.abort()
@@ -191,7 +217,7 @@
                 connection.send(body)
 
     def mend(self) -> None:
-        """Goes on; what came while it was stopped is acted on now, in its order."""
+        """Ends the fault and handles the messages that arrived while the limiter was stopped, in order."""
         self.trouble = Trouble.NONE
         held, self._held = self._held, []
         for connection, message in held:
--- a/elderlock/standins/model.py
+++ b/elderlock/standins/model.py
@@ -1,14 +1,15 @@
-"""Lookup boxes as formulas.
-
-With c cores, a waiting room of r, work w (ms, mean, exponential) and speed s:
-
-- pace(t) = s x warm(t) x crowded(t) / slow; warm rises evenly from `cold_share` to 1 within `cold_ms` of the start;
-- crowded = 1 / (1 + crowd x waiting / r): what waits costs those that are served (memory, scheduling);
-- a request takes draw x w / pace at the moment when it begins, and waits first come, first served before that;
-- with c served and r waiting the next one is turned away (`BUSY`);
-- gray failure: `slow` divides the pace and `errs` is the share of answers that are errors, while health checks pass;
-- a pause (collector, disk) stops the clock of all that is served; a silent box answers nothing and forgets nothing;
-- a report gives the queue as it was up to `report_every` ms ago, times 1 +/- `noise`.
+"""The performance model of a lookup server.
+
+The server has c cores, a queue of at most r requests and speed s. The work of a request is exponentially distributed
+with a mean of w ms.
+
+- pace(t) = s x warm(t) x crowded(t) / slow. warm rises linearly from `cold_share` to 1 within `cold_ms` of the start.
+- crowded = 1 / (1 + crowd x waiting / r). Waiting requests slow down the running ones (memory, scheduling).
+- A request takes draw x w / pace, with the pace at the moment when it starts. Requests start in order of arrival.
+- With c requests running and r waiting, the next one is refused (`BUSY`).
+- Gray failure: `slow` divides the pace and `errs` is the share of answers that are errors, while health checks pass.
+- A pause (garbage collector, disk) delays all running requests. A silent server keeps its requests but never answers.
+- A load report gives the queue length as it was up to `report_every` ms ago, times 1 +/- `noise`.
 """
 
 from __future__ import annotations
@@ -24,26 +25,48 @@
 
 
 class Word(Enum):
+    """The kind of an answer."""
+
     OK = "ok"
     ERROR = "error"
     BUSY = "busy"
 
 
 class Timer(Protocol):
-    def cancel(self) -> object: ...
+    """A scheduled call."""
+
+    def cancel(self) -> object:
+        """Cancels the call."""
+        ...
 
 
 class Time(Protocol):
-    """ms of Unix time, and what is due later."""
+    """A clock with timers."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Returns the Unix time in ms."""
+        ...
 
-    def after(self, wait: float, do: Callable[..., None], *args: Any) -> Timer: ...
+    def after(self, wait: float, do: Callable[..., None], *args: Any) -> Timer:
+        """Calls `do` after `wait` ms."""
+        ...
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """How a kind of box is built; see above."""
+    """The parameters of a kind of server; the docstring of the module has the formulas.
+
+    Attributes:
+        cores: The number of cores.
+        speed: The speed of a core relative to the standard kind.
+        room: The capacity of the queue.
+        work: The mean work of a request in ms.
+        cold_share: The share of the full pace right after a start.
+        cold_ms: The duration of the warm-up in ms.
+        crowd: How much waiting requests slow down the running ones.
+        report_every: The greatest age of a load report in ms.
+        noise: The relative error of a load report.
+    """
 
     cores: int = 2
     speed: float = 1.0
@@ -56,13 +79,20 @@
     noise: float = 0.0
 
     def bears(self) -> float:
-        """Requests a ms of a warm one that is in good health."""
+        """Returns the requests per ms that a warm and healthy server can process."""
         return self.cores * self.speed / self.work
 
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One request at a box. `began`: when a core took it, below 0 while it waits."""
+    """One request at a server.
+
+    Attributes:
+        done: Is called with the kind of the answer.
+        keep: A value that the caller attaches to the request.
+        began: When a core started it, in Unix ms; negative while it waits.
+        over: Whether no answer is to be sent any more.
+    """
 
     done: Done
     keep: object = None
@@ -71,21 +101,37 @@
 
 
 class BoxModel:
-    """Invariant: `running` is at most `cores`, `waiting` at most `room`; `done` is called once, or never where the box
-    was silent, restarted or was told that nobody waits any more."""
+    """A server that follows the model.
+
+    Invariant: at most `cores` requests run and at most `room` wait. `done` is called once for each request, or never if
+    the server was silent or restarted, or if the caller has abandoned the request.
+
+    Attributes:
+        shape: The parameters.
+        started_at: When the process started, in Unix ms; 0 for a server that is warm from the beginning.
+        slow: The factor by which a gray failure slows down the server.
+        errs: The share of answers that are errors.
+        lies: Whether load reports always give an empty queue.
+        silent: Whether the server never answers.
+        added: A delay in ms that is added to each answer.
+        running: The running requests with their timers.
+        waiting: The queue.
+        begun: The number of requests that have started so far.
+    """
 
     def __init__(self, shape: Shape, time: Time, rng: random.Random, started_at: float = 0.0) -> None:
         self.shape, self._time, self._rng = shape, time, rng
         self.started_at = started_at
         self.slow, self.errs, self.lies, self.silent = 1.0, 0.0, False, False
-        self.added = 0.0  # ms on each answer
+        self.added = 0.0
         self.running: dict[Work, Timer] = {}
         self.waiting: deque[Work] = deque()
-        self.begun = 0  # how many were served or are
-        self._paused_till = 0.0
+        self.begun = 0
+        self._paused_until = 0.0
         self._report = (-1e18, 0)
 
     def warm(self, now: float) -> float:
+        """Returns the share of the full pace that the warm-up allows."""
         shape = self.shape
         if self.started_at <= 0:
             return 1.0
@@ -93,12 +139,13 @@
         return shape.cold_share + (1.0 - shape.cold_share) * min(1.0, age)
 
     def pace(self, now: float) -> float:
+        """Returns the current speed of a core."""
         shape = self.shape
         crowded = 1.0 + shape.crowd * len(self.waiting) / max(1, shape.room)
         return shape.speed * self.warm(now) / crowded / self.slow
 
     def offer(self, done: Done, keep: object = None) -> Work:
-        """Takes a request; `done` may be called before this returns, where it is turned away."""
+        """Accepts a request or refuses it; in the latter case `done` is called before this returns."""
         work = Work(done, keep)
         if len(self.running) < self.shape.cores and not self._paused():
             self._begin(work)
@@ -111,46 +158,46 @@
         return work
 
     def forget(self, work: Work) -> None:
-        """Nobody waits for it any more: it is passed over if it has not begun; a core that has begun goes on."""
+        """Abandons a request: it is skipped if it is still waiting, while a core that has started it finishes it."""
         if work.began < 0:
             work.over = True
 
     def _paused(self) -> bool:
-        return self._time.now() < self._paused_till
+        return self._time.now() < self._paused_until
 
     def _begin(self, work: Work) -> None:
         now = self._time.now()
         work.began = now
         self.begun += 1
-        took = self._rng.expovariate(1.0) * self.shape.work / self.pace(now) + self.added
-        self.running[work] = self._time.after(took, self._done, work)
+        duration_ms = self._rng.expovariate(1.0) * self.shape.work / self.pace(now) + self.added
+        self.running[work] = self._time.after(duration_ms, self._done, work)
 
     def _done(self, work: Work) -> None:
         if self._paused():
-            self.running[work] = self._time.after(self._paused_till - self._time.now(), self._done, work)
+            self.running[work] = self._time.after(self._paused_until - self._time.now(), self._done, work)
             return
         del self.running[work]
-        self._next()
+        self._start_waiting()
         if work.over:
             return
         work.over = True
         if not self.silent:
-            wrong = self.errs > 0.0 and self._rng.random() < self.errs
-            work.done(Word.ERROR if wrong else Word.OK, work)
+            is_error = self.errs > 0.0 and self._rng.random() < self.errs
+            work.done(Word.ERROR if is_error else Word.OK, work)
 
-    def _next(self) -> None:
+    def _start_waiting(self) -> None:
         while self.waiting and len(self.running) < self.shape.cores and not self._paused():
-            following = self.waiting.popleft()
-            if not following.over:
-                self._begin(following)
+            next_work = self.waiting.popleft()
+            if not next_work.over:
+                self._begin(next_work)
 
     def pause(self, lasts: float) -> None:
-        """Stops all cores for so long (ms)."""
-        self._paused_till = max(self._paused_till, self._time.now() + lasts)
-        self._time.after(lasts, self._next)
+        """Stops all cores for `lasts` ms."""
+        self._paused_until = max(self._paused_until, self._time.now() + lasts)
+        self._time.after(lasts, self._start_waiting)
 
     def restart(self) -> None:
-        """Another process at the same address: nothing of what it held, and cold."""
+        """Simulates a new process at the same address, which starts cold and without the requests of the old one."""
         for work, timer in self.running.items():
             timer.cancel()
             work.over = True
@@ -158,11 +205,11 @@
             work.over = True
         self.running.clear()
         self.waiting.clear()
-        self.silent, self.slow, self.errs, self._paused_till = False, 1.0, 0.0, 0.0
+        self.silent, self.slow, self.errs, self._paused_until = False, 1.0, 0.0, 0.0
         self.started_at = float(int(self._time.now()))
 
     def queue(self) -> int:
-        """As it reports it."""
+        """Returns the queue length as the load report gives it."""
         now = self._time.now()
         if now - self._report[0] >= self.shape.report_every:
             length = len(self.waiting)
--- a/elderlock/standins/troubles.py
+++ b/elderlock/standins/troubles.py
@@ -1,5 +1,8 @@
-"""Troubles of the stand-ins on a timeline: what breaks, when, for how long. Each begins at its time whatever became
-of the one before, and all are mended at the end."""
+"""Fault injection on a schedule.
+
+Each fault starts at its scheduled time, whatever became of the one before. Active faults with a duration are ended when
+the run is cancelled.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +28,20 @@
 
 
 class TroubleError(Exception):
-    """No such trouble can be made here."""
+    """The fault does not exist or cannot be injected into its target."""
 
 
 @dataclass(frozen=True, slots=True)
 class Planned:
-    """`at` and `lasts` in s; `by` in ms. `target`: a box's uid or `*`, counter, discovery, peers, a limiter."""
+    """A fault on the schedule.
+
+    Attributes:
+        at: The start in seconds of the run.
+        lasts: The duration in seconds; 0 for a fault that is never ended.
+        what: The kind of fault.
+        target: The id of a server, `*` for all servers, `counter`, `discovery`, `peers` or the name of a limiter.
+        by: The delay in ms, for `slow`.
+    """
 
     at: float
     lasts: float
@@ -40,53 +51,78 @@
 
 
 def check(planned: Sequence[Planned], world: World) -> None:
-    """Raises `TroubleError` for what could not be done, before anything is."""
+    """Checks a whole schedule before any fault is injected.
+
+    Raises:
+        TroubleError: A target does not exist or does not support its fault.
+    """
     for trouble in planned:
         target, what = trouble.target, trouble.what
         if target in world.limiter_names:
-            able = frozenset({"kill"})
+            supported = frozenset({"kill"})
         elif target == "*" or target in world.boxes:
-            able = FOR_BOXES
+            supported = FOR_BOXES
         else:
-            able = {"counter": FOR_COUNTER, "discovery": FOR_DISCOVERY, "peers": FOR_PEERS}.get(target, frozenset())
-        if not able:
+            by_service = {"counter": FOR_COUNTER, "discovery": FOR_DISCOVERY, "peers": FOR_PEERS}
+            supported = by_service.get(target, frozenset())
+        if not supported:
             known = f"{', '.join(world.boxes)}, counter, discovery, peers, {', '.join(world.limiter_names)}"
             raise TroubleError(f"there is no {target!r} to break; there are *, {known}")
-        if what not in able:
-            raise TroubleError(f"{target!r} cannot be made {what!r}; it can be {', '.join(sorted(able))}")
+        if what not in supported:
+            raise TroubleError(f"{target!r} cannot be made {what!r}; it can be {', '.join(sorted(supported))}")
 
 
 class Troubles:
-    """`kill` ends a limiter by its name, as a crash would."""
+    """Injects the faults of a schedule.
+
+    Attributes:
+        told: When each fault was injected or ended, in seconds of the run, with a description.
+    """
 
     def __init__(self, planned: Sequence[Planned], world: World, kill: Kill) -> None:
-        """Raises `TroubleError`."""
+        """Checks the schedule.
+
+        Args:
+            planned: The faults.
+            world: The services that the faults are injected into.
+            kill: Kills the limiter of the given name as a crash would; returns whether it was running.
+
+        Raises:
+            TroubleError: A target does not exist or does not support its fault.
+        """
         check(planned, world)
-        self._planned, self._world, self._kill = sorted(planned, key=lambda p: p.at), world, kill
+        self._planned, self._world, self._kill = sorted(planned, key=lambda trouble: trouble.at), world, kill
         self.told: list[tuple[float, str]] = []
         self._removed: dict[str, list[SimulatedServer]] = {}
 
     async def run(self, began: float) -> list[tuple[float, str]]:
-        """`began` by the monotonic clock (s). Returns what was done and when; cancelled, it mends all first."""
+        """Runs the schedule; if it is cancelled, it ends all active faults first.
+
+        Args:
+            began: The start of the run by the monotonic clock, in seconds.
+
+        Returns:
+            When each fault was injected or ended, in seconds of the run, with a description.
+        """
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.gather(*(self._one(trouble, began) for trouble in self._planned))
+            await asyncio.gather(*(self._run_fault(trouble, began) for trouble in self._planned))
         return sorted(self.told)
 
-    async def _one(self, trouble: Planned, began: float) -> None:
+    async def _run_fault(self, trouble: Planned, began: float) -> None:
         await asyncio.sleep(max(0.0, began + trouble.at - time.monotonic()))
-        self._tell(began, await self._begin(trouble))
+        self._record(began, await self._begin(trouble))
         if not trouble.lasts:
             return
         try:
             await asyncio.sleep(max(0.0, began + trouble.at + trouble.lasts - time.monotonic()))
         finally:
             if mended := await self._mend(trouble):
-                self._tell(began, mended)
+                self._record(began, mended)
 
-    def _tell(self, began: float, text: str) -> None:
+    def _record(self, began: float, text: str) -> None:
         self.told.append((time.monotonic() - began, text))
 
-    def _boxes(self, target: str) -> list[SimulatedServer]:
+    def _servers(self, target: str) -> list[SimulatedServer]:
         return list(self._world.boxes.values()) if target == "*" else [self._world.boxes[target]]
 
     def _listeners(self, target: str) -> Sequence[Listener]:
@@ -105,29 +141,29 @@
                 world.network.isolate(number)
             return "nothing passes between limiters"
         if target not in ("counter", "discovery"):
-            for box in self._boxes(target):
-                await self._break_box(box, trouble)
+            for server in self._servers(target):
+                await self._break_server(server, trouble)
         else:
             for listener in self._listeners(target):
                 await listener.fail(FAULTS[what], delay=trouble.by / 1000.0)
         return f"{target} {what}" + (f" by {trouble.by:g} ms" if what == "slow" else "")
 
-    async def _break_box(self, box: SimulatedServer, trouble: Planned) -> None:
+    async def _break_server(self, server: SimulatedServer, trouble: Planned) -> None:
         registry = self._world.registry
         match trouble.what:
             case "slow":
-                box.crowd = trouble.by
+                server.crowd = trouble.by
             case "restart":
-                await box.restart()
-                registry.announce(box)
+                await server.restart()
+                registry.announce(server)
             case "drain":
-                box.state = "draining"
-                registry.announce(box)
+                server.state = "draining"
+                registry.announce(server)
             case "remove":
-                registry.remove(box.uid)
-                self._removed.setdefault(trouble.target, []).append(box)
+                registry.remove(server.uid)
+                self._removed.setdefault(trouble.target, []).append(server)
             case _:
-                await box.fail(FAULTS[trouble.what])
+                await server.fail(FAULTS[trouble.what])
 
     async def _mend(self, trouble: Planned) -> str:
         what, target, world = trouble.what, trouble.target, self._world
@@ -139,16 +175,16 @@
             for listener in self._listeners(target):
                 await listener.fail(Fault.NONE)
         elif what == "remove":
-            for box in self._removed.pop(target, []):
-                box.state = "up"
-                world.registry.add(box)
+            for server in self._removed.pop(target, []):
+                server.state = "up"
+                world.registry.add(server)
         else:
-            for box in self._boxes(target):
+            for server in self._servers(target):
                 if what == "slow":
-                    box.crowd = 0.0
+                    server.crowd = 0.0
                 elif what == "drain":
-                    box.state = "up"
-                    world.registry.announce(box)
+                    server.state = "up"
+                    world.registry.announce(server)
                 else:
-                    await box.fail(Fault.NONE)
+                    await server.fail(Fault.NONE)
         return f"{target} mended"
