--- a/elderlock/sim/rollouts.py
+++ b/elderlock/sim/rollouts.py
@@ -29,7 +29,7 @@
 from elderlock.sim.scenario import Scenario, Settings
 from elderlock.sim.shells import ShellWorld
 from elderlock.sim.virtual.processes import CURRENT, Machine, Process, context_of, start
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 from elderlock.standins.waiting import unix_ms
 
 OUT = "limiters out by our doing"
@@ -153,7 +153,7 @@
     def state(self, id: int, accounts: int) -> m.LimiterState:
         self._count()
         assert self.desk is not None
-        return state(
+        return limiter_state(
             self.name,
             self.world.boxes,
             id=id,
@@ -223,7 +223,7 @@
         self.most = int(case.share * case.limiters)
         draw = random.Random(f"bias/{seed}")
         self.bias = {name: draw.gauss(0.0, BIAS_SD) for name in self._names()}
-        self.boxes = [box(f"s-{n}") for n in range(3)]
+        self.boxes = [server_status(f"s-{n}") for n in range(3)]
         self.modelled: dict[str, Modelled] = {}
         self._doomed: set[int] = set()  # pids that the world ends
         self._out: dict[str, str] = {}
--- a/elderlock/standins/agents.py
+++ b/elderlock/standins/agents.py
@@ -7,7 +7,7 @@
 
 from elderlock.control.transport import Connection, ConnectionLimits, FrameServer
 from elderlock.fleet import messages
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 
 
 class SimulatedAgents:
@@ -26,7 +26,7 @@
             boxes: The number of servers that each limiter reports.
         """
         self.count = count
-        self._server_statuses = [box(f"s-{number:02d}") for number in range(boxes)]
+        self._server_statuses = [server_status(f"s-{number:02d}") for number in range(boxes)]
         self._servers: list[FrameServer[None]] = []
         self.ports: list[int] = []
 
@@ -58,7 +58,16 @@
     def _agent_status(self, number: int) -> messages.Shown:
         name = f"n{number}"
         limiter = messages.LimiterStatus(
-            name, "running", 1000 + number, False, 0, -1.0, "answering", "", 5.0, state(name, self._server_statuses)
+            name,
+            "running",
+            1000 + number,
+            False,
+            0,
+            -1.0,
+            "answering",
+            "",
+            5.0,
+            limiter_state(name, self._server_statuses),
         )
         return messages.Shown(0, f"agent-{number}", "1", 1, 1000.0, "", (limiter,), (), ())
 
--- a/elderlock/standins/limiters.py
+++ b/elderlock/standins/limiters.py
@@ -26,7 +26,7 @@
     NOISE = "noise"  # handles a message and sends bytes that do not decode
 
 
-def box(uid: str, **changes: object) -> messages.ServerStatus:
+def server_status(uid: str, **changes: object) -> messages.ServerStatus:
     """Returns the status that a limiter reports of a healthy server; `changes` override fields."""
     values: dict[str, object] = {
         "uid": uid,
@@ -49,7 +49,9 @@
     return messages.ServerStatus(**values)  # type: ignore[arg-type]
 
 
-def state(limiter: str, boxes: Iterable[messages.ServerStatus] = (), **changes: object) -> messages.LimiterState:
+def limiter_state(
+    limiter: str, boxes: Iterable[messages.ServerStatus] = (), **changes: object
+) -> messages.LimiterState:
     """Returns the state that a healthy limiter reports; `changes` override fields."""
     values: dict[str, object] = {
         "id": 0,
@@ -148,14 +150,14 @@
         """Returns the state of the limiter as the answer to request `id`."""
         drained = self.desk.records.drained_targets("box")
         boxes = [
-            box(
+            server_status(
                 uid,
                 drained_by=drained[uid].requested_by if uid in drained else "",
                 open_requests=self.left_in_work.get(uid, 0),
             )
             for uid in self._uids
         ]
-        return state(
+        return limiter_state(
             self.name,
             boxes,
             id=id,
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -23,7 +23,7 @@
 from elderlock.fleet.drain_intents import RecordProgress, concerns, decide_intent
 from elderlock.fleet.group.membership import SUSPECT_AFTER_MS, UNREACHABLE_AFTER_MS, Membership
 from elderlock.fleet.supervision.supervisor import Command, Policy, Supervisor
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 
 
 def record(generation: int = 1, drained: bool = True, requested_by: str = "an", target: str = "s-1") -> Record:
@@ -265,11 +265,11 @@
 
 
 def two_states(*servers: ServerStatus) -> list[LimiterState]:
-    return [state("n0", servers), state("n1", servers)]
+    return [limiter_state("n0", servers), limiter_state("n1", servers)]
 
 
 ZONES = ("floor-2", "floor-3", "floor-4")
-NINE_SERVERS = [box(f"s-{n}", zone=ZONES[n % 3], weight=2.0) for n in range(9)]
+NINE_SERVERS = [server_status(f"s-{n}", zone=ZONES[n % 3], weight=2.0) for n in range(9)]
 
 
 def test_a_safe_drain_reports_the_capacity_before_and_after() -> None:
@@ -280,7 +280,9 @@
 
 def test_draining_the_last_server_of_a_zone_is_refused() -> None:
     servers = [
-        box(server.uid, zone=server.zone, weight=2.0, drained_by="an") if server.uid in ("s-0", "s-3") else server
+        server_status(server.uid, zone=server.zone, weight=2.0, drained_by="an")
+        if server.uid in ("s-0", "s-3")
+        else server
         for server in NINE_SERVERS
     ]
     plan = plan_server_drain(summarize_servers(two_states(*servers)), ["s-6"])
@@ -294,20 +296,23 @@
 
 
 def test_a_drain_is_refused_if_the_other_servers_queues_are_too_long() -> None:
-    servers = [box(server.uid, zone=server.zone, weight=2.0, queue=8) for server in NINE_SERVERS]
+    servers = [server_status(server.uid, zone=server.zone, weight=2.0, queue=8) for server in NINE_SERVERS]
     plan = plan_server_drain(summarize_servers(two_states(*servers)), ["s-0"])
     assert plan.unsafe == ("72 requests wait: 4.5 for each unit of weight left, 4 is the most",)
 
 
 def test_a_drain_known_to_a_single_limiter_counts() -> None:
     summary = summarize_servers(
-        [state("n0", NINE_SERVERS), state("n1", [box("s-0", zone="floor-2", drained_by="binh")])]
+        [
+            limiter_state("n0", NINE_SERVERS),
+            limiter_state("n1", [server_status("s-0", zone="floor-2", drained_by="binh")]),
+        ]
     )
     assert not summary["s-0"].serving and summary["s-1"].serving
 
 
 def test_draining_or_unknown_servers_need_no_step() -> None:
-    summary = summarize_servers(two_states(*NINE_SERVERS[:8], box("s-8", zone="floor-4", state="draining")))
+    summary = summarize_servers(two_states(*NINE_SERVERS[:8], server_status("s-8", zone="floor-4", state="draining")))
     plan = plan_server_drain(summary, ["s-8", "no-such"])
     assert plan.steps == () and plan.unknown == ("no-such",) and plan.unsafe == ()
 
@@ -316,9 +321,9 @@
 def test_steps_take_each_server_once_and_a_bounded_part_of_the_weight(
     zones_and_weights: list[tuple[str, float]], rng: object
 ) -> None:
-    servers = [box(f"s-{n}", zone=zone, weight=weight) for n, (zone, weight) in enumerate(zones_and_weights)]
+    servers = [server_status(f"s-{n}", zone=zone, weight=weight) for n, (zone, weight) in enumerate(zones_and_weights)]
     targets = [server.uid for server in servers if rng.random() < 0.6]  # type: ignore[attr-defined]
-    summary = summarize_servers([state("n0", servers)])
+    summary = summarize_servers([limiter_state("n0", servers)])
     plan = plan_server_drain(summary, targets)
     assert sorted(uid for step in plan.steps for uid in step) == sorted(targets)
     total_weight = sum(server.weight for server in servers)
@@ -345,29 +350,34 @@
 
 
 def test_equal_states_have_no_differences() -> None:
-    assert difference_texts(state("n0", NINE_SERVERS), state("n1", NINE_SERVERS), state("n2", NINE_SERVERS)) == []
+    assert (
+        difference_texts(
+            limiter_state("n0", NINE_SERVERS), limiter_state("n1", NINE_SERVERS), limiter_state("n2", NINE_SERVERS)
+        )
+        == []
+    )
 
 
 def test_each_difference_has_its_text() -> None:
-    others = [state(f"n{n}", NINE_SERVERS) for n in range(3)]
-    assert difference_texts(*others, state("n3", NINE_SERVERS, build="2")) == ["n3: version 2"]
-    assert difference_texts(*others, state("n3", NINE_SERVERS, config_parts={"plans": "q"})) == [
+    others = [limiter_state(f"n{n}", NINE_SERVERS) for n in range(3)]
+    assert difference_texts(*others, limiter_state("n3", NINE_SERVERS, build="2")) == ["n3: version 2"]
+    assert difference_texts(*others, limiter_state("n3", NINE_SERVERS, config_parts={"plans": "q"})) == [
         "n3: 'plans' of the configuration differs (q)"
     ]
-    assert difference_texts(*others, state("n3", NINE_SERVERS[1:])) == ["n3: does not know s-0"]
-    drains = state("n3", NINE_SERVERS, records=(record(4),), records_digest="d")
+    assert difference_texts(*others, limiter_state("n3", NINE_SERVERS[1:])) == ["n3: does not know s-0"]
+    drains = limiter_state("n3", NINE_SERVERS, records=(record(4),), records_digest="d")
     assert difference_texts(*others, drains) == ["n3: drains s-1 (generation 4)"]
-    assert difference_texts(*others, state("n3", NINE_SERVERS, answer_p50_ms=90.0)) == [
+    assert difference_texts(*others, limiter_state("n3", NINE_SERVERS, answer_p50_ms=90.0)) == [
         "n3: answers take 90 ms, 20 ms elsewhere"
     ]
-    refuses = state("n3", NINE_SERVERS, counts=AnswerCounts(served=60, refused=40))
+    refuses = limiter_state("n3", NINE_SERVERS, counts=AnswerCounts(served=60, refused=40))
     assert difference_texts(*others, refuses) == ["n3: refuses 40 % of all, 0 % elsewhere"]
-    slow = [box("s-0", zone="floor-2", latency_ms=300.0), *NINE_SERVERS[1:]]
-    assert difference_texts(*others, state("n3", slow)) == ["n3: finds s-0 at 300 ms, 20 ms from elsewhere"]
+    slow = [server_status("s-0", zone="floor-2", latency_ms=300.0), *NINE_SERVERS[1:]]
+    assert difference_texts(*others, limiter_state("n3", slow)) == ["n3: finds s-0 at 300 ms, 20 ms from elsewhere"]
 
 
 def test_without_a_majority_value_all_limiters_are_named() -> None:
-    assert difference_texts(state("n0", NINE_SERVERS), state("n1", NINE_SERVERS, build="2")) == [
+    assert difference_texts(limiter_state("n0", NINE_SERVERS), limiter_state("n1", NINE_SERVERS, build="2")) == [
         "n0: version 1",
         "n1: version 2",
     ]
--- a/tests/gossip/test_shared_status.py
+++ b/tests/gossip/test_shared_status.py
@@ -22,7 +22,7 @@
 from elderlock.fleet.client.observation import GroupObservation, observe
 from elderlock.gossip.health_evidence import EJECTION_WEIGHT, FRESH_MS
 from elderlock.sim.scenario import Fault, Settings
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 from elderlock.standins.waiting import run
 from elderlock.trial.faults import TrialFaults
 from elderlock.trial.ground import Ground
@@ -124,10 +124,15 @@
 
 
 def test_without_sharing_the_status_says_so_and_explains_servers_nevertheless() -> None:
-    servers = [box("s-0"), box("s-1", unavailable_reason="drained by an", drained_by="an", generation=7)]
+    servers = [
+        server_status("s-0"),
+        server_status("s-1", unavailable_reason="drained by an", drained_by="an", generation=7),
+    ]
     drain_record = Record("box", "s-1", True, 7, "o", "an", 1000.0, "fan is loud")
     statuses = [
-        messages.LimiterStatus(name, "running", 1, False, 0, -1.0, "answering", "", 10.0, state(name, known_servers))
+        messages.LimiterStatus(
+            name, "running", 1, False, 0, -1.0, "answering", "", 10.0, limiter_state(name, known_servers)
+        )
         for name, known_servers in (("n0", servers), ("n1", servers[:1]))
     ]
     observed = observe(
--- a/tests/load/test_decisions.py
+++ b/tests/load/test_decisions.py
@@ -23,7 +23,7 @@
 from elderlock.load.scenario import Clients, Scenario, Steady, Stream, Truth
 from elderlock.load.targets import Front
 from elderlock.load.thresholds import ThresholdError, threshold
-from elderlock.standins.limiters import state
+from elderlock.standins.limiters import limiter_state
 
 CLIENTS = st.builds(
     Clients,
@@ -366,7 +366,7 @@
 def shown(uptime: float, plans: dict[str, int], accounts: dict[str, int], pid: int = 7) -> dict[str, LimiterState]:
     counts = {name: AnswerCounts(served=count) for name, count in accounts.items()}
     by_plan = {name: AnswerCounts(served=count) for name, count in plans.items()}
-    return {"n0": state("n0", pid=pid, uptime_ms=uptime, accounts=counts, plans=by_plan)}
+    return {"n0": limiter_state("n0", pid=pid, uptime_ms=uptime, accounts=counts, plans=by_plan)}
 
 
 A, B, C = (f"{number:016x}" for number in (1, 2, 3))
--- a/tests/rollout/test_disruption_budget.py
+++ b/tests/rollout/test_disruption_budget.py
@@ -15,7 +15,7 @@
 )
 from elderlock.rollout.inventory import KnownLimiter, build_inventory
 from elderlock.rollout.permit_ledger import Permit
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 
 server_names = st.sets(st.sampled_from([item.name for item in SERVERS]))
 
@@ -126,12 +126,16 @@
 
 def test_the_inventory_counts_discovery_ejections_drains_and_silence() -> None:
     servers = [
-        box("s-0"),
-        box("s-1", state="draining"),
-        box("s-2", unavailable_reason="failing"),
-        box("s-3", drained_by="an"),
+        server_status("s-0"),
+        server_status("s-1", state="draining"),
+        server_status("s-2", unavailable_reason="failing"),
+        server_status("s-3", drained_by="an"),
+    ]
+    states = [
+        limiter_state("n0", servers),
+        limiter_state("n1", [*servers[:2], server_status("s-2"), servers[3]]),
+        limiter_state("n2", servers),
     ]
-    states = [state("n0", servers), state("n1", [*servers[:2], box("s-2"), servers[3]]), state("n2", servers)]
     limiters = [
         KnownLimiter("n10", "", ""),
         KnownLimiter("n2", "", "its agent agent-1 is unreachable"),
@@ -150,7 +154,7 @@
         "agent-2" in build_inventory(states, limiters, ["agent-2"]).insufficient_reason
         and build_inventory([], limiters, []).insufficient_reason
     )
-    without_list = build_inventory([state("n0", list_age_ms=-1.0)], limiters, [])
+    without_list = build_inventory([limiter_state("n0", list_age_ms=-1.0)], limiters, [])
     assert "has a list" in without_list.insufficient_reason and without_list.lacks_knowledge_of([("limiter", "n1")])
     assert inventory.lacks_knowledge_of([("box", "s-0"), ("box", "s-9")]) and not inventory.lacks_knowledge_of(
         [("box", "s-0"), ("limiter", "n1")]
