--- a/elderlock/standins/floor.py
+++ b/elderlock/standins/floor.py
@@ -1,5 +1,8 @@
-"""What a limiter costs at the least: a bare proxy on uvloop that parses commands and answers with hiredis, forwards
-each to the next box in turn, and decides nothing. `python -m elderlock.standins.floor LISTEN BOX...`"""
+"""A minimal proxy as the baseline for the cost of a limiter.
+
+It runs on uvloop, parses commands and answers with hiredis and forwards the commands to the servers in round-robin
+order. Usage: `python -m elderlock.standins.floor LISTEN SERVER...`
+"""
 
 from __future__ import annotations
 
@@ -15,10 +18,10 @@
 from elderlock.standins.servers import MISSING
 
 
-class _Box(asyncio.Protocol):
-    """A connection to a box, with one request out at a time."""
+class _ServerConnection(asyncio.Protocol):
+    """A connection to a server, with one request in flight at a time."""
 
-    def __init__(self, idle: list[_Box]) -> None:
+    def __init__(self, idle: list[_ServerConnection]) -> None:
         self._idle = idle
         self._parser = hiredis.Reader(notEnoughData=MISSING)
         self.transport: asyncio.Transport | None = None
@@ -27,10 +30,10 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def carry(self, client: _Client, sent: bytes) -> None:
+    def send(self, client: _Client, command: bytes) -> None:
         assert self.transport is not None
         self.client = client
-        self.transport.write(sent)
+        self.transport.write(command)
 
     def data_received(self, data: bytes) -> None:
         self._parser.feed(data)
@@ -46,6 +49,8 @@
 
 
 class _Client(asyncio.Protocol):
+    """A connection of a client."""
+
     def __init__(self, floor: Floor) -> None:
         self._floor = floor
         self._parser = hiredis.Reader(notEnoughData=MISSING)
@@ -68,34 +73,37 @@
 
 
 class Floor:
-    def __init__(self, loop: asyncio.AbstractEventLoop, boxes: list[tuple[str, int]]) -> None:
-        self._loop, self._boxes = loop, deque(boxes)
-        self._idle: dict[tuple[str, int], list[_Box]] = {box: [] for box in boxes}
+    """Forwards commands to the servers in round-robin order."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, servers: list[tuple[str, int]]) -> None:
+        self._loop, self._servers = loop, deque(servers)
+        self._idle: dict[tuple[str, int], list[_ServerConnection]] = {server: [] for server in servers}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def forward(self, client: _Client, sent: bytes) -> None:
-        box = self._boxes[0]
-        self._boxes.rotate(-1)
-        idle = self._idle[box]
+    def forward(self, client: _Client, command: bytes) -> None:
+        """Sends a command to the next server, over an idle connection if there is one."""
+        server = self._servers[0]
+        self._servers.rotate(-1)
+        idle = self._idle[server]
         while idle:
             connection = idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
-                return connection.carry(client, sent)
-        task = self._loop.create_task(self._dial(box, client, sent))
+                return connection.send(client, command)
+        task = self._loop.create_task(self._dial(server, client, command))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, box: tuple[str, int], client: _Client, sent: bytes) -> None:
-        idle = self._idle[box]
-        _, connection = await self._loop.create_connection(lambda: _Box(idle), *box)
-        connection.carry(client, sent)
+    async def _dial(self, server: tuple[str, int], client: _Client, command: bytes) -> None:
+        idle = self._idle[server]
+        _, connection = await self._loop.create_connection(lambda: _ServerConnection(idle), *server)
+        connection.send(client, command)
 
 
-async def _serve(listen: str, boxes: list[str]) -> None:
+async def _serve(listen: str, servers: list[str]) -> None:
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    split = [box.rpartition(":") for box in boxes]
-    floor = Floor(loop, [(host, int(port)) for host, _, port in split])
+    addresses = [server.rpartition(":") for server in servers]
+    floor = Floor(loop, [(host, int(port)) for host, _, port in addresses])
     host, _, port = listen.rpartition(":")
     await loop.create_server(lambda: _Client(floor), host, int(port), backlog=1024)
     await stop.wait()
--- a/elderlock/standins/programs.py
+++ b/elderlock/standins/programs.py
@@ -1,4 +1,4 @@
-"""Real limiters as processes, each with a control socket and a gRPC door."""
+"""Real limiters as processes, each with a control socket and a gRPC address."""
 
 import asyncio
 import os
@@ -19,7 +19,7 @@
 from elderlock.standins.settings import PLANS
 from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
 
-# tight enough that the load of a test asks for several times the ceiling
+# The ceiling is low enough that the load of a test is several times as high.
 ENTERPRISE: dict[str, Any] = {
     "name": "enterprise",
     "price": 1.8,
@@ -33,6 +33,17 @@
 
 
 class Program:
+    """A limiter that runs as a process of its own.
+
+    Attributes:
+        world: The services around the limiter.
+        number: The limiter's number.
+        address: The gRPC address.
+        socket: The path of the control socket.
+        operators: The path of the operators file.
+        process: The process, or None before the start.
+    """
+
     def __init__(self, world: World, number: int, tls: bool) -> None:
         self.world, self.number = world, number
         self.address = free_address(random_loopback_host(random.SystemRandom()))
@@ -46,6 +57,7 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
+        """Starts the process."""
         self.process = await spawn(
             sys.executable,
             "-B",
@@ -61,6 +73,7 @@
         )
 
     async def client(self) -> Client:
+        """Waits until the limiter answers `PING` with `PONG` and returns that connection."""
         host, _, port = self.world.listens[self.number].rpartition(":")
         while True:
             try:
@@ -75,10 +88,11 @@
             await asyncio.sleep(0.01)
 
     def asking(self) -> Asking:
+        """Opens a gRPC channel to the limiter."""
         return Asking.at(self.address)
 
     async def count(self) -> int:
-        """Questions and requests that it has answered."""
+        """Returns the number of check requests and client requests that the limiter has answered."""
         caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
         await caller.connect_unix(self.socket)
         await caller.request(m.Hello((m.PROTOCOL_VERSION,), "looker"), 10.0)
@@ -88,6 +102,7 @@
         return state.counts.total()
 
     async def drain(self, *records: Record) -> None:
+        """Sends drain records to the limiter over its control socket."""
         caller: RequestClient[m.FromLimiter] = RequestClient(m.decode_answer, m.MAXIMUM_MESSAGE_BYTES)
         await caller.connect_unix(self.socket)
         await caller.request(m.Hello((m.PROTOCOL_VERSION,), "a", 1), 10.0)
@@ -106,27 +121,37 @@
     plans: Sequence[dict[str, Any]] = PLANS,
     operators: str = "",
 ) -> AsyncIterator[list[Program]]:
-    """`operators` is added to the operators' file of each."""
+    """Starts limiters with all services around them and stops them at the end.
+
+    Args:
+        folder: The directory of all files.
+        count: The number of limiters.
+        tls: Whether the gRPC addresses use TLS.
+        boxes: The number of servers.
+        plans: The plans of all customers.
+        operators: Text that is appended to the operators file of each limiter.
+    """
     world = World(folder, limiters=count, boxes=boxes, plans=plans)
     await world.open()
-    made = [Program(world, number, tls) for number in range(count)]
-    for program in made:
+    limiters = [Program(world, number, tls) for number in range(count)]
+    for program in limiters:
         program.operators.write_text(program.operators.read_text() + operators)
     if tls:
-        write_certificates(folder, hosts=[program.address.rpartition(":")[0] for program in made])
+        write_certificates(folder, hosts=[program.address.rpartition(":")[0] for program in limiters])
     try:
-        for program in made:
+        for program in limiters:
             await program.start()
-        for program in made:
+        for program in limiters:
             (await program.client()).close()
-        yield made
+        yield limiters
     finally:
-        for program in made:
+        for program in limiters:
             if program.process is not None and program.process.returncode is None:
                 program.process.kill()
                 await program.process.wait()
         await world.close()
 
 
-def terms_of(first: int, spread: int, **more: Any) -> dict[str, Any]:
-    return {"account": ACCOUNT, "plan": "enterprise", "spread": spread, "first": first, **more}
+def terms_of(first: int, spread: int, **fields: Any) -> dict[str, Any]:
+    """Returns the context extensions of a check request of `ACCOUNT` with the enterprise plan."""
+    return {"account": ACCOUNT, "plan": "enterprise", "spread": spread, "first": first, **fields}
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -1,5 +1,7 @@
-"""The stand-ins speak their pages' protocols and break as they are told: a fault that does nothing would
-make every test that leans on it pass in vain."""
+"""The fakes speak the real protocols, and injected faults take effect.
+
+If an injected fault had no effect, every test that relies on it would pass without testing anything.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -22,11 +24,11 @@
 from elderlock.standins.waiting import run, unix_ms, until
 
 
-async def talk(port: int, *commands: tuple[str, ...], within: float = 5.0) -> list[object]:
-    """The answers, and 'end' or 'reset' for how the connection ended; 'silence' where nothing came."""
+async def exchange(port: int, *commands: tuple[str, ...], within: float = 5.0) -> list[object]:
+    """Returns the answers, followed by 'end', 'reset' or 'silence' if the connection failed before the last answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     parser = hiredis.Reader(notEnoughData=MISSING)
-    got: list[object] = []
+    received: list[object] = []
     try:
         for command in commands:
             writer.write(hiredis.pack_command(command))  # type: ignore[arg-type]
@@ -34,19 +36,19 @@
                 async with asyncio.timeout(within):
                     data = await reader.read(4096)
                 if not data:
-                    return [*got, "end"]
+                    return [*received, "end"]
                 parser.feed(data)
-            got.append(answer)
+            received.append(answer)
     except TimeoutError:
-        return [*got, "silence"]
+        return [*received, "silence"]
     except ConnectionError:
-        return [*got, "reset"]
+        return [*received, "reset"]
     finally:
         writer.transport.abort()
-    return got
+    return received
 
 
-READ = ("API.READ", "0" * 16, "r1", terms())
+READ_COMMAND = ("API.READ", "0" * 16, "r1", terms())
 
 
 @pytest.mark.parametrize(
@@ -60,35 +62,35 @@
         (Fault.NONE, [[b"value", None, b"queue=2"]]),
     ],
 )
-def test_a_door_breaks_as_told_and_the_others_do_not(fault: Fault, expected: list[object]) -> None:
+def test_a_fault_affects_its_port_and_no_other(fault: Fault, expected: list[object]) -> None:
     async def test() -> None:
         server = Server()
         await server.open(2)
         await server.fail(fault, [0], delay=0.05)
-        within = 0.3 if expected == ["silence"] else 5.0
-        assert await talk(server.doors[0].port, READ, within=within) == expected
-        assert await talk(server.doors[1].port, READ) == [[b"value", None, b"queue=2"]]
+        timeout_s = 0.3 if expected == ["silence"] else 5.0
+        assert await exchange(server.doors[0].port, READ_COMMAND, within=timeout_s) == expected
+        assert await exchange(server.doors[1].port, READ_COMMAND) == [[b"value", None, b"queue=2"]]
         await server.close()
 
     run(test())
 
 
-def test_a_refusing_door_takes_no_connection_and_is_back_at_its_port() -> None:
+def test_a_refusing_port_accepts_no_connection_and_reopens_with_the_same_number() -> None:
     async def test() -> None:
         server = await Server().start()
         port = server.doors[0].port
         await server.fail(Fault.REFUSING)
         with pytest.raises(ConnectionRefusedError):
-            await talk(port, READ)
+            await exchange(port, READ_COMMAND)
         await server.fail(Fault.NONE)
-        assert len(await talk(port, READ)) == 1 and server.doors[0].port == port
+        assert len(await exchange(port, READ_COMMAND)) == 1 and server.doors[0].port == port
         await server.close()
 
     run(test())
 
 
-class Held(servers._LoopTime):
-    """Whose timers begin to run once it is let go, however long that takes."""
+class HeldTimers(servers._LoopTime):
+    """Real time whose timers only start to run with `release`."""
 
     def __init__(self) -> None:
         self.held: list[tuple[float, Callable[..., None], tuple[Any, ...]]] | None = []
@@ -99,112 +101,118 @@
         self.held.append((wait, do, args))
         return super().after(1e9, do, *args)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         held, self.held = self.held or [], None
         for wait, do, args in held:
             self.after(wait, do, *args)
 
 
-def test_a_box_queues_reports_turns_away_and_warms_up() -> None:
+def test_a_server_queues_and_refuses_requests_reports_its_load_and_warms_up() -> None:
     async def test() -> None:
-        box = SimulatedServer("s", STD, "floor-2", seed=1)
-        await box.open()
-        box.model._time = held = Held()
-        asks = [
-            asyncio.create_task(talk(box.doors[0].port, READ, within=60.0))
-            for _ in range(box.kind.cores + box.kind.shape.room + 5)
+        server = SimulatedServer("s", STD, "floor-2", seed=1)
+        await server.open()
+        server.model._time = timers = HeldTimers()
+        tasks = [
+            asyncio.create_task(exchange(server.doors[0].port, READ_COMMAND, within=60.0))
+            for _ in range(server.kind.cores + server.kind.shape.room + 5)
         ]
-        await until(lambda: len(box.sent) == len(asks))  # none is worked off before all have come
-        held.let_go()
-        answers = [answer for task in asks for answer in await task]
-        busy = [a for a in answers if isinstance(a, hiredis.ReplyError)]
-        served = [a for a in answers if isinstance(a, list)]
-        assert len(busy) == 5 and str(busy[0]) == f"BUSY queue={box.kind.shape.room}"
-        assert len(served) == box.kind.cores + box.kind.shape.room and served[0][0] == b"box=s request=r1"
-        assert {a[2] for a in served} > {b"queue=0"}  # it fell as they were worked off
-        assert len(box.sent) == len(asks) and {sent.door for sent in box.sent} == {0}
-        assert box.model.pace(unix_ms()) == STD.speed > OLD.speed
-        await box.restart()
-        young = box.model.pace(box.boot_ms)
-        assert young == pytest.approx(STD.shape.cold_share)
-        assert box.model.pace(box.boot_ms + STD.shape.cold_ms) == STD.speed
-        await box.close()
+        await until(lambda: len(server.sent) == len(tasks))  # all requests have arrived before the first one ends
+        timers.release()
+        answers = [answer for task in tasks for answer in await task]
+        busy = [answer for answer in answers if isinstance(answer, hiredis.ReplyError)]
+        served = [answer for answer in answers if isinstance(answer, list)]
+        assert len(busy) == 5 and str(busy[0]) == f"BUSY queue={server.kind.shape.room}"
+        assert len(served) == server.kind.cores + server.kind.shape.room and served[0][0] == b"box=s request=r1"
+        assert {answer[2] for answer in served} > {b"queue=0"}  # the queue became shorter while requests were processed
+        assert len(server.sent) == len(tasks) and {command.door for command in server.sent} == {0}
+        assert server.model.pace(unix_ms()) == STD.speed > OLD.speed
+        await server.restart()
+        cold_pace = server.model.pace(server.boot_ms)
+        assert cold_pace == pytest.approx(STD.shape.cold_share)
+        assert server.model.pace(server.boot_ms + STD.shape.cold_ms) == STD.speed
+        await server.close()
 
     run(test(), within=60.0)
 
 
-def test_the_counter_adds_forgets_and_loses() -> None:
+def test_the_counter_adds_refuses_invalid_calls_and_loses_its_counts() -> None:
     async def test() -> None:
         counter = Counter()
         await counter.open()
         port = counter.doors[0].port
-        add = ("TALLY", "a", "2.5", "60000")
-        assert await talk(port, ("PING",), add, ("TALLY", "a", "-1", "60000")) == [b"PONG", b"2.5", b"1.5"]
-        answers = await talk(port, add, ("TALLY", "b", "1", "x"), ("TALLY", "", "1", "5"), ("TALLY", "a", "2e9", "5"))
-        assert answers[0] == b"4" and [str(a) for a in answers[1:]] == ["ERR no such call"] * 3
+        add_command = ("TALLY", "a", "2.5", "60000")
+        assert await exchange(port, ("PING",), add_command, ("TALLY", "a", "-1", "60000")) == [b"PONG", b"2.5", b"1.5"]
+        invalid_commands = (("TALLY", "b", "1", "x"), ("TALLY", "", "1", "5"), ("TALLY", "a", "2e9", "5"))
+        answers = await exchange(port, add_command, *invalid_commands)
+        assert answers[0] == b"4" and [str(answer) for answer in answers[1:]] == ["ERR no such call"] * 3
         counter.lose()
-        assert await talk(port, add) == [b"2.5"]
+        assert await exchange(port, add_command) == [b"2.5"]
         await counter.close()
 
     run(test())
 
 
-def test_discovery_tells_each_door_its_own_endpoints_and_its_changes() -> None:
+def test_discovery_sends_each_limiter_its_own_endpoints_and_their_changes() -> None:
     async def test() -> None:
         registry = Registry()
         await registry.discovery.start(2)
-        boxes = [SimulatedServer(f"s-{n}", STD, "a", n) for n in range(2)]
-        for box in boxes:
-            await box.open(2)
-        registry.add(boxes[0])
-        told: list[EndpointList] = []
-        watcher = Watcher(parse_config(raw_config()).socket_settings, told.append)
+        listed_servers = [SimulatedServer(f"s-{number}", STD, "a", number) for number in range(2)]
+        for server in listed_servers:
+            await server.open(2)
+        registry.add(listed_servers[0])
+        lists: list[EndpointList] = []
+        watcher = Watcher(parse_config(raw_config()).socket_settings, lists.append)
         watcher.follow(("127.0.0.1", registry.discovery.doors[1].port))
-        await until(lambda: bool(told))
-        await until(lambda: bool(registry.discovery.watch_doors))  # changes before it would come as a whole list
-        assert told[0].is_complete and told[0].servers[0].address[1] == boxes[0].doors[1].port
-        registry.add(boxes[1])
+        await until(lambda: bool(lists))
+        await until(
+            lambda: bool(registry.discovery.watch_doors)
+        )  # without a watch, changes would arrive as a complete list
+        assert lists[0].is_complete and lists[0].servers[0].address[1] == listed_servers[0].doors[1].port
+        registry.add(listed_servers[1])
         registry.remove("s-0")
-        await until(lambda: told[-1].version == registry.discovery.rev)
-        names = [(t.entry.server_id, t.entry.state.value) for each in told[1:] for t in each.servers]
-        assert ("s-1", "running") in names and names[-1] == ("s-0", "gone")
+        await until(lambda: lists[-1].version == registry.discovery.rev)
+        states = [
+            (listed.entry.server_id, listed.entry.state.value) for change in lists[1:] for listed in change.servers
+        ]
+        assert ("s-1", "running") in states and states[-1] == ("s-0", "gone")
         watcher.stop()
         await registry.discovery.close()
-        for box in boxes:
-            await box.close()
+        for server in listed_servers:
+            await server.close()
 
     run(test())
 
 
-def test_datagrams_come_from_the_address_by_which_the_sender_is_known_and_a_cut_stops_them() -> None:
+def test_datagrams_arrive_from_the_senders_relay_address_and_a_partition_stops_them() -> None:
     async def test() -> None:
         network = Network(3, seed=1)
         await network.open()
-        got: list[tuple[int, int, bytes]] = []
+        received: list[tuple[int, int, bytes]] = []
         peers = []
-        for me in range(3):
-            addresses = [(h, int(p)) for h, _, p in (a.rpartition(":") for a in network.peers(me))]
-            host, _, port = network.everyone(me).rpartition(":")
+        for number in range(3):
+            split_addresses = (address.rpartition(":") for address in network.peers(number))
+            addresses = [(peer_host, int(peer_port)) for peer_host, _, peer_port in split_addresses]
+            host, _, port = network.everyone(number).rpartition(":")
             peer = PeerTransport(
                 tuple(addresses),
                 (host, int(port)),
                 1000.0,
-                lambda sender, data, me=me: got.append((me, sender, data)),  # type: ignore[misc]
+                lambda sender, data, number=number: received.append((number, sender, data)),  # type: ignore[misc]
                 unix_ms,
             )
-            own = addresses[me]
-            await asyncio.get_running_loop().create_datagram_endpoint(lambda peer=peer: peer, local_addr=own)  # type: ignore[misc]
+            listen_address = addresses[number]
+            await asyncio.get_running_loop().create_datagram_endpoint(lambda peer=peer: peer, local_addr=listen_address)  # type: ignore[misc]
             peers.append(peer)
         peers[0].send(2, b"one")
-        await until(lambda: got == [(2, 0, b"one")])
+        await until(lambda: received == [(2, 0, b"one")])
         peers[1].send(-1, b"all")
-        await until(lambda: len(got) == 3)
-        assert sorted(got[1:]) == [(0, 1, b"all"), (2, 1, b"all")]
+        await until(lambda: len(received) == 3)
+        assert sorted(received[1:]) == [(0, 1, b"all"), (2, 1, b"all")]
         network.isolate(2)
         peers[0].send(2, b"cut")
         peers[0].send(1, b"goes")
-        await until(lambda: (1, 0, b"goes") in got)
-        assert not any(data == b"cut" for _, _, data in got)
+        await until(lambda: (1, 0, b"goes") in received)
+        assert not any(data == b"cut" for _, _, data in received)
         for peer in peers:
             peer.close()
         network.close()
