--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -1,12 +1,12 @@
-"""A target whose delays are known: what it was told to wait is what a generator has to find again.
-
-It speaks as a limiter does (`PING`, `API.READ`) and answers with the request's id; with `"box": true` as a box
-does, with a load report. Delays are drawn from
-stratified quantiles in a shuffled order, so that every `STRATA` answers have the distribution's percentiles
-exactly and a generator's error is not hidden by luck. As a program it runs in a process of its own:
-`python -m elderlock.standins.delays SPEC` takes what `{"kind":"constant","ms":20}` shows, prints its port (with
-`"ports": 8` so many), ends with
-its input, and then prints the percentiles of the delays as they were.
+"""A target with known delays, against which the measurements of a load generator are checked.
+
+It speaks the protocol of a limiter (`PING`, `API.READ`) and answers with the id of the request. With `"box": true` it
+answers as a server does, with a load report. Delays are drawn from stratified quantiles in a shuffled order. So every
+`STRATA` answers have exactly the percentiles of the distribution, and chance cannot hide an error of the generator.
+
+`python -m elderlock.standins.delays SPEC` runs it in a separate process. SPEC is an object such as
+`{"kind":"constant","ms":20}`; `"ports": 8` opens that many targets. The program prints its ports, runs until its
+standard input ends and then prints the percentiles of the actual delays.
 """
 
 from __future__ import annotations
@@ -30,44 +30,68 @@
 from elderlock.standins.servers import MISSING, served
 
 STRATA = 2000
-TOLD = (0.5, 0.9, 0.99, 0.999)
+REPORTED_SHARES = (0.5, 0.9, 0.99, 0.999)
 
 
 def quantile_of(spec: dict[str, Any], share: float) -> float:
-    """ms, of the delay alone."""
+    """Returns the quantile of a distribution of delays in ms.
+
+    Args:
+        spec: The distribution: its `kind` and its parameters.
+        share: The share of delays that the quantile is not below.
+
+    Raises:
+        ValueError: The kind is unknown.
+    """
     match spec["kind"]:
         case "constant":
             return float(spec["ms"])
         case "exponential":
             return -float(spec["ms"]) * math.log(1.0 - share)
-        case "bimodal":  # a slow share, and exponential about each of its two means
-            slow, quick, late = float(spec["slow_share"]), float(spec["ms"]), float(spec["slow_ms"])
-            low, high = 0.0, 50.0 * late
+        case "bimodal":  # a mixture of two exponential distributions with the weight `slow_share` for the slow one
+            slow_share, mean, slow_mean = float(spec["slow_share"]), float(spec["ms"]), float(spec["slow_ms"])
+            low, high = 0.0, 50.0 * slow_mean
             for _ in range(80):
                 middle = (low + high) / 2.0
-                below = (1 - slow) * (1 - math.exp(-middle / quick)) + slow * (1 - math.exp(-middle / late))
-                low, high = (middle, high) if below < share else (low, middle)
+                share_below = (1 - slow_share) * (1 - math.exp(-middle / mean))
+                share_below += slow_share * (1 - math.exp(-middle / slow_mean))
+                low, high = (middle, high) if share_below < share else (low, middle)
             return (low + high) / 2.0
-    raise ValueError(f"no such kind of delay: {spec['kind']}")
+    raise ValueError(f"unknown kind of delay {spec['kind']!r}; it can be constant, exponential or bimodal")
 
 
 def delays(spec: dict[str, Any], seed: int) -> Iterator[float]:
-    """ms, one a request; for no delay at all see `Target`. The quantiles are found before this returns: found at the
-    first request, they would hold up all that come in the meantime, and no figure of ours would show it."""
-    strata = [quantile_of(spec, (n + 0.5) / STRATA) for n in range(STRATA)]
+    """Returns an endless iterator over delays in ms, one for each request.
+
+    The quantiles are computed before this returns. Computed with the first request, they would block all requests that
+    arrive meanwhile, and the measured delays would not show it.
+    """
+    strata = [quantile_of(spec, (index + 0.5) / STRATA) for index in range(STRATA)]
 
-    def drawn() -> Iterator[float]:
+    def shuffled() -> Iterator[float]:
         rng = random.Random(seed)
         while True:
             rng.shuffle(strata)
             yield from strata
 
-    return drawn()
+    return shuffled()
 
 
 class Target:
-    """`stall_at` and `stall_s`: from so long after the first request on no answer leaves for so long; what
-    was due meanwhile leaves at its end."""
+    """A target on one port.
+
+    With `stall_at` and `stall_s` in its specification it sends no answer for `stall_s` seconds, starting `stall_at`
+    seconds after the first request. The answers due meanwhile are sent at the end of the stall.
+
+    Attributes:
+        spec: The specification; the kind `none` answers without any delay.
+        taken: The number of requests received.
+        took: The actual delay of each answer in µs.
+        ready: Whether `PING` is answered with `PONG`.
+        server: The listening socket, or None while the port is closed.
+        connections: The open connections.
+        port: The port.
+    """
 
     def __init__(self, spec: dict[str, Any], seed: int = 1) -> None:
         self._loop = asyncio.get_running_loop()
@@ -77,23 +101,26 @@
         self._number = 0
         self._first = 0
         self.taken = 0
-        self.took = array("I")  # µs from each request's coming to its answer's going, as they were in truth
-        self.ready = True  # what PING is answered by
+        self.took = array("I")
+        self.ready = True
         self._ticker = Ticker(self._loop, self._fire)
         self.server: asyncio.Server | None = None
         self.connections: set[_Peer] = set()
         self.port = 0
 
     async def start(self) -> Target:
+        """Starts listening, on the same port as before if there was one, and returns the target itself."""
         self.server = await self._loop.create_server(lambda: _Peer(self), "127.0.0.1", self.port, backlog=4096)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     @property
     def endpoint(self) -> str:
+        """The `host:port` of the target."""
         return f"127.0.0.1:{self.port}"
 
     def answer(self, reply: Callable[[], None]) -> None:
+        """Schedules the answer to a request; `reply` sends it."""
         self.taken += 1
         if self._delays is None:
             return reply()
@@ -111,14 +138,14 @@
     def _fire(self) -> None:
         now = now_us()
         while self._due and self._due[0][0] <= now:
-            _, _, reply, came = heapq.heappop(self._due)
+            _, _, reply, arrived_at = heapq.heappop(self._due)
             reply()
-            self.took.append(now_us() - came)
+            self.took.append(now_us() - arrived_at)
         if self._due:
             self._ticker.at(self._due[0][0])
 
     async def stop(self) -> None:
-        """As a process that ends: nothing listens, connections break."""
+        """Simulates the end of the process: closes the port and aborts all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -126,6 +153,7 @@
             peer.abort()
 
     async def close(self) -> None:
+        """Stops the target and its timer."""
         await self.stop()
         self._ticker.close()
 
@@ -158,20 +186,27 @@
                 self.write(b"+PONG\r\n" if self._target.ready else b"-LOADING\r\n")
             elif command[0] == b"API.READ":
                 value = command[2]
-                box = self._target.spec.get("box")
-                self._answer(served(value, b"queue=0") if box else b"$%d\r\n%b\r\n" % (len(value), value))
+                has_report = self._target.spec.get("box")
+                self._answer(served(value, b"queue=0") if has_report else b"$%d\r\n%b\r\n" % (len(value), value))
             else:
                 self.write(b"-ERR unknown command\r\n")
 
     def _answer(self, reply: bytes) -> None:
-        """Overridden by stand-ins that answer otherwise."""
+        """Sends an answer; tests override this to change the behaviour."""
         self._target.answer(lambda: self.write(reply))
 
 
 @asynccontextmanager
 async def apart(truth: dict[float, float] | None = None, **spec: Any) -> AsyncIterator[list[str]]:
-    """Such targets in a process of their own, by their addresses; `truth` gets the percentiles (ms) of the delays as
-    they were."""
+    """Runs targets in a separate process.
+
+    Args:
+        truth: Receives the percentiles of the actual delays in ms at the end.
+        **spec: The specification of the targets.
+
+    Yields:
+        The addresses of the targets.
+    """
     process = await spawn(
         sys.executable, "-m", __name__, json.dumps(spec), stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE
     )
@@ -180,15 +215,15 @@
         yield [f"127.0.0.1:{port}" for port in (await process.stdout.readline()).decode().split()]
     finally:
         process.stdin.close()
-        said = await process.stdout.read()
+        output = await process.stdout.read()
         if truth is not None:
-            truth.update({float(share): ms for share, ms in json.loads(said).items()})
+            truth.update({float(share): ms for share, ms in json.loads(output).items()})
         await process.wait()
 
 
 async def _serve(spec: dict[str, Any]) -> None:
     seed = int(spec.get("seed", 1))
-    targets = [await Target(spec, seed + n).start() for n in range(spec.get("ports", 1))]
+    targets = [await Target(spec, seed + number).start() for number in range(spec.get("ports", 1))]
     print(*(target.port for target in targets), flush=True)
     loop = asyncio.get_running_loop()
     ended = asyncio.Event()
@@ -199,10 +234,14 @@
 
     await loop.connect_read_pipe(Input, sys.stdin.buffer)
     await ended.wait()
-    # what the delays were in truth: a machine that is short of cores makes them longer than they were meant
+    # the actual delays, which are longer than intended on a machine that is short of cores
     took = sorted(value for target in targets for value in target.took)
-    # the least value that such a share lies at or below, as histograms have it
-    print(json.dumps({share: took[max(0, math.ceil(share * len(took)) - 1)] / 1000.0 for share in TOLD if took}))
+    # the least value that at least this share of the delays does not exceed, as histograms define a percentile
+    print(
+        json.dumps(
+            {share: took[max(0, math.ceil(share * len(took)) - 1)] / 1000.0 for share in REPORTED_SHARES if took}
+        )
+    )
     for target in targets:
         await target.close()
 
