--- a/elderlock/standins/counters.py
+++ b/elderlock/standins/counters.py
@@ -16,7 +16,7 @@
 from elderlock.quota.lease_book import LeaseBook
 from elderlock.standins.simulation import Simulation
 
-MAX_QUEUE_MS = 20.0  # a shard with more queued work than this answers that it is busy
+MAX_QUEUE_MS = 20.0  # a shard with more queued work than this refuses calls as busy
 
 
 @dataclass(slots=True)
--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -38,7 +38,7 @@
 
     Args:
         spec: The distribution: its `kind` and its parameters.
-        share: The share of delays that the quantile is not below.
+        share: The share of delays that do not exceed the quantile.
 
     Raises:
         ValueError: The kind is unknown.
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -1,8 +1,11 @@
-"""Histories of events for a group of limiters, from a seed: a small closed world that answers their actions, and a
-digest of all that was said. The same decisions give the same history, so one figure tells whether they changed.
+"""Generates event histories for a group of limiters from a seed and computes a digest of all events and actions.
 
-No sockets and no clock: a heap of what is due. Boxes turn slow, err, refuse, fall silent, restart and go; lists
-come in parts and whole; messages between limiters are late or lost; clients go away and come in rushes.
+A small simulation answers the actions of the limiters. The same decisions give the same history, so the digest shows
+whether decisions have changed.
+
+There are no sockets and no clock, only a heap of scheduled calls. Servers become slow, return errors, refuse
+connections, fall silent, restart and are removed. Endpoint lists are complete or hold changes only. Messages between
+limiters are late or lost. Clients disconnect, and the request rate changes.
 """
 
 from __future__ import annotations
@@ -22,20 +25,26 @@
 
 HEALTHS = ("good", "good", "slow", "errs", "full", "silent", "refuses", "resets")
 MOODS = ("calm", "busy", "rush")
-RATES = {"calm": 20.0, "busy": 90.0, "rush": 300.0}  # requests a second at each limiter
-WORK = 60.0  # ms, mean of a box that has nothing else to do
+RATES = {"calm": 20.0, "busy": 90.0, "rush": 300.0}  # requests per second at each limiter
+MEAN_WORK_MS = 60.0  # of a request on an idle server
+
 
+class DecisionMaker(Protocol):
+    """The decisions of one limiter."""
 
-class Decides(Protocol):
-    def start(self, now_ms: float) -> list[api.Action]: ...
+    def start(self, now_ms: float) -> list[api.Action]:
+        """Returns the actions at the start."""
+        ...
 
-    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]: ...
+    def handle(self, event: api.Event, now_ms: float) -> list[api.Action]:
+        """Returns the actions that an event causes."""
+        ...
 
 
-Make = Callable[[api.Settings, int, float], Decides]
+Make = Callable[[api.Settings, int, float], DecisionMaker]
 
 
-# Digests were recorded over the messages' text under these names; a rename of a type or a field adds a line here.
+# Digests were recorded over the text of messages with these names. A rename of a type or a field adds a line here.
 RECORDED_TYPE_NAMES: dict[type, str] = {
     api.AddToCounter: "Tally",
     api.CancelAttempt: "Cancel",
@@ -78,7 +87,7 @@
 
 
 def recorded_text(value: Any) -> str:
-    """The `repr` of a message, or of a list of them, under the names of the time when the digests were recorded.
+    """Returns the `repr` of a message or a list of messages, with the names at the time when digests were recorded.
 
     A digest therefore changes with a decision and not with a rename.
     """
@@ -92,10 +101,10 @@
     if not is_dataclass(value):
         return repr(value)
     name = RECORDED_TYPE_NAMES.get(type(value), type(value).__qualname__)
-    shown = (
+    field_texts = (
         f"{_recorded_field(value, each.name)}={recorded_text(getattr(value, each.name))}" for each in fields(value)
     )
-    return f"{name}({', '.join(shown)})"
+    return f"{name}({', '.join(field_texts)})"
 
 
 def _recorded_field(message: Any, name: str) -> str:
@@ -105,14 +114,14 @@
 
 
 @dataclass(slots=True)
-class _Box:
+class _Server:
     uid: str
     zone: int
     kind: int
     health: str = "good"
     state: ServerState = ServerState.RUNNING
     started_at: float = 0.0
-    out: int = 0
+    in_flight: int = 0
 
     def entry(self) -> api.ServerEntry:
         return api.ServerEntry(self.uid, self.zone, self.kind, self.zone, self.state, 1.0 + self.kind, self.started_at)
@@ -122,12 +131,18 @@
 class _Request:
     limiter: int
     answered: bool = False
-    attempts: dict[int, bool] = field(default_factory=dict)  # whether each is over
+    attempts: dict[int, bool] = field(default_factory=dict)  # whether each attempt has ended
     permitted: bool = False
 
 
 def settings(rng: random.Random, number: int, limiters: int) -> api.Settings:
-    """Of one limiter; what is drawn must be alike for all of a group, so `rng` is seeded alike for each."""
+    """Returns the settings of one limiter.
+
+    Args:
+        rng: Random numbers, with the same seed for all limiters of a group because their settings have to agree.
+        number: The limiter's number.
+        limiters: The number of limiters.
+    """
     raw: dict[str, Any] = group_settings(number, limiters)
     raw["services"] = [
         {"name": "lookup", "goal-time": 300.0, "effect": "free", "credit": 1.0},
@@ -170,7 +185,21 @@
 
 
 class History:
-    """Plays until so many events have been handled; `digest` is of all of them with their actions."""
+    """A simulation of one group of limiters.
+
+    Attributes:
+        rng: The random numbers of the history.
+        now: The simulated time in ms.
+        events: The number of events handled so far.
+        boxes: The servers by id.
+        requests: The open requests by id.
+        count: The number of limiters.
+        settings: The settings of each limiter.
+        limiters: The limiters.
+        customers: The ids of all customers.
+        mood: The load level, a key of `RATES`.
+        version: The version of the endpoint list.
+    """
 
     def __init__(self, seed: int, make: Make, limiters: int = 3, boxes: int = 12) -> None:
         self.rng = random.Random(f"history/{seed}")
@@ -179,8 +208,8 @@
         self.now = 1_000_000.0
         self.events = 0
         self._hash = hashlib.sha256()
-        self.boxes = {f"s-{n}": _Box(f"s-{n}", n % 3, n % 2) for n in range(boxes)}
-        self._fresh = boxes
+        self.boxes = {f"s-{index}": _Server(f"s-{index}", index % 3, index % 2) for index in range(boxes)}
+        self._last_server_number = boxes
         self.requests: dict[str, _Request] = {}
         self.count = limiters
         self.settings = [settings(random.Random(f"settings/{seed}"), n, limiters) for n in range(limiters)]
@@ -190,15 +219,16 @@
         self.version = 0
         for number, limiter in enumerate(self.limiters):
             self._act(number, limiter.start(self.now))
-            self._tell(number, ListKind.COMPLETE)
+            self._send_list(number, ListKind.COMPLETE)
             self._after(self.rng.expovariate(1.0), lambda number=number: self._arrive(number))  # type: ignore[misc]
-        self._after(500.0, self._trouble)
+        self._after(500.0, self._inject_fault)
 
     def _after(self, wait: float, do: Callable[[], None]) -> None:
         self._number += 1
         heapq.heappush(self._due, (self.now + wait, self._number, do))
 
     def play(self, events: int) -> str:
+        """Runs until `events` events have been handled and returns the digest of all events and their actions."""
         while self.events < events:
             self.now, _, do = heapq.heappop(self._due)
             do()
@@ -211,7 +241,7 @@
         self._hash.update(line.encode())
         self._act(number, actions)
 
-    # What the limiters do
+    # Actions of the limiters
 
     def _act(self, number: int, actions: list[api.Action]) -> None:
         for action in actions:
@@ -219,10 +249,10 @@
                 case api.SetTimer(wait, token):
                     self._after(wait, lambda token=token: self._handle(number, api.TimerFired(token)))  # type: ignore[misc]
                 case api.SendAttempt(name, server, timeout):
-                    self._sent(number, name, server, timeout)
+                    self._send(number, name, server, timeout)
                 case api.Permit(name, server, timeout):
                     self.requests[name].answered = self.requests[name].permitted = True
-                    self._sent(number, name, server, timeout)
+                    self._send(number, name, server, timeout)
                 case api.Reject(name) | api.Fail(name):
                     self._answered(name)
                 case api.CancelAttempt(name, attempt):
@@ -230,53 +260,55 @@
                 case api.SendPeerMessage(receiver, data):
                     if self.rng.random() < 0.95 and receiver != number:
                         wait = self.rng.uniform(1.0, 25.0)
-                        told = api.PeerMessage(number, data)
-                        self._after(wait, lambda receiver=receiver, told=told: self._handle(receiver, told))  # type: ignore[misc]
+                        message = api.PeerMessage(number, data)
+                        self._after(wait, lambda receiver=receiver, message=message: self._handle(receiver, message))  # type: ignore[misc]
                 case api.FetchServerList():
-                    self._after(5.0, lambda: self._tell(number, ListKind.COMPLETE))
+                    self._after(5.0, lambda: self._send_list(number, ListKind.COMPLETE))
                 case _:
                     pass
 
-    def _sent(self, number: int, name: str, server: str, timeout: float) -> None:
-        request, box, rng = self.requests[name], self.boxes.get(server), self.rng
+    def _send(self, number: int, name: str, uid: str, timeout: float) -> None:
+        request, server, rng = self.requests[name], self.boxes.get(uid), self.rng
         attempt = len(request.attempts)
         request.attempts[attempt] = False
-        limit = timeout or 3000.0
-        took, outcome = rng.expovariate(1.0) * WORK, Outcome.OK
-        if box is None or box.state is ServerState.REMOVED or box.health == "refuses":
-            took, outcome = rng.uniform(0.1, 3.0), Outcome.CONNECT_FAILED
+        timeout_ms = timeout or 3000.0
+        duration_ms, outcome = rng.expovariate(1.0) * MEAN_WORK_MS, Outcome.OK
+        if server is None or server.state is ServerState.REMOVED or server.health == "refuses":
+            duration_ms, outcome = rng.uniform(0.1, 3.0), Outcome.CONNECT_FAILED
         else:
-            box.out += 1
-            took *= 1.0 + box.out / 3.0
-            match box.health:
+            server.in_flight += 1
+            duration_ms *= 1.0 + server.in_flight / 3.0
+            match server.health:
                 case "slow":
-                    took *= 8.0
+                    duration_ms *= 8.0
                 case "errs" if rng.random() < 0.6:
                     outcome = Outcome.ERROR
                 case "full" if rng.random() < 0.7:
-                    took, outcome = 1.0, Outcome.FULL
+                    duration_ms, outcome = 1.0, Outcome.FULL
                 case "silent":
-                    took = limit + 1.0
+                    duration_ms = timeout_ms + 1.0
                 case "resets" if rng.random() < 0.5:
                     outcome = Outcome.RESET
         if request.permitted and rng.random() < 0.1:
             outcome = Outcome.NOT_FORWARDED
-        if took >= limit:
-            took, outcome = limit, Outcome.TIMEOUT
-        self._after(took, lambda: self._ended(number, name, attempt, server, outcome, took))
+        if duration_ms >= timeout_ms:
+            duration_ms, outcome = timeout_ms, Outcome.TIMEOUT
+        self._after(duration_ms, lambda: self._ended(number, name, attempt, uid, outcome, duration_ms))
 
-    def _ended(self, number: int, name: str, attempt: int, server: str, outcome: Outcome, took: float) -> None:
+    def _ended(self, number: int, name: str, attempt: int, uid: str, outcome: Outcome, duration_ms: float) -> None:
         request = self.requests.get(name)
         if request is None or request.attempts.get(attempt, True):
             return
         request.attempts[attempt] = True
-        if (box := self.boxes.get(server)) is not None:
-            box.out = max(0, box.out - 1)
+        if (server := self.boxes.get(uid)) is not None:
+            server.in_flight = max(0, server.in_flight - 1)
         if outcome is Outcome.OK:
             request.answered = True
-        meter = self.rng.randrange(0, 200) if self.settings[0].quota_sources.meter_period_ms else 0
+        meter_reading = self.rng.randrange(0, 200) if self.settings[0].quota_sources.meter_period_ms else 0
         units = float(self.rng.randrange(0, 4)) if self.settings[0].quota_sources.is_cost_known_at_end else 0.0
-        self._handle(number, api.AttemptEnded(name, attempt, server, outcome, took, request.answered, meter, units))
+        is_answered = request.answered
+        event = api.AttemptEnded(name, attempt, uid, outcome, duration_ms, is_answered, meter_reading, units)
+        self._handle(number, event)
         self._forget(name)
 
     def _answered(self, name: str) -> None:
@@ -288,20 +320,20 @@
         if request is not None and request.answered and all(request.attempts.values()):
             del self.requests[name]
 
-    # What comes from outside
+    # External events
 
     def _arrive(self, number: int) -> None:
         rng = self.rng
         self._after(rng.expovariate(RATES[self.mood]) * 1000.0, lambda: self._arrive(number))
         index = min(int(rng.paretovariate(0.5)) - 1, len(self.customers) - 1)
         self._number += 1
-        name, kinds = f"r{self._number}", self.settings[number]
+        name, settings_of_limiter = f"r{self._number}", self.settings[number]
         spread = 1 + index % self.count
-        kind = api.PermitRequested if rng.random() < 0.05 else api.RequestArrived
-        event = kind(
+        event_type = api.PermitRequested if rng.random() < 0.05 else api.RequestArrived
+        event = event_type(
             request_id=name,
             class_index=rng.choice([0, 0, 0, 1, 2]),
-            plan_index=index % len(kinds.plans),
+            plan_index=index % len(settings_of_limiter.plans),
             customer_id=self.customers[index],
             units=float(rng.choice([1, 1, 1, 2, 4])),
             deadline_ms=self.now + rng.uniform(300.0, 1500.0),
@@ -311,56 +343,61 @@
         self.requests[name] = _Request(number)
         self._handle(number, event)
         if name in self.requests and rng.random() < 0.02:
-            self._after(rng.uniform(1.0, 400.0), lambda: self._gone(number, name))
+            self._after(rng.uniform(1.0, 400.0), lambda: self._client_disconnected(number, name))
         if name in self.requests:
-            self._after(event.deadline_ms - self.now, lambda: self._gone(number, name))
+            self._after(event.deadline_ms - self.now, lambda: self._client_disconnected(number, name))
 
-    def _gone(self, number: int, name: str) -> None:
+    def _client_disconnected(self, number: int, name: str) -> None:
         request = self.requests.get(name)
         if request is not None and not request.answered:
             request.answered = True
             self._handle(number, api.ClientDisconnected(name))
             self._forget(name)
 
-    def _trouble(self) -> None:
+    def _inject_fault(self) -> None:
         rng = self.rng
-        self._after(rng.uniform(200.0, 1500.0), self._trouble)
+        self._after(rng.uniform(200.0, 1500.0), self._inject_fault)
         if rng.random() < 0.25:
             self.mood = rng.choice(MOODS)
-        box = self.boxes[rng.choice(sorted(self.boxes))]
+        server = self.boxes[rng.choice(sorted(self.boxes))]
         match rng.randrange(8):
             case 0:
-                box.state = rng.choice([ServerState.DRAINING, ServerState.RUNNING])
+                server.state = rng.choice([ServerState.DRAINING, ServerState.RUNNING])
             case 1:
-                box.started_at, box.health = self.now, "good"
+                server.started_at, server.health = self.now, "good"
             case 2 if len(self.boxes) > 4:
-                box.state = ServerState.REMOVED
-                self._tell_all(ListKind.CHANGES, box)
-                del self.boxes[box.uid]
+                server.state = ServerState.REMOVED
+                self._send_list_to_all(ListKind.CHANGES, server)
+                del self.boxes[server.uid]
                 return
             case 3:
-                self._fresh += 1
-                uid = f"s-{self._fresh}"
-                box = self.boxes[uid] = _Box(uid, rng.randrange(3), rng.randrange(2), started_at=self.now)
+                self._last_server_number += 1
+                uid = f"s-{self._last_server_number}"
+                server = self.boxes[uid] = _Server(uid, rng.randrange(3), rng.randrange(2), started_at=self.now)
             case 4:
-                return self._tell_all(ListKind.COMPLETE, box)
+                return self._send_list_to_all(ListKind.COMPLETE, server)
             case _:
-                box.health = rng.choice(HEALTHS)
+                server.health = rng.choice(HEALTHS)
                 return
-        self._tell_all(ListKind.CHANGES, box)
+        self._send_list_to_all(ListKind.CHANGES, server)
 
-    def _tell_all(self, kind: ListKind, box: _Box) -> None:
+    def _send_list_to_all(self, kind: ListKind, changed: _Server) -> None:
         self.version += 1
         for number in range(self.count):
-            entries = (box.entry(),) if kind is ListKind.CHANGES else tuple(b.entry() for b in self.boxes.values())
-            told = api.ServerList(self.version, kind, entries)
-            self._after(self.rng.uniform(0.0, 300.0), lambda number=number, told=told: self._handle(number, told))  # type: ignore[misc]
+            listed = (changed,) if kind is ListKind.CHANGES else tuple(self.boxes.values())
+            event = api.ServerList(self.version, kind, tuple(server.entry() for server in listed))
+            self._after(self.rng.uniform(0.0, 300.0), lambda number=number, event=event: self._handle(number, event))  # type: ignore[misc]
 
-    def _tell(self, number: int, kind: ListKind) -> None:
-        self._handle(number, api.ServerList(self.version, kind, tuple(b.entry() for b in self.boxes.values())))
+    def _send_list(self, number: int, kind: ListKind) -> None:
+        entries = tuple(server.entry() for server in self.boxes.values())
+        self._handle(number, api.ServerList(self.version, kind, entries))
 
 
 def digests(make: Make, events: int, seeds: Iterator[int]) -> Iterator[tuple[int, str]]:
-    """Each seed with a number of limiters of its own: one, two, three or five."""
+    """Computes the digests of several histories with 1, 2, 3 or 5 limiters, depending on the seed.
+
+    Yields:
+        Each seed with the digest of its history.
+    """
     for seed in seeds:
         yield seed, History(seed, make, limiters=(1, 2, 3, 5)[seed % 4], boxes=(3, 12, 90)[seed % 3]).play(events)
--- a/elderlock/standins/tier.py
+++ b/elderlock/standins/tier.py
@@ -1,7 +1,8 @@
-"""A tier in simulated time: limiters that decide as the program does, and boxes with slots, a waiting room and a
-warm-up, to see what choice, subsets and outliers do at sizes that no machine here holds.
+"""A simulation of a large tier: limiters with the real decision code, and servers with slots, a queue and a warm-up.
 
-Times are ms, rates a second. Everything comes from one seed: the same seed plays the same run.
+It shows the effects of server selection, subsetting and outlier detection at sizes that do not fit on one machine.
+
+Times are in ms and rates per second. The same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 from elderlock.interface import ListKind, Outcome, ServerState
 from elderlock.standins.simulation import Simulation
 
-AIM = 300.0
-DIAL = 45.0  # that a dial to a silent box may take
-PLAIN = api.Plan("plain", rate_per_s=1e6, burst_units=1e6)
+LATENCY_OBJECTIVE_MS = 300.0
+CONNECT_TIMEOUT_MS = 45.0  # of a connection attempt to a silent server
+UNLIMITED_PLAN = api.Plan("plain", rate_per_s=1e6, burst_units=1e6)
 RULES = api.ServiceRules(
     warm_up_initial_fraction=0.3, warm_up_ms=10_000.0, overload_multiple=2.0, overload_window_ms=1000.0
 )
@@ -28,8 +29,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """What is played. `work` is a request's mean at a box of speed one; `load` the share of all slots that is asked
-    for; `same` and `cross` are one-way delays inside a zone and between two."""
+    """The parameters of a simulation.
+
+    Attributes:
+        limiters: The number of limiters.
+        boxes: The number of servers.
+        zones: The number of zones.
+        slots: The number of requests that a server processes at once.
+        room: The capacity of a server's queue.
+        work: The mean duration of a request in ms on a server of speed 1.
+        load: The offered load as a share of the capacity of all servers.
+        same: The one-way delay in ms within a zone.
+        cross: The one-way delay in ms between two zones.
+        customers: The number of customers.
+        speeds: The speed of each kind of server.
+        routing: The routing settings of the limiters.
+        plans: The plans of the customers.
+        peers: Whether limiters exchange messages.
+        report_every: The greatest age of a load report in ms.
+        report_late: How long in ms a load report counts as fresh beyond twice `report_every`.
+    """
 
     limiters: int = 3
     boxes: int = 30
@@ -41,35 +60,53 @@
     same: float = 0.25
     cross: float = 2.0
     customers: int = 200
-    speeds: tuple[float, ...] = (1.0, 0.65)  # by kind
+    speeds: tuple[float, ...] = (1.0, 0.65)
     routing: api.Routing = field(default_factory=api.Routing)
-    plans: tuple[api.Plan, ...] = (PLAIN,)
+    plans: tuple[api.Plan, ...] = (UNLIMITED_PLAN,)
     peers: bool = False
-    report_every: float = 400.0  # a box's report is that old at the most
+    report_every: float = 400.0
     report_late: float = 100.0
 
 
 class Box:
-    """Serves in turn; what it holds when it fails is never answered."""
+    """A server that processes requests in order of arrival; a failure loses all requests that it holds.
+
+    Attributes:
+        tier: The simulation.
+        uid: The server's id.
+        zone: The zone's number.
+        kind: The number of the hardware kind.
+        speed: The speed of the warm server.
+        state: The state in endpoint lists.
+        started_at: When the process started; 0 for a server that is warm from the beginning.
+        silent: Whether the server never answers.
+        errs: The share of answers that are errors.
+        busy: The number of requests being processed.
+        waiting: The queue.
+        report: When the newest load report was taken, and the queue length that it gives.
+        lies: Whether load reports always give an empty queue.
+        cold_sends: When each request was sent to the server during its warm-up.
+    """
 
     def __init__(self, tier: Tier, uid: str, zone: int, kind: int, speed: float) -> None:
         self.tier, self.uid, self.zone, self.kind, self.speed = tier, uid, zone, kind, speed
         self.state, self.started_at = ServerState.RUNNING, 0.0
         self.silent = False
-        self.errs = 0.0  # share of its answers that are errors
+        self.errs = 0.0
         self.busy = 0
         self.waiting: deque[Attempt] = deque()
-        self.report: tuple[float, int] = (0.0, 0)  # when taken, and the length of its queue then
+        self.report: tuple[float, int] = (0.0, 0)
         self.lies = False
         self.cold_sends: list[float] = []
 
     def entry(self) -> api.ServerEntry:
+        """Returns the server's entry in endpoint lists."""
         return api.ServerEntry(
             self.uid, self.zone, self.kind, int(self.uid[2:]) // 4, self.state, self.speed, self.started_at
         )
 
     def pace(self) -> float:
-        """Its speed now: cold, it rises evenly."""
+        """Returns the current speed, which rises linearly during the warm-up."""
         age = self.tier.now - self.started_at
         if self.started_at <= 0 or age >= RULES.warm_up_ms:
             return self.speed
@@ -77,7 +114,8 @@
             RULES.warm_up_initial_fraction + (1.0 - RULES.warm_up_initial_fraction) * age / RULES.warm_up_ms
         )
 
-    def come(self, attempt: Attempt) -> None:
+    def receive(self, attempt: Attempt) -> None:
+        """Starts, queues or refuses an attempt."""
         if self.silent:
             return
         if self.tier.now - self.report[0] >= self.tier.size.report_every:
@@ -91,27 +129,37 @@
 
     def _begin(self, attempt: Attempt) -> None:
         self.busy += 1
-        took = self.tier.rng.expovariate(1.0) * self.tier.size.work / self.pace()
-        self.tier.after(took, self._done, attempt)
+        duration_ms = self.tier.rng.expovariate(1.0) * self.tier.size.work / self.pace()
+        self.tier.after(duration_ms, self._done, attempt)
 
     def _done(self, attempt: Attempt) -> None:
         self.busy -= 1
         if not self.silent:
-            wrong = self.errs > 0.0 and self.tier.rng.random() < self.errs
-            self.tier.answer(attempt, Outcome.ERROR if wrong else Outcome.OK)
+            is_error = self.errs > 0.0 and self.tier.rng.random() < self.errs
+            self.tier.answer(attempt, Outcome.ERROR if is_error else Outcome.OK)
         while self.waiting and self.busy < self.tier.size.slots:
-            following = self.waiting.popleft()
-            if not following.over:
-                self._begin(following)
+            next_attempt = self.waiting.popleft()
+            if not next_attempt.over:
+                self._begin(next_attempt)
 
     def restart(self) -> None:
-        """Comes up cold, with nothing of what it held."""
+        """Simulates a restart: the server is cold and its queue is lost."""
         self.silent, self.started_at = False, self.tier.now
         self.waiting.clear()
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of a request.
+
+    Attributes:
+        request: The request.
+        number: The number of the attempt within the request.
+        box: The server.
+        sent_at: When the attempt was sent.
+        over: Whether the limiter knows the outcome.
+    """
+
     request: Request
     number: int
     box: Box
@@ -121,6 +169,16 @@
 
 @dataclass(slots=True, eq=False)
 class Request:
+    """A client's request.
+
+    Attributes:
+        name: The id of the request.
+        limiter: The number of the limiter that received it.
+        arrived: When it arrived.
+        attempts: Its attempts so far.
+        answered: Whether the client has an answer.
+    """
+
     name: str
     limiter: int
     arrived: float
@@ -129,26 +187,42 @@
 
 
 class Tier(Simulation):
-    """`play` runs it; `outcomes`, `took`, `sends` and `pairs` count from `count_from` on."""
+    """The simulation of a tier, which `play` runs.
+
+    Attributes:
+        size: The parameters.
+        rng: The random numbers of the run.
+        boxes: The servers by id.
+        requests: The open requests by id.
+        count_from: The time from which the figures below count.
+        outcomes: The number of requests by outcome.
+        took: The latencies of the served requests.
+        sends: The number of attempts to each server.
+        pairs: The pairs of a limiter and a server between which attempts were sent.
+        away: The number of attempts that left the limiter's zone.
+        slots_mass: The capacity of all warm servers, in slots of speed 1.
+        rate: The requests per second at each limiter.
+        limiters: The limiters.
+    """
 
     def __init__(self, size: Size, seed: int, make: Make = Limiter) -> None:
         super().__init__(1_000_000.0)
         self.size, self.rng = size, random.Random(f"tier/{seed}")
         self.boxes = {}
-        for n in range(size.boxes):
-            kind = (n // size.zones) % len(size.speeds)
-            self.boxes[f"s-{n}"] = Box(self, f"s-{n}", n % size.zones, kind, size.speeds[kind])
-        self._fresh = size.boxes
+        for number in range(size.boxes):
+            kind = (number // size.zones) % len(size.speeds)
+            self.boxes[f"s-{number}"] = Box(self, f"s-{number}", number % size.zones, kind, size.speeds[kind])
+        self._next_server_number = size.boxes
         self.requests: dict[str, Request] = {}
         self.count_from = 0.0
         self.outcomes: Counter[str] = Counter()
         self.took: list[float] = []
         self.sends: Counter[str] = Counter()
         self.pairs: set[tuple[int, str]] = set()
-        self.away = 0  # sends that left the limiter's zone
+        self.away = 0
         self.slots_mass = size.slots * sum(box.speed for box in self.boxes.values())
-        self.rate = size.load * self.slots_mass / size.work * 1000.0 / size.limiters  # at each limiter
-        self._weights = list(accumulate(1.0 / (n + 1) ** 0.6 for n in range(size.customers)))
+        self.rate = size.load * self.slots_mass / size.work * 1000.0 / size.limiters
+        self._weights = list(accumulate(1.0 / (rank + 1) ** 0.6 for rank in range(size.customers)))
         self.limiters = [make(self._settings(n), seed * 1000 + n, self.now) for n in range(size.limiters)]
         for number, limiter in enumerate(self.limiters):
             self._act(number, limiter.start(self.now))
@@ -162,7 +236,7 @@
             limiter_count=size.limiters,
             clock_tick_ms=1.0,
             zone=number % size.zones,
-            request_classes=(api.RequestClass("lookup", AIM),),
+            request_classes=(api.RequestClass("lookup", LATENCY_OBJECTIVE_MS),),
             plans=size.plans,
             rules=RULES,
             capabilities=api.Capabilities(max_attempts=4, can_cancel=True, can_message_peers=size.peers),
@@ -171,7 +245,7 @@
         )
 
     def count_anew(self) -> None:
-        """What is counted starts here."""
+        """Resets all figures and counts from now on."""
         self.count_from = self.now
         self.outcomes.clear()
         self.took.clear()
@@ -179,29 +253,31 @@
         self.pairs.clear()
         self.away = 0
 
-    # Lists
+    # Endpoint lists
 
     def tell(self, number: int, boxes: list[Box] | None = None) -> None:
+        """Sends a limiter the entries of the given servers, or the complete list."""
         kind = ListKind.COMPLETE if boxes is None else ListKind.CHANGES
         entries = tuple(box.entry() for box in (self.boxes.values() if boxes is None else boxes))
         self.handle(number, api.ServerList(1, kind, entries))
 
     def tell_all(self, boxes: list[Box] | None = None, late: float = 200.0) -> None:
+        """Sends all limiters the entries of the given servers, or the complete list, each within `late` ms."""
         for number in range(self.size.limiters):
             self.after(self.rng.uniform(0.0, late), self.tell, number, boxes)
 
     def replace(self, uids: list[str]) -> list[Box]:
-        """Fresh machines, cold, in the place of those."""
-        fresh = []
+        """Replaces servers by cold ones of the same kind in the same zone and returns the new servers."""
+        new_servers = []
         for uid in uids:
             old = self.boxes.pop(uid)
             old.state, old.silent = ServerState.REMOVED, True
-            box = Box(self, f"s-{self._fresh}", old.zone, old.kind, old.speed)
-            self._fresh += 1
-            box.started_at = self.now
-            self.boxes[box.uid] = box
-            fresh.append(box)
-        return fresh
+            server = Box(self, f"s-{self._next_server_number}", old.zone, old.kind, old.speed)
+            self._next_server_number += 1
+            server.started_at = self.now
+            self.boxes[server.uid] = server
+            new_servers.append(server)
+        return new_servers
 
     # Limiters
 
@@ -211,15 +287,18 @@
         self._number += 1
         name = f"r{self._number}"
         customer = rng.choices(range(self.size.customers), cum_weights=self._weights)[0]
-        plans = len(self.size.plans)
+        plan_count = len(self.size.plans)
         request = self.requests[name] = Request(name, number, self.now)
-        give_up = self.now + 3 * AIM
+        deadline_ms = self.now + 3 * LATENCY_OBJECTIVE_MS
         spread = min(3, self.size.limiters) if self.size.peers else 1
-        self.handle(number, api.RequestArrived(name, 0, customer % plans, str(customer), 1.0, give_up, spread, number))
+        plan_index = customer % plan_count
+        event = api.RequestArrived(name, 0, plan_index, str(customer), 1.0, deadline_ms, spread, number)
+        self.handle(number, event)
         if not request.answered:
-            self.after(3 * AIM, self._gone, request)
+            self.after(3 * LATENCY_OBJECTIVE_MS, self._deadline_passed, request)
 
     def handle(self, number: int, event: api.Event) -> None:
+        """Passes an event to a limiter and carries out its actions."""
         self._act(number, self.limiters[number].handle(event, self.now))
 
     def _act(self, number: int, actions: list[api.Action]) -> None:
@@ -230,9 +309,9 @@
                 case api.SendAttempt(name, server, timeout):
                     self._send(number, self.requests[name], server, timeout)
                 case api.Reject(name):
-                    self._final(self.requests[name], "refused")
+                    self._finish(self.requests[name], "refused")
                 case api.Fail(name):
-                    self._final(self.requests[name], "failed")
+                    self._finish(self.requests[name], "failed")
                 case api.CancelAttempt(name, attempt):
                     self._ended(self.requests[name].attempts[attempt], Outcome.CANCELLED)
                 case api.SendPeerMessage(receiver, data) if receiver != number and self.rng.random() > 0.03:
@@ -241,30 +320,31 @@
                     pass
 
     def _send(self, number: int, request: Request, uid: str, timeout: float) -> None:
-        box = self.boxes.get(uid)
-        if box is None:
-            box = Box(self, uid, 0, 0, 1.0)
-            box.silent = True
-        attempt = Attempt(request, len(request.attempts), box, self.now)
+        server = self.boxes.get(uid)
+        if server is None:
+            server = Box(self, uid, 0, 0, 1.0)
+            server.silent = True
+        attempt = Attempt(request, len(request.attempts), server, self.now)
         request.attempts.append(attempt)
         if self.now >= self.count_from:
             self.sends[uid] += 1
             self.pairs.add((number, uid))
-            self.away += box.zone != number % self.size.zones
-        if box.started_at > 0 and self.now - box.started_at < RULES.warm_up_ms:
-            box.cold_sends.append(self.now)
-        if box.silent:  # a machine that vanished: its dial never comes up
-            self.after(min(DIAL, timeout), self._ended, attempt, Outcome.CONNECT_FAILED)
+            self.away += server.zone != number % self.size.zones
+        if server.started_at > 0 and self.now - server.started_at < RULES.warm_up_ms:
+            server.cold_sends.append(self.now)
+        if server.silent:  # the machine has vanished, so the connection is never established
+            self.after(min(CONNECT_TIMEOUT_MS, timeout), self._ended, attempt, Outcome.CONNECT_FAILED)
         else:
-            self.after(self._way(number, box), box.come, attempt)
+            self.after(self._one_way_delay(number, server), server.receive, attempt)
             self.after(timeout, self._ended, attempt, Outcome.TIMEOUT)
 
-    def _way(self, number: int, box: Box) -> float:
-        way = self.size.same if box.zone == number % self.size.zones else self.size.cross
-        return way * self.rng.uniform(0.8, 1.3)
+    def _one_way_delay(self, number: int, server: Box) -> float:
+        delay_ms = self.size.same if server.zone == number % self.size.zones else self.size.cross
+        return delay_ms * self.rng.uniform(0.8, 1.3)
 
     def answer(self, attempt: Attempt, outcome: Outcome) -> None:
-        self.after(self._way(attempt.request.limiter, attempt.box), self._ended, attempt, outcome)
+        """Sends a server's answer to the limiter."""
+        self.after(self._one_way_delay(attempt.request.limiter, attempt.box), self._ended, attempt, outcome)
 
     def _ended(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.over:
@@ -272,55 +352,62 @@
         attempt.over = True
         request = attempt.request
         if outcome is Outcome.OK:
-            self._final(request, "served" if self.now - request.arrived <= AIM else "late")
-        took = self.now - attempt.sent_at
-        ended = api.AttemptEnded(request.name, attempt.number, attempt.box.uid, outcome, took, request.answered)
-        self.handle(request.limiter, ended)
-        if request.answered and all(a.over for a in request.attempts):
+            self._finish(request, "served" if self.now - request.arrived <= LATENCY_OBJECTIVE_MS else "late")
+        duration_ms = self.now - attempt.sent_at
+        event = api.AttemptEnded(request.name, attempt.number, attempt.box.uid, outcome, duration_ms, request.answered)
+        self.handle(request.limiter, event)
+        if request.answered and all(sent.over for sent in request.attempts):
             self.requests.pop(request.name, None)
 
-    def _gone(self, request: Request) -> None:
+    def _deadline_passed(self, request: Request) -> None:
         if not request.answered:
-            self._final(request, "unanswered")
+            self._finish(request, "unanswered")
             self.handle(request.limiter, api.ClientDisconnected(request.name))
 
-    def _final(self, request: Request, word: str) -> None:
-        """The one answer; a second is a broken rule."""
+    def _finish(self, request: Request, outcome: str) -> None:
+        """Records the outcome of a request; a limiter must not answer a request twice."""
         if request.answered:
-            if word in ("served", "late"):
-                return  # a copy that came after it
-            raise AssertionError(f"{request.name} was answered twice")
+            if outcome in ("served", "late"):
+                return  # the answer of another attempt has arrived earlier
+            raise AssertionError(f"{request.name} was answered twice: now {outcome}")
         request.answered = True
         if request.arrived >= self.count_from:
-            self.outcomes[word] += 1
-            if word in ("served", "late"):
+            self.outcomes[outcome] += 1
+            if outcome in ("served", "late"):
                 self.took.append(self.now - request.arrived)
 
     # Figures
 
-    def quantile(self, part: float) -> float:
-        took = sorted(self.took)
-        return took[min(len(took) - 1, int(part * len(took)))] if took else 0.0
+    def quantile(self, share: float) -> float:
+        """Returns a quantile of the latencies in ms, or 0 if no request was served."""
+        latencies = sorted(self.took)
+        return latencies[min(len(latencies) - 1, int(share * len(latencies)))] if latencies else 0.0
 
     def served(self) -> float:
+        """Returns the share of requests served within the latency objective."""
         return self.outcomes["served"] / max(1, sum(self.outcomes.values()))
 
     def cold_excess(self) -> float:
-        """The most that was sent to a cold box within the rule's window over what the rule lets go there; the rule's
-        fall comes from what a warm one bears."""
+        """Returns how far the rule for the warm-up was used up at worst.
+
+        This is the greatest ratio of the requests sent to a cold server within the window of the rule to the requests
+        that the rule allows, which follow from the capacity of a warm server.
+        """
         worst = 0.0
-        bears = self.size.slots / self.size.work * 1000.0
-        for box in self.boxes.values():
-            sends = box.cold_sends
+        capacity_per_s = self.size.slots / self.size.work * 1000.0
+        for server in self.boxes.values():
+            sends = server.cold_sends
             first = 0
             for last, at in enumerate(sends):
                 while at - sends[first] > RULES.overload_window_ms:
                     first += 1
-                age = sends[first] - box.started_at
+                age = sends[first] - server.started_at
                 share = (
                     RULES.warm_up_initial_fraction
                     + (1.0 - RULES.warm_up_initial_fraction) * max(0.0, age) / RULES.warm_up_ms
                 )
-                allowed = bears * box.speed * share * RULES.overload_multiple * RULES.overload_window_ms / 1000.0
+                allowed = (
+                    capacity_per_s * server.speed * share * RULES.overload_multiple * RULES.overload_window_ms / 1000.0
+                )
                 worst = max(worst, (last - first + 1) / allowed)
         return worst
