--- a/benchmarks/authz_doors.py
+++ b/benchmarks/authz_doors.py
@@ -29,7 +29,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
-from elderlock.standins.gateways import Asking
+from elderlock.standins.gateways import GatewayClient
 from elderlock.standins.programs import ACCOUNT, ENTERPRISE, Program, programs, terms_of
 from elderlock.standins.settings import terms
 from elderlock.standins.waiting import run, unix_ms
@@ -183,7 +183,7 @@
         bare_process = await spawn(sys.executable, "-B", __file__, "--bare", str(port_file))
         while not port_file.exists() or not port_file.read_text():
             await asyncio.sleep(0.02)
-        asking, empty = program.asking(), Asking(int(port_file.read_text()))
+        asking, empty = program.asking(), GatewayClient(int(port_file.read_text()))
         front = Front(program.world.listens, 200.0, seed=2, plans=("enterprise",))
         costs: dict[str, list[float]] = {"check": [], "bare": [], "read": []}
 
@@ -244,7 +244,7 @@
         }
         door = RoutingDoor(raw, folder, set, random.Random(1))
         await door.start()
-        asking = Asking(door.port)
+        asking = GatewayClient(door.port)
         killed_at, asked, right = 0.0, 0, 0
 
         async def ask(n: int) -> None:
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -25,7 +25,7 @@
 from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.lease_book import LeaseBook
-from elderlock.standins.counters import Group
+from elderlock.standins.counter_simulation import Group
 from elderlock.standins.listener import Fault
 from elderlock.standins.programs import Program, programs
 
--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -24,7 +24,7 @@
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
-from elderlock.standins.delays import apart
+from elderlock.standins.delays import run_targets
 from elderlock.standins.discovery import Discovery
 from elderlock.standins.settings import raw_config
 from elderlock.standins.world import ROOT, free_address
@@ -117,7 +117,7 @@
 async def case(rate: float, accounts: int, count: int, rounds: int, lasts: float, profile: bool) -> dict[str, Any]:
     ratios, limiter_us, floor_us, served = [], [], [], []
     with tempfile.TemporaryDirectory() as name:
-        async with apart(kind="none", box=True, ports=count) as endpoints:
+        async with run_targets(kind="none", box=True, ports=count) as endpoints:
             rows = [
                 {
                     "uid": f"s-{n:03d}",
@@ -141,7 +141,7 @@
                         command = ["-c", PROFILED]
                     async with Subject(command, listens[0], {"PROXY_CONFIG": str(path)}) as subject:
                         us, made = await load(subject, rate, accounts, lasts, number + 1)
-                    floor = ["-m", "elderlock.standins.floor", listens[1], *endpoints]
+                    floor = ["-m", "elderlock.standins.minimal_proxy", listens[1], *endpoints]
                     async with Subject(floor, listens[1], {}) as subject:
                         bare, _ = await load(subject, rate, accounts, lasts, number + 1)
                     limiter_us.append(us)
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -25,7 +25,7 @@
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
-from elderlock.standins.delays import apart, quantile_of
+from elderlock.standins.delays import quantile_of, run_targets
 
 SHARES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p99.9": 0.999}
 ROUNDS = 3  # of each kind, of which the median counts: a machine's hiccup is not the generator's error
@@ -99,7 +99,7 @@
     for number in range(ROUNDS):
         for spec in kinds:
             truth: dict[float, float] = {}
-            async with apart(truth, **spec) as targets:
+            async with run_targets(truth, **spec) as targets:
                 made = await run(targets, 500.0, lasts, arrivals="even", seed=number + 1)
             rate_error = max(rate_error, made.rate_error, abs(made.ledger["sent"] / (500.0 * lasts) - 1.0))
             runs, behind = runs + 1, behind + bool(made.behind)
@@ -136,7 +136,7 @@
 
 async def stall(lasts: float) -> dict[str, Any]:
     rate, connections = 100.0, 4
-    async with apart(kind="constant", ms=20, stall_at=lasts / 3, stall_s=2.0) as targets:
+    async with run_targets(kind="constant", ms=20, stall_at=lasts / 3, stall_s=2.0) as targets:
         made = await run(targets, rate, lasts, arrivals="even", connections=connections)
     known = stalled(rate, lasts, connections, 0.020, lasts / 3, 2.0)
     errors: dict[str, float] = {}
@@ -154,7 +154,7 @@
     """The highest rate that is kept to against two targets that answer at once."""
     best: dict[str, Any] = {"max_rate": 0, "lateness_ms_p99": 0.0}
     tried = {}
-    async with apart(kind="none") as one, apart(kind="none") as two:
+    async with run_targets(kind="none") as one, run_targets(kind="none") as two:
         for rate in rates:
             made = await run([*one, *two], rate, lasts, workers=1 if rate < 3000 else 3 if rate <= 10_000 else 5)
             kept = not made.behind and made.rate_error < 0.01
@@ -167,7 +167,7 @@
 
 
 async def growth(lasts: float) -> dict[str, Any]:
-    async with apart(kind="constant", ms=10) as targets:
+    async with run_targets(kind="constant", ms=10) as targets:
         made = await run(targets, 1000.0, lasts)
     # the first seconds hold what any run needs once
     grown = (made.rss_kb["last"] - made.rss_kb["first"]) / 1024.0
@@ -216,7 +216,7 @@
 
     told: dict[str, str] = {}
     late = {}
-    async with apart(kind="constant", ms=50) as targets:
+    async with run_targets(kind="constant", ms=50) as targets:
         for name, rate, meddle, wanted in (
             ("stopped", 300.0, stopped, {"stopped"}),
             ("busy core", 5000.0, beside(8), {"core", "cpu"}),
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -273,7 +273,7 @@
 
 async def _up(options: argparse.Namespace, read: Scenario, folder: Path, mark: str) -> int:
     from elderlock.cli.up import UpError, running
-    from elderlock.standins.troubles import Planned, TroubleError, Troubles
+    from elderlock.standins.fault_schedule import FaultError, FaultSchedule, PlannedFault
 
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -292,15 +292,15 @@
                             return True
                 return False
 
-            planned = [Planned(t.at_s, t.for_s, t.what, t.target, t.by_ms) for t in read.trouble]
-            troubles = Troubles(planned, world, kill)
+            planned = [PlannedFault(t.at_s, t.for_s, t.what, t.target, t.by_ms) for t in read.trouble]
+            troubles = FaultSchedule(planned, world, kill)
             kind = options.door or read.targets.kind
             if kind == "grpc" and not world.doors:
                 raise ScenarioError("this needs the extra elderlock[grpc]")
             addresses = world.doors if kind == "grpc" else world.listens
             print(f"{world.limiters} limiters and {len(world.boxes)} boxes are up", file=sys.stderr, flush=True)
             return await _send(options, _at(read, addresses, kind), local_lines(read.workers), troubles.run)
-    except (UpError, TroubleError) as error:
+    except (UpError, FaultError) as error:
         raise LoadError(str(error)) from None
 
 
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -33,7 +33,7 @@
 from elderlock.sim.traffic import arrivals
 from elderlock.sim.virtual.loop import DeadlockError, LivelockError
 from elderlock.sim.virtual.processes import Machine
-from elderlock.standins.model import BoxModel
+from elderlock.standins.model import ServerModel
 
 FLOOR = "decisions"
 START = 1_700_000_000_000.0  # ms, Unix time
@@ -227,7 +227,7 @@
     def add_box(self, floor: int, kind: int, started: float = 0.0) -> SimBox:
         uid = f"s-{self._uid:02d}"
         machine = Machine(uid, floor_name(floor))
-        model = BoxModel(
+        model = ServerModel(
             self.scenario.kind[kind].shape(), self.schedule, random.Random(f"box/{self.seed}/{self._uid}"), started
         )
         box = self.boxes[uid] = SimBox(self, uid, machine, kind, model, self._uid // 4)
--- a/elderlock/sim/nodes.py
+++ b/elderlock/sim/nodes.py
@@ -23,7 +23,7 @@
 from elderlock.quota.counter_parameters import CounterParameters
 from elderlock.quota.options import heartbeat_ms
 from elderlock.sim.virtual.processes import Machine
-from elderlock.standins.model import BoxModel, Word, Work
+from elderlock.standins.model import ServerModel, Word, Work
 
 if TYPE_CHECKING:
     from elderlock.sim.decisions import DecisionWorld
@@ -73,7 +73,9 @@
 class SimBox:
     """A box with its machine; `accepts` is false where nothing listens."""
 
-    def __init__(self, world: DecisionWorld, uid: str, machine: Machine, kind: int, model: BoxModel, cell: int) -> None:
+    def __init__(
+        self, world: DecisionWorld, uid: str, machine: Machine, kind: int, model: ServerModel, cell: int
+    ) -> None:
         self.world, self.uid, self.machine, self.kind, self.model, self.cell = world, uid, machine, kind, model, cell
         self.state = ServerState.RUNNING
         self.gone = False
--- a/elderlock/standins/delays.py
+++ b/elderlock/standins/delays.py
@@ -197,7 +197,7 @@
 
 
 @asynccontextmanager
-async def apart(truth: dict[float, float] | None = None, **spec: Any) -> AsyncIterator[list[str]]:
+async def run_targets(truth: dict[float, float] | None = None, **spec: Any) -> AsyncIterator[list[str]]:
     """Runs targets in a separate process.
 
     Args:
--- a/elderlock/standins/troubles.py
+++ b/elderlock/standins/fault_schedule.py
@@ -27,12 +27,12 @@
 Kill = Callable[[str], Awaitable[bool]]
 
 
-class TroubleError(Exception):
+class FaultError(Exception):
     """The fault does not exist or cannot be injected into its target."""
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedFault:
     """A fault on the schedule.
 
     Attributes:
@@ -50,11 +50,11 @@
     by: float = 200.0
 
 
-def check(planned: Sequence[Planned], world: World) -> None:
+def check(planned: Sequence[PlannedFault], world: World) -> None:
     """Checks a whole schedule before any fault is injected.
 
     Raises:
-        TroubleError: A target does not exist or does not support its fault.
+        FaultError: A target does not exist or does not support its fault.
     """
     for trouble in planned:
         target, what = trouble.target, trouble.what
@@ -67,19 +67,19 @@
             supported = by_service.get(target, frozenset())
         if not supported:
             known = f"{', '.join(world.boxes)}, counter, discovery, peers, {', '.join(world.limiter_names)}"
-            raise TroubleError(f"there is no {target!r} to break; there are *, {known}")
+            raise FaultError(f"there is no {target!r} to break; there are *, {known}")
         if what not in supported:
-            raise TroubleError(f"{target!r} cannot be made {what!r}; it can be {', '.join(sorted(supported))}")
+            raise FaultError(f"{target!r} cannot be made {what!r}; it can be {', '.join(sorted(supported))}")
 
 
-class Troubles:
+class FaultSchedule:
     """Injects the faults of a schedule.
 
     Attributes:
         told: When each fault was injected or ended, in seconds of the run, with a description.
     """
 
-    def __init__(self, planned: Sequence[Planned], world: World, kill: Kill) -> None:
+    def __init__(self, planned: Sequence[PlannedFault], world: World, kill: Kill) -> None:
         """Checks the schedule.
 
         Args:
@@ -88,7 +88,7 @@
             kill: Kills the limiter of the given name as a crash would; returns whether it was running.
 
         Raises:
-            TroubleError: A target does not exist or does not support its fault.
+            FaultError: A target does not exist or does not support its fault.
         """
         check(planned, world)
         self._planned, self._world, self._kill = sorted(planned, key=lambda trouble: trouble.at), world, kill
@@ -108,7 +108,7 @@
             await asyncio.gather(*(self._run_fault(trouble, began) for trouble in self._planned))
         return sorted(self.told)
 
-    async def _run_fault(self, trouble: Planned, began: float) -> None:
+    async def _run_fault(self, trouble: PlannedFault, began: float) -> None:
         await asyncio.sleep(max(0.0, began + trouble.at - time.monotonic()))
         self._record(began, await self._begin(trouble))
         if not trouble.lasts:
@@ -129,7 +129,7 @@
         world = self._world
         return [world.counter if target == "counter" else world.registry.discovery]
 
-    async def _begin(self, trouble: Planned) -> str:
+    async def _begin(self, trouble: PlannedFault) -> str:
         what, target, world = trouble.what, trouble.target, self._world
         if what == "kill":
             return f"{target} killed" if await self._kill(target) else f"{target} could not be killed"
@@ -148,11 +148,11 @@
                 await listener.fail(FAULTS[what], delay=trouble.by / 1000.0)
         return f"{target} {what}" + (f" by {trouble.by:g} ms" if what == "slow" else "")
 
-    async def _break_server(self, server: SimulatedServer, trouble: Planned) -> None:
+    async def _break_server(self, server: SimulatedServer, trouble: PlannedFault) -> None:
         registry = self._world.registry
         match trouble.what:
             case "slow":
-                server.crowd = trouble.by
+                server.added_delay_ms = trouble.by
             case "restart":
                 await server.restart()
                 registry.announce(server)
@@ -165,7 +165,7 @@
             case _:
                 await server.fail(FAULTS[trouble.what])
 
-    async def _mend(self, trouble: Planned) -> str:
+    async def _mend(self, trouble: PlannedFault) -> str:
         what, target, world = trouble.what, trouble.target, self._world
         if what in ("kill", "empty", "restart"):
             return ""
@@ -181,7 +181,7 @@
         else:
             for server in self._servers(target):
                 if what == "slow":
-                    server.crowd = 0.0
+                    server.added_delay_ms = 0.0
                 elif what == "drain":
                     server.state = "up"
                     world.registry.announce(server)
--- a/elderlock/standins/gateways.py
+++ b/elderlock/standins/gateways.py
@@ -10,10 +10,10 @@
 from elderlock.authz.v1 import lookups_pb2, lookups_pb2_grpc
 from elderlock.standins.settings import CUSTOMER
 
-OTHER = "0000000000000009"
+OTHER_CUSTOMER = "0000000000000009"
 
 
-class Asking:
+class GatewayClient:
     """A gateway's connection to the gRPC authorisation service.
 
     Attributes:
@@ -31,7 +31,7 @@
         self.lookups: Any = lookups_pb2_grpc.LookupsStub(self.channel)  # type: ignore[no-untyped-call]
 
     @classmethod
-    def at(cls, address: str) -> "Asking":
+    def at(cls, address: str) -> "GatewayClient":
         """Opens a channel to `address`."""
         return cls(0, address)
 
--- a/elderlock/standins/floor.py
+++ b/elderlock/standins/minimal_proxy.py
@@ -1,7 +1,7 @@
 """A minimal proxy as the baseline for the cost of a limiter.
 
 It runs on uvloop, parses commands and answers with hiredis and forwards the commands to the servers in round-robin
-order. Usage: `python -m elderlock.standins.floor LISTEN SERVER...`
+order. Usage: `python -m elderlock.standins.minimal_proxy LISTEN SERVER...`
 """
 
 from __future__ import annotations
--- a/elderlock/standins/model.py
+++ b/elderlock/standins/model.py
@@ -100,7 +100,7 @@
     over: bool = False
 
 
-class BoxModel:
+class ServerModel:
     """A server that follows the model.
 
     Invariant: at most `cores` requests run and at most `room` wait. `done` is called once for each request, or never if
--- a/elderlock/standins/programs.py
+++ b/elderlock/standins/programs.py
@@ -15,7 +15,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.clients import Client
-from elderlock.standins.gateways import Asking
+from elderlock.standins.gateways import GatewayClient
 from elderlock.standins.settings import PLANS
 from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
 
@@ -87,9 +87,9 @@
             client.close()
             await asyncio.sleep(0.01)
 
-    def asking(self) -> Asking:
+    def asking(self) -> GatewayClient:
         """Opens a gRPC channel to the limiter."""
-        return Asking.at(self.address)
+        return GatewayClient.at(self.address)
 
     async def count(self) -> int:
         """Returns the number of check requests and client requests that the limiter has answered."""
--- a/elderlock/standins/servers.py
+++ b/elderlock/standins/servers.py
@@ -14,7 +14,7 @@
 import hiredis
 
 from elderlock.standins.listener import Door, Listener
-from elderlock.standins.model import BoxModel, Shape, Word, Work
+from elderlock.standins.model import ServerModel, Shape, Word, Work
 from elderlock.standins.waiting import unix_ms
 
 Answer = bytes | None
@@ -154,7 +154,7 @@
         self.uid, self.kind, self.floor = uid, kind, floor
         self.state = "up"
         self.sent: list[ReceivedCommand] = []
-        self.model = BoxModel(kind.shape, _LoopTime(), random.Random(seed), boot_ms)
+        self.model = ServerModel(kind.shape, _LoopTime(), random.Random(seed), boot_ms)
 
     @property
     def boot_ms(self) -> float:
@@ -162,13 +162,13 @@
         return self.model.started_at
 
     @property
-    def crowd(self) -> float:
+    def added_delay_ms(self) -> float:
         """A delay in ms that is added to each answer, which simulates an overloaded server."""
         return self.model.added
 
-    @crowd.setter
-    def crowd(self, added: float) -> None:
-        self.model.added = added
+    @added_delay_ms.setter
+    def added_delay_ms(self, delay_ms: float) -> None:
+        self.model.added = delay_ms
 
     @property
     def running(self) -> int:
--- a/elderlock/standins/stores.py
+++ b/elderlock/standins/stores.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-class Failing(sqlite3.Connection):
+class FailingConnection(sqlite3.Connection):
     """A connection that fails one write with an I/O error.
 
     Attributes:
@@ -20,8 +20,8 @@
     def execute(self, sql: str, parameters: Any = ()) -> sqlite3.Cursor:
         """Runs a statement, or raises `OperationalError` for the write that has to fail."""
         if not sql.lstrip().upper().startswith(("SELECT", "PRAGMA", "ROLLBACK")):
-            Failing.writes += 1
-            Failing.countdown -= 1
-            if Failing.countdown == 0:
+            FailingConnection.writes += 1
+            FailingConnection.countdown -= 1
+            if FailingConnection.countdown == 0:
                 raise sqlite3.OperationalError("disk I/O error")
         return super().execute(sql, parameters)
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -22,8 +22,8 @@
 from elderlock.authz.config import Asker, AuthzFile, Bounds
 from elderlock.authz.door import BOX, CHECK, ENDPOINT, LIMIT, LOOKUPS, PERMISSION, Door
 from elderlock.authz.v1 import lookups_pb2
-from elderlock.standins.gateways import OTHER, Asking, headers
-from elderlock.standins.parts import Limiter
+from elderlock.standins.gateways import OTHER_CUSTOMER, GatewayClient, headers
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Server
 from elderlock.standins.settings import CUSTOMER, target
 from elderlock.standins.waiting import run, until
@@ -32,7 +32,7 @@
 class Doors:
     """One limiter with both doors, over one box."""
 
-    def __init__(self, limiter: Limiter, door: Door, server: Server, asking: Asking) -> None:
+    def __init__(self, limiter: Limiter, door: Door, server: Server, asking: GatewayClient) -> None:
         self.limiter, self.door, self.server, self.asking = limiter, door, server, asking
 
     @property
@@ -63,7 +63,7 @@
     limiter = await Limiter.start(server)
     door = Door(AuthzFile("127.0.0.1:0", **{"askers": (Asker(("*",)),), **file}), Path("/"), limiter.gateway)
     await door.start()
-    asking = Asking(door.port)
+    asking = GatewayClient(door.port)
     try:
         yield Doors(limiter, door, server, asking)
     finally:
@@ -155,7 +155,7 @@
         async with doors() as here:
             client = await here.limiter.client()
             held = hold(here) if state in ("undecided", "cancelled") else []
-            plan: dict[str, Any] = {"plan": "tiny", "account": OTHER} if state == "refused" else {}
+            plan: dict[str, Any] = {"plan": "tiny", "account": OTHER_CUSTOMER} if state == "refused" else {}
             if state == "refused":
                 await here.asking.check("q0", **plan)
             first = asyncio.create_task(here.asking.word("q1", deadline_ms=200 if state == "expired" else 2000, **plan))
@@ -247,7 +247,7 @@
 def test_a_connection_that_breaks_after_the_answer_leaves_the_permission_to_its_deadline() -> None:
     async def test() -> None:
         async with doors() as here:
-            other = Asking(here.door.port)
+            other = GatewayClient(here.door.port)
             assert await other.word("q1", deadline_ms=300) == 200
             await other.channel.close()
             assert await here.asking.word("q1", deadline_ms=300) == 200  # asked again elsewhere: the same answer
@@ -303,7 +303,7 @@
             with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await here.asking.auth.Check(big, timeout=10)
             assert raised.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
-            assert await Asking(here.door.port).word("q3") == 200
+            assert await GatewayClient(here.door.port).word("q3") == 200
 
     run(test())
 
@@ -424,7 +424,7 @@
                     while await asyncio.to_thread(sock.recv, 4096):
                         pass  # an end, whatever it said before
                 sock.close()
-            other = Asking(here.door.port)  # there is room again
+            other = GatewayClient(here.door.port)  # there is room again
             assert await other.word("q3") == 200
             await other.channel.close()
 
@@ -462,7 +462,7 @@
     async def test() -> None:
         async with doors() as here:
             ok = rls.RateLimitRequest(
-                domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER)], hits_addend=3
+                domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER_CUSTOMER)], hits_addend=3
             )
             answer = await here.asking.rls.ShouldRateLimit(ok, timeout=10)
             assert answer.overall_code == rls.RateLimitResponse.OK and len(answer.statuses) == 2
@@ -491,7 +491,10 @@
             for request, code in (
                 (rls.RateLimitRequest(domain="d"), grpc.StatusCode.INVALID_ARGUMENT),
                 (rls.RateLimitRequest(descriptors=[descriptor(plan="gold")]), grpc.StatusCode.INVALID_ARGUMENT),
-                (rls.RateLimitRequest(descriptors=[descriptor(account=OTHER)]), grpc.StatusCode.PERMISSION_DENIED),
+                (
+                    rls.RateLimitRequest(descriptors=[descriptor(account=OTHER_CUSTOMER)]),
+                    grpc.StatusCode.PERMISSION_DENIED,
+                ),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await here.asking.rls.ShouldRateLimit(request, timeout=10)
@@ -509,7 +512,7 @@
                 ({"outcome": 0}, grpc.StatusCode.INVALID_ARGUMENT),
                 ({"outcome": 99}, grpc.StatusCode.INVALID_ARGUMENT),
                 ({"took_ms": float("nan")}, grpc.StatusCode.INVALID_ARGUMENT),
-                ({"account": OTHER}, grpc.StatusCode.PERMISSION_DENIED),
+                ({"account": OTHER_CUSTOMER}, grpc.StatusCode.PERMISSION_DENIED),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await here.asking.report("q1", **changes)
--- a/tests/authz/test_program.py
+++ b/tests/authz/test_program.py
@@ -11,7 +11,7 @@
 
 from elderlock.control.records import Record
 from elderlock.standins.certificates import write_certificates
-from elderlock.standins.gateways import Asking, headers
+from elderlock.standins.gateways import GatewayClient, headers
 from elderlock.standins.programs import ACCOUNT, ENTERPRISE, Program, programs, terms_of
 from elderlock.standins.settings import terms
 from elderlock.standins.waiting import run, unix_ms, until
@@ -102,12 +102,12 @@
             program_process = program.process
             assert program_process is not None
 
-            def connect() -> Asking:
+            def connect() -> GatewayClient:
                 def read(name: str) -> bytes:
                     return (tmp_path / name).read_bytes()
 
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                asking = Asking(0)
+                asking = GatewayClient(0)
                 options = [("grpc.ssl_target_name_override", "127.0.0.1")]
                 asking.channel = grpc.aio.secure_channel(program.address, credentials, options)
                 asking.auth = auth_grpc.AuthorizationStub(asking.channel)
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -26,7 +26,7 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.spawning import spawn
 from elderlock.standins.certificates import write_certificates
-from elderlock.standins.gateways import Asking, headers, lookups_report
+from elderlock.standins.gateways import GatewayClient, headers, lookups_report
 from elderlock.standins.programs import ACCOUNT, Program, programs, terms_of
 from elderlock.standins.waiting import run
 from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
@@ -103,7 +103,7 @@
 
 
 @asynccontextmanager
-async def routed(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingDoor, Asking, set[str]]]:
+async def routed(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingDoor, GatewayClient, set[str]]]:
     async with programs(folder, count=3) as made:
         away: set[str] = set()
 
@@ -117,7 +117,7 @@
         }
         door = RoutingDoor(raw, folder, usable, random.Random(1))
         await door.start()
-        asking = Asking(door.port)
+        asking = GatewayClient(door.port)
         try:
             yield made, door, asking, away
         finally:
@@ -201,14 +201,14 @@
             def read(name: str) -> bytes:
                 return (tmp_path / name).read_bytes()
 
-            def connect() -> Asking:
+            def connect() -> GatewayClient:
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                asking = Asking(door.port)
+                asking = GatewayClient(door.port)
                 asking.channel = grpc.aio.secure_channel(f"127.0.0.1:{door.port}", credentials)
                 asking.auth = auth_grpc.AuthorizationStub(asking.channel)
                 return asking
 
-            good, bare = connect(), Asking(door.port)
+            good, bare = connect(), GatewayClient(door.port)
             assert await good.word("q1", **terms_of(0, 1)) == 200
             assert await bare.word("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
             write_certificates(tmp_path)
@@ -302,7 +302,7 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            asking = Asking.at(doors[2])
+            asking = GatewayClient.at(doors[2])
             while await asking.word("warm", **terms_of(0, 2)) != 200:
                 await asyncio.sleep(0.05)
             group = Group.read(world.group_path)
@@ -311,7 +311,7 @@
                 await asyncio.sleep(0.05)
             order = Order("limiter", ("n0",), True, give_up_after=20.0)
             assert (await carry_out(group, order, lambda *_: None)).exit is Exit.DONE
-            drained = Asking.at(doors[0])
+            drained = GatewayClient.at(doors[0])
             for n in range(10):
                 assert await asking.word(f"q{n}", **terms_of(0, 2)) in (200, 429)
             assert await drained.report("q0", account=ACCOUNT) is False  # n0 was asked nothing since
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -32,7 +32,7 @@
 )
 from elderlock.quota import tally_client as tally
 from elderlock.quota.counter_call import CounterCall
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Server
 from elderlock.standins.settings import CUSTOMER, raw_config, target
 from elderlock.standins.waiting import run
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -29,7 +29,7 @@
 from elderlock.fleet.messages import AuditLine
 from elderlock.standins.certificates import write_certificates
 from elderlock.standins.limiters import ScriptedLimiter, Trouble
-from elderlock.standins.stores import Failing
+from elderlock.standins.stores import FailingConnection
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import OPERATORS, World
 
@@ -725,18 +725,18 @@
         async with fleet(tmp_path) as group:
             agent = group.agents[0]
             agent.store.close()
-            Failing.countdown, Failing.writes = -1, 0
-            agent.store = Store(tmp_path / "agent-0" / "store.db", Failing)
-            writes_before = Failing.writes
+            FailingConnection.countdown, FailingConnection.writes = -1, 0
+            agent.store = Store(tmp_path / "agent-0" / "store.db", FailingConnection)
+            writes_before = FailingConnection.writes
             assert (await group.command("s-4")).exit is Exit.DONE
-            write_count = Failing.writes - writes_before
+            write_count = FailingConnection.writes - writes_before
             assert write_count >= 5
             refused_count = 0
             for failing_write in range(1, write_count + 1):
                 drained = "s-4" not in group.limiters["n0"].in_force
-                Failing.countdown = failing_write
+                FailingConnection.countdown = failing_write
                 result = await group.command("s-4", drained=drained, give_up_after=0.01)
-                Failing.countdown = -1
+                FailingConnection.countdown = -1
                 drained_states = ["s-4" in limiter.in_force for limiter in group.limiters.values()]
                 if result.exit is Exit.NOTHING:
                     refused_count += 1
--- a/tests/fleet/test_files.py
+++ b/tests/fleet/test_files.py
@@ -10,7 +10,7 @@
 from elderlock.fleet.auth import Tokens, read_token
 from elderlock.fleet.config import FileError, read_agent, read_group
 from elderlock.fleet.messages import AuditLine
-from elderlock.standins.stores import Failing
+from elderlock.standins.stores import FailingConnection
 from elderlock.standins.world import write_private_file
 
 AGENT = '[agent]\nname = "a"\nlisten = "127.0.0.1:0"\nstate = "a"\ntokens = "tokens"\n'
@@ -132,14 +132,14 @@
     """BEGIN, each record, the audit line, the removal of old lines and COMMIT fail in turn.
 
     After each failure nothing of the change is stored, and the same change succeeds when it is repeated."""
-    Failing.countdown, Failing.writes = -1, 0
-    store = Store(tmp_path / "db", Failing)
-    before = Failing.writes
+    FailingConnection.countdown, FailingConnection.writes = -1, 0
+    store = Store(tmp_path / "db", FailingConnection)
+    before = FailingConnection.writes
     store.save_records([record("s-0"), record("s-00")], LINE)
-    write_count = Failing.writes - before
+    write_count = FailingConnection.writes - before
     assert write_count >= 6
     for failing_write in range(1, write_count + 1):
-        Failing.countdown = failing_write
+        FailingConnection.countdown = failing_write
         change = [record(f"s-{failing_write}"), record(f"t-{failing_write}")]
         records, lines = store.records(), store.audit(99)
         with pytest.raises(StoreError, match="disk I/O error"):
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -221,7 +221,7 @@
 def test_a_drain_survives_a_reload_of_the_configuration(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_group(tmp_path) as group:
-            group.world.boxes["s-03"].crowd = 400.0  # so that requests are open there when the signal arrives
+            group.world.boxes["s-03"].added_delay_ms = 400.0  # so that requests are open there when the signal arrives
             drain = asyncio.create_task(group.drain("s-03"))
             for name in group.world.limiter_names:
                 os.kill(group.pid(name), signal.SIGHUP)
@@ -262,7 +262,7 @@
     async def test() -> None:
         async with running_group(tmp_path) as group:
             for box in group.world.boxes.values():
-                box.crowd = 200.0  # so that requests are open
+                box.added_delay_ms = 200.0  # so that requests are open
             await group.wait_for_answers(20)
             result = await group.drain("n1", kind="limiter")
             assert result.exit is Exit.DONE
@@ -323,7 +323,7 @@
     async def test() -> None:
         async with running_group(tmp_path) as group:
             for box in group.world.boxes.values():
-                box.crowd = 200.0
+                box.added_delay_ms = 200.0
             await group.wait_for_answers(20)
             pid = group.pid("n2")
             stopped = await order_limiters(group.client, "stop", ["n2"], False, 1.0, 20.0, lambda _: None)
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -25,7 +25,7 @@
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
 from elderlock.standins.delays import Target
-from elderlock.standins.troubles import Planned, TroubleError, check
+from elderlock.standins.fault_schedule import FaultError, PlannedFault, check
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT, World
 
@@ -177,9 +177,12 @@
         world = World(tmp_path, limiters=1, boxes=2)
         await world.open()
         for what, target in (("kill", "s-00"), ("drain", "counter"), ("slow", "n0"), ("empty", "discovery")):
-            with pytest.raises(TroubleError):
-                check([Planned(0, 0, what, target)], world)  # type: ignore[arg-type]
-        check([Planned(0, 0, "silent", "peers"), Planned(0, 0, "drain", "*"), Planned(0, 0, "kill", "n0")], world)
+            with pytest.raises(FaultError):
+                check([PlannedFault(0, 0, what, target)], world)  # type: ignore[arg-type]
+        check(
+            [PlannedFault(0, 0, "silent", "peers"), PlannedFault(0, 0, "drain", "*"), PlannedFault(0, 0, "kill", "n0")],
+            world,
+        )
         await world.close()
 
     run(test())
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -16,7 +16,7 @@
 from elderlock.interface import AttemptEnded, Event, Outcome
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Server
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.world import ROOT, free_address, random_loopback_host
--- a/tests/quota/test_error_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -18,7 +18,7 @@
     unseen_loss_error_units,
 )
 from elderlock.quota.options import QuotaOptions
-from elderlock.standins.counters import Group
+from elderlock.standins.counter_simulation import Group
 
 CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
 QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -35,7 +35,7 @@
 )
 from elderlock.sim.seeds import NoLongerAppliesError, Seed, SeedError
 from elderlock.sim.trace import Trace, first_difference
-from elderlock.standins.model import BoxModel
+from elderlock.standins.model import ServerModel
 
 KEPT = Path(__file__).parent / "seeds"
 BASE = of_load(0.4, Scenario("search", lasts_s=4.0, warm_s=0.5, rest_s=2.0, boxes=6, agents=1))
@@ -167,10 +167,10 @@
 
 
 def test_a_failure_of_a_model_is_told_from_one_of_the_code(monkeypatch: pytest.MonkeyPatch) -> None:
-    def wrong(self: BoxModel, *given: Any) -> None:
+    def wrong(self: ServerModel, *given: Any) -> None:
         raise ZeroDivisionError("in a model")
 
-    monkeypatch.setattr(BoxModel, "offer", wrong)
+    monkeypatch.setattr(ServerModel, "offer", wrong)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
         assert result.ended == "failed" and "in a model" in result.why and not result.good()
--- a/tests/test_client_commands.py
+++ b/tests/test_client_commands.py
@@ -5,7 +5,7 @@
 import hiredis
 import pytest
 
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Server, answers, served
 from elderlock.standins.settings import CUSTOMER, terms
 from elderlock.standins.waiting import run, until
--- a/tests/test_client_listener.py
+++ b/tests/test_client_listener.py
@@ -5,7 +5,7 @@
 import pytest
 
 from elderlock.net import client_listener
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Server, answers, served
 from elderlock.standins.waiting import run, until
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 import pytest
 
 from elderlock.net.config import ConfigError, load_config, parse_config
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.waiting import run
 
--- a/tests/test_effects.py
+++ b/tests/test_effects.py
@@ -10,7 +10,7 @@
 from elderlock.interface import Outcome
 from elderlock.net.config import parse_config
 from elderlock.standins.clients import Client
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Answer, Server, answers, served
 from elderlock.standins.settings import CUSTOMER, raw_config, terms
 from elderlock.standins.waiting import run, until
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,7 +25,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Answer, Server, answers, served
 from elderlock.standins.settings import CUSTOMER, raw_config, target, terms
 from elderlock.standins.waiting import run, until
--- a/tests/test_server_connections.py
+++ b/tests/test_server_connections.py
@@ -14,7 +14,7 @@
 from elderlock.net.gateway import DEADLINE_MARGIN_MS
 from elderlock.net.server_connection import Attempt
 from elderlock.net.server_pool import ServerPools
-from elderlock.standins.parts import Limiter
+from elderlock.standins.local_limiter import Limiter
 from elderlock.standins.servers import Answer, Server, answers, served
 from elderlock.standins.settings import raw_config, target
 from elderlock.standins.waiting import run, until
