--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -74,7 +74,7 @@
     count = 0
     for row in rows:
         door = int(row["limiter"][1:])
-        late = [s for s in world.boxes[uid].sent if s.door == door and row["at"] + GRACE < s.at <= until]
+        late = [s for s in world.boxes[uid].sent if s.port_index == door and row["at"] + GRACE < s.at <= until]
         count += row["state"] == "reached" and bool(late)
     return count
 
@@ -128,7 +128,7 @@
         sent = [s for s in world.boxes[uid].sent if began <= s.at <= until]
         # a stopped instance is out of the command's reach: what it sends once it goes on, before it could
         # know, is judged by what the tool says of it (`reports_wrong`) and not by the command's start
-        judged = [s for s in sent if stopped is None or f"n{s.door}" != stopped]
+        judged = [s for s in sent if stopped is None or f"n{s.port_index}" != stopped]
         stops.append(max((s.at - began for s in judged), default=0.0))
         told.append(max((r["at"] for r in rows if r["limiter"] != stopped), default=began) - began)
         tool.append(told[-1] + began - account["began_at"])
--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -107,7 +107,7 @@
 
 
 def config(folder: Path, listen: str, discovery: Discovery) -> Path:
-    made = raw_config(listen=listen, discovery=discovery.doors[0].endpoint)
+    made = raw_config(listen=listen, discovery=discovery.ports[0].endpoint)
     made["settings"]["plans"][0].update({"quota-rate": 1e6, "burst": 1e6})
     path = folder / "limiter.json"
     path.write_text(json.dumps(made))
@@ -131,7 +131,7 @@
                 }
                 for n, endpoint in enumerate(endpoints)
             ]
-            discovery = await Discovery(rows=lambda door: rows).start()
+            discovery = await Discovery(rows=lambda port_index: rows).start()
             try:
                 for number in range(rounds):
                     listens = free_address(), free_address()
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -295,9 +295,9 @@
             planned = [PlannedFault(t.at_s, t.for_s, t.what, t.target, t.by_ms) for t in read.trouble]
             troubles = FaultSchedule(planned, world, kill)
             kind = options.door or read.targets.kind
-            if kind == "grpc" and not world.doors:
+            if kind == "grpc" and not world.grpc_addresses:
                 raise ScenarioError("this needs the extra elderlock[grpc]")
-            addresses = world.doors if kind == "grpc" else world.listens
+            addresses = world.grpc_addresses if kind == "grpc" else world.listens
             print(f"{world.limiters} limiters and {len(world.boxes)} boxes are up", file=sys.stderr, flush=True)
             return await _send(options, _at(read, addresses, kind), local_lines(read.workers), troubles.run)
     except (UpError, FaultError) as error:
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -151,7 +151,7 @@
 
 def _say(world: World, options: argparse.Namespace) -> None:
     traffic = f", {options.traffic:g} requests a second" if options.traffic else ""
-    doors = f"  ask over gRPC: {', '.join(world.doors)}\n" if world.doors else ""
+    doors = f"  ask over gRPC: {', '.join(world.grpc_addresses)}\n" if world.grpc_addresses else ""
     print(
         f"{options.limiters} limiters, {options.boxes} boxes, one agent{traffic}; all on loopback.\n"
         f"  clients connect to {', '.join(world.listens)}\n"
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -302,9 +302,9 @@
             "name": f"n{number}",
             "seed": f"{self.rng.randrange(1 << 63):016x}",
             "listen": f"{machine.host}:7000",
-            "discovery": self.listing.discovery.doors[number].endpoint,
+            "discovery": self.listing.discovery.ports[number].endpoint,
             "limits": {"cores": 1.0, "memory_mb": s.settings.memory_mb, "sockets": s.settings.sockets},
-            "counter": self.counter.doors[number].endpoint,
+            "counter": self.counter.ports[number].endpoint,
             "settings": own,
             **({"peer_listen": peers[number], "peers": peers, "peers_all": "%s:%d" % everyone} if several else {}),
         }
--- a/elderlock/standins/counter.py
+++ b/elderlock/standins/counter.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from elderlock.standins.listener import Door, Listener, reset
+from elderlock.standins.listener import Listener, ListeningPort, reset
 from elderlock.standins.servers import MISSING
 from elderlock.standins.waiting import unix_ms
 
@@ -58,16 +58,16 @@
         """Replaces all counts by those of a snapshot."""
         self.totals = dict(snapshot)
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers the calls of one connection until the client closes it."""
         parser = hiredis.Reader(notEnoughData=MISSING)
-        if len(door.writers) > MAX_CONNECTIONS:
+        if len(port.writers) > MAX_CONNECTIONS:
             self.refused += 1
             return reset(writer)
         while data := await reader.read(65536):
             parser.feed(data)
             while (command := parser.gets()) is not MISSING:
-                door.write(writer, self._corrupted(self._answer(command), writer))
+                port.write(writer, self._corrupted(self._answer(command), writer))
 
     def _corrupted(self, answer: bytes, writer: asyncio.StreamWriter) -> bytes:
         spoil, self.spoil = self.spoil, Spoil.NOTHING
--- a/elderlock/standins/discovery.py
+++ b/elderlock/standins/discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from elderlock.standins.listener import Door, Fault, Listener
+from elderlock.standins.listener import Fault, Listener, ListeningPort
 from elderlock.standins.servers import SimulatedServer
 
 HEARTBEAT_S = 2.0  # the interval of the empty lines that keep a watch alive
@@ -17,8 +17,8 @@
     """The discovery service that limiters request endpoint lists from.
 
     Without `rows` it is scripted: it answers each list request with `complete_list`, and the test writes the lines of a
-    watch with `send_line`. With `rows` it computes the list for each limiter from `rows(door)`, where `door` is the
-    number of the limiter's listening port, and sends heartbeats.
+    watch with `send_line`. With `rows` it sends heartbeats and computes the list for each limiter from
+    `rows(port_index)`, where `port_index` is the number of the limiter's listening port.
 
     Attributes:
         complete_list: The scripted list.
@@ -29,7 +29,7 @@
         waiting: The connections of list requests that have no answer yet.
         holds_answers: Whether list requests are held back until `release_answers`.
         ignores_requests: Whether requests that arrive now never get an answer.
-        watch_doors: The listening port of each open watch.
+        watch_ports: The listening port of each open watch.
     """
 
     def __init__(
@@ -41,28 +41,28 @@
         self.rev = 1
         self.requested_paths: list[str] = []
         self.watches: list[asyncio.StreamWriter] = []
-        self.waiting: list[tuple[Door, asyncio.StreamWriter]] = []
+        self.waiting: list[tuple[ListeningPort, asyncio.StreamWriter]] = []
         self.holds_answers = False
         self.ignores_requests = False
-        self.watch_doors: dict[asyncio.StreamWriter, Door] = {}
+        self.watch_ports: dict[asyncio.StreamWriter, ListeningPort] = {}
         self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     @property
     def address(self) -> tuple[str, int]:
         """The host and port of the first listening port."""
-        return "127.0.0.1", self.doors[0].port
+        return "127.0.0.1", self.ports[0].port
 
-    async def start(self, doors: int = 1) -> Discovery:
+    async def start(self, ports: int = 1) -> Discovery:
         """Opens the listening ports, one for each limiter, and returns the service itself."""
-        await self.open(doors)
+        await self.open(ports)
         if self.rows is not None:
             self._heartbeat()
         return self
 
     def _heartbeat(self) -> None:
         self._heartbeat_timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
-        for writer, door in list(self.watch_doors.items()):
-            self.write_line(door, writer, b"\n")
+        for writer, port in list(self.watch_ports.items()):
+            self.write_line(port, writer, b"\n")
 
     async def close(self) -> None:
         """Closes all connections and listening ports and stops the heartbeats."""
@@ -70,7 +70,7 @@
             self._heartbeat_timer.cancel()
         await super().close()
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers list requests and registers watches until the client closes the connection."""
         try:
             while request_line := await reader.readline():
@@ -81,37 +81,37 @@
                 if self.ignores_requests:
                     continue
                 if "watch=1" not in path:
-                    self.waiting.append((door, writer))
+                    self.waiting.append((port, writer))
                     if not self.holds_answers:
                         self.release_answers()
                     continue
-                door.write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                port.write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 self.watches.append(writer)
-                self.watch_doors[writer] = door
+                self.watch_ports[writer] = port
                 if self.rows is not None and f"after={self.rev}" not in path:
-                    self.write_line(door, writer, self._encode_list(door) + b"\n")
+                    self.write_line(port, writer, self._encode_list(port) + b"\n")
         finally:
-            self.watch_doors.pop(writer, None)
+            self.watch_ports.pop(writer, None)
 
-    def _encode_list(self, door: Door) -> bytes:
+    def _encode_list(self, port: ListeningPort) -> bytes:
         if self.rows is None:
             return json.dumps(self.complete_list).encode()
-        return json.dumps({"rev": self.rev, "all": True, "targets": self.rows(door.number)}).encode()
+        return json.dumps({"rev": self.rev, "all": True, "targets": self.rows(port.number)}).encode()
 
     def release_answers(self) -> None:
         """Answers all waiting list requests."""
-        for door, writer in self.waiting:
-            body = self._encode_list(door)
-            door.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        for port, writer in self.waiting:
+            body = self._encode_list(port)
+            port.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         self.waiting.clear()
 
     def send_line(self, line: bytes) -> None:
         """Writes a chunk to the newest watch, whatever fault its listening port has."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(line), line))
 
-    def write_line(self, door: Door, writer: asyncio.StreamWriter, line: bytes) -> None:
+    def write_line(self, port: ListeningPort, writer: asyncio.StreamWriter, line: bytes) -> None:
         """Writes a chunk to a watch, subject to the fault of its listening port."""
-        door.write(writer, b"%x\r\n%b\r\n" % (len(line), line))
+        port.write(writer, b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class Registry:
@@ -132,11 +132,11 @@
         self.delay_s = 0.0
         self.discovery = Discovery(rows=self.rows)
 
-    def rows(self, door: int) -> list[dict[str, Any]]:
-        """Returns the entries of the list for the limiter that uses listening port `door`."""
+    def rows(self, port_index: int) -> list[dict[str, Any]]:
+        """Returns the entries of the list for the limiter that uses listening port `port_index`."""
         if self.frozen_list is not None:
             return self.frozen_list
-        return [server.target(door) for server in (*self.boxes.values(), *self.dead.values())]
+        return [server.target(port_index) for server in (*self.boxes.values(), *self.dead.values())]
 
     def add(self, server: SimulatedServer) -> None:
         """Lists a server and announces it."""
@@ -165,18 +165,18 @@
 
     def _send_changes(self, servers: tuple[SimulatedServer, ...]) -> None:
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watch_doors.items()):
-            targets = [server.target(door.number) for server in servers]
+        for writer, port in list(self.discovery.watch_ports.items()):
+            targets = [server.target(port.number) for server in servers]
             line = {"rev": self.discovery.rev, "all": False, "targets": targets}
-            self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
     def announce_complete_list(self) -> None:
         """Sends the complete list to every watch."""
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watch_doors.items()):
-            line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(door.number)}
-            self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
+        for writer, port in list(self.discovery.watch_ports.items()):
+            line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(port.number)}
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
-    async def fail(self, fault: Fault, doors: list[int] | None = None) -> None:
+    async def fail(self, fault: Fault, ports: list[int] | None = None) -> None:
         """Sets the fault of the given listening ports of discovery, or of all."""
-        await self.discovery.fail(fault, doors)
+        await self.discovery.fail(fault, ports)
--- a/elderlock/standins/listener.py
+++ b/elderlock/standins/listener.py
@@ -37,7 +37,7 @@
     writer.transport.abort()
 
 
-class Door:
+class ListeningPort:
     """One listening port of a service.
 
     Attributes:
@@ -119,7 +119,7 @@
 
     Attributes:
         host: The host address of all ports.
-        doors: The listening ports.
+        ports: The listening ports.
         accepted: The number of connections accepted so far.
         lost: The number of connections that have ended.
     """
@@ -127,42 +127,42 @@
     host = "127.0.0.1"
 
     def __init__(self) -> None:
-        self.doors: list[Door] = []
+        self.ports: list[ListeningPort] = []
         self.accepted = self.lost = 0
 
-    async def open(self, doors: int = 1) -> None:
+    async def open(self, ports: int = 1) -> None:
         """Opens the given number of listening ports."""
-        for number in range(doors):
-            door = Door(self, number)
-            await door.listen()
-            self.doors.append(door)
+        for number in range(ports):
+            port = ListeningPort(self, number)
+            await port.listen()
+            self.ports.append(port)
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Handles one connection from its start to its end."""
         raise NotImplementedError
 
-    async def fail(self, fault: Fault, doors: Iterable[int] | None = None, delay: float = 0.0) -> None:
+    async def fail(self, fault: Fault, ports: Iterable[int] | None = None, delay: float = 0.0) -> None:
         """Sets the fault of listening ports.
 
         Args:
             fault: The fault; `Fault.NONE` ends an earlier one.
-            doors: The numbers of the ports, or None for all.
+            ports: The numbers of the ports, or None for all.
             delay: The delay of answers in seconds, for `Fault.SLOW`.
         """
-        for number in range(len(self.doors)) if doors is None else doors:
-            door = self.doors[number]
-            door.fault, door.delay = fault, delay
+        for number in range(len(self.ports)) if ports is None else ports:
+            port = self.ports[number]
+            port.fault, port.delay = fault, delay
             if fault is Fault.REFUSING:
-                await door.close()
-            elif door.server is None:
-                await door.listen()
+                await port.close()
+            elif port.server is None:
+                await port.listen()
 
     def reset(self) -> None:
         """Resets all connections, as the end of the process does."""
-        for door in self.doors:
-            door.reset()
+        for port in self.ports:
+            port.reset()
 
     async def close(self) -> None:
         """Closes all ports and connections."""
-        for door in self.doors:
-            await door.close()
+        for port in self.ports:
+            await port.close()
--- a/elderlock/standins/redis.py
+++ b/elderlock/standins/redis.py
@@ -13,7 +13,7 @@
 
 import hiredis
 
-from elderlock.standins.listener import Door, Listener
+from elderlock.standins.listener import Listener, ListeningPort
 from elderlock.standins.servers import MISSING
 from elderlock.standins.waiting import unix_ms
 
@@ -70,13 +70,13 @@
         self.scripts.clear()
         self.reset()
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answers the commands of one connection until the client closes it."""
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
             while (command := parser.gets()) is not MISSING:
-                door.write(writer, self._answer(command))
+                port.write(writer, self._answer(command))
 
     def _answer(self, command: list[bytes]) -> bytes:
         verb, arguments = command[0].upper(), command[1:]
@@ -142,7 +142,7 @@
     @property
     def addresses(self) -> list[tuple[str, int]]:
         """The host and port of each server."""
-        return [("127.0.0.1", server.doors[0].port) for server in self.servers]
+        return [("127.0.0.1", server.ports[0].port) for server in self.servers]
 
     def slots(self) -> bytes:
         """Returns the reply to `CLUSTER SLOTS`."""
--- a/elderlock/standins/servers.py
+++ b/elderlock/standins/servers.py
@@ -13,7 +13,7 @@
 
 import hiredis
 
-from elderlock.standins.listener import Door, Listener
+from elderlock.standins.listener import Listener, ListeningPort
 from elderlock.standins.model import ServerModel, Shape, Word, Work
 from elderlock.standins.waiting import unix_ms
 
@@ -56,19 +56,19 @@
     @property
     def endpoint(self) -> str:
         """The `host:port` of the first listening port."""
-        return self.doors[0].endpoint
+        return self.ports[0].endpoint
 
     @property
     def writers(self) -> list[asyncio.StreamWriter]:
         """The open connections at the first listening port, the oldest first."""
-        return list(self.doors[0].writers)
+        return list(self.ports[0].writers)
 
     async def start(self) -> Server:
         """Opens one listening port and returns the server itself."""
         await self.open()
         return self
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Reads commands and writes the scripted answers until the client closes the connection."""
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
@@ -77,7 +77,7 @@
                 self.commands.append(command)
                 answer = await self._behave(command) if self._behave else served(b"value")
                 if answer is not None:
-                    door.write(writer, answer)
+                    port.write(writer, answer)
 
 
 DEFAULT_SHAPE = Shape()
@@ -116,12 +116,12 @@
 
     Attributes:
         at: When the last byte of the command arrived, in Unix ms.
-        door: The number of the listening port, which is the number of the limiter that sent the command.
+        port_index: The number of the listening port, which is the number of the limiter that sent the command.
         request: The id of the request.
     """
 
     at: float
-    door: int
+    port_index: int
     request: bytes
 
 
@@ -175,11 +175,11 @@
         """The number of requests that a core is working on."""
         return len(self.model.running)
 
-    def target(self, door: int) -> dict[str, Any]:
-        """Returns the entry of the endpoint list for the limiter that uses listening port `door`."""
+    def target(self, port_index: int) -> dict[str, Any]:
+        """Returns the entry of the endpoint list for the limiter that uses listening port `port_index`."""
         return {
             "uid": self.uid,
-            "endpoint": self.doors[door].endpoint,
+            "endpoint": self.ports[port_index].endpoint,
             "az": self.floor,
             "model": self.kind.name,
             "pod_group": 0,
@@ -197,28 +197,28 @@
         self.reset()
         self.model.restart()
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Passes each command to the model until the client closes the connection."""
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
             while (command := parser.gets()) is not MISSING:
-                self._handle_command(door, writer, command)
+                self._handle_command(port, writer, command)
 
-    def _handle_command(self, door: Door, writer: asyncio.StreamWriter, command: list[bytes]) -> None:
+    def _handle_command(self, port: ListeningPort, writer: asyncio.StreamWriter, command: list[bytes]) -> None:
         verb = command[0].upper()
         if verb in (b"CLIENT", b"SELECT"):
-            return door.write(writer, b"+OK\r\n")
+            return port.write(writer, b"+OK\r\n")
         if verb != b"API.READ" or len(command) != 4:
-            return door.write(writer, b"-ERR unknown command\r\n")
-        self.command_received(ReceivedCommand(unix_ms(), door.number, command[2]), command)
+            return port.write(writer, b"-ERR unknown command\r\n")
+        self.command_received(ReceivedCommand(unix_ms(), port.number, command[2]), command)
         value = b"box=%b request=%b" % (self.uid.encode(), command[2])
 
         def write_answer(result: Word, work: Work) -> None:
             if result is Word.OK:
-                door.write(writer, served(value, self.report()))
+                port.write(writer, served(value, self.report()))
             else:
-                door.write(writer, (b"-BUSY " if result is Word.BUSY else b"-ERR failed ") + self.report() + b"\r\n")
+                port.write(writer, (b"-BUSY " if result is Word.BUSY else b"-ERR failed ") + self.report() + b"\r\n")
 
         self.model.offer(write_answer)
 
--- a/elderlock/standins/world.py
+++ b/elderlock/standins/world.py
@@ -70,7 +70,7 @@
         counter: The shared counter.
         network: The datagram relays between limiters.
         listens: The client address of each limiter.
-        doors: The gRPC address of each limiter; empty without `grpc`.
+        grpc_addresses: The gRPC address of each limiter; empty without `grpc`.
         lend: The number of load generator workers that each agent's machine lends.
         agent_listens: The address of each agent.
         tokens: The authentication token of each operator, viewer and agent by name.
@@ -95,7 +95,7 @@
         self.network = Network(limiters, seed)
         self._server_count = boxes
         self.listens = [free_address(random_loopback_host(self._hosts)) for _ in range(limiters)]
-        self.doors = [free_address(random_loopback_host(self._hosts)) for _ in range(limiters if grpc else 0)]
+        self.grpc_addresses = [free_address(random_loopback_host(self._hosts)) for _ in range(limiters if grpc else 0)]
         self.lend = lend
         self.agent_listens = [free_address(random_loopback_host(self._hosts)) for _ in range(agents)]
         self.tokens = {name: secrets.token_hex(16) for name in (*OPERATORS, "viewer", *self.agent_names)}
@@ -166,11 +166,11 @@
 
     def discovery_endpoint(self, limiter: int) -> str:
         """Returns the address at which a limiter reaches discovery."""
-        return self.registry.discovery.doors[limiter].endpoint
+        return self.registry.discovery.ports[limiter].endpoint
 
     def counter_endpoint(self, limiter: int) -> str:
         """Returns the address at which a limiter reaches the counter."""
-        return self.counter.doors[limiter].endpoint
+        return self.counter.ports[limiter].endpoint
 
     def agent_address(self, asker: str, agent: int) -> str:
         """Returns the address at which a caller reaches an agent.
@@ -234,7 +234,7 @@
                     f'[[agent]]\nname = "{name}"\naddress = "{self.agent_address(asker, number)}"\n{zone_line}'
                 )
             self.group_file(asker).write_text("\n".join(lines))
-        for number, grpc_address in enumerate(self.doors):
+        for number, grpc_address in enumerate(self.grpc_addresses):
             text = f'[authz]\nlisten = "{grpc_address}"\n[[authz.askers]]\naccounts = ["*"]\n'
             (self.folder / f"authz-{number}.toml").write_text(text)
         for agent in range(self.agents):
@@ -260,7 +260,7 @@
             lines.append(
                 f'[[limiter]]\nname = "n{number}"\ncommand = {limiter_command}\n'
                 f'config = "n{number}.json"\ndirectory = {json.dumps(str(ROOT))}\n'
-                + (f'authz = "authz-{number}.toml"\n' if self.doors else "")
+                + (f'authz = "authz-{number}.toml"\n' if self.grpc_addresses else "")
             )
         path = self.agent_path(agent)
         path.write_text("\n".join(lines))
--- a/elderlock/trial/ground.py
+++ b/elderlock/trial/ground.py
@@ -62,8 +62,8 @@
 
     ways_in: dict[int, Relay]
 
-    def target(self, door: int) -> dict[str, Any]:
-        return {**super().target(door), "endpoint": self.ways_in[door].endpoint}
+    def target(self, port_index: int) -> dict[str, Any]:
+        return {**super().target(port_index), "endpoint": self.ways_in[port_index].endpoint}
 
 
 @dataclass(eq=False)
@@ -234,7 +234,7 @@
         await self.counter.open(s.limiters)
         await self.datagrams.open()
         for number, place in enumerate(self.limiter_places):
-            lists, counts = self.registry.discovery.doors[number], self.counter.doors[number]
+            lists, counts = self.registry.discovery.ports[number], self.counter.ports[number]
             self._lists.append(
                 self._relay(
                     place,
@@ -341,7 +341,7 @@
             number: self._relay(
                 here,
                 place,
-                (box.host, box.doors[number].port),
+                (box.host, box.ports[number].port),
                 lambda number=number: SendEyes(self, f"n{number}", uid),  # type: ignore[misc]
             )
             for number, here in enumerate(self.limiter_places)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -53,7 +53,7 @@
             await asyncio.sleep(0.05)
 
     def count_sent_by(self, limiter: int) -> int:
-        return sum(sent.door == limiter for box in self.world.boxes.values() for sent in box.sent)
+        return sum(sent.port_index == limiter for box in self.world.boxes.values() for sent in box.sent)
 
     def late_requests(self, uid: str, drained_at: float) -> list[object]:
         """Return the requests that reached a server after the grace time."""
@@ -160,13 +160,13 @@
         async with running_group(tmp_path) as group:
             await group.drain("s-00")
             old = group.world.registry.remove("s-00")
-            for door in old.doors:
-                await door.close()
+            for port in old.ports:
+                await port.close()
             new = await group.world.add_box("s-new", STD, FLOORS[0])
-            for door, old_door in zip(new.doors, old.doors, strict=True):
-                await door.close()
-                door.port = old_door.port
-                await door.listen()
+            for port, old_port in zip(new.ports, old.ports, strict=True):
+                await port.close()
+                port.port = old_port.port
+                await port.listen()
             group.world.registry.announce(new)
             await until(lambda: len(new.sent) > 3)
             await check_no_request_was_lost(group)
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -269,7 +269,7 @@
         program = Program(tmp_path, server)
         path = tmp_path / "config.json"
         raw = json.loads(path.read_text())
-        raw["counter"] = counter.doors[0].endpoint
+        raw["counter"] = counter.ports[0].endpoint
         raw["settings"]["peers-total"] = 3
         raw["settings"]["plans"][0].update({"quota-rate": 20.0, "burst": 30.0})
         path.write_text(json.dumps(raw))
--- a/tests/quota/test_redis_client.py
+++ b/tests/quota/test_redis_client.py
@@ -58,7 +58,7 @@
 async def start_single_server() -> tuple[RedisServer, RedisHarness]:
     server = RedisServer()
     await server.open()
-    return server, RedisHarness([("127.0.0.1", server.doors[0].port)], False)
+    return server, RedisHarness([("127.0.0.1", server.ports[0].port)], False)
 
 
 def test_the_slot_of_a_key_matches_the_published_examples() -> None:
@@ -184,7 +184,7 @@
         other = RedisServer()
         await other.open()
         assert await harness.add("a") == 1.0
-        harness.client.follow([("127.0.0.1", other.doors[0].port)])
+        harness.client.follow([("127.0.0.1", other.ports[0].port)])
         assert harness.connection_losses == 1
         assert await harness.add("a") == 1.0 and other.calls == 1 and server.calls == 1
         harness.client.close()
--- a/tests/quota/test_tally_client.py
+++ b/tests/quota/test_tally_client.py
@@ -44,7 +44,7 @@
         return self
 
     def address(self, door: int) -> tuple[str, int]:
-        return "127.0.0.1", self.counter.doors[door].port
+        return "127.0.0.1", self.counter.ports[door].port
 
     def _on_connection_lost(self) -> None:
         self.connection_losses += 1
@@ -182,7 +182,7 @@
         await until(lambda: 1 in harness.outcomes)
         assert harness.outcomes[1] == [("failed", (True, False))] and harness.connection_losses >= 1
         await harness.connect()
-        assert not harness.counter.doors[0].writers or harness.counter.doors[1].writers
+        assert not harness.counter.ports[0].writers or harness.counter.ports[1].writers
         losses_before = harness.connection_losses
         harness.client.follow(harness.address(1))
         assert harness.connection_losses == losses_before  # the address is unchanged
@@ -212,6 +212,6 @@
         for _, writer in others:
             writer.close()
         await harness.connect()
-        assert len(harness.counter.doors[0].writers) <= 1 + 32
+        assert len(harness.counter.ports[0].writers) <= 1 + 32
 
     run_with_harness(test)
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -19,7 +19,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
-from elderlock.standins.listener import Door
+from elderlock.standins.listener import ListeningPort
 from elderlock.standins.servers import MISSING, Server, served
 from elderlock.standins.settings import default_settings, raw_config, target
 from elderlock.standins.world import ROOT, free_address, random_loopback_host
@@ -32,7 +32,7 @@
 class ConnectionBreakingServer(Server):
     """A server that aborts each connection on which a command arrives, and leaves the other connections open."""
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
@@ -65,7 +65,7 @@
         for server in (*self.good, self.bad):
             await server.start()
         rows = [target(f"w-{n}", server.endpoint) for n, server in enumerate(self.good)]
-        self.discovery = Discovery(rows=lambda door: [*rows, target("bad", self.bad.endpoint)])
+        self.discovery = Discovery(rows=lambda port_index: [*rows, target("bad", self.bad.endpoint)])
         await self.discovery.start()
         operators = self.folder / "operators.toml"
         operators.write_text(f"[shared]\n{self.shared}\n")
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -68,8 +68,8 @@
         await server.open(2)
         await server.fail(fault, [0], delay=0.05)
         timeout_s = 0.3 if expected == ["silence"] else 5.0
-        assert await exchange(server.doors[0].port, READ_COMMAND, within=timeout_s) == expected
-        assert await exchange(server.doors[1].port, READ_COMMAND) == [[b"value", None, b"queue=2"]]
+        assert await exchange(server.ports[0].port, READ_COMMAND, within=timeout_s) == expected
+        assert await exchange(server.ports[1].port, READ_COMMAND) == [[b"value", None, b"queue=2"]]
         await server.close()
 
     run(test())
@@ -78,12 +78,12 @@
 def test_a_refusing_port_accepts_no_connection_and_reopens_with_the_same_number() -> None:
     async def test() -> None:
         server = await Server().start()
-        port = server.doors[0].port
+        port = server.ports[0].port
         await server.fail(Fault.REFUSING)
         with pytest.raises(ConnectionRefusedError):
             await exchange(port, READ_COMMAND)
         await server.fail(Fault.NONE)
-        assert len(await exchange(port, READ_COMMAND)) == 1 and server.doors[0].port == port
+        assert len(await exchange(port, READ_COMMAND)) == 1 and server.ports[0].port == port
         await server.close()
 
     run(test())
@@ -113,7 +113,7 @@
         await server.open()
         server.model._time = timers = HeldTimers()
         tasks = [
-            asyncio.create_task(exchange(server.doors[0].port, READ_COMMAND, within=60.0))
+            asyncio.create_task(exchange(server.ports[0].port, READ_COMMAND, within=60.0))
             for _ in range(server.kind.cores + server.kind.shape.room + 5)
         ]
         await until(lambda: len(server.sent) == len(tasks))  # all requests have arrived before the first one ends
@@ -124,7 +124,7 @@
         assert len(busy) == 5 and str(busy[0]) == f"BUSY queue={server.kind.shape.room}"
         assert len(served) == server.kind.cores + server.kind.shape.room and served[0][0] == b"box=s request=r1"
         assert {answer[2] for answer in served} > {b"queue=0"}  # the queue became shorter while requests were processed
-        assert len(server.sent) == len(tasks) and {command.door for command in server.sent} == {0}
+        assert len(server.sent) == len(tasks) and {command.port_index for command in server.sent} == {0}
         assert server.model.pace(unix_ms()) == STD.speed > OLD.speed
         await server.restart()
         cold_pace = server.model.pace(server.boot_ms)
@@ -139,7 +139,7 @@
     async def test() -> None:
         counter = Counter()
         await counter.open()
-        port = counter.doors[0].port
+        port = counter.ports[0].port
         add_command = ("TALLY", "a", "2.5", "60000")
         assert await exchange(port, ("PING",), add_command, ("TALLY", "a", "-1", "60000")) == [b"PONG", b"2.5", b"1.5"]
         invalid_commands = (("TALLY", "b", "1", "x"), ("TALLY", "", "1", "5"), ("TALLY", "a", "2e9", "5"))
@@ -162,12 +162,12 @@
         registry.add(listed_servers[0])
         lists: list[EndpointList] = []
         watcher = Watcher(parse_config(raw_config()).socket_settings, lists.append)
-        watcher.follow(("127.0.0.1", registry.discovery.doors[1].port))
+        watcher.follow(("127.0.0.1", registry.discovery.ports[1].port))
         await until(lambda: bool(lists))
         await until(
-            lambda: bool(registry.discovery.watch_doors)
+            lambda: bool(registry.discovery.watch_ports)
         )  # without a watch, changes would arrive as a complete list
-        assert lists[0].is_complete and lists[0].servers[0].address[1] == listed_servers[0].doors[1].port
+        assert lists[0].is_complete and lists[0].servers[0].address[1] == listed_servers[0].ports[1].port
         registry.add(listed_servers[1])
         registry.remove("s-0")
         await until(lambda: lists[-1].version == registry.discovery.rev)
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -57,7 +57,7 @@
         self.clients: list[Client] = []
         self.ready_times_s: list[float] = []  # of each process, since the latest start
 
-    def rows(self, door: int) -> list[dict[str, Any]]:
+    def rows(self, port_index: int) -> list[dict[str, Any]]:
         state = "draining" if self.warm_are_draining else "up"
         rows = [target(f"w-{number}", server.endpoint, state) for number, server in enumerate(self.warm_servers)]
         return (
@@ -68,9 +68,9 @@
 
     def send_list(self) -> None:
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watch_doors.items()):
+        for writer, port in list(self.discovery.watch_ports.items()):
             line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
-            self.discovery.write_line(door, writer, json.dumps(line).encode() + b"\n")
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
     async def start_servers(self) -> None:
         for server in (*self.warm_servers, self.cold_server):
@@ -180,8 +180,8 @@
             counts_before = [len(server.arrival_times_ms) for server in fleet.warm_servers]
             fleet.warm_are_draining = fleet.discovery.holds_answers = fleet.discovery.ignores_requests = False
             fleet.discovery.rev += 1
-            watch_count = len(fleet.discovery.watch_doors)
-            await until(lambda: len(fleet.discovery.watch_doors) >= watch_count + PROCESS_COUNT)
+            watch_count = len(fleet.discovery.watch_ports)
+            await until(lambda: len(fleet.discovery.watch_ports) >= watch_count + PROCESS_COUNT)
             await fleet.send_requests(1, pause_s=0.0)
             assert sum(len(server.arrival_times_ms) for server in fleet.warm_servers) > sum(counts_before)
         finally:
