--- a/benchmarks/authz_doors.py
+++ b/benchmarks/authz_doors.py
@@ -77,7 +77,7 @@
         async def check(n: int) -> None:
             nonlocal late
             began, asking = time.perf_counter(), askings[n % 3]
-            word = await asking.word(f"g{n}", timeout=DEADLINE, **terms_of(0, 3, units=4))
+            word = await asking.check_status(f"g{n}", timeout=DEADLINE, **terms_of(0, 3, units=4))
             took = (time.perf_counter() - began) * 1000.0
             answers[f"g{n}"] += 1
             check_ms.append(took)
@@ -196,7 +196,7 @@
         for turn in range(5):
 
             async def check(n: int, turn: int = turn) -> None:
-                words[await asking.word(f"c{turn}-{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))] += 1
+                words[await asking.check_status(f"c{turn}-{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))] += 1
 
             async def at_once(n: int) -> None:
                 await empty.check(f"c{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))
@@ -250,7 +250,7 @@
         async def ask(n: int) -> None:
             nonlocal asked, right
             began = time.perf_counter()
-            word = await asking.word(f"q{n}", timeout=DEADLINE, **terms_of(0, 3, account=f"{n % 300:016x}"))
+            word = await asking.check_status(f"q{n}", timeout=DEADLINE, **terms_of(0, 3, account=f"{n % 300:016x}"))
             in_time = time.perf_counter() - began <= DEADLINE
             if killed_at and began >= killed_at:
                 asked += 1
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -25,7 +25,7 @@
 from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.lease_book import LeaseBook
-from elderlock.standins.counter_simulation import Group
+from elderlock.standins.counter_simulation import CounterSimulation
 from elderlock.standins.listener import Fault
 from elderlock.standins.programs import Program, programs
 
@@ -41,17 +41,17 @@
 }
 
 
-def calm(group: Group) -> None:
+def calm(group: CounterSimulation) -> None:
     group.play(20_000.0)
 
 
-def uneven(group: Group) -> None:
+def uneven(group: CounterSimulation) -> None:
     """Nearly all comes through one limiter."""
     group.rates = [sum(group.rates), *[0.3] * (len(group.rates) - 1)]
     group.play(20_000.0)
 
 
-def silence(group: Group) -> None:
+def silence(group: CounterSimulation) -> None:
     group.play(7_000.0)
     group.set_down(True)
     group.play(15_000.0)
@@ -59,7 +59,7 @@
     group.play(6_000.0)
 
 
-def silence_empty(group: Group) -> None:
+def silence_empty(group: CounterSimulation) -> None:
     group.play(7_000.0)
     group.set_down(True)
     group.play(15_000.0)
@@ -68,7 +68,7 @@
     group.play(6_000.0)
 
 
-def empty_twice(group: Group) -> None:
+def empty_twice(group: CounterSimulation) -> None:
     for _ in range(2):
         group.play(5_000.0)
         group.set_down(True)
@@ -78,19 +78,19 @@
     group.play(5_000.0)
 
 
-def swapped(group: Group) -> None:
+def swapped(group: CounterSimulation) -> None:
     group.play(8_003.0)
     group.lose()
     group.play(10_000.0)
 
 
-def unseen(group: Group) -> None:
+def unseen(group: CounterSimulation) -> None:
     group.play(9_000.0)
-    group.lose(told=False)
+    group.lose(breaks_connections=False)
     group.play(10_000.0)
 
 
-def snapshot(group: Group) -> None:
+def snapshot(group: CounterSimulation) -> None:
     group.play(5_000.0)
     saved = group.snapshot()
     group.play(8_000.0)
@@ -98,7 +98,7 @@
     group.play(8_000.0)
 
 
-def cut(group: Group) -> None:
+def cut(group: CounterSimulation) -> None:
     group.play(6_000.0)
     group.cut([len(group.rates) - 1])
     group.play(10_000.0)
@@ -106,7 +106,7 @@
     group.play(6_000.0)
 
 
-def cut_busiest(group: Group) -> None:
+def cut_busiest(group: CounterSimulation) -> None:
     group.play(6_000.0)
     group.cut([0])
     group.rates = [sum(group.rates), *[0.5] * (len(group.rates) - 1)]
@@ -115,14 +115,14 @@
     group.play(6_000.0)
 
 
-def restarts(group: Group) -> None:
+def restarts(group: CounterSimulation) -> None:
     for turn in range(6):
         group.play(3_000.0)
         group.restart(turn % len(group.rates))
     group.play(3_000.0)
 
 
-SERIES: dict[str, Callable[[Group], None]] = {
+SERIES: dict[str, Callable[[CounterSimulation], None]] = {
     "calm": calm,
     "uneven": uneven,
     "silence": silence,
@@ -161,13 +161,13 @@
             slack_units=store.slack_units * grown,
         )
     rates = [BUSY[n % 3] for n in range(limiters)]
-    group = Group(store, terms, seed, rates, per_s=max(500.0, 170.0 * limiters))
+    group = CounterSimulation(store, terms, seed, rates, per_s=max(500.0, 170.0 * limiters))
     if way == "even split":
         group.books = [Even(terms, group.rng, group.clock(n)) for n in range(limiters)]
     begun = group.now
     SERIES[series](group)
     allowed = store.burst_units + store.refill_units(group.now - begun)
-    granted, requested = sum(group.granted.values()), sum(group.asked.values())
+    granted, requested = sum(group.granted.values()), sum(group.arrived.values())
     return {
         "way": way,
         "series": series,
@@ -184,7 +184,7 @@
 
 def recovery(seed: int) -> list[float]:
     """ms from the counter's return until each limiter draws again."""
-    group = Group(CEILING, CounterParameters(), seed, BUSY).play(3_000.0)
+    group = CounterSimulation(CEILING, CounterParameters(), seed, BUSY).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
@@ -199,15 +199,15 @@
 
 def light(store: SharedBucket, rate: float) -> float:
     """Calls a request, but the sentinels', for customers far from their quota."""
-    group = Group(store, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
+    group = CounterSimulation(store, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
     made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return max(0.0, made) / sum(group.asked.values())
+    return max(0.0, made) / sum(group.arrived.values())
 
 
 def near() -> float:
-    group = Group(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
+    group = CounterSimulation(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
     made = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return made / sum(group.asked.values())
+    return made / sum(group.arrived.values())
 
 
 def decision_cost() -> float:
--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -269,7 +269,7 @@
     fronts = [Front([listen], rate, seed=3) for listen in world.listens]
     for front in fronts:
         front.start()
-    while not all(front.part[0] for front in fronts):
+    while not all(front.in_rotation[0] for front in fronts):
         await asyncio.sleep(0.05)
     await asyncio.sleep(3.0)
     process = agent.limiters["n0"].process
--- a/elderlock/standins/counter_simulation.py
+++ b/elderlock/standins/counter_simulation.py
@@ -46,7 +46,7 @@
         self.loss = 0.0
 
 
-class Group(Simulation):
+class CounterSimulation(Simulation):
     """Limiters, their links and the counter, with the figures of the run.
 
     Attributes:
@@ -62,7 +62,7 @@
         books: The lease book of each limiter.
         excess: The units admitted in excess of the bucket.
         granted: The number of requests that each limiter has admitted.
-        asked: The number of requests that have arrived at each limiter.
+        arrived: The number of requests that have arrived at each limiter.
         served_calls: The number of calls that the counter has served.
         busy: The number of calls that the counter has refused because its queue was full.
         waits: When each undecided request arrived.
@@ -112,7 +112,7 @@
         self.books = [LeaseBook(terms, random.Random(f"book/{seed}/{n}"), self.clock(n)) for n in range(len(rates))]
         self.excess = ExcessMeter(store)
         self.granted: Counts[int] = Counts()
-        self.asked: Counts[int] = Counts()
+        self.arrived: Counts[int] = Counts()
         self.served_calls = self.busy = 0
         self.waits: dict[str, float] = {}
         self.slowest = 0.0
@@ -154,17 +154,18 @@
         self.returns += self.down and not down
         self.down = down
 
-    def lose(self, told: bool = True) -> None:
+    def lose(self, breaks_connections: bool = True) -> None:
         """Deletes all counts.
 
         Args:
-            told: Whether the connections break too, as they do if the process ends, so that limiters notice the loss.
+            breaks_connections: Whether the connections break too, as they do if the process ends, so that limiters
+                notice the loss.
         """
-        self.returns += told
-        self.unseen_losses += not told
+        self.returns += breaks_connections
+        self.unseen_losses += not breaks_connections
         for shard in self.parts:
             shard.totals.clear()
-        if told:
+        if breaks_connections:
             for number, book in enumerate(self.books):
                 book.connection_lost(self.clock(number))
 
@@ -194,7 +195,7 @@
             return
         self._number += 1
         name = f"r{self._number}"
-        self.asked[number] += 1
+        self.arrived[number] += 1
         self.waits[name] = self.now
         key = self.rng.choice(self.accounts) if self.sets == 0 else f"set-{number // self.sets}"
         is_granted = self.books[number].admit(name, key, self.store, 1.0, self.clock(number))
--- a/elderlock/standins/fault_schedule.py
+++ b/elderlock/standins/fault_schedule.py
@@ -76,7 +76,7 @@
     """Injects the faults of a schedule.
 
     Attributes:
-        told: When each fault was injected or ended, in seconds of the run, with a description.
+        log: When each fault was injected or ended, in seconds of the run, with a description.
     """
 
     def __init__(self, planned: Sequence[PlannedFault], world: World, kill: Kill) -> None:
@@ -92,7 +92,7 @@
         """
         check(planned, world)
         self._planned, self._world, self._kill = sorted(planned, key=lambda trouble: trouble.at), world, kill
-        self.told: list[tuple[float, str]] = []
+        self.log: list[tuple[float, str]] = []
         self._removed: dict[str, list[SimulatedServer]] = {}
 
     async def run(self, began: float) -> list[tuple[float, str]]:
@@ -106,7 +106,7 @@
         """
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.gather(*(self._run_fault(trouble, began) for trouble in self._planned))
-        return sorted(self.told)
+        return sorted(self.log)
 
     async def _run_fault(self, trouble: PlannedFault, began: float) -> None:
         await asyncio.sleep(max(0.0, began + trouble.at - time.monotonic()))
@@ -120,7 +120,7 @@
                 self._record(began, mended)
 
     def _record(self, began: float, text: str) -> None:
-        self.told.append((time.monotonic() - began, text))
+        self.log.append((time.monotonic() - began, text))
 
     def _servers(self, target: str) -> list[SimulatedServer]:
         return list(self._world.boxes.values()) if target == "*" else [self._world.boxes[target]]
--- a/elderlock/standins/front.py
+++ b/elderlock/standins/front.py
@@ -113,7 +113,7 @@
         loop: The event loop.
         rate: The requests per second.
         ledger: The outcomes of all requests.
-        part: Whether each limiter is in rotation.
+        in_rotation: Whether each limiter is in rotation.
         idle: The idle connections to each limiter.
         open_connections: All open connections.
     """
@@ -144,7 +144,7 @@
         self._within, self._plans = within, plans
         self._rng = random.Random(seed)
         self._customers = [f"{self._rng.randrange(1 << 33):016x}" for _ in range(customers)]
-        self.part = [False] * len(limiters)
+        self.in_rotation = [False] * len(limiters)
         self.idle: list[list[_Connection]] = [[] for _ in limiters]
         self.open_connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -173,14 +173,14 @@
                         writer.write(b"*1\r\n$4\r\nPING\r\n")
                         async with asyncio.timeout(PING_TIMEOUT_S):
                             line = await reader.readline()
-                        self.part[limiter] = line == b"+PONG\r\n"
+                        self.in_rotation[limiter] = line == b"+PONG\r\n"
                         if not line:
                             break
                         await asyncio.sleep(PING_INTERVAL_S)
                 finally:
                     writer.transport.abort()
             except (OSError, TimeoutError):
-                self.part[limiter] = False
+                self.in_rotation[limiter] = False
             await asyncio.sleep(PING_INTERVAL_S / 3)
 
     async def _arrive(self) -> None:
@@ -209,9 +209,9 @@
         self._send(request, members)
 
     def _send(self, request: _Request, members: Sequence[int]) -> None:
-        candidates = [limiter for limiter in members if self.part[limiter]]
+        candidates = [limiter for limiter in members if self.in_rotation[limiter]]
         if not candidates:
-            candidates = [limiter for limiter, is_in_rotation in enumerate(self.part) if is_in_rotation]
+            candidates = [limiter for limiter, is_in_rotation in enumerate(self.in_rotation) if is_in_rotation]
         if not candidates:
             return self.ended(request, "nowhere")
         limiter = self._rng.choice(candidates)
@@ -240,7 +240,7 @@
             return self.ended(request, "lost")
         self.ledger.resent += 1
         request.tries = max(request.tries, 1)
-        others = [other for other, is_in_rotation in enumerate(self.part) if is_in_rotation and other != limiter]
+        others = [other for other, is_in_rotation in enumerate(self.in_rotation) if is_in_rotation and other != limiter]
         self._start_task(self._open(request, self._rng.choice(others or [limiter])))
 
     def answered(self, request: _Request, answer: Any) -> None:
--- a/elderlock/standins/gateways.py
+++ b/elderlock/standins/gateways.py
@@ -36,7 +36,7 @@
         return cls(0, address)
 
     @staticmethod
-    def question(name: str, **changes: Any) -> auth.CheckRequest:
+    def check_request(name: str, **changes: Any) -> auth.CheckRequest:
         """Returns a check request; a change to None leaves its context extension out."""
         request = auth.CheckRequest()
         values = {
@@ -55,9 +55,9 @@
 
     async def check(self, name: str, timeout: float | None = 10.0, **changes: Any) -> Any:
         """Sends a check request and returns the response."""
-        return await self.auth.Check(self.question(name, **changes), timeout=timeout)
+        return await self.auth.Check(self.check_request(name, **changes), timeout=timeout)
 
-    async def word(self, name: str, timeout: float | None = 10.0, **changes: Any) -> int | str:
+    async def check_status(self, name: str, timeout: float | None = 10.0, **changes: Any) -> int | str:
         """Returns the HTTP status that a gateway would send, 200 for a permission, or the name of the gRPC status."""
         try:
             answer = await self.check(name, timeout, **changes)
--- a/elderlock/standins/limiters.py
+++ b/elderlock/standins/limiters.py
@@ -105,7 +105,7 @@
         stops: The number of stop commands.
         received: All messages received, in order.
         started_at: When the process started, in Unix ms.
-        desk: The command authority.
+        authority: The command authority.
     """
 
     def __init__(self, name: str, path: Path, boxes: Sequence[str] = ("s-1", "s-2", "s-3", "s-4")) -> None:
@@ -127,7 +127,7 @@
         self.started_at = unix_ms()
         self.in_force, self.down = {}, False
         self._held.clear()
-        self.desk = CommandAuthority(self, records)
+        self.authority = CommandAuthority(self, records)
         if self._server is not None:
             for connection in list(self._server.connections):
                 connection.abort()
@@ -148,7 +148,7 @@
 
     def state(self, id: int, accounts: int) -> messages.LimiterState:
         """Returns the state of the limiter as the answer to request `id`."""
-        drained = self.desk.records.drained_targets("box")
+        drained = self.authority.records.drained_targets("box")
         boxes = [
             server_status(
                 uid,
@@ -161,12 +161,12 @@
             self.name,
             boxes,
             id=id,
-            records=tuple(self.desk.records),
+            records=tuple(self.authority.records),
             is_drained=self.down,
             ready=not self.down,
-            records_digest=self.desk.records.digest(),
-            owner=self.desk.owner,
-            owner_epoch=self.desk.owner_epoch,
+            records_digest=self.authority.records.digest(),
+            owner=self.authority.owner,
+            owner_epoch=self.authority.owner_epoch,
         )
 
     def drain(self, boxes: dict[str, Record], limiter: bool) -> None:
@@ -202,7 +202,7 @@
             self._answer(connection, message, self.trouble)
 
     def _answer(self, connection: Connection[Session], message: messages.ToLimiter, trouble: Trouble) -> None:
-        answer = self.desk.handle(connection.session, message, unix_ms())
+        answer = self.authority.handle(connection.session, message, unix_ms())
         if isinstance(answer, messages.Welcome):
             connection.on_identified()
         body = messages.encode_message(answer)
--- a/elderlock/standins/network.py
+++ b/elderlock/standins/network.py
@@ -29,7 +29,7 @@
         cut: The pairs of limiters between which nothing passes.
         carried: The number of datagrams delivered.
         dropped: The number of datagrams lost.
-        seen: Is called with the sender, the receiver and the data of each datagram delivered.
+        on_delivered: Is called with the sender, the receiver and the data of each datagram delivered.
         listens: The address at which each limiter listens.
     """
 
@@ -37,7 +37,7 @@
         self.limiters, self.delay, self.loss = limiters, delay, loss
         self.cut: set[frozenset[int]] = set()
         self.carried = self.dropped = 0
-        self.seen: Callable[[int, int, bytes], None] = lambda owner, receiver, data: None
+        self.on_delivered: Callable[[int, int, bytes], None] = lambda owner, receiver, data: None
         self._rng = random.Random(seed)
         self._relays: dict[tuple[int, int], asyncio.DatagramTransport] = {}
         self.listens: list[str] = []
@@ -91,7 +91,7 @@
         relay = self._relays[receiver, owner]
         if not relay.is_closing():
             self.carried += 1
-            self.seen(owner, receiver, data)
+            self.on_delivered(owner, receiver, data)
             host, _, port = self.listens[receiver].rpartition(":")
             relay.sendto(data, (host, int(port)))
 
--- a/tests/authz/test_door.py
+++ b/tests/authz/test_door.py
@@ -114,10 +114,10 @@
 def test_an_unreported_permission_ends_by_its_deadline() -> None:
     async def test() -> None:
         async with doors() as here:
-            assert await here.asking.word("q1", deadline_ms=150) == 200
+            assert await here.asking.check_status("q1", deadline_ms=150) == 200
             assert not here.empty()
             await until(here.empty)
-            assert await here.asking.word("q1", deadline_ms=150) == 200  # its life is over: a new question
+            assert await here.asking.check_status("q1", deadline_ms=150) == 200  # its life is over: a new question
 
     run(test())
 
@@ -136,7 +136,7 @@
 def test_a_refusal_says_when_to_come_back() -> None:
     async def test() -> None:
         async with doors() as here:
-            assert await here.asking.word("q1", plan="tiny") == 200
+            assert await here.asking.check_status("q1", plan="tiny") == 200
             answer = await here.asking.check("q2", plan="tiny")
             found, body = headers(answer), json.loads(answer.denied_response.body)
             assert answer.denied_response.status.code == 429 and answer.status.code == 8
@@ -158,7 +158,9 @@
             plan: dict[str, Any] = {"plan": "tiny", "account": OTHER_CUSTOMER} if state == "refused" else {}
             if state == "refused":
                 await here.asking.check("q0", **plan)
-            first = asyncio.create_task(here.asking.word("q1", deadline_ms=200 if state == "expired" else 2000, **plan))
+            first = asyncio.create_task(
+                here.asking.check_status("q1", deadline_ms=200 if state == "expired" else 2000, **plan)
+            )
             if state in ("undecided", "cancelled"):
                 await until(lambda: len(held) == 1)
             if state == "undecided":
@@ -199,11 +201,11 @@
             client.read("q1")
             await until(lambda: len(here.server.commands) == 1)
             if answer == "open":
-                assert await here.asking.word("q1") == 409
-                assert await here.asking.word("q2") == 200
+                assert await here.asking.check_status("q1") == 409
+                assert await here.asking.check_status("q2") == 200
             go.set()
             assert await client.answer() == b"value"  # the first is unharmed
-            assert await here.asking.word("q1") == 200
+            assert await here.asking.check_status("q1") == 200
 
     run(test())
 
@@ -214,8 +216,8 @@
     async def test() -> None:
         async with doors() as here:
             hold(here)
-            assert await here.asking.word("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
-            assert await here.asking.word("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
+            assert await here.asking.check_status("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
+            assert await here.asking.check_status("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
             await until(here.empty)
             assert here.store == 100.0
 
@@ -226,8 +228,8 @@
     async def test() -> None:
         async with doors() as here:
             held = hold(here)
-            one = here.asking.auth.Check(here.asking.question("q1"))
-            two = here.asking.auth.Check(here.asking.question("q1"))
+            one = here.asking.auth.Check(here.asking.check_request("q1"))
+            two = here.asking.auth.Check(here.asking.check_request("q1"))
             await until(lambda: len(here.door.questions) == 1 and here.door.questions.asked == 2)
             one.cancel()
             await until(lambda: one.done())
@@ -235,7 +237,7 @@
             assert (await two).HasField("ok_response")
             assert await here.asking.report("q1")
             held = hold(here)
-            gone = here.asking.auth.Check(here.asking.question("q2"))
+            gone = here.asking.auth.Check(here.asking.check_request("q2"))
             await until(lambda: len(held) == 1)
             gone.cancel()
             await until(here.empty)
@@ -248,9 +250,11 @@
     async def test() -> None:
         async with doors() as here:
             other = GatewayClient(here.door.port)
-            assert await other.word("q1", deadline_ms=300) == 200
+            assert await other.check_status("q1", deadline_ms=300) == 200
             await other.channel.close()
-            assert await here.asking.word("q1", deadline_ms=300) == 200  # asked again elsewhere: the same answer
+            assert (
+                await here.asking.check_status("q1", deadline_ms=300) == 200
+            )  # asked again elsewhere: the same answer
             assert here.store > 98.5
             await until(here.empty)
 
@@ -261,9 +265,9 @@
     async def test() -> None:
         async with doors() as here:
             here.limiter.tell(target("s-0", here.server.endpoint, state="draining"))
-            assert await here.asking.word("q1", deadline_ms=400) == 429
+            assert await here.asking.check_status("q1", deadline_ms=400) == 429
             here.limiter.tell(target("s-0", here.server.endpoint))
-            assert await here.asking.word("q2") == 200
+            assert await here.asking.check_status("q2") == 200
 
     run(test())
 
@@ -284,7 +288,7 @@
 def test_what_cannot_be_taken_is_denied_and_takes_nothing(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         async with doors(askers=(Asker((CUSTOMER,)),)) as here:
-            assert await here.asking.word("q1", **changes) == status
+            assert await here.asking.check_status("q1", **changes) == status
             assert here.empty() and not here.limiter.gateway.limiter.quotas.accounts
 
     run(test())
@@ -295,15 +299,15 @@
         async with doors() as here:
             with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await here.asking.auth.Check(
-                    here.asking.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
+                    here.asking.check_request("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
                 )
             assert raised.value.code() in (grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.UNAVAILABLE)
-            big = here.asking.question("q2")
+            big = here.asking.check_request("q2")
             big.attributes.request.http.headers["x"] = "x" * (1 << 17)
             with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await here.asking.auth.Check(big, timeout=10)
             assert raised.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
-            assert await GatewayClient(here.door.port).word("q3") == 200
+            assert await GatewayClient(here.door.port).check_status("q3") == 200
 
     run(test())
 
@@ -323,7 +327,7 @@
         async with doors() as here:
             sock = socket.create_connection(("127.0.0.1", here.door.port))
             sock.sendall(first)
-            assert await here.asking.word("q1") == 200
+            assert await here.asking.check_status("q1") == 200
             client = await here.limiter.client()
             assert await client.ask("q2") == b"value"
             sock.close()
@@ -341,7 +345,7 @@
         # for the next fifty, and how many end so would say how fast the machine is
         async with doors(bounds=bounds, longest_ms=110_000.0) as here:
             held = hold(here)
-            calls = [asyncio.create_task(here.asking.word(f"q{n}", timeout=110.0)) for n in range(10_000)]
+            calls = [asyncio.create_task(here.asking.check_status(f"q{n}", timeout=110.0)) for n in range(10_000)]
             await until(lambda: sum(call.done() for call in calls) >= 10_000 - 50)
             assert len(held) == here.door.questions.undecided == 50
             release(here, held)
@@ -368,7 +372,7 @@
             connection.initiate_connection()
             connection.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
             for n in range(200):
-                body = here.asking.question(f"q{n}", deadline_ms=300).SerializeToString()
+                body = here.asking.check_request(f"q{n}", deadline_ms=300).SerializeToString()
                 stream = connection.get_next_available_stream_id()
                 connection.send_headers(
                     stream,
@@ -384,7 +388,7 @@
                 connection.send_data(stream, b"\x00" + len(body).to_bytes(4, "big") + body, end_stream=True)
             writer.write(connection.data_to_send())
             await until(lambda: here.door.questions.asked > 0)
-            assert await here.asking.word("mine") in (200, 429)
+            assert await here.asking.check_status("mine") in (200, 429)
             await until(here.empty)
             client = await here.limiter.client()
             assert await client.ask("after") == b"value"
@@ -400,12 +404,12 @@
                 f"/{CHECK}/Check", response_deserializer=auth.CheckResponse.FromString
             )
             unknown = b"\xfa\x3e\x05hello"  # field 1007, five bytes
-            answer = await call(here.asking.question("q1").SerializeToString() + unknown, timeout=10)
+            answer = await call(here.asking.check_request("q1").SerializeToString() + unknown, timeout=10)
             assert answer.HasField("ok_response")
             assert (await call(b"", timeout=10)).denied_response.status.code == 400
             with pytest.raises(grpc.aio.AioRpcError):
                 await call(b"\xff\xff", timeout=10)
-            assert await here.asking.word("q2") == 200
+            assert await here.asking.check_status("q2") == 200
 
     run(test())
 
@@ -415,9 +419,9 @@
 
     async def test() -> None:
         async with doors(bounds=Bounds(connections=4, handshake=0.3)) as here:
-            assert await here.asking.word("q1") == 200
+            assert await here.asking.check_status("q1") == 200
             crowd = [socket.create_connection(("127.0.0.1", here.door.port)) for _ in range(100)]
-            assert await here.asking.word("q2") == 200
+            assert await here.asking.check_status("q2") == 200
             for sock in crowd:
                 sock.settimeout(20.0)
                 with contextlib.suppress(ConnectionError):
@@ -425,7 +429,7 @@
                         pass  # an end, whatever it said before
                 sock.close()
             other = GatewayClient(here.door.port)  # there is room again
-            assert await other.word("q3") == 200
+            assert await other.check_status("q3") == 200
             await other.channel.close()
 
     run(test(), within=60.0)
@@ -436,7 +440,7 @@
         async with doors() as here:
             hold(here)
             for n in range(300):
-                call = here.asking.auth.Check(here.asking.question(f"q{n}"))
+                call = here.asking.auth.Check(here.asking.check_request(f"q{n}"))
                 await asyncio.sleep(0)
                 call.cancel()
             await until(here.empty)
@@ -536,7 +540,7 @@
                 found |= {service.name for service in response.list_services_response.service}
             assert found >= {CHECK, LIMIT, LOOKUPS}
             held = hold(here)
-            open_one = asyncio.create_task(here.asking.word("q1"))
+            open_one = asyncio.create_task(here.asking.check_status("q1"))
             await until(lambda: len(held) == 1)
             stopping = asyncio.create_task(here.door.stop())
             await asyncio.sleep(0.05)
--- a/tests/authz/test_program.py
+++ b/tests/authz/test_program.py
@@ -22,7 +22,7 @@
     async def test() -> None:
         async with programs(tmp_path) as (program,):
             asking, client = program.asking(), await program.client()
-            assert await asking.word("q1", **terms_of(0, 1)) == 200
+            assert await asking.check_status("q1", **terms_of(0, 1)) == 200
             answer = await client.ask("q2", t="enterprise")
             assert isinstance(answer, bytes) and b"request=q2" in answer
             assert "open" in str(await client.ask("q1", t="enterprise"))
@@ -67,7 +67,7 @@
             await program.drain(Record("limiter", "n0", True, 1, "o", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.NOT_SERVING:
                 await asyncio.sleep(0.01)
-            assert await asking.word("q1", **terms_of(0, 1)) == 200
+            assert await asking.check_status("q1", **terms_of(0, 1)) == 200
             await program.drain(Record("limiter", "n0", False, 2, "o2", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.SERVING:
                 await asyncio.sleep(0.01)
@@ -114,19 +114,19 @@
                 return asking
 
             before = connect()
-            assert await before.word("q0", **terms_of(0, 1)) == 200
+            assert await before.check_status("q0", **terms_of(0, 1)) == 200
             write_certificates(tmp_path)  # another authority and all new keys
             (tmp_path / "server.crt").rename(tmp_path / "good.crt")
             program_process.send_signal(signal.SIGHUP)  # half of it is missing: nothing changes
-            assert await before.word("q1", **terms_of(0, 1)) == 200
+            assert await before.check_status("q1", **terms_of(0, 1)) == 200
             (tmp_path / "good.crt").rename(tmp_path / "server.crt")
             program_process.send_signal(signal.SIGHUP)
             after = connect()
-            while await after.word("q2", **terms_of(0, 1)) != 200:
+            while await after.check_status("q2", **terms_of(0, 1)) != 200:
                 await after.channel.close()
                 await asyncio.sleep(0.02)
                 after = connect()
-            assert await before.word("q3", **terms_of(0, 1)) == 200
+            assert await before.check_status("q3", **terms_of(0, 1)) == 200
             for asking in (before, after):
                 await asking.channel.close()
 
@@ -155,7 +155,7 @@
                 n = 0
                 while not stop.is_set():
                     n += 1
-                    word = await asking.word(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
+                    word = await asking.check_status(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
                     asked += word in (200, 429)
                     if word == 200:
                         permitted.append(unix_ms())
--- a/tests/authz/test_routing.py
+++ b/tests/authz/test_routing.py
@@ -132,8 +132,8 @@
             assert headers(answer)["x-elderlock-permission"] == "q1"
             assert await asking.report("q1", account=ACCOUNT)
             assert not await asking.report("q1", account=ACCOUNT)
-            assert await asking.word("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
-            assert await asking.word("q3", **terms_of(0, 3, plan="gold")) == 400
+            assert await asking.check_status("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
+            assert await asking.check_status("q3", **terms_of(0, 3, plan="gold")) == 400
             descriptor = ratelimit_pb2.RateLimitDescriptor()
             for key, value in terms_of(0, 3, **{"class": "lookup"}).items():
                 descriptor.entries.add(key=key, value=str(value))
@@ -151,11 +151,11 @@
         async with routed(tmp_path) as (made, _, asking, away):
             away.add("n0")
             for n in range(12):
-                assert await asking.word(f"q{n}", **terms_of(0, 3)) in (200, 429)
+                assert await asking.check_status(f"q{n}", **terms_of(0, 3)) in (200, 429)
             counts = [await program.count() for program in made]
             assert counts[0] == 0 and counts[1] and counts[2] and sum(counts) == 12
             away |= {"n1", "n2"}
-            assert await asking.word("q99", **terms_of(0, 3)) == "UNAVAILABLE"
+            assert await asking.check_status("q99", **terms_of(0, 3)) == "UNAVAILABLE"
 
     run(test(), within=60.0)
 
@@ -169,7 +169,7 @@
 
             async def ask(lane: int) -> None:
                 for n in range(25):
-                    words.append(await asking.word(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
+                    words.append(await asking.check_status(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
                     with contextlib.suppress(grpc.aio.AioRpcError):  # whoever permitted it may be dead by now
                         await lookups_report(asking.channel, f"q{lane}-{n}")
                     if lane == 0 and n in (5, 10):
@@ -209,12 +209,12 @@
                 return asking
 
             good, bare = connect(), GatewayClient(door.port)
-            assert await good.word("q1", **terms_of(0, 1)) == 200
-            assert await bare.word("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
+            assert await good.check_status("q1", **terms_of(0, 1)) == 200
+            assert await bare.check_status("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
             write_certificates(tmp_path)
             door.reload()
             after = connect()
-            assert await after.word("q3", **terms_of(0, 1)) == 200  # the way to the limiter goes on as it was
+            assert await after.check_status("q3", **terms_of(0, 1)) == 200  # the way to the limiter goes on as it was
             for asking in (good, bare, after):
                 await asking.channel.close()
             await door.stop()
@@ -227,13 +227,13 @@
     async def test() -> None:
         async with routed(tmp_path) as (made, door, asking, away):
             away |= {"n1", "n2"}
-            assert await asking.word("warm", **terms_of(0, 3)) == 200  # connected
+            assert await asking.check_status("warm", **terms_of(0, 3)) == 200  # connected
             process = made[0].process
             assert process is not None
             os.kill(process.pid, signal.SIGSTOP)
             away.clear()
             away |= {"n1", "n2"}
-            call = asyncio.create_task(asking.word("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
+            call = asyncio.create_task(asking.check_status("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
             while not door._router._members["n0"].open:
                 await asyncio.sleep(0.005)
             away.clear()  # the others could be asked, and must not be
@@ -303,7 +303,7 @@
         )
         try:
             asking = GatewayClient.at(doors[2])
-            while await asking.word("warm", **terms_of(0, 2)) != 200:
+            while await asking.check_status("warm", **terms_of(0, 2)) != 200:
                 await asyncio.sleep(0.05)
             group = Group.read(world.group_path)
             # one limiter's answer says nothing of the other's start: a drain of the only one that serves is refused
@@ -313,7 +313,7 @@
             assert (await carry_out(group, order, lambda *_: None)).exit is Exit.DONE
             drained = GatewayClient.at(doors[0])
             for n in range(10):
-                assert await asking.word(f"q{n}", **terms_of(0, 2)) in (200, 429)
+                assert await asking.check_status(f"q{n}", **terms_of(0, 2)) in (200, 429)
             assert await drained.report("q0", account=ACCOUNT) is False  # n0 was asked nothing since
             group.close()
             for each in (asking, drained):
--- a/tests/control/test_command_authority.py
+++ b/tests/control/test_command_authority.py
@@ -20,7 +20,7 @@
 
 def send_hello(scripted: ScriptedLimiter, hello: messages.Hello, now_ms: float) -> tuple[Session, messages.Message]:
     session = Session()
-    return session, scripted.desk.handle(session, hello, now_ms)
+    return session, scripted.authority.handle(session, hello, now_ms)
 
 
 def test_a_hello_with_an_unknown_version_is_refused_with_both_versions() -> None:
@@ -32,7 +32,7 @@
 
 def test_a_request_before_hello_is_refused() -> None:
     scripted = scripted_limiter()
-    answer = scripted.desk.handle(Session(), messages.ApplyRecords(1, (drain_record(),)), 0.0)
+    answer = scripted.authority.handle(Session(), messages.ApplyRecords(1, (drain_record(),)), 0.0)
     assert isinstance(answer, messages.Refused)
     assert not scripted.in_force
 
@@ -45,13 +45,13 @@
     assert (refused.code, refused.owner, refused.owner_epoch) == ("claimed", "a", 5)
     observer, welcome = send_hello(scripted, messages.Hello((1,), "b"), 1.0)
     assert isinstance(welcome, messages.Welcome)
-    assert isinstance(scripted.desk.handle(observer, messages.GetState(1), 2.0), messages.LimiterState)
-    answer = scripted.desk.handle(observer, messages.ApplyRecords(2, (drain_record(),)), 3.0)
+    assert isinstance(scripted.authority.handle(observer, messages.GetState(1), 2.0), messages.LimiterState)
+    answer = scripted.authority.handle(observer, messages.ApplyRecords(2, (drain_record(),)), 3.0)
     assert isinstance(answer, messages.Refused) and answer.code == "not-owner"
-    assert isinstance(scripted.desk.handle(observer, messages.Stop(3), 3.0), messages.Refused)
+    assert isinstance(scripted.authority.handle(observer, messages.Stop(3), 3.0), messages.Refused)
     assert not scripted.in_force and not scripted.stops
     assert isinstance(
-        scripted.desk.handle(owner, messages.ApplyRecords(3, (drain_record(),)), 4.0), messages.RecordsApplied
+        scripted.authority.handle(owner, messages.ApplyRecords(3, (drain_record(),)), 4.0), messages.RecordsApplied
     )
     assert set(scripted.in_force) == {"s-1"}
 
@@ -60,7 +60,7 @@
     scripted = scripted_limiter()
     send_hello(scripted, HELLO_A, 0.0)
     observer, _ = send_hello(scripted, messages.Hello((1,), "b"), 1.0)
-    scripted.desk.handle(observer, messages.GetState(1), LEASE_MS - 1)
+    scripted.authority.handle(observer, messages.GetState(1), LEASE_MS - 1)
     _, answer = send_hello(scripted, HELLO_B, LEASE_MS)
     assert isinstance(answer, messages.Welcome) and answer.owner == "b"
 
@@ -70,7 +70,7 @@
     cut_off, _ = send_hello(scripted, HELLO_A, 0.0)
     _, welcome = send_hello(scripted, HELLO_B, LEASE_MS)
     assert isinstance(welcome, messages.Welcome)
-    refused = scripted.desk.handle(cut_off, messages.ApplyRecords(9, (drain_record(),)), LEASE_MS + 1)
+    refused = scripted.authority.handle(cut_off, messages.ApplyRecords(9, (drain_record(),)), LEASE_MS + 1)
     assert isinstance(refused, messages.Refused) and refused.owner == "b"
     assert not scripted.in_force
 
@@ -87,21 +87,23 @@
 def test_an_older_or_a_repeated_record_changes_nothing() -> None:
     scripted = scripted_limiter()
     owner, _ = send_hello(scripted, HELLO_A, 0.0)
-    scripted.desk.handle(owner, messages.ApplyRecords(1, (drain_record(generation=3),)), 1.0)
+    scripted.authority.handle(owner, messages.ApplyRecords(1, (drain_record(generation=3),)), 1.0)
     in_force_record = scripted.in_force["s-1"]
-    answer = scripted.desk.handle(owner, messages.ApplyRecords(2, (drain_record(generation=2, drained=False),)), 2.0)
+    answer = scripted.authority.handle(
+        owner, messages.ApplyRecords(2, (drain_record(generation=2, drained=False),)), 2.0
+    )
     assert isinstance(answer, messages.RecordsApplied)
     assert [record.generation for record in answer.records] == [3]  # the answer has the record in force
-    scripted.desk.handle(owner, messages.ApplyRecords(3, (drain_record(generation=3),)), 3.0)
+    scripted.authority.handle(owner, messages.ApplyRecords(3, (drain_record(generation=3),)), 3.0)
     assert scripted.in_force == {"s-1": in_force_record}
-    scripted.desk.handle(owner, messages.ApplyRecords(4, (drain_record(generation=4, drained=False),)), 4.0)
+    scripted.authority.handle(owner, messages.ApplyRecords(4, (drain_record(generation=4, drained=False),)), 4.0)
     assert not scripted.in_force
 
 
 def test_a_limiter_is_drained_only_by_a_record_with_its_own_name() -> None:
     scripted = scripted_limiter()
     owner, _ = send_hello(scripted, HELLO_A, 0.0)
-    scripted.desk.handle(owner, messages.ApplyRecords(1, (drain_record("n1", 1, kind="limiter"),)), 1.0)
+    scripted.authority.handle(owner, messages.ApplyRecords(1, (drain_record("n1", 1, kind="limiter"),)), 1.0)
     assert not scripted.down
-    scripted.desk.handle(owner, messages.ApplyRecords(2, (drain_record("n0", 2, kind="limiter"),)), 1.0)
+    scripted.authority.handle(owner, messages.ApplyRecords(2, (drain_record("n0", 2, kind="limiter"),)), 1.0)
     assert scripted.down
--- a/tests/fleet/test_agents.py
+++ b/tests/fleet/test_agents.py
@@ -478,7 +478,7 @@
             result = await group.command(give_up_after=0.5)
             reported_states = {(row.agent, row.limiter): row.state for row in result.reports[0].rows()}
             assert reported_states["agent-0", "n0"] == "reached" and reported_states["agent-1", "n0"] == "not-reached"
-            assert group.limiters["n0"].desk.owner == "agent-0"
+            assert group.limiters["n0"].authority.owner == "agent-0"
 
     run(test())
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -82,7 +82,7 @@
         await group.wait_until_all_answer()
         if load:
             group.front.start()
-            await until(lambda: all(group.front.part))
+            await until(lambda: all(group.front.in_rotation))
             await group.wait_for_answers()
         yield group
     finally:
@@ -205,8 +205,8 @@
             killed_pid = group.pid("n0")
             os.kill(killed_pid, signal.SIGKILL)
             await until(lambda: group.agent.limiters["n0"].process is not None and group.pid("n0") != killed_pid)
-            await until(lambda: not group.front.part[0])
-            await until(lambda: group.front.part[0])  # it has answered PING, so the front sends requests
+            await until(lambda: not group.front.in_rotation[0])
+            await until(lambda: group.front.in_rotation[0])  # it has answered PING, so the front sends requests
             count = group.count_sent_by(0)
             await until(lambda: group.count_sent_by(0) > count)
             await group.wait_for_answers()
@@ -266,7 +266,7 @@
             await group.wait_for_answers(20)
             result = await group.drain("n1", kind="limiter")
             assert result.exit is Exit.DONE
-            await until(lambda: not group.front.part[1])
+            await until(lambda: not group.front.in_rotation[1])
             await until(lambda: not group.front.idle[1])  # idle connections are closed
             host, _, port = group.world.listens[1].rpartition(":")
             client = Client(*await asyncio.open_connection(host, int(port)))
@@ -276,7 +276,7 @@
             states = {s.limiter: s for s in (await observe_group(group.client)).states()}
             assert states["n1"].is_drained and states["n1"].open_requests == 0 and not states["n0"].is_drained
             assert (await group.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
-            await until(lambda: group.front.part[1])
+            await until(lambda: group.front.in_rotation[1])
             await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
--- a/tests/quota/test_error_bound.py
+++ b/tests/quota/test_error_bound.py
@@ -18,7 +18,7 @@
     unseen_loss_error_units,
 )
 from elderlock.quota.options import QuotaOptions
-from elderlock.standins.counter_simulation import Group
+from elderlock.standins.counter_simulation import CounterSimulation
 
 CEILING = SharedBucket(rate_per_s=13.0, burst_units=19.0, limiter_count=3, is_hard_ceiling=True, slack_units=2.0)
 QUOTA = SharedBucket(rate_per_s=7.0, burst_units=12.0, limiter_count=3)
@@ -28,18 +28,18 @@
 
 def make_group(
     bucket: SharedBucket = CEILING, seed: int = 1, rates: tuple[float, ...] = BUSY_RATES, **options: object
-) -> Group:
-    return Group(bucket, PARAMETERS, seed, rates, **options)  # type: ignore[arg-type]
+) -> CounterSimulation:
+    return CounterSimulation(bucket, PARAMETERS, seed, rates, **options)  # type: ignore[arg-type]
 
 
-def check_bound(group: Group) -> Group:
+def check_bound(group: CounterSimulation) -> CounterSimulation:
     """Assert that the excess is within the stated error; return the group."""
     bound = stated_error_units(group.store, PARAMETERS, group.known_failures())
     assert group.excess.worst_units <= bound, (group.excess.worst_units, bound)
     return group
 
 
-def used_fraction(group: Group, duration_ms: float) -> float:
+def used_fraction(group: CounterSimulation, duration_ms: float) -> float:
     """Return the granted units as a fraction of the bucket's refill over the duration."""
     return sum(group.granted.values()) / (group.store.rate_per_s * duration_ms / 1000.0)
 
@@ -64,13 +64,13 @@
 
 def test_low_use_needs_few_calls_and_a_large_bucket_less_than_one_per_request() -> None:
     low_use = make_group(QUOTA, rates=(0.2, 0.2, 0.2)).play(30_000.0)
-    assert sum(low_use.granted.values()) == sum(low_use.asked.values()) > 10
+    assert sum(low_use.granted.values()) == sum(low_use.arrived.values()) > 10
     calls = sum(book.calls_made for book in low_use.books) - 3 * 30_000.0 / PARAMETERS.heartbeat_ms
-    assert calls < sum(low_use.asked.values()) * 1.5
+    assert calls < sum(low_use.arrived.values()) * 1.5
     large = make_group(
         SharedBucket(rate_per_s=300.0, burst_units=600.0, limiter_count=3), rates=(90.0, 90.0, 90.0)
     ).play(10_000.0)
-    assert sum(book.calls_made for book in large.books) < 0.5 * sum(large.asked.values())
+    assert sum(book.calls_made for book in large.books) < 0.5 * sum(large.arrived.values())
 
 
 @pytest.mark.parametrize("loses_counts", [False, True])
@@ -92,7 +92,7 @@
 
 def test_a_loss_of_counts_without_a_broken_connection_is_detected_by_the_heartbeat() -> None:
     group = make_group(seed=3).play(9_000.0)
-    group.lose(told=False)
+    group.lose(breaks_connections=False)
     generations_before = [book.health.generation for book in group.books]
     group.play(PARAMETERS.heartbeat_ms * PARAMETERS.sentinel_count * 2.0)
     assert all(book.health.generation > before for book, before in zip(group.books, generations_before, strict=True))
@@ -114,12 +114,12 @@
 ) -> None:
     """When a surplus was held until the next use, a fifth of the requests that the bucket allowed were refused."""
     group = make_group(SharedBucket(rate, burst, 3), rates=(request_rate, request_rate, request_rate)).play(60_000.0)
-    assert sum(group.granted.values()) >= 0.985 * sum(group.asked.values())
+    assert sum(group.granted.values()) >= 0.985 * sum(group.arrived.values())
 
 
 def test_the_bound_holds_through_a_replacement_by_an_empty_counter_with_calls_under_way() -> None:
     group = make_group(seed=4).play(8_003.0)
-    group.lose(told=True)
+    group.lose(breaks_connections=True)
     check_bound(group.play(12_000.0))
 
 
@@ -165,7 +165,7 @@
 
 def test_the_bound_holds_with_clocks_that_differ_by_the_stated_skew() -> None:
     parameters = CounterParameters(clock_skew_ms=200.0)
-    group = Group(CEILING, parameters, 9, BUSY_RATES, skews=(0.0, 100.0, -100.0)).play(60_000.0)
+    group = CounterSimulation(CEILING, parameters, 9, BUSY_RATES, skews=(0.0, 100.0, -100.0)).play(60_000.0)
     assert group.excess.worst_units <= stated_error_units(CEILING, parameters, FailureHistory())
 
 
@@ -180,7 +180,7 @@
 
 def test_limiters_let_a_busy_counter_recover() -> None:
     bucket = SharedBucket(rate_per_s=200.0, burst_units=200.0, limiter_count=8)
-    group = Group(bucket, CounterParameters(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
+    group = CounterSimulation(bucket, CounterParameters(max_calls_per_s=200.0), 11, (60.0,) * 8, per_s=150.0, parts=1)
     group.accounts = tuple(f"a{number}" for number in range(40))
     group.play(10_000.0)
     busy_before, served_before = group.busy, group.served_calls
@@ -217,13 +217,13 @@
     """
     parameters = QuotaOptions(calls_per_s=5.0).parameters(999)
     assert parameters.heartbeat_ms == 4_995.0
-    group = Group(CEILING, parameters, 13, [0.3] * 999, per_s=2500.0, parts=2)
+    group = CounterSimulation(CEILING, parameters, 13, [0.3] * 999, per_s=2500.0, parts=2)
     group.sets, group.accounts = 3, ("many", "of them")
     group.play(4_000.0)
     assert sum(book.mode is CounterMode.SHARED for book in group.books) > 0.9 * 999
-    granted_before, asked_before = sum(group.granted.values()), sum(group.asked.values())
+    granted_before, asked_before = sum(group.granted.values()), sum(group.arrived.values())
     group.play(1_500.0)
-    granted, asked = sum(group.granted.values()) - granted_before, sum(group.asked.values()) - asked_before
+    granted, asked = sum(group.granted.values()) - granted_before, sum(group.arrived.values()) - asked_before
     assert granted > 0.7 * asked
 
 
@@ -279,8 +279,8 @@
 def test_two_counters_that_both_answer_allow_at_most_two_buckets() -> None:
     """One limiter uses a second counter while the others use the first: each side is limited to a whole bucket."""
     sides = [
-        Group(CEILING, PARAMETERS, 15, (12.0, 9.0, 0.0)).play(9_000.0),
-        Group(CEILING, PARAMETERS, 16, (15.0,)).play(9_000.0),
+        CounterSimulation(CEILING, PARAMETERS, 15, (12.0, 9.0, 0.0)).play(9_000.0),
+        CounterSimulation(CEILING, PARAMETERS, 16, (15.0,)).play(9_000.0),
     ]
     for side in sides:
         assert side.excess.worst_units <= stated_error_units(CEILING, PARAMETERS, FailureHistory())
@@ -306,7 +306,7 @@
     bucket = SharedBucket(
         rate_per_s=200.0, burst_units=300.0, limiter_count=limiters, is_hard_ceiling=True, slack_units=30.0
     )
-    group = Group(bucket, PARAMETERS, 18, [8.0] * limiters, per_s=20_000.0).play(4_000.0)
+    group = CounterSimulation(bucket, PARAMETERS, 18, [8.0] * limiters, per_s=20_000.0).play(4_000.0)
     group.cut(range(10))
     group.play(3_000.0)
     group.heal()
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -79,7 +79,7 @@
     async def test() -> None:
         async with standing(plan=QUOTED, accounts=6) as ground:
             seen: list[tuple[int, int]] = []
-            ground.datagrams.seen = lambda owner, receiver, data: seen.append((owner, receiver))
+            ground.datagrams.on_delivered = lambda owner, receiver, data: seen.append((owner, receiver))
             ground.ask()
             await until(lambda: {(0, 1), (1, 0)} <= set(seen))
             ground.relays.befall("cut", [("n0", "n1")])
--- a/tests/trial/test_relays.py
+++ b/tests/trial/test_relays.py
@@ -281,7 +281,7 @@
         net = Datagrams(ways, places, random.Random(1))
         await net.open()
         seen: list[tuple[int, int, bytes]] = []
-        net.seen = lambda owner, receiver, data: seen.append((owner, receiver, data))
+        net.on_delivered = lambda owner, receiver, data: seen.append((owner, receiver, data))
         socks = []
         for listen in net.listens:
             host, _, port = listen.rpartition(":")
