--- a/elderlock/standins/counter_simulation.py
+++ b/elderlock/standins/counter_simulation.py
@@ -109,7 +109,9 @@
         self.rates = list(rates)
         self.skews = [*skews, *[0.0] * (len(rates) - len(skews))]
         self.lines = [Line() for _ in rates]
-        self.books = [LeaseBook(terms, random.Random(f"book/{seed}/{n}"), self.clock(n)) for n in range(len(rates))]
+        self.books = [
+            LeaseBook(terms, random.Random(f"book/{seed}/{number}"), self.clock(number)) for number in range(len(rates))
+        ]
         self.excess = ExcessMeter(store)
         self.granted: Counts[int] = Counts()
         self.arrived: Counts[int] = Counts()
--- a/elderlock/standins/fault_schedule.py
+++ b/elderlock/standins/fault_schedule.py
@@ -19,7 +19,7 @@
 
 What = Literal["slow", "silent", "refusing", "reset", "restart", "empty", "drain", "remove", "kill"]
 FAULTS = {"silent": Fault.SILENT, "refusing": Fault.REFUSING, "reset": Fault.RESET, "slow": Fault.SLOW}
-FOR_BOXES = frozenset({"slow", "silent", "refusing", "reset", "restart", "drain", "remove"})
+FOR_SERVERS = frozenset({"slow", "silent", "refusing", "reset", "restart", "drain", "remove"})
 FOR_COUNTER = frozenset({"slow", "silent", "refusing", "reset", "empty"})
 FOR_DISCOVERY = frozenset({"silent", "refusing", "reset"})
 FOR_PEERS = frozenset({"silent"})
@@ -56,12 +56,12 @@
     Raises:
         FaultError: A target does not exist or does not support its fault.
     """
-    for trouble in planned:
-        target, what = trouble.target, trouble.what
+    for fault in planned:
+        target, what = fault.target, fault.what
         if target in world.limiter_names:
             supported = frozenset({"kill"})
         elif target == "*" or target in world.boxes:
-            supported = FOR_BOXES
+            supported = FOR_SERVERS
         else:
             by_service = {"counter": FOR_COUNTER, "discovery": FOR_DISCOVERY, "peers": FOR_PEERS}
             supported = by_service.get(target, frozenset())
@@ -91,7 +91,7 @@
             FaultError: A target does not exist or does not support its fault.
         """
         check(planned, world)
-        self._planned, self._world, self._kill = sorted(planned, key=lambda trouble: trouble.at), world, kill
+        self._planned, self._world, self._kill = sorted(planned, key=lambda fault: fault.at), world, kill
         self.log: list[tuple[float, str]] = []
         self._removed: dict[str, list[SimulatedServer]] = {}
 
@@ -105,19 +105,19 @@
             When each fault was injected or ended, in seconds of the run, with a description.
         """
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.gather(*(self._run_fault(trouble, began) for trouble in self._planned))
+            await asyncio.gather(*(self._run_fault(fault, began) for fault in self._planned))
         return sorted(self.log)
 
-    async def _run_fault(self, trouble: PlannedFault, began: float) -> None:
-        await asyncio.sleep(max(0.0, began + trouble.at - time.monotonic()))
-        self._record(began, await self._begin(trouble))
-        if not trouble.lasts:
+    async def _run_fault(self, fault: PlannedFault, began: float) -> None:
+        await asyncio.sleep(max(0.0, began + fault.at - time.monotonic()))
+        self._record(began, await self._begin(fault))
+        if not fault.lasts:
             return
         try:
-            await asyncio.sleep(max(0.0, began + trouble.at + trouble.lasts - time.monotonic()))
+            await asyncio.sleep(max(0.0, began + fault.at + fault.lasts - time.monotonic()))
         finally:
-            if mended := await self._mend(trouble):
-                self._record(began, mended)
+            if description := await self._end(fault):
+                self._record(began, description)
 
     def _record(self, began: float, text: str) -> None:
         self.log.append((time.monotonic() - began, text))
@@ -129,8 +129,8 @@
         world = self._world
         return [world.counter if target == "counter" else world.registry.discovery]
 
-    async def _begin(self, trouble: PlannedFault) -> str:
-        what, target, world = trouble.what, trouble.target, self._world
+    async def _begin(self, fault: PlannedFault) -> str:
+        what, target, world = fault.what, fault.target, self._world
         if what == "kill":
             return f"{target} killed" if await self._kill(target) else f"{target} could not be killed"
         if what == "empty":
@@ -142,17 +142,17 @@
             return "nothing passes between limiters"
         if target not in ("counter", "discovery"):
             for server in self._servers(target):
-                await self._break_server(server, trouble)
+                await self._break_server(server, fault)
         else:
             for listener in self._listeners(target):
-                await listener.fail(FAULTS[what], delay=trouble.by / 1000.0)
-        return f"{target} {what}" + (f" by {trouble.by:g} ms" if what == "slow" else "")
+                await listener.fail(FAULTS[what], delay=fault.by / 1000.0)
+        return f"{target} {what}" + (f" by {fault.by:g} ms" if what == "slow" else "")
 
-    async def _break_server(self, server: SimulatedServer, trouble: PlannedFault) -> None:
+    async def _break_server(self, server: SimulatedServer, fault: PlannedFault) -> None:
         registry = self._world.registry
-        match trouble.what:
+        match fault.what:
             case "slow":
-                server.added_delay_ms = trouble.by
+                server.added_delay_ms = fault.by
             case "restart":
                 await server.restart()
                 registry.announce(server)
@@ -161,12 +161,12 @@
                 registry.announce(server)
             case "remove":
                 registry.remove(server.uid)
-                self._removed.setdefault(trouble.target, []).append(server)
+                self._removed.setdefault(fault.target, []).append(server)
             case _:
-                await server.fail(FAULTS[trouble.what])
+                await server.fail(FAULTS[fault.what])
 
-    async def _mend(self, trouble: PlannedFault) -> str:
-        what, target, world = trouble.what, trouble.target, self._world
+    async def _end(self, fault: PlannedFault) -> str:
+        what, target, world = fault.what, fault.target, self._world
         if what in ("kill", "empty", "restart"):
             return ""
         if target == "peers":
--- a/elderlock/standins/histories.py
+++ b/elderlock/standins/histories.py
@@ -212,8 +212,8 @@
         self._last_server_number = boxes
         self.requests: dict[str, _Request] = {}
         self.count = limiters
-        self.settings = [settings(random.Random(f"settings/{seed}"), n, limiters) for n in range(limiters)]
-        self.limiters = [make(self.settings[n], seed * 100 + n, self.now) for n in range(limiters)]
+        self.settings = [settings(random.Random(f"settings/{seed}"), number, limiters) for number in range(limiters)]
+        self.limiters = [make(self.settings[number], seed * 100 + number, self.now) for number in range(limiters)]
         self.customers = [f"{self.rng.randrange(1 << 33):016x}" for _ in range(60)]
         self.mood = "calm"
         self.version = 0
--- a/elderlock/standins/tier.py
+++ b/elderlock/standins/tier.py
@@ -223,7 +223,9 @@
         self.slots_mass = size.slots * sum(box.speed for box in self.boxes.values())
         self.rate = size.load * self.slots_mass / size.work * 1000.0 / size.limiters
         self._weights = list(accumulate(1.0 / (rank + 1) ** 0.6 for rank in range(size.customers)))
-        self.limiters = [make(self._settings(n), seed * 1000 + n, self.now) for n in range(size.limiters)]
+        self.limiters = [
+            make(self._settings(number), seed * 1000 + number, self.now) for number in range(size.limiters)
+        ]
         for number, limiter in enumerate(self.limiters):
             self._act(number, limiter.start(self.now))
             self.tell(number)
--- a/elderlock/standins/world.py
+++ b/elderlock/standins/world.py
@@ -103,12 +103,12 @@
     @property
     def agent_names(self) -> list[str]:
         """The names of all agents in the order of their numbers."""
-        return [f"agent-{n}" for n in range(self.agents)]
+        return [f"agent-{number}" for number in range(self.agents)]
 
     @property
     def limiter_names(self) -> list[str]:
         """The names of all limiters in the order of their numbers."""
-        return [f"n{n}" for n in range(self.limiters)]
+        return [f"n{number}" for number in range(self.limiters)]
 
     @property
     def boxes(self) -> dict[str, SimulatedServer]:
--- a/tests/standins/test_standins.py
+++ b/tests/standins/test_standins.py
@@ -164,9 +164,8 @@
         watcher = Watcher(parse_config(raw_config()).socket_settings, lists.append)
         watcher.follow(("127.0.0.1", registry.discovery.ports[1].port))
         await until(lambda: bool(lists))
-        await until(
-            lambda: bool(registry.discovery.watch_ports)
-        )  # without a watch, changes would arrive as a complete list
+        # without a watch, changes would arrive as a complete list
+        await until(lambda: bool(registry.discovery.watch_ports))
         assert lists[0].is_complete and lists[0].servers[0].address[1] == listed_servers[0].ports[1].port
         registry.add(listed_servers[1])
         registry.remove("s-0")
