--- a/benchmarks/authz_doors.py
+++ b/benchmarks/authz_doors.py
@@ -29,7 +29,7 @@
 from elderlock.spawning import spawn
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
-from elderlock.standins.gateways import Asking
+from elderlock.standins.gateways import GatewayClient
 from elderlock.standins.programs import ACCOUNT, ENTERPRISE, Program, programs, terms_of
 from elderlock.standins.settings import terms
 from elderlock.standins.waiting import run, unix_ms
@@ -81,7 +81,7 @@
         async def check(n: int) -> None:
             nonlocal late_count
             began_s, gateway = time.perf_counter(), gateways[n % 3]
-            status = await gateway.word(f"g{n}", timeout=TIMEOUT_S, **terms_of(0, 3, units=4))
+            status = await gateway.check_status(f"g{n}", timeout=TIMEOUT_S, **terms_of(0, 3, units=4))
             took_ms = (time.perf_counter() - began_s) * 1000.0
             answer_counts[f"g{n}"] += 1
             check_ms.append(took_ms)
@@ -198,7 +198,7 @@
         bare_process = await spawn(sys.executable, "-B", __file__, "--bare", str(port_file))
         while not port_file.exists() or not port_file.read_text():
             await asyncio.sleep(0.02)
-        asking, bare_handler = program.asking(), Asking(int(port_file.read_text()))
+        asking, bare_handler = program.asking(), GatewayClient(int(port_file.read_text()))
         front = Front(program.world.listens, 200.0, seed=2, plans=("enterprise",))
         costs: dict[str, list[float]] = {"check": [], "bare": [], "read": []}
 
@@ -211,7 +211,9 @@
         for round_number in range(5):
 
             async def check(n: int, round_number: int = round_number) -> None:
-                answers[await asking.word(f"c{round_number}-{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))] += 1
+                answers[
+                    await asking.check_status(f"c{round_number}-{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))
+                ] += 1
 
             async def ask_bare_handler(n: int) -> None:
                 await bare_handler.check(f"c{n}", **terms_of(0, 1, account=f"{n % 500:016x}"))
@@ -259,13 +261,13 @@
         }
         door = RoutingServer(raw, folder, set, random.Random(1))
         await door.start()
-        asking = Asking(door.port)
+        asking = GatewayClient(door.port)
         killed_at_s, asked_count, decided_count = 0.0, 0, 0
 
         async def ask(n: int) -> None:
             nonlocal asked_count, decided_count
             began_s = time.perf_counter()
-            status = await asking.word(f"q{n}", timeout=TIMEOUT_S, **terms_of(0, 3, account=f"{n % 300:016x}"))
+            status = await asking.check_status(f"q{n}", timeout=TIMEOUT_S, **terms_of(0, 3, account=f"{n % 300:016x}"))
             is_in_time = time.perf_counter() - began_s <= TIMEOUT_S
             if killed_at_s and began_s >= killed_at_s:
                 asked_count += 1
--- a/benchmarks/counter_loss.py
+++ b/benchmarks/counter_loss.py
@@ -25,7 +25,7 @@
 from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.lease_book import LeaseBook
-from elderlock.standins.counters import Group
+from elderlock.standins.counter_simulation import CounterSimulation
 from elderlock.standins.listener import Fault
 from elderlock.standins.programs import Program, programs
 
@@ -41,18 +41,18 @@
 }
 
 
-def play_calm(group: Group) -> None:
+def play_calm(group: CounterSimulation) -> None:
     """Play without a failure."""
     group.play(20_000.0)
 
 
-def play_uneven(group: Group) -> None:
+def play_uneven(group: CounterSimulation) -> None:
     """Send nearly all requests to one limiter."""
     group.rates = [sum(group.rates), *[0.3] * (len(group.rates) - 1)]
     group.play(20_000.0)
 
 
-def play_silence(group: Group) -> None:
+def play_silence(group: CounterSimulation) -> None:
     """The counter does not answer for 15 s."""
     group.play(7_000.0)
     group.set_down(True)
@@ -61,7 +61,7 @@
     group.play(6_000.0)
 
 
-def play_silence_and_loss(group: Group) -> None:
+def play_silence_and_loss(group: CounterSimulation) -> None:
     """The counter does not answer for 15 s and returns without its data."""
     group.play(7_000.0)
     group.set_down(True)
@@ -71,7 +71,7 @@
     group.play(6_000.0)
 
 
-def play_two_losses(group: Group) -> None:
+def play_two_losses(group: CounterSimulation) -> None:
     """The counter returns without its data twice."""
     for _ in range(2):
         group.play(5_000.0)
@@ -82,21 +82,21 @@
     group.play(5_000.0)
 
 
-def play_replacement(group: Group) -> None:
+def play_replacement(group: CounterSimulation) -> None:
     """The counter is replaced by an empty one."""
     group.play(8_003.0)
     group.lose()
     group.play(10_000.0)
 
 
-def play_unnoticed_loss(group: Group) -> None:
+def play_unnoticed_loss(group: CounterSimulation) -> None:
     """The counter loses its data, and nothing shows it."""
     group.play(9_000.0)
-    group.lose(told=False)
+    group.lose(breaks_connections=False)
     group.play(10_000.0)
 
 
-def play_old_snapshot(group: Group) -> None:
+def play_old_snapshot(group: CounterSimulation) -> None:
     """The counter is restored from a snapshot that is 8 s old."""
     group.play(5_000.0)
     snapshot = group.snapshot()
@@ -105,7 +105,7 @@
     group.play(8_000.0)
 
 
-def play_cut(group: Group) -> None:
+def play_cut(group: CounterSimulation) -> None:
     """One limiter is cut off from the counter for 10 s."""
     group.play(6_000.0)
     group.cut([len(group.rates) - 1])
@@ -114,7 +114,7 @@
     group.play(6_000.0)
 
 
-def play_cut_with_load(group: Group) -> None:
+def play_cut_with_load(group: CounterSimulation) -> None:
     """The limiter that gets nearly all requests is cut off from the counter for 10 s."""
     group.play(6_000.0)
     group.cut([0])
@@ -124,7 +124,7 @@
     group.play(6_000.0)
 
 
-def play_restarts(group: Group) -> None:
+def play_restarts(group: CounterSimulation) -> None:
     """The limiters are restarted in turn."""
     for number in range(6):
         group.play(3_000.0)
@@ -132,7 +132,7 @@
     group.play(3_000.0)
 
 
-SERIES: dict[str, Callable[[Group], None]] = {
+SERIES: dict[str, Callable[[CounterSimulation], None]] = {
     "calm": play_calm,
     "uneven": play_uneven,
     "silence": play_silence,
@@ -175,13 +175,13 @@
             slack_units=bucket.slack_units * factor,
         )
     rates = [RATES_PER_S[n % 3] for n in range(limiters)]
-    group = Group(bucket, parameters, seed, rates, per_s=max(500.0, 170.0 * limiters))
+    group = CounterSimulation(bucket, parameters, seed, rates, per_s=max(500.0, 170.0 * limiters))
     if method == "even split":
         group.books = [EvenSplit(parameters, group.rng, group.clock(n)) for n in range(limiters)]
     began_at = group.now
     SERIES[series](group)
     allowed = bucket.burst_units + bucket.refill_units(group.now - began_at)
-    granted, requested = sum(group.granted.values()), sum(group.asked.values())
+    granted, requested = sum(group.granted.values()), sum(group.arrived.values())
     return {
         "way": method,
         "series": series,
@@ -198,7 +198,7 @@
 
 def recovery_times_ms(seed: int) -> list[float]:
     """Return the times in ms from the counter's return until each limiter draws from it again."""
-    group = Group(CEILING, CounterParameters(), seed, RATES_PER_S).play(3_000.0)
+    group = CounterSimulation(CEILING, CounterParameters(), seed, RATES_PER_S).play(3_000.0)
     group.set_down(True)
     group.play(6_300.0)
     group.set_down(False)
@@ -213,16 +213,16 @@
 
 def calls_far_from_quota(bucket: SharedBucket, rate: float) -> float:
     """Return the counter calls of a request, without heartbeats, for an account far below its quota."""
-    group = Group(bucket, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
+    group = CounterSimulation(bucket, CounterParameters(), 5, (rate,) * 3).play(60_000.0)
     calls = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return max(0.0, calls) / sum(group.asked.values())
+    return max(0.0, calls) / sum(group.arrived.values())
 
 
 def calls_near_quota() -> float:
     """Return the counter calls of a request, without heartbeats, for an account near its quota."""
-    group = Group(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
+    group = CounterSimulation(QUOTA, CounterParameters(), 5, (2.4, 2.2, 2.3)).play(60_000.0)
     calls = sum(book.calls_made for book in group.books) - 3 * 60_000.0 / CounterParameters().heartbeat_ms
-    return calls / sum(group.asked.values())
+    return calls / sum(group.arrived.values())
 
 
 def counter_cpu_ratio() -> float:
--- a/benchmarks/fleet_drain.py
+++ b/benchmarks/fleet_drain.py
@@ -30,7 +30,7 @@
 from elderlock.standins.agents import SimulatedAgents
 from elderlock.standins.front import Front
 from elderlock.standins.waiting import run, unix_ms
-from elderlock.standins.world import ROOT, World, private
+from elderlock.standins.world import ROOT, World, write_private_file
 
 GRACE_MS = 250.0  # after a drain, in which requests may still be sent
 WATCH_S = 0.35  # after each drain, in which the load is observed
@@ -80,7 +80,9 @@
     for row in rows:
         limiter = int(row["limiter"][1:])
         late = [
-            sent for sent in world.boxes[uid].sent if sent.door == limiter and row["at"] + GRACE_MS < sent.at <= until
+            sent
+            for sent in world.boxes[uid].sent
+            if sent.port_index == limiter and row["at"] + GRACE_MS < sent.at <= until
         ]
         count += row["state"] == "reached" and bool(late)
     return count
@@ -141,7 +143,7 @@
         sent = [s for s in world.boxes[uid].sent if began_unix_ms <= s.at <= until]
         # The command cannot reach a stopped limiter. What that limiter sends when it continues, before it learns of the
         # drain, is checked against the command's report (`reports_wrong`) and not against the command's start.
-        attributable = [s for s in sent if stopped_limiter is None or f"n{s.door}" != stopped_limiter]
+        attributable = [s for s in sent if stopped_limiter is None or f"n{s.port_index}" != stopped_limiter]
         stop_ms.append(max((s.at - began_unix_ms for s in attributable), default=0.0))
         in_force_ms.append(
             max((r["at"] for r in rows if r["limiter"] != stopped_limiter), default=began_unix_ms) - began_unix_ms
@@ -224,7 +226,7 @@
     """Measure `elderlock show` with a thousand agents, simulated by another process so that the command has a core."""
     soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard_limit, 8192), hard_limit))
-    private(folder / "token", "0123456789abcdef")
+    write_private_file(folder / "token", "0123456789abcdef")
     server = await spawn(
         sys.executable,
         "-B",
@@ -296,7 +298,7 @@
     fronts = [Front([listen], rate, seed=3) for listen in world.listens]
     for front in fronts:
         front.start()
-    while not all(front.part[0] for front in fronts):
+    while not all(front.in_rotation[0] for front in fronts):
         await asyncio.sleep(0.05)
     await asyncio.sleep(3.0)
     process = agent.limiters["n0"].process
@@ -305,11 +307,7 @@
     for _ in range(blocks):
         before = cpu_ms(process.pid), cpu_ms(limiter_without_agent.pid), *(sum(f.ledger.ends.values()) for f in fronts)
         await asyncio.sleep(seconds)
-        after = (
-            cpu_ms(process.pid),
-            cpu_ms(limiter_without_agent.pid),
-            *(sum(f.ledger.ends.values()) for f in fronts),
-        )
+        after = (cpu_ms(process.pid), cpu_ms(limiter_without_agent.pid), *(sum(f.ledger.ends.values()) for f in fronts))
         cpu_with_ms, cpu_without_ms, count_with, count_without = (b - a for a, b in zip(before, after, strict=True))
         ratios.append((cpu_with_ms / count_with) / (cpu_without_ms / count_without))
     for front in fronts:
--- a/benchmarks/limiter_cost.py
+++ b/benchmarks/limiter_cost.py
@@ -24,7 +24,7 @@
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
-from elderlock.standins.delays import apart
+from elderlock.standins.delays import run_targets
 from elderlock.standins.discovery import Discovery
 from elderlock.standins.settings import raw_config
 from elderlock.standins.world import ROOT, free_address
@@ -109,7 +109,7 @@
 
 def config(folder: Path, listen: str, discovery: Discovery) -> Path:
     """Write the configuration of a limiter; return its path."""
-    content = raw_config(listen=listen, discovery=discovery.doors[0].endpoint)
+    content = raw_config(listen=listen, discovery=discovery.ports[0].endpoint)
     content["settings"]["plans"][0].update({"quota-rate": 1e6, "burst": 1e6})
     path = folder / "limiter.json"
     path.write_text(json.dumps(content))
@@ -131,7 +131,7 @@
     """
     ratios, limiter_us, bare_proxy_us, served = [], [], [], []
     with tempfile.TemporaryDirectory() as name:
-        async with apart(kind="none", box=True, ports=server_count) as endpoints:
+        async with run_targets(kind="none", box=True, ports=server_count) as endpoints:
             rows = [
                 {
                     "uid": f"s-{n:03d}",
@@ -145,7 +145,7 @@
                 }
                 for n, endpoint in enumerate(endpoints)
             ]
-            discovery = await Discovery(rows=lambda door: rows).start()
+            discovery = await Discovery(rows=lambda port_index: rows).start()
             try:
                 for round_number in range(rounds):
                     addresses = free_address(), free_address()
@@ -155,7 +155,7 @@
                         command = ["-c", PROFILED]
                     async with Subject(command, addresses[0], {"PROXY_CONFIG": str(path)}) as subject:
                         limiter_us_of_round, report = await load(subject, rate, accounts, duration_s, round_number + 1)
-                    bare_proxy = ["-m", "elderlock.standins.floor", addresses[1], *endpoints]
+                    bare_proxy = ["-m", "elderlock.standins.minimal_proxy", addresses[1], *endpoints]
                     async with Subject(bare_proxy, addresses[1], {}) as subject:
                         bare_us, _ = await load(subject, rate, accounts, duration_s, round_number + 1)
                     limiter_us.append(limiter_us_of_round)
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -27,7 +27,7 @@
 from elderlock.load.report import Report
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
-from elderlock.standins.delays import apart, quantile_of
+from elderlock.standins.delays import quantile_of, run_targets
 
 QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p99.9": 0.999}
 ROUNDS = 3  # of each kind; the median is reported, because a short stall of the machine is no error of the generator
@@ -117,7 +117,7 @@
     for number in range(ROUNDS):
         for spec in kinds:
             actual_ms: dict[float, float] = {}
-            async with apart(actual_ms, **spec) as targets:
+            async with run_targets(actual_ms, **spec) as targets:
                 report = await run(targets, 500.0, duration_s, arrivals="even", seed=number + 1)
             rate_error = max(rate_error, report.rate_error, abs(report.ledger["sent"] / (500.0 * duration_s) - 1.0))
             runs, behind = runs + 1, behind + bool(report.behind)
@@ -168,7 +168,7 @@
 async def measure_stall(duration_s: float) -> dict[str, Any]:
     """Compare the measured latencies of a target that stalls for 2 s with the expected ones."""
     rate, connections = 100.0, 4
-    async with apart(kind="constant", ms=20, stall_at=duration_s / 3, stall_s=2.0) as targets:
+    async with run_targets(kind="constant", ms=20, stall_at=duration_s / 3, stall_s=2.0) as targets:
         report = await run(targets, rate, duration_s, arrivals="even", connections=connections)
     known_ms = expected_stalled_latencies(rate, duration_s, connections, 0.020, duration_s / 3, 2.0)
     errors: dict[str, float] = {}
@@ -186,7 +186,7 @@
     """Return the highest rate that the generator keeps, against two targets that answer at once."""
     best: dict[str, Any] = {"max_rate": 0, "lateness_ms_p99": 0.0}
     rates_tried = {}
-    async with apart(kind="none") as first_targets, apart(kind="none") as second_targets:
+    async with run_targets(kind="none") as first_targets, run_targets(kind="none") as second_targets:
         for rate in rates:
             report = await run(
                 [*first_targets, *second_targets],
@@ -205,7 +205,7 @@
 
 async def measure_growth(duration_s: float) -> dict[str, Any]:
     """Return by how much the workers' memory grows, in MB."""
-    async with apart(kind="constant", ms=10) as targets:
+    async with run_targets(kind="constant", ms=10) as targets:
         report = await run(targets, 1000.0, duration_s)
     # `first` is read after one second, so it includes the memory that any run needs once
     growth_mb = (report.rss_kb["last"] - report.rss_kb["first"]) / 1024.0
@@ -255,7 +255,7 @@
 
     results: dict[str, str] = {}
     late_max_ms = {}
-    async with apart(kind="constant", ms=50) as targets:
+    async with run_targets(kind="constant", ms=50) as targets:
         for name, rate, disturb, expected_causes in (
             ("stopped", 300.0, stop_worker, {"stopped"}),
             ("busy core", 5000.0, busy_core(8), {"core", "cpu"}),
--- a/benchmarks/sim_scale.py
+++ b/benchmarks/sim_scale.py
@@ -32,7 +32,7 @@
 from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import Net, Plan, Scenario, ServerKind, Service, Settings, with_load
 from elderlock.sim.seeds import Level
-from elderlock.standins.boxes import OLD, STD
+from elderlock.standins.servers import OLD, STD
 from elderlock.trial.processes import run_guarded
 
 HERE = Path(__file__).parent
--- a/benchmarks/trial_truth.py
+++ b/benchmarks/trial_truth.py
@@ -33,7 +33,7 @@
 from elderlock.sim.experiment import load_scenario
 from elderlock.sim.scenario import FAULTS_BY_TARGET, Fault, Scenario, unsupported_faults
 from elderlock.spawning import spawn
-from elderlock.standins.world import ROOT, own_host
+from elderlock.standins.world import ROOT, random_loopback_host
 from elderlock.trial import disk
 from elderlock.trial.control_block import ControlBlock
 from elderlock.trial.guard import MARK
@@ -118,13 +118,13 @@
 
 async def measure_relay() -> tuple[float, float]:
     """Return the p99 latency in ms with a relay and without: each the median of blocks that take turns."""
-    host = own_host(random.SystemRandom())
+    host = random_loopback_host(random.SystemRandom())
     echo = await spawn(sys.executable, "-c", ECHO_SERVER, host, stdout=asyncio.subprocess.PIPE)
     assert echo.stdout is not None
     port = int(await echo.stdout.readline())
     relays = Relays(LinkFaults())
     relay = Relay(relays.link_faults, Location.of("a"), Location.of("b"), (host, port))
-    relays.add(relay, (own_host(random.SystemRandom()), 0))
+    relays.add(relay, (random_loopback_host(random.SystemRandom()), 0))
     loop = asyncio.get_running_loop()
     relay_host, _, relay_port = relay.endpoint.rpartition(":")
     latencies_ms: dict[bool, list[float]] = {True: [], False: []}
--- a/elderlock/cli/load.py
+++ b/elderlock/cli/load.py
@@ -332,7 +332,7 @@
         ScenarioError: The scenario is not valid for the group.
     """
     from elderlock.cli.up import UpError, running_group
-    from elderlock.standins.troubles import Planned, TroubleError, Troubles
+    from elderlock.standins.fault_schedule import FaultError, FaultSchedule, PlannedFault
 
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -355,18 +355,18 @@
                 return False
 
             planned = [
-                Planned(fault.at_s, fault.for_s, fault.what, fault.target, fault.by_ms) for fault in read.trouble
+                PlannedFault(fault.at_s, fault.for_s, fault.what, fault.target, fault.by_ms) for fault in read.trouble
             ]
-            troubles = Troubles(planned, world, kill)
+            troubles = FaultSchedule(planned, world, kill)
             kind = options.door or read.targets.kind
-            if kind == "grpc" and not world.doors:
+            if kind == "grpc" and not world.grpc_addresses:
                 raise ScenarioError("sending over gRPC needs the extra elderlock[grpc]")
-            addresses = world.doors if kind == "grpc" else world.listens
+            addresses = world.grpc_addresses if kind == "grpc" else world.listens
             print(f"{world.limiters} limiters and {len(world.boxes)} boxes are running", file=sys.stderr, flush=True)
             return await _send(
                 options, _with_targets(read, addresses, kind), local_worker_links(read.workers), troubles.run
             )
-    except (UpError, TroubleError) as error:
+    except (UpError, FaultError) as error:
         raise LoadError(str(error)) from None
 
 
--- a/elderlock/cli/up.py
+++ b/elderlock/cli/up.py
@@ -183,7 +183,7 @@
 def _print_instructions(world: World, options: argparse.Namespace) -> None:
     """Print where the group's limiters listen, and how to use and stop the group."""
     traffic = f", {options.traffic:g} requests per second" if options.traffic else ""
-    grpc_addresses = f"  gRPC authorisation at {', '.join(world.doors)}\n" if world.doors else ""
+    grpc_addresses = f"  gRPC authorisation at {', '.join(world.grpc_addresses)}\n" if world.grpc_addresses else ""
     print(
         f"{options.limiters} limiters, {options.boxes} boxes, one agent{traffic}; all on loopback.\n"
         f"  clients connect to {', '.join(world.listens)}\n"
--- a/elderlock/sim/decisions.py
+++ b/elderlock/sim/decisions.py
@@ -34,7 +34,7 @@
 from elderlock.sim.traffic import arrivals
 from elderlock.sim.virtual.loop import DeadlockError, LivelockError
 from elderlock.sim.virtual.processes import Machine
-from elderlock.standins.model import BoxModel
+from elderlock.standins.model import ServerModel
 
 LEVEL = "decisions"
 START_MS = 1_700_000_000_000.0  # Unix time at which every run starts
@@ -284,7 +284,7 @@
         """
         uid = f"s-{self._server_count:02d}"
         machine = Machine(uid, floor_name(zone))
-        model = BoxModel(
+        model = ServerModel(
             self.scenario.kind[kind].shape(),
             self.schedule,
             random.Random(f"box/{self.seed}/{self._server_count}"),
--- a/elderlock/sim/limiter_releases.py
+++ b/elderlock/sim/limiter_releases.py
@@ -38,7 +38,7 @@
 from elderlock.sim.scenario import Scenario, Settings
 from elderlock.sim.shells import ShellWorld
 from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, context_of, start
-from elderlock.standins.limiters import box, state
+from elderlock.standins.limiters import limiter_state, server_status
 from elderlock.standins.waiting import unix_ms
 
 UNAVAILABLE = "limiters taken out by the release"
@@ -219,7 +219,7 @@
         """Returns the state that the limiter reports to its agent."""
         self._count()
         assert self.authority is not None
-        return state(
+        return limiter_state(
             self.name,
             self.world.boxes,
             id=id,
@@ -311,7 +311,7 @@
         self.max_unavailable = int(case.share * case.limiters)
         rng = random.Random(f"bias/{seed}")
         self.bias = {name: rng.gauss(0.0, LIMITER_BIAS_DEVIATION) for name in self._names()}
-        self.boxes = [box(f"s-{n}") for n in range(3)]
+        self.boxes = [server_status(f"s-{n}") for n in range(3)]
         self.limiter_models: dict[str, ModelledLimiter] = {}
         self._failed_pids: set[int] = set()  # processes that a fault or a bad version ends
         self._unavailable_reasons: dict[str, str] = {}
--- a/elderlock/sim/limiter_settings.py
+++ b/elderlock/sim/limiter_settings.py
@@ -10,7 +10,7 @@
 from elderlock.sim.exclusive_holdings import DRAINED
 from elderlock.sim.invariant_checkers import CheckerLimits
 from elderlock.sim.scenario import Scenario, floor_name
-from elderlock.standins.settings import facts
+from elderlock.standins.settings import default_settings
 
 DRAIN_GRACE_MS = 250.0  # the `drain` limit of the invariant checkers
 
@@ -29,7 +29,7 @@
         rules: The tolerances of the invariant checkers, some of which are settings too.
     """
     s, kind = scenario, scenario.kind[0]
-    settings = facts(
+    settings = default_settings(
         peers=uses_peer_messages(s),
         **{"max-open": 20_000, "most-tries": s.settings.max_attempts},
         **{"dial-timeout": s.settings.dial_ms, "keepalive": s.settings.keepalive_ms},
--- a/elderlock/sim/observed_server.py
+++ b/elderlock/sim/observed_server.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from elderlock.standins.boxes import Box, Sent
+from elderlock.standins.servers import ReceivedCommand, SimulatedServer
 
 
 class ExecutionObserver(Protocol):
@@ -14,11 +14,11 @@
         """Records that a server received a request."""
 
 
-class ObservedServer(Box):
+class ObservedServer(SimulatedServer):
     """A stand-in server that reports each received request to its world."""
 
     world: ExecutionObserver
 
-    def took(self, sent: Sent, command: list[bytes]) -> None:
+    def command_received(self, sent: ReceivedCommand, command: list[bytes]) -> None:
         """Reports a received request."""
         self.world.record_execution(self.uid, command[2].decode())
--- a/elderlock/sim/shells.py
+++ b/elderlock/sim/shells.py
@@ -60,9 +60,9 @@
 from elderlock.sim.virtual.network import Faults, Network, NoFaults, Stream
 from elderlock.sim.virtual.processes import CURRENT_PROCESS, Machine, Process, start
 from elderlock.sim.virtual.system import simulated_system
-from elderlock.standins.boxes import Kind
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
+from elderlock.standins.servers import Kind
 
 RESTART_DELAY_S = 0.4  # until the platform restarts an ended agent, or a limiter that no agent manages
 START_TIMEOUT_MS = 60_000.0  # of the whole group
@@ -366,9 +366,9 @@
             "name": f"n{number}",
             "seed": f"{self.rng.randrange(1 << 63):016x}",
             "listen": f"{machine.host}:7000",
-            "discovery": self.listing.discovery.doors[number].endpoint,
+            "discovery": self.listing.discovery.ports[number].endpoint,
             "limits": {"cores": 1.0, "memory_mb": scenario.settings.memory_mb, "sockets": scenario.settings.sockets},
-            "counter": self.counter.doors[number].endpoint,
+            "counter": self.counter.ports[number].endpoint,
             "settings": settings,
             **(
                 {"peer_listen": peers[number], "peers": peers, "peers_all": "%s:%d" % broadcast_address}
--- a/elderlock/sim/standin_faults.py
+++ b/elderlock/sim/standin_faults.py
@@ -12,10 +12,10 @@
 
 from elderlock.sim.clients import Clients
 from elderlock.sim.scenario import Fault, effective_amount
-from elderlock.standins.boxes import Box
 from elderlock.standins.counter import Counter
 from elderlock.standins.discovery import Registry
 from elderlock.standins.listener import Fault as StandinFault
+from elderlock.standins.servers import SimulatedServer
 
 
 class StartObserver(Protocol):
@@ -84,7 +84,7 @@
         if fault.for_s > 0:
             self.world.loop.call_later(fault.for_s, end)
 
-    async def server_fault(self, fault: Fault, server: Box | None) -> None:
+    async def server_fault(self, fault: Fault, server: SimulatedServer | None) -> None:
         """Carries out a fault of one server; does nothing if it does not exist."""
         if server is None:
             return
@@ -110,24 +110,24 @@
             case "restart":
                 await server.restart()
                 self.world.bench.started(self.world.since(server.boot_ms), server.uid, server.kind.shape.bears())
-                self.world.listing.changed(server)
+                self.world.listing.announce(server)
             case "drain":
                 server.state = "draining"
-                self.world.listing.changed(server)
+                self.world.listing.announce(server)
                 self._end_after(fault, lambda: self._undrain(server))
             case "remove":
                 self.world.listing.boxes.pop(server.uid, None)
                 server.state = "removed"
-                self.world.listing.changed(server)
+                self.world.listing.announce(server)
                 await asyncio.sleep(0.5)
                 await server.close()
             case "op-drain" | "op-undrain":
                 await self.command(fault, "box", server.uid)
 
-    def _undrain(self, server: Box) -> None:
+    def _undrain(self, server: SimulatedServer) -> None:
         if server.uid in self.world.listing.boxes:
             server.state = "up"
-            self.world.listing.changed(server)
+            self.world.listing.announce(server)
 
     async def counter_fault(self, fault: Fault) -> None:
         """Carries out a fault of the counter."""
@@ -160,18 +160,18 @@
                 await discovery.fail(StandinFault.SILENT if fault.what == "silent" else StandinFault.REFUSING)
                 self._end_after(fault, lambda: self._start_task(self._recover_discovery()))
             case "stale":
-                listing.stale = listing.rows(0)
+                listing.frozen_list = listing.rows(0)
                 self._end_after(fault, self._end_staleness)
             case "late":
-                listing.late = effective_amount(fault) / 1000.0
-                self._end_after(fault, lambda: setattr(listing, "late", 0.0))
+                listing.delay_s = effective_amount(fault) / 1000.0
+                self._end_after(fault, lambda: setattr(listing, "delay_s", 0.0))
             case "flap":
                 end_s = self.world.loop.time() + (fault.for_s or 2.0)
                 servers = list(listing.boxes.values())
                 while self.world.loop.time() < end_s and servers:
                     server = self.world.rng.choice(servers)
                     server.state = "draining" if server.state == "up" else "up"
-                    listing.changed(server)
+                    listing.announce(server)
                     await asyncio.sleep(0.1)
                 for server in servers:
                     self._undrain(server)
@@ -187,12 +187,12 @@
         self.world.listing.discovery.reset()  # clients start their silent watches anew
 
     def _end_staleness(self) -> None:
-        self.world.listing.stale = None
-        self.world.listing.whole()
+        self.world.listing.frozen_list = None
+        self.world.listing.announce_complete_list()
 
     def _forget_dead_servers(self) -> None:
         self.world.listing.dead.clear()
-        self.world.listing.whole()
+        self.world.listing.announce_complete_list()
 
     async def clients_fault(self, fault: Fault) -> None:
         """Carries out a fault of the clients."""
--- a/elderlock/sim/taps.py
+++ b/elderlock/sim/taps.py
@@ -10,7 +10,7 @@
 
 import hiredis
 
-from elderlock.standins.boxes import MISSING
+from elderlock.standins.servers import MISSING
 
 
 class CheckerEvents(Protocol):
--- a/elderlock/standins/discovery.py
+++ b/elderlock/standins/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the whole list, and watches that carry changes, over HTTP/1.1 with chunked bodies."""
+"""A fake discovery service: complete endpoint lists and watches over HTTP/1.1 with chunked bodies."""
 
 from __future__ import annotations
 
@@ -7,139 +7,176 @@
 from collections.abc import Callable
 from typing import Any
 
-from elderlock.standins.boxes import Box
-from elderlock.standins.listener import Door, Fault, Listener
+from elderlock.standins.listener import Fault, Listener, ListeningPort
+from elderlock.standins.servers import SimulatedServer
 
-HEARTBEAT = 2.0  # s between the empty lines of a watch
+HEARTBEAT_S = 2.0  # the interval of the empty lines that keep a watch alive
 
 
 class Discovery(Listener):
-    """The agent that a limiter asks. Scripted: `whole` is what it gives, and the test writes watch lines
-    with `say`. With `rows`, each door's list is made anew from what `rows(door)` gives."""
+    """The discovery service that limiters request endpoint lists from.
+
+    Without `rows` it is scripted: it answers each list request with `complete_list`, and the test writes the lines of a
+    watch with `send_line`. With `rows` it sends heartbeats and computes the list for each limiter from
+    `rows(port_index)`, where `port_index` is the number of the limiter's listening port.
+
+    Attributes:
+        complete_list: The scripted list.
+        rows: Returns the entries of the list for a listening port.
+        rev: The version of the list.
+        requested_paths: The paths of all requests, in order.
+        watches: The connections of all watches since the start, in order.
+        waiting: The connections of list requests that have no answer yet.
+        holds_answers: Whether list requests are held back until `release_answers`.
+        ignores_requests: Whether requests that arrive now never get an answer.
+        watch_ports: The listening port of each open watch.
+    """
 
     def __init__(
-        self, whole: dict[str, Any] | None = None, rows: Callable[[int], list[dict[str, Any]]] | None = None
+        self, complete_list: dict[str, Any] | None = None, rows: Callable[[int], list[dict[str, Any]]] | None = None
     ) -> None:
         super().__init__()
-        self.whole = whole or {}
+        self.complete_list = complete_list or {}
         self.rows = rows
         self.rev = 1
-        self.asked: list[str] = []
+        self.requested_paths: list[str] = []
         self.watches: list[asyncio.StreamWriter] = []
-        self.waiting: list[tuple[Door, asyncio.StreamWriter]] = []
-        self.muted = False  # takes what it is asked and says nothing
-        self.hangs = False  # and what it is asked for now is never answered
-        self.watching: dict[asyncio.StreamWriter, Door] = {}
-        self._beat: asyncio.TimerHandle | None = None
+        self.waiting: list[tuple[ListeningPort, asyncio.StreamWriter]] = []
+        self.holds_answers = False
+        self.ignores_requests = False
+        self.watch_ports: dict[asyncio.StreamWriter, ListeningPort] = {}
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     @property
     def address(self) -> tuple[str, int]:
-        return "127.0.0.1", self.doors[0].port
+        """The host and port of the first listening port."""
+        return "127.0.0.1", self.ports[0].port
 
-    async def start(self, doors: int = 1) -> Discovery:
-        await self.open(doors)
+    async def start(self, ports: int = 1) -> Discovery:
+        """Opens the listening ports, one for each limiter, and returns the service itself."""
+        await self.open(ports)
         if self.rows is not None:
             self._heartbeat()
         return self
 
     def _heartbeat(self) -> None:
-        self._beat = asyncio.get_running_loop().call_later(HEARTBEAT, self._heartbeat)
-        for writer, door in list(self.watching.items()):
-            self.line(door, writer, b"\n")
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._heartbeat)
+        for writer, port in list(self.watch_ports.items()):
+            self.write_line(port, writer, b"\n")
 
     async def close(self) -> None:
-        if self._beat is not None:
-            self._beat.cancel()
+        """Closes all connections and listening ports and stops the heartbeats."""
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
         await super().close()
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answers list requests and registers watches until the client closes the connection."""
         try:
-            while line := await reader.readline():
+            while request_line := await reader.readline():
                 while (await reader.readline()).strip():
                     pass
-                path = line.split()[1].decode()
-                self.asked.append(path)
-                if self.hangs:
+                path = request_line.split()[1].decode()
+                self.requested_paths.append(path)
+                if self.ignores_requests:
                     continue
                 if "watch=1" not in path:
-                    self.waiting.append((door, writer))
-                    if not self.muted:
-                        self.answer()
+                    self.waiting.append((port, writer))
+                    if not self.holds_answers:
+                        self.release_answers()
                     continue
-                door.write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                port.write(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 self.watches.append(writer)
-                self.watching[writer] = door
+                self.watch_ports[writer] = port
                 if self.rows is not None and f"after={self.rev}" not in path:
-                    self.line(door, writer, self._list(door) + b"\n")
+                    self.write_line(port, writer, self._encode_list(port) + b"\n")
         finally:
-            self.watching.pop(writer, None)
+            self.watch_ports.pop(writer, None)
 
-    def _list(self, door: Door) -> bytes:
+    def _encode_list(self, port: ListeningPort) -> bytes:
         if self.rows is None:
-            return json.dumps(self.whole).encode()
-        return json.dumps({"rev": self.rev, "all": True, "targets": self.rows(door.number)}).encode()
-
-    def answer(self) -> None:
-        for door, writer in self.waiting:
-            body = self._list(door)
-            door.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+            return json.dumps(self.complete_list).encode()
+        return json.dumps({"rev": self.rev, "all": True, "targets": self.rows(port.number)}).encode()
+
+    def release_answers(self) -> None:
+        """Answers all waiting list requests."""
+        for port, writer in self.waiting:
+            body = self._encode_list(port)
+            port.write(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         self.waiting.clear()
 
-    def say(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
+        """Writes a chunk to the newest watch, whatever fault its listening port has."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(line), line))
 
-    def line(self, door: Door, writer: asyncio.StreamWriter, line: bytes) -> None:
-        door.write(writer, b"%x\r\n%b\r\n" % (len(line), line))
+    def write_line(self, port: ListeningPort, writer: asyncio.StreamWriter, line: bytes) -> None:
+        """Writes a chunk to a watch, subject to the fault of its listening port."""
+        port.write(writer, b"%x\r\n%b\r\n" % (len(line), line))
 
 
 class Registry:
-    """The boxes of a group as all its limiters' agents list them, each with its own endpoints: late (s), `stale` (as
-    the list was), listing the `dead`, where it is told to."""
+    """The servers of a group as discovery lists them, with a separate endpoint of each server for each limiter.
+
+    Attributes:
+        boxes: The listed servers by id.
+        dead: Servers that are down but still listed, by id.
+        frozen_list: The entries to list while discovery is stale; None while it is up to date.
+        delay_s: The delay in seconds before changes are sent to watches.
+        discovery: The service that sends the lists.
+    """
 
     def __init__(self) -> None:
         self.boxes: dict[str, Any] = {}
         self.dead: dict[str, Any] = {}
-        self.stale: list[dict[str, Any]] | None = None
-        self.late = 0.0
+        self.frozen_list: list[dict[str, Any]] | None = None
+        self.delay_s = 0.0
         self.discovery = Discovery(rows=self.rows)
 
-    def rows(self, door: int) -> list[dict[str, Any]]:
-        if self.stale is not None:
-            return self.stale
-        return [box.target(door) for box in (*self.boxes.values(), *self.dead.values())]
+    def rows(self, port_index: int) -> list[dict[str, Any]]:
+        """Returns the entries of the list for the limiter that uses listening port `port_index`."""
+        if self.frozen_list is not None:
+            return self.frozen_list
+        return [server.target(port_index) for server in (*self.boxes.values(), *self.dead.values())]
 
-    def add(self, box: Box) -> None:
-        self.boxes[box.uid] = box
-        self.changed(box)
+    def add(self, server: SimulatedServer) -> None:
+        """Lists a server and announces it."""
+        self.boxes[server.uid] = server
+        self.announce(server)
 
     def remove(self, uid: str) -> Any:
-        box = self.boxes.pop(uid)
-        box.state = "removed"
-        self.changed(box)
-        return box
-
-    def changed(self, *boxes: Box) -> None:
-        """Tells every watch of these boxes' present entries, unless its door is broken: what is written to a
-        broken door is lost, and the list comes whole when the watch is renewed."""
-        if self.stale is not None:
+        """Takes a server off the list, announces its removal and returns it."""
+        server = self.boxes.pop(uid)
+        server.state = "removed"
+        self.announce(server)
+        return server
+
+    def announce(self, *servers: SimulatedServer) -> None:
+        """Sends the current entries of these servers to every watch, after the delay if one is set.
+
+        A watch whose listening port has a fault loses the change. It gets a complete list when the limiter opens it
+        again. While the list is frozen nothing is sent.
+        """
+        if self.frozen_list is not None:
             return
-        if self.late > 0:
-            asyncio.get_running_loop().call_later(self.late, self._tell, boxes)
+        if self.delay_s > 0:
+            asyncio.get_running_loop().call_later(self.delay_s, self._send_changes, servers)
         else:
-            self._tell(boxes)
+            self._send_changes(servers)
 
-    def _tell(self, boxes: tuple[Box, ...]) -> None:
+    def _send_changes(self, servers: tuple[SimulatedServer, ...]) -> None:
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watching.items()):
-            line = {"rev": self.discovery.rev, "all": False, "targets": [box.target(door.number) for box in boxes]}
-            self.discovery.line(door, writer, json.dumps(line).encode() + b"\n")
+        for writer, port in list(self.discovery.watch_ports.items()):
+            targets = [server.target(port.number) for server in servers]
+            line = {"rev": self.discovery.rev, "all": False, "targets": targets}
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
-    def whole(self) -> None:
-        """Every watch hears the whole list."""
+    def announce_complete_list(self) -> None:
+        """Sends the complete list to every watch."""
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watching.items()):
-            line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(door.number)}
-            self.discovery.line(door, writer, json.dumps(line).encode() + b"\n")
+        for writer, port in list(self.discovery.watch_ports.items()):
+            line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(port.number)}
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
-    async def fail(self, fault: Fault, doors: list[int] | None = None) -> None:
-        await self.discovery.fail(fault, doors)
+    async def fail(self, fault: Fault, ports: list[int] | None = None) -> None:
+        """Sets the fault of the given listening ports of discovery, or of all."""
+        await self.discovery.fail(fault, ports)
--- a/elderlock/standins/stores.py
+++ b/elderlock/standins/stores.py
@@ -1,4 +1,4 @@
-"""A disk that fails: SQLite connections whose writes fail as told."""
+"""Fault injection for disks: an SQLite connection with a write that fails."""
 
 from __future__ import annotations
 
@@ -6,16 +6,22 @@
 from typing import Any
 
 
-class Failing(sqlite3.Connection):
-    """Fails the write that is `countdown` writes away, once."""
+class FailingConnection(sqlite3.Connection):
+    """A connection that fails one write with an I/O error.
+
+    Attributes:
+        countdown: Which of the coming writes fails, from 1 for the next one; negative for none.
+        writes: The number of writes so far.
+    """
 
     countdown = -1
     writes = 0
 
     def execute(self, sql: str, parameters: Any = ()) -> sqlite3.Cursor:
+        """Runs a statement, or raises `OperationalError` for the write that has to fail."""
         if not sql.lstrip().upper().startswith(("SELECT", "PRAGMA", "ROLLBACK")):
-            Failing.writes += 1
-            Failing.countdown -= 1
-            if Failing.countdown == 0:
+            FailingConnection.writes += 1
+            FailingConnection.countdown -= 1
+            if FailingConnection.countdown == 0:
                 raise sqlite3.OperationalError("disk I/O error")
         return super().execute(sql, parameters)
--- a/elderlock/trial/harness.py
+++ b/elderlock/trial/harness.py
@@ -31,10 +31,10 @@
 from elderlock.sim.observed_server import ObservedServer
 from elderlock.sim.scenario import Fault, Scenario, floor_name
 from elderlock.sim.traffic import arrivals
-from elderlock.standins.boxes import Kind
 from elderlock.standins.discovery import Registry
+from elderlock.standins.servers import Kind
 from elderlock.standins.waiting import unix_ms
-from elderlock.standins.world import World, own_host
+from elderlock.standins.world import World, random_loopback_host
 from elderlock.trial import child, disk
 from elderlock.trial.control_block import STILL_RUNNING, ControlBlock
 from elderlock.trial.guard import marked_pids
@@ -67,9 +67,9 @@
 
     relays: dict[int, Relay]
 
-    def target(self, door: int) -> dict[str, Any]:
+    def target(self, port_index: int) -> dict[str, Any]:
         """Return discovery's entry of this server for one limiter."""
-        return {**super().target(door), "endpoint": self.relays[door].endpoint}
+        return {**super().target(port_index), "endpoint": self.relays[port_index].endpoint}
 
 
 @dataclass(eq=False)
@@ -259,15 +259,15 @@
         first_limiter = self.share(agent)[0]
         return f"m{first_limiter}", floor_name(first_limiter % self.scenario.floors)
 
-    def discovery_of(self, limiter: int) -> str:
+    def discovery_endpoint(self, limiter: int) -> str:
         """Return the address at which a limiter reaches discovery."""
         return self._discovery_relays[limiter].endpoint
 
-    def counter_of(self, limiter: int) -> str:
+    def counter_endpoint(self, limiter: int) -> str:
         """Return the address at which a limiter reaches the counter."""
         return self._counter_relays[limiter].endpoint
 
-    def agent_at(self, asker: str, agent: int) -> str:
+    def agent_address(self, asker: str, agent: int) -> str:
         """Return the address at which an agent is reached.
 
         Args:
@@ -282,7 +282,7 @@
         """Return the settings of a limiter."""
         return settings_for_limiter(self.scenario, limiter, self.rules)
 
-    def command_of(self, limiter: int) -> list[str]:
+    def limiter_command(self, limiter: int) -> list[str]:
         """Return the command line of a limiter."""
         return python("-m", "elderlock.trial.child", "limiter", str(self.control_block_path(f"n{limiter}")))
 
@@ -309,7 +309,7 @@
         return self.folder / "direct.toml"
 
     def _relay_address(self) -> tuple[str, int]:
-        return own_host(self._hosts), 0
+        return random_loopback_host(self._hosts), 0
 
     def _add_relay(
         self,
@@ -352,7 +352,7 @@
         await self.counter.open(s.limiters)
         await self.datagrams.open()
         for number, location in enumerate(self.limiter_locations):
-            discovery_door, counter_door = self.registry.discovery.doors[number], self.counter.doors[number]
+            discovery_door, counter_door = self.registry.discovery.ports[number], self.counter.ports[number]
             self._discovery_relays.append(
                 self._add_relay(
                     location,
@@ -430,7 +430,7 @@
         path.parent.mkdir(parents=True)
         path.write_text(f"{key} = {json.dumps(command)}\n")
 
-    def floor_of(self, agent: int) -> str:
+    def agent_zone(self, agent: int) -> str:
         """Return the zone of an agent."""
         return self._machine_and_zone(agent)[1]
 
@@ -489,7 +489,7 @@
             number: self._add_relay(
                 limiter_location,
                 location,
-                (server.host, server.doors[number].port),
+                (server.host, server.ports[number].port),
                 lambda number=number: SendObserver(self, f"n{number}", uid),  # type: ignore[misc]
             )
             for number, limiter_location in enumerate(self.limiter_locations)
@@ -630,7 +630,7 @@
                 "ELDERLOCK_OPERATORS": str(operators_path),
                 **({child.MUTANT_VARIABLE: self.mutant} if self.mutant else {}),
             }
-            command = self.command_of(limiter.number)
+            command = self.limiter_command(limiter.number)
             log = self.folder / f"{name}.log"
             limiter.child = Child(
                 name, command, self.mark, log, environ, lambda code: self._limiter_child_ended(limiter)
@@ -874,7 +874,7 @@
         self.relays.clear("cut", pairs)
         for uid in boxes:
             if (server := self.registry.boxes.get(uid)) is not None:
-                self.registry.changed(server)
+                self.registry.announce(server)
         for agent in agents:
             process = self.agent_processes[agent]
             process.power_outages -= 1
--- a/tests/authz/test_limiter_processes.py
+++ b/tests/authz/test_limiter_processes.py
@@ -11,7 +11,7 @@
 
 from elderlock.control.records import Record
 from elderlock.standins.certificates import write_certificates
-from elderlock.standins.gateways import Asking, headers
+from elderlock.standins.gateways import GatewayClient, headers
 from elderlock.standins.programs import ACCOUNT, ENTERPRISE, Program, programs, terms_of
 from elderlock.standins.settings import terms
 from elderlock.standins.waiting import run, unix_ms, until
@@ -22,7 +22,7 @@
     async def test() -> None:
         async with programs(tmp_path) as (program,):
             caller, client = program.asking(), await program.client()
-            assert await caller.word("q1", **terms_of(0, 1)) == 200
+            assert await caller.check_status("q1", **terms_of(0, 1)) == 200
             answer = await client.ask("q2", t="enterprise")
             assert isinstance(answer, bytes) and b"request=q2" in answer
             assert "open" in str(await client.ask("q1", t="enterprise"))
@@ -67,7 +67,7 @@
             await program.drain(Record("limiter", "n0", True, 1, "o", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.NOT_SERVING:
                 await asyncio.sleep(0.01)
-            assert await caller.word("q1", **terms_of(0, 1)) == 200
+            assert await caller.check_status("q1", **terms_of(0, 1)) == 200
             await program.drain(Record("limiter", "n0", False, 2, "o2", "an", 0.0))
             while await status() != health_pb2.HealthCheckResponse.SERVING:
                 await asyncio.sleep(0.01)
@@ -102,31 +102,31 @@
             program_process = program.process
             assert program_process is not None
 
-            def connect() -> Asking:
+            def connect() -> GatewayClient:
                 def read(name: str) -> bytes:
                     return (tmp_path / name).read_bytes()
 
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                caller = Asking(0)
+                caller = GatewayClient(0)
                 options = [("grpc.ssl_target_name_override", "127.0.0.1")]
                 caller.channel = grpc.aio.secure_channel(program.address, credentials, options)
                 caller.auth = auth_grpc.AuthorizationStub(caller.channel)
                 return caller
 
             before = connect()
-            assert await before.word("q0", **terms_of(0, 1)) == 200
+            assert await before.check_status("q0", **terms_of(0, 1)) == 200
             write_certificates(tmp_path)  # with a new certificate authority and new keys
             (tmp_path / "server.crt").rename(tmp_path / "good.crt")
             program_process.send_signal(signal.SIGHUP)  # a file is missing, so the old certificate stays in use
-            assert await before.word("q1", **terms_of(0, 1)) == 200
+            assert await before.check_status("q1", **terms_of(0, 1)) == 200
             (tmp_path / "good.crt").rename(tmp_path / "server.crt")
             program_process.send_signal(signal.SIGHUP)
             after = connect()
-            while await after.word("q2", **terms_of(0, 1)) != 200:
+            while await after.check_status("q2", **terms_of(0, 1)) != 200:
                 await after.channel.close()
                 await asyncio.sleep(0.02)
                 after = connect()
-            assert await before.word("q3", **terms_of(0, 1)) == 200
+            assert await before.check_status("q3", **terms_of(0, 1)) == 200
             for caller in (before, after):
                 await caller.channel.close()
 
@@ -157,7 +157,7 @@
                 n = 0
                 while not stop.is_set():
                     n += 1
-                    status = await caller.word(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
+                    status = await caller.check_status(f"g{number}-{n}", timeout=2.0, **terms_of(0, 3, units=UNITS))
                     answered += status in (200, 429)
                     if status == 200:
                         permitted_at_ms.append(unix_ms())
--- a/tests/authz/test_routing_server.py
+++ b/tests/authz/test_routing_server.py
@@ -34,10 +34,10 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.spawning import spawn
 from elderlock.standins.certificates import write_certificates
-from elderlock.standins.gateways import Asking, headers, lookups_report
+from elderlock.standins.gateways import GatewayClient, headers, lookups_report
 from elderlock.standins.programs import ACCOUNT, Program, programs, terms_of
 from elderlock.standins.waiting import run
-from elderlock.standins.world import ROOT, World, free_address, own_host
+from elderlock.standins.world import ROOT, World, free_address, random_loopback_host
 from elderlock.trial import guard
 
 NUMBERS = {f"n{n}": n for n in range(5)}
@@ -122,7 +122,7 @@
 
 
 @asynccontextmanager
-async def routing_server(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingServer, Asking, set[str]]]:
+async def routing_server(folder: Path) -> AsyncIterator[tuple[list[Program], RoutingServer, GatewayClient, set[str]]]:
     """Run three limiters behind a routing server; yield them, the server, a caller, and a set of unusable limiters."""
     async with programs(folder, count=3) as limiters:
         unusable: set[str] = set()
@@ -137,7 +137,7 @@
         }
         server = RoutingServer(raw, folder, usable, random.Random(1))
         await server.start()
-        caller = Asking(server.port)
+        caller = GatewayClient(server.port)
         try:
             yield limiters, server, caller, unusable
         finally:
@@ -152,8 +152,8 @@
             assert headers(answer)["x-elderlock-permission"] == "q1"
             assert await caller.report("q1", account=ACCOUNT)
             assert not await caller.report("q1", account=ACCOUNT)
-            assert await caller.word("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
-            assert await caller.word("q3", **terms_of(0, 3, plan="gold")) == 400
+            assert await caller.check_status("q2", **terms_of(0, 3, account="00000000000000ab")) == 403
+            assert await caller.check_status("q3", **terms_of(0, 3, plan="gold")) == 400
             descriptor = ratelimit_pb2.RateLimitDescriptor()
             for key, value in terms_of(0, 3, **{"class": "lookup"}).items():
                 descriptor.entries.add(key=key, value=str(value))
@@ -173,11 +173,11 @@
         async with routing_server(tmp_path) as (limiters, _, caller, unusable):
             unusable.add("n0")
             for n in range(12):
-                assert await caller.word(f"q{n}", **terms_of(0, 3)) in (200, 429)
+                assert await caller.check_status(f"q{n}", **terms_of(0, 3)) in (200, 429)
             counts = [await program.count() for program in limiters]
             assert counts[0] == 0 and counts[1] and counts[2] and sum(counts) == 12
             unusable |= {"n1", "n2"}
-            assert await caller.word("q99", **terms_of(0, 3)) == "UNAVAILABLE"
+            assert await caller.check_status("q99", **terms_of(0, 3)) == "UNAVAILABLE"
 
     run(test(), within=60.0)
 
@@ -191,7 +191,7 @@
 
             async def send(lane: int) -> None:
                 for n in range(25):
-                    statuses.append(await caller.word(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
+                    statuses.append(await caller.check_status(f"q{lane}-{n}", timeout=2.0, **terms_of(0, 3)))
                     with contextlib.suppress(grpc.aio.AioRpcError):  # the limiter that permitted it may be dead
                         await lookups_report(caller.channel, f"q{lane}-{n}")
                     if lane == 0 and n in (5, 10):
@@ -227,20 +227,22 @@
             def read(name: str) -> bytes:
                 return (tmp_path / name).read_bytes()
 
-            def connect() -> Asking:
+            def connect() -> GatewayClient:
                 credentials = grpc.ssl_channel_credentials(read("ca.crt"), read("client.key"), read("client.crt"))
-                caller = Asking(server.port)
+                caller = GatewayClient(server.port)
                 caller.channel = grpc.aio.secure_channel(f"127.0.0.1:{server.port}", credentials)
                 caller.auth = auth_grpc.AuthorizationStub(caller.channel)
                 return caller
 
-            trusted, without_tls = connect(), Asking(server.port)
-            assert await trusted.word("q1", **terms_of(0, 1)) == 200
-            assert await without_tls.word("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
+            trusted, without_tls = connect(), GatewayClient(server.port)
+            assert await trusted.check_status("q1", **terms_of(0, 1)) == 200
+            assert await without_tls.check_status("q2", timeout=2.0, **terms_of(0, 1)) == "UNAVAILABLE"
             write_certificates(tmp_path)
             server.reload()
             reconnected = connect()
-            assert await reconnected.word("q3", **terms_of(0, 1)) == 200  # the channel to the limiter stays open
+            assert (
+                await reconnected.check_status("q3", **terms_of(0, 1)) == 200
+            )  # the channel to the limiter stays open
             for caller in (trusted, without_tls, reconnected):
                 await caller.channel.close()
             await server.stop()
@@ -253,13 +255,13 @@
     async def test() -> None:
         async with routing_server(tmp_path) as (limiters, server, caller, unusable):
             unusable |= {"n1", "n2"}
-            assert await caller.word("warm", **terms_of(0, 3)) == 200  # connected
+            assert await caller.check_status("warm", **terms_of(0, 3)) == 200  # connected
             process = limiters[0].process
             assert process is not None
             os.kill(process.pid, signal.SIGSTOP)
             unusable.clear()
             unusable |= {"n1", "n2"}
-            call = asyncio.create_task(caller.word("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
+            call = asyncio.create_task(caller.check_status("q1", timeout=1.5 if resumes else 0.6, **terms_of(0, 3)))
             while not server._selector._members["n0"].open:
                 await asyncio.sleep(0.005)
             unusable.clear()  # the others are usable now and must not get the request
@@ -306,7 +308,7 @@
     async def test() -> None:
         world = World(tmp_path, limiters=2, boxes=3)
         await world.open()
-        addresses = [free_address(own_host(random.SystemRandom())) for _ in range(3)]
+        addresses = [free_address(random_loopback_host(random.SystemRandom())) for _ in range(3)]
         path = world.agent_path(0)
         text = path.read_text() + f'[authz]\nconfig = "n0.json"\n[authz.door]\nlisten = "{addresses[2]}"\n'
         text += f'[[authz.door.askers]]\naccounts = ["{ACCOUNT}"]\n'
@@ -330,8 +332,8 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
         try:
-            caller = Asking.at(addresses[2])
-            while await caller.word("warm", **terms_of(0, 2)) != 200:
+            caller = GatewayClient.at(addresses[2])
+            while await caller.check_status("warm", **terms_of(0, 2)) != 200:
                 await asyncio.sleep(0.05)
             group = Group.read(world.group_path)
             # Both limiters must serve, because a drain of the last one in service is refused.
@@ -339,9 +341,9 @@
                 await asyncio.sleep(0.05)
             order = Order("limiter", ("n0",), True, give_up_after=20.0)
             assert (await carry_out(group, order, lambda *_: None)).exit is Exit.DONE
-            drained = Asking.at(addresses[0])
+            drained = GatewayClient.at(addresses[0])
             for n in range(10):
-                assert await caller.word(f"q{n}", **terms_of(0, 2)) in (200, 429)
+                assert await caller.check_status(f"q{n}", **terms_of(0, 2)) in (200, 429)
             assert await drained.report("q0", account=ACCOUNT) is False  # n0 got no requests after its drain
             group.close()
             for each in (caller, drained):
--- a/tests/authz/test_server.py
+++ b/tests/authz/test_server.py
@@ -30,9 +30,9 @@
     AuthzServer,
 )
 from elderlock.authz.v1 import lookups_pb2
-from elderlock.standins.boxes import Server
-from elderlock.standins.gateways import OTHER, Asking, headers
-from elderlock.standins.parts import Limiter
+from elderlock.standins.gateways import OTHER_CUSTOMER, GatewayClient, headers
+from elderlock.standins.local_limiter import Limiter
+from elderlock.standins.servers import Server
 from elderlock.standins.settings import CUSTOMER, target
 from elderlock.standins.waiting import run, until
 
@@ -40,7 +40,7 @@
 class Harness:
     """One limiter that serves RESP2 and gRPC, with one server behind it and one gRPC caller."""
 
-    def __init__(self, limiter: Limiter, authz: AuthzServer, server: Server, caller: Asking) -> None:
+    def __init__(self, limiter: Limiter, authz: AuthzServer, server: Server, caller: GatewayClient) -> None:
         self.limiter, self.authz, self.server, self.caller = limiter, authz, server, caller
 
     @property
@@ -71,7 +71,7 @@
     limiter = await Limiter.start(server)
     authz = AuthzServer(AuthzFile("127.0.0.1:0", **{"callers": (Caller(("*",)),), **file}), Path("/"), limiter.gateway)
     await authz.start()
-    caller = Asking(authz.port)
+    caller = GatewayClient(authz.port)
     try:
         yield Harness(limiter, authz, server, caller)
     finally:
@@ -127,10 +127,12 @@
 def test_an_unreported_permission_ends_at_its_deadline() -> None:
     async def test() -> None:
         async with running_harness() as harness:
-            assert await harness.caller.word("q1", deadline_ms=150) == 200
+            assert await harness.caller.check_status("q1", deadline_ms=150) == 200
             assert not harness.is_idle()
             await until(harness.is_idle)
-            assert await harness.caller.word("q1", deadline_ms=150) == 200  # the id is closed, so this is a new request
+            assert (
+                await harness.caller.check_status("q1", deadline_ms=150) == 200
+            )  # the id is closed, so this is a new request
 
     run(test())
 
@@ -149,7 +151,7 @@
 def test_a_refusal_says_when_to_retry() -> None:
     async def test() -> None:
         async with running_harness() as harness:
-            assert await harness.caller.word("q1", plan="tiny") == 200
+            assert await harness.caller.check_status("q1", plan="tiny") == 200
             answer = await harness.caller.check("q2", plan="tiny")
             found, body = headers(answer), json.loads(answer.denied_response.body)
             assert answer.denied_response.status.code == 429 and answer.status.code == 8
@@ -170,11 +172,11 @@
         async with running_harness() as harness:
             client = await harness.limiter.client()
             held_events = hold_decisions(harness) if state in ("undecided", "cancelled") else []
-            plan: dict[str, Any] = {"plan": "tiny", "account": OTHER} if state == "refused" else {}
+            plan: dict[str, Any] = {"plan": "tiny", "account": OTHER_CUSTOMER} if state == "refused" else {}
             if state == "refused":
                 await harness.caller.check("q0", **plan)
             first = asyncio.create_task(
-                harness.caller.word("q1", deadline_ms=200 if state == "expired" else 2000, **plan)
+                harness.caller.check_status("q1", deadline_ms=200 if state == "expired" else 2000, **plan)
             )
             if state in ("undecided", "cancelled"):
                 await until(lambda: len(held_events) == 1)
@@ -216,11 +218,11 @@
             client.read("q1")
             await until(lambda: len(harness.server.commands) == 1)
             if answer == "open":
-                assert await harness.caller.word("q1") == 409
-                assert await harness.caller.word("q2") == 200
+                assert await harness.caller.check_status("q1") == 409
+                assert await harness.caller.check_status("q2") == 200
             go.set()
             assert await client.answer() == b"value"  # the first attempt is not affected
-            assert await harness.caller.word("q1") == 200
+            assert await harness.caller.check_status("q1") == 200
 
     run(test())
 
@@ -231,8 +233,8 @@
     async def test() -> None:
         async with running_harness() as harness:
             hold_decisions(harness)
-            assert await harness.caller.word("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
-            assert await harness.caller.word("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
+            assert await harness.caller.check_status("q1", timeout=0.2) == "DEADLINE_EXCEEDED"
+            assert await harness.caller.check_status("q2", timeout=None, deadline_ms=100) == "DEADLINE_EXCEEDED"
             await until(harness.is_idle)
             assert harness.units == 100.0
 
@@ -243,8 +245,8 @@
     async def test() -> None:
         async with running_harness() as harness:
             held_events = hold_decisions(harness)
-            first = harness.caller.auth.Check(harness.caller.question("q1"))
-            second = harness.caller.auth.Check(harness.caller.question("q1"))
+            first = harness.caller.auth.Check(harness.caller.check_request("q1"))
+            second = harness.caller.auth.Check(harness.caller.check_request("q1"))
             await until(lambda: len(harness.authz.requests) == 1 and harness.authz.requests.received == 2)
             first.cancel()
             await until(lambda: first.done())
@@ -252,7 +254,7 @@
             assert (await second).HasField("ok_response")
             assert await harness.caller.report("q1")
             held_events = hold_decisions(harness)
-            cancelled = harness.caller.auth.Check(harness.caller.question("q2"))
+            cancelled = harness.caller.auth.Check(harness.caller.check_request("q2"))
             await until(lambda: len(held_events) == 1)
             cancelled.cancel()
             await until(harness.is_idle)
@@ -264,11 +266,11 @@
 def test_a_permission_outlives_its_connection_until_its_deadline() -> None:
     async def test() -> None:
         async with running_harness() as harness:
-            other = Asking(harness.authz.port)
-            assert await other.word("q1", deadline_ms=300) == 200
+            other = GatewayClient(harness.authz.port)
+            assert await other.check_status("q1", deadline_ms=300) == 200
             await other.channel.close()
             assert (
-                await harness.caller.word("q1", deadline_ms=300) == 200
+                await harness.caller.check_status("q1", deadline_ms=300) == 200
             )  # a retry on another connection gets the same answer
             assert harness.units > 98.5
             await until(harness.is_idle)
@@ -280,9 +282,9 @@
     async def test() -> None:
         async with running_harness() as harness:
             harness.limiter.tell(target("s-0", harness.server.endpoint, state="draining"))
-            assert await harness.caller.word("q1", deadline_ms=400) == 429
+            assert await harness.caller.check_status("q1", deadline_ms=400) == 429
             harness.limiter.tell(target("s-0", harness.server.endpoint))
-            assert await harness.caller.word("q2") == 200
+            assert await harness.caller.check_status("q2") == 200
 
     run(test())
 
@@ -303,7 +305,7 @@
 def test_an_invalid_request_is_denied_and_takes_no_units(changes: dict[str, Any], status: int) -> None:
     async def test() -> None:
         async with running_harness(callers=(Caller((CUSTOMER,)),)) as harness:
-            assert await harness.caller.word("q1", **changes) == status
+            assert await harness.caller.check_status("q1", **changes) == status
             assert harness.is_idle() and not harness.limiter.gateway.limiter.quotas.accounts
 
     run(test())
@@ -314,15 +316,15 @@
         async with running_harness() as harness:
             with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await harness.caller.auth.Check(
-                    harness.caller.question("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
+                    harness.caller.check_request("q1"), metadata=(("x-big", "x" * (1 << 20)),), timeout=10
                 )
             assert raised.value.code() in (grpc.StatusCode.RESOURCE_EXHAUSTED, grpc.StatusCode.UNAVAILABLE)
-            big = harness.caller.question("q2")
+            big = harness.caller.check_request("q2")
             big.attributes.request.http.headers["x"] = "x" * (1 << 17)
             with pytest.raises(grpc.aio.AioRpcError) as raised:
                 await harness.caller.auth.Check(big, timeout=10)
             assert raised.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
-            assert await Asking(harness.authz.port).word("q3") == 200
+            assert await GatewayClient(harness.authz.port).check_status("q3") == 200
 
     run(test())
 
@@ -342,7 +344,7 @@
         async with running_harness() as harness:
             sock = socket.create_connection(("127.0.0.1", harness.authz.port))
             sock.sendall(data)
-            assert await harness.caller.word("q1") == 200
+            assert await harness.caller.check_status("q1") == 200
             client = await harness.limiter.client()
             assert await client.ask("q2") == b"value"
             sock.close()
@@ -360,7 +362,7 @@
         # make room for another one, and the number of permissions would depend on the speed of the machine.
         async with running_harness(limits=limits, maximum_wait_ms=110_000.0) as harness:
             held_events = hold_decisions(harness)
-            calls = [asyncio.create_task(harness.caller.word(f"q{n}", timeout=110.0)) for n in range(10_000)]
+            calls = [asyncio.create_task(harness.caller.check_status(f"q{n}", timeout=110.0)) for n in range(10_000)]
             await until(lambda: sum(call.done() for call in calls) >= 10_000 - 50)
             assert len(held_events) == harness.authz.requests.pending == 50
             release_decisions(harness, held_events)
@@ -387,7 +389,7 @@
             connection.initiate_connection()
             connection.update_settings({h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: 0})
             for n in range(200):
-                body = harness.caller.question(f"q{n}", deadline_ms=300).SerializeToString()
+                body = harness.caller.check_request(f"q{n}", deadline_ms=300).SerializeToString()
                 stream = connection.get_next_available_stream_id()
                 connection.send_headers(
                     stream,
@@ -403,7 +405,7 @@
                 connection.send_data(stream, b"\x00" + len(body).to_bytes(4, "big") + body, end_stream=True)
             writer.write(connection.data_to_send())
             await until(lambda: harness.authz.requests.received > 0)
-            assert await harness.caller.word("other") in (200, 429)
+            assert await harness.caller.check_status("other") in (200, 429)
             await until(harness.is_idle)
             client = await harness.limiter.client()
             assert await client.ask("after") == b"value"
@@ -419,12 +421,12 @@
                 f"/{AUTHORIZATION_SERVICE}/Check", response_deserializer=auth.CheckResponse.FromString
             )
             unknown = b"\xfa\x3e\x05hello"  # field 1007, five bytes
-            answer = await call(harness.caller.question("q1").SerializeToString() + unknown, timeout=10)
+            answer = await call(harness.caller.check_request("q1").SerializeToString() + unknown, timeout=10)
             assert answer.HasField("ok_response")
             assert (await call(b"", timeout=10)).denied_response.status.code == 400
             with pytest.raises(grpc.aio.AioRpcError):
                 await call(b"\xff\xff", timeout=10)
-            assert await harness.caller.word("q2") == 200
+            assert await harness.caller.check_status("q2") == 200
 
     run(test())
 
@@ -434,17 +436,17 @@
 
     async def test() -> None:
         async with running_harness(limits=ServerLimits(maximum_connections=4, handshake_timeout_s=0.3)) as harness:
-            assert await harness.caller.word("q1") == 200
+            assert await harness.caller.check_status("q1") == 200
             connections = [socket.create_connection(("127.0.0.1", harness.authz.port)) for _ in range(100)]
-            assert await harness.caller.word("q2") == 200
+            assert await harness.caller.check_status("q2") == 200
             for sock in connections:
                 sock.settimeout(20.0)
                 with contextlib.suppress(ConnectionError):
                     while await asyncio.to_thread(sock.recv, 4096):
                         pass  # until the server closes the connection, whatever it sends before
                 sock.close()
-            other = Asking(harness.authz.port)  # below the limit again
-            assert await other.word("q3") == 200
+            other = GatewayClient(harness.authz.port)  # below the limit again
+            assert await other.check_status("q3") == 200
             await other.channel.close()
 
     run(test(), within=60.0)
@@ -455,7 +457,7 @@
         async with running_harness() as harness:
             hold_decisions(harness)
             for n in range(300):
-                call = harness.caller.auth.Check(harness.caller.question(f"q{n}"))
+                call = harness.caller.auth.Check(harness.caller.check_request(f"q{n}"))
                 await asyncio.sleep(0)
                 call.cancel()
             await until(harness.is_idle)
@@ -481,7 +483,7 @@
     async def test() -> None:
         async with running_harness() as harness:
             ok = rls.RateLimitRequest(
-                domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER)], hits_addend=3
+                domain="d", descriptors=[descriptor(), descriptor(2, account=OTHER_CUSTOMER)], hits_addend=3
             )
             answer = await harness.caller.rls.ShouldRateLimit(ok, timeout=10)
             assert answer.overall_code == rls.RateLimitResponse.OK and len(answer.statuses) == 2
@@ -512,7 +514,10 @@
             for request, code in (
                 (rls.RateLimitRequest(domain="d"), grpc.StatusCode.INVALID_ARGUMENT),
                 (rls.RateLimitRequest(descriptors=[descriptor(plan="gold")]), grpc.StatusCode.INVALID_ARGUMENT),
-                (rls.RateLimitRequest(descriptors=[descriptor(account=OTHER)]), grpc.StatusCode.PERMISSION_DENIED),
+                (
+                    rls.RateLimitRequest(descriptors=[descriptor(account=OTHER_CUSTOMER)]),
+                    grpc.StatusCode.PERMISSION_DENIED,
+                ),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await harness.caller.rls.ShouldRateLimit(request, timeout=10)
@@ -530,7 +535,7 @@
                 ({"outcome": 0}, grpc.StatusCode.INVALID_ARGUMENT),
                 ({"outcome": 99}, grpc.StatusCode.INVALID_ARGUMENT),
                 ({"took_ms": float("nan")}, grpc.StatusCode.INVALID_ARGUMENT),
-                ({"account": OTHER}, grpc.StatusCode.PERMISSION_DENIED),
+                ({"account": OTHER_CUSTOMER}, grpc.StatusCode.PERMISSION_DENIED),
             ):
                 with pytest.raises(grpc.aio.AioRpcError) as raised:
                     await harness.caller.report("q1", **changes)
@@ -554,7 +559,7 @@
                 found |= {service.name for service in response.list_services_response.service}
             assert found >= {AUTHORIZATION_SERVICE, RATE_LIMIT_SERVICE, LOOKUPS_SERVICE}
             held_events = hold_decisions(harness)
-            open_request = asyncio.create_task(harness.caller.word("q1"))
+            open_request = asyncio.create_task(harness.caller.check_status("q1"))
             await until(lambda: len(held_events) == 1)
             stopping = asyncio.create_task(harness.authz.stop())
             await asyncio.sleep(0.05)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -14,10 +14,10 @@
 from elderlock.fleet.client.report import Exit
 from elderlock.fleet.config import read_agent
 from elderlock.fleet.supervision.limiter_process import process_start_ticks
-from elderlock.standins.boxes import STD
 from elderlock.standins.clients import Client
 from elderlock.standins.front import Front
 from elderlock.standins.listener import Fault
+from elderlock.standins.servers import STD
 from elderlock.standins.settings import FLOORS
 from elderlock.standins.waiting import run, unix_ms, until
 from elderlock.standins.world import World
@@ -53,7 +53,7 @@
             await asyncio.sleep(0.05)
 
     def count_sent_by(self, limiter: int) -> int:
-        return sum(sent.door == limiter for box in self.world.boxes.values() for sent in box.sent)
+        return sum(sent.port_index == limiter for box in self.world.boxes.values() for sent in box.sent)
 
     def late_requests(self, uid: str, drained_at: float) -> list[object]:
         """Return the requests that reached a server after the grace time."""
@@ -82,7 +82,7 @@
         await group.wait_until_all_answer()
         if load:
             group.front.start()
-            await until(lambda: all(group.front.part))
+            await until(lambda: all(group.front.in_rotation))
             await group.wait_for_answers()
         yield group
     finally:
@@ -121,7 +121,7 @@
             await group.wait_for_answers(10)
             for state in ("draining", "up"):
                 box.state = state
-                registry.changed(box)
+                registry.announce(box)
             registry.discovery.reset()  # the watches break, and the limiters get complete lists again
             await group.wait_for_answers()
             await registry.fail(Fault.SILENT)
@@ -160,14 +160,14 @@
         async with running_group(tmp_path) as group:
             await group.drain("s-00")
             old = group.world.registry.remove("s-00")
-            for door in old.doors:
-                await door.close()
+            for port in old.ports:
+                await port.close()
             new = await group.world.add_box("s-new", STD, FLOORS[0])
-            for door, old_door in zip(new.doors, old.doors, strict=True):
-                await door.close()
-                door.port = old_door.port
-                await door.listen()
-            group.world.registry.changed(new)
+            for port, old_port in zip(new.ports, old.ports, strict=True):
+                await port.close()
+                port.port = old_port.port
+                await port.listen()
+            group.world.registry.announce(new)
             await until(lambda: len(new.sent) > 3)
             await check_no_request_was_lost(group)
 
@@ -205,8 +205,8 @@
             killed_pid = group.pid("n0")
             os.kill(killed_pid, signal.SIGKILL)
             await until(lambda: group.agent.limiters["n0"].process is not None and group.pid("n0") != killed_pid)
-            await until(lambda: not group.front.part[0])
-            await until(lambda: group.front.part[0])  # it has answered PING, so the front sends requests
+            await until(lambda: not group.front.in_rotation[0])
+            await until(lambda: group.front.in_rotation[0])  # it has answered PING, so the front sends requests
             count = group.count_sent_by(0)
             await until(lambda: group.count_sent_by(0) > count)
             await group.wait_for_answers()
@@ -221,7 +221,7 @@
 def test_a_drain_survives_a_reload_of_the_configuration(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_group(tmp_path) as group:
-            group.world.boxes["s-03"].crowd = 400.0  # so that requests are open there when the signal arrives
+            group.world.boxes["s-03"].added_delay_ms = 400.0  # so that requests are open there when the signal arrives
             drain = asyncio.create_task(group.drain("s-03"))
             for name in group.world.limiter_names:
                 os.kill(group.pid(name), signal.SIGHUP)
@@ -262,11 +262,11 @@
     async def test() -> None:
         async with running_group(tmp_path) as group:
             for box in group.world.boxes.values():
-                box.crowd = 200.0  # so that requests are open
+                box.added_delay_ms = 200.0  # so that requests are open
             await group.wait_for_answers(20)
             result = await group.drain("n1", kind="limiter")
             assert result.exit is Exit.DONE
-            await until(lambda: not group.front.part[1])
+            await until(lambda: not group.front.in_rotation[1])
             await until(lambda: not group.front.idle[1])  # idle connections are closed
             host, _, port = group.world.listens[1].rpartition(":")
             client = Client(*await asyncio.open_connection(host, int(port)))
@@ -276,7 +276,7 @@
             states = {s.limiter: s for s in (await observe_group(group.client)).states()}
             assert states["n1"].is_drained and states["n1"].open_requests == 0 and not states["n0"].is_drained
             assert (await group.drain("n1", drained=False, kind="limiter")).exit is Exit.DONE
-            await until(lambda: group.front.part[1])
+            await until(lambda: group.front.in_rotation[1])
             await check_no_request_was_lost(group)
 
     run(test(), within=60.0)
@@ -323,7 +323,7 @@
     async def test() -> None:
         async with running_group(tmp_path) as group:
             for box in group.world.boxes.values():
-                box.crowd = 200.0
+                box.added_delay_ms = 200.0
             await group.wait_for_answers(20)
             pid = group.pid("n2")
             stopped = await order_limiters(group.client, "stop", ["n2"], False, 1.0, 20.0, lambda _: None)
--- a/tests/load/test_commands.py
+++ b/tests/load/test_commands.py
@@ -25,7 +25,7 @@
 from elderlock.load.scenario import parse
 from elderlock.spawning import spawn
 from elderlock.standins.delays import Target
-from elderlock.standins.troubles import Planned, TroubleError, check
+from elderlock.standins.fault_schedule import FaultError, PlannedFault, check
 from elderlock.standins.waiting import run, until
 from elderlock.standins.world import ROOT, World
 
@@ -185,9 +185,12 @@
         world = World(tmp_path, limiters=1, boxes=2)
         await world.open()
         for what, target in (("kill", "s-00"), ("drain", "counter"), ("slow", "n0"), ("empty", "discovery")):
-            with pytest.raises(TroubleError):
-                check([Planned(0, 0, what, target)], world)  # type: ignore[arg-type]
-        check([Planned(0, 0, "silent", "peers"), Planned(0, 0, "drain", "*"), Planned(0, 0, "kill", "n0")], world)
+            with pytest.raises(FaultError):
+                check([PlannedFault(0, 0, what, target)], world)  # type: ignore[arg-type]
+        check(
+            [PlannedFault(0, 0, "silent", "peers"), PlannedFault(0, 0, "drain", "*"), PlannedFault(0, 0, "kill", "n0")],
+            world,
+        )
         await world.close()
 
     run(test())
--- a/tests/load/test_decisions.py
+++ b/tests/load/test_decisions.py
@@ -23,7 +23,7 @@
 from elderlock.load.scenario import Clients, LatenessLimits, Scenario, Steady, Stream
 from elderlock.load.targets import TargetSelector
 from elderlock.load.thresholds import ThresholdError, parse_threshold
-from elderlock.standins.limiters import state
+from elderlock.standins.limiters import limiter_state
 
 CLIENTS = st.builds(
     Clients,
@@ -370,7 +370,7 @@
 ) -> dict[str, LimiterState]:
     counts = {name: AnswerCounts(served=count) for name, count in accounts.items()}
     by_plan = {name: AnswerCounts(served=count) for name, count in plans.items()}
-    return {"n0": state("n0", pid=pid, uptime_ms=uptime_ms, accounts=counts, plans=by_plan)}
+    return {"n0": limiter_state("n0", pid=pid, uptime_ms=uptime_ms, accounts=counts, plans=by_plan)}
 
 
 A, B, C = (f"{number:016x}" for number in (1, 2, 3))
--- a/tests/quota/test_counted_quotas.py
+++ b/tests/quota/test_counted_quotas.py
@@ -21,9 +21,9 @@
 from elderlock.quota.counter_parameters import CounterParameters, SharedBucket
 from elderlock.quota.error_bound import ExcessMeter, FailureHistory, stated_error_units
 from elderlock.quota.options import QuotaOptions
-from elderlock.standins.boxes import Server
 from elderlock.standins.counter import Counter
 from elderlock.standins.listener import Fault
+from elderlock.standins.servers import Server
 from elderlock.standins.waiting import run, until
 from elderlock.state import Account
 
@@ -269,7 +269,7 @@
         program = Program(tmp_path, server)
         path = tmp_path / "config.json"
         raw = json.loads(path.read_text())
-        raw["counter"] = counter.doors[0].endpoint
+        raw["counter"] = counter.ports[0].endpoint
         raw["settings"]["peers-total"] = 3
         raw["settings"]["plans"][0].update({"quota-rate": 20.0, "burst": 30.0})
         path.write_text(json.dumps(raw))
--- a/tests/sharing.py
+++ b/tests/sharing.py
@@ -17,12 +17,12 @@
 from programs import connect_when_ready
 
 from elderlock.spawning import spawn
-from elderlock.standins.boxes import MISSING, Server, served
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
-from elderlock.standins.listener import Door
-from elderlock.standins.settings import facts, raw_config, target
-from elderlock.standins.world import ROOT, free_address, own_host
+from elderlock.standins.listener import ListeningPort
+from elderlock.standins.servers import MISSING, Server, served
+from elderlock.standins.settings import default_settings, raw_config, target
+from elderlock.standins.world import ROOT, free_address, random_loopback_host
 
 PROCESSES, GOOD_SERVERS = 8, 3
 TIMEOUT_MS = 20_000.0
@@ -32,7 +32,7 @@
 class ConnectionBreakingServer(Server):
     """A server that aborts each connection on which a command arrives, and leaves the other connections open."""
 
-    async def serve(self, door: Door, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, port: ListeningPort, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = hiredis.Reader(notEnoughData=MISSING)
         while data := await reader.read(65536):
             parser.feed(data)
@@ -52,8 +52,8 @@
         """Create a fleet; `shared` is the content of the `[shared]` table of the operators' file."""
         rng = random.SystemRandom()
         self.folder, self.shared, self.count, self.plan = folder, shared, processes, plan
-        self.listens = [free_address(own_host(rng)) for _ in range(processes)]
-        self.addresses = [free_address(own_host(rng)) for _ in range(processes)]
+        self.listens = [free_address(random_loopback_host(rng)) for _ in range(processes)]
+        self.addresses = [free_address(random_loopback_host(rng)) for _ in range(processes)]
         self.release = asyncio.Event()
         self.good, self.bad = [Server(self._answer) for _ in range(GOOD_SERVERS)], ConnectionBreakingServer()
         self.processes: list[asyncio.subprocess.Process] = []
@@ -65,7 +65,7 @@
         for server in (*self.good, self.bad):
             await server.start()
         rows = [target(f"w-{n}", server.endpoint) for n, server in enumerate(self.good)]
-        self.discovery = Discovery(rows=lambda door: [*rows, target("bad", self.bad.endpoint)])
+        self.discovery = Discovery(rows=lambda port_index: [*rows, target("bad", self.bad.endpoint)])
         await self.discovery.start()
         operators = self.folder / "operators.toml"
         operators.write_text(f"[shared]\n{self.shared}\n")
@@ -73,7 +73,7 @@
             raw = raw_config(self.listens[number], "%s:%d" % self.discovery.address)
             raw.update(seed=secrets.token_hex(8), peers=self.addresses, peer_listen=self.addresses[number])
             # long timeouts, so that requests that a test delays do not time out on a busy machine
-            settings = facts(peers=True, **{"dial-timeout": TIMEOUT_MS / 4.0})
+            settings = default_settings(peers=True, **{"dial-timeout": TIMEOUT_MS / 4.0})
             service = {"name": "lookup", "goal-time": TIMEOUT_MS, "deadline": TIMEOUT_MS, "effect": "free"}
             raw["settings"] = {**settings, "ordinal": number, "peers-total": self.count, "services": [service]}
             raw["settings"]["plans"] = [self.plan]
--- a/tests/sim/test_search.py
+++ b/tests/sim/test_search.py
@@ -34,7 +34,7 @@
 )
 from elderlock.sim.seeds import NoLongerAppliesError, Seed, SeedError
 from elderlock.sim.trace import Trace, first_difference
-from elderlock.standins.model import BoxModel
+from elderlock.standins.model import ServerModel
 
 SEEDS_FOLDER = Path(__file__).parent / "seeds"
 BASE = with_load(0.4, Scenario("search", lasts_s=4.0, warm_s=0.5, rest_s=2.0, boxes=6, agents=1))
@@ -166,10 +166,10 @@
 
 
 def test_an_exception_in_a_model_fails_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    def raise_error(self: BoxModel, *args: Any) -> None:
+    def raise_error(self: ServerModel, *args: Any) -> None:
         raise ZeroDivisionError("in a model")
 
-    monkeypatch.setattr(BoxModel, "offer", raise_error)
+    monkeypatch.setattr(ServerModel, "offer", raise_error)
     for floor in ("shells", "decisions"):
         result = search.play(msgspec.structs.replace(BASE, lasts_s=1.5), 1, floor)
         assert result.ended == "failed" and "in a model" in result.why and not result.good()
--- a/tests/test_many_processes.py
+++ b/tests/test_many_processes.py
@@ -16,12 +16,12 @@
 import pytest
 from programs import connect_when_ready, start_program
 
-from elderlock.standins.boxes import Server, served
 from elderlock.standins.clients import Client
 from elderlock.standins.discovery import Discovery
-from elderlock.standins.settings import facts, raw_config, target
+from elderlock.standins.servers import Server, served
+from elderlock.standins.settings import default_settings, raw_config, target
 from elderlock.standins.waiting import run, unix_ms, until
-from elderlock.standins.world import free_address, own_host
+from elderlock.standins.world import free_address, random_loopback_host
 
 PROCESS_COUNT, WARM_SERVER_COUNT = 30, 4
 REQUEST_INTERVAL_S = 0.1  # for each client: 300 requests a second over all limiters
@@ -47,8 +47,8 @@
     def __init__(self, folder: Path, peers: bool) -> None:
         rng = random.SystemRandom()
         self.folder, self.peers = folder, peers
-        self.listen_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
-        self.peer_addresses = [free_address(own_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.listen_addresses = [free_address(random_loopback_host(rng)) for _ in range(PROCESS_COUNT)]
+        self.peer_addresses = [free_address(random_loopback_host(rng)) for _ in range(PROCESS_COUNT)]
         self.warm_servers, self.cold_server = [RecordingServer() for _ in range(WARM_SERVER_COUNT)], RecordingServer()
         self.cold_started_at_ms = 0.0  # Unix time; 0 until the cold server is listed
         self.warm_are_draining = False
@@ -57,7 +57,7 @@
         self.clients: list[Client] = []
         self.ready_times_s: list[float] = []  # of each process, since the latest start
 
-    def rows(self, door: int) -> list[dict[str, Any]]:
+    def rows(self, port_index: int) -> list[dict[str, Any]]:
         state = "draining" if self.warm_are_draining else "up"
         rows = [target(f"w-{number}", server.endpoint, state) for number, server in enumerate(self.warm_servers)]
         return (
@@ -68,9 +68,9 @@
 
     def send_list(self) -> None:
         self.discovery.rev += 1
-        for writer, door in list(self.discovery.watching.items()):
+        for writer, port in list(self.discovery.watch_ports.items()):
             line = {"rev": self.discovery.rev, "all": True, "targets": self.rows(0)}
-            self.discovery.line(door, writer, json.dumps(line).encode() + b"\n")
+            self.discovery.write_line(port, writer, json.dumps(line).encode() + b"\n")
 
     async def start_servers(self) -> None:
         for server in (*self.warm_servers, self.cold_server):
@@ -85,7 +85,12 @@
         async def start_one(number: int) -> Client:
             raw = raw_config(self.listen_addresses[number], "%s:%d" % self.discovery.address)
             raw["seed"] = secrets.token_hex(8)
-            settings = {**facts(peers=self.peers), "ordinal": number, "peers-total": PROCESS_COUNT, "rules": RULES}
+            settings = {
+                **default_settings(peers=self.peers),
+                "ordinal": number,
+                "peers-total": PROCESS_COUNT,
+                "rules": RULES,
+            }
             settings["plans"] = [{"name": "team", "quota-rate": 1e5, "burst": 1e5}]
             if self.peers:
                 raw.update(peers=self.peer_addresses, peer_listen=self.peer_addresses[number])
@@ -159,10 +164,10 @@
 
             assert fleet.cold_server.arrival_times_ms  # it gets requests
             await fleet.kill_limiters()
-            fleet.discovery.muted = fleet.discovery.hangs = True
-            call_count = len(fleet.discovery.asked)
+            fleet.discovery.holds_answers = fleet.discovery.ignores_requests = True
+            call_count = len(fleet.discovery.requested_paths)
             await fleet.start_limiters()  # they become ready although discovery does not answer
-            assert len(fleet.discovery.asked) > call_count
+            assert len(fleet.discovery.requested_paths) > call_count
             await fleet.send_requests(4, pause_s=0.0)
             excessive_windows = [
                 (count, allowed)
@@ -173,10 +178,10 @@
 
             # All limiters apply a list again: the warm servers are back.
             counts_before = [len(server.arrival_times_ms) for server in fleet.warm_servers]
-            fleet.warm_are_draining = fleet.discovery.muted = fleet.discovery.hangs = False
+            fleet.warm_are_draining = fleet.discovery.holds_answers = fleet.discovery.ignores_requests = False
             fleet.discovery.rev += 1
-            watch_count = len(fleet.discovery.watching)
-            await until(lambda: len(fleet.discovery.watching) >= watch_count + PROCESS_COUNT)
+            watch_count = len(fleet.discovery.watch_ports)
+            await until(lambda: len(fleet.discovery.watch_ports) >= watch_count + PROCESS_COUNT)
             await fleet.send_requests(1, pause_s=0.0)
             assert sum(len(server.arrival_times_ms) for server in fleet.warm_servers) > sum(counts_before)
         finally:
--- a/tests/trial/test_processes.py
+++ b/tests/trial/test_processes.py
@@ -81,7 +81,7 @@
     async def test() -> None:
         async with running_harness(plan=WITH_QUOTA, accounts=6) as harness:
             seen: list[tuple[int, int]] = []
-            harness.datagrams.seen = lambda owner, receiver, data: seen.append((owner, receiver))
+            harness.datagrams.on_delivered = lambda owner, receiver, data: seen.append((owner, receiver))
             harness.start_clients()
             await until(lambda: {(0, 1), (1, 0)} <= set(seen))
             harness.relays.inject("cut", [("n0", "n1")])
--- a/tests/trial/test_relays.py
+++ b/tests/trial/test_relays.py
@@ -13,7 +13,7 @@
 import pytest
 
 from elderlock.standins.waiting import run, until
-from elderlock.standins.world import own_host
+from elderlock.standins.world import random_loopback_host
 from elderlock.trial.link_conditions import LinkFaults, Location
 from elderlock.trial.relay import DatagramRelay, Relay, Relays
 from elderlock.trial.stalls import StallMonitor, summarize
@@ -58,7 +58,7 @@
         self.relays = Relays(self.link_faults)
         self.echo: Any = make_echo()
         self.server: asyncio.Server | None = None
-        self.address = (own_host(random.SystemRandom()), 0)
+        self.address = (random_loopback_host(random.SystemRandom()), 0)
 
     async def listen(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(self.echo, *self.address)
@@ -67,7 +67,7 @@
     async def relay(self) -> Relay:
         await self.listen()
         relay = self.relays.add(
-            Relay(self.link_faults, HERE, THERE, self.address), (own_host(random.SystemRandom()), 0)
+            Relay(self.link_faults, HERE, THERE, self.address), (random_loopback_host(random.SystemRandom()), 0)
         )
         self.relays.watch()
         return relay
@@ -287,7 +287,7 @@
         datagrams = DatagramRelay(link_faults, locations, random.Random(1))
         await datagrams.open()
         received: list[tuple[int, int, bytes]] = []
-        datagrams.seen = lambda owner, receiver, data: received.append((owner, receiver, data))
+        datagrams.on_delivered = lambda owner, receiver, data: received.append((owner, receiver, data))
         sockets = []
         for listen in datagrams.listens:
             host, _, port = listen.rpartition(":")
