--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -193,7 +193,7 @@
     stop = asyncio.Event()
     recording = asyncio.ensure_future(record_drained_limiters(harness, holdings, stop))
     id = f"{rng.randrange(1 << 60):032x}"
-    policy = replace_policy_fields(POLICY, auto_back=kind == "bad")
+    policy = replace_policy_fields(POLICY, automatic_rollback=kind == "bad")
     waves = [["n0"], ["n3", "n6"], ["n1", "n4", "n7", "n9"], ["n2", "n5", "n8"]]
     begin = plan_commands.begin(id, "release", "v2", (), waves, policy, "")
     answer = await plan_commands.ask_any(group, begin, messages.BeginAnswer, 20.0)
--- a/tests/benchmarks/test_programs.py
+++ b/tests/benchmarks/test_programs.py
@@ -83,6 +83,18 @@
         assert len(program.releases_of_agents(long)) > 20
 
 
+def test_rollout_replaces_only_fields_that_a_policy_has(load: Any) -> None:
+    program = load("rollout")
+    calls = [
+        node
+        for node in ast.walk(ast.parse((BENCHMARKS / "rollout.py").read_text(encoding="utf-8")))
+        if isinstance(node, ast.Call) and getattr(node.func, "id", "") == program.replace_policy_fields.__name__
+    ]
+    replaced = {keyword.arg for call in calls for keyword in call.keywords}
+    assert len(calls) == 2
+    assert replaced <= set(program.POLICY.__struct_fields__)
+
+
 def test_shared_state_builds_its_scenarios(load: Any) -> None:
     program = load("shared_state")
     for fault in ("", "silent", "errs"):
@@ -126,4 +138,4 @@
 def test_the_simulated_experiments_can_be_read(load: Any) -> None:
     program = load("sim_scale")
     for name in ("partition", "power-loss"):
-        assert program.scenario_of(name, BENCHMARKS).name == name
+        assert program.load_scenario(name, BENCHMARKS).name == name
