--- a/tests/sim/test_sweep.py
+++ b/tests/sim/test_sweep.py
@@ -9,6 +9,7 @@
 import subprocess
 import sys
 import time
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -127,8 +128,17 @@
         store.load_results(parse_experiment(other, "here.toml", Path(".")))
 
 
+@pytest.fixture
+def default_interrupts() -> Iterator[None]:
+    """Let child processes receive SIGINT: a test run that was started with `nohup ... &` passes on that it is ignored."""
+    previous = signal.signal(signal.SIGINT, signal.default_int_handler)
+    yield
+    signal.signal(signal.SIGINT, previous)
+
+
+@pytest.mark.usefixtures("default_interrupts")
 def test_an_interrupted_sweep_resumes_with_the_same_command(tmp_path: Path) -> None:
-    seeds = 100  # a run takes 25 ms; on a busy machine a shorter sweep would end before the signal is sent
+    seeds = 15
     path = tmp_path / "e.toml"
     path.write_text(msgspec.toml.encode(raw_experiment(seeds=seeds)).decode())
     command = [sys.executable, "-B", "-m", "elderlock.cli.main", "experiment", "run", str(path), "--workers", "1"]
